--- /dev/null
+++ b/internal/compat/storage_test.go
@@ -0,0 +1,118 @@
+package compat
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"saddleport/internal/cluster/gossip"
+	"saddleport/internal/cluster/message"
+	"saddleport/internal/cluster/replica"
+	"saddleport/internal/cluster/routeconfig"
+	"saddleport/internal/node/role"
+	"saddleport/internal/node/storage"
+)
+
+// The data directories are those of three control-plane machines of the release before. The
+// first was killed after revisions 3 and 7, the others went on without it in a new view,
+// took 12 and 20, and were killed in turn.
+func TestDataDirectories(t *testing.T) {
+	for machine, want := range map[int]struct {
+		revision uint64
+		epoch    uint64
+		servers  int // that sent their heartbeats to this machine when it last looked
+	}{1: {7, 1, 0}, 2: {20, 2, 2}, 3: {20, 2, 0}} {
+		t.Run(fmt.Sprint(machine), func(t *testing.T) {
+			store := openCopy(t, machine)
+			state := get(t, store, "pact")
+			record, err := replica.Decode(state)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if again := replica.Encode(record); !bytes.Equal(again, state) {
+				t.Errorf("the state is written as %s; was %s", again, state)
+			}
+			if record.State.View.Epoch != want.epoch || record.State.View.Check() != nil {
+				t.Errorf("the view is %+v; want epoch %d", record.State.View, want.epoch)
+			}
+			for _, key := range []string{"entry", "known"} {
+				var entry message.Entry
+				unchanged(t, get(t, store, key), &entry)
+				if got := message.Version(entry.Rank); got != want.revision {
+					t.Errorf("%s: revision %d; want %d", key, got, want.revision)
+				}
+				if _, err := routeconfig.Read(entry.Raw); err != nil {
+					t.Errorf("%s: %v", key, err)
+				}
+			}
+			var servers []gossip.Item
+			unchanged(t, get(t, store, "servers"), &servers)
+			if len(servers) != want.servers {
+				t.Errorf("%d servers are remembered; want %d", len(servers), want.servers)
+			}
+		})
+	}
+}
+
+// Settings, a configuration and the operator file are read as before.
+func TestFiles(t *testing.T) {
+	boot, err := role.Load(filepath.Join("testdata", "settings.conf"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	got := fmt.Sprint(boot.Name, " ", boot.Role, " ", boot.Inner(), " ", boot.Loop(), " ", boot.Control, " ", boot.Zone, " ", boot.Region,
+		" ", len(boot.Regions), " ", boot.SeedPeers(), " ", boot.Bootstrap, " ", boot.Bounds.Drain, " ", boot.Bounds.Grace, " ", boot.Dir)
+	const want = "core-2 controlplane 127.77.7.2:17070 127.77.7.2:17071 127.77.7.2:17079 zone-2 region-1 3 " +
+		"[127.77.7.1:17070 127.77.7.2:17070 127.77.7.3:17070] true 4s 6s /var/lib/saddleport"
+	if got != want {
+		t.Errorf("settings.conf: %s; want %s", got, want)
+	}
+	raw, err := os.ReadFile(filepath.Join("testdata", "configuration.json"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	config, err := routeconfig.Read(raw)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if config.Revision != 20 || len(config.Routes) != 1 || len(config.Services) != 2 || !bytes.Equal(config.Raw, raw) {
+		t.Errorf("configuration.json: revision %d, %d routes, %d services", config.Revision, len(config.Routes), len(config.Services))
+	}
+}
+
+func openCopy(t *testing.T, machine int) *storage.Store {
+	t.Helper()
+	dir := t.TempDir()
+	if err := os.CopyFS(dir, os.DirFS(filepath.Join("testdata", fmt.Sprint("controlplane-", machine)))); err != nil {
+		t.Fatal(err)
+	}
+	store, err := storage.Open(dir)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { store.Close() })
+	return store
+}
+
+func get(t *testing.T, store *storage.Store, key string) []byte {
+	t.Helper()
+	value, err := store.Get(key)
+	if err != nil || value == nil {
+		t.Fatalf("%s: %v, %v", key, value, err)
+	}
+	return value
+}
+
+// unchanged reads a value into a type and requires that it is written back byte for byte.
+func unchanged(t *testing.T, text []byte, into any) {
+	t.Helper()
+	if err := json.Unmarshal(text, into); err != nil {
+		t.Fatal(err)
+	}
+	if again, err := json.Marshal(into); err != nil || !bytes.Equal(again, text) {
+		t.Errorf("written as %s, %v; was %s", again, err, text)
+	}
+}
--- /dev/null
+++ b/internal/compat/wire_test.go
@@ -0,0 +1,160 @@
+package compat
+
+import (
+	"bytes"
+	"encoding/json"
+	"flag"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+
+	"saddleport/internal/cluster/gossip"
+	"saddleport/internal/cluster/message"
+	"saddleport/internal/cluster/outlier"
+	"saddleport/internal/cluster/registry"
+	"saddleport/internal/node/role"
+)
+
+// update writes the fixtures anew. They are those of the release before the renaming: only a
+// form that did not exist then may be added.
+var update = flag.Bool("update", false, "write the fixtures of the wire anew")
+
+// sent are the bodies of all calls between the system's processes, by the name of their fixture.
+var sent = map[string]any{
+	"rumour-pass":         &gossip.Pass{},
+	"rumour-passed":       &gossip.Passed{},
+	"process":             &gossip.Process{},
+	"ring-after":          &role.After{},
+	"ring-heard":          &role.Heard{},
+	"feed":                &role.Feed{},
+	"feed-answer":         &role.Fed{},
+	"herd-witness":        &role.Witness{},
+	"herd-assignment":     &outlier.Assignment{},
+	"allow-claims":        &role.Claims{},
+	"allow-grants":        &role.Grants{},
+	"server":              &registry.Server{},
+	"server-heartbeat":    &registry.Beat{},
+	"heartbeat-answer":    &role.Beaten{},
+	"show":                &role.Shown{},
+	"replica-view":        &message.View{},
+	"replica-entry":       &message.Entry{},
+	"core-enter":          &message.Enter{},
+	"core-entered":        &message.Entered{},
+	"core-pass":           &message.Pass{},
+	"core-ack":            &message.Ack{},
+	"core-lacks":          &message.Lacks{},
+	"core-read":           &message.Read{},
+	"core-read-result":    &message.ReadResult{},
+	"core-confirm":        &message.Confirm{},
+	"core-confirmed":      &message.Confirmed{},
+	"core-repair":         &message.Repair{},
+	"core-waiting":        &message.Waiting{},
+	"core-heartbeat":      &message.Heartbeat{},
+	"core-join":           &message.Join{},
+	"core-prepare":        &message.Prepare{},
+	"core-promise":        &message.Promise{},
+	"core-accept":         &message.Accept{},
+	"core-accepted":       &message.AcceptedBallot{},
+	"core-nack":           &message.Nack{},
+	"core-decide":         &message.Decide{},
+	"core-suspect":        &message.Suspect{},
+	"core-stamp":          &message.Stamp{},
+	"core-previous-order": &message.Order{},
+}
+
+// Each form is written as the release before wrote it, and read and written again unchanged.
+func TestWireForms(t *testing.T) {
+	for name, value := range sent {
+		t.Run(name, func(t *testing.T) {
+			fill(t, reflect.ValueOf(value).Elem(), name)
+			written, err := json.Marshal(value)
+			if err != nil {
+				t.Fatal(err)
+			}
+			checkGolden(t, filepath.Join("testdata", "wire", name+".json"), written)
+			again := reflect.New(reflect.TypeOf(value).Elem()).Interface()
+			if err := json.Unmarshal(written, again); err != nil {
+				t.Fatal(err)
+			}
+			if rewritten, err := json.Marshal(again); err != nil || !bytes.Equal(rewritten, written) {
+				t.Fatalf("read and written again: %s, %v; want %s", rewritten, err, written)
+			}
+		})
+	}
+}
+
+// The mail between control-plane machines: every kind of message, with the contents of entries
+// behind the JSON.
+func TestMail(t *testing.T) {
+	path := filepath.Join("testdata", "wire", "core.mail")
+	if *update {
+		writeMail(t, path)
+	}
+	mail, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	messages, unread, err := message.DecodeMail(mail)
+	if err != nil || len(unread) > 0 || len(messages) != 20 {
+		t.Fatalf("%d messages, %v unread, %v", len(messages), unread, err)
+	}
+	again, err := message.EncodeMail(messages)
+	if err != nil || !bytes.Equal(again, mail) {
+		t.Fatalf("the mail was written otherwise: %v", err)
+	}
+}
+
+func checkGolden(t *testing.T, path string, written []byte) {
+	t.Helper()
+	if *update {
+		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, written, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(written, want) {
+		t.Fatalf("%s: written as %s; was %s", path, written, want)
+	}
+}
+
+func writeMail(t *testing.T, path string) {
+	t.Helper()
+	from, to := message.Member{Addr: "10.0.0.1:7080", Disk: "0"}, message.Member{Addr: "10.0.0.2:7080", Disk: "d2"}
+	var list []message.Message
+	for _, name := range names() {
+		if body, is := reflect.ValueOf(sent[name]).Elem().Interface().(message.Body); is {
+			value := reflect.ValueOf(sent[name]).Elem()
+			fill(t, value, name)
+			body = value.Interface().(message.Body)
+			list = append(list, message.Message{From: from, To: to, Epoch: 7, Body: body})
+		}
+	}
+	mail, err := message.EncodeMail(list)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(path, mail, 0o644); err != nil {
+		t.Fatal(err)
+	}
+}
+
+func names() []string {
+	entries, err := os.ReadDir(filepath.Join("testdata", "wire"))
+	if err != nil {
+		return nil
+	}
+	var out []string
+	for _, e := range entries {
+		if name := e.Name(); filepath.Ext(name) == ".json" {
+			out = append(out, name[:len(name)-len(".json")])
+		}
+	}
+	return out
+}
