--- a/internal/cluster/chain/calls.go
+++ b/internal/cluster/chain/calls.go
@@ -8,16 +8,16 @@
 )
 
 // call is an order or a read that was made here, and is sent to the head or the tail.
-type call struct {
-	id      string
-	entry   *message.Entry // nil: a read
-	since   int64
-	sentAt  int64
-	whole   bool  // the receiver was sent the entry: from then on its rank will do
-	heardAt int64 // when its receiver was last heard of it: it lives
+type localCall struct {
+	id        string
+	entry     *message.Entry // nil: a read
+	since     int64
+	sentAt    int64
+	entrySent bool  // the receiver was sent the entry: from then on its rank will do
+	pendingAt int64 // when its receiver was last heard of it: it lives
 }
 
-func (c call) receiver(v message.View) message.Member {
+func (c localCall) receiver(v message.View) message.Member {
 	if c.entry == nil {
 		return v.Tail()
 	}
@@ -25,87 +25,87 @@
 }
 
 // Put asks for an entry to be acknowledged; the Result comes under the id returned.
-func (m *Machine) Put(now int64, e message.Entry) string { return m.ask(now, &e) }
+func (m *Machine) Put(now int64, e message.Entry) string { return m.startCall(now, &e) }
 
 // Get asks for the newest acknowledged entry.
-func (m *Machine) Get(now int64) string { return m.ask(now, nil) }
+func (m *Machine) Get(now int64) string { return m.startCall(now, nil) }
 
-func (m *Machine) ask(now int64, e *message.Entry) string {
-	m.numbers++
-	id := fmt.Sprintf("%s.%d", m.nonce, m.numbers)
-	if len(m.calls) >= mostWaiting {
-		m.results = append(m.results, Result{ID: id, Why: "too many callers wait"})
+func (m *Machine) startCall(now int64, e *message.Entry) string {
+	m.callSequence++
+	id := fmt.Sprintf("%s.%d", m.nonce, m.callSequence)
+	if len(m.localCalls) >= maxPending {
+		m.results = append(m.results, Result{ID: id, Reason: "too many callers wait"})
 		return id
 	}
-	m.calls = append(m.calls, call{id: id, entry: e, since: now})
-	m.forward(now)
+	m.localCalls = append(m.localCalls, localCall{id: id, entry: e, since: now})
+	m.sendCalls(now)
 	return id
 }
 
 // forward sends the calls made here to the head or the tail.
-func (m *Machine) forward(now int64) {
+func (m *Machine) sendCalls(now int64) {
 	if len(m.view.Chain) == 0 {
 		return
 	}
-	for i := range m.calls {
-		c := &m.calls[i]
-		if c.sentAt != 0 && now-c.sentAt < m.cfg.Resend {
+	for i := range m.localCalls {
+		c := &m.localCalls[i]
+		if c.sentAt != 0 && now-c.sentAt < m.cfg.RetryInterval {
 			continue
 		}
 		c.sentAt = max(now, 1)
 		if c.entry == nil {
-			m.send(m.view.Tail(), message.Read{ID: c.id})
+			m.send(m.view.Tail(), message.QueryRequest{ID: c.id})
 			continue
 		}
-		body := message.Enter{ID: c.id, Rank: c.entry.Rank, Digest: c.entry.Digest}
-		if !c.whole {
-			body.Entry, c.whole = c.entry, true
+		body := message.UpdateRequest{ID: c.id, Version: c.entry.Version, Digest: c.entry.Digest}
+		if !c.entrySent {
+			body.Entry, c.entrySent = c.entry, true
 		}
 		m.send(m.view.Head(), body)
 	}
 }
 
 // answered takes the head's answer to an order.
-func (m *Machine) answered(now int64, a message.Entered) {
-	if a.Why != "" {
-		m.again(now, a.ID)
+func (m *Machine) handleUpdateResponse(now int64, a message.UpdateResponse) {
+	if a.Reason != "" {
+		m.retryLater(now, a.ID)
 		return
 	}
-	m.end(Result{ID: a.ID, Verdict: a.Verdict})
+	m.finishCall(Result{ID: a.ID, Verdict: a.Verdict})
 }
 
 // found takes the tail's answer to a read.
-func (m *Machine) found(now int64, f message.ReadResult) {
-	if f.Why != "" {
-		m.again(now, f.ID)
+func (m *Machine) handleQueryResponse(now int64, f message.QueryResponse) {
+	if f.Reason != "" {
+		m.retryLater(now, f.ID)
 		return
 	}
-	m.end(Result{ID: f.ID, Entry: f.Entry})
+	m.finishCall(Result{ID: f.ID, Entry: f.Entry})
 }
 
 // again has a call that was refused for the view's sake go out once more, a little later.
-func (m *Machine) again(now int64, id string) {
-	for i := range m.calls {
-		if c := &m.calls[i]; c.id == id {
-			c.sentAt, c.heardAt, c.whole = max(now-m.cfg.Resend/2, 1), now, false
+func (m *Machine) retryLater(now int64, id string) {
+	for i := range m.localCalls {
+		if c := &m.localCalls[i]; c.id == id {
+			c.sentAt, c.pendingAt, c.entrySent = max(now-m.cfg.RetryInterval/2, 1), now, false
 		}
 	}
 }
 
 // known notes that a call's receiver has it and waits for others.
-func (m *Machine) known(now int64, id string) {
-	for i := range m.calls {
-		if m.calls[i].id == id {
-			m.calls[i].heardAt = now
+func (m *Machine) handleRequestPending(now int64, id string) {
+	for i := range m.localCalls {
+		if m.localCalls[i].id == id {
+			m.localCalls[i].pendingAt = now
 		}
 	}
 }
 
-func (m *Machine) end(r Result) {
-	i := slices.IndexFunc(m.calls, func(c call) bool { return c.id == r.ID })
+func (m *Machine) finishCall(r Result) {
+	i := slices.IndexFunc(m.localCalls, func(c localCall) bool { return c.id == r.ID })
 	if i < 0 {
 		return // it was answered before, or given up
 	}
-	m.calls = slices.Delete(m.calls, i, i+1)
+	m.localCalls = slices.Delete(m.localCalls, i, i+1)
 	m.results = append(m.results, r)
 }
--- a/internal/cluster/chain/chain.go
+++ b/internal/cluster/chain/chain.go
@@ -17,13 +17,13 @@
 
 // Config tunes a chain; the times are microseconds of the caller's clock.
 type Config struct {
-	Resend int64 // a message of the chain without an answer is sent again
-	Stuck  int64 // and its receiver is complained of
-	Wait   int64 // a caller is told that there is no answer
+	RetryInterval  int64 // a message of the chain without an answer is sent again
+	SuspectTimeout int64 // and its receiver is complained of
+	CallTimeout    int64 // a caller is told that there is no answer
 }
 
 // Breaks leaves rules out on purpose, so that the checker can show that it finds each.
-type Breaks struct {
+type Mutations struct {
 	AckEarly    bool // the head acknowledges what it alone holds
 	StaleRead   bool // the tail does not ask whether its view stands
 	NoSeal      bool // a member goes on in a view after it has promised another
@@ -42,66 +42,66 @@
 	ID      string
 	Verdict message.Verdict // of an order
 	Entry   *message.Entry  // of a read
-	Why     string          // of a refusal
+	Reason  string          // of a refusal
 }
 
 // OK tells whether there is an answer.
-func (r Result) OK() bool { return r.Why == "" }
+func (r Result) OK() bool { return r.Reason == "" }
 
 // Old is a copy that a read found to be older than the reader's.
-type Old struct {
-	Member message.Member
-	Stamp  message.Stamp
+type StaleReplica struct {
+	Member    message.Member
+	Viewstamp message.Viewstamp
 }
 
 const (
-	mostWaiting = 256 // calls in each of the lists below
-	mostAsked   = 4   // a member that answers no rank is sent the entry after so many times
+	maxPending          = 256 // calls in each of the lists below
+	maxVersionOnlySends = 4   // a member that answers no rank is sent the entry after so many times
 )
 
 // Machine is the chain as one member sees it.
 type Machine struct {
-	cfg    Config
-	breaks Breaks
-	self   message.Member
-
-	view         message.View
-	sealed       bool // another view was promised
-	held         message.Entry
-	entryChanged bool
-	stampChanged bool
-	acked        uint64 // the highest rank known to be acknowledged
-
-	flight  flight
-	waiting []waiter // orders, at the head
-	reads   []reader // at the tail
-	calls   []call   // made here, sent to the head or the tail
-	numbers uint64
-	nonce   string
-
-	out     []message.Message
-	results []Result
-	suspect Suspect
-	old     []Old
+	cfg       Config
+	mutations Mutations
+	self      message.Member
+
+	view                message.View
+	sealed              bool // another view was promised
+	stored              message.Entry
+	entryChanged        bool
+	epochChanged        bool
+	acknowledgedVersion uint64 // the highest rank known to be acknowledged
+
+	inFlight       inFlightEntry
+	pendingUpdates []pendingUpdate // orders, at the head
+	pendingQueries []pendingQuery  // at the tail
+	localCalls     []localCall     // made here, sent to the head or the tail
+	callSequence   uint64
+	nonce          string
+
+	outbox        []message.Message
+	results       []Result
+	suspect       Suspect
+	staleReplicas []StaleReplica
 }
 
 // Suspect is a member that does not move on; the zero one: there is none.
 type Suspect struct {
-	Member message.Member
-	Lacks  uint64 // the rank that it has not been seen to hold; 0: it does not answer calls
+	Member         message.Member
+	MissingVersion uint64 // the rank that it has not been seen to hold; 0: it does not answer calls
 }
 
 // New returns a chain that knows no view. nonce sets its calls apart from those of its
 // earlier lives.
-func New(cfg Config, self message.Member, held message.Entry, nonce string, breaks Breaks) *Machine {
-	return &Machine{cfg: cfg, self: self, held: held, nonce: nonce, breaks: breaks}
+func New(cfg Config, self message.Member, stored message.Entry, nonce string, mutations Mutations) *Machine {
+	return &Machine{cfg: cfg, self: self, stored: stored, nonce: nonce, mutations: mutations}
 }
 
 // Held is the entry that is kept here.
-func (m *Machine) Held() message.Entry { return m.held }
+func (m *Machine) Stored() message.Entry { return m.stored }
 
 // Acknowledged is the highest rank known to be acknowledged.
-func (m *Machine) Acknowledged() uint64 { return m.acked }
+func (m *Machine) Acknowledged() uint64 { return m.acknowledgedVersion }
 
 // Sealed tells whether another view was promised.
 func (m *Machine) Sealed() bool { return m.sealed }
@@ -110,60 +110,60 @@
 func (m *Machine) View() message.View { return m.view }
 
 // Keep keeps an entry if it is newer than the one that is kept.
-func (m *Machine) Keep(e message.Entry) {
+func (m *Machine) Store(e message.Entry) {
 	switch {
-	case !m.held.Stamp().Less(e.Stamp()):
-	case !e.Bare:
-		m.held, m.entryChanged = e, true
-	case m.held.Same(e.Rank, e.Lineage):
-		m.held.Epoch, m.stampChanged = e.Epoch, true
+	case !m.stored.Viewstamp().Less(e.Viewstamp()):
+	case !e.ContentOmitted:
+		m.stored, m.entryChanged = e, true
+	case m.stored.Matches(e.Version, e.HistoryDigest):
+		m.stored.Epoch, m.epochChanged = e.Epoch, true
 	}
 }
 
 // Changed tells whether the entry that is kept has changed since it was last asked, and
 // whether only its epoch has.
-func (m *Machine) Changed() (entry, stamp bool) {
-	entry, stamp = m.entryChanged, m.stampChanged
-	m.entryChanged, m.stampChanged = false, false
+func (m *Machine) TakeChanges() (entry, stamp bool) {
+	entry, stamp = m.entryChanged, m.epochChanged
+	m.entryChanged, m.epochChanged = false, false
 	return entry, stamp
 }
 
 // Adopt takes a view over. The entry that goes with it was kept before.
-func (m *Machine) Adopt(now int64, v message.View) {
-	if !m.breaks.JoinBehind && m.held.Stamp().Less(v.BaseStamp()) {
-		panic(fmt.Sprintf("invariant: %s is in epoch %d and holds %+v below its base %+v", m.self, v.Epoch, m.held.Stamp(), v.BaseStamp()))
+func (m *Machine) AdoptView(now int64, v message.View) {
+	if !m.mutations.JoinBehind && m.stored.Viewstamp().Less(v.BaseViewstamp()) {
+		panic(fmt.Sprintf("invariant: %s is in epoch %d and holds %+v below its base %+v", m.self, v.Epoch, m.stored.Viewstamp(), v.BaseViewstamp()))
 	}
-	m.view, m.sealed, m.flight = v, false, flight{}
+	m.view, m.sealed, m.inFlight = v, false, inFlightEntry{}
 	m.refuseAll("the view has changed")
 	if v.Head() == m.self {
-		m.vouch()
-		m.pass(now, true) // what the tail may not have
+		m.stampEpoch()
+		m.forwardEntry(now, true) // what the tail may not have
 	}
-	for i := range m.calls {
-		m.calls[i].sentAt, m.calls[i].whole = 0, false
+	for i := range m.localCalls {
+		m.localCalls[i].sentAt, m.localCalls[i].entrySent = 0, false
 	}
 }
 
 // epoch is the one under which entries are kept.
 func (m *Machine) epoch() uint64 {
-	if m.breaks.RankOnly {
+	if m.mutations.RankOnly {
 		return 0
 	}
 	return m.view.Epoch
 }
 
 // vouch puts the entry that is kept under the epoch in force.
-func (m *Machine) vouch() {
-	if m.held.Epoch != m.epoch() {
-		m.held.Epoch, m.stampChanged = m.epoch(), true
+func (m *Machine) stampEpoch() {
+	if m.stored.Epoch != m.epoch() {
+		m.stored.Epoch, m.epochChanged = m.epoch(), true
 	}
 }
 
 // vouched tells whether the head of the view in force has vouched for what is kept here.
-func (m *Machine) vouched() bool { return m.held.Epoch == m.epoch() }
+func (m *Machine) epochIsCurrent() bool { return m.stored.Epoch == m.epoch() }
 
 // Seal has the member refuse to go on in its view.
-func (m *Machine) Seal() { m.sealed = !m.breaks.NoSeal }
+func (m *Machine) Seal() { m.sealed = !m.mutations.NoSeal }
 
 // Suspected is the member that does not move on, if any; asking clears it. One that is
 // known to hold what it was passed waits for others itself, and is not to blame.
@@ -174,109 +174,109 @@
 }
 
 // Old returns the copies that reads found old since it was last asked.
-func (m *Machine) Old() []Old {
-	old := m.old
-	m.old = nil
+func (m *Machine) TakeStaleReplicas() []StaleReplica {
+	old := m.staleReplicas
+	m.staleReplicas = nil
 	return old
 }
 
 // Repair sends a member the entry that is kept here.
 func (m *Machine) Repair(to message.Member) {
-	m.send(to, message.Repair{Entry: m.held})
+	m.send(to, message.Repair{Entry: m.stored})
 }
 
 // Take returns what is to be sent and told since it was last asked.
-func (m *Machine) Take() ([]message.Message, []Result) {
-	out, results := m.out, m.results
-	m.out, m.results = nil, nil
+func (m *Machine) TakeOutput() ([]message.Message, []Result) {
+	out, results := m.outbox, m.results
+	m.outbox, m.results = nil, nil
 	return out, results
 }
 
 func (m *Machine) send(to message.Member, body message.Body) {
-	m.out = append(m.out, message.Message{From: m.self, To: to, Epoch: m.view.Epoch, Body: body})
+	m.outbox = append(m.outbox, message.Message{From: m.self, To: to, Epoch: m.view.Epoch, Body: body})
 }
 
 // Speaks tells whether a message is one of the chain's.
-func Speaks(body message.Body) bool {
+func IsChainMessage(body message.Body) bool {
 	switch body.(type) {
-	case message.Enter, message.Entered, message.Pass, message.Ack, message.Lacks, message.Read, message.ReadResult,
-		message.Confirm, message.Confirmed, message.Repair, message.Waiting:
+	case message.UpdateRequest, message.UpdateResponse, message.Forward, message.Acknowledge, message.EntryMissing, message.QueryRequest, message.QueryResponse,
+		message.ConfirmView, message.ViewConfirmed, message.Repair, message.RequestPending:
 		return true
 	}
 	return false
 }
 
 // Got takes a message of the chain.
-func (m *Machine) Got(now int64, msg message.Message) {
+func (m *Machine) Step(now int64, msg message.Message) {
 	current := msg.Epoch == m.view.Epoch && !m.sealed
 	switch body := msg.Body.(type) {
-	case message.Enter:
-		m.entered(now, msg.From, body)
-	case message.Entered:
-		m.answered(now, body)
-	case message.Pass:
-		if current && m.isPrevious(msg.From) {
-			m.passed(now, msg.From, body)
+	case message.UpdateRequest:
+		m.handleUpdateRequest(now, msg.From, body)
+	case message.UpdateResponse:
+		m.handleUpdateResponse(now, body)
+	case message.Forward:
+		if current && m.isPredecessor(msg.From) {
+			m.handleForward(now, msg.From, body)
 		}
-	case message.Lacks:
-		if current && m.isNext(msg.From) && m.flight.active && m.flight.entry.Rank == body.Rank {
-			m.pass(now, false)
+	case message.EntryMissing:
+		if current && m.isSuccessor(msg.From) && m.inFlight.active && m.inFlight.entry.Version == body.Version {
+			m.forwardEntry(now, false)
 		}
-	case message.Ack:
-		if current && m.isNext(msg.From) {
-			m.acknowledged(now, body.Rank)
+	case message.Acknowledge:
+		if current && m.isSuccessor(msg.From) {
+			m.markAcknowledged(now, body.Version)
 		}
-	case message.Read:
-		m.asked(now, msg.From, body)
-	case message.Confirm:
+	case message.QueryRequest:
+		m.handleQueryRequest(now, msg.From, body)
+	case message.ConfirmView:
 		if current && m.view.Has(m.self) {
-			m.send(msg.From, message.Confirmed{ID: body.ID, Stamp: m.held.Stamp()})
+			m.send(msg.From, message.ViewConfirmed{ID: body.ID, Viewstamp: m.stored.Viewstamp()})
 		}
-	case message.Confirmed:
-		m.confirmed(msg.From, msg.Epoch, body)
+	case message.ViewConfirmed:
+		m.handleViewConfirmed(msg.From, msg.Epoch, body)
 	case message.Repair:
 		if m.view.Has(msg.From) {
-			m.Keep(body.Entry)
+			m.Store(body.Entry)
 		}
-	case message.Waiting:
-		m.known(now, body.ID)
-	case message.ReadResult:
-		m.found(now, body)
+	case message.RequestPending:
+		m.handleRequestPending(now, body.ID)
+	case message.QueryResponse:
+		m.handleQueryResponse(now, body)
 	}
 }
 
 // Tick sends again what has no answer, complains of who does not move on, and gives up
 // what has waited too long.
 func (m *Machine) Tick(now int64) {
-	m.passAgain(now)
-	m.confirmAgain(now)
-	m.giveUp(now)
-	m.forward(now)
+	m.retryForward(now)
+	m.retryConfirmations(now)
+	m.expireCalls(now)
+	m.sendCalls(now)
 }
 
-func (m *Machine) refuseAll(why string) {
-	for _, w := range m.waiting {
-		m.send(w.from, message.Entered{ID: w.id, Why: why})
+func (m *Machine) refuseAll(reason string) {
+	for _, w := range m.pendingUpdates {
+		m.send(w.from, message.UpdateResponse{ID: w.id, Reason: reason})
 	}
-	for _, r := range m.reads {
-		m.send(r.from, message.ReadResult{ID: r.id, Why: why})
+	for _, r := range m.pendingQueries {
+		m.send(r.from, message.QueryResponse{ID: r.id, Reason: reason})
 	}
-	m.waiting, m.reads = nil, nil
+	m.pendingUpdates, m.pendingQueries = nil, nil
 }
 
-func (m *Machine) giveUp(now int64) {
-	m.waiting = slices.DeleteFunc(m.waiting, func(w waiter) bool { return now-w.since >= m.cfg.Wait })
-	m.reads = slices.DeleteFunc(m.reads, func(r reader) bool { return now-r.since >= m.cfg.Wait })
-	for _, c := range slices.Clone(m.calls) {
-		if now-c.since >= m.cfg.Wait {
-			m.end(Result{ID: c.id, Why: "no answer from the chain in time"})
-		} else if c.sentAt != 0 && now-max(c.since, c.heardAt) >= m.cfg.Stuck && len(m.view.Chain) > 0 {
-			m.blame(c.receiver(m.view))
+func (m *Machine) expireCalls(now int64) {
+	m.pendingUpdates = slices.DeleteFunc(m.pendingUpdates, func(w pendingUpdate) bool { return now-w.since >= m.cfg.CallTimeout })
+	m.pendingQueries = slices.DeleteFunc(m.pendingQueries, func(r pendingQuery) bool { return now-r.since >= m.cfg.CallTimeout })
+	for _, c := range slices.Clone(m.localCalls) {
+		if now-c.since >= m.cfg.CallTimeout {
+			m.finishCall(Result{ID: c.id, Reason: "no answer from the chain in time"})
+		} else if c.sentAt != 0 && now-max(c.since, c.pendingAt) >= m.cfg.SuspectTimeout && len(m.view.Chain) > 0 {
+			m.suspectMember(c.receiver(m.view))
 		}
 	}
 }
 
-func (m *Machine) blame(x message.Member) {
+func (m *Machine) suspectMember(x message.Member) {
 	if x != m.self {
 		m.suspect = Suspect{Member: x}
 	}
--- a/internal/cluster/chain/chain_test.go
+++ b/internal/cluster/chain/chain_test.go
@@ -20,9 +20,9 @@
 // carries tells whether a message has an entry with it.
 func carries(body message.Body) bool {
 	switch b := body.(type) {
-	case message.Enter:
+	case message.UpdateRequest:
 		return b.Entry != nil
-	case message.Pass:
+	case message.Forward:
 		return b.Entry != nil
 	}
 	return false
@@ -35,9 +35,9 @@
 		var view message.View
 		machines := make(map[message.Member]*Machine)
 		for i := range 4 {
-			x := message.Member{Addr: fmt.Sprint("m", i), Disk: "d"}
+			x := message.Member{Addr: fmt.Sprint("m", i), DiskID: "d"}
 			view.Members = append(view.Members, x)
-			machines[x] = New(Config{Resend: 500, Stuck: 1200, Wait: 5000}, x, message.Entry{}, "n", Breaks{})
+			machines[x] = New(Config{RetryInterval: 500, SuspectTimeout: 1200, CallTimeout: 5000}, x, message.Entry{}, "n", Mutations{})
 		}
 		view.Epoch, view.Chain = 1, view.Members
 		now, whole := int64(1000), make(map[message.Kind]int)
@@ -48,14 +48,14 @@
 				for more := true; more; {
 					more = false
 					for _, x := range view.Members {
-						msgs, told := machines[x].Take()
+						msgs, told := machines[x].TakeOutput()
 						results = append(results, told...)
 						for _, msg := range msgs {
 							if carries(msg.Body) && msg.From != msg.To {
 								whole[msg.Body.Kind()]++
 							}
 							if more = true; !lost(msg) {
-								machines[msg.To].Got(now, msg)
+								machines[msg.To].Step(now, msg)
 							}
 						}
 					}
@@ -66,7 +66,7 @@
 			}
 		}
 		for _, x := range view.Members {
-			machines[x].Adopt(now, view)
+			machines[x].AdoptView(now, view)
 		}
 		entry := message.NewEntry(3, []byte("three"))
 		caller := machines[view.Members[2]]
@@ -79,7 +79,7 @@
 			So(results, ShouldHaveLength, 1)
 			So(results[0].OK(), ShouldBeTrue)
 			So(whole, ShouldResemble, map[message.Kind]int{enter: 1, pass: 3})
-			So(machines[view.Tail()].Held().Digest, ShouldEqual, entry.Digest)
+			So(machines[view.Tail()].Stored().Digest, ShouldEqual, entry.Digest)
 		})
 		Convey("one that answers no rank is sent it whole now and then", func() {
 			lost = func(m message.Message) bool {
@@ -101,19 +101,19 @@
 			So(whole[pass], ShouldEqual, 3)
 		})
 		Convey("a member that held it alone in an earlier view passes on what its head asks for", func() {
-			machines[view.Members[0]].Keep(entry)
-			machines[view.Members[2]].Keep(entry)
+			machines[view.Members[0]].Store(entry)
+			machines[view.Members[2]].Store(entry)
 			view.Epoch = 2
 			for _, x := range view.Members {
-				machines[x].Adopt(now, view)
+				machines[x].AdoptView(now, view)
 			}
 			caller.Put(now, entry)
 			run(4000)
 			So(results, ShouldHaveLength, 1)
 			So(results[0].OK(), ShouldBeTrue)
 			for _, x := range view.Members {
-				So(machines[x].Held().Digest, ShouldEqual, entry.Digest)
-				So(machines[x].Held().Epoch, ShouldEqual, uint64(2))
+				So(machines[x].Stored().Digest, ShouldEqual, entry.Digest)
+				So(machines[x].Stored().Epoch, ShouldEqual, uint64(2))
 			}
 		})
 	})
--- a/internal/cluster/chain/orders.go
+++ b/internal/cluster/chain/orders.go
@@ -7,81 +7,81 @@
 )
 
 // waiter is an order that waits at the head until what is kept is acknowledged.
-type waiter struct {
+type pendingUpdate struct {
 	id      string
 	from    message.Member
-	rank    uint64
+	version uint64
 	verdict message.Verdict
 	since   int64
 }
 
 // entered takes an order at the head.
-func (m *Machine) entered(now int64, from message.Member, order message.Enter) {
-	version := message.Version(order.Rank)
+func (m *Machine) handleUpdateRequest(now int64, from message.Member, update message.UpdateRequest) {
+	revision := message.RevisionOf(update.Version)
 	switch {
 	case m.view.Head() != m.self || m.sealed:
-		m.refuse(from, order.ID, "not the head")
+		m.sendRefusal(from, update.ID, "not the head")
 		return
-	case order.Entry == nil && version > message.Version(m.held.Rank):
-		m.refuse(from, order.ID, "not known here")
+	case update.Entry == nil && revision > message.RevisionOf(m.stored.Version):
+		m.sendRefusal(from, update.ID, "not known here")
 		return
-	case len(m.waiting) >= mostWaiting:
-		m.refuse(from, order.ID, "too many wait")
+	case len(m.pendingUpdates) >= maxPending:
+		m.sendRefusal(from, update.ID, "too many wait")
 		return
 	}
-	if slices.ContainsFunc(m.waiting, func(o waiter) bool { return o.id == order.ID && o.from == from }) {
-		m.sayWaiting(from, order.ID)
+	if slices.ContainsFunc(m.pendingUpdates, func(o pendingUpdate) bool { return o.id == update.ID && o.from == from }) {
+		m.sendRequestPending(from, update.ID)
 		return
 	}
-	if version > message.Version(m.held.Rank) {
-		m.Keep(order.Entry.After(m.held, m.epoch()))
+	if revision > message.RevisionOf(m.stored.Version) {
+		m.Store(update.Entry.Following(m.stored, m.epoch()))
 	}
 	// Whatever is told of an order rests on what is kept, so it waits until that is acknowledged.
-	m.waiting = append(m.waiting, waiter{id: order.ID, from: from, rank: m.held.Rank, verdict: m.verdict(order), since: now})
-	if m.acked >= m.held.Rank {
-		m.answerOrders()
+	m.pendingUpdates = append(m.pendingUpdates, pendingUpdate{id: update.ID, from: from, version: m.stored.Version, verdict: m.verdict(update), since: now})
+	if m.acknowledgedVersion >= m.stored.Version {
+		m.answerUpdates()
 		return
 	}
-	m.pass(now, m.flight.active && m.flight.entry.Rank == m.held.Rank)
+	m.forwardEntry(now, m.inFlight.active && m.inFlight.entry.Version == m.stored.Version)
 }
 
 // sayWaiting tells a caller that its call is known here and waits for others.
-func (m *Machine) sayWaiting(to message.Member, id string) {
-	m.send(to, message.Waiting{ID: id})
+func (m *Machine) sendRequestPending(to message.Member, id string) {
+	m.send(to, message.RequestPending{ID: id})
 }
 
 // verdict is what has become of an order, by what is kept.
-func (m *Machine) verdict(order message.Enter) message.Verdict {
-	version := message.Version(order.Rank)
-	if version == message.Version(m.held.Rank) {
-		return m.compare(order.Digest, m.held.Digest)
+func (m *Machine) verdict(update message.UpdateRequest) message.Verdict {
+	revision := message.RevisionOf(update.Version)
+	if revision == message.RevisionOf(m.stored.Version) {
+		return m.compareDigests(update.Digest, m.stored.Digest)
 	}
-	for _, previous := range m.held.Previous {
-		if previous.Version == version {
-			return m.compare(order.Digest, previous.Digest)
+	for _, previous := range m.stored.Previous {
+		if previous.Revision == revision {
+			return m.compareDigests(update.Digest, previous.Digest)
 		}
 	}
-	return message.Superseded
+	return message.UpdateSuperseded
 }
 
-func (m *Machine) compare(sent, taken uint64) message.Verdict {
-	if sent == taken || m.breaks.SameNumber {
-		return message.Accepted
+func (m *Machine) compareDigests(sent, taken uint64) message.Verdict {
+	if sent == taken || m.mutations.SameNumber {
+		return message.UpdateAccepted
 	}
-	return message.Conflict
+	return message.UpdateConflict
 }
 
-func (m *Machine) refuse(to message.Member, id, why string) {
-	m.send(to, message.Entered{ID: id, Why: why})
+func (m *Machine) sendRefusal(to message.Member, id, reason string) {
+	m.send(to, message.UpdateResponse{ID: id, Reason: reason})
 }
 
 // answerOrders tells those whose order rests on what is acknowledged.
-func (m *Machine) answerOrders() {
-	m.waiting = slices.DeleteFunc(m.waiting, func(w waiter) bool {
-		if w.rank > m.acked {
+func (m *Machine) answerUpdates() {
+	m.pendingUpdates = slices.DeleteFunc(m.pendingUpdates, func(w pendingUpdate) bool {
+		if w.version > m.acknowledgedVersion {
 			return false
 		}
-		m.send(w.from, message.Entered{ID: w.id, Verdict: w.verdict})
+		m.send(w.from, message.UpdateResponse{ID: w.id, Verdict: w.verdict})
 		return true
 	})
 }
--- a/internal/cluster/chain/pass.go
+++ b/internal/cluster/chain/pass.go
@@ -7,32 +7,32 @@
 )
 
 // flight is what was passed on and has no answer.
-type flight struct {
-	active  bool
-	entry   message.Entry
-	first   uint64 // the rank that was passed when it last moved
-	movedAt int64
-	sentAt  int64
-	asked   int // times that it was sent since it was sent whole
+type inFlightEntry struct {
+	active           bool
+	entry            message.Entry
+	firstVersion     uint64 // the rank that was passed when it last moved
+	progressAt       int64
+	sentAt           int64
+	versionOnlySends int // times that it was sent since it was sent whole
 }
 
-func (m *Machine) place() int { return slices.Index(m.view.Chain, m.self) }
+func (m *Machine) chainIndex() int { return slices.Index(m.view.Chain, m.self) }
 
 // next is the member behind this one, if there is one.
-func (m *Machine) next() (message.Member, bool) {
-	if i := m.place(); i >= 0 && i+1 < len(m.view.Chain) {
+func (m *Machine) successor() (message.Member, bool) {
+	if i := m.chainIndex(); i >= 0 && i+1 < len(m.view.Chain) {
 		return m.view.Chain[i+1], true
 	}
 	return message.Member{}, false
 }
 
-func (m *Machine) isNext(x message.Member) bool {
-	n, ok := m.next()
+func (m *Machine) isSuccessor(x message.Member) bool {
+	n, ok := m.successor()
 	return ok && n == x
 }
 
-func (m *Machine) isPrevious(x message.Member) bool {
-	i := m.place()
+func (m *Machine) isPredecessor(x message.Member) bool {
+	i := m.chainIndex()
 	return i > 0 && m.view.Chain[i-1] == x
 }
 
@@ -40,85 +40,85 @@
 // next member most likely holds it, and its rank alone goes there; one that does not says
 // so. Entries are large, and links and machines may be slow: sent again whole they would
 // hold up themselves.
-func (m *Machine) pass(now int64, known bool) {
-	if _, ok := m.next(); !ok {
-		m.acknowledged(now, m.held.Rank)
+func (m *Machine) forwardEntry(now int64, likelyStored bool) {
+	if _, ok := m.successor(); !ok {
+		m.markAcknowledged(now, m.stored.Version)
 		return
 	}
-	if !m.flight.active {
-		m.flight = flight{active: true, first: m.held.Rank, movedAt: now, asked: m.flight.asked}
+	if !m.inFlight.active {
+		m.inFlight = inFlightEntry{active: true, firstVersion: m.stored.Version, progressAt: now, versionOnlySends: m.inFlight.versionOnlySends}
 	}
-	m.flight.entry = m.held
-	m.sendFlight(now, known)
-	if m.breaks.AckEarly && m.place() == 0 {
-		m.acknowledged(now, m.held.Rank)
+	m.inFlight.entry = m.stored
+	m.sendInFlight(now, likelyStored)
+	if m.mutations.AckEarly && m.chainIndex() == 0 {
+		m.markAcknowledged(now, m.stored.Version)
 	}
 }
 
-func (m *Machine) sendFlight(now int64, known bool) {
-	n, _ := m.next()
-	e := m.flight.entry
-	m.flight.sentAt = now
-	body := message.Pass{Rank: e.Rank, Lineage: e.Lineage}
-	if m.flight.asked++; !known || m.flight.asked >= mostAsked {
-		body.Entry, m.flight.asked = &e, 0
+func (m *Machine) sendInFlight(now int64, likelyStored bool) {
+	n, _ := m.successor()
+	e := m.inFlight.entry
+	m.inFlight.sentAt = now
+	body := message.Forward{Version: e.Version, HistoryDigest: e.HistoryDigest}
+	if m.inFlight.versionOnlySends++; !likelyStored || m.inFlight.versionOnlySends >= maxVersionOnlySends {
+		body.Entry, m.inFlight.versionOnlySends = &e, 0
 	}
 	m.send(n, body)
 }
 
 // passed takes what the one before has passed.
-func (m *Machine) passed(now int64, from message.Member, p message.Pass) {
-	if m.vouched() && p.Rank < m.held.Rank && !m.breaks.RankOnly {
+func (m *Machine) handleForward(now int64, from message.Member, p message.Forward) {
+	if m.epochIsCurrent() && p.Version < m.stored.Version && !m.mutations.RankOnly {
 		return // an older one that comes late
 	}
 	switch {
-	case m.flight.active && m.flight.entry.Same(p.Rank, p.Lineage): // on its way, and asked for again from here
+	case m.inFlight.active && m.inFlight.entry.Matches(p.Version, p.HistoryDigest): // on its way, and asked for again from here
 	case p.Entry != nil:
 		e := *p.Entry
 		e.Epoch = m.epoch()
-		m.Keep(e)
-		m.passOn(now, false)
-	case m.held.Same(p.Rank, p.Lineage):
-		m.passOn(now, true)
+		m.Store(e)
+		m.acceptForward(now, false)
+	case m.stored.Matches(p.Version, p.HistoryDigest):
+		m.acceptForward(now, true)
 	default:
-		m.send(from, message.Lacks{Rank: p.Rank})
+		m.send(from, message.EntryMissing{Version: p.Version})
 	}
 }
 
-func (m *Machine) passOn(now int64, known bool) {
-	m.vouch()
-	m.pass(now, known)
-	m.answerReads()
+func (m *Machine) acceptForward(now int64, likelyStored bool) {
+	m.stampEpoch()
+	m.forwardEntry(now, likelyStored)
+	m.answerQueries()
 }
 
 // acknowledged notes that all from here to the tail hold a rank, and tells those before.
-func (m *Machine) acknowledged(now int64, rank uint64) {
-	if !m.vouched() || rank > m.held.Rank {
+func (m *Machine) markAcknowledged(now int64, version uint64) {
+	if !m.epochIsCurrent() || version > m.stored.Version {
 		return // of what this member does not hold itself nothing may be told
 	}
-	if rank >= m.flight.entry.Rank {
-		m.flight = flight{asked: m.flight.asked}
-	} else if rank >= m.flight.first {
-		m.flight.movedAt, m.flight.first = now, m.flight.entry.Rank
+	if version >= m.inFlight.entry.Version {
+		m.inFlight = inFlightEntry{versionOnlySends: m.inFlight.versionOnlySends}
+	} else if version >= m.inFlight.firstVersion {
+		m.inFlight.progressAt, m.inFlight.firstVersion = now, m.inFlight.entry.Version
 	}
-	m.acked = max(m.acked, rank)
-	if i := m.place(); i > 0 {
-		m.send(m.view.Chain[i-1], message.Ack{Rank: rank})
+	m.acknowledgedVersion = max(m.acknowledgedVersion, version)
+	if i := m.chainIndex(); i > 0 {
+		m.send(m.view.Chain[i-1], message.Acknowledge{Version: version})
 		return
 	}
-	m.answerOrders()
+	m.answerUpdates()
 }
 
 // passAgain sends what has no answer again, and complains of who does not move on.
-func (m *Machine) passAgain(now int64) {
-	n, ok := m.next()
-	if !ok || !m.flight.active || m.sealed {
+func (m *Machine) retryForward(now int64) {
+	n, ok := m.successor()
+	if !ok || !m.inFlight.active || m.sealed {
 		return
 	}
-	if now-m.flight.sentAt >= m.cfg.Resend {
-		m.sendFlight(now, true)
+	if now-m.inFlight.sentAt >= m.cfg.RetryInterval {
+		m.sendInFlight(now, true)
 	}
-	if now-m.flight.movedAt >= m.cfg.Stuck {
-		m.suspect = Suspect{Member: n, Lacks: m.flight.first}
+	if now-m.inFlight.progressAt >= m.cfg.SuspectTimeout {
+		m.suspect = Suspect{Member: n, MissingVersion: m.inFlight.firstVersion}
 	}
 }
--- a/internal/cluster/chain/reads.go
+++ b/internal/cluster/chain/reads.go
@@ -8,7 +8,7 @@
 
 // reader is a read that waits at the tail until most members have said that its view
 // stands, and the head has vouched for what is kept.
-type reader struct {
+type pendingQuery struct {
 	id        string
 	from      message.Member
 	since     int64
@@ -17,68 +17,68 @@
 }
 
 // asked takes a read at the tail.
-func (m *Machine) asked(now int64, from message.Member, read message.Read) {
-	if m.view.Tail() != m.self || m.sealed || len(m.reads) >= mostWaiting {
-		m.send(from, message.ReadResult{ID: read.ID, Why: "not the tail"})
+func (m *Machine) handleQueryRequest(now int64, from message.Member, read message.QueryRequest) {
+	if m.view.Tail() != m.self || m.sealed || len(m.pendingQueries) >= maxPending {
+		m.send(from, message.QueryResponse{ID: read.ID, Reason: "not the tail"})
 		return
 	}
-	if slices.ContainsFunc(m.reads, func(o reader) bool { return o.id == read.ID && o.from == from }) {
-		m.sayWaiting(from, read.ID)
+	if slices.ContainsFunc(m.pendingQueries, func(o pendingQuery) bool { return o.id == read.ID && o.from == from }) {
+		m.sendRequestPending(from, read.ID)
 		return
 	}
-	r := reader{id: read.ID, from: from, since: now, sentAt: now, confirmed: map[message.Member]bool{m.self: true}}
-	m.reads = append(m.reads, r)
-	if !m.breaks.StaleRead {
-		m.confirm(r)
+	r := pendingQuery{id: read.ID, from: from, since: now, sentAt: now, confirmed: map[message.Member]bool{m.self: true}}
+	m.pendingQueries = append(m.pendingQueries, r)
+	if !m.mutations.StaleRead {
+		m.requestConfirmations(r)
 	}
-	m.answerReads()
+	m.answerQueries()
 }
 
-func (m *Machine) confirm(r reader) {
+func (m *Machine) requestConfirmations(r pendingQuery) {
 	for _, o := range m.view.Members {
 		if o != m.self && !r.confirmed[o] {
-			m.send(o, message.Confirm{ID: r.id})
+			m.send(o, message.ConfirmView{ID: r.id})
 		}
 	}
 }
 
 // confirmed takes a member's word that the view stands.
-func (m *Machine) confirmed(from message.Member, epoch uint64, c message.Confirmed) {
+func (m *Machine) handleViewConfirmed(from message.Member, epoch uint64, c message.ViewConfirmed) {
 	if epoch != m.view.Epoch || !m.view.Has(from) {
 		return
 	}
-	if c.Stamp.Less(m.held.Stamp()) && len(m.old) < mostWaiting {
-		m.old = append(m.old, Old{from, c.Stamp})
+	if c.Viewstamp.Less(m.stored.Viewstamp()) && len(m.staleReplicas) < maxPending {
+		m.staleReplicas = append(m.staleReplicas, StaleReplica{from, c.Viewstamp})
 	}
-	for i := range m.reads {
-		if m.reads[i].id == c.ID {
-			m.reads[i].confirmed[from] = true
+	for i := range m.pendingQueries {
+		if m.pendingQueries[i].id == c.ID {
+			m.pendingQueries[i].confirmed[from] = true
 		}
 	}
-	m.answerReads()
+	m.answerQueries()
 }
 
 // answerReads answers the reads for which most members say that the view stands: had
 // another taken over before the read began, most of them would have promised it.
-func (m *Machine) answerReads() {
-	if m.view.Tail() != m.self || m.sealed || !m.vouched() {
+func (m *Machine) answerQueries() {
+	if m.view.Tail() != m.self || m.sealed || !m.epochIsCurrent() {
 		return
 	}
-	m.reads = slices.DeleteFunc(m.reads, func(r reader) bool {
-		if len(r.confirmed) < m.view.Majority() && !m.breaks.StaleRead {
+	m.pendingQueries = slices.DeleteFunc(m.pendingQueries, func(r pendingQuery) bool {
+		if len(r.confirmed) < m.view.Majority() && !m.mutations.StaleRead {
 			return false
 		}
-		held := m.held
-		m.send(r.from, message.ReadResult{ID: r.id, Entry: &held})
+		held := m.stored
+		m.send(r.from, message.QueryResponse{ID: r.id, Entry: &held})
 		return true
 	})
 }
 
-func (m *Machine) confirmAgain(now int64) {
-	for i := range m.reads {
-		if r := &m.reads[i]; now-r.sentAt >= m.cfg.Resend {
+func (m *Machine) retryConfirmations(now int64) {
+	for i := range m.pendingQueries {
+		if r := &m.pendingQueries[i]; now-r.sentAt >= m.cfg.RetryInterval {
 			r.sentAt = now
-			m.confirm(*r)
+			m.requestConfirmations(*r)
 		}
 	}
 }
--- a/internal/cluster/consensus/consensus.go
+++ b/internal/cluster/consensus/consensus.go
@@ -25,15 +25,15 @@
 
 // Config tunes the agreement; times are microseconds of the caller's clock.
 type Config struct {
-	Heartbeat int64 // between heartbeats
-	Live      int64 // without a word for longer, a member is not live
-	Unfit     int64 // so long a member that was suspected stays out of the chain
-	Settle    int64 // so long a member is live before it comes into the chain
-	Turn      int64 // between the turns of the members to propose
-	Ballot    int64 // a ballot that is not over by then has failed
-	Stable    int64 // for so long after a view change nothing but a loss changes it
-	Voters    int   // wanted; odd
-	Learners  int   // kept in mind
+	HeartbeatInterval int64 // between heartbeats
+	FailureTimeout    int64 // without a word for longer, a member is not live
+	SuspicionTimeout  int64 // so long a member that was suspected stays out of the chain
+	RejoinDelay       int64 // so long a member is live before it comes into the chain
+	ProposerStagger   int64 // between the turns of the members to propose
+	BallotTimeout     int64 // a ballot that is not over by then has failed
+	MinViewAge        int64 // for so long after a view change nothing but a loss changes it
+	Voters            int   // wanted; odd
+	MaxLearners       int   // kept in mind
 }
 
 // State is what a member must find on its disk again.
@@ -45,42 +45,42 @@
 }
 
 // Holder is the chain's part in an agreement.
-type Holder interface {
-	Held() message.Entry
-	Keep(message.Entry)
-	Adopt(now int64, v message.View)
+type EntryStore interface {
+	Stored() message.Entry
+	Store(message.Entry)
+	AdoptView(now int64, v message.View)
 	Seal()
 }
 
 // Machine is the agreement as one process sees it.
 type Machine struct {
 	State
-	cfg     Config
-	breaks  chain.Breaks
-	holder  Holder
-	changed bool // the state, since it was last asked
-
-	peers      peers
-	suspicions suspicions
-	leaving    bool
-	adoptedAt  int64 // when the view in force was
-	sealedAt   int64
-	needSince  int64 // the view is to be changed; 0: it is not
-	yieldUntil int64 // another's ballot is given its time
-	mine       *ballot
-	highest    uint64 // ballot number seen
-	beatAt     int64
-	seeds      []string // addresses to ask to be taken in
-	out        []message.Message
+	cfg       Config
+	mutations chain.Mutations
+	store     EntryStore
+	changed   bool // the state, since it was last asked
+
+	peers           peers
+	suspicions      suspicions
+	leaving         bool
+	adoptedAt       int64 // when the view in force was
+	sealedAt        int64
+	changeDueSince  int64 // the view is to be changed; 0: it is not
+	backoffUntil    int64 // another's ballot is given its time
+	ownBallot       *ballotState
+	highestBallot   uint64 // ballot number seen
+	lastHeartbeatAt int64
+	seeds           []string // addresses to ask to be taken in
+	outbox          []message.Message
 }
 
 // FirstDisk names the disks of the machines of the first view.
-const FirstDisk = "0"
+const FirstDiskID = "0"
 
 // Genesis is the view that all processes take for the first one, at the system's first
 // start: an odd number of the machines that its settings name as seeds, each with its
 // first disk.
-func Genesis(addrs []string) message.View {
+func InitialView(addrs []string) message.View {
 	sorted := slices.Clone(addrs)
 	slices.Sort(sorted)
 	sorted = slices.Compact(sorted)
@@ -89,7 +89,7 @@
 	}
 	v := message.View{Epoch: 1}
 	for _, a := range sorted {
-		v.Members = append(v.Members, message.Member{Addr: a, Disk: FirstDisk})
+		v.Members = append(v.Members, message.Member{Addr: a, DiskID: FirstDiskID})
 	}
 	v.Chain = slices.Clone(v.Members)
 	return v
@@ -97,12 +97,12 @@
 
 // New returns the agreement of a process whose disk holds a state; seeds are where one
 // that is no member asks to be taken in.
-func New(now int64, cfg Config, s State, seeds []string, holder Holder, breaks chain.Breaks) *Machine {
-	m := &Machine{State: s, cfg: cfg, holder: holder, breaks: breaks, seeds: seeds, adoptedAt: now,
+func New(now int64, cfg Config, s State, seeds []string, store EntryStore, mutations chain.Mutations) *Machine {
+	m := &Machine{State: s, cfg: cfg, store: store, mutations: mutations, seeds: seeds, adoptedAt: now,
 		peers: newPeers(now, cfg), suspicions: newSuspicions(cfg)}
-	m.highest = s.Promised.N
+	m.highestBallot = s.Promised.Number
 	if s.View.Epoch > 0 {
-		holder.Adopt(now, s.View)
+		store.AdoptView(now, s.View)
 		if s.Promised != (message.Ballot{}) {
 			m.seal(now)
 		}
@@ -111,30 +111,30 @@
 }
 
 // Changed tells whether the state has changed since it was last asked.
-func (m *Machine) Changed() bool {
+func (m *Machine) TakeChanged() bool {
 	changed := m.changed
 	m.changed = false
 	return changed
 }
 
 // Take returns what is to be sent, once the state is on the disk.
-func (m *Machine) Take() []message.Message {
-	out := m.out
-	m.out = nil
+func (m *Machine) TakeMessages() []message.Message {
+	out := m.outbox
+	m.outbox = nil
 	return out
 }
 
 // Member tells whether this process votes in the view it knows.
-func (m *Machine) Member() bool { return m.View.Has(m.Self) }
+func (m *Machine) IsMember() bool { return m.View.Has(m.Self) }
 
 // Seeds tells where else to ask to be taken in.
-func (m *Machine) Seeds(addrs []string) { m.seeds = addrs }
+func (m *Machine) SetSeeds(addrs []string) { m.seeds = addrs }
 
 // InTouch tells whether most members of the view were heard lately, this process included.
-func (m *Machine) InTouch(now int64) bool {
+func (m *Machine) HasQuorum(now int64) bool {
 	n := 0
 	for _, x := range m.View.Members {
-		if x == m.Self || m.peers.heardLately(now, x) {
+		if x == m.Self || m.peers.recentlyHeard(now, x) {
 			n++
 		}
 	}
@@ -142,9 +142,9 @@
 }
 
 // PeersInTouch are the others that have said lately that they are in touch, members first.
-func (m *Machine) PeersInTouch(now int64) (out []message.Member) {
+func (m *Machine) PeersWithQuorum(now int64) (out []message.Member) {
 	for _, x := range append(slices.Clone(m.View.Members), m.Learners(now)...) {
-		if x != m.Self && m.peers.heardLately(now, x) && m.peers.heard[x].inTouch && !m.isLeaving(x) {
+		if x != m.Self && m.peers.recentlyHeard(now, x) && m.peers.states[x].hasQuorum && !m.isLeaving(x) {
 			out = append(out, x)
 		}
 	}
@@ -152,128 +152,128 @@
 }
 
 // Heard is the stamp of what a member last said that it holds, and whether it lives.
-func (m *Machine) Heard(now int64, x message.Member) (message.Stamp, bool) {
-	return m.peers.heard[x].stamp, m.peers.heardLately(now, x)
+func (m *Machine) LastHeard(now int64, x message.Member) (message.Viewstamp, bool) {
+	return m.peers.states[x].viewstamp, m.peers.recentlyHeard(now, x)
 }
 
 // Learners are those that are no members and have asked lately to be taken in.
-func (m *Machine) Learners(now int64) []message.Member { return m.peers.learning(now, m.View) }
+func (m *Machine) Learners(now int64) []message.Member { return m.peers.recentLearners(now, m.View) }
 
 // Live tells whether a member was heard of lately; this process always is, and at the start
 // all members are given the time to be heard.
-func (m *Machine) Live(now int64, x message.Member) bool {
-	return x == m.Self || m.peers.silence(now, x) < m.cfg.Live
+func (m *Machine) Alive(now int64, x message.Member) bool {
+	return x == m.Self || m.peers.silentFor(now, x) < m.cfg.FailureTimeout
 }
 
 // fit tells whether a member belongs into the chain.
-func (m *Machine) fit(now int64, x message.Member) bool {
-	return m.Live(now, x) && !m.suspicions.unfit(now, x) && !m.isLeaving(x)
+func (m *Machine) eligible(now int64, x message.Member) bool {
+	return m.Alive(now, x) && !m.suspicions.suspected(now, x) && !m.isLeaving(x)
 }
 
 func (m *Machine) isLeaving(x message.Member) bool {
 	if x == m.Self {
 		return m.leaving
 	}
-	return m.peers.heard[x].leaving
+	return m.peers.states[x].leaving
 }
 
 func (m *Machine) seal(now int64) {
-	m.holder.Seal()
+	m.store.Seal()
 	m.sealedAt = now
 }
 
 func (m *Machine) send(to message.Member, epoch uint64, body message.Body) {
 	if to != m.Self {
-		m.out = append(m.out, message.Message{From: m.Self, To: to, Epoch: epoch, Body: body})
+		m.outbox = append(m.outbox, message.Message{From: m.Self, To: to, Epoch: epoch, Body: body})
 	}
 }
 
 // Speaks tells whether a message is one of the agreement's.
-func Speaks(body message.Body) bool { return !chain.Speaks(body) }
+func IsConsensusMessage(body message.Body) bool { return !chain.IsChainMessage(body) }
 
 // Stranger answers a message that was meant for a disk that this machine no longer has.
-func (m *Machine) Stranger(from message.Member) { m.send(from, m.View.Epoch, m.join()) }
+func (m *Machine) HandleMisaddressed(from message.Member) { m.send(from, m.View.Epoch, m.join()) }
 
 func (m *Machine) join() message.Join {
-	return message.Join{Stamp: m.holder.Held().Stamp(), Leaving: m.leaving}
+	return message.Join{Viewstamp: m.store.Stored().Viewstamp(), Leaving: m.leaving}
 }
 
 func (m *Machine) heartbeat(now int64) message.Heartbeat {
-	return message.Heartbeat{Stamp: m.holder.Held().Stamp(), InTouch: m.InTouch(now), Leaving: m.leaving}
+	return message.Heartbeat{Viewstamp: m.store.Stored().Viewstamp(), HasQuorum: m.HasQuorum(now), Leaving: m.leaving}
 }
 
 // Hear takes a message of the chain as a sign of life, and as one of who is behind.
-func (m *Machine) Hear(now int64, msg message.Message) {
-	m.peers.hear(now, msg, m.View)
+func (m *Machine) ObserveChainMessage(now int64, msg message.Message) {
+	m.peers.observe(now, msg, m.View)
 	if msg.Epoch > 0 && m.View.Epoch > 0 {
-		m.compareViews(now, msg, m.peers.heard[msg.From].stamp) // a message of the chain does not say
+		m.compareViews(now, msg, m.peers.states[msg.From].viewstamp) // a message of the chain does not say
 	}
 }
 
 // Got takes a message of the agreement.
-func (m *Machine) Got(now int64, msg message.Message) {
+func (m *Machine) Step(now int64, msg message.Message) {
 	if msg.From == m.Self {
 		return
 	}
-	m.peers.hear(now, msg, m.View)
+	m.peers.observe(now, msg, m.View)
 	switch body := msg.Body.(type) {
 	case message.Heartbeat:
-		m.compareViews(now, msg, body.Stamp)
+		m.compareViews(now, msg, body.Viewstamp)
 	case message.Join:
-		m.peers.learn(now, msg.From, body)
-		m.compareViews(now, msg, body.Stamp)
+		m.peers.observeLearner(now, msg.From, body)
+		m.compareViews(now, msg, body.Viewstamp)
 	case message.Decide:
-		m.decided(now, body)
+		m.handleDecide(now, body)
 	case message.Suspect:
 		if m.View.Has(msg.From) && m.View.Has(body.Member) {
-			m.suspicions.note(now, msg.From, body.Member)
+			m.suspicions.report(now, msg.From, body.Member)
 		}
 	case message.Prepare:
-		m.prepared(now, msg, body)
+		m.handlePrepare(now, msg, body)
 	case message.Accept:
-		m.acceptAsked(now, msg, body)
+		m.handleAccept(now, msg, body)
 	case message.Promise:
-		m.promised(now, msg, body)
-	case message.AcceptedBallot:
-		m.accepted(now, msg, body)
+		m.handlePromise(now, msg, body)
+	case message.Accepted:
+		m.handleAccepted(now, msg, body)
 	case message.Nack:
-		m.refused(now, msg, body)
+		m.handleNack(now, msg, body)
 	}
 }
 
 // Tick sends heartbeats, asks to be taken in, and proposes when it is this member's turn.
 func (m *Machine) Tick(now int64) {
-	m.suspicions.judge(now, m.View)
-	m.peers.forget(now, m.View)
-	if m.beatAt == 0 || now-m.beatAt >= m.cfg.Heartbeat {
-		m.beatAt = max(now, 1)
-		m.beat(now)
+	m.suspicions.evaluate(now, m.View)
+	m.peers.expire(now, m.View)
+	if m.lastHeartbeatAt == 0 || now-m.lastHeartbeatAt >= m.cfg.HeartbeatInterval {
+		m.lastHeartbeatAt = max(now, 1)
+		m.sendHeartbeats(now)
 	}
-	if m.mine != nil && now-m.mine.at >= m.cfg.Ballot {
-		m.mine = nil
+	if m.ownBallot != nil && now-m.ownBallot.startedAt >= m.cfg.BallotTimeout {
+		m.ownBallot = nil
 	}
-	m.choose(now)
+	m.startAcceptPhase(now)
 	m.proposeIfDue(now)
 }
 
-func (m *Machine) beat(now int64) {
-	word := m.word(now)
+func (m *Machine) sendHeartbeats(now int64) {
+	announcement := m.announcement(now)
 	for _, to := range m.View.Members {
-		m.send(to, m.View.Epoch, word)
+		m.send(to, m.View.Epoch, announcement)
 	}
-	if m.Member() {
+	if m.IsMember() {
 		for _, to := range m.Learners(now) {
-			m.send(to, m.View.Epoch, word)
+			m.send(to, m.View.Epoch, announcement)
 		}
 	}
-	if m.Member() && m.InTouch(now) {
+	if m.IsMember() && m.HasQuorum(now) {
 		return
 	}
 	// Those that this process takes for members may all be gone by now: others know.
 	for _, addr := range m.seeds {
 		known := func(x message.Member) bool { return x.Addr == addr }
 		if addr != m.Self.Addr && !slices.ContainsFunc(m.View.Members, known) {
-			m.send(message.Member{Addr: addr}, m.View.Epoch, word)
+			m.send(message.Member{Addr: addr}, m.View.Epoch, announcement)
 		}
 	}
 }
@@ -283,7 +283,7 @@
 	if x == m.Self || !m.View.Has(x) {
 		return
 	}
-	m.suspicions.note(now, m.Self, x)
+	m.suspicions.report(now, m.Self, x)
 	for _, to := range m.View.Members {
 		m.send(to, m.View.Epoch, message.Suspect{Member: x})
 	}
@@ -298,14 +298,14 @@
 			out[x.String()] = "this one, leaving"
 		case x == m.Self:
 			out[x.String()] = "this one"
-		case !m.Live(now, x):
-			out[x.String()] = fmt.Sprintf("silent for %d ms", m.peers.silence(now, x)/1000)
+		case !m.Alive(now, x):
+			out[x.String()] = fmt.Sprintf("silent for %d ms", m.peers.silentFor(now, x)/1000)
 		case m.isLeaving(x):
 			out[x.String()] = "leaving"
-		case !m.fit(now, x):
+		case !m.eligible(now, x):
 			out[x.String()] = "suspected"
 		default:
-			out[x.String()] = fmt.Sprintf("live, epoch %d", m.peers.heard[x].epoch)
+			out[x.String()] = fmt.Sprintf("live, epoch %d", m.peers.states[x].epoch)
 		}
 	}
 	return out
--- a/internal/cluster/consensus/leave.go
+++ b/internal/cluster/consensus/leave.go
@@ -4,27 +4,27 @@
 
 // Leave has this member go: the others take it out of the chain at once, and give its vote
 // to a learner where there is one. Until then it goes on voting.
-func (m *Machine) Leave() {
+func (m *Machine) StartLeave() {
 	if !m.leaving {
-		m.leaving, m.beatAt = true, 0
+		m.leaving, m.lastHeartbeatAt = true, 0
 	}
 }
 
 // Left tells whether this process may end without a loss: it has no vote any more, and most
 // members are in the view that has none for it, and so hold all that was acknowledged before.
-func (m *Machine) Left(now int64) bool {
+func (m *Machine) HasLeft(now int64) bool {
 	if !m.leaving {
 		return false
 	}
-	if m.breaks.LeaveAtOnce {
+	if m.mutations.LeaveAtOnce {
 		return true
 	}
-	if m.Member() || m.View.Epoch == 0 {
+	if m.IsMember() || m.View.Epoch == 0 {
 		return false
 	}
 	n := 0
 	for _, x := range m.View.Members {
-		if m.peers.heardLately(now, x) && m.peers.heard[x].epoch >= m.View.Epoch {
+		if m.peers.recentlyHeard(now, x) && m.peers.states[x].epoch >= m.View.Epoch {
 			n++
 		}
 	}
@@ -33,13 +33,13 @@
 
 // Alone tells whether a member that leaves finds nobody to take its vote, and nothing else to
 // hand over: it is out of the chain, or no chain can be formed without it.
-func (m *Machine) Alone(now int64) bool {
-	if !m.leaving || !m.Member() || len(m.ready(now)) > 0 {
+func (m *Machine) CannotHandOver(now int64) bool {
+	if !m.leaving || !m.IsMember() || len(m.readyLearners(now)) > 0 {
 		return false
 	}
 	fit := 0
 	for _, x := range m.View.Members {
-		if m.fit(now, x) {
+		if m.eligible(now, x) {
 			fit++
 		}
 	}
--- a/internal/cluster/consensus/peers.go
+++ b/internal/cluster/consensus/peers.go
@@ -8,105 +8,105 @@
 )
 
 // heard is what a process last said.
-type heard struct {
-	at      int64 // its last word
-	since   int64 // it is live since then
-	epoch   uint64
-	stamp   message.Stamp
-	inTouch bool // by its own word
-	leaving bool
+type peerState struct {
+	lastHeardAt int64 // its last word
+	aliveSince  int64 // it is live since then
+	epoch       uint64
+	viewstamp   message.Viewstamp
+	hasQuorum   bool // by its own word
+	leaving     bool
 }
 
 // learner is one that is no member and wants to be.
-type learner struct {
-	at      int64
-	stamp   message.Stamp
-	leaving bool
+type learnerState struct {
+	lastHeardAt int64
+	viewstamp   message.Viewstamp
+	leaving     bool
 }
 
 // peers are the other processes as they were heard of.
 type peers struct {
 	cfg      Config
 	started  int64
-	heard    map[message.Member]heard
-	learners map[message.Member]learner
+	states   map[message.Member]peerState
+	learners map[message.Member]learnerState
 }
 
-const forgetAfter = 4 // times Live without a word
+const expiryFactor = 4 // times Live without a word
 
 func newPeers(now int64, cfg Config) peers {
-	return peers{cfg: cfg, started: now, heard: make(map[message.Member]heard), learners: make(map[message.Member]learner)}
+	return peers{cfg: cfg, started: now, states: make(map[message.Member]peerState), learners: make(map[message.Member]learnerState)}
 }
 
 // hear takes any message as a sign of life.
-func (p *peers) hear(now int64, msg message.Message, v message.View) {
-	h, known := p.heard[msg.From]
-	if !known && !v.Has(msg.From) && len(p.heard) >= 2*p.cfg.Learners {
+func (p *peers) observe(now int64, msg message.Message, v message.View) {
+	h, known := p.states[msg.From]
+	if !known && !v.Has(msg.From) && len(p.states) >= 2*p.cfg.MaxLearners {
 		return // a stranger too many
 	}
-	if h.at == 0 || now-h.at >= p.cfg.Live {
-		h.since = now
+	if h.lastHeardAt == 0 || now-h.lastHeardAt >= p.cfg.FailureTimeout {
+		h.aliveSince = now
 	}
-	h.at = max(now, 1)
+	h.lastHeardAt = max(now, 1)
 	switch body := msg.Body.(type) {
 	case message.Heartbeat:
-		h.epoch, h.stamp, h.inTouch, h.leaving = msg.Epoch, body.Stamp, body.InTouch, body.Leaving
+		h.epoch, h.viewstamp, h.hasQuorum, h.leaving = msg.Epoch, body.Viewstamp, body.HasQuorum, body.Leaving
 	case message.Join:
-		h.epoch, h.stamp, h.inTouch, h.leaving = msg.Epoch, body.Stamp, false, body.Leaving
+		h.epoch, h.viewstamp, h.hasQuorum, h.leaving = msg.Epoch, body.Viewstamp, false, body.Leaving
 	}
-	p.heard[msg.From] = h
+	p.states[msg.From] = h
 }
 
 // learn notes one that asks to be taken in.
-func (p *peers) learn(now int64, x message.Member, j message.Join) {
-	if _, known := p.learners[x]; known || len(p.learners) < p.cfg.Learners {
-		p.learners[x] = learner{max(now, 1), j.Stamp, j.Leaving}
+func (p *peers) observeLearner(now int64, x message.Member, j message.Join) {
+	if _, known := p.learners[x]; known || len(p.learners) < p.cfg.MaxLearners {
+		p.learners[x] = learnerState{max(now, 1), j.Viewstamp, j.Leaving}
 	}
 }
 
 // learning are the learners that were heard lately, in order.
-func (p *peers) learning(now int64, v message.View) []message.Member {
+func (p *peers) recentLearners(now int64, v message.View) []message.Member {
 	var out []message.Member
 	for x, l := range p.learners {
-		if now-l.at < p.cfg.Live && !v.Has(x) {
+		if now-l.lastHeardAt < p.cfg.FailureTimeout && !v.Has(x) {
 			out = append(out, x)
 		}
 	}
-	slices.SortFunc(out, compare)
+	slices.SortFunc(out, compareMembers)
 	return out
 }
 
-func compare(a, b message.Member) int {
-	return cmp.Or(cmp.Compare(a.Addr, b.Addr), cmp.Compare(a.Disk, b.Disk))
+func compareMembers(a, b message.Member) int {
+	return cmp.Or(cmp.Compare(a.Addr, b.Addr), cmp.Compare(a.DiskID, b.DiskID))
 }
 
 // silence is how long nothing was heard of a process, at most since the start.
-func (p *peers) silence(now int64, x message.Member) int64 {
-	return now - max(p.heard[x].at, p.started)
+func (p *peers) silentFor(now int64, x message.Member) int64 {
+	return now - max(p.states[x].lastHeardAt, p.started)
 }
 
 // heardLately is without the time that all are given at the start.
-func (p *peers) heardLately(now int64, x message.Member) bool {
-	h, known := p.heard[x]
-	return known && now-h.at < p.cfg.Live
+func (p *peers) recentlyHeard(now int64, x message.Member) bool {
+	h, known := p.states[x]
+	return known && now-h.lastHeardAt < p.cfg.FailureTimeout
 }
 
 // settled tells whether a process has lived long enough, in a view's epoch.
-func (p *peers) settled(now int64, x message.Member, v message.View) bool {
-	h := p.heard[x]
-	return now-h.since >= p.cfg.Settle && h.epoch == v.Epoch
+func (p *peers) rejoined(now int64, x message.Member, v message.View) bool {
+	h := p.states[x]
+	return now-h.aliveSince >= p.cfg.RejoinDelay && h.epoch == v.Epoch
 }
 
 // forget lets go of who is no member and silent.
-func (p *peers) forget(now int64, v message.View) {
+func (p *peers) expire(now int64, v message.View) {
 	for x, l := range p.learners {
-		if v.Has(x) || now-l.at >= forgetAfter*p.cfg.Live {
+		if v.Has(x) || now-l.lastHeardAt >= expiryFactor*p.cfg.FailureTimeout {
 			delete(p.learners, x)
 		}
 	}
-	for x, h := range p.heard {
-		if !v.Has(x) && now-h.at >= forgetAfter*p.cfg.Live {
-			delete(p.heard, x)
+	for x, h := range p.states {
+		if !v.Has(x) && now-h.lastHeardAt >= expiryFactor*p.cfg.FailureTimeout {
+			delete(p.states, x)
 		}
 	}
 }
--- a/internal/cluster/consensus/reconfigure.go
+++ b/internal/cluster/consensus/reconfigure.go
@@ -8,18 +8,18 @@
 
 // wanted is the view as it should be, made of the one in force. In a hurry nothing waits
 // for members that have only just come back.
-func (m *Machine) wanted(now int64, hurry bool) message.View {
-	members := m.voters(now, m.ready(now))
-	return message.View{Epoch: m.View.Epoch, Members: members, Chain: m.chainOf(now, members, hurry),
+func (m *Machine) targetView(now int64, skipRejoinDelay bool) message.View {
+	members := m.targetVoters(now, m.readyLearners(now))
+	return message.View{Epoch: m.View.Epoch, Members: members, Chain: m.chainMembers(now, members, skipRejoinDelay),
 		Base: m.View.Base, BaseEpoch: m.View.BaseEpoch}
 }
 
 // ready are the learners that may get a vote: they were heard lately, hold what goes with
 // the view in force, and do not leave. Late in a ballot, only those that have answered in it
 // and hold what the proposer held as it began.
-func (m *Machine) ready(now int64) []message.Member {
+func (m *Machine) readyLearners(now int64) []message.Member {
 	learning := m.Learners(now)
-	late := m.mine != nil && m.mine.value == nil && now-m.mine.at >= m.cfg.Ballot/2
+	late := m.ownBallot != nil && m.ownBallot.value == nil && now-m.ownBallot.startedAt >= m.cfg.BallotTimeout/2
 	return slices.DeleteFunc(learning, func(x message.Member) bool {
 		l := m.peers.learners[x]
 		if l.leaving || x.Addr == m.Self.Addr {
@@ -28,30 +28,30 @@
 		if !late {
 			return false
 		}
-		stamp, joined := m.mine.joined[x]
-		return !joined || stamp.Less(m.mine.held) && !m.breaks.JoinBehind
+		stamp, joined := m.ownBallot.joinedLearners[x]
+		return !joined || stamp.Less(m.ownBallot.storedAtStart) && !m.mutations.JoinBehind
 	})
 }
 
 // voters are the members as they should be. Their number is odd and stays: whoever comes
 // takes another's place.
-func (m *Machine) voters(now int64, ready []message.Member) []message.Member {
+func (m *Machine) targetVoters(now int64, ready []message.Member) []message.Member {
 	members := slices.Clone(m.View.Members)
-	if m.breaks.VoteAtOnce {
-		return m.crowd(now, members, ready)
+	if m.mutations.VoteAtOnce {
+		return m.votersWithoutSwap(now, members, ready)
 	}
-	if next, ok := m.swap(now, members, ready); ok {
+	if next, ok := m.replaceVoter(now, members, ready); ok {
 		return next
 	}
-	if next, ok := m.grow(members, ready); ok {
+	if next, ok := m.addVoters(members, ready); ok {
 		return next
 	}
-	return m.shrink(now, members)
+	return m.removeVoters(now, members)
 }
 
 // swap gives a learner the vote of a member that is gone or wants to go: first one whose
 // machine has come back with another disk, then one that leaves, then one that is silent.
-func (m *Machine) swap(now int64, members, ready []message.Member) ([]message.Member, bool) {
+func (m *Machine) replaceVoter(now int64, members, ready []message.Member) ([]message.Member, bool) {
 	for _, j := range ready {
 		sameAddr := func(x message.Member) bool { return x.Addr == j.Addr }
 		if i := slices.IndexFunc(members, sameAddr); i >= 0 {
@@ -81,7 +81,7 @@
 func (m *Machine) longestSilent(now int64, members []message.Member) int {
 	at, longest := -1, int64(0)
 	for i, x := range members {
-		if s := m.peers.silence(now, x); !m.Live(now, x) && s > longest {
+		if s := m.peers.silentFor(now, x); !m.Alive(now, x) && s > longest {
 			at, longest = i, s
 		}
 	}
@@ -90,7 +90,7 @@
 
 // grow takes learners in where there are fewer voters than wanted, so many that their
 // number is odd.
-func (m *Machine) grow(members, ready []message.Member) ([]message.Member, bool) {
+func (m *Machine) addVoters(members, ready []message.Member) ([]message.Member, bool) {
 	more := 2 - len(members)%2
 	if len(members)%2 == 0 {
 		more = 1
@@ -103,7 +103,7 @@
 
 // shrink lets members go where their number is even, or above what is wanted: those that
 // are silent first, then the last ones.
-func (m *Machine) shrink(now int64, members []message.Member) []message.Member {
+func (m *Machine) removeVoters(now int64, members []message.Member) []message.Member {
 	less := 0
 	switch {
 	case len(members)%2 == 0 && len(members) > 0:
@@ -132,42 +132,42 @@
 
 // chainOf are the members that form the chain: those that are fit, and were in it before or
 // have been live for a while. Of too few, those that are at least live are better than nobody.
-func (m *Machine) chainOf(now int64, members []message.Member, hurry bool) []message.Member {
+func (m *Machine) chainMembers(now int64, members []message.Member, skipRejoinDelay bool) []message.Member {
 	var chain []message.Member
 	for _, x := range members {
-		if m.fit(now, x) && m.mayChain(now, x, hurry) {
+		if m.eligible(now, x) && m.mayJoinChain(now, x, skipRejoinDelay) {
 			chain = append(chain, x)
 		}
 	}
-	if len(chain) >= len(members)/2+1 || m.breaks.ShortChain {
+	if len(chain) >= len(members)/2+1 || m.mutations.ShortChain {
 		return chain
 	}
 	chain = nil
 	for _, x := range members {
-		if m.Live(now, x) {
+		if m.Alive(now, x) {
 			chain = append(chain, x)
 		}
 	}
 	return chain
 }
 
-func (m *Machine) mayChain(now int64, x message.Member, hurry bool) bool {
-	if !m.View.Has(x) && m.mine != nil { // it would hold up the chain until it had caught up
-		return !m.mine.joined[x].Less(m.holder.Held().Stamp())
+func (m *Machine) mayJoinChain(now int64, x message.Member, skipRejoinDelay bool) bool {
+	if !m.View.Has(x) && m.ownBallot != nil { // it would hold up the chain until it had caught up
+		return !m.ownBallot.joinedLearners[x].Less(m.store.Stored().Viewstamp())
 	}
-	return hurry || x == m.Self || slices.Contains(m.View.Chain, x) || m.peers.settled(now, x, m.View)
+	return skipRejoinDelay || x == m.Self || slices.Contains(m.View.Chain, x) || m.peers.rejoined(now, x, m.View)
 }
 
 // crowd is the rule left out: a newcomer votes beside the one whose place it is to take,
 // and the dead one goes when it has been silent for long.
-func (m *Machine) crowd(now int64, members, ready []message.Member) []message.Member {
+func (m *Machine) votersWithoutSwap(now int64, members, ready []message.Member) []message.Member {
 	if len(ready) > 0 {
 		return append(members, ready[0])
 	}
-	if i := m.longestSilent(now, members); i >= 0 && len(members) > m.cfg.Voters && m.peers.silence(now, members[i]) > longSilence*m.cfg.Live {
+	if i := m.longestSilent(now, members); i >= 0 && len(members) > m.cfg.Voters && m.peers.silentFor(now, members[i]) > longSilenceFactor*m.cfg.FailureTimeout {
 		return slices.Delete(members, i, i+1)
 	}
 	return members
 }
 
-const longSilence = 11 // times Live, of the rule left out
+const longSilenceFactor = 11 // times Live, of the rule left out
--- a/internal/cluster/consensus/suspicion.go
+++ b/internal/cluster/consensus/suspicion.go
@@ -5,41 +5,41 @@
 // suspicions are who is said not to move on, by whom, and who therefore stays out of the
 // chain for a while.
 type suspicions struct {
-	cfg   Config
-	by    map[message.Member]map[message.Member]int64 // by suspect: who says so, since when
-	until map[message.Member]int64
+	cfg            Config
+	reports        map[message.Member]map[message.Member]int64 // by suspect: who says so, since when
+	suspectedUntil map[message.Member]int64
 }
 
 func newSuspicions(cfg Config) suspicions {
-	return suspicions{cfg: cfg, by: make(map[message.Member]map[message.Member]int64), until: make(map[message.Member]int64)}
+	return suspicions{cfg: cfg, reports: make(map[message.Member]map[message.Member]int64), suspectedUntil: make(map[message.Member]int64)}
 }
 
-func (s *suspicions) note(now int64, by, x message.Member) {
-	if s.by[x] == nil {
-		s.by[x] = make(map[message.Member]int64)
+func (s *suspicions) report(now int64, by, x message.Member) {
+	if s.reports[x] == nil {
+		s.reports[x] = make(map[message.Member]int64)
 	}
-	s.by[x][by] = now
+	s.reports[x][by] = now
 }
 
-func (s *suspicions) unfit(now int64, x message.Member) bool { return now < s.until[x] }
+func (s *suspicions) suspected(now int64, x message.Member) bool { return now < s.suspectedUntil[x] }
 
-func (s *suspicions) clear() { clear(s.by) }
+func (s *suspicions) clear() { clear(s.reports) }
 
 // judge has suspects stay out of the chain for a while, but for one that is only held up: it
 // suspects another itself, of which no fewer complain.
-func (s *suspicions) judge(now int64, v message.View) {
+func (s *suspicions) evaluate(now int64, v message.View) {
 	s.expire(now, v)
-	for x, against := range s.by {
-		if s.heldUp(x, len(against)) { // also where it was judged before the other was complained of
-			delete(s.until, x)
+	for x, against := range s.reports {
+		if s.blockedByAnother(x, len(against)) { // also where it was judged before the other was complained of
+			delete(s.suspectedUntil, x)
 		} else {
-			s.until[x] = now + s.cfg.Unfit
+			s.suspectedUntil[x] = now + s.cfg.SuspicionTimeout
 		}
 	}
 }
 
-func (s *suspicions) heldUp(x message.Member, against int) bool {
-	for other, by := range s.by {
+func (s *suspicions) blockedByAnother(x message.Member, against int) bool {
+	for other, by := range s.reports {
 		if _, suspects := by[x]; suspects && other != x && len(by) >= against {
 			return true
 		}
@@ -48,19 +48,19 @@
 }
 
 func (s *suspicions) expire(now int64, v message.View) {
-	for x, by := range s.by {
+	for x, by := range s.reports {
 		for other, at := range by {
-			if now-at >= s.cfg.Live || !v.Has(other) {
+			if now-at >= s.cfg.FailureTimeout || !v.Has(other) {
 				delete(by, other)
 			}
 		}
 		if len(by) == 0 {
-			delete(s.by, x)
+			delete(s.reports, x)
 		}
 	}
-	for x, until := range s.until {
+	for x, until := range s.suspectedUntil {
 		if now >= until {
-			delete(s.until, x)
+			delete(s.suspectedUntil, x)
 		}
 	}
 }
--- a/internal/cluster/message/codec.go
+++ b/internal/cluster/message/codec.go
@@ -8,17 +8,17 @@
 )
 
 // UnknownKind is the error of a message whose kind this program does not speak.
-type UnknownKind struct {
-	Of   Kind
+type UnknownKindError struct {
+	Kind Kind
 	From Member
 }
 
-func (e *UnknownKind) Error() string {
-	return fmt.Sprintf("a message of unknown kind %.40q from %s", string(e.Of), e.From)
+func (e *UnknownKindError) Error() string {
+	return fmt.Sprintf("a message of unknown kind %.40q from %s", string(e.Kind), e.From)
 }
 
 // written and read are the forms of a message.
-type written struct {
+type messageJSON struct {
 	Kind  Kind   `json:"k"`
 	From  Member `json:"f"`
 	To    Member `json:"t"`
@@ -26,7 +26,7 @@
 	Body  Body   `json:"b"`
 }
 
-type read struct {
+type rawMessageJSON struct {
 	Kind  Kind            `json:"k"`
 	From  Member          `json:"f"`
 	To    Member          `json:"t"`
@@ -36,7 +36,7 @@
 
 var decoders = make(map[Kind]func([]byte) (Body, error))
 
-func speak[T Body]() {
+func register[T Body]() {
 	var zero T
 	decoders[zero.Kind()] = func(raw []byte) (Body, error) {
 		var body T
@@ -46,42 +46,42 @@
 }
 
 func init() {
-	speak[Enter]()
-	speak[Entered]()
-	speak[Pass]()
-	speak[Ack]()
-	speak[Lacks]()
-	speak[Read]()
-	speak[ReadResult]()
-	speak[Confirm]()
-	speak[Confirmed]()
-	speak[Repair]()
-	speak[Waiting]()
-	speak[Heartbeat]()
-	speak[Join]()
-	speak[Prepare]()
-	speak[Promise]()
-	speak[Accept]()
-	speak[AcceptedBallot]()
-	speak[Nack]()
-	speak[Decide]()
-	speak[Suspect]()
+	register[UpdateRequest]()
+	register[UpdateResponse]()
+	register[Forward]()
+	register[Acknowledge]()
+	register[EntryMissing]()
+	register[QueryRequest]()
+	register[QueryResponse]()
+	register[ConfirmView]()
+	register[ViewConfirmed]()
+	register[Repair]()
+	register[RequestPending]()
+	register[Heartbeat]()
+	register[Join]()
+	register[Prepare]()
+	register[Promise]()
+	register[Accept]()
+	register[Accepted]()
+	register[Nack]()
+	register[Decide]()
+	register[Suspect]()
 }
 
 // MarshalJSON writes the message with its kind.
 func (m Message) MarshalJSON() ([]byte, error) {
-	return json.Marshal(written{Kind: m.Body.Kind(), From: m.From, To: m.To, Epoch: m.Epoch, Body: m.Body})
+	return json.Marshal(messageJSON{Kind: m.Body.Kind(), From: m.From, To: m.To, Epoch: m.Epoch, Body: m.Body})
 }
 
 // UnmarshalJSON reads one; a kind that is not spoken here is an *UnknownKind.
 func (m *Message) UnmarshalJSON(text []byte) error {
-	var r read
+	var r rawMessageJSON
 	if err := json.Unmarshal(text, &r); err != nil {
 		return err
 	}
 	decode, known := decoders[r.Kind]
 	if !known {
-		return &UnknownKind{r.Kind, r.From}
+		return &UnknownKindError{r.Kind, r.From}
 	}
 	body, err := decode(r.Body)
 	if err != nil {
@@ -93,20 +93,20 @@
 
 // mailHead is the first line of mail. The contents of entries stand behind it as they are:
 // as texts in JSON they would be read through at every layer, and they are large.
-type mailHead struct {
+type batchHeader struct {
 	Messages []json.RawMessage `json:"m"`
 	Sizes    []int             `json:"s"` // by message, of its content; 0: it has none
 }
 
 // EncodeMail writes messages as one body.
-func EncodeMail(list []Message) ([]byte, error) {
-	var head mailHead
+func EncodeBatch(list []Message) ([]byte, error) {
+	var head batchHeader
 	var contents []byte
 	for _, m := range list {
-		content := Carried(m.Body)
+		content := ContentOf(m.Body)
 		if len(content) > 0 {
 			e := *entryOf(m.Body)
-			e.Raw = nil
+			e.Content = nil
 			m.Body = withEntry(m.Body, &e)
 		}
 		text, err := m.MarshalJSON()
@@ -126,9 +126,9 @@
 
 // DecodeMail reads what it can: one message that is spoilt, or of a kind that is not spoken
 // here, takes no other with it.
-func DecodeMail(mail []byte) (list []Message, unread []error, err error) {
-	line, contents, whole := bytes.Cut(mail, []byte{'\n'})
-	var head mailHead
+func DecodeBatch(batch []byte) (list []Message, unread []error, err error) {
+	line, contents, whole := bytes.Cut(batch, []byte{'\n'})
+	var head batchHeader
 	if err := json.Unmarshal(line, &head); err != nil {
 		return nil, nil, err
 	}
@@ -144,7 +144,7 @@
 		if err := m.UnmarshalJSON(text); err != nil {
 			unread = append(unread, err)
 		} else {
-			list = append(list, m.with(contents[:size:size]))
+			list = append(list, m.withContent(contents[:size:size]))
 		}
 		contents = contents[size:]
 	}
@@ -152,13 +152,13 @@
 }
 
 // with gives a message the content that it came with.
-func (m Message) with(content []byte) Message {
+func (m Message) withContent(content []byte) Message {
 	e := entryOf(m.Body)
 	if e == nil || len(content) == 0 {
 		return m
 	}
 	whole := *e
-	whole.Raw = bytes.Clone(content) // it is kept for long, and the mail is not
+	whole.Content = bytes.Clone(content) // it is kept for long, and the mail is not
 	m.Body = withEntry(m.Body, &whole)
 	return m
 }
@@ -166,13 +166,13 @@
 // withEntry is a body with another entry.
 func withEntry(body Body, e *Entry) Body {
 	switch b := body.(type) {
-	case Enter:
+	case UpdateRequest:
 		b.Entry = e
 		return b
-	case Pass:
+	case Forward:
 		b.Entry = e
 		return b
-	case ReadResult:
+	case QueryResponse:
 		b.Entry = e
 		return b
 	case Repair:
--- a/internal/cluster/message/message.go
+++ b/internal/cluster/message/message.go
@@ -18,68 +18,68 @@
 
 // The verdicts.
 const (
-	Refused    Verdict = iota // nothing is known to have become of it
-	Accepted                  // it is in force as it was sent, or was until a newer version came
-	Superseded                // a newer version is in force; what was under its own number is not known any more
-	Conflict                  // other content was taken under its number
+	Undecided        Verdict = iota // nothing is known to have become of it
+	UpdateAccepted                  // it is in force as it was sent, or was until a newer version came
+	UpdateSuperseded                // a newer version is in force; what was under its own number is not known any more
+	UpdateConflict                  // other content was taken under its number
 )
 
 // The messages of the chain.
 type (
 	// Enter asks the head to take an order. Without the entry, the head is asked again for
 	// one that it was sent before.
-	Enter struct {
-		ID     string `json:"i"`
-		Rank   uint64 `json:"r"`
-		Digest uint64 `json:"d"`
-		Entry  *Entry `json:"n,omitempty"`
+	UpdateRequest struct {
+		ID      string `json:"i"`
+		Version uint64 `json:"r"`
+		Digest  uint64 `json:"d"`
+		Entry   *Entry `json:"n,omitempty"`
 	}
 	// Entered answers Enter.
-	Entered struct {
+	UpdateResponse struct {
 		ID      string  `json:"i"`
 		Verdict Verdict `json:"v"`
-		Why     string  `json:"y,omitempty"` // of Refused
+		Reason  string  `json:"y,omitempty"` // of Refused
 	}
 	// Pass hands an entry to the next in the chain. Without the entry, the next one most
 	// likely holds it.
-	Pass struct {
-		Rank    uint64 `json:"r"`
-		Lineage uint64 `json:"l"`
-		Entry   *Entry `json:"n,omitempty"`
+	Forward struct {
+		Version       uint64 `json:"r"`
+		HistoryDigest uint64 `json:"l"`
+		Entry         *Entry `json:"n,omitempty"`
 	}
 	// Ack tells the one before that all from here to the tail hold a rank.
-	Ack struct {
-		Rank uint64 `json:"r"`
+	Acknowledge struct {
+		Version uint64 `json:"r"`
 	}
 	// Lacks tells the one before that the entry that was passed by its rank is not here.
-	Lacks struct {
-		Rank uint64 `json:"r"`
+	EntryMissing struct {
+		Version uint64 `json:"r"`
 	}
 	// Read asks the tail for the newest acknowledged entry.
-	Read struct {
+	QueryRequest struct {
 		ID string `json:"i"`
 	}
 	// ReadResult answers Read.
-	ReadResult struct {
-		ID    string `json:"i"`
-		Entry *Entry `json:"n,omitempty"`
-		Why   string `json:"y,omitempty"` // of a refusal
+	QueryResponse struct {
+		ID     string `json:"i"`
+		Entry  *Entry `json:"n,omitempty"`
+		Reason string `json:"y,omitempty"` // of a refusal
 	}
 	// Confirm asks a member whether the view is still its own.
-	Confirm struct {
+	ConfirmView struct {
 		ID string `json:"i"`
 	}
 	// Confirmed says that it is.
-	Confirmed struct {
-		ID    string `json:"i"`
-		Stamp Stamp  `json:"s"` // of what the member holds
+	ViewConfirmed struct {
+		ID        string    `json:"i"`
+		Viewstamp Viewstamp `json:"s"` // of what the member holds
 	}
 	// Repair brings a copy that was found old up to date.
 	Repair struct {
 		Entry Entry `json:"n"`
 	}
 	// Waiting says that a call is known here and waits for others.
-	Waiting struct {
+	RequestPending struct {
 		ID string `json:"i"`
 	}
 )
@@ -88,39 +88,39 @@
 type (
 	// Heartbeat tells the others that a member lives, and what it holds.
 	Heartbeat struct {
-		Stamp   Stamp `json:"s"`
-		InTouch bool  `json:"c,omitempty"` // it has heard most members lately
-		Leaving bool  `json:"l,omitempty"`
+		Viewstamp Viewstamp `json:"s"`
+		HasQuorum bool      `json:"c,omitempty"` // it has heard most members lately
+		Leaving   bool      `json:"l,omitempty"`
 	}
 	// Join asks to be taken in, from one that is no member.
 	Join struct {
-		Stamp   Stamp `json:"s"`
-		Leaving bool  `json:"l,omitempty"` // it has left and only wants to know what the others hold
+		Viewstamp Viewstamp `json:"s"`
+		Leaving   bool      `json:"l,omitempty"` // it has left and only wants to know what the others hold
 	}
 	// Prepare begins a ballot.
 	Prepare struct {
-		Ballot Ballot  `json:"b"`
-		Stamp  Stamp   `json:"s"`           // of what the proposer holds
-		Joiner *Member `json:"j,omitempty"` // to one that is to be taken in: who that is
-		Entry  *Entry  `json:"n,omitempty"` // for a joiner that is behind
+		Ballot    Ballot    `json:"b"`
+		Viewstamp Viewstamp `json:"s"`           // of what the proposer holds
+		Joiner    *Member   `json:"j,omitempty"` // to one that is to be taken in: who that is
+		Entry     *Entry    `json:"n,omitempty"` // for a joiner that is behind
 	}
 	// Promise answers Prepare.
 	Promise struct {
-		Ballot   Ballot    `json:"b"`
-		Stamp    Stamp     `json:"s"`
-		Joiner   bool      `json:"j,omitempty"` // it has no vote
-		Accepted *Proposal `json:"a,omitempty"`
-		Entry    *Entry    `json:"n,omitempty"` // newer than what the proposer holds
+		Ballot    Ballot    `json:"b"`
+		Viewstamp Viewstamp `json:"s"`
+		Joiner    bool      `json:"j,omitempty"` // it has no vote
+		Accepted  *Proposal `json:"a,omitempty"`
+		Entry     *Entry    `json:"n,omitempty"` // newer than what the proposer holds
 	}
 	// Accept is the second phase of a ballot.
 	Accept struct {
-		Ballot Ballot `json:"b"`
-		Stamp  Stamp  `json:"s"`
-		View   View   `json:"v"`
-		Entry  *Entry `json:"n,omitempty"`
+		Ballot    Ballot    `json:"b"`
+		Viewstamp Viewstamp `json:"s"`
+		View      View      `json:"v"`
+		Entry     *Entry    `json:"n,omitempty"`
 	}
 	// AcceptedBallot answers Accept.
-	AcceptedBallot struct {
+	Accepted struct {
 		Ballot Ballot `json:"b"`
 	}
 	// Nack tells a proposer that a higher ballot was promised.
@@ -139,42 +139,42 @@
 )
 
 // Kind implements Body.
-func (Enter) Kind() Kind          { return "enter" }
-func (Entered) Kind() Kind        { return "entered" }
-func (Pass) Kind() Kind           { return "pass" }
-func (Ack) Kind() Kind            { return "ack" }
-func (Lacks) Kind() Kind          { return "lacks" }
-func (Read) Kind() Kind           { return "read" }
-func (ReadResult) Kind() Kind     { return "read-result" }
-func (Confirm) Kind() Kind        { return "confirm" }
-func (Confirmed) Kind() Kind      { return "confirmed" }
+func (UpdateRequest) Kind() Kind  { return "enter" }
+func (UpdateResponse) Kind() Kind { return "entered" }
+func (Forward) Kind() Kind        { return "pass" }
+func (Acknowledge) Kind() Kind    { return "ack" }
+func (EntryMissing) Kind() Kind   { return "lacks" }
+func (QueryRequest) Kind() Kind   { return "read" }
+func (QueryResponse) Kind() Kind  { return "read-result" }
+func (ConfirmView) Kind() Kind    { return "confirm" }
+func (ViewConfirmed) Kind() Kind  { return "confirmed" }
 func (Repair) Kind() Kind         { return "repair" }
-func (Waiting) Kind() Kind        { return "waiting" }
+func (RequestPending) Kind() Kind { return "waiting" }
 func (Heartbeat) Kind() Kind      { return "heartbeat" }
 func (Join) Kind() Kind           { return "join" }
 func (Prepare) Kind() Kind        { return "prepare" }
 func (Promise) Kind() Kind        { return "promise" }
 func (Accept) Kind() Kind         { return "accept" }
-func (AcceptedBallot) Kind() Kind { return "accepted" }
+func (Accepted) Kind() Kind       { return "accepted" }
 func (Nack) Kind() Kind           { return "nack" }
 func (Decide) Kind() Kind         { return "decide" }
 func (Suspect) Kind() Kind        { return "suspect" }
 
 // Carried is the content that a message brings with it; nil: none.
-func Carried(body Body) []byte {
+func ContentOf(body Body) []byte {
 	if e := entryOf(body); e != nil {
-		return e.Raw
+		return e.Content
 	}
 	return nil
 }
 
 func entryOf(body Body) *Entry {
 	switch b := body.(type) {
-	case Enter:
+	case UpdateRequest:
 		return b.Entry
-	case Pass:
+	case Forward:
 		return b.Entry
-	case ReadResult:
+	case QueryResponse:
 		return b.Entry
 	case Repair:
 		return &b.Entry
--- a/internal/cluster/message/message_test.go
+++ b/internal/cluster/message/message_test.go
@@ -14,17 +14,17 @@
 func TestEntryForm(t *testing.T) {
 	Convey("An entry keeps its bytes", t, func() {
 		for _, raw := range []string{"", "{\"a\":\"<\\u00e9>&\u2028\"}\r\n\t", "\xff\xfe not text", "a\x00b", "\ufffd"} {
-			text, err := json.Marshal(Entry{Epoch: 3, Rank: 7, Raw: []byte(raw), Previous: []Order{{6, 1}}})
+			text, err := json.Marshal(Entry{Epoch: 3, Version: 7, Content: []byte(raw), Previous: []PastRevision{{6, 1}}})
 			So(err, ShouldBeNil)
 			var back Entry
 			So(json.Unmarshal(text, &back), ShouldBeNil)
-			So(back.Stamp(), ShouldResemble, Stamp{Epoch: 3, Rank: 7})
-			So(back.Previous, ShouldResemble, []Order{{6, 1}})
-			So(string(back.Raw), ShouldEqual, raw)
+			So(back.Viewstamp(), ShouldResemble, Viewstamp{Epoch: 3, Version: 7})
+			So(back.Previous, ShouldResemble, []PastRevision{{6, 1}})
+			So(string(back.Content), ShouldEqual, raw)
 		}
 		var old Entry
 		So(json.Unmarshal([]byte(`{"r":9,"w":"eyJhIjoxfQ=="}`), &old), ShouldBeNil)
-		So(string(old.Raw), ShouldEqual, `{"a":1}`)
+		So(string(old.Content), ShouldEqual, `{"a":1}`)
 		So(json.Unmarshal([]byte(`{"r":9,"w":"%"}`), &old), ShouldNotBeNil)
 	})
 }
@@ -32,7 +32,7 @@
 // A message of a kind that is not spoken here, or cut short, is an error that names it.
 func TestMessageForm(t *testing.T) {
 	Convey("A message is read as it was written", t, func() {
-		sent := Message{From: Member{"a", "1"}, To: Member{"b", "2"}, Epoch: 4, Body: Pass{Rank: 9, Lineage: 3}}
+		sent := Message{From: Member{"a", "1"}, To: Member{"b", "2"}, Epoch: 4, Body: Forward{Version: 9, HistoryDigest: 3}}
 		text, err := json.Marshal(sent)
 		So(err, ShouldBeNil)
 		var back Message
@@ -41,7 +41,7 @@
 		for kind := range decoders {
 			So(json.Unmarshal([]byte(`{"k":"`+string(kind)+`","b":7}`), &back), ShouldNotBeNil)
 		}
-		var unknown *UnknownKind
+		var unknown *UnknownKindError
 		So(errors.As(json.Unmarshal([]byte(`{"k":"elect","f":{"a":"x","d":"1"},"b":{}}`), &back), &unknown), ShouldBeTrue)
 		So(unknown.Error(), ShouldContainSubstring, "elect")
 		So(json.Unmarshal(text[:len(text)-3], &back), ShouldNotBeNil)
@@ -53,10 +53,10 @@
 	Convey("Of a thousand orders the last ones are named", t, func() {
 		held := Entry{}
 		for version := uint64(1); version <= 1000; version++ {
-			held = NewEntry(version, []byte("x")).After(held, 2)
+			held = NewEntry(version, []byte("x")).Following(held, 2)
 		}
-		So(held.Previous, ShouldHaveLength, MostPrevious)
-		So(held.Previous[MostPrevious-1].Version, ShouldEqual, uint64(999))
+		So(held.Previous, ShouldHaveLength, MaxPrevious)
+		So(held.Previous[MaxPrevious-1].Revision, ShouldEqual, uint64(999))
 	})
 }
 
@@ -65,25 +65,25 @@
 func TestMail(t *testing.T) {
 	Convey("Mail with contents, some of them no text", t, func() {
 		a, b := NewEntry(3, []byte("\xff\x00 no text\n")), NewEntry(4, []byte(`{"revision":4}`))
-		a.Previous = []Order{{2, 9}}
+		a.Previous = []PastRevision{{2, 9}}
 		sent := []Message{
-			{From: Member{"a", "1"}, To: Member{"b", "2"}, Epoch: 4, Body: Pass{Rank: a.Rank, Lineage: a.Lineage, Entry: &a}},
-			{From: Member{"a", "1"}, Epoch: 4, Body: Heartbeat{Stamp: a.Stamp(), InTouch: true}},
+			{From: Member{"a", "1"}, To: Member{"b", "2"}, Epoch: 4, Body: Forward{Version: a.Version, HistoryDigest: a.HistoryDigest, Entry: &a}},
+			{From: Member{"a", "1"}, Epoch: 4, Body: Heartbeat{Viewstamp: a.Viewstamp(), HasQuorum: true}},
 			{From: Member{"a", "1"}, Body: Repair{Entry: b}},
-			{From: Member{"a", "1"}, Body: Decide{View: View{Epoch: 5}, Entry: &Entry{Rank: 3, Bare: true}}},
+			{From: Member{"a", "1"}, Body: Decide{View: View{Epoch: 5}, Entry: &Entry{Version: 3, ContentOmitted: true}}},
 		}
-		mail, err := EncodeMail(sent)
+		mail, err := EncodeBatch(sent)
 		So(err, ShouldBeNil)
-		list, unread, err := DecodeMail(mail)
+		list, unread, err := DecodeBatch(mail)
 		So(err, ShouldBeNil)
 		So(unread, ShouldBeEmpty)
 		So(list, ShouldResemble, sent)
 		for n := range len(mail) {
-			_, _, err := DecodeMail(mail[:n])
+			_, _, err := DecodeBatch(mail[:n])
 			So(err, ShouldNotBeNil)
 		}
 		strange := bytes.Replace(mail, []byte(`"k":"heartbeat"`), []byte(`"k":"elect"`), 1)
-		list, unread, err = DecodeMail(strange)
+		list, unread, err = DecodeBatch(strange)
 		So(err, ShouldBeNil)
 		So(list, ShouldHaveLength, 3)
 		So(unread, ShouldHaveLength, 1)
--- a/internal/cluster/message/view.go
+++ b/internal/cluster/message/view.go
@@ -11,11 +11,11 @@
 // Member is one disk of the core, at an address. A machine that comes back with an empty
 // disk is another member.
 type Member struct {
-	Addr string `json:"a"`
-	Disk string `json:"d"`
+	Addr   string `json:"a"`
+	DiskID string `json:"d"`
 }
 
-func (m Member) String() string { return m.Addr + "/" + m.Disk }
+func (m Member) String() string { return m.Addr + "/" + m.DiskID }
 
 // View is what most of the voters of the view before have agreed on: who votes, in which
 // order, and which of them form the chain, from head to tail.
@@ -34,7 +34,7 @@
 func (v View) Has(m Member) bool { return slices.Contains(v.Members, m) }
 
 // BaseStamp is the stamp of the entry that goes with the view.
-func (v View) BaseStamp() Stamp { return Stamp{Epoch: v.BaseEpoch, Rank: v.Base} }
+func (v View) BaseViewstamp() Viewstamp { return Viewstamp{Epoch: v.BaseEpoch, Version: v.Base} }
 
 // Head is the first of the chain; the zero Member where there is no view.
 func (v View) Head() Member {
@@ -77,12 +77,14 @@
 
 // Ballot orders proposals.
 type Ballot struct {
-	N  uint64 `json:"n"`
-	By string `json:"b"`
+	Number   uint64 `json:"n"`
+	Proposer string `json:"b"`
 }
 
 // Less orders ballots.
-func (b Ballot) Less(o Ballot) bool { return b.N < o.N || b.N == o.N && b.By < o.By }
+func (b Ballot) Less(o Ballot) bool {
+	return b.Number < o.Number || b.Number == o.Number && b.Proposer < o.Proposer
+}
 
 // Proposal is a view under a ballot.
 type Proposal struct {
--- a/internal/cluster/replica/replica.go
+++ b/internal/cluster/replica/replica.go
@@ -19,91 +19,91 @@
 	Repair    antientropy.Config // Sweep 0: nothing is repaired beyond what the chain itself does
 }
 
-const ms = int64(1000)
+const millisecond = int64(1000)
 
 // Usual is the configuration for service: a loss is noticed within 2 s, and the chain is
 // mended well within an operator's patience of 6 s. faults machines may be lost at once.
-func Usual(faults int) Config {
+func DefaultConfig(faults int) Config {
 	return Config{
-		Repair: antientropy.Config{Again: 2000 * ms, Sweep: 1000 * ms, Most: 64},
-		Chain:  chain.Config{Resend: 500 * ms, Stuck: 1200 * ms, Wait: 5000 * ms},
-		Consensus: consensus.Config{Heartbeat: 500 * ms, Live: 1800 * ms, Unfit: 4000 * ms, Settle: 1000 * ms,
-			Turn: 1000 * ms, Ballot: 800 * ms, Stable: 800 * ms, Voters: 2*faults + 1, Learners: 16},
+		Repair: antientropy.Config{Again: 2000 * millisecond, Sweep: 1000 * millisecond, Most: 64},
+		Chain:  chain.Config{RetryInterval: 500 * millisecond, SuspectTimeout: 1200 * millisecond, CallTimeout: 5000 * millisecond},
+		Consensus: consensus.Config{HeartbeatInterval: 500 * millisecond, FailureTimeout: 1800 * millisecond, SuspicionTimeout: 4000 * millisecond, RejoinDelay: 1000 * millisecond,
+			ProposerStagger: 1000 * millisecond, BallotTimeout: 800 * millisecond, MinViewAge: 800 * millisecond, Voters: 2*faults + 1, MaxLearners: 16},
 	}
 }
 
 // Output is what a step returns: first what is to be written, then what may go out.
 type Output struct {
-	Write   *Record
+	Persist *Record
 	Send    []message.Message
 	Results []chain.Result
 }
 
 // Machine is one core machine.
 type Machine struct {
-	Consensus *consensus.Machine
-	Chain     *chain.Machine
-	cfg       Config
-	suspectAt int64
-	repairs   *antientropy.Machine
+	Consensus     *consensus.Machine
+	Chain         *chain.Machine
+	cfg           Config
+	lastSuspectAt int64
+	repairs       *antientropy.Machine
 }
 
 // New returns a machine whose disk holds a record; nonce sets its calls apart from those
 // of its earlier lives.
-func New(now int64, cfg Config, r Record, seeds []string, nonce string, breaks chain.Breaks) *Machine {
-	r0 := &Machine{cfg: cfg, repairs: antientropy.New(cfg.Repair), Chain: chain.New(cfg.Chain, r.State.Self, r.held(), nonce, breaks)}
-	r0.Consensus = consensus.New(now, cfg.Consensus, r.State, seeds, r0.Chain, breaks)
-	return r0
+func New(now int64, cfg Config, record Record, seeds []string, nonce string, mutations chain.Mutations) *Machine {
+	machine := &Machine{cfg: cfg, repairs: antientropy.New(cfg.Repair), Chain: chain.New(cfg.Chain, record.State.Self, record.currentEntry(), nonce, mutations)}
+	machine.Consensus = consensus.New(now, cfg.Consensus, record.State, seeds, machine.Chain, mutations)
+	return machine
 }
 
 // Got takes a message.
-func (r *Machine) Got(now int64, msg message.Message) Output {
+func (r *Machine) Step(now int64, msg message.Message) Output {
 	self := r.Consensus.Self
 	switch {
-	case msg.To.Disk != "" && msg.To != self: // to a disk that this machine no longer has
-		r.Consensus.Stranger(msg.From)
-	case chain.Speaks(msg.Body):
+	case msg.To.DiskID != "" && msg.To != self: // to a disk that this machine no longer has
+		r.Consensus.HandleMisaddressed(msg.From)
+	case chain.IsChainMessage(msg.Body):
 		if msg.From != self {
-			r.Consensus.Hear(now, msg)
+			r.Consensus.ObserveChainMessage(now, msg)
 		}
-		r.Chain.Got(now, msg)
-		for _, old := range r.Chain.Old() {
-			r.repair(now, old.Member, old.Stamp)
+		r.Chain.Step(now, msg)
+		for _, old := range r.Chain.TakeStaleReplicas() {
+			r.repair(now, old.Member, old.Viewstamp)
 		}
 	default:
-		r.Consensus.Got(now, msg)
+		r.Consensus.Step(now, msg)
 	}
-	return r.output(now)
+	return r.drainOutput(now)
 }
 
 // Tick lets time pass; it wants to be called several times a heartbeat.
 func (r *Machine) Tick(now int64) Output {
 	r.Chain.Tick(now)
-	r.complain(now)
+	r.reportSuspect(now)
 	r.Consensus.Tick(now)
 	r.sweep(now)
-	return r.output(now)
+	return r.drainOutput(now)
 }
 
 // complain tells all of a member that does not move on. One that is known to hold what it
 // was passed waits for others itself.
-func (r *Machine) complain(now int64) {
-	s, is := r.Chain.Suspected()
-	if !is || now-r.suspectAt < r.cfg.Consensus.Heartbeat {
+func (r *Machine) reportSuspect(now int64) {
+	suspect, found := r.Chain.Suspected()
+	if !found || now-r.lastSuspectAt < r.cfg.Consensus.HeartbeatInterval {
 		return
 	}
-	stamp, live := r.Consensus.Heard(now, s.Member)
-	if s.Lacks == 0 || !live || stamp.Rank < s.Lacks {
-		r.suspectAt = now
-		r.Consensus.Suspect(now, s.Member)
+	viewstamp, live := r.Consensus.LastHeard(now, suspect.Member)
+	if suspect.MissingVersion == 0 || !live || viewstamp.Version < suspect.MissingVersion {
+		r.lastSuspectAt = now
+		r.Consensus.Suspect(now, suspect.Member)
 	}
 }
 
 // repair brings a copy that was found old up to date, if what is kept here is acknowledged.
-func (r *Machine) repair(now int64, x message.Member, stamp message.Stamp) {
-	own := r.Chain.Held()
-	if r.cfg.Repair.Sweep > 0 && r.Chain.Acknowledged() >= own.Rank && r.repairs.Saw(now, x.String(), stamp.Rank, own.Rank) {
-		r.Chain.Repair(x)
+func (r *Machine) repair(now int64, member message.Member, viewstamp message.Viewstamp) {
+	own := r.Chain.Stored()
+	if r.cfg.Repair.Sweep > 0 && r.Chain.Acknowledged() >= own.Version && r.repairs.Saw(now, member.String(), viewstamp.Version, own.Version) {
+		r.Chain.Repair(member)
 	}
 }
 
@@ -123,61 +123,61 @@
 		}
 	}
 	if name, due := r.repairs.Sweep(now, names); due {
-		if stamp, live := r.Consensus.Heard(now, copies[name]); live {
+		if stamp, live := r.Consensus.LastHeard(now, copies[name]); live {
 			r.repair(now, copies[name], stamp)
 		}
 	}
 }
 
 // Repaired counts the repairs.
-func (r *Machine) Repaired() antientropy.Stats { return r.repairs.Stats() }
+func (r *Machine) RepairStats() antientropy.Stats { return r.repairs.Stats() }
 
 // Put asks for a configuration to be acknowledged, Get for the newest that was. The Result
 // under the id returned comes in this or a later Output.
 func (r *Machine) Put(now int64, e message.Entry) (string, Output) {
 	id := r.Chain.Put(now, e)
-	return id, r.output(now)
+	return id, r.drainOutput(now)
 }
 
 // Get is as Put.
 func (r *Machine) Get(now int64) (string, Output) {
 	id := r.Chain.Get(now)
-	return id, r.output(now)
+	return id, r.drainOutput(now)
 }
 
 // Leave has this machine hand its vote over; see Left.
-func (r *Machine) Leave(now int64) Output {
-	r.Consensus.Leave()
+func (r *Machine) StartLeave(now int64) Output {
+	r.Consensus.StartLeave()
 	return r.Tick(now)
 }
 
 // Left tells whether it may end without a loss.
-func (r *Machine) Left(now int64) bool { return r.Consensus.Left(now) }
+func (r *Machine) HasLeft(now int64) bool { return r.Consensus.HasLeft(now) }
 
 // output gathers what both want, and has them take at once what they send themselves.
-func (r *Machine) output(now int64) (out Output) {
+func (r *Machine) drainOutput(now int64) (out Output) {
 	for {
-		msgs, results := r.Chain.Take()
+		msgs, results := r.Chain.TakeOutput()
 		out.Results = append(out.Results, results...)
-		msgs = append(msgs, r.Consensus.Take()...)
+		msgs = append(msgs, r.Consensus.TakeMessages()...)
 		if len(msgs) == 0 {
 			break
 		}
 		for _, msg := range msgs {
 			if msg.To == r.Consensus.Self {
-				r.Chain.Got(now, msg)
+				r.Chain.Step(now, msg)
 			} else {
 				out.Send = append(out.Send, msg)
 			}
 		}
 	}
-	entry, stamp := r.Chain.Changed()
-	state := r.Consensus.Changed()
+	entry, stamp := r.Chain.TakeChanges()
+	state := r.Consensus.TakeChanged()
 	if entry || stamp || state {
-		held := r.Chain.Held()
-		out.Write = &Record{State: r.Consensus.State, HeldEpoch: held.Epoch}
+		stored := r.Chain.Stored()
+		out.Persist = &Record{State: r.Consensus.State, StoredEpoch: stored.Epoch}
 		if entry {
-			out.Write.Entry = &held
+			out.Persist.Entry = &stored
 		}
 	}
 	return out
--- a/internal/cluster/routeconfig/routeconfig.go
+++ b/internal/cluster/routeconfig/routeconfig.go
@@ -91,8 +91,8 @@
 // that orders two contents of one number.
 func revision(at paths.Reader) int64 {
 	n := at.NoText().Int()
-	if n < 0 || n > message.MostVersion {
-		at.Failf("%d is not between 0 and %d", n, int64(message.MostVersion))
+	if n < 0 || n > message.MaxRevision {
+		at.Failf("%d is not between 0 and %d", n, int64(message.MaxRevision))
 	}
 	return n
 }
--- a/internal/compat/storage_test.go
+++ b/internal/compat/storage_test.go
@@ -28,11 +28,11 @@
 		t.Run(fmt.Sprint(machine), func(t *testing.T) {
 			store := openCopy(t, machine)
 			state := get(t, store, "pact")
-			record, err := replica.Decode(state)
+			record, err := replica.DecodeState(state)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if again := replica.Encode(record); !bytes.Equal(again, state) {
+			if again := replica.EncodeState(record); !bytes.Equal(again, state) {
 				t.Errorf("the state is written as %s; was %s", again, state)
 			}
 			if record.State.View.Epoch != want.epoch || record.State.View.Check() != nil {
@@ -41,10 +41,10 @@
 			for _, key := range []string{"entry", "known"} {
 				var entry message.Entry
 				unchanged(t, get(t, store, key), &entry)
-				if got := message.Version(entry.Rank); got != want.revision {
+				if got := message.RevisionOf(entry.Version); got != want.revision {
 					t.Errorf("%s: revision %d; want %d", key, got, want.revision)
 				}
-				if _, err := routeconfig.Read(entry.Raw); err != nil {
+				if _, err := routeconfig.Read(entry.Content); err != nil {
 					t.Errorf("%s: %v", key, err)
 				}
 			}
--- a/internal/compat/wire_test.go
+++ b/internal/compat/wire_test.go
@@ -39,28 +39,28 @@
 	"show":                &role.Shown{},
 	"replica-view":        &message.View{},
 	"replica-entry":       &message.Entry{},
-	"core-enter":          &message.Enter{},
-	"core-entered":        &message.Entered{},
-	"core-pass":           &message.Pass{},
-	"core-ack":            &message.Ack{},
-	"core-lacks":          &message.Lacks{},
-	"core-read":           &message.Read{},
-	"core-read-result":    &message.ReadResult{},
-	"core-confirm":        &message.Confirm{},
-	"core-confirmed":      &message.Confirmed{},
+	"core-enter":          &message.UpdateRequest{},
+	"core-entered":        &message.UpdateResponse{},
+	"core-pass":           &message.Forward{},
+	"core-ack":            &message.Acknowledge{},
+	"core-lacks":          &message.EntryMissing{},
+	"core-read":           &message.QueryRequest{},
+	"core-read-result":    &message.QueryResponse{},
+	"core-confirm":        &message.ConfirmView{},
+	"core-confirmed":      &message.ViewConfirmed{},
 	"core-repair":         &message.Repair{},
-	"core-waiting":        &message.Waiting{},
+	"core-waiting":        &message.RequestPending{},
 	"core-heartbeat":      &message.Heartbeat{},
 	"core-join":           &message.Join{},
 	"core-prepare":        &message.Prepare{},
 	"core-promise":        &message.Promise{},
 	"core-accept":         &message.Accept{},
-	"core-accepted":       &message.AcceptedBallot{},
+	"core-accepted":       &message.Accepted{},
 	"core-nack":           &message.Nack{},
 	"core-decide":         &message.Decide{},
 	"core-suspect":        &message.Suspect{},
-	"core-stamp":          &message.Stamp{},
-	"core-previous-order": &message.Order{},
+	"core-stamp":          &message.Viewstamp{},
+	"core-previous-order": &message.PastRevision{},
 }
 
 // Each form is written as the release before wrote it, and read and written again unchanged.
@@ -95,11 +95,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	messages, unread, err := message.DecodeMail(mail)
+	messages, unread, err := message.DecodeBatch(mail)
 	if err != nil || len(unread) > 0 || len(messages) != 20 {
 		t.Fatalf("%d messages, %v unread, %v", len(messages), unread, err)
 	}
-	again, err := message.EncodeMail(messages)
+	again, err := message.EncodeBatch(messages)
 	if err != nil || !bytes.Equal(again, mail) {
 		t.Fatalf("the mail was written otherwise: %v", err)
 	}
@@ -126,7 +126,7 @@
 
 func writeMail(t *testing.T, path string) {
 	t.Helper()
-	from, to := message.Member{Addr: "10.0.0.1:7080", Disk: "0"}, message.Member{Addr: "10.0.0.2:7080", Disk: "d2"}
+	from, to := message.Member{Addr: "10.0.0.1:7080", DiskID: "0"}, message.Member{Addr: "10.0.0.2:7080", DiskID: "d2"}
 	var list []message.Message
 	for _, name := range names() {
 		if body, is := reflect.ValueOf(sent[name]).Elem().Interface().(message.Body); is {
@@ -136,7 +136,7 @@
 			list = append(list, message.Message{From: from, To: to, Epoch: 7, Body: body})
 		}
 	}
-	mail, err := message.EncodeMail(list)
+	mail, err := message.EncodeBatch(list)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/measure/catchup.go
+++ b/internal/lab/measure/catchup.go
@@ -78,7 +78,7 @@
 		c.Never++
 	}
 	w.crash(down)
-	down.disk = replica.Record{State: consensus.State{Self: message.Member{Addr: down.addr, Disk: "again"}}}
+	down.disk = replica.Record{State: consensus.State{Self: message.Member{Addr: down.addr, DiskID: "again"}}}
 	w.start(down)
 	if span, ok := w.untilHolds(down); ok {
 		c.Empty = append(c.Empty, span)
@@ -94,7 +94,7 @@
 	if err != nil || x.disk.Entry == nil {
 		return 0
 	}
-	return len(replica.Encode(x.disk)) + len(entry) - len(x.disk.Entry.Raw)
+	return len(replica.EncodeState(x.disk)) + len(entry) - len(x.disk.Entry.Content)
 }
 
 // putAt sends an order to the first machine that runs.
@@ -109,7 +109,7 @@
 func (w *coreWorld) untilHolds(x *machine) (time.Duration, bool) {
 	begun := w.now
 	holds := func() bool {
-		return x.m.Consensus.Member() && x.disk.Entry != nil && message.Version(x.disk.Entry.Rank) == w.version
+		return x.m.Consensus.IsMember() && x.disk.Entry != nil && message.RevisionOf(x.disk.Entry.Version) == w.version
 	}
 	w.until(begun+mostCatchUp, func() bool { return !holds() })
 	return time.Duration((w.now - begun) * micro), holds()
--- a/internal/lab/measure/core.go
+++ b/internal/lab/measure/core.go
@@ -122,7 +122,7 @@
 		w.seeds = append(w.seeds, x.addr)
 	}
 	for _, x := range w.ms {
-		x.disk = replica.Record{State: consensus.State{Self: message.Member{Addr: x.addr, Disk: consensus.FirstDisk}, View: consensus.Genesis(w.seeds)}}
+		x.disk = replica.Record{State: consensus.State{Self: message.Member{Addr: x.addr, DiskID: consensus.FirstDiskID}, View: consensus.InitialView(w.seeds)}}
 		w.after(w.rng.Int64N(200*ms), func() { w.start(x) })
 	}
 	w.after(500*ms, w.ask)
@@ -170,7 +170,7 @@
 
 func (w *coreWorld) start(x *machine) {
 	x.up, x.life = true, x.life+1
-	x.m = replica.New(w.now, replica.Usual(w.plan.Faults), x.disk, w.seeds, fmt.Sprint(x.addr, ".", x.life), chain.Breaks{})
+	x.m = replica.New(w.now, replica.DefaultConfig(w.plan.Faults), x.disk, w.seeds, fmt.Sprint(x.addr, ".", x.life), chain.Mutations{})
 	w.tick(x, x.life)
 }
 
@@ -210,7 +210,7 @@
 
 // flow queues what a step wants written; what it wants sent waits for that.
 func (w *coreWorld) flow(x *machine, out replica.Output) {
-	if out.Write == nil && len(out.Send) == 0 && len(out.Results) == 0 {
+	if out.Persist == nil && len(out.Send) == 0 && len(out.Results) == 0 {
 		return
 	}
 	x.queue = append(x.queue, out)
@@ -225,10 +225,10 @@
 	x.queue, x.writing = nil, true
 	r, dirty := x.disk, false
 	for _, out := range batch {
-		if out.Write != nil {
-			dirty, r.State, r.HeldEpoch = true, out.Write.State, out.Write.HeldEpoch
-			if out.Write.Entry != nil {
-				r.Entry = out.Write.Entry
+		if out.Persist != nil {
+			dirty, r.State, r.StoredEpoch = true, out.Persist.State, out.Persist.StoredEpoch
+			if out.Persist.Entry != nil {
+				r.Entry = out.Persist.Entry
 			}
 		}
 	}
@@ -272,7 +272,7 @@
 		}
 		w.after(w.plan.Delays.between(x.zone, x.region, to.zone, to.region), func() {
 			if to.up && !to.cutIn && !(x.cutIn && x.cutOut) {
-				w.flow(to, to.m.Got(w.now, msg))
+				w.flow(to, to.m.Step(w.now, msg))
 			}
 		})
 	}
--- a/internal/lab/measure/cut.go
+++ b/internal/lab/measure/cut.go
@@ -73,7 +73,7 @@
 		if at != x || !own || !res.OK() {
 			return
 		}
-		if res.Entry != nil && message.Version(res.Entry.Rank) < floor {
+		if res.Entry != nil && message.RevisionOf(res.Entry.Version) < floor {
 			c.Old++
 		}
 		if w.now-begun < cutSpan {
@@ -84,7 +84,7 @@
 	}
 	var call func()
 	call = func() {
-		if w.now > begun && aware == 0 && !x.m.Consensus.InTouch(w.now) {
+		if w.now > begun && aware == 0 && !x.m.Consensus.HasQuorum(w.now) {
 			aware = w.now
 		}
 		get, out := x.m.Get(w.now)
--- a/internal/lab/modelcheck/faults.go
+++ b/internal/lab/modelcheck/faults.go
@@ -214,9 +214,9 @@
 		return
 	}
 	w.note("%s is told to stop", n.addr)
-	w.took(i, n.m.Leave(w.now))
-	w.playUntil(grace, func() bool { return n.m.Left(w.now) })
-	left, open := n.m.Left(w.now), w.open
+	w.took(i, n.m.StartLeave(w.now))
+	w.playUntil(grace, func() bool { return n.m.HasLeft(w.now) })
+	left, open := n.m.HasLeft(w.now), w.open
 	w.lose(i)
 	n.removed = true
 	if left && earlier >= catchUp {
--- a/internal/lab/modelcheck/oracle.go
+++ b/internal/lab/modelcheck/oracle.go
@@ -27,15 +27,15 @@
 // reads found under the same version.
 func (w *World) readResult(a asked, e message.Entry) {
 	w.Seen.Reads++
-	version := message.Version(e.Rank)
-	w.note("a read finds version %d: %s", version, e.Raw)
+	version := message.RevisionOf(e.Version)
+	w.note("a read finds version %d: %s", version, e.Content)
 	if version < a.floor {
 		w.fail("a read found version %d though %d was acknowledged before it was asked", version, a.floor)
 	}
-	if was, found := w.read[version]; found && was != string(e.Raw) {
-		w.fail("reads found version %d as %q and as %q", version, was, e.Raw)
+	if was, found := w.read[version]; found && was != string(e.Content) {
+		w.fail("reads found version %d as %q and as %q", version, was, e.Content)
 	}
-	w.read[version] = string(e.Raw)
+	w.read[version] = string(e.Content)
 }
 
 // putResult holds an acknowledgement to the disks: so many must hold the version that those
@@ -46,7 +46,7 @@
 	w.note("version %d is acknowledged", o.version)
 	holders := 0
 	for _, n := range w.nodes {
-		if n.disk != nil && n.disk.Entry != nil && message.Version(n.disk.Entry.Rank) >= o.version {
+		if n.disk != nil && n.disk.Entry != nil && message.RevisionOf(n.disk.Entry.Version) >= o.version {
 			holders++
 		}
 	}
@@ -60,11 +60,11 @@
 func (w *World) verdict(o order, v message.Verdict) {
 	was, taken := w.taken[o.version]
 	switch {
-	case v == message.Accepted && taken && was != o.raw:
+	case v == message.UpdateAccepted && taken && was != o.raw:
 		w.fail("version %d is confirmed as %q and as %q", o.version, was, o.raw)
-	case v == message.Accepted:
+	case v == message.UpdateAccepted:
 		w.taken[o.version] = o.raw
-	case v == message.Conflict && taken && was == o.raw:
+	case v == message.UpdateConflict && taken && was == o.raw:
 		w.fail("version %d as %q was confirmed, and is refused when it is sent again", o.version, o.raw)
 	}
 }
--- a/internal/lab/modelcheck/schedule.go
+++ b/internal/lab/modelcheck/schedule.go
@@ -15,7 +15,7 @@
 	Wipes    int // disks lost in one schedule, replacements included
 	Steps    int
 	Bare     bool // no copies are repaired: what the chain and the view do is to hold by itself
-	Breaks   chain.Breaks
+	Breaks   chain.Mutations
 }
 
 // Of is the plan of a seed's schedule: every other one is bare.
--- a/internal/lab/modelcheck/search.go
+++ b/internal/lab/modelcheck/search.go
@@ -76,7 +76,7 @@
 }
 
 // Mutants are the rules that can be left out on purpose, by name.
-var Mutants = map[string]chain.Breaks{
+var Mutants = map[string]chain.Mutations{
 	"ack-before-sync":   {AckEarly: true},
 	"read-without-view": {StaleRead: true},
 	"promise-unsealed":  {NoSeal: true},
--- a/internal/lab/modelcheck/world.go
+++ b/internal/lab/modelcheck/world.go
@@ -115,23 +115,23 @@
 	}
 	n.up, n.lives = true, n.lives+1
 	if n.disk == nil {
-		r := replica.Record{State: consensus.State{Self: message.Member{Addr: n.addr, Disk: fmt.Sprint(n.disks)}}}
+		r := replica.Record{State: consensus.State{Self: message.Member{Addr: n.addr, DiskID: fmt.Sprint(n.disks)}}}
 		if n.disks == 0 && i < w.plan.Machines {
-			r.State.View = consensus.Genesis(w.first())
+			r.State.View = consensus.InitialView(w.first())
 		}
 		if w.plan.Breaks.KeepDisk && n.disks > 0 { // it takes itself for what it was
-			r.State.Self.Disk = consensus.FirstDisk
-			r.State.View = consensus.Genesis(w.first())
+			r.State.Self.DiskID = consensus.FirstDiskID
+			r.State.View = consensus.InitialView(w.first())
 		}
 		n.disk = &r
 	}
 	r := *n.disk
-	cfg := replica.Usual(w.plan.Faults)
+	cfg := replica.DefaultConfig(w.plan.Faults)
 	if w.plan.Bare {
 		cfg.Repair = antientropy.Config{}
 	}
 	n.m = replica.New(w.now, cfg, r, w.seeds(), fmt.Sprintf("%s-%d", n.addr, n.lives), w.plan.Breaks)
-	w.note("start %s as %s, epoch %d, rank %d", n.addr, r.State.Self, r.State.View.Epoch, n.m.Chain.Held().Rank)
+	w.note("start %s as %s, epoch %d, rank %d", n.addr, r.State.Self, r.State.View.Epoch, n.m.Chain.Stored().Version)
 }
 
 func (w *World) note(format string, args ...any) {
@@ -159,7 +159,7 @@
 // took queues what a machine wants written and sent.
 func (w *World) took(i int, out replica.Output) {
 	n := w.nodes[i]
-	if out.Write == nil && len(out.Send) == 0 && len(out.Results) == 0 {
+	if out.Persist == nil && len(out.Send) == 0 && len(out.Results) == 0 {
 		return
 	}
 	n.pending = append(n.pending, out)
@@ -195,10 +195,10 @@
 }
 
 func (w *World) write(n *node, out replica.Output) {
-	if out.Write == nil {
+	if out.Persist == nil {
 		return
 	}
-	r := *out.Write
+	r := *out.Persist
 	if r.Entry == nil {
 		r.Entry = n.disk.Entry
 	}
@@ -301,7 +301,7 @@
 	if to < 0 || !w.nodes[to].up || w.cuts[[2]int{from, to}] {
 		return
 	}
-	w.took(to, w.nodes[to].m.Got(w.now, msg))
+	w.took(to, w.nodes[to].m.Step(w.now, msg))
 }
 
 func (w *World) tick(d int64) {
@@ -309,7 +309,7 @@
 	seeds := w.seeds() // as gossip would tell
 	for i, n := range w.nodes {
 		if n.up {
-			n.m.Consensus.Seeds(seeds)
+			n.m.Consensus.SetSeeds(seeds)
 			w.took(i, n.m.Tick(w.now))
 		}
 	}
--- a/internal/node/role/core.go
+++ b/internal/node/role/core.go
@@ -73,7 +73,7 @@
 	}
 	c := &core{node: n, dir: boot.Dir, disk: disk, in: make(chan func(), 256), done: make(chan struct{}),
 		waiting: make(map[string]chan chain.Result), ready: make(chan struct{}, 1), posts: make(map[lane]*post)}
-	c.replica = replica.New(c.now(), replica.Usual(boot.Faults), r, boot.SeedPeers(), nonce(), chain.Breaks{})
+	c.replica = replica.New(c.now(), replica.DefaultConfig(boot.Faults), r, boot.SeedPeers(), nonce(), chain.Mutations{})
 	// What was acknowledged stays so: the proxies need not wait until the chain stands.
 	if raw, err := disk.Get(keyKnown); err == nil && raw != nil {
 		var e message.Entry
@@ -125,7 +125,7 @@
 		case f := <-c.in:
 			f()
 		case <-tick.C:
-			c.replica.Consensus.Seeds(c.seeds())
+			c.replica.Consensus.SetSeeds(c.seeds())
 			c.flow(c.replica.Tick(c.now()))
 			c.noteTouch()
 		}
@@ -134,7 +134,7 @@
 
 // noteTouch tells when most of the core is heard no more, and when it is again. On the loop.
 func (c *core) noteTouch() {
-	now := c.replica.Consensus.InTouch(c.now())
+	now := c.replica.Consensus.HasQuorum(c.now())
 	switch {
 	case now && !c.inTouch:
 		events.InTouch.Log("epoch", c.epoch)
@@ -147,7 +147,7 @@
 // seeds are where to ask to be taken in: what the settings name and what the news knows.
 func (c *core) seeds() []string {
 	seeds := c.node.set.Boot().SeedPeers()
-	if !c.replica.Consensus.Member() || !c.replica.Consensus.InTouch(c.now()) {
+	if !c.replica.Consensus.IsMember() || !c.replica.Consensus.HasQuorum(c.now()) {
 		for _, p := range c.node.Peers("keel") {
 			if !slices.Contains(seeds, p.Addr) {
 				seeds = append(seeds, p.Addr)
@@ -159,7 +159,7 @@
 
 // flow queues what a step returned, and makes known what is safe. On the loop.
 func (c *core) flow(out replica.Output) {
-	if out.Write != nil || len(out.Send) > 0 || len(out.Results) > 0 {
+	if out.Persist != nil || len(out.Send) > 0 || len(out.Results) > 0 {
 		c.enqueue(out)
 		c.wake()
 	}
@@ -178,18 +178,18 @@
 	}
 	last := &c.queue[len(c.queue)-1]
 	last.Results = append(last.Results, out.Results...) // as many as wait at most
-	if out.Write == nil {
+	if out.Persist == nil {
 		return
 	}
-	if last.Write != nil && out.Write.Entry == nil {
-		out.Write.Entry = last.Write.Entry
+	if last.Persist != nil && out.Persist.Entry == nil {
+		out.Persist.Entry = last.Persist.Entry
 	}
-	last.Write = out.Write
+	last.Persist = out.Persist
 }
 
 func (c *core) announceHeld() {
-	held := c.replica.Chain.Held()
-	if held.Rank <= c.told || c.replica.Chain.Acknowledged() < held.Rank {
+	held := c.replica.Chain.Stored()
+	if held.Version <= c.told || c.replica.Chain.Acknowledged() < held.Version {
 		return
 	}
 	c.announce(held)
@@ -205,7 +205,7 @@
 		return
 	}
 	c.epoch = v.Epoch
-	events.View.Log("epoch", v.Epoch, "members", len(v.Members), "chain", fmt.Sprint(v.Chain), "member", c.replica.Consensus.Member())
+	events.View.Log("epoch", v.Epoch, "members", len(v.Members), "chain", fmt.Sprint(v.Chain), "member", c.replica.Consensus.IsMember())
 	if body, err := json.Marshal(v); err == nil {
 		c.node.Put(gossip.Item{Key: viewAt, Rank: v.Epoch, Body: body})
 	}
@@ -221,10 +221,10 @@
 
 // announce makes an acknowledged configuration known to all.
 func (c *core) announce(e message.Entry) {
-	c.told = e.Rank
-	if ch, err := routeconfig.Read(e.Raw); err == nil {
+	c.told = e.Version
+	if ch, err := routeconfig.Read(e.Content); err == nil {
 		events.Acknowledged.Log("version", ch.Revision)
-		c.node.Put(gossip.Item{Key: charterAt, Rank: e.Rank, Body: json.RawMessage(e.Raw)})
+		c.node.Put(gossip.Item{Key: charterAt, Rank: e.Version, Body: json.RawMessage(e.Content)})
 	}
 }
 
@@ -253,7 +253,7 @@
 	select {
 	case r := <-ch:
 		if !r.OK() {
-			return r, errors.New(r.Why)
+			return r, errors.New(r.Reason)
 		}
 		return r, nil
 	case <-ctx.Done():
--- a/internal/node/role/coredisk.go
+++ b/internal/node/role/coredisk.go
@@ -56,16 +56,16 @@
 
 // initDisk gives an empty disk its name. founder: it is of the system's first view.
 func initDisk(s *storage.Store, boot *Boot, founder bool) (*storage.Store, replica.Record, error) {
-	r := replica.Record{State: consensus.State{Self: message.Member{Addr: boot.Inner(), Disk: nonce()}}}
+	r := replica.Record{State: consensus.State{Self: message.Member{Addr: boot.Inner(), DiskID: nonce()}}}
 	if founder {
-		r.State.View = consensus.Genesis(boot.SeedPeers())
-		if first := (message.Member{Addr: boot.Inner(), Disk: consensus.FirstDisk}); r.State.View.Has(first) {
+		r.State.View = consensus.InitialView(boot.SeedPeers())
+		if first := (message.Member{Addr: boot.Inner(), DiskID: consensus.FirstDiskID}); r.State.View.Has(first) {
 			r.State.Self = first
 		}
 	} else if !boot.Bootstrap {
 		events.Filling.Log("as", r.State.Self)
 	}
-	return s, r, s.Put(storage.Entry{Key: keyState, Value: replica.Encode(r)})
+	return s, r, s.Put(storage.Entry{Key: keyState, Value: replica.EncodeState(r)})
 }
 
 func readDisk(boot *Boot) (*storage.Store, replica.Record, error) {
@@ -78,7 +78,7 @@
 	if err != nil || state == nil {
 		return s, r, err
 	}
-	if r, err = replica.Decode(state); err != nil {
+	if r, err = replica.DecodeState(state); err != nil {
 		return s, r, err
 	}
 	if own := boot.Inner(); r.State.Self.Addr != own {
@@ -94,7 +94,7 @@
 			return s, r, err
 		}
 	}
-	if r.Behind() {
+	if r.EntryBehindView() {
 		return s, r, errors.New("the configuration is older than the view says")
 	}
 	return s, r, nil
@@ -117,10 +117,10 @@
 		var r replica.Record
 		dirty := false
 		for _, out := range batch {
-			if out.Write != nil {
-				dirty, r.State, r.HeldEpoch = true, out.Write.State, out.Write.HeldEpoch
-				if out.Write.Entry != nil {
-					r.Entry = out.Write.Entry
+			if out.Persist != nil {
+				dirty, r.State, r.StoredEpoch = true, out.Persist.State, out.Persist.StoredEpoch
+				if out.Persist.Entry != nil {
+					r.Entry = out.Persist.Entry
 				}
 			}
 		}
@@ -164,7 +164,7 @@
 }
 
 func (c *core) keep(r replica.Record) error {
-	entries := []storage.Entry{{Key: keyState, Value: replica.Encode(r)}}
+	entries := []storage.Entry{{Key: keyState, Value: replica.EncodeState(r)}}
 	if r.Entry != nil {
 		raw, err := json.Marshal(r.Entry)
 		if err != nil {
--- a/internal/node/role/coremail.go
+++ b/internal/node/role/coremail.go
@@ -68,7 +68,7 @@
 	defer p.mu.Unlock()
 	n, size := 0, 0
 	for n < len(p.queue) {
-		size += len(message.Carried(p.queue[n].Body))
+		size += len(message.ContentOf(p.queue[n].Body))
 		if n > 0 && size > mostCall {
 			break
 		}
@@ -89,7 +89,7 @@
 // send puts messages into the mail of their receivers.
 func (c *core) send(list []message.Message) {
 	for _, msg := range list {
-		if p := c.postFor(lane{msg.To.Addr, message.Carried(msg.Body) != nil}); p != nil && !p.put(msg) {
+		if p := c.postFor(lane{msg.To.Addr, message.ContentOf(msg.Body) != nil}); p != nil && !p.put(msg) {
 			if p = c.postFor(p.lane); p != nil { // it has just been let go of
 				p.put(msg)
 			}
@@ -138,7 +138,7 @@
 	for more := true; more && c.running.Err() == nil; {
 		var batch []message.Message
 		batch, more = p.take()
-		mail, err := message.EncodeMail(batch)
+		mail, err := message.EncodeBatch(batch)
 		if err != nil {
 			panic("invariant: " + err.Error()) // each message has a form
 		}
@@ -161,7 +161,7 @@
 // serve answers the other core machines.
 func (c *core) serve(mux *http.ServeMux) {
 	mailCall.On(mux, func(ctx context.Context, who rpc.Named, mail rpc.Raw) (Nothing, error) {
-		messages, unread, err := message.DecodeMail(mail)
+		messages, unread, err := message.DecodeBatch(mail)
 		if err != nil {
 			events.MailUnread.Log("peer", who.Peer, "err", err)
 			return Nothing{}, rpc.Fail(http.StatusBadRequest, "%v", err)
@@ -171,7 +171,7 @@
 		}
 		return Nothing{}, c.do(ctx, func() {
 			for _, msg := range messages {
-				c.flow(c.replica.Got(c.now(), msg))
+				c.flow(c.replica.Step(c.now(), msg))
 			}
 		})
 	})
--- a/internal/node/role/disk_test.go
+++ b/internal/node/role/disk_test.go
@@ -39,7 +39,7 @@
 		}
 		dir := f.boot(1, true).Dir
 		r := first()
-		So(r.State.Self.Disk, ShouldEqual, consensus.FirstDisk)
+		So(r.State.Self.DiskID, ShouldEqual, consensus.FirstDiskID)
 		So(r.State.View.Members, ShouldHaveLength, 3)
 
 		Convey("is known again", func() {
@@ -52,7 +52,7 @@
 			So(os.RemoveAll(filepath.Join(dir, "state")), ShouldBeNil)
 			back, err := again(1)
 			So(err, ShouldBeNil)
-			So(back.State.Self.Disk, ShouldNotEqual, consensus.FirstDisk)
+			So(back.State.Self.DiskID, ShouldNotEqual, consensus.FirstDiskID)
 			So(back.State.View.Epoch, ShouldEqual, uint64(0))
 			once, err := again(1) // and stays that one
 			So(err, ShouldBeNil)
@@ -67,7 +67,7 @@
 			}
 			back, err := again(1)
 			So(err, ShouldBeNil)
-			So(back.State.Self.Disk, ShouldNotEqual, consensus.FirstDisk)
+			So(back.State.Self.DiskID, ShouldNotEqual, consensus.FirstDiskID)
 			_, err = os.Stat(filepath.Join(dir, "damaged"))
 			So(err, ShouldBeNil)
 		})
@@ -76,7 +76,7 @@
 			back, err := again(2)
 			So(err, ShouldBeNil)
 			So(back.State.Self.Addr, ShouldEqual, f.boot(2, false).Inner())
-			So(back.State.Self.Disk, ShouldNotEqual, consensus.FirstDisk)
+			So(back.State.Self.DiskID, ShouldNotEqual, consensus.FirstDiskID)
 			So(back.State.View.Epoch, ShouldEqual, uint64(0))
 		})
 		Convey("of another address brings nothing of that machine's along", func() {
@@ -92,7 +92,7 @@
 			So(err, ShouldBeNil)
 			So(moved.Close(), ShouldBeNil)
 			So(back.Entry, ShouldBeNil)
-			So(back.State.Self.Disk, ShouldNotEqual, consensus.FirstDisk)
+			So(back.State.Self.DiskID, ShouldNotEqual, consensus.FirstDiskID)
 		})
 		Convey("of a format that is not known here is set aside", func() {
 			s, err := storage.Open(dir)
@@ -101,20 +101,20 @@
 			So(s.Close(), ShouldBeNil)
 			back, err := again(1)
 			So(err, ShouldBeNil)
-			So(back.State.Self.Disk, ShouldNotEqual, consensus.FirstDisk)
+			So(back.State.Self.DiskID, ShouldNotEqual, consensus.FirstDiskID)
 			_, err = os.Stat(filepath.Join(dir, "damaged"))
 			So(err, ShouldBeNil)
 		})
 		Convey("whose configuration is older than its view says is not trusted", func() {
 			s, err := storage.Open(dir)
 			So(err, ShouldBeNil)
-			r.State.View.Base = 9 << message.MarkBits
+			r.State.View.Base = 9 << message.DigestBits
 			old, _ := json.Marshal(message.NewEntry(8, []byte("x")))
-			So(s.Put(storage.Entry{Key: keyState, Value: replica.Encode(r)}, storage.Entry{Key: keyEntry, Value: old}), ShouldBeNil)
+			So(s.Put(storage.Entry{Key: keyState, Value: replica.EncodeState(r)}, storage.Entry{Key: keyEntry, Value: old}), ShouldBeNil)
 			So(s.Close(), ShouldBeNil)
 			back, err := again(1)
 			So(err, ShouldBeNil)
-			So(back.State.Self.Disk, ShouldNotEqual, consensus.FirstDisk)
+			So(back.State.Self.DiskID, ShouldNotEqual, consensus.FirstDiskID)
 			So(back.Entry, ShouldBeNil)
 		})
 	})
@@ -155,11 +155,11 @@
 
 		c = start(false)
 		defer c.disk.Close()
-		So(c.replica.Chain.Held().Rank, ShouldEqual, held.Rank)
+		So(c.replica.Chain.Stored().Version, ShouldEqual, held.Version)
 		told, known = c.node.book.Get(charterAt)
 		So(known, ShouldBeTrue)
-		So(told.Rank, ShouldEqual, seen.Rank)
-		So(string(told.Body), ShouldEqual, string(seen.Raw))
+		So(told.Rank, ShouldEqual, seen.Version)
+		So(string(told.Body), ShouldEqual, string(seen.Content))
 	})
 }
 
--- a/internal/node/role/handover.go
+++ b/internal/node/role/handover.go
@@ -22,7 +22,7 @@
 	over, standby := begun.Add(grace-handoverMargin), begun.Add(standbyTime)
 	ctx, cancel := context.WithDeadline(context.Background(), over)
 	defer cancel()
-	if c.do(ctx, func() { c.flow(c.replica.Leave(c.now())) }) != nil {
+	if c.do(ctx, func() { c.flow(c.replica.StartLeave(c.now())) }) != nil {
 		return
 	}
 	for time.Now().Before(over) {
@@ -44,7 +44,7 @@
 func (c *core) leaving(ctx context.Context) (left, alone bool) {
 	done := make(chan struct{})
 	if c.do(ctx, func() {
-		left, alone = c.replica.Left(c.now()), c.replica.Consensus.Alone(c.now())
+		left, alone = c.replica.HasLeft(c.now()), c.replica.Consensus.CannotHandOver(c.now())
 		close(done)
 	}) != nil {
 		return false, false
@@ -67,8 +67,8 @@
 	done := make(chan struct{})
 	err := c.do(ctx, func() {
 		now := c.now()
-		inTouch = c.replica.Consensus.InTouch(now)
-		for _, x := range c.replica.Consensus.PeersInTouch(now) {
+		inTouch = c.replica.Consensus.HasQuorum(now)
+		for _, x := range c.replica.Consensus.PeersWithQuorum(now) {
 			others = append(others, x.Addr)
 		}
 		close(done)
--- a/internal/node/role/keel.go
+++ b/internal/node/role/keel.go
@@ -291,7 +291,7 @@
 		events.Unsafe.Log("version", c.Revision, "err", err)
 		return Nothing{}, later(err)
 	}
-	if r.Verdict == message.Conflict {
+	if r.Verdict == message.UpdateConflict {
 		events.Conflicting.Log("version", c.Revision, "peer", who.Peer)
 		return Nothing{}, rpc.Fail(http.StatusConflict, "other content was taken under revision %d; this one is not in force", c.Revision)
 	}
@@ -306,10 +306,10 @@
 	if err != nil {
 		return nil, later(err)
 	}
-	if r.Entry.Rank == 0 {
+	if r.Entry.Version == 0 {
 		return nil, rpc.Fail(http.StatusNotFound, "no configuration was ever acknowledged")
 	}
-	return r.Entry.Raw, nil
+	return r.Entry.Content, nil
 }
 
 // later has a caller come again: what it asked for may have been done, or may yet be.
--- a/internal/node/role/show.go
+++ b/internal/node/role/show.go
@@ -99,7 +99,7 @@
 				others.Rows = append(others.Rows, []string{p.Name, p.Kind, strings.TrimPrefix(i.Key, gossip.Processes), p.Zone})
 			}
 		case i.Key == charterAt:
-			version.Rows = append(version.Rows, []string{fmt.Sprint(message.Version(i.Rank)), fmt.Sprint(len(i.Body))})
+			version.Rows = append(version.Rows, []string{fmt.Sprint(message.RevisionOf(i.Rank)), fmt.Sprint(len(i.Body))})
 		}
 	})
 	slices.SortFunc(servers.Rows, slices.Compare)
@@ -175,9 +175,9 @@
 		view.Rows = append(view.Rows, []string{m.String(), at, how[m.String()]})
 	}
 	held := Table{Title: "kept here", Head: []string{"version", "bytes", "acknowledged", "sealed"}}
-	e := h.Chain.Held()
-	held.Rows = [][]string{{fmt.Sprint(message.Version(e.Rank)), fmt.Sprint(len(e.Raw)), fmt.Sprint(h.Chain.Acknowledged() >= e.Rank && e.Rank > 0), fmt.Sprint(h.Chain.Sealed())}}
-	mended := h.Repaired()
+	e := h.Chain.Stored()
+	held.Rows = [][]string{{fmt.Sprint(message.RevisionOf(e.Version)), fmt.Sprint(len(e.Content)), fmt.Sprint(h.Chain.Acknowledged() >= e.Version && e.Version > 0), fmt.Sprint(h.Chain.Sealed())}}
+	mended := h.RepairStats()
 	repair := Table{Title: "copies of members", Head: []string{"mended", "looks of the sweep"}, Rows: [][]string{{fmt.Sprint(mended.Reads), fmt.Sprint(mended.Swept)}}}
 	return []Table{view, held, repair}
 }
