--- a/internal/cluster/failuredetector/failuredetector.go
+++ b/internal/cluster/failuredetector/failuredetector.go
@@ -20,94 +20,96 @@
 
 // Config tunes a ring; times are microseconds of the caller's clock.
 type Config struct {
-	Watchers int   // of each process
-	Beat     int64 // between two beats of one process, which go to its watchers in turn
-	Missed   int64 // beats at one watcher that may be missed before it asks
-	Ask      int64 // the answers to a question must have come by then
+	Watchers          int   // of each process
+	HeartbeatInterval int64 // between two beats of one process, which go to its watchers in turn
+	MissedHeartbeats  int64 // beats at one watcher that may be missed before it asks
+	ConfirmTimeout    int64 // the answers to a question must have come by then
 }
 
 // Usual is the configuration for service: three watchers hear each process every 3 s; a
 // death is told after 7 to 11 s.
-var Usual = Config{Watchers: 3, Beat: 1_000_000, Missed: 2, Ask: 1_200_000}
+var DefaultConfig = Config{Watchers: 3, HeartbeatInterval: 1_000_000, MissedHeartbeats: 2, ConfirmTimeout: 1_200_000}
 
 // Question is a call to one process about another, or about itself.
-type Question struct {
+type Probe struct {
 	To, About string
 }
 
 // Output is what a step returns.
 type Output struct {
-	Beat []string   // processes to beat at
-	Ask  []Question // calls whose answers come back by Answered
-	Dead []string   // processes that are dead
+	Heartbeats []string // processes to beat at
+	Probes     []Probe  // calls whose answers come back by Answered
+	Dead       []string // processes that are dead
 }
 
-type watched struct {
-	heard  int64 // the last sign of life, or when watching began
-	askAt  int64 // not before is it asked after; 0: once it is silent
-	asked  int64 // when it was asked after; 0: no question is out
-	round  int   // 0: its other watchers are asked; 1: processes of other zones, to try it
-	open   int   // answers that have not come
-	silent int   // others that do not hear it either
-	lives  bool  // one does: no sign of life here, and none to pass on
-	spoke  bool  // it has answered itself
+type watchedPeer struct {
+	lastHeardAt    int64 // the last sign of life, or when watching began
+	nextProbeAt    int64 // not before is it asked after; 0: once it is silent
+	probedAt       int64 // when it was asked after; 0: no question is out
+	round          int   // 0: its other watchers are asked; 1: processes of other zones, to try it
+	pendingAnswers int   // answers that have not come
+	confirmations  int   // others that do not hear it either
+	aliveElsewhere bool  // one does: no sign of life here, and none to pass on
+	answeredItself bool  // it has answered itself
 }
 
-type place struct {
+type ringMember struct {
 	Peer
-	at uint64
+	position uint64
 }
 
 // Machine is the ring as one process sees it. It is not safe for concurrent use.
-type Machine struct {
-	cfg    Config
-	self   Peer
-	ring   []place  // by place, this process included
-	mine   []string // this one's watchers
-	turn   int
-	beatAt int64
-	watch  map[string]*watched
+type Detector struct {
+	cfg             Config
+	self            Peer
+	ring            []ringMember // by place, this process included
+	ownWatchers     []string     // this one's watchers
+	nextWatcher     int
+	lastHeartbeatAt int64
+	watched         map[string]*watchedPeer
 }
 
 // New returns the ring of a process that knows itself alone.
-func New(now int64, cfg Config, self Peer) *Machine {
-	m := &Machine{cfg: cfg, self: self, watch: make(map[string]*watched)}
-	m.Members(now, nil)
+func New(now int64, cfg Config, self Peer) *Detector {
+	m := &Detector{cfg: cfg, self: self, watched: make(map[string]*watchedPeer)}
+	m.SetPeers(now, nil)
 	return m
 }
 
-func spot(addr string) uint64 { return xxhash.Sum64String(addr) }
+func ringPosition(addr string) uint64 { return xxhash.Sum64String(addr) }
 
 // Members takes the other processes that are thought to live.
-func (m *Machine) Members(now int64, peers []Peer) {
-	m.ring = append(m.ring[:0], place{m.self, spot(m.self.Addr)})
+func (m *Detector) SetPeers(now int64, peers []Peer) {
+	m.ring = append(m.ring[:0], ringMember{m.self, ringPosition(m.self.Addr)})
 	for _, p := range peers {
 		if p.Addr != m.self.Addr {
-			m.ring = append(m.ring, place{p, spot(p.Addr)})
+			m.ring = append(m.ring, ringMember{p, ringPosition(p.Addr)})
 		}
 	}
-	slices.SortFunc(m.ring, func(a, b place) int { return cmp.Or(cmp.Compare(a.at, b.at), strings.Compare(a.Addr, b.Addr)) })
-	m.mine = m.watchers(m.self)
+	slices.SortFunc(m.ring, func(a, b ringMember) int {
+		return cmp.Or(cmp.Compare(a.position, b.position), strings.Compare(a.Addr, b.Addr))
+	})
+	m.ownWatchers = m.watchersOf(m.self)
 	keep := make(map[string]bool)
 	for _, p := range m.ring {
-		if p.Addr != m.self.Addr && slices.Contains(m.watchers(p.Peer), m.self.Addr) {
+		if p.Addr != m.self.Addr && slices.Contains(m.watchersOf(p.Peer), m.self.Addr) {
 			keep[p.Addr] = true
-			if m.watch[p.Addr] == nil {
-				m.watch[p.Addr] = &watched{heard: now}
+			if m.watched[p.Addr] == nil {
+				m.watched[p.Addr] = &watchedPeer{lastHeardAt: now}
 			}
 		}
 	}
-	for addr := range m.watch {
+	for addr := range m.watched {
 		if !keep[addr] {
-			delete(m.watch, addr)
+			delete(m.watched, addr)
 		}
 	}
 }
 
 // watchers are those behind a process on the ring: all but one of its own zone, and one
 // beyond it, for a zone may be lost whole; whoever there is where these are too few.
-func (m *Machine) watchers(of Peer) (out []string) {
-	at := slices.IndexFunc(m.ring, func(p place) bool { return p.Addr == of.Addr })
+func (m *Detector) watchersOf(of Peer) (out []string) {
+	at := slices.IndexFunc(m.ring, func(p ringMember) bool { return p.Addr == of.Addr })
 	if at < 0 {
 		return nil
 	}
@@ -130,11 +132,11 @@
 }
 
 // Watchers are the processes that this one beats at; Watched, those that beat here.
-func (m *Machine) Watchers() []string { return slices.Clone(m.mine) }
+func (m *Detector) Watchers() []string { return slices.Clone(m.ownWatchers) }
 
 // Watched is as Watchers.
-func (m *Machine) Watched() (out []string) {
-	for addr := range m.watch {
+func (m *Detector) Watched() (out []string) {
+	for addr := range m.watched {
 		out = append(out, addr)
 	}
 	slices.Sort(out)
@@ -142,82 +144,82 @@
 }
 
 // Heard takes a sign of life, whatever it was.
-func (m *Machine) Heard(now int64, addr string) {
-	if w := m.watch[addr]; w != nil {
-		*w = watched{heard: now}
+func (m *Detector) Observe(now int64, addr string) {
+	if w := m.watched[addr]; w != nil {
+		*w = watchedPeer{lastHeardAt: now}
 	}
 }
 
 // patience is how long a watched process may be silent before it is asked after.
-func (m *Machine) patience() int64 {
-	return (m.cfg.Missed*int64(max(m.cfg.Watchers, 1)) + 1) * m.cfg.Beat
+func (m *Detector) suspectTimeout() int64 {
+	return (m.cfg.MissedHeartbeats*int64(max(m.cfg.Watchers, 1)) + 1) * m.cfg.HeartbeatInterval
 }
 
 // Hears answers a question of another watcher: whether this process has heard of one
 // within the time that it would itself wait. One that does not watch it does not know, and
 // is to try it.
-func (m *Machine) Hears(now int64, about string) (hears, knows bool) {
+func (m *Detector) HandleProbe(now int64, about string) (alive, knows bool) {
 	if about == m.self.Addr {
 		return true, true
 	}
-	w := m.watch[about]
+	w := m.watched[about]
 	if w == nil {
 		return false, false
 	}
-	return now-w.heard <= m.patience(), true
+	return now-w.lastHeardAt <= m.suspectTimeout(), true
 }
 
 // Answered takes the answer to a question; one that did not come is none.
-func (m *Machine) Answered(now int64, q Question, hears, came bool) {
-	w := m.watch[q.About]
-	if w == nil || w.asked == 0 {
+func (m *Detector) HandleProbeResult(now int64, q Probe, alive, answered bool) {
+	w := m.watched[q.About]
+	if w == nil || w.probedAt == 0 {
 		return
 	}
-	w.open--
+	w.pendingAnswers--
 	switch {
-	case came && q.To == q.About:
-		w.spoke = true
-	case came && hears:
-		w.lives = true
-	case came:
-		w.silent++
+	case answered && q.To == q.About:
+		w.answeredItself = true
+	case answered && alive:
+		w.aliveElsewhere = true
+	case answered:
+		w.confirmations++
 	}
 }
 
 // Tick beats, asks after those that are silent, and tells who is dead.
-func (m *Machine) Tick(now int64) (out Output) {
-	if len(m.mine) > 0 && now-m.beatAt >= m.cfg.Beat {
-		m.beatAt = now
-		m.turn++
-		out.Beat = append(out.Beat, m.mine[m.turn%len(m.mine)])
+func (m *Detector) Tick(now int64) (out Output) {
+	if len(m.ownWatchers) > 0 && now-m.lastHeartbeatAt >= m.cfg.HeartbeatInterval {
+		m.lastHeartbeatAt = now
+		m.nextWatcher++
+		out.Heartbeats = append(out.Heartbeats, m.ownWatchers[m.nextWatcher%len(m.ownWatchers)])
 	}
 	for _, addr := range m.Watched() {
-		w := m.watch[addr]
-		if w.asked == 0 {
-			if now-w.heard > m.patience() && now >= w.askAt {
-				w.asked, w.lives, w.spoke, w.silent, w.open = now, false, false, 0, 1
-				out.Ask = append(out.Ask, Question{To: addr, About: addr})
-				for _, other := range m.others(addr, w.round) {
-					w.open++
-					out.Ask = append(out.Ask, Question{To: other, About: addr})
+		w := m.watched[addr]
+		if w.probedAt == 0 {
+			if now-w.lastHeardAt > m.suspectTimeout() && now >= w.nextProbeAt {
+				w.probedAt, w.aliveElsewhere, w.answeredItself, w.confirmations, w.pendingAnswers = now, false, false, 0, 1
+				out.Probes = append(out.Probes, Probe{To: addr, About: addr})
+				for _, other := range m.proberCandidates(addr, w.round) {
+					w.pendingAnswers++
+					out.Probes = append(out.Probes, Probe{To: other, About: addr})
 				}
 			}
 			continue
 		}
-		if w.open > 0 && now-w.asked < m.cfg.Ask {
+		if w.pendingAnswers > 0 && now-w.probedAt < m.cfg.ConfirmTimeout {
 			continue
 		}
-		none := w.open <= 1 && w.silent == 0 && len(m.others(addr, 0))+len(m.others(addr, 1)) == 0
+		noOtherWitness := w.pendingAnswers <= 1 && w.confirmations == 0 && len(m.proberCandidates(addr, 0))+len(m.proberCandidates(addr, 1)) == 0
 		switch {
-		case w.spoke: // it lives, though its beats do not get here
-			*w = watched{heard: now}
-		case w.lives:
-			w.asked, w.askAt = 0, now+2*m.cfg.Beat
-		case w.silent > 0, none && now-w.heard > 2*m.patience():
-			delete(m.watch, addr)
+		case w.answeredItself: // it lives, though its beats do not get here
+			*w = watchedPeer{lastHeardAt: now}
+		case w.aliveElsewhere:
+			w.probedAt, w.nextProbeAt = 0, now+2*m.cfg.HeartbeatInterval
+		case w.confirmations > 0, noOtherWitness && now-w.lastHeardAt > 2*m.suspectTimeout():
+			delete(m.watched, addr)
 			out.Dead = append(out.Dead, addr)
 		default: // nobody else has said anything: this one may be what is cut off
-			w.asked, w.askAt, w.round = 0, now+m.cfg.Beat, 1-w.round
+			w.probedAt, w.nextProbeAt, w.round = 0, now+m.cfg.HeartbeatInterval, 1-w.round
 		}
 	}
 	return out
@@ -225,14 +227,14 @@
 
 // others are those that are asked after a process: its other watchers, or, where these may
 // be lost with it, processes of other zones.
-func (m *Machine) others(addr string, round int) (out []string) {
-	at := slices.IndexFunc(m.ring, func(p place) bool { return p.Addr == addr })
+func (m *Detector) proberCandidates(addr string, round int) (out []string) {
+	at := slices.IndexFunc(m.ring, func(p ringMember) bool { return p.Addr == addr })
 	if at < 0 {
 		return nil
 	}
 	of := m.ring[at]
 	if round == 0 {
-		return slices.DeleteFunc(m.watchers(of.Peer), func(o string) bool { return o == m.self.Addr })
+		return slices.DeleteFunc(m.watchersOf(of.Peer), func(o string) bool { return o == m.self.Addr })
 	}
 	for i := 1; i < len(m.ring) && len(out) < m.cfg.Watchers; i++ {
 		if p := m.ring[(at+i)%len(m.ring)]; p.Zone != of.Zone && p.Addr != m.self.Addr {
--- a/internal/cluster/failuredetector/failuredetector_test.go
+++ b/internal/cluster/failuredetector/failuredetector_test.go
@@ -16,7 +16,7 @@
 type net struct {
 	rng   *rand.Rand
 	peers []Peer
-	ring  map[string]*Machine
+	ring  map[string]*Detector
 	up    map[string]bool
 	cut   map[[2]string]bool // one way
 	loss  float64
@@ -27,12 +27,12 @@
 }
 
 func newNet(seed uint64, zones, each int) *net {
-	n := &net{rng: rand.New(rand.NewPCG(seed, 1)), ring: make(map[string]*Machine), up: make(map[string]bool), cut: make(map[[2]string]bool), dead: make(map[string]int64)}
+	n := &net{rng: rand.New(rand.NewPCG(seed, 1)), ring: make(map[string]*Detector), up: make(map[string]bool), cut: make(map[[2]string]bool), dead: make(map[string]int64)}
 	for z := range zones {
 		for i := range each {
 			p := Peer{fmt.Sprintf("10.%d.0.%d:7080", z, i), fmt.Sprint("z", z)}
 			n.peers = append(n.peers, p)
-			n.ring[p.Addr] = New(0, Usual, p)
+			n.ring[p.Addr] = New(0, DefaultConfig, p)
 			n.up[p.Addr] = true
 		}
 	}
@@ -43,7 +43,7 @@
 func (n *net) know() {
 	live := slices.DeleteFunc(slices.Clone(n.peers), func(p Peer) bool { return n.dead[p.Addr] != 0 })
 	for _, m := range n.ring {
-		m.Members(n.now, live)
+		m.SetPeers(n.now, live)
 	}
 }
 
@@ -59,24 +59,24 @@
 		}
 		m := n.ring[p.Addr]
 		out := m.Tick(n.now)
-		for _, to := range out.Beat {
+		for _, to := range out.Heartbeats {
 			n.sent++
 			if n.reaches(p.Addr, to) {
-				n.ring[to].Heard(n.now, p.Addr)
+				n.ring[to].Observe(n.now, p.Addr)
 			}
 		}
-		for _, q := range out.Ask {
+		for _, q := range out.Probes {
 			n.sent++
 			if !n.reaches(p.Addr, q.To) || !n.reaches(q.To, p.Addr) {
-				m.Answered(n.now, q, false, false)
+				m.HandleProbeResult(n.now, q, false, false)
 				continue
 			}
-			hears, knows := n.ring[q.To].Hears(n.now, q.About)
+			hears, knows := n.ring[q.To].HandleProbe(n.now, q.About)
 			if !knows {
 				n.sent++
 				hears = n.reaches(q.To, q.About) && n.reaches(q.About, q.To)
 			}
-			m.Answered(n.now, q, hears, true)
+			m.HandleProbeResult(n.now, q, hears, true)
 		}
 		for _, d := range out.Dead {
 			n.dead[d] = n.now
--- a/internal/cluster/gossip/gossip.go
+++ b/internal/cluster/gossip/gossip.go
@@ -15,14 +15,14 @@
 )
 
 // Item is one piece of news.
-type Item struct {
-	Key  string          `json:"k"`
-	Rank uint64          `json:"r"`
-	Body json.RawMessage `json:"b,omitempty"` // nothing: the key is gone
+type Entry struct {
+	Key     string          `json:"k"`
+	Version uint64          `json:"r"`
+	Value   json.RawMessage `json:"b,omitempty"` // nothing: the key is gone
 }
 
 // Gone tells whether the news is that the key is gone.
-func (i Item) Gone() bool { return len(i.Body) == 0 }
+func (i Entry) Deleted() bool { return len(i.Value) == 0 }
 
 // Buckets is the number of parts that a digest has.
 const Buckets = 32
@@ -32,199 +32,199 @@
 type Digest [Buckets]uint64
 
 const (
-	mostItems  = 20_000
-	smallBody  = 2048 // a body up to this many bytes travels with its news, others are fetched
-	mostHot    = 512  // items of one message
-	forgetLate = 120_000_000
+	maxEntries           = 20_000
+	maxInlineValue       = 2048 // a body up to this many bytes travels with its news, others are fetched
+	maxPendingPerMessage = 512  // items of one message
+	tombstoneLifetime    = 120_000_000
 )
 
-type held struct {
-	Item
-	seq    uint64 // when it was learned, in steps of the book
-	at     int64  // the same, in microseconds of the caller's clock
-	passes int    // times that it may still be passed on
-	wide   bool   // to every zone, not only to the own one
+type storedEntry struct {
+	Entry
+	seq           uint64 // when it was learned, in steps of the book
+	changedAt     int64  // the same, in microseconds of the caller's clock
+	transmitsLeft int    // times that it may still be passed on
+	allZones      bool   // to every zone, not only to the own one
 }
 
 // Book is what one process holds. It is not safe for concurrent use.
-type Book struct {
-	items map[string]*held
-	seq   uint64
-	sums  Digest
-	hot   []string // keys that are still passed on
-	log   []string // keys by seq, with those that changed since: compacted now and then
-	seqs  []uint64
+type Store struct {
+	entries    map[string]*storedEntry
+	seq        uint64
+	digest     Digest
+	pending    []string // keys that are still passed on
+	changeLog  []string // keys by seq, with those that changed since: compacted now and then
+	changeSeqs []uint64
 }
 
 // NewBook returns a book that holds nothing.
-func NewBook() *Book { return &Book{items: make(map[string]*held)} }
+func NewStore() *Store { return &Store{entries: make(map[string]*storedEntry)} }
 
 func bucket(key string) int { return int(xxhash.Sum64String(key) % Buckets) }
 
-func mark(i Item) uint64 {
-	if i.Gone() {
+func entryHash(i Entry) uint64 {
+	if i.Deleted() {
 		return 0
 	}
 	var d xxhash.Digest
 	d.Reset()
 	d.WriteString(i.Key)
 	d.WriteString("\x00")
-	d.WriteString(strconv.FormatUint(i.Rank, 16))
+	d.WriteString(strconv.FormatUint(i.Version, 16))
 	return d.Sum64()
 }
 
 // Put takes news, and tells whether it was newer than what was held. passes is how many
 // times it is to be passed on from here; wide, whether to every zone or to the own one.
-func (b *Book) Put(now int64, i Item, passes int, wide bool) bool {
-	h := b.items[i.Key]
-	if h != nil && i.Rank <= h.Rank {
+func (b *Store) Put(now int64, i Entry, transmits int, allZones bool) bool {
+	h := b.entries[i.Key]
+	if h != nil && i.Version <= h.Version {
 		return false
 	}
 	if h == nil {
-		if i.Gone() && passes == 0 || len(b.items) >= mostItems {
+		if i.Deleted() && transmits == 0 || len(b.entries) >= maxEntries {
 			return false
 		}
-		h = &held{}
-		b.items[i.Key] = h
+		h = &storedEntry{}
+		b.entries[i.Key] = h
 	} else {
-		b.sums[bucket(i.Key)] ^= mark(h.Item)
+		b.digest[bucket(i.Key)] ^= entryHash(h.Entry)
 	}
-	if h.passes == 0 && passes > 0 {
-		b.hot = append(b.hot, i.Key)
+	if h.transmitsLeft == 0 && transmits > 0 {
+		b.pending = append(b.pending, i.Key)
 	}
 	b.seq++
-	h.Item, h.seq, h.at, h.passes, h.wide = i, b.seq, now, passes, wide
-	b.sums[bucket(i.Key)] ^= mark(i)
-	b.log, b.seqs = append(b.log, i.Key), append(b.seqs, b.seq)
-	if len(b.log) > 2*len(b.items)+64 {
+	h.Entry, h.seq, h.changedAt, h.transmitsLeft, h.allZones = i, b.seq, now, transmits, allZones
+	b.digest[bucket(i.Key)] ^= entryHash(i)
+	b.changeLog, b.changeSeqs = append(b.changeLog, i.Key), append(b.changeSeqs, b.seq)
+	if len(b.changeLog) > 2*len(b.entries)+64 {
 		b.compact()
 	}
 	return true
 }
 
-func (b *Book) compact() {
+func (b *Store) compact() {
 	at := 0
-	for i, key := range b.log {
-		if h := b.items[key]; h != nil && h.seq == b.seqs[i] {
-			b.log[at], b.seqs[at] = key, b.seqs[i]
+	for i, key := range b.changeLog {
+		if h := b.entries[key]; h != nil && h.seq == b.changeSeqs[i] {
+			b.changeLog[at], b.changeSeqs[at] = key, b.changeSeqs[i]
 			at++
 		}
 	}
-	b.log, b.seqs = b.log[:at], b.seqs[:at]
+	b.changeLog, b.changeSeqs = b.changeLog[:at], b.changeSeqs[:at]
 }
 
 // Get returns what is held under a key.
-func (b *Book) Get(key string) (Item, bool) {
-	if h := b.items[key]; h != nil {
-		return h.Item, true
+func (b *Store) Get(key string) (Entry, bool) {
+	if h := b.entries[key]; h != nil {
+		return h.Entry, true
 	}
-	return Item{}, false
+	return Entry{}, false
 }
 
 // Seq counts the changes so far.
-func (b *Book) Seq() uint64 { return b.seq }
+func (b *Store) Seq() uint64 { return b.seq }
 
 // Since returns what was learned after a count of changes, oldest first.
-func (b *Book) Since(seq uint64) []Item {
-	from, _ := slices.BinarySearch(b.seqs, seq+1)
-	var out []Item
-	for i := from; i < len(b.log); i++ {
-		if h := b.items[b.log[i]]; h != nil && h.seq == b.seqs[i] {
-			out = append(out, h.Item)
+func (b *Store) ChangedSince(seq uint64) []Entry {
+	from, _ := slices.BinarySearch(b.changeSeqs, seq+1)
+	var out []Entry
+	for i := from; i < len(b.changeLog); i++ {
+		if h := b.entries[b.changeLog[i]]; h != nil && h.seq == b.changeSeqs[i] {
+			out = append(out, h.Entry)
 		}
 	}
 	return out
 }
 
 // All calls f with all that is held, in the order of keys; f must not change the book.
-func (b *Book) All(f func(Item)) {
-	keys := make([]string, 0, len(b.items))
-	for key := range b.items {
+func (b *Store) RangeSorted(f func(Entry)) {
+	keys := make([]string, 0, len(b.entries))
+	for key := range b.entries {
 		keys = append(keys, key)
 	}
 	slices.Sort(keys)
 	for _, key := range keys {
-		f(b.items[key].Item)
+		f(b.entries[key].Entry)
 	}
 }
 
 // Each calls f with all that is held, in any order, and when it was learned; f must not
 // change the book.
-func (b *Book) Each(f func(i Item, at int64)) {
-	for _, h := range b.items {
-		f(h.Item, h.at)
+func (b *Store) Range(f func(i Entry, at int64)) {
+	for _, h := range b.entries {
+		f(h.Entry, h.changedAt)
 	}
 }
 
 // Drop lets a key go as if it had never been heard of.
-func (b *Book) Drop(key string) {
-	if h := b.items[key]; h != nil {
-		b.sums[bucket(key)] ^= mark(h.Item)
-		delete(b.items, key)
+func (b *Store) Remove(key string) {
+	if h := b.entries[key]; h != nil {
+		b.digest[bucket(key)] ^= entryHash(h.Entry)
+		delete(b.entries, key)
 	}
 }
 
 // Len counts the keys held.
-func (b *Book) Len() int { return len(b.items) }
+func (b *Store) Len() int { return len(b.entries) }
 
 // Message is news for one message. Of what is large only the rank travels, and the other
 // side asks for it.
-type Message struct {
-	Small []Item
-	Large []Mark
+type Update struct {
+	Inline     []Entry
+	Advertised []EntryVersion
 }
 
 // Empty tells whether there is nothing in a message.
-func (m Message) Empty() bool { return len(m.Small)+len(m.Large) == 0 }
+func (m Update) Empty() bool { return len(m.Inline)+len(m.Advertised) == 0 }
 
-func (m *Message) add(i Item) {
-	if len(i.Body) > smallBody {
-		m.Large = append(m.Large, Mark{i.Key, i.Rank})
+func (m *Update) add(i Entry) {
+	if len(i.Value) > maxInlineValue {
+		m.Advertised = append(m.Advertised, EntryVersion{i.Key, i.Version})
 	} else {
-		m.Small = append(m.Small, i)
+		m.Inline = append(m.Inline, i)
 	}
 }
 
 // Hot returns news to pass on, and counts it as passed once: all of it to the own zone,
 // and what is wide to one process of every other. Wide news goes wide once.
-func (b *Book) Hot() (near, wide Message) {
-	rest := b.hot[:0]
+func (b *Store) TakePending() (sameZone, otherZones Update) {
+	rest := b.pending[:0]
 	n := 0
-	for _, key := range b.hot {
-		h := b.items[key]
-		if h == nil || h.passes <= 0 {
+	for _, key := range b.pending {
+		h := b.entries[key]
+		if h == nil || h.transmitsLeft <= 0 {
 			continue
 		}
-		if n++; n > mostHot {
+		if n++; n > maxPendingPerMessage {
 			rest = append(rest, key)
 			continue
 		}
-		near.add(h.Item)
-		if h.wide {
-			wide.add(h.Item)
-			h.wide = false
+		sameZone.add(h.Entry)
+		if h.allZones {
+			otherZones.add(h.Entry)
+			h.allZones = false
 		}
-		if h.passes--; h.passes > 0 {
+		if h.transmitsLeft--; h.transmitsLeft > 0 {
 			rest = append(rest, key)
 		}
 	}
-	b.hot = rest
-	return near, wide
+	b.pending = rest
+	return sameZone, otherZones
 }
 
 // Idle tells whether there is nothing to pass on.
-func (b *Book) Idle() bool { return len(b.hot) == 0 }
+func (b *Store) NothingPending() bool { return len(b.pending) == 0 }
 
 // Mark is a key with its rank.
-type Mark struct {
-	Key  string `json:"k"`
-	Rank uint64 `json:"r"`
+type EntryVersion struct {
+	Key     string `json:"k"`
+	Version uint64 `json:"r"`
 }
 
 // Lacks returns which of the marks name newer news than what is held.
-func (b *Book) Lacks(marks []Mark) (want []string) {
-	for _, m := range marks {
-		if h := b.items[m.Key]; h == nil || h.Rank < m.Rank {
+func (b *Store) Missing(versions []EntryVersion) (want []string) {
+	for _, m := range versions {
+		if h := b.entries[m.Key]; h == nil || h.Version < m.Version {
 			want = append(want, m.Key)
 		}
 	}
@@ -232,78 +232,78 @@
 }
 
 // Pick returns what is held under keys.
-func (b *Book) Pick(keys []string) (out []Item) {
+func (b *Store) GetAll(keys []string) (out []Entry) {
 	for _, key := range keys {
-		if h := b.items[key]; h != nil {
-			out = append(out, h.Item)
+		if h := b.entries[key]; h != nil {
+			out = append(out, h.Entry)
 		}
 	}
 	return out
 }
 
 // Sums is the digest of what is held.
-func (b *Book) Sums() Digest { return b.sums }
+func (b *Store) Digest() Digest { return b.digest }
 
 // Marks lists what is held in the buckets in which two digests differ.
-func (b *Book) Marks(theirs Digest) (marks []Mark, buckets []int) {
+func (b *Store) VersionsWhereDifferent(theirs Digest) (versions []EntryVersion, buckets []int) {
 	differs := [Buckets]bool{}
 	for i := range theirs {
-		if differs[i] = theirs[i] != b.sums[i]; differs[i] {
+		if differs[i] = theirs[i] != b.digest[i]; differs[i] {
 			buckets = append(buckets, i)
 		}
 	}
 	if len(buckets) == 0 {
 		return nil, nil
 	}
-	for key, h := range b.items {
+	for key, h := range b.entries {
 		if differs[bucket(key)] {
-			marks = append(marks, Mark{key, h.Rank})
+			versions = append(versions, EntryVersion{key, h.Version})
 		}
 	}
-	slices.SortFunc(marks, func(a, b Mark) int { return cmp.Compare(a.Key, b.Key) })
-	return marks, buckets
+	slices.SortFunc(versions, func(a, b EntryVersion) int { return cmp.Compare(a.Key, b.Key) })
+	return versions, buckets
 }
 
 // Newer returns what is held in the buckets and newer than, or not among, the marks of
 // the other side, and the keys of which the other side has newer.
-func (b *Book) Newer(marks []Mark, buckets []int) (news []Item, want []string) {
-	told := make(map[string]uint64, len(marks))
-	for _, m := range marks {
-		told[m.Key] = m.Rank
+func (b *Store) Diff(versions []EntryVersion, buckets []int) (newer []Entry, want []string) {
+	remote := make(map[string]uint64, len(versions))
+	for _, m := range versions {
+		remote[m.Key] = m.Version
 	}
-	in := [Buckets]bool{}
+	selected := [Buckets]bool{}
 	for _, i := range buckets {
 		if i >= 0 && i < Buckets {
-			in[i] = true
+			selected[i] = true
 		}
 	}
-	for key, h := range b.items {
-		if !in[bucket(key)] {
+	for key, h := range b.entries {
+		if !selected[bucket(key)] {
 			continue
 		}
-		rank, known := told[key]
+		version, known := remote[key]
 		switch {
-		case known && rank > h.Rank:
+		case known && version > h.Version:
 			want = append(want, key)
-		case !known && h.Gone(), known && rank == h.Rank:
+		case !known && h.Deleted(), known && version == h.Version:
 		default:
-			news = append(news, h.Item)
+			newer = append(newer, h.Entry)
 		}
-		delete(told, key)
+		delete(remote, key)
 	}
-	for key := range told {
+	for key := range remote {
 		want = append(want, key)
 	}
-	slices.SortFunc(news, func(a, b Item) int { return cmp.Compare(a.Key, b.Key) })
+	slices.SortFunc(newer, func(a, b Entry) int { return cmp.Compare(a.Key, b.Key) })
 	slices.Sort(want)
-	return news, want
+	return newer, want
 }
 
 // Forget drops what has long been gone.
-func (b *Book) Forget(now int64) {
-	for key, h := range b.items {
-		if h.Gone() && now-h.at > forgetLate {
-			delete(b.items, key)
+func (b *Store) PurgeTombstones(now int64) {
+	for key, h := range b.entries {
+		if h.Deleted() && now-h.changedAt > tombstoneLifetime {
+			delete(b.entries, key)
 		}
 	}
 }
--- a/internal/cluster/lease/lease.go
+++ b/internal/cluster/lease/lease.go
@@ -16,91 +16,91 @@
 // Claim says that a process holds a duty from an epoch on. The epoch's lower bits tell
 // claims apart that two made at once, not knowing of one another.
 type Claim struct {
-	Duty   string
+	Role   string
 	Epoch  uint64
 	Holder string
 }
 
 // markBits is the part of an epoch that is a mark of its holder.
-const markBits = 32
+const holderHashBits = 32
 
-func epoch(number uint64, duty, holder string) uint64 {
-	return number<<markBits | xxhash.Sum64String(duty+"\x00"+holder)&(1<<markBits-1)
+func newEpoch(term uint64, role, holder string) uint64 {
+	return term<<holderHashBits | xxhash.Sum64String(role+"\x00"+holder)&(1<<holderHashBits-1)
 }
 
 // Number is what an epoch counts: takeovers of its duty.
-func Number(epoch uint64) uint64 { return epoch >> markBits }
+func TermOf(epoch uint64) uint64 { return epoch >> holderHashBits }
 
 // Order is the agreed order of processes for a duty: by a hash of both, so that duties are
 // spread.
-func Order(duty string, processes []string) []string {
+func PreferenceOrder(role string, processes []string) []string {
 	out := slices.Clone(processes)
-	place := func(p string) uint64 { return xxhash.Sum64String(duty + "\x00" + p) }
-	slices.SortFunc(out, func(a, b string) int { return cmp.Or(cmp.Compare(place(a), place(b)), strings.Compare(a, b)) })
+	position := func(p string) uint64 { return xxhash.Sum64String(role + "\x00" + p) }
+	slices.SortFunc(out, func(a, b string) int { return cmp.Or(cmp.Compare(position(a), position(b)), strings.Compare(a, b)) })
 	return out
 }
 
 // Machine is the duties as one process sees them. It is not safe for concurrent use.
-type Machine struct {
-	self   string
-	settle int64 // microseconds that this one is the first before it claims
-	duties []string
-	held   map[string]Claim
-	first  map[string]int64 // since when this one is the first of a duty's order
+type Table struct {
+	self       string
+	claimDelay int64 // microseconds that this one is the first before it claims
+	roles      []string
+	claims     map[string]Claim
+	firstSince map[string]int64 // since when this one is the first of a duty's order
 }
 
 // New returns the duties of a process, which claims one once it was the first of its order
 // for so long.
-func New(self string, settle int64, duties ...string) *Machine {
-	return &Machine{self: self, settle: settle, duties: duties, held: make(map[string]Claim), first: make(map[string]int64)}
+func New(self string, claimDelay int64, roles ...string) *Table {
+	return &Table{self: self, claimDelay: claimDelay, roles: roles, claims: make(map[string]Claim), firstSince: make(map[string]int64)}
 }
 
 // Told takes a claim, its own or another's, and tells whether it is the highest known.
-func (m *Machine) Told(c Claim) bool {
-	was, known := m.held[c.Duty]
-	if known && c.Epoch <= was.Epoch || !slices.Contains(m.duties, c.Duty) {
+func (m *Table) Observe(c Claim) bool {
+	was, known := m.claims[c.Role]
+	if known && c.Epoch <= was.Epoch || !slices.Contains(m.roles, c.Role) {
 		return false
 	}
-	m.held[c.Duty] = c
+	m.claims[c.Role] = c
 	return true
 }
 
 // Holds tells whether this process holds a duty, and under which epoch.
-func (m *Machine) Holds(duty string) (epoch uint64, holds bool) {
-	c := m.held[duty]
+func (m *Table) Holds(role string) (epoch uint64, holds bool) {
+	c := m.claims[role]
 	return c.Epoch, c.Holder == m.self
 }
 
 // Holder is who holds a duty as far as is known.
-func (m *Machine) Holder(duty string) (Claim, bool) {
-	c, known := m.held[duty]
+func (m *Table) Holder(role string) (Claim, bool) {
+	c, known := m.claims[role]
 	return c, known
 }
 
 // Refuses tells whether work under an epoch comes too late: a higher one is known.
-func (m *Machine) Refuses(duty string, epoch uint64) bool { return epoch < m.held[duty].Epoch }
+func (m *Table) IsStale(role string, epoch uint64) bool { return epoch < m.claims[role].Epoch }
 
 // Tick returns the claims that this process makes now; able tells which processes live
 // and may have a duty, this one included.
-func (m *Machine) Tick(now int64, able func(duty string) []string) (claims []Claim) {
-	for _, duty := range m.duties {
-		if order := Order(duty, able(duty)); len(order) == 0 || order[0] != m.self {
-			delete(m.first, duty)
+func (m *Table) Tick(now int64, candidates func(role string) []string) (claims []Claim) {
+	for _, role := range m.roles {
+		if order := PreferenceOrder(role, candidates(role)); len(order) == 0 || order[0] != m.self {
+			delete(m.firstSince, role)
 			continue
 		}
-		if _, holds := m.Holds(duty); holds {
+		if _, holds := m.Holds(role); holds {
 			continue
 		}
-		since, known := m.first[duty]
+		since, known := m.firstSince[role]
 		if !known {
-			m.first[duty] = now
+			m.firstSince[role] = now
 			since = now
 		}
-		if now-since < m.settle {
+		if now-since < m.claimDelay {
 			continue
 		}
-		c := Claim{Duty: duty, Epoch: epoch(m.held[duty].Epoch>>markBits+1, duty, m.self), Holder: m.self}
-		m.Told(c)
+		c := Claim{Role: role, Epoch: newEpoch(m.claims[role].Epoch>>holderHashBits+1, role, m.self), Holder: m.self}
+		m.Observe(c)
 		claims = append(claims, c)
 	}
 	return claims
--- a/internal/cluster/lease/lease_test.go
+++ b/internal/cluster/lease/lease_test.go
@@ -23,7 +23,7 @@
 			for i := range 2 + rng.IntN(9) {
 				names = append(names, fmt.Sprintf("10.0.0.%d:7080", i))
 			}
-			ms := make(map[string]*Machine)
+			ms := make(map[string]*Table)
 			up := make(map[string]bool)
 			for _, name := range names {
 				ms[name], up[name] = New(name, 2*second, "sweep", "other"), true
@@ -43,7 +43,7 @@
 						list = slices.DeleteFunc(slices.Clone(names), func(o string) bool { return !up[o] })
 					}
 					for _, c := range ms[name].Tick(now, func(string) []string { return list }) {
-						key := fmt.Sprint(c.Duty, c.Epoch)
+						key := fmt.Sprint(c.Role, c.Epoch)
 						if was := holders[key]; was != "" && was != c.Holder {
 							t.Fatalf("seed %d: %s and %s hold %s", seed, was, c.Holder, key)
 						}
@@ -56,13 +56,13 @@
 					for range rng.IntN(4) {
 						if len(mail) > 0 {
 							c := mail[rng.IntN(len(mail))]
-							before, _ := ms[name].Holder(c.Duty)
-							ms[name].Told(c)
-							after, _ := ms[name].Holder(c.Duty)
+							before, _ := ms[name].Holder(c.Role)
+							ms[name].Observe(c)
+							after, _ := ms[name].Holder(c.Role)
 							if after.Epoch < before.Epoch {
 								t.Fatal("an epoch went back")
 							}
-							if e, holds := ms[name].Holds(c.Duty); holds && ms[name].Refuses(c.Duty, e) {
+							if e, holds := ms[name].Holds(c.Role); holds && ms[name].IsStale(c.Role, e) {
 								t.Fatal("it does work that it refuses")
 							}
 						}
@@ -85,12 +85,12 @@
 				step(now, true)
 				for _, name := range names {
 					for _, c := range mail {
-						ms[name].Told(c)
+						ms[name].Observe(c)
 					}
 				}
 			}
 			for _, duty := range []string{"sweep", "other"} {
-				first := Order(duty, names)[0]
+				first := PreferenceOrder(duty, names)[0]
 				for _, name := range names {
 					c, _ := ms[name].Holder(duty)
 					if c.Holder != first {
--- a/internal/cluster/outlier/outlier.go
+++ b/internal/cluster/outlier/outlier.go
@@ -23,49 +23,49 @@
 
 // Config tunes the machines.
 type Config struct {
-	Span     int64   // a sample counts for so long
-	Single   int64   // one alone that speaks for slowness, for so long
-	Recent   int64   // the samples of so long are told where nothing speaks for slowness,
-	Few      int64   // or the last few of so long
-	Linger   int64   // a doubt that stands for so long is told: most are gone with the next answer
-	Kinds    int64   // the same of the peers' middle
-	Thin     int64   // between two samples of one member that count for the peers' middle
-	Floor    int64   // the peers' middle counts as this at least
-	Measure  int     // samples of a kind before its middle is one
-	Doubt    float64 // score from which a mixer tells its evidence
-	Again    int64   // evidence that has not changed is told anew after so long
-	Ask      float64 // score of all mixers together from which the others' evidence is asked for
-	Agree    float64 // score of all mixers together from which a member is set apart
-	Least    int     // samples for that
-	Share    float64 // of a shard that may be set apart
-	Settle   int64   // after the first doubt: for the others' evidence to come
-	Fresh    int64   // evidence told longer ago does not count
-	Stay     int64   // a member set apart stays so for so long
-	Well     float64 // its middle, from which it is prompt again
-	Enough   int     // samples for that
-	Unheard  int64   // without evidence of slowness for so long it is tried
-	Watchful int64   // after its return: half the score does
-	Renew    int64   // between two words on an assignment that stands
-	Lease    int64   // an assignment that was not renewed for so long is void
-	Alone    int64   // a doubt that no council has taken up for so long is acted on alone
-	Careful  float64 // a mixer alone wants so many times the score
+	SampleLifetime       int64   // a sample counts for so long
+	SingleSampleLifetime int64   // one alone that speaks for slowness, for so long
+	RecentSpan           int64   // the samples of so long are told where nothing speaks for slowness,
+	FewSpan              int64   // or the last few of so long
+	ReportDelay          int64   // a doubt that stands for so long is told: most are gone with the next answer
+	MedianWindow         int64   // the same of the peers' middle
+	MedianSampleInterval int64   // between two samples of one member that count for the peers' middle
+	MinMedian            int64   // the peers' middle counts as this at least
+	MinMedianSamples     int     // samples of a kind before its middle is one
+	SuspectScore         float64 // score from which a mixer tells its evidence
+	ReportInterval       int64   // evidence that has not changed is told anew after so long
+	RequestScore         float64 // score of all mixers together from which the others' evidence is asked for
+	EjectScore           float64 // score of all mixers together from which a member is set apart
+	MinEjectSamples      int     // samples for that
+	MaxEjectedShare      float64 // of a shard that may be set apart
+	EvidenceDelay        int64   // after the first doubt: for the others' evidence to come
+	EvidenceLifetime     int64   // evidence told longer ago does not count
+	MinEjectionTime      int64   // a member set apart stays so for so long
+	RestoreRatio         float64 // its middle, from which it is prompt again
+	MinRestoreSamples    int     // samples for that
+	NoEvidenceTimeout    int64   // without evidence of slowness for so long it is tried
+	ProbationTime        int64   // after its return: half the score does
+	RenewInterval        int64   // between two words on an assignment that stands
+	AssignmentLifetime   int64   // an assignment that was not renewed for so long is void
+	LocalEjectDelay      int64   // a doubt that no council has taken up for so long is acted on alone
+	LocalScoreFactor     float64 // a mixer alone wants so many times the score
 }
 
 // Usual is the configuration for service.
-var Usual = Config{Span: 12_000_000, Single: 2_000_000, Recent: 600_000, Few: 5_000_000, Linger: 300_000, Kinds: 10_000_000, Thin: 100_000, Floor: 3_000, Measure: 20,
-	Doubt: 0.75, Again: 1_000_000, Ask: 1.5, Agree: 2.3, Least: 3, Share: 0.34, Settle: 400_000, Fresh: 2_500_000, Stay: 3_000_000, Well: 1.7, Enough: 3,
-	Unheard: 15_000_000, Watchful: 20_000_000, Renew: 3_000_000, Lease: 10_000_000, Alone: 5_000_000, Careful: 2}
+var DefaultConfig = Config{SampleLifetime: 12_000_000, SingleSampleLifetime: 2_000_000, RecentSpan: 600_000, FewSpan: 5_000_000, ReportDelay: 300_000, MedianWindow: 10_000_000, MedianSampleInterval: 100_000, MinMedian: 3_000, MinMedianSamples: 20,
+	SuspectScore: 0.75, ReportInterval: 1_000_000, RequestScore: 1.5, EjectScore: 2.3, MinEjectSamples: 3, MaxEjectedShare: 0.34, EvidenceDelay: 400_000, EvidenceLifetime: 2_500_000, MinEjectionTime: 3_000_000, RestoreRatio: 1.7, MinRestoreSamples: 3,
+	NoEvidenceTimeout: 15_000_000, ProbationTime: 20_000_000, RenewInterval: 3_000_000, AssignmentLifetime: 10_000_000, LocalEjectDelay: 5_000_000, LocalScoreFactor: 2}
 
 // Callers is the shard that callers stand in.
 const Callers = "callers"
 
 // Sample is one answer, or one wait that was given up.
 type Sample struct {
-	Name  string // of the server, or of the caller
-	Shard string
-	Kind  string // what is alike in all but the member: its middle is what a sample is measured by
-	Took  int64
-	Whole bool // else it would have taken longer
+	Name     string // of the server, or of the caller
+	Shard    string
+	Kind     string // what is alike in all but the member: its middle is what a sample is measured by
+	Latency  int64
+	Complete bool // else it would have taken longer
 }
 
 // Evidence is what one mixer knows of one member.
@@ -85,11 +85,11 @@
 }
 
 // seen is a member and its last samples, as a ring.
-type seen struct {
+type memberSamples struct {
 	name, shard string
 	last        [ringSize]sample
 	n           int   // samples so far
-	doubtAt     int64 // since when it is doubted; 0: it is not
+	suspectedAt int64 // since when it is doubted; 0: it is not
 	since       int64 // when it was first seen
 	basisAt     int64 // when a sample of it last counted for its kind's middle
 }
@@ -104,7 +104,7 @@
 	fewRecent = 4 // samples are recent, however old within the span
 )
 
-func (m *seen) at() int64 {
+func (m *memberSamples) at() int64 {
 	if m.n == 0 {
 		return m.since
 	}
@@ -112,7 +112,7 @@
 }
 
 // back calls f with the samples that still count, the last one first, until it has enough.
-func (m *seen) back(now, span int64, f func(sample) bool) {
+func (m *memberSamples) back(now, span int64, f func(sample) bool) {
 	for i := m.n - 1; i >= max(m.n-ringSize, 0); i-- {
 		if x := m.last[i%ringSize]; now-x.at > span || !f(x) {
 			return
@@ -123,10 +123,10 @@
 // run is the run of last samples that speaks most for slowness, as its score and length:
 // what came before a change says nothing of what is now.
 // One sample alone is soon out of date: a heavy tail's, most likely.
-func (m *seen) run(now int64, cfg *Config) (score float64, length int) {
-	span := cfg.Span
+func (m *memberSamples) run(now int64, cfg *Config) (score float64, length int) {
+	span := cfg.SampleLifetime
 	if m.n < 2 || speaksOf(m.last[(m.n-2+ringSize)%ringSize].cell) <= 0 {
-		span = cfg.Single
+		span = cfg.SingleSampleLifetime
 	}
 	sum, n := 0.0, 0
 	m.back(now, span, func(x sample) bool {
@@ -140,89 +140,89 @@
 }
 
 // Watch is one mixer's own evidence. It is not safe for concurrent use.
-type Watch struct {
-	cfg     Config
-	kinds   map[string]*kind
-	seen    map[string]*seen
-	shards  map[string]int // members seen, by shard
-	doubted int
-	toldAt  int64
-	told    int // a mark of what was told last
-	Dropped int // samples that found no room
+type Observer struct {
+	cfg          Config
+	kinds        map[string]*kind
+	seen         map[string]*memberSamples
+	shards       map[string]int // members seen, by shard
+	suspected    int
+	reportedAt   int64
+	reportedMark int // a mark of what was told last
+	Dropped      int // samples that found no room
 }
 
 const (
-	mostSeen  = 8192
-	mostKinds = 512
-	mostTold  = 48 // members of one message
-	lookEvery = 16 // samples
-	mostTook  = 1 << 26
-	forgotten = 10 // spans: a member not seen for so long is forgotten
+	maxMembers  = 8192
+	maxKinds    = 512
+	maxReported = 48 // members of one message
+	medianEvery = 16 // samples
+	maxLatency  = 1 << 26
+	expirySpans = 10 // spans: a member not seen for so long is forgotten
 )
 
 // NewWatch returns a watch that has seen nothing.
-func NewWatch(cfg Config) *Watch {
-	return &Watch{cfg: cfg, kinds: make(map[string]*kind), seen: make(map[string]*seen), shards: make(map[string]int)}
+func NewObserver(cfg Config) *Observer {
+	return &Observer{cfg: cfg, kinds: make(map[string]*kind), seen: make(map[string]*memberSamples), shards: make(map[string]int)}
 }
 
 // middle takes a sample into its kind and returns the kind's middle; 0: there is none yet.
 // Each member counts now and then only: else one that asks a lot would be its own measure.
-func (w *Watch) middle(now int64, s Sample, m *seen) int64 {
+func (w *Observer) middle(now int64, s Sample, m *memberSamples) int64 {
 	k := w.kinds[s.Kind]
 	if k == nil {
-		if len(w.kinds) >= mostKinds {
+		if len(w.kinds) >= maxKinds {
 			for name, old := range w.kinds {
-				if now-old.from > 2*w.cfg.Kinds {
+				if now-old.from > 2*w.cfg.MedianWindow {
 					delete(w.kinds, name)
 				}
 			}
-			if len(w.kinds) >= mostKinds {
+			if len(w.kinds) >= maxKinds {
 				return 0
 			}
 		}
 		k = &kind{from: now}
 		for i := range k.half {
-			k.half[i] = hdrhistogram.New(1, mostTook, 1)
+			k.half[i] = hdrhistogram.New(1, maxLatency, 1)
 		}
 		w.kinds[s.Kind] = k
 	}
-	if now-k.from >= w.cfg.Kinds {
+	if now-k.from >= w.cfg.MedianWindow {
 		k.now, k.from = 1-k.now, now
 		k.half[k.now].Reset()
 	}
-	if now-m.basisAt < w.cfg.Thin {
+	if now-m.basisAt < w.cfg.MedianSampleInterval {
 		return k.mid
 	}
-	if s.Whole || s.Took > k.mid {
+	if s.Complete || s.Latency > k.mid {
 		m.basisAt = now
-		k.half[k.now].RecordValue(min(max(s.Took, 1), mostTook))
+		k.half[k.now].RecordValue(min(max(s.Latency, 1), maxLatency))
 	}
 	if k.due--; k.due <= 0 {
-		k.due, k.mid = lookEvery, 0
-		both := hdrhistogram.New(1, mostTook, 1)
+		k.due, k.mid = medianEvery, 0
+		both := hdrhistogram.New(1, maxLatency, 1)
 		both.Merge(k.half[0])
 		both.Merge(k.half[1])
-		if n := int(both.TotalCount()); n >= w.cfg.Measure {
-			k.mid = max(both.ValueAtQuantile(50), w.cfg.Floor)
+		if n := int(both.TotalCount()); n >= w.cfg.MinMedianSamples {
+			k.mid = max(both.ValueAtQuantile(50), w.cfg.MinMedian)
 		} else {
-			k.due = w.cfg.Measure - n
+			k.due = w.cfg.MinMedianSamples - n
 		}
 	}
 	return k.mid
 }
 
 // Saw takes a sample, and tells whether its member is doubted.
-func (w *Watch) Saw(now int64, s Sample) bool {
+func (w *Observer) Record(now int64, s Sample) bool {
 	m := w.seen[s.Name]
 	if m == nil {
-		if len(w.seen) >= mostSeen {
-			w.Forget(now)
+		if len(w.seen) >= maxMembers {
+			w.Expire(now)
 		}
-		if len(w.seen) >= mostSeen {
+		if len(w.seen) >= maxMembers {
 			w.Dropped++
 			return false
 		}
-		m = &seen{name: s.Name, shard: s.Shard, basisAt: now - w.cfg.Thin, since: now}
+		m = &memberSamples{name: s.Name, shard: s.Shard, basisAt: now - w.cfg.MedianSampleInterval, since: now}
 		w.seen[s.Name] = m
 		w.shards[s.Shard]++
 	}
@@ -230,43 +230,43 @@
 	if mid == 0 {
 		return false
 	}
-	ratio := float64(max(s.Took, 1)) / float64(mid)
-	if !s.Whole && ratio < slowRatio {
+	ratio := float64(max(s.Latency, 1)) / float64(mid)
+	if !s.Complete && ratio < slowRatio {
 		return false // it would have taken longer; how long, nobody knows
 	}
 	m.last[m.n%ringSize] = sample{now, cell(ratio)}
 	m.n++
-	if ratio >= slowRatio || m.doubtAt != 0 { // else nothing new speaks for slowness
-		w.judge(now, m)
+	if ratio >= slowRatio || m.suspectedAt != 0 { // else nothing new speaks for slowness
+		w.evaluate(now, m)
 	}
-	return m.doubtAt != 0
+	return m.suspectedAt != 0
 }
 
-func (w *Watch) judge(now int64, m *seen) {
+func (w *Observer) evaluate(now int64, m *memberSamples) {
 	score, _ := m.run(now, &w.cfg)
-	switch doubted := score >= w.cfg.Doubt; {
-	case doubted && m.doubtAt == 0:
-		m.doubtAt = now
-		w.doubted++
-	case !doubted && m.doubtAt != 0 && score < w.cfg.Doubt/2: // hysteresis
-		m.doubtAt = 0
-		w.doubted--
+	switch doubted := score >= w.cfg.SuspectScore; {
+	case doubted && m.suspectedAt == 0:
+		m.suspectedAt = now
+		w.suspected++
+	case !doubted && m.suspectedAt != 0 && score < w.cfg.SuspectScore/2: // hysteresis
+		m.suspectedAt = 0
+		w.suspected--
 	}
 }
 
 // sketch is what is told of a member: the run that speaks for slowness, or else the last
 // samples.
-func (w *Watch) sketch(now int64, m *seen, few int64) Sketch {
+func (w *Observer) sketch(now int64, m *memberSamples, few int64) Sketch {
 	out := newSketch()
 	score, length := m.run(now, &w.cfg)
 	most := length
-	if score < w.cfg.Doubt/2 {
+	if score < w.cfg.SuspectScore/2 {
 		most = ringSize
 	}
 	n := 0
-	m.back(now, w.cfg.Span, func(x sample) bool {
+	m.back(now, w.cfg.SampleLifetime, func(x sample) bool {
 		n++
-		if old := now - x.at; n > most || score < w.cfg.Doubt/2 && (old > few || n > fewRecent && old > w.cfg.Recent) {
+		if old := now - x.at; n > most || score < w.cfg.SuspectScore/2 && (old > few || n > fewRecent && old > w.cfg.RecentSpan) {
 			return false
 		}
 		out.add(x.cell)
@@ -276,33 +276,33 @@
 }
 
 // Doubted counts the members doubted here.
-func (w *Watch) Doubted() int { return w.doubted }
+func (w *Observer) Suspected() int { return w.suspected }
 
 // Tell returns the evidence on the members that are doubted here, and on those that are
 // asked for: worst first, a bounded number; nothing where it was told a moment ago.
-func (w *Watch) Tell(now int64, said Assignment) (out []Evidence) {
-	told := func(m *seen, few int64) {
+func (w *Observer) TakeEvidence(now int64, said Assignment) (out []Evidence) {
+	told := func(m *memberSamples, few int64) {
 		if k := w.sketch(now, m, few); k.Samples() > 0 {
 			out = append(out, Evidence{Name: m.name, Shard: m.shard, Of: w.shards[m.shard], Sketch: k})
 		}
 	}
-	done := make(map[string]bool, len(said.Asked)+len(said.Apart))
+	done := make(map[string]bool, len(said.Requested)+len(said.Ejected))
 	tell := func(name string, few int64) {
 		if m := w.seen[name]; m != nil && !done[name] {
 			done[name] = true
 			told(m, few)
 		}
 	}
-	for _, a := range said.Apart { // it is seldom met: all since it was set apart counts
-		tell(a.Name, w.cfg.Span)
+	for _, a := range said.Ejected { // it is seldom met: all since it was set apart counts
+		tell(a.Name, w.cfg.SampleLifetime)
 	}
-	for _, name := range said.Asked {
-		tell(name, w.cfg.Few)
+	for _, name := range said.Requested {
+		tell(name, w.cfg.FewSpan)
 	}
-	if w.doubted > 0 {
+	if w.suspected > 0 {
 		for name, m := range w.seen {
-			if w.judge(now, m); m.doubtAt != 0 && now-m.doubtAt >= w.cfg.Linger {
-				tell(name, w.cfg.Few)
+			if w.evaluate(now, m); m.suspectedAt != 0 && now-m.suspectedAt >= w.cfg.ReportDelay {
+				tell(name, w.cfg.FewSpan)
 			}
 		}
 	}
@@ -313,22 +313,22 @@
 	for _, e := range out {
 		mark += len(e.Name) + 100*w.seen[e.Name].n
 	}
-	if mark == w.told && now-w.toldAt < w.cfg.Again {
+	if mark == w.reportedMark && now-w.reportedAt < w.cfg.ReportInterval {
 		return nil
 	}
-	w.told, w.toldAt = mark, now
-	return out[:min(len(out), mostTold)]
+	w.reportedMark, w.reportedAt = mark, now
+	return out[:min(len(out), maxReported)]
 }
 
 // Members counts the members of a shard that were seen lately.
-func (w *Watch) Members(shard string) int { return w.shards[shard] }
+func (w *Observer) Members(shard string) int { return w.shards[shard] }
 
 // Forget lets go of members that were not seen for long.
-func (w *Watch) Forget(now int64) {
+func (w *Observer) Expire(now int64) {
 	for name, m := range w.seen {
-		if now-m.at() > forgotten*w.cfg.Span {
-			if m.doubtAt != 0 {
-				w.doubted--
+		if now-m.at() > expirySpans*w.cfg.SampleLifetime {
+			if m.suspectedAt != 0 {
+				w.suspected--
 			}
 			if w.shards[m.shard]--; w.shards[m.shard] <= 0 {
 				delete(w.shards, m.shard)
@@ -339,43 +339,43 @@
 }
 
 // Own is a member as this mixer alone sees it.
-type Own struct {
-	Name, Shard string
-	Middle      float64 // times its peers' middle
-	Samples     int
-	Score       float64
-	Doubted     int64 // for so long; 0: it is not
+type LocalView struct {
+	Name, Shard  string
+	Middle       float64 // times its peers' middle
+	Samples      int
+	Score        float64
+	SuspectedFor int64 // for so long; 0: it is not
 }
 
 // Of returns what is known here of one member.
-func (w *Watch) Of(now int64, name string) (Own, bool) {
+func (w *Observer) Describe(now int64, name string) (LocalView, bool) {
 	m := w.seen[name]
 	if m == nil {
-		return Own{}, false
+		return LocalView{}, false
 	}
 	score, _ := m.run(now, &w.cfg)
-	k := w.sketch(now, m, w.cfg.Few)
-	o := Own{Name: name, Shard: m.shard, Middle: k.Middle(), Samples: k.Samples(), Score: score}
-	if m.doubtAt != 0 {
-		o.Doubted = max(now-m.doubtAt, 1)
+	k := w.sketch(now, m, w.cfg.FewSpan)
+	o := LocalView{Name: name, Shard: m.shard, Middle: k.Middle(), Samples: k.Samples(), Score: score}
+	if m.suspectedAt != 0 {
+		o.SuspectedFor = max(now-m.suspectedAt, 1)
 	}
 	return o, true
 }
 
 // doubts returns the members doubted here, worst first.
-func (w *Watch) doubts(now int64) (out []Own) {
-	if w.doubted == 0 {
+func (w *Observer) suspects(now int64) (out []LocalView) {
+	if w.suspected == 0 {
 		return nil
 	}
 	for name, m := range w.seen {
-		if m.doubtAt == 0 {
+		if m.suspectedAt == 0 {
 			continue
 		}
-		if w.judge(now, m); m.doubtAt != 0 {
-			o, _ := w.Of(now, name)
+		if w.evaluate(now, m); m.suspectedAt != 0 {
+			o, _ := w.Describe(now, name)
 			out = append(out, o)
 		}
 	}
-	slices.SortFunc(out, func(a, b Own) int { return cmp.Or(cmp.Compare(b.Score, a.Score), cmp.Compare(a.Name, b.Name)) })
+	slices.SortFunc(out, func(a, b LocalView) int { return cmp.Or(cmp.Compare(b.Score, a.Score), cmp.Compare(a.Name, b.Name)) })
 	return out
 }
--- a/internal/cluster/outlier/outlier_test.go
+++ b/internal/cluster/outlier/outlier_test.go
@@ -24,9 +24,9 @@
 	names   [][]string // by shard
 	slow    map[string]float64
 	cut     map[int]bool
-	watches []*Watch
-	groups  []*Groups
-	seats   []*Seat
+	watches []*Observer
+	groups  []*Ejections
+	seats   []*AggregatorRole
 	holder  int
 	epoch   uint64
 	moves   []string
@@ -42,19 +42,19 @@
 		h.names = append(h.names, names)
 	}
 	for i := range mixers {
-		h.watches = append(h.watches, NewWatch(Usual))
-		h.groups = append(h.groups, NewGroups(Usual))
-		h.seats = append(h.seats, NewSeat(Usual, fmt.Sprint("m", i)))
+		h.watches = append(h.watches, NewObserver(DefaultConfig))
+		h.groups = append(h.groups, NewEjections(DefaultConfig))
+		h.seats = append(h.seats, NewAggregatorRole(DefaultConfig, fmt.Sprint("m", i)))
 	}
 	h.elect(0)
 	return h
 }
 
 func (h *herdOf) elect(i int) {
-	h.seats[h.holder].Holds(h.now, 0, false)
+	h.seats[h.holder].SetHolder(h.now, 0, false)
 	h.holder = i
-	h.epoch += 1 << epochMark
-	h.seats[i].Holds(h.now, h.epoch, true)
+	h.epoch += 1 << epochHashBits
+	h.seats[i].SetHolder(h.now, h.epoch, true)
 }
 
 func (h *herdOf) members(shard string) int {
@@ -88,7 +88,7 @@
 						continue // apart: tried now and then
 					}
 					x := h.took() * max(h.slow[name], 1)
-					w.Saw(h.now, Sample{Name: name, Shard: fmt.Sprint("s", s), Kind: "sweep", Took: int64(min(x, 230_000)), Whole: x < 230_000})
+					w.Record(h.now, Sample{Name: name, Shard: fmt.Sprint("s", s), Kind: "sweep", Latency: int64(min(x, 230_000)), Complete: x < 230_000})
 				}
 			}
 		}
@@ -101,33 +101,33 @@
 func (h *herdOf) talk() {
 	seat := h.seats[h.holder]
 	for i, w := range h.watches {
-		said, _ := h.groups[i].Said(h.now)
-		if list := w.Tell(h.now, said); len(list) > 0 && !h.cut[i] && !h.cut[h.holder] {
+		said, _ := h.groups[i].Assignment(h.now)
+		if list := w.TakeEvidence(h.now, said); len(list) > 0 && !h.cut[i] && !h.cut[h.holder] {
 			raw, err := json.Marshal(list)
 			So(err, ShouldBeNil)
 			var got []Evidence
 			So(json.Unmarshal(raw, &got), ShouldBeNil)
-			seat.Given(h.now, fmt.Sprint("m", i), got)
+			seat.AddEvidence(h.now, fmt.Sprint("m", i), got)
 		}
 	}
 	a, rank, say := seat.Step(h.now, len(h.watches), h.members)
 	for i, g := range h.groups {
 		if say && (!h.cut[i] && !h.cut[h.holder] || i == h.holder) {
-			g.Told(h.now, rank, a)
-			h.seats[i].Told(rank, a)
+			g.Observe(h.now, rank, a)
+			h.seats[i].Observe(rank, a)
 		}
 		for _, c := range g.Step(h.now, h.members, h.watches[i]) {
-			h.moves = append(h.moves, fmt.Sprint(i, c.Name, c.Back))
+			h.moves = append(h.moves, fmt.Sprint(i, c.Name, c.Restored))
 		}
 		h.check(g)
 	}
 }
 
 // check holds the machines to their bounds at every step.
-func (h *herdOf) check(g *Groups) {
+func (h *herdOf) check(g *Ejections) {
 	by := make(map[string]int)
 	for _, a := range g.All() {
-		if by[a.Shard]++; by[a.Shard] > max(1, int(float64(len(h.names[0]))*Usual.Share)) {
+		if by[a.Shard]++; by[a.Shard] > max(1, int(float64(len(h.names[0]))*DefaultConfig.MaxEjectedShare)) {
 			h.t.Fatalf("%d of shard %s are apart", by[a.Shard], a.Shard)
 		}
 		if len(h.names[0]) < 3 {
@@ -221,7 +221,7 @@
 		h := newHerd(t, 9, 4, 4, 2)
 		h.play(30*second, 9)
 		for range 200 {
-			h.watches[3].Saw(h.now, Sample{Name: "s0-0", Shard: "s0", Kind: "sweep", Took: 200 * ms, Whole: true})
+			h.watches[3].Record(h.now, Sample{Name: "s0-0", Shard: "s0", Kind: "sweep", Latency: 200 * ms, Complete: true})
 			h.play(100*ms, 9)
 		}
 		for i, g := range h.groups {
@@ -289,13 +289,13 @@
 		}
 	})
 	Convey("What is held is bounded", t, func() {
-		w := NewWatch(Usual)
-		for i := range mostSeen + 100 {
+		w := NewObserver(DefaultConfig)
+		for i := range maxMembers + 100 {
 			for range 3 {
-				w.Saw(second, Sample{Name: fmt.Sprint(i), Shard: "s", Kind: fmt.Sprint("k", i%(mostKinds+9)), Took: 5 * ms, Whole: true})
+				w.Record(second, Sample{Name: fmt.Sprint(i), Shard: "s", Kind: fmt.Sprint("k", i%(maxKinds+9)), Latency: 5 * ms, Complete: true})
 			}
 		}
-		So(len(w.seen), ShouldBeLessThanOrEqualTo, mostSeen)
-		So(len(w.kinds), ShouldBeLessThanOrEqualTo, mostKinds)
+		So(len(w.seen), ShouldBeLessThanOrEqualTo, maxMembers)
+		So(len(w.kinds), ShouldBeLessThanOrEqualTo, maxKinds)
 	})
 }
--- a/internal/cluster/quota/allowance.go
+++ b/internal/cluster/quota/allowance.go
@@ -14,31 +14,31 @@
 // All times are microseconds of the caller's steady clock.
 
 // Stated is an allowance as the operators state it.
-type Stated struct {
+type Allowance struct {
 	Name  string
 	Rate  float64 // requests a second, over all mixers
 	Burst float64 // that may be saved up, over all mixers
 }
 
 // Terms are the figures of leases.
-type Terms struct {
-	Lease  int64   // a part lasts so long
-	Renew  int64   // a mixer that is asked for it claims anew after so long
-	Floor  float64 // share of each allowance that is never leased: all mixers have equal parts of it
-	Least  int     // mixers that it is divided among, however few are known
-	Eager  float64 // so much more than a mixer was asked for it is given weight for
-	Memory int64   // the most mixers known within so long are those that there are
+type LeaseConfig struct {
+	Duration      int64   // a part lasts so long
+	RenewInterval int64   // a mixer that is asked for it claims anew after so long
+	UnleasedShare float64 // share of each allowance that is never leased: all mixers have equal parts of it
+	MinProxies    int     // mixers that it is divided among, however few are known
+	ExtraWeight   float64 // so much more than a mixer was asked for it is given weight for
+	ProxyMemory   int64   // the most mixers known within so long are those that there are
 }
 
 // UsualTerms are those for service.
-var UsualTerms = Terms{Lease: 3_000_000, Renew: 1_000_000, Floor: 0.1, Least: 8, Eager: 0.05, Memory: 60_000_000}
+var DefaultLeaseConfig = LeaseConfig{Duration: 3_000_000, RenewInterval: 1_000_000, UnleasedShare: 0.1, MinProxies: 8, ExtraWeight: 0.05, ProxyMemory: 60_000_000}
 
 // Claim is what a mixer tells of an allowance when it asks for a part.
 type Claim struct {
-	Name  string  `json:"n"`
-	Asked float64 `json:"a"` // requests a second that it was asked for, admitted or not
-	Spent float64 `json:"s"` // admitted since the last claim, for who looks on
-	Held  float64 `json:"h"` // the part that it goes by now: an answer may have been lost
+	Name    string  `json:"n"`
+	Asked   float64 `json:"a"` // requests a second that it was asked for, admitted or not
+	Spent   float64 `json:"s"` // admitted since the last claim, for who looks on
+	Current float64 `json:"h"` // the part that it goes by now: an answer may have been lost
 }
 
 // Grant is a part. It lasts the terms' lease from the moment when the claim was sent.
@@ -49,57 +49,57 @@
 
 // ---- The holder.
 
-type lease struct {
-	rate, asked float64
-	until       int64
-	was         float64 // what the mixer went by when it last claimed,
-	wasUntil    int64   // and may go by yet, if the answer does not reach it
+type leaseState struct {
+	rate, asked   float64
+	until         int64
+	previousRate  float64 // what the mixer went by when it last claimed,
+	previousUntil int64   // and may go by yet, if the answer does not reach it
 }
 
 // out is what a mixer may go by now.
-func (l *lease) out(now int64) (rate float64) {
+func (l *leaseState) current(now int64) (rate float64) {
 	if now <= l.until {
 		rate = l.rate
 	}
-	if now <= l.wasUntil {
-		rate = max(rate, l.was)
+	if now <= l.previousUntil {
+		rate = max(rate, l.previousRate)
 	}
 	return rate
 }
 
 // Bank leases parts. It is not safe for concurrent use.
-type Bank struct {
-	terms  Terms
-	since  int64
-	stated map[string]Stated
-	leases map[string]map[string]*lease // by allowance and mixer
-	known  []count                      // mixers, as in Purse
-	Spent  map[string]float64           // over all mixers, since this one holds the bank
-	Asked  map[string]float64           // a second, over all mixers, lately
+type Lessor struct {
+	cfg         LeaseConfig
+	since       int64
+	allowances  map[string]Allowance
+	leases      map[string]map[string]*leaseState // by allowance and mixer
+	proxyCounts []proxyCount                      // mixers, as in Purse
+	Spent       map[string]float64                // over all mixers, since this one holds the bank
+	Asked       map[string]float64                // a second, over all mixers, lately
 }
 
 const (
-	mostStated = 1000
-	mostTills  = 2000
-	slackOf    = 1e-6 // of a rate: what sums may be off by
+	maxAllowances = 1000
+	maxHolders    = 2000
+	roundingSlack = 1e-6 // of a rate: what sums may be off by
 )
 
 // NewBank returns the bank of a process that takes the duty over now, and has known so many
 // mixers of late, itself included. The one before may have leased everything a moment ago:
 // for a lease's time nothing is given out.
-func NewBank(now int64, terms Terms, mixers int) *Bank {
-	return &Bank{terms: terms, since: now, known: []count{{mixers, now}}, stated: make(map[string]Stated), leases: make(map[string]map[string]*lease),
+func NewLessor(now int64, terms LeaseConfig, mixers int) *Lessor {
+	return &Lessor{cfg: terms, since: now, proxyCounts: []proxyCount{{mixers, now}}, allowances: make(map[string]Allowance), leases: make(map[string]map[string]*leaseState),
 		Spent: make(map[string]float64), Asked: make(map[string]float64)}
 }
 
 // State takes the allowances of a configuration. Parts of one that is smaller now run out.
-func (b *Bank) State(list []Stated) {
-	b.stated = make(map[string]Stated, len(list))
-	for _, s := range list[:min(len(list), mostStated)] {
-		b.stated[s.Name] = s
+func (b *Lessor) SetAllowances(list []Allowance) {
+	b.allowances = make(map[string]Allowance, len(list))
+	for _, s := range list[:min(len(list), maxAllowances)] {
+		b.allowances[s.Name] = s
 	}
 	for name := range b.leases {
-		if _, still := b.stated[name]; !still {
+		if _, still := b.allowances[name]; !still {
 			delete(b.leases, name)
 			delete(b.Asked, name)
 		}
@@ -108,85 +108,85 @@
 
 // whole tells whether this side has most of the mixers that there were lately: else
 // another side may have a bank of its own.
-func (b *Bank) whole(now int64, mixers int) bool {
-	for len(b.known) > 0 && b.known[len(b.known)-1].n <= mixers {
-		b.known = b.known[:len(b.known)-1]
+func (b *Lessor) hasMajority(now int64, mixers int) bool {
+	for len(b.proxyCounts) > 0 && b.proxyCounts[len(b.proxyCounts)-1].n <= mixers {
+		b.proxyCounts = b.proxyCounts[:len(b.proxyCounts)-1]
 	}
-	b.known = append(b.known, count{mixers, now})
-	for len(b.known) > 1 && now-b.known[0].at > b.terms.Memory {
-		b.known = b.known[1:]
+	b.proxyCounts = append(b.proxyCounts, proxyCount{mixers, now})
+	for len(b.proxyCounts) > 1 && now-b.proxyCounts[0].at > b.cfg.ProxyMemory {
+		b.proxyCounts = b.proxyCounts[1:]
 	}
-	return 2*mixers > b.known[0].n
+	return 2*mixers > b.proxyCounts[0].n
 }
 
 // Look is called now and then, and whenever mixers come or go, with how many are known,
 // this one included. While this side is not most of them nothing is given out, nor for a
 // lease's time after: another side's leases may be out.
-func (b *Bank) Look(now int64, mixers int) {
-	if !b.whole(now, mixers) {
+func (b *Lessor) ObserveProxies(now int64, mixers int) {
+	if !b.hasMajority(now, mixers) {
 		b.since = now
 	}
 }
 
 // Claims answers a mixer's claims; mixers is as for Look.
-func (b *Bank) Claims(now int64, from string, mixers int, list []Claim) (out []Grant) {
-	b.Look(now, mixers)
-	for _, c := range list[:min(len(list), mostStated)] {
-		s, known := b.stated[c.Name]
+func (b *Lessor) HandleClaims(now int64, from string, mixers int, list []Claim) (out []Grant) {
+	b.ObserveProxies(now, mixers)
+	for _, c := range list[:min(len(list), maxAllowances)] {
+		s, known := b.allowances[c.Name]
 		if !known || math.IsNaN(c.Asked) || c.Asked < 0 || c.Asked > 1e9 || math.IsNaN(c.Spent) || c.Spent < 0 || c.Spent > 1e9 {
 			continue
 		}
 		b.Spent[c.Name] += c.Spent
-		out = append(out, Grant{Name: c.Name, Rate: b.lease(now, from, s, c)})
+		out = append(out, Grant{Name: c.Name, Rate: b.grant(now, from, s, c)})
 	}
 	return out
 }
 
-func (b *Bank) lease(now int64, from string, s Stated, c Claim) float64 {
+func (b *Lessor) grant(now int64, from string, s Allowance, c Claim) float64 {
 	all := b.leases[s.Name]
 	if all == nil {
-		all = make(map[string]*lease)
+		all = make(map[string]*leaseState)
 		b.leases[s.Name] = all
 	}
 	l := all[from]
 	if l == nil {
-		if len(all) >= mostTills {
+		if len(all) >= maxHolders {
 			return 0
 		}
-		l = &lease{}
+		l = &leaseState{}
 		all[from] = l
 	}
 	l.asked = c.Asked
-	pool := s.Rate * (1 - b.terms.Floor)
+	pool := s.Rate * (1 - b.cfg.UnleasedShare)
 	given, weight, asked := 0.0, 0.0, 0.0 // to the others
 	for name, o := range all {
 		if name == from {
 			continue
 		}
-		if now > max(o.until, o.wasUntil) {
+		if now > max(o.until, o.previousUntil) {
 			delete(all, name)
 			continue
 		}
-		given, weight, asked = given+o.out(now), weight+o.asked+b.terms.Eager*s.Rate, asked+o.asked
+		given, weight, asked = given+o.current(now), weight+o.asked+b.cfg.ExtraWeight*s.Rate, asked+o.asked
 	}
 	b.Asked[s.Name] = asked + c.Asked
-	l.was, l.wasUntil = min(c.Held, s.Rate), l.until
-	if l.rate, l.until = 0, now; now-b.since < b.terms.Lease {
+	l.previousRate, l.previousUntil = min(c.Current, s.Rate), l.until
+	if l.rate, l.until = 0, now; now-b.since < b.cfg.Duration {
 		return 0
 	}
-	mine := c.Asked + b.terms.Eager*s.Rate
+	mine := c.Asked + b.cfg.ExtraWeight*s.Rate
 	l.rate = max(min(pool*mine/(mine+weight), pool-given), 0)
-	l.until = now + b.terms.Lease
-	if l.rate > 0 && given+l.rate > pool*(1+slackOf) {
+	l.until = now + b.cfg.Duration
+	if l.rate > 0 && given+l.rate > pool*(1+roundingSlack) {
 		panic(fmt.Sprintf("invariant: %v of %s leased, %v there", given+l.rate, s.Name, pool))
 	}
 	return l.rate
 }
 
 // Leased is what is leased of an allowance now.
-func (b *Bank) Leased(now int64, name string) (sum float64, tills int) {
+func (b *Lessor) Leased(now int64, name string) (sum float64, tills int) {
 	for _, l := range b.leases[name] {
-		if r := l.out(now); r > 0 {
+		if r := l.current(now); r > 0 {
 			sum, tills = sum+r, tills+1
 		}
 	}
@@ -195,8 +195,8 @@
 
 // ---- A mixer.
 
-type box struct {
-	Stated
+type bucket struct {
+	Allowance
 	level   float64 // requests that may be admitted at once
 	at      int64
 	rate    float64 // leased
@@ -206,48 +206,48 @@
 	asking  float64 // requests a second, smoothed
 	lastAt  int64   // when it was last asked for
 	claimAt int64
-	all     Counts
+	counts  Counts
 }
 
 // Counts are a mixer's figures of one allowance since its start.
 type Counts struct{ Admitted, Refused int64 }
 
 // Till admits by a mixer's parts. It is not safe for concurrent use.
-type Till struct {
-	terms  Terms
-	mixers int
-	boxes  map[string]*box
-	saidAt int64 // when something was last claimed
+type Holder struct {
+	cfg         LeaseConfig
+	proxies     int
+	buckets     map[string]*bucket
+	lastClaimAt int64 // when something was last claimed
 }
 
 // NewTill returns the till of a process that starts with nothing saved up: its life before
 // may have spent all of it.
-func NewTill(terms Terms) *Till {
-	return &Till{terms: terms, mixers: terms.Least, boxes: make(map[string]*box)}
+func NewHolder(terms LeaseConfig) *Holder {
+	return &Holder{cfg: terms, proxies: terms.MinProxies, buckets: make(map[string]*bucket)}
 }
 
 // State takes the allowances of a configuration; what is held of those that stay is kept.
-func (t *Till) State(now int64, list []Stated) {
-	old := t.boxes
-	t.boxes = make(map[string]*box, len(list))
-	for _, s := range list[:min(len(list), mostStated)] {
+func (t *Holder) SetAllowances(now int64, list []Allowance) {
+	old := t.buckets
+	t.buckets = make(map[string]*bucket, len(list))
+	for _, s := range list[:min(len(list), maxAllowances)] {
 		x := old[s.Name]
 		if x == nil {
-			x = &box{at: now}
+			x = &bucket{at: now}
 		} else if s.Rate < x.Rate { // its lease was a part of more
 			x.rate *= s.Rate / x.Rate
 		}
-		x.Stated = s
-		t.boxes[s.Name] = x
+		x.Allowance = s
+		t.buckets[s.Name] = x
 	}
 }
 
 // Mixers says how many there are, this one included.
-func (t *Till) Mixers(n int) { t.mixers = max(n, t.terms.Least) }
+func (t *Holder) SetProxies(n int) { t.proxies = max(n, t.cfg.MinProxies) }
 
 // rateOf is a mixer's part now: of the floor, and what it has leased.
-func (t *Till) rateOf(now int64, x *box) float64 {
-	r := x.Rate * t.terms.Floor / float64(t.mixers)
+func (t *Holder) rateOf(now int64, x *bucket) float64 {
+	r := x.Rate * t.cfg.UnleasedShare / float64(t.proxies)
 	if now <= x.until {
 		r += x.rate
 	}
@@ -255,46 +255,46 @@
 }
 
 // most is what a part may save up: its share of the burst, one request at least.
-func (t *Till) most(now int64, x *box) float64 {
+func (t *Holder) maxLevel(now int64, x *bucket) float64 {
 	return max(x.Burst*t.rateOf(now, x)/x.Rate, 1)
 }
 
-func (t *Till) fill(now int64, x *box) {
+func (t *Holder) refill(now int64, x *bucket) {
 	from := x.at
 	if x.at = now; now <= from {
 		return
 	}
 	if from < x.until && x.until < now { // the lease ran out on the way
 		x.level += x.rate * float64(x.until-from) / 1e6
-		x.level += x.Rate * t.terms.Floor / float64(t.mixers) * float64(now-from) / 1e6
+		x.level += x.Rate * t.cfg.UnleasedShare / float64(t.proxies) * float64(now-from) / 1e6
 	} else {
 		x.level += t.rateOf(now, x) * float64(now-from) / 1e6
 	}
-	x.level = min(x.level, t.most(now, x))
+	x.level = min(x.level, t.maxLevel(now, x))
 }
 
 // Admit takes a request off an allowance, or tells when one may be admitted.
-func (t *Till) Admit(now int64, name string) (ok bool, after int64) {
-	x := t.boxes[name]
+func (t *Holder) Admit(now int64, name string) (ok bool, after int64) {
+	x := t.buckets[name]
 	if x == nil {
 		return true, 0
 	}
-	t.fill(now, x)
+	t.refill(now, x)
 	x.asked++
 	x.lastAt = now
 	if x.level >= 1 {
 		x.level--
 		x.spent++
-		x.all.Admitted++
+		x.counts.Admitted++
 		return true, 0
 	}
-	x.all.Refused++
+	x.counts.Refused++
 	return false, int64(math.Ceil((1-x.level)/t.rateOf(now, x)*1e6)) + 1
 }
 
 // Due tells whether there is something to claim.
-func (t *Till) Due(now int64) bool {
-	for _, x := range t.boxes {
+func (t *Holder) Due(now int64) bool {
+	for _, x := range t.buckets {
 		if t.due(now, x) {
 			return true
 		}
@@ -302,67 +302,69 @@
 	return false
 }
 
-func (t *Till) lately(now int64, x *box) bool { return x.lastAt != 0 && now-x.lastAt <= t.terms.Lease }
+func (t *Holder) recentlyAsked(now int64, x *bucket) bool {
+	return x.lastAt != 0 && now-x.lastAt <= t.cfg.Duration
+}
 
 // due: a part is claimed anew after Renew; one that is asked for the first time, soon, but
 // not in a call of its own for each.
-func (t *Till) due(now int64, x *box) bool {
+func (t *Holder) due(now int64, x *bucket) bool {
 	switch {
-	case !t.lately(now, x):
+	case !t.recentlyAsked(now, x):
 		return false
 	case x.claimAt == 0:
-		return t.saidAt == 0 || now-t.saidAt >= t.terms.Renew/newcomers
+		return t.lastClaimAt == 0 || now-t.lastClaimAt >= t.cfg.RenewInterval/maxEarlyClaims
 	}
-	return now-x.claimAt >= t.terms.Renew
+	return now-x.claimAt >= t.cfg.RenewInterval
 }
 
-const newcomers = 5 // calls for them at most, within the time between two claims of one part
+const maxEarlyClaims = 5 // calls for them at most, within the time between two claims of one part
 
 // Claims returns what is claimed now, for the allowances that were asked for lately. Once
 // one is claimed anew all are: many allowances cost no more calls than one.
-func (t *Till) Claims(now int64) (out []Claim) {
+func (t *Holder) TakeClaims(now int64) (out []Claim) {
 	renewed := false
-	for _, x := range t.boxes {
+	for _, x := range t.buckets {
 		renewed = renewed || x.claimAt != 0 && t.due(now, x)
 	}
-	for name, x := range t.boxes {
-		if !t.due(now, x) && !(renewed && t.lately(now, x)) {
+	for name, x := range t.buckets {
+		if !t.due(now, x) && !(renewed && t.recentlyAsked(now, x)) {
 			continue
 		}
-		span := float64(max(now-x.claimAt, t.terms.Renew/newcomers)) / 1e6
+		span := float64(max(now-x.claimAt, t.cfg.RenewInterval/maxEarlyClaims)) / 1e6
 		if x.claimAt == 0 {
-			span = float64(t.terms.Renew) / 1e6
+			span = float64(t.cfg.RenewInterval) / 1e6
 		}
 		if x.asking += (float64(x.asked)/span - x.asking) / 2; x.asked == 0 {
 			x.asking = 0 // who asked has gone elsewhere, and what is leased here is wanted there
 		}
 		c := Claim{Name: name, Asked: math.Round(x.asking*100) / 100, Spent: float64(x.spent)}
 		if now <= x.until {
-			c.Held = x.rate
+			c.Current = x.rate
 		}
 		out = append(out, c)
-		x.asked, x.spent, x.claimAt, t.saidAt = 0, 0, now, now
+		x.asked, x.spent, x.claimAt, t.lastClaimAt = 0, 0, now, now
 	}
 	slices.SortFunc(out, func(a, b Claim) int { return cmp.Compare(a.Name, b.Name) })
 	return out
 }
 
 // Granted takes the answer to claims that were sent at a time.
-func (t *Till) Granted(now, sent int64, list []Grant) {
+func (t *Holder) HandleGrants(now, sent int64, list []Grant) {
 	for _, g := range list {
-		x := t.boxes[g.Name]
+		x := t.buckets[g.Name]
 		if x == nil || g.Rate < 0 || math.IsNaN(g.Rate) || sent < x.claimAt { // it has claimed anew since
 			continue
 		}
-		t.fill(now, x)
-		x.rate, x.until = min(g.Rate, x.Rate), sent+t.terms.Lease
-		x.level = min(x.level, t.most(now, x))
+		t.refill(now, x)
+		x.rate, x.until = min(g.Rate, x.Rate), sent+t.cfg.Duration
+		x.level = min(x.level, t.maxLevel(now, x))
 	}
 }
 
 // Held is one allowance as a mixer holds it.
-type Held struct {
-	Stated
+type AllowanceStatus struct {
+	Allowance
 	Counts
 	Rate  float64 // its part now
 	Level float64
@@ -370,11 +372,11 @@
 }
 
 // Held are all allowances, by name.
-func (t *Till) Held(now int64) (out []Held) {
-	for _, x := range t.boxes {
-		t.fill(now, x)
-		out = append(out, Held{Stated: x.Stated, Counts: x.all, Rate: t.rateOf(now, x), Level: x.level, Lease: max(x.until-now, 0)})
+func (t *Holder) Status(now int64) (out []AllowanceStatus) {
+	for _, x := range t.buckets {
+		t.refill(now, x)
+		out = append(out, AllowanceStatus{Allowance: x.Allowance, Counts: x.counts, Rate: t.rateOf(now, x), Level: x.level, Lease: max(x.until-now, 0)})
 	}
-	slices.SortFunc(out, func(a, b Held) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(out, func(a, b AllowanceStatus) int { return cmp.Compare(a.Name, b.Name) })
 	return out
 }
--- a/internal/cluster/quota/allowance_test.go
+++ b/internal/cluster/quota/allowance_test.go
@@ -15,35 +15,35 @@
 	t      *testing.T
 	rng    *rand.Rand
 	now    int64
-	stated Stated
-	tills  []*Till
+	stated Allowance
+	tills  []*Holder
 	side   []int // of each mixer: which bank it reaches; below 0: none
-	banks  []*Bank
+	banks  []*Lessor
 	loss   float64
 	mail   []func() bool // does it once it is due
 	spent  []int64       // when requests were admitted
 	asked  int
 }
 
-func newMixers(t *testing.T, n int, s Stated, seed uint64) *mixersOf {
+func newMixers(t *testing.T, n int, s Allowance, seed uint64) *mixersOf {
 	m := &mixersOf{t: t, rng: rand.New(rand.NewPCG(seed, 37)), now: 100 * sec, stated: s, side: make([]int, n)}
-	m.banks = []*Bank{m.bank(), nil}
+	m.banks = []*Lessor{m.bank(), nil}
 	for range n {
 		m.tills = append(m.tills, m.till())
 	}
 	return m
 }
 
-func (m *mixersOf) bank() *Bank {
-	b := NewBank(m.now, UsualTerms, len(m.side)) // it was there before
-	b.State([]Stated{m.stated})
+func (m *mixersOf) bank() *Lessor {
+	b := NewLessor(m.now, DefaultLeaseConfig, len(m.side)) // it was there before
+	b.SetAllowances([]Allowance{m.stated})
 	return b
 }
 
-func (m *mixersOf) till() *Till {
-	t := NewTill(UsualTerms)
-	t.State(m.now, []Stated{m.stated})
-	t.Mixers(len(m.side))
+func (m *mixersOf) till() *Holder {
+	t := NewHolder(DefaultLeaseConfig)
+	t.SetAllowances(m.now, []Allowance{m.stated})
+	t.SetProxies(len(m.side))
 	return t
 }
 
@@ -72,7 +72,7 @@
 			if !t.Due(m.now) {
 				continue
 			}
-			sent, claims, side := m.now, t.Claims(m.now), m.side[i]
+			sent, claims, side := m.now, t.TakeClaims(m.now), m.side[i]
 			if side < 0 || m.banks[side] == nil || m.rng.Float64() < m.loss {
 				continue
 			}
@@ -83,20 +83,20 @@
 			asked := false
 			m.mail = append(m.mail, func() bool {
 				if !asked && m.now >= arrives && m.banks[side] != nil {
-					grants, asked = m.banks[side].Claims(m.now, fmt.Sprint("m", i), m.reached(side), claims), true
+					grants, asked = m.banks[side].HandleClaims(m.now, fmt.Sprint("m", i), m.reached(side), claims), true
 				}
 				if m.now < back {
 					return false
 				}
 				if asked && !lost && m.tills[i] == t {
-					t.Granted(m.now, sent, grants)
+					t.HandleGrants(m.now, sent, grants)
 				}
 				return true
 			})
 		}
 		for side, b := range m.banks {
 			if b != nil {
-				b.Look(m.now, m.reached(side))
+				b.ObserveProxies(m.now, m.reached(side))
 			}
 		}
 		rest := m.mail[:0]
@@ -124,7 +124,7 @@
 }
 
 func TestAllowance(t *testing.T) {
-	stated := Stated{Name: "billing", Rate: 50, Burst: 25}
+	stated := Allowance{Name: "billing", Rate: 50, Burst: 25}
 	bound := func(n int) int { return 500 + 25 + n } // a rate's ten seconds, a burst, and a request of each mixer
 	Convey("Ten times the allowance is held to it by all mixers together", t, func() {
 		for _, n := range []int{1, 9, 60} {
@@ -146,7 +146,7 @@
 		}
 	})
 	Convey("What is asked within the allowance is hardly ever refused", t, func() {
-		m := newMixers(t, 9, Stated{Name: "billing", Rate: 50, Burst: 100}, 5)
+		m := newMixers(t, 9, Allowance{Name: "billing", Rate: 50, Burst: 100}, 5)
 		m.play(10*sec, 30, func() int { return m.rng.IntN(9) })
 		before, asked := len(m.spent), m.asked
 		m.play(60*sec, 30, func() int { return m.rng.IntN(9) })
@@ -201,15 +201,15 @@
 	Convey("An allowance that is changed or gone counts at once", t, func() {
 		m := newMixers(t, 3, stated, 4)
 		m.play(10*sec, 500, func() int { return m.rng.IntN(3) })
-		less := Stated{Name: "billing", Rate: 5, Burst: 5}
+		less := Allowance{Name: "billing", Rate: 5, Burst: 5}
 		for _, till := range m.tills {
-			till.State(m.now, []Stated{less})
+			till.SetAllowances(m.now, []Allowance{less})
 		}
-		m.banks[0].State([]Stated{less})
+		m.banks[0].SetAllowances([]Allowance{less})
 		from := m.now
 		m.play(20*sec, 500, func() int { return m.rng.IntN(3) })
 		So(m.worst(from), ShouldBeLessThan, 75)
-		m.tills[0].State(m.now, nil)
+		m.tills[0].SetAllowances(m.now, nil)
 		ok, _ := m.tills[0].Admit(m.now, "billing")
 		So(ok, ShouldBeTrue)
 	})
--- a/internal/cluster/quota/quota.go
+++ b/internal/cluster/quota/quota.go
@@ -8,46 +8,46 @@
 
 // Config is what is shared. Times are microseconds of the caller's clock.
 type Config struct {
-	Whole  float64 // what all may spend together in a window
-	Window int64
-	Least  int  // proxies taken for granted, however few are known
-	Fresh  bool // the whole system starts for the first time: nobody has spent anything
+	Total      float64 // what all may spend together in a window
+	Window     int64
+	MinProxies int  // proxies taken for granted, however few are known
+	FirstStart bool // the whole system starts for the first time: nobody has spent anything
 }
 
-const kept = 2 // so many proxies may live for each that is known
+const hiddenProxyFactor = 2 // so many proxies may live for each that is known
 
 // Purse is one proxy's part.
-type Purse struct {
+type RetryBudget struct {
 	cfg     Config
 	started int64
-	known   []count // falling from the first on, newest last
+	counts  []proxyCount // falling from the first on, newest last
 }
 
-type count struct {
+type proxyCount struct {
 	n  int
 	at int64 // when it was last so many
 }
 
 // New returns the purse of a process that starts now. Its life before may have spent a
 // whole part, of which this one knows nothing: it gets none before a window has passed.
-func New(now int64, cfg Config) *Purse { return &Purse{cfg: cfg, started: now} }
+func NewRetryBudget(now int64, cfg Config) *RetryBudget { return &RetryBudget{cfg: cfg, started: now} }
 
 // Part tells what this proxy may spend in any window, in whole units, where so many
 // proxies are known, this one included. Where they grow fewer it grows only once a window
 // has passed: those that are gone may have spent theirs.
-func (p *Purse) Part(now int64, known int) float64 {
-	for len(p.known) > 0 && p.known[len(p.known)-1].n <= known {
-		p.known = p.known[:len(p.known)-1]
+func (p *RetryBudget) Share(now int64, known int) float64 {
+	for len(p.counts) > 0 && p.counts[len(p.counts)-1].n <= known {
+		p.counts = p.counts[:len(p.counts)-1]
 	}
-	p.known = append(p.known, count{known, now})
-	for len(p.known) > 1 && now-p.known[0].at > p.cfg.Window {
-		p.known = p.known[1:]
+	p.counts = append(p.counts, proxyCount{known, now})
+	for len(p.counts) > 1 && now-p.counts[0].at > p.cfg.Window {
+		p.counts = p.counts[1:]
 	}
-	if len(p.known) > 1 && p.known[0].at > p.known[1].at {
+	if len(p.counts) > 1 && p.counts[0].at > p.counts[1].at {
 		panic("invariant: counts out of order")
 	}
-	if !p.cfg.Fresh && now-p.started < p.cfg.Window {
+	if !p.cfg.FirstStart && now-p.started < p.cfg.Window {
 		return 0
 	}
-	return math.Floor(p.cfg.Whole / kept / float64(max(p.known[0].n, p.cfg.Least, 1)))
+	return math.Floor(p.cfg.Total / hiddenProxyFactor / float64(max(p.counts[0].n, p.cfg.MinProxies, 1)))
 }
--- a/internal/cluster/quota/quota_test.go
+++ b/internal/cluster/quota/quota_test.go
@@ -11,12 +11,12 @@
 
 // life is a proxy that spends all that it may, as soon as it may.
 type life struct {
-	p     *Purse
+	p     *RetryBudget
 	spent []int64
 }
 
 func (l *life) spend(now, window int64, known int) (n int) {
-	part := l.p.Part(now, known)
+	part := l.p.Share(now, known)
 	for len(l.spent) > 0 && now-l.spent[0] >= window {
 		l.spent = l.spent[1:]
 	}
@@ -34,23 +34,23 @@
 		any := 0
 		for seed := range uint64(200) {
 			r := rand.New(rand.NewPCG(seed, 7))
-			cfg := Config{Whole: 58, Window: 10 * second, Least: 8, Fresh: true}
+			cfg := Config{Total: 58, Window: 10 * second, MinProxies: 8, FirstStart: true}
 			if seed%2 == 1 {
-				cfg.Whole, cfg.Least = 160, 2
+				cfg.Total, cfg.MinProxies = 160, 2
 			}
 			lives := make([]*life, 2+r.IntN(60))
 			for i := range lives {
-				lives[i] = &life{p: New(0, cfg)}
+				lives[i] = &life{p: NewRetryBudget(0, cfg)}
 			}
-			cfg.Fresh = false
+			cfg.FirstStart = false
 			var spent []int64
 			most := 0
 			for now := int64(0); now < 60*second; now += second / 4 {
 				switch i := r.IntN(len(lives)); r.IntN(12) {
 				case 0: // starts anew, forgetting what it spent
-					lives[i] = &life{p: New(now, cfg)}
+					lives[i] = &life{p: NewRetryBudget(now, cfg)}
 				case 1:
-					lives = append(lives, &life{p: New(now, cfg)})
+					lives = append(lives, &life{p: NewRetryBudget(now, cfg)})
 				case 2:
 					if len(lives) > 2 {
 						lives = append(lives[:i], lives[i+1:]...)
@@ -67,17 +67,17 @@
 				}
 				most = max(most, len(spent))
 			}
-			So(most, ShouldBeLessThanOrEqualTo, int(cfg.Whole))
+			So(most, ShouldBeLessThanOrEqualTo, int(cfg.Total))
 			any += most
 		}
 		So(any, ShouldBeGreaterThan, 200)
 	})
 	Convey("A part grows a window after others are gone, and shrinks at once", t, func() {
-		p := New(0, Config{Whole: 58, Window: 10 * second, Least: 1, Fresh: true})
-		So(p.Part(0, 9), ShouldEqual, 3)
-		So(p.Part(second, 3), ShouldEqual, 3)
-		So(p.Part(9*second, 3), ShouldEqual, 3)
-		So(p.Part(11*second, 3), ShouldEqual, 9)
-		So(p.Part(12*second, 29), ShouldEqual, 1)
+		p := NewRetryBudget(0, Config{Total: 58, Window: 10 * second, MinProxies: 1, FirstStart: true})
+		So(p.Share(0, 9), ShouldEqual, 3)
+		So(p.Share(second, 3), ShouldEqual, 3)
+		So(p.Share(9*second, 3), ShouldEqual, 3)
+		So(p.Share(11*second, 3), ShouldEqual, 9)
+		So(p.Share(12*second, 29), ShouldEqual, 1)
 	})
 }
--- a/internal/cluster/registry/registry.go
+++ b/internal/cluster/registry/registry.go
@@ -15,21 +15,21 @@
 
 // Server is what is told of one life of a server.
 type Server struct {
-	ID       string  `json:"-"`
-	Service  string  `json:"s"`
-	Addr     string  `json:"a"`
-	Zone     string  `json:"z"`
-	Revision string  `json:"v,omitempty"`
-	Capacity float64 `json:"c"`
-	State    State   `json:"t"`
-	Warm     int64   `json:"w,omitempty"` // ms that it is still slow, when this was told
-	By       string  `json:"b"`           // the core machine that hears it
+	ID         string  `json:"-"`
+	Service    string  `json:"s"`
+	Addr       string  `json:"a"`
+	Zone       string  `json:"z"`
+	Revision   string  `json:"v,omitempty"`
+	Capacity   float64 `json:"c"`
+	State      State   `json:"t"`
+	WarmupLeft int64   `json:"w,omitempty"` // ms that it is still slow, when this was told
+	Owner      string  `json:"b"`           // the core machine that hears it
 }
 
 // What a server says of itself in a heartbeat.
 const (
-	SaysAvailable = "available"
-	SaysDraining  = "draining"
+	LifecycleAvailable = "available"
+	LifecycleDraining  = "draining"
 )
 
 // State is how a server stands.
@@ -50,19 +50,19 @@
 const Prefix = "s/"
 
 // Beat is a heartbeat.
-type Beat struct {
-	Service  string  `json:"target_service"`
-	Addr     string  `json:"address"`
-	Zone     string  `json:"zone"`
-	Revision string  `json:"revision"`
-	Capacity float64 `json:"capacity"`
-	State    string  `json:"lifecycle_state"`
-	Warm     float64 `json:"warmup_left_ms"`
-	Sequence int64   `json:"sequence"`
+type Heartbeat struct {
+	Service    string  `json:"target_service"`
+	Addr       string  `json:"address"`
+	Zone       string  `json:"zone"`
+	Revision   string  `json:"revision"`
+	Capacity   float64 `json:"capacity"`
+	State      string  `json:"lifecycle_state"`
+	WarmupLeft float64 `json:"warmup_left_ms"`
+	Sequence   int64   `json:"sequence"`
 }
 
 // Check tells what is wrong with a beat.
-func (b Beat) Check(id string) error {
+func (b Heartbeat) Validate(id string) error {
 	switch {
 	case id == "" || len(id) > 200:
 		return fmt.Errorf("the id is not of 1 to 200 bytes")
@@ -72,7 +72,7 @@
 		return fmt.Errorf("address: %.100q is not host:port", b.Addr)
 	case b.Sequence < 0 || b.Sequence > 1<<50:
 		return fmt.Errorf("sequence: %d is out of bounds", b.Sequence)
-	case b.State != SaysAvailable && b.State != SaysDraining:
+	case b.State != LifecycleAvailable && b.State != LifecycleDraining:
 		return fmt.Errorf("lifecycle_state: %.40q is neither available nor draining", b.State)
 	}
 	return nil
@@ -81,45 +81,45 @@
 // A rank is the sequence of the beat that the news rests on; silence after it, and being
 // let go after long silence, rank above it and below the next beat.
 const (
-	shift   = 2
-	silence = 1
-	let     = 2
-	left    = uint64(1) << 62
+	versionShift        = 2
+	silentBit           = 1
+	removedBit          = 2
+	deregisteredVersion = uint64(1) << 62
 )
 
-const most = 10_000 // servers heard by one machine
+const maxServers = 10_000 // servers heard by one machine
 
-type heard struct {
-	server Server
-	seq    int64
-	at     int64 // microseconds of the caller's clock
+type trackedServer struct {
+	server      Server
+	sequence    int64
+	lastHeardAt int64 // microseconds of the caller's clock
 }
 
 // Roster is the state of one core machine.
-type Roster struct {
-	self  string
-	quiet int64 // microseconds without a beat after which a server is silent
-	mine  map[string]*heard
+type Registry struct {
+	self           string
+	silenceTimeout int64 // microseconds without a beat after which a server is silent
+	tracked        map[string]*trackedServer
 }
 
 // New returns a roster of the core machine self, to which a server that says nothing for
 // quiet microseconds is silent.
-func New(self string, quiet int64) *Roster {
-	return &Roster{self: self, quiet: quiet, mine: make(map[string]*heard)}
+func New(self string, silenceTimeout int64) *Registry {
+	return &Registry{self: self, silenceTimeout: silenceTimeout, tracked: make(map[string]*trackedServer)}
 }
 
-func item(s Server, rank uint64) gossip.Item {
+func entryOf(s Server, version uint64) gossip.Entry {
 	body, err := json.Marshal(s)
 	if err != nil {
 		panic(err) // a struct of texts and numbers always has a form
 	}
-	return gossip.Item{Key: Prefix + s.ID, Rank: rank, Body: body}
+	return gossip.Entry{Key: Prefix + s.ID, Version: version, Value: body}
 }
 
 // Parse reads the news of a server; gone ones have their id alone.
-func Parse(i gossip.Item) (s Server, err error) {
-	if !i.Gone() {
-		err = json.Unmarshal(i.Body, &s)
+func Parse(i gossip.Entry) (s Server, err error) {
+	if !i.Deleted() {
+		err = json.Unmarshal(i.Value, &s)
 	}
 	s.ID = strings.TrimPrefix(i.Key, Prefix)
 	return s, err
@@ -127,100 +127,102 @@
 
 // Heard takes a beat and returns the news that it makes, if any. held is the news that is
 // known of the server so far.
-func (r *Roster) Heard(now int64, id string, b Beat, held gossip.Item, known bool) (news gossip.Item, is bool, err error) {
-	if err := b.Check(id); err != nil {
-		return news, false, err
+func (r *Registry) HandleHeartbeat(now int64, id string, b Heartbeat, stored gossip.Entry, known bool) (update gossip.Entry, changed bool, err error) {
+	if err := b.Validate(id); err != nil {
+		return update, false, err
 	}
-	if known && held.Rank >= left {
-		return news, false, nil // it has left: a late beat brings nothing back
+	if known && stored.Version >= deregisteredVersion {
+		return update, false, nil // it has left: a late beat brings nothing back
 	}
-	h := r.mine[id]
-	if h != nil && b.Sequence < h.seq {
-		return news, false, nil
+	h := r.tracked[id]
+	if h != nil && b.Sequence < h.sequence {
+		return update, false, nil
 	}
 	s := Server{ID: id, Service: b.Service, Addr: b.Addr, Zone: b.Zone, Revision: b.Revision, Capacity: b.Capacity,
-		Warm: int64(b.Warm), By: r.self}
-	if b.State == SaysDraining {
+		WarmupLeft: int64(b.WarmupLeft), Owner: r.self}
+	if b.State == LifecycleDraining {
 		s.State = Draining
 	}
-	rank := uint64(b.Sequence) << shift
+	version := uint64(b.Sequence) << versionShift
 	if h == nil {
-		if len(r.mine) >= most {
-			return news, false, fmt.Errorf("%d servers are heard here already", most)
+		if len(r.tracked) >= maxServers {
+			return update, false, fmt.Errorf("%d servers are heard here already", maxServers)
 		}
-		h = &heard{}
-		r.mine[id] = h
+		h = &trackedServer{}
+		r.tracked[id] = h
 	}
-	h.server, h.seq, h.at = s, b.Sequence, now
+	h.server, h.sequence, h.lastHeardAt = s, b.Sequence, now
 	if known {
-		if rank < held.Rank {
-			return news, false, nil // others have heard a later one
+		if version < stored.Version {
+			return update, false, nil // others have heard a later one
 		}
-		was, err := Parse(held)
-		if was.Warm = s.Warm; err == nil && was == s && !held.Gone() {
-			return news, false, nil
+		previous, err := Parse(stored)
+		if previous.WarmupLeft = s.WarmupLeft; err == nil && previous == s && !stored.Deleted() {
+			return update, false, nil
 		}
-		if rank == held.Rank { // the same beat, sent here once more
-			return news, false, nil
+		if version == stored.Version { // the same beat, sent here once more
+			return update, false, nil
 		}
 	}
-	return item(s, rank), true, nil
+	return entryOf(s, version), true, nil
 }
 
 // Adopt has this machine listen for a server that another one heard, or that it heard in an
 // earlier life itself: it is silent unless it beats here, or is told to beat elsewhere.
-func (r *Roster) Adopt(now int64, i gossip.Item) {
+func (r *Registry) Adopt(now int64, i gossip.Entry) {
 	s, err := Parse(i)
-	if err != nil || i.Gone() || s.State == Silent || r.mine[s.ID] != nil || len(r.mine) >= most {
+	if err != nil || i.Deleted() || s.State == Silent || r.tracked[s.ID] != nil || len(r.tracked) >= maxServers {
 		return
 	}
-	r.mine[s.ID] = &heard{server: s, seq: int64(i.Rank >> shift), at: now}
+	r.tracked[s.ID] = &trackedServer{server: s, sequence: int64(i.Version >> versionShift), lastHeardAt: now}
 }
 
 // Hears tells whether a server beats here, or is listened for.
-func (r *Roster) Hears(id string) bool { return r.mine[id] != nil }
+func (r *Registry) Tracks(id string) bool { return r.tracked[id] != nil }
 
 // Let is the news that a server that has long been silent is let go. One that beats again
 // comes back.
-func Let(i gossip.Item) gossip.Item { return gossip.Item{Key: i.Key, Rank: i.Rank>>shift<<shift | let} }
+func RemovedEntry(i gossip.Entry) gossip.Entry {
+	return gossip.Entry{Key: i.Key, Version: i.Version>>versionShift<<versionShift | removedBit}
+}
 
 // Left takes a server's last word.
-func (r *Roster) Left(id string) gossip.Item {
-	delete(r.mine, id)
-	return gossip.Item{Key: Prefix + id, Rank: left}
+func (r *Registry) HandleDeregister(id string) gossip.Entry {
+	delete(r.tracked, id)
+	return gossip.Entry{Key: Prefix + id, Version: deregisteredVersion}
 }
 
 // Told takes the news of others: what is heard here too late a beat of is answered.
-func (r *Roster) Told(now int64, i gossip.Item) (news gossip.Item, is bool) {
+func (r *Registry) HandleUpdate(now int64, i gossip.Entry) (update gossip.Entry, changed bool) {
 	s, err := Parse(i)
 	if err != nil {
-		return news, false
+		return update, false
 	}
-	h := r.mine[s.ID]
+	h := r.tracked[s.ID]
 	switch {
 	case h == nil:
-	case i.Gone() && i.Rank >= left:
-		delete(r.mine, s.ID)
-	case (s.State == Silent || i.Gone()) && uint64(h.seq)<<shift > i.Rank && now-h.at < r.quiet:
-		return item(h.server, uint64(h.seq)<<shift), true // it is heard here
-	case s.By != r.self && i.Rank > uint64(h.seq)<<shift:
-		delete(r.mine, s.ID) // it beats elsewhere now
+	case i.Deleted() && i.Version >= deregisteredVersion:
+		delete(r.tracked, s.ID)
+	case (s.State == Silent || i.Deleted()) && uint64(h.sequence)<<versionShift > i.Version && now-h.lastHeardAt < r.silenceTimeout:
+		return entryOf(h.server, uint64(h.sequence)<<versionShift), true // it is heard here
+	case s.Owner != r.self && i.Version > uint64(h.sequence)<<versionShift:
+		delete(r.tracked, s.ID) // it beats elsewhere now
 	}
-	return news, false
+	return update, false
 }
 
 // Tick returns the news of servers that have fallen silent here.
-func (r *Roster) Tick(now int64) (news []gossip.Item) {
-	for id, h := range r.mine {
-		if now-h.at > r.quiet {
+func (r *Registry) Tick(now int64) (updates []gossip.Entry) {
+	for id, h := range r.tracked {
+		if now-h.lastHeardAt > r.silenceTimeout {
 			s := h.server
-			s.State, s.By = Silent, r.self
-			news = append(news, item(s, uint64(h.seq)<<shift|silence))
-			delete(r.mine, id)
+			s.State, s.Owner = Silent, r.self
+			updates = append(updates, entryOf(s, uint64(h.sequence)<<versionShift|silentBit))
+			delete(r.tracked, id)
 		}
 	}
-	return news
+	return updates
 }
 
 // Len counts the servers that beat here.
-func (r *Roster) Len() int { return len(r.mine) }
+func (r *Registry) Len() int { return len(r.tracked) }
--- a/internal/cluster/registry/registry_test.go
+++ b/internal/cluster/registry/registry_test.go
@@ -9,55 +9,55 @@
 	"saddleport/internal/cluster/gossip"
 )
 
-func beat(seq int64, state string) Beat {
-	return Beat{Service: "s", Addr: "10.0.0.1:80", Zone: "z", Capacity: 3, State: state, Sequence: seq}
+func beat(seq int64, state string) Heartbeat {
+	return Heartbeat{Service: "s", Addr: "10.0.0.1:80", Zone: "z", Capacity: 3, State: state, Sequence: seq}
 }
 
 func TestRoster(t *testing.T) {
-	none := gossip.Item{}
+	none := gossip.Entry{}
 	Convey("A beat is news once; only what changes is news again", t, func() {
 		r := New("k1", 1000)
-		first, is, err := r.Heard(1, "i", beat(1, "available"), none, false)
+		first, is, err := r.HandleHeartbeat(1, "i", beat(1, "available"), none, false)
 		So(is && err == nil, ShouldBeTrue)
-		_, is, _ = r.Heard(2, "i", beat(2, "available"), first, true)
+		_, is, _ = r.HandleHeartbeat(2, "i", beat(2, "available"), first, true)
 		So(is, ShouldBeFalse)
-		drain, is, _ := r.Heard(3, "i", beat(3, "draining"), first, true)
-		So(is && drain.Rank > first.Rank, ShouldBeTrue)
-		_, is, _ = r.Heard(4, "i", beat(2, "available"), drain, true) // late
+		drain, is, _ := r.HandleHeartbeat(3, "i", beat(3, "draining"), first, true)
+		So(is && drain.Version > first.Version, ShouldBeTrue)
+		_, is, _ = r.HandleHeartbeat(4, "i", beat(2, "available"), drain, true) // late
 		So(is, ShouldBeFalse)
-		left := r.Left("i")
-		So(left.Gone() && left.Rank > drain.Rank, ShouldBeTrue)
-		_, is, _ = r.Heard(5, "i", beat(9, "available"), left, true)
+		left := r.HandleDeregister("i")
+		So(left.Deleted() && left.Version > drain.Version, ShouldBeTrue)
+		_, is, _ = r.HandleHeartbeat(5, "i", beat(9, "available"), left, true)
 		So(is, ShouldBeFalse)
 	})
 	Convey("Silence here is contradicted by whoever has heard a later beat", t, func() {
 		a, b := New("a", 1000), New("b", 1000)
-		first, _, _ := a.Heard(0, "i", beat(1, "available"), none, false)
-		moved, is, _ := b.Heard(900, "i", beat(2, "available"), first, true)
+		first, _, _ := a.HandleHeartbeat(0, "i", beat(1, "available"), none, false)
+		moved, is, _ := b.HandleHeartbeat(900, "i", beat(2, "available"), first, true)
 		So(is, ShouldBeTrue) // another hears it now
 		silent := a.Tick(1500)
 		So(silent, ShouldHaveLength, 1)
-		So(silent[0].Rank, ShouldBeLessThan, moved.Rank)
-		_, is = a.Told(1500, moved)
+		So(silent[0].Version, ShouldBeLessThan, moved.Version)
+		_, is = a.HandleUpdate(1500, moved)
 		So(is, ShouldBeFalse)
 		// Even where the news of silence ranks above what b has said so far.
-		b.Heard(1600, "i", beat(4, "available"), moved, true)
-		late := gossip.Item{Key: Prefix + "i", Rank: 3<<shift | silence, Body: []byte(`{"s":"s","t":2,"b":"a"}`)}
-		again, is := b.Told(1700, late)
-		So(is && again.Rank > late.Rank, ShouldBeTrue)
+		b.HandleHeartbeat(1600, "i", beat(4, "available"), moved, true)
+		late := gossip.Entry{Key: Prefix + "i", Version: 3<<versionShift | silentBit, Value: []byte(`{"s":"s","t":2,"b":"a"}`)}
+		again, is := b.HandleUpdate(1700, late)
+		So(is && again.Version > late.Version, ShouldBeTrue)
 	})
 	Convey("A beat that can't be is refused", t, func() {
 		r := New("k", 1000)
-		for _, b := range []Beat{{}, beat(-1, "available"), beat(1, "resting"), {Service: "s", Addr: "nowhere", State: "available"}} {
-			_, _, err := r.Heard(1, "i", b, none, false)
+		for _, b := range []Heartbeat{{}, beat(-1, "available"), beat(1, "resting"), {Service: "s", Addr: "nowhere", State: "available"}} {
+			_, _, err := r.HandleHeartbeat(1, "i", b, none, false)
 			So(err, ShouldNotBeNil)
 		}
 	})
 	Convey("Whatever order beats and news come in, ranks only rise and a life that left stays gone", t, func() {
 		rng := rand.New(rand.NewPCG(1, 2))
 		for range 300 {
-			rs := []*Roster{New("a", 500), New("b", 500), New("c", 500)}
-			books := []*gossip.Book{gossip.NewBook(), gossip.NewBook(), gossip.NewBook()}
+			rs := []*Registry{New("a", 500), New("b", 500), New("c", 500)}
+			books := []*gossip.Store{gossip.NewStore(), gossip.NewStore(), gossip.NewStore()}
 			seq, now, gone := int64(0), int64(0), false
 			for range 60 {
 				now += rng.Int64N(200)
@@ -70,7 +70,7 @@
 					if rng.IntN(4) == 0 {
 						state = "draining"
 					}
-					if news, is, err := rs[i].Heard(now, "i", beat(seq-rng.Int64N(2), state), held, known); err == nil && is {
+					if news, is, err := rs[i].HandleHeartbeat(now, "i", beat(seq-rng.Int64N(2), state), held, known); err == nil && is {
 						books[i].Put(now, news, 1, false)
 					}
 				case 2:
@@ -80,16 +80,16 @@
 				case 3:
 					if rng.IntN(10) == 0 {
 						gone = true
-						books[i].Put(now, rs[i].Left("i"), 1, false)
+						books[i].Put(now, rs[i].HandleDeregister("i"), 1, false)
 					}
 				default:
 					if item, ok := books[rng.IntN(3)].Get(Prefix + "i"); ok && books[i].Put(now, item, 1, false) {
-						if news, is := rs[i].Told(now, item); is {
+						if news, is := rs[i].HandleUpdate(now, item); is {
 							books[i].Put(now, news, 1, false)
 						}
 					}
 				}
-				if after, ok := books[i].Get(Prefix + "i"); known && (!ok || after.Rank < held.Rank || held.Gone() && !after.Gone()) {
+				if after, ok := books[i].Get(Prefix + "i"); known && (!ok || after.Version < held.Version || held.Deleted() && !after.Deleted()) {
 					t.Fatalf("went back from %+v to %+v", held, after)
 				}
 			}
--- a/internal/cluster/replica/replica.go
+++ b/internal/cluster/replica/replica.go
@@ -25,7 +25,7 @@
 // mended well within an operator's patience of 6 s. faults machines may be lost at once.
 func DefaultConfig(faults int) Config {
 	return Config{
-		Repair: antientropy.Config{Again: 2000 * millisecond, Sweep: 1000 * millisecond, Most: 64},
+		Repair: antientropy.Config{RepairInterval: 2000 * millisecond, SweepInterval: 1000 * millisecond, MaxTracked: 64},
 		Chain:  chain.Config{RetryInterval: 500 * millisecond, SuspectTimeout: 1200 * millisecond, CallTimeout: 5000 * millisecond},
 		Consensus: consensus.Config{HeartbeatInterval: 500 * millisecond, FailureTimeout: 1800 * millisecond, SuspicionTimeout: 4000 * millisecond, RejoinDelay: 1000 * millisecond,
 			ProposerStagger: 1000 * millisecond, BallotTimeout: 800 * millisecond, MinViewAge: 800 * millisecond, Voters: 2*faults + 1, MaxLearners: 16},
@@ -45,7 +45,7 @@
 	Chain         *chain.Machine
 	cfg           Config
 	lastSuspectAt int64
-	repairs       *antientropy.Machine
+	repairs       *antientropy.Repairer
 }
 
 // New returns a machine whose disk holds a record; nonce sets its calls apart from those
@@ -102,7 +102,7 @@
 // repair brings a copy that was found old up to date, if what is kept here is acknowledged.
 func (r *Machine) repair(now int64, member message.Member, viewstamp message.Viewstamp) {
 	own := r.Chain.Stored()
-	if r.cfg.Repair.Sweep > 0 && r.Chain.Acknowledged() >= own.Version && r.repairs.Saw(now, member.String(), viewstamp.Version, own.Version) {
+	if r.cfg.Repair.SweepInterval > 0 && r.Chain.Acknowledged() >= own.Version && r.repairs.ShouldRepair(now, member.String(), viewstamp.Version, own.Version) {
 		r.Chain.Repair(member)
 	}
 }
@@ -111,7 +111,7 @@
 // no read has asked, are found by it alone.
 func (r *Machine) sweep(now int64) {
 	v := r.Chain.View()
-	if r.cfg.Repair.Sweep == 0 || v.Head() != r.Consensus.Self || r.Chain.Sealed() {
+	if r.cfg.Repair.SweepInterval == 0 || v.Head() != r.Consensus.Self || r.Chain.Sealed() {
 		return
 	}
 	copies := make(map[string]message.Member, len(v.Members))
--- a/internal/cluster/routeconfig/routeconfig.go
+++ b/internal/cluster/routeconfig/routeconfig.go
@@ -14,7 +14,7 @@
 )
 
 // Charter is a configuration that was found valid.
-type Charter struct {
+type Config struct {
 	Revision int64
 	Raw      []byte // as it was sent
 	Routes   []*Route
@@ -29,15 +29,15 @@
 // Route says what becomes of the requests of a host below a prefix. Exactly one of
 // Backends and Fanout is filled.
 type Route struct {
-	Name, Host, Prefix string
-	Repeatable         bool
-	Timeout, Aim       time.Duration // Aim is 0 where none was told
-	Priority           int
-	Attempts           int
-	Backends           []Backend
-	Fanout             []string // the shards of a gathered answer
-	Limit              int      // records of a gathered answer
-	Least              float64  // share of the shards without which it is no success
+	Name, Host, Prefix     string
+	Idempotent             bool
+	Timeout, TargetLatency time.Duration // Aim is 0 where none was told
+	Priority               int
+	MaxAttempts            int
+	Backends               []Backend
+	FanoutServices         []string // the shards of a gathered answer
+	ResultLimit            int      // records of a gathered answer
+	MinSuccessRatio        float64  // share of the shards without which it is no success
 }
 
 // Backend is a service and its weight beside the others of its route.
@@ -48,9 +48,9 @@
 
 // Service is a service that routes name.
 type Service struct {
-	Name     string
-	Health   string
-	MaxConns int
+	Name            string
+	HealthCheckPath string
+	MaxConnections  int
 }
 
 // Allowance is how much one caller may ask of all mixers together: who is known by a header
@@ -64,22 +64,22 @@
 
 // Limits bound what a client may send and how long it may take.
 type Limits struct {
-	MaxHead, MaxBody   int
-	HeadTime, IdleTime time.Duration
+	MaxHeaderBytes, MaxBodyBytes int
+	HeaderTimeout, IdleTimeout   time.Duration
 }
 
 // The limits where a configuration tells none.
-var Usual = Limits{MaxHead: 16 << 10, MaxBody: 256 << 10, HeadTime: 3 * time.Second, IdleTime: 15 * time.Second}
+var DefaultLimits = Limits{MaxHeaderBytes: 16 << 10, MaxBodyBytes: 256 << 10, HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second}
 
 const (
-	mostRoutes = 20_000
-	mostShards = 256
+	maxRoutes = 20_000
+	maxShards = 256
 
-	mostAllowances = 1000
-	mostRate       = 1e6
+	maxAllowances = 1000
+	maxRate       = 1e6
 )
 
-func span(r paths.Reader) time.Duration {
+func milliseconds(r paths.Reader) time.Duration {
 	ms := r.Number()
 	if ms < 0 || ms > 1e9 {
 		r.Failf("%v ms is out of bounds", ms)
@@ -98,56 +98,56 @@
 }
 
 // Read checks a configuration whole. What is wrong is told by its path.
-func Read(raw []byte) (*Charter, error) {
+func Parse(raw []byte) (*Config, error) {
 	root, err := paths.JSON(raw)
 	if err != nil {
 		return nil, err
 	}
 	root.Object()
-	c := &Charter{Raw: raw, Services: make(map[string]*Service), hosts: make(map[string]map[string]*Route), Limits: Usual}
+	c := &Config{Raw: raw, Services: make(map[string]*Service), hosts: make(map[string]map[string]*Route), Limits: DefaultLimits}
 	c.Revision = revision(root.At("revision").Must())
 	for _, at := range root.At("services").Must().Items() {
-		s := &Service{Name: at.Object().At("name").Must().Text(), Health: at.At("health_check_path").Text(),
-			MaxConns: int(at.At("max_connections").Int())}
+		s := &Service{Name: at.Object().At("name").Must().Text(), HealthCheckPath: at.At("health_check_path").Text(),
+			MaxConnections: int(at.At("max_connections").Int())}
 		if c.Services[s.Name] != nil {
 			at.At("name").Failf("%.60q stands twice", s.Name)
 		}
 		c.Services[s.Name] = s
 	}
 	routes := root.At("routes").Must().Items()
-	if len(routes) > mostRoutes {
-		root.At("routes").Failf("%d are more than %d", len(routes), mostRoutes)
+	if len(routes) > maxRoutes {
+		root.At("routes").Failf("%d are more than %d", len(routes), maxRoutes)
 	}
 	for _, at := range routes {
 		if root.Err() != nil {
 			break
 		}
-		c.route(at)
+		c.parseRoute(at)
 	}
-	c.limits(root.At("limits"))
-	c.allowances(root.At("allowances"))
+	c.parseLimits(root.At("limits"))
+	c.parseAllowances(root.At("allowances"))
 	if err := root.Err(); err != nil {
 		return nil, err
 	}
 	return c, nil
 }
 
-func (c *Charter) limits(at paths.Reader) {
+func (c *Config) parseLimits(at paths.Reader) {
 	if !at.Is() {
 		return
 	}
 	at.Object()
 	l := &c.Limits
-	l.MaxHead = cmp.Or(int(at.At("max_header_bytes").Int()), l.MaxHead) // 0 is as if it were not told
-	l.MaxBody = cmp.Or(int(at.At("max_body_bytes").Int()), l.MaxBody)
-	l.HeadTime = cmp.Or(span(at.At("header_timeout_ms")), l.HeadTime)
-	l.IdleTime = cmp.Or(span(at.At("idle_timeout_ms")), l.IdleTime)
-	if l.MaxHead < 0 || l.MaxBody < 0 {
+	l.MaxHeaderBytes = cmp.Or(int(at.At("max_header_bytes").Int()), l.MaxHeaderBytes) // 0 is as if it were not told
+	l.MaxBodyBytes = cmp.Or(int(at.At("max_body_bytes").Int()), l.MaxBodyBytes)
+	l.HeaderTimeout = cmp.Or(milliseconds(at.At("header_timeout_ms")), l.HeaderTimeout)
+	l.IdleTimeout = cmp.Or(milliseconds(at.At("idle_timeout_ms")), l.IdleTimeout)
+	if l.MaxHeaderBytes < 0 || l.MaxBodyBytes < 0 {
 		at.Failf("a bound is below 0")
 	}
 }
 
-func (c *Charter) service(at paths.Reader) string {
+func (c *Config) parseServiceName(at paths.Reader) string {
 	name := at.Must().Text()
 	if c.Services[name] == nil {
 		at.Failf("there is no service %.60q", name)
@@ -155,14 +155,14 @@
 	return name
 }
 
-func (c *Charter) route(at paths.Reader) {
+func (c *Config) parseRoute(at paths.Reader) {
 	at.Object()
 	r := &Route{Name: at.At("name").Text(), Host: strings.ToLower(at.At("hostname").Must().Text()),
 		Prefix: at.At("path_prefix").Must().Text(), Priority: int(at.At("priority").Int()),
-		Attempts: max(int(at.At("max_attempts").Int()), 1), Limit: int(at.At("result_limit").Int())}
+		MaxAttempts: max(int(at.At("max_attempts").Int()), 1), ResultLimit: int(at.At("result_limit").Int())}
 	switch kind := at.At("route_type").Must().Text(); kind {
 	case "idempotent":
-		r.Repeatable = true
+		r.Idempotent = true
 	case "non_idempotent":
 	default:
 		at.At("route_type").Failf("%.40q is neither idempotent nor non_idempotent", kind)
@@ -170,14 +170,14 @@
 	if !strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/") {
 		at.At("path_prefix").Failf("%.60q does not start and end with a slash", r.Prefix)
 	}
-	if r.Timeout = span(at.At("timeout_ms").Must()); r.Timeout <= 0 {
+	if r.Timeout = milliseconds(at.At("timeout_ms").Must()); r.Timeout <= 0 {
 		at.At("timeout_ms").Failf("is 0")
 	}
-	r.Aim = span(at.At("target_latency_ms"))
+	r.TargetLatency = milliseconds(at.At("target_latency_ms"))
 	told := 0
 	if t := at.At("target_service"); t.Is() {
 		told++
-		r.Backends = []Backend{{Service: c.service(t), Weight: 1}}
+		r.Backends = []Backend{{Service: c.parseServiceName(t), Weight: 1}}
 	}
 	if b := at.At("backends"); b.Is() {
 		told++
@@ -189,7 +189,7 @@
 					name = item.At(other)
 				}
 			}
-			x := Backend{Service: c.service(name), Weight: item.At("weight").Number()}
+			x := Backend{Service: c.parseServiceName(name), Weight: item.At("weight").Number()}
 			if x.Weight < 0 {
 				item.At("weight").Failf("is below 0")
 			}
@@ -204,19 +204,19 @@
 		told++
 		seen := make(map[string]bool)
 		for _, item := range f.Items() {
-			name := c.service(item)
+			name := c.parseServiceName(item)
 			if seen[name] {
 				item.Failf("%.60q stands twice", name)
 			}
 			seen[name] = true
-			r.Fanout = append(r.Fanout, name)
+			r.FanoutServices = append(r.FanoutServices, name)
 		}
-		if len(r.Fanout) == 0 || len(r.Fanout) > mostShards {
-			f.Failf("%d shards are not within 1 to %d", len(r.Fanout), mostShards)
+		if len(r.FanoutServices) == 0 || len(r.FanoutServices) > maxShards {
+			f.Failf("%d shards are not within 1 to %d", len(r.FanoutServices), maxShards)
 		}
-		r.Least = at.At("min_success_ratio").Number()
-		if r.Least < 0 || r.Least > 1 {
-			at.At("min_success_ratio").Failf("%v is no share", r.Least)
+		r.MinSuccessRatio = at.At("min_success_ratio").Number()
+		if r.MinSuccessRatio < 0 || r.MinSuccessRatio > 1 {
+			at.At("min_success_ratio").Failf("%v is no share", r.MinSuccessRatio)
 		}
 	}
 	if told != 1 {
@@ -236,7 +236,7 @@
 
 // Match finds the route of a request, nil where there is none: of the routes of its host
 // the one with the longest prefix that begins the path.
-func (c *Charter) Match(host, path string) *Route {
+func (c *Config) MatchRoute(host, path string) *Route {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
 	}
@@ -255,9 +255,9 @@
 }
 
 // Newer tells whether c counts beside what was held, which may be nil.
-func (c *Charter) Newer(held *Charter) bool { return held == nil || c.Revision > held.Revision }
+func (c *Config) Newer(current *Config) bool { return current == nil || c.Revision > current.Revision }
 
-func (c *Charter) allowances(at paths.Reader) {
+func (c *Config) parseAllowances(at paths.Reader) {
 	if !at.Is() {
 		return
 	}
@@ -266,8 +266,8 @@
 		routes[r.Name] = true
 	}
 	list, seen := at.Items(), make(map[string]bool)
-	if len(list) > mostAllowances {
-		at.Failf("%d are more than %d", len(list), mostAllowances)
+	if len(list) > maxAllowances {
+		at.Failf("%d are more than %d", len(list), maxAllowances)
 	}
 	for _, at := range list {
 		a := &Allowance{Name: at.Object().At("name").Must().Text(), Header: at.At("header").Text(),
@@ -275,10 +275,10 @@
 		switch {
 		case seen[a.Name]:
 			at.At("name").Failf("%.60q stands twice", a.Name)
-		case a.Rate <= 0 || a.Rate > mostRate:
-			at.At("rate").Failf("%v is not within 0 to %v requests a second", a.Rate, mostRate)
-		case a.Burst < 0 || a.Burst > mostRate:
-			at.At("burst").Failf("%v is not within 0 to %v requests", a.Burst, mostRate)
+		case a.Rate <= 0 || a.Rate > maxRate:
+			at.At("rate").Failf("%v is not within 0 to %v requests a second", a.Rate, maxRate)
+		case a.Burst < 0 || a.Burst > maxRate:
+			at.At("burst").Failf("%v is not within 0 to %v requests", a.Burst, maxRate)
 		case (a.Header == "") != (a.Value == ""):
 			at.Failf("header and value go together")
 		}
@@ -302,7 +302,7 @@
 
 // Allowance finds the allowance that a request counts against: the first that is its
 // caller's and route's. Nil: none is.
-func (c *Charter) Allowance(r *Route, header func(name string) string) *Allowance {
+func (c *Config) MatchAllowance(r *Route, header func(name string) string) *Allowance {
 	for _, a := range c.Allowances {
 		if (a.Routes == nil || a.Routes[r.Name]) && (a.Header == "" || header(a.Header) == a.Value) {
 			return a
--- a/internal/cluster/routeconfig/routeconfig_test.go
+++ b/internal/cluster/routeconfig/routeconfig_test.go
@@ -18,17 +18,17 @@
 
 func TestRead(t *testing.T) {
 	Convey("A configuration is read whole, and its bytes are kept", t, func() {
-		c, err := Read([]byte(good))
+		c, err := Parse([]byte(good))
 		So(err, ShouldBeNil)
 		So(c.Revision, ShouldEqual, 7)
 		So(string(c.Raw), ShouldEqual, good)
-		So(c.Services["s1"].MaxConns, ShouldEqual, 76)
-		So(c.Limits.MaxBody, ShouldEqual, 262144)
+		So(c.Services["s1"].MaxConnections, ShouldEqual, 76)
+		So(c.Limits.MaxBodyBytes, ShouldEqual, 262144)
 		for at, name := range map[string]string{"/a/": "g", "/a/x": "g", "/a/b/": "p", "/a/b/c/d": "p", "/a": "w", "/ab/": "w", "/": "w"} {
-			So(c.Match("h.example", at).Name, ShouldEqual, name)
-			So(c.Match("H.Example:80", at).Name, ShouldEqual, name)
+			So(c.MatchRoute("h.example", at).Name, ShouldEqual, name)
+			So(c.MatchRoute("H.Example:80", at).Name, ShouldEqual, name)
 		}
-		So(c.Match("other", "/a/"), ShouldBeNil)
+		So(c.MatchRoute("other", "/a/"), ShouldBeNil)
 		So(c.Newer(nil), ShouldBeTrue)
 		So(c.Newer(c), ShouldBeFalse)
 	})
@@ -61,14 +61,14 @@
 		} {
 			from, to, _ := strings.Cut(change, ">")
 			So(good, ShouldContainSubstring, from)
-			_, err := Read([]byte(strings.Replace(good, from, to, 1)))
+			_, err := Parse([]byte(strings.Replace(good, from, to, 1)))
 			So(err, ShouldNotBeNil)
 			So(err.Error(), ShouldContainSubstring, path)
 		}
 	})
 	Convey("Cut short anywhere, it is refused", t, func() {
 		for i := range len(good) - 1 {
-			_, err := Read([]byte(good[:i]))
+			_, err := Parse([]byte(good[:i]))
 			So(err, ShouldNotBeNil)
 		}
 	})
@@ -82,9 +82,9 @@
 		}
 		doc["routes"] = routes
 		raw, _ := json.Marshal(doc)
-		c, err := Read(raw)
+		c, err := Parse(raw)
 		So(err, ShouldBeNil)
-		So(c.Match("h.example", "/more/349/x").Name, ShouldEqual, "349")
+		So(c.MatchRoute("h.example", "/more/349/x").Name, ShouldEqual, "349")
 	})
 }
 
@@ -92,15 +92,15 @@
 func FuzzRead(f *testing.F) {
 	f.Add([]byte(good))
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		c, err := Read(raw)
+		c, err := Parse(raw)
 		if err != nil {
 			return
 		}
 		for _, r := range c.Routes {
-			if got := c.Match(r.Host, r.Prefix); got != r {
+			if got := c.MatchRoute(r.Host, r.Prefix); got != r {
 				t.Fatalf("%q %q leads elsewhere", r.Host, r.Prefix)
 			}
-			if r.Timeout <= 0 || (len(r.Backends) == 0) == (len(r.Fanout) == 0) {
+			if r.Timeout <= 0 || (len(r.Backends) == 0) == (len(r.FanoutServices) == 0) {
 				t.Fatalf("%+v", r)
 			}
 		}
@@ -108,15 +108,15 @@
 }
 
 func TestAllowances(t *testing.T) {
-	with := func(list string) (*Charter, error) {
-		return Read([]byte(strings.Replace(good, `"revision":7`, `"revision":7,"allowances":`+list, 1)))
+	with := func(list string) (*Config, error) {
+		return Parse([]byte(strings.Replace(good, `"revision":7`, `"revision":7,"allowances":`+list, 1)))
 	}
 	Convey("Allowances are found by caller and route, the first that fits", t, func() {
 		c, err := with(`[{"name":"billing on p","header":"x-desk","value":"billing","routes":["p"],"rate":5},{"name":"billing","header":"X-Desk","value":"billing","rate":50,"burst":100},{"name":"look","routes":["w"],"rate":9}]`)
 		So(err, ShouldBeNil)
 		for _, x := range []struct{ path, desk, want string }{{"/a/b/", "billing", "billing on p"}, {"/a/", "billing", "billing"}, {"/", "billing", "billing"},
 			{"/", "dispatch", "look"}, {"/a/", "dispatch", ""}} {
-			a := c.Allowance(c.Match("h.example", x.path), func(name string) string {
+			a := c.MatchAllowance(c.MatchRoute("h.example", x.path), func(name string) string {
 				So(strings.ToLower(name), ShouldEqual, "x-desk")
 				return x.desk
 			})
--- a/internal/compat/storage_test.go
+++ b/internal/compat/storage_test.go
@@ -44,11 +44,11 @@
 				if got := message.RevisionOf(entry.Version); got != want.revision {
 					t.Errorf("%s: revision %d; want %d", key, got, want.revision)
 				}
-				if _, err := routeconfig.Read(entry.Content); err != nil {
+				if _, err := routeconfig.Parse(entry.Content); err != nil {
 					t.Errorf("%s: %v", key, err)
 				}
 			}
-			var servers []gossip.Item
+			var servers []gossip.Entry
 			unchanged(t, get(t, store, "servers"), &servers)
 			if len(servers) != want.servers {
 				t.Errorf("%d servers are remembered; want %d", len(servers), want.servers)
@@ -74,7 +74,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	config, err := routeconfig.Read(raw)
+	config, err := routeconfig.Parse(raw)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/compat/wire_test.go
+++ b/internal/compat/wire_test.go
@@ -22,8 +22,8 @@
 
 // sent are the bodies of all calls between the system's processes, by the name of their fixture.
 var sent = map[string]any{
-	"rumour-pass":         &gossip.Pass{},
-	"rumour-passed":       &gossip.Passed{},
+	"rumour-pass":         &gossip.ExchangeRequest{},
+	"rumour-passed":       &gossip.ExchangeResponse{},
 	"process":             &gossip.Process{},
 	"ring-after":          &role.After{},
 	"ring-heard":          &role.Heard{},
@@ -34,7 +34,7 @@
 	"allow-claims":        &role.Claims{},
 	"allow-grants":        &role.Grants{},
 	"server":              &registry.Server{},
-	"server-heartbeat":    &registry.Beat{},
+	"server-heartbeat":    &registry.Heartbeat{},
 	"heartbeat-answer":    &role.Beaten{},
 	"show":                &role.Shown{},
 	"replica-view":        &message.View{},
--- a/internal/front/gate/gate.go
+++ b/internal/front/gate/gate.go
@@ -65,7 +65,7 @@
 	if p == nil {
 		return c.Write(503, "no configuration yet\n", keep, retry(lateRetry))
 	}
-	route := p.Charter.Match(r.Header.Get("Host"), r.Path)
+	route := p.Charter.MatchRoute(r.Header.Get("Host"), r.Path)
 	if route == nil {
 		g.Unrouted.Add(1)
 		return c.Write(404, "no such route\n", keep)
@@ -73,7 +73,7 @@
 	c.Queried()
 	if len(p.Charter.Allowances) > 0 && g.Allow != nil {
 		// Before anything of it is sent: who is turned away here has had nothing of it done.
-		if a := p.Charter.Allowance(route, r.Header.Get); a != nil {
+		if a := p.Charter.MatchAllowance(route, r.Header.Get); a != nil {
 			if ok, after := g.Allow(a.Name); !ok {
 				after = min(after, mostAfter)
 				return c.Write(429, fmt.Sprintf("not done: the allowance %s (%g requests a second) is used up; come back in %.1f s\n", a.Name, a.Rate, after.Seconds()), keep, retry(after))
@@ -81,8 +81,8 @@
 		}
 	}
 	l := p.lanes[route]
-	q := &exchange.Query{ID: r.Header.Get(headID), Class: l.class, TakenAt: at, Gather: len(route.Fanout) > 0,
-		Once: !route.Repeatable, Least: route.Least}
+	q := &exchange.Query{ID: r.Header.Get(headID), Class: l.class, TakenAt: at, Gather: len(route.FanoutServices) > 0,
+		Once: !route.Idempotent, Least: route.MinSuccessRatio}
 	if q.ID == "" || len(q.ID) > maxID {
 		q.ID = "~" + strconv.FormatInt(g.number.Add(1), 10)
 	}
@@ -106,7 +106,7 @@
 	return c.Exchange(q, r.KeepAlive, func(f exchange.Final, keep bool) bool {
 		if f.Ending == exchange.Answered {
 			if q.Gather {
-				return c.Put(merge(f.Hits, len(q.Parts), route.Limit, keep))
+				return c.Put(merge(f.Hits, len(q.Parts), route.ResultLimit, keep))
 			}
 			return c.Put(closing(f.Hits[0].Value, keep))
 		}
--- a/internal/front/gate/gate_test.go
+++ b/internal/front/gate/gate_test.go
@@ -62,7 +62,7 @@
 }
 
 func (p *proxy) charter(text string) {
-	c, err := routeconfig.Read([]byte(text))
+	c, err := routeconfig.Parse([]byte(text))
 	require.NoError(p.t, err)
 	plan, err := gate.NewPlan(c, &p.numbers)
 	require.NoError(p.t, err)
--- a/internal/front/gate/plan.go
+++ b/internal/front/gate/plan.go
@@ -15,7 +15,7 @@
 
 // Plan is a configuration made ready for requests. It does not change.
 type Plan struct {
-	Charter *routeconfig.Charter
+	Charter *routeconfig.Config
 	Classes []choice.Class
 
 	lanes map[*routeconfig.Route]*lane
@@ -76,20 +76,20 @@
 )
 
 // NewPlan makes a plan of a configuration.
-func NewPlan(c *routeconfig.Charter, numbers *Shards) (*Plan, error) {
+func NewPlan(c *routeconfig.Config, numbers *Shards) (*Plan, error) {
 	p := &Plan{Charter: c, lanes: make(map[*routeconfig.Route]*lane, len(c.Routes))}
 	classes := make(map[string]choice.Class)
 	for _, r := range c.Routes {
 		l := &lane{}
-		if len(r.Fanout) > 0 {
-			for _, service := range r.Fanout {
+		if len(r.FanoutServices) > 0 {
+			for _, service := range r.FanoutServices {
 				n, err := numbers.Of(service)
 				if err != nil {
 					return nil, err
 				}
 				l.shards = append(l.shards, n)
 			}
-			l.class = class(classes, r, r.Fanout)
+			l.class = class(classes, r, r.FanoutServices)
 		} else {
 			sum := 0.0
 			for _, b := range r.Backends {
@@ -123,19 +123,19 @@
 // the same services share one, and with it what is learned: of hundreds of routes none
 // would see enough by itself. A changed timeout keeps it.
 func class(classes map[string]choice.Class, r *routeconfig.Route, services []string) string {
-	aim := cmp.Or(r.Aim.Microseconds(), choice.Micros(float64(r.Timeout.Microseconds())*aimOfTime))
+	aim := cmp.Or(r.TargetLatency.Microseconds(), choice.Micros(float64(r.Timeout.Microseconds())*aimOfTime))
 	sorted := slices.Clone(services)
 	slices.Sort(sorted)
-	name := fmt.Sprintf("%t|%d|%d|%g|%d|%s", r.Repeatable, aim, r.Attempts, r.Least, r.Priority, strings.Join(sorted, ","))
+	name := fmt.Sprintf("%t|%d|%d|%g|%d|%s", r.Idempotent, aim, r.MaxAttempts, r.MinSuccessRatio, r.Priority, strings.Join(sorted, ","))
 	c, known := classes[name]
 	if !known {
 		c = choice.Class{Name: name, Aim: aim - min(max(choice.Micros(aimMargin*float64(aim)), leastMargin), aim/2), Effect: choice.Unsafe, LateWorth: lateWorth, Need: 1, Floor: 1, Partial: 1,
-			Value: valueOfRank / float64(valueOfRank+max(r.Priority, 0)), Attempts: min(r.Attempts, startCap)}
-		if r.Repeatable {
+			Value: valueOfRank / float64(valueOfRank+max(r.Priority, 0)), Attempts: min(r.MaxAttempts, startCap)}
+		if r.Idempotent {
 			c.Effect = choice.Safe
 		}
-		if len(r.Fanout) > 0 {
-			c.Floor, c.Power = r.Least, 2 // the worth goes by the square of the share that is in
+		if len(r.FanoutServices) > 0 {
+			c.Floor, c.Power = r.MinSuccessRatio, 2 // the worth goes by the square of the share that is in
 		}
 	}
 	c.Deadline = max(c.Deadline, r.Timeout.Microseconds(), aim)
@@ -146,5 +146,5 @@
 // Pace is what a configuration's limits mean to the front: a client has the time of a head
 // for its head, and as long as it may rest for its body.
 func Pace(l routeconfig.Limits) front.Pace {
-	return front.Pace{First: l.IdleTime, Request: l.HeadTime, Idle: l.IdleTime, Body: l.IdleTime, MaxHead: l.MaxHead, MaxBody: l.MaxBody}
+	return front.Pace{First: l.IdleTimeout, Request: l.HeaderTimeout, Idle: l.IdleTimeout, Body: l.IdleTimeout, MaxHead: l.MaxHeaderBytes, MaxBody: l.MaxBodyBytes}
 }
--- a/internal/lab/answers/answers.go
+++ b/internal/lab/answers/answers.go
@@ -105,7 +105,7 @@
 	go back.Run(ctx)
 	go f.Serve(ln)
 	var numbers gate.Shards
-	c, err := routeconfig.Read([]byte(routeConfig))
+	c, err := routeconfig.Parse([]byte(routeConfig))
 	if err != nil {
 		return "", err
 	}
--- a/internal/lab/measure/allow.go
+++ b/internal/lab/measure/allow.go
@@ -41,17 +41,17 @@
 // bank; between them lie 10 to 60 ms.
 func MeasureAllow(p AllowPlan) Allow {
 	rng := rand.New(rand.NewPCG(p.Seed, uint64(p.Mixers)))
-	var stated []quota.Stated
+	var stated []quota.Allowance
 	for i := range p.Callers {
-		stated = append(stated, quota.Stated{Name: fmt.Sprintf("caller-%03d", i), Rate: p.Rate, Burst: p.Burst})
+		stated = append(stated, quota.Allowance{Name: fmt.Sprintf("caller-%03d", i), Rate: p.Rate, Burst: p.Burst})
 	}
-	bank := quota.NewBank(0, quota.UsualTerms, p.Mixers)
-	bank.State(stated)
-	tills := make([]*quota.Till, p.Mixers)
+	bank := quota.NewLessor(0, quota.DefaultLeaseConfig, p.Mixers)
+	bank.SetAllowances(stated)
+	tills := make([]*quota.Holder, p.Mixers)
 	for i := range tills {
-		tills[i] = quota.NewTill(quota.UsualTerms)
-		tills[i].State(0, stated)
-		tills[i].Mixers(p.Mixers)
+		tills[i] = quota.NewHolder(quota.DefaultLeaseConfig)
+		tills[i].SetAllowances(0, stated)
+		tills[i].SetProxies(p.Mixers)
 	}
 	type mail struct {
 		at int64
@@ -75,7 +75,7 @@
 			if !t.Due(now) {
 				continue
 			}
-			sent, list := now, t.Claims(now)
+			sent, list := now, t.TakeClaims(now)
 			cost := weight(map[string]any{"f": fmt.Sprintf("10.1.0.%d:7080", i), "l": list}) + headBytes
 			if measured && i != 0 { // the first holds the bank: its own claims stay there
 				out.Calls++
@@ -85,12 +85,12 @@
 				continue
 			}
 			post = append(post, mail{now + 10_000 + rng.Int64N(50_000), func(now int64) {
-				grants := bank.Claims(now, fmt.Sprint("m", i), p.Mixers, list)
+				grants := bank.HandleClaims(now, fmt.Sprint("m", i), p.Mixers, list)
 				if measured && i != 0 {
 					bytes += weight(map[string]any{"l": grants}) + answerBytes
 				}
 				if rng.Float64() >= p.Loss {
-					post = append(post, mail{now + 10_000 + rng.Int64N(50_000), func(now int64) { t.Granted(now, sent, grants) }})
+					post = append(post, mail{now + 10_000 + rng.Int64N(50_000), func(now int64) { t.HandleGrants(now, sent, grants) }})
 				}
 			}})
 		}
--- a/internal/lab/measure/capacity.go
+++ b/internal/lab/measure/capacity.go
@@ -105,22 +105,22 @@
 	for i := range servers {
 		item := serverItem(i, p.Zones, w.procs[i%p.Cores].addr, 1, registry.Available)
 		for _, x := range w.procs {
-			x.kin.Book().Put(w.now, item, 0, false)
+			x.kin.Store().Put(w.now, item, 0, false)
 		}
 	}
 	for _, x := range w.procs {
-		x.kin.Book().Hot()
+		x.kin.Store().TakePending()
 	}
 }
 
-func serverItem(i, zones int, by string, seq uint64, state registry.State) gossip.Item {
+func serverItem(i, zones int, by string, seq uint64, state registry.State) gossip.Entry {
 	s := registry.Server{ID: fmt.Sprintf("i-%08x", i), Service: fmt.Sprint("s", i%140), Addr: fmt.Sprintf("10.%d.%d.%d:8080", 100+i/60000, i/250%240, i%250),
-		Zone: fmt.Sprint("z", i%zones), Revision: "v1", Capacity: 3, State: state, By: by}
+		Zone: fmt.Sprint("z", i%zones), Revision: "v1", Capacity: 3, State: state, Owner: by}
 	body, err := json.Marshal(s)
 	if err != nil {
 		panic(err)
 	}
-	return gossip.Item{Key: registry.Prefix + s.ID, Rank: seq << 2, Body: body}
+	return gossip.Entry{Key: registry.Prefix + s.ID, Version: seq << 2, Value: body}
 }
 
 // weigh plays so many seconds and tells what a process of each role spends.
@@ -150,15 +150,15 @@
 	const rounds = 20
 	r := registry.New(w.procs[0].addr, 1<<40)
 	share := max(servers/p.Cores, 1)
-	book := w.procs[0].kin.Book()
+	book := w.procs[0].kin.Store()
 	began := time.Now()
 	for round := range rounds {
 		for i := range share {
 			id := fmt.Sprintf("i-%08x", i)
 			held, known := book.Get(registry.Prefix + id)
-			b := registry.Beat{Service: fmt.Sprint("s", i%140), Addr: "10.100.0.1:8080", Zone: "z1", Revision: "v1", Capacity: 3,
-				State: registry.SaysAvailable, Sequence: int64(round + 2)}
-			r.Heard(w.now, id, b, held, known)
+			b := registry.Heartbeat{Service: fmt.Sprint("s", i%140), Addr: "10.100.0.1:8080", Zone: "z1", Revision: "v1", Capacity: 3,
+				State: registry.LifecycleAvailable, Sequence: int64(round + 2)}
+			r.HandleHeartbeat(w.now, id, b, held, known)
 		}
 	}
 	return time.Since(began) / time.Duration(rounds*share)
@@ -168,7 +168,7 @@
 // taken off.
 func (p CapacityPlan) change(w *newsWorld, rest Role) (Role, float64, time.Duration) {
 	body := config(p.ConfigBytes)
-	item := gossip.Item{Key: "c", Rank: 1 << 20, Body: body}
+	item := gossip.Entry{Key: "c", Version: 1 << 20, Value: body}
 	r, to := p.tell(w, rest, item)
 	packed := float64(rpc.Packed(body)) / float64(len(body))
 	return r, r.Bytes * packed, to
@@ -197,10 +197,10 @@
 
 // tell gives one core machine a piece of news, and measures what that costs and how long it
 // takes until all hold it.
-func (p CapacityPlan) tell(w *newsWorld, rest Role, item gossip.Item) (Role, time.Duration) {
+func (p CapacityPlan) tell(w *newsWorld, rest Role, item gossip.Entry) (Role, time.Duration) {
 	begun, last, missing := w.now, w.now, len(w.procs)-1
-	w.watch = func(_ *proc, i gossip.Item) {
-		if i.Key == item.Key && i.Rank == item.Rank {
+	w.watch = func(_ *proc, i gossip.Entry) {
+		if i.Key == item.Key && i.Version == item.Version {
 			missing--
 			last = w.now
 		}
--- a/internal/lab/measure/laggards.go
+++ b/internal/lab/measure/laggards.go
@@ -46,9 +46,9 @@
 // flock is one mixer before the servers.
 type flock struct {
 	p      *proc
-	watch  *outlier.Watch
-	groups *outlier.Groups
-	seat   *outlier.Seat
+	watch  *outlier.Observer
+	groups *outlier.Ejections
+	seat   *outlier.AggregatorRole
 	looks  bool
 	steps  bool
 	pace   map[string]float64 // what the mixer itself thinks of a server, as choice/ does
@@ -80,21 +80,21 @@
 	for (NewsPlan{Processes: plan.Mixers + core}).cores() != core {
 		core++
 	}
-	base := newNewsWorld(NewsPlan{Processes: plan.Mixers + core, Zones: plan.Zones, Seed: plan.Seed, Delays: plan.Delays}, member.Duty{Name: outlier.Duty, Kind: "echo"})
+	base := newNewsWorld(NewsPlan{Processes: plan.Mixers + core, Zones: plan.Zones, Seed: plan.Seed, Delays: plan.Delays}, member.SingletonRole{Name: outlier.Role, ProcessKind: "echo"})
 	w := &laggardWorld{newsWorld: base, plan: plan, by: make(map[*proc]*flock), slow: make(map[string]float64)}
 	for _, p := range base.procs[core:] {
-		f := &flock{p: p, watch: outlier.NewWatch(outlier.Usual), groups: outlier.NewGroups(outlier.Usual), seat: outlier.NewSeat(outlier.Usual, p.addr),
+		f := &flock{p: p, watch: outlier.NewObserver(outlier.DefaultConfig), groups: outlier.NewEjections(outlier.DefaultConfig), seat: outlier.NewAggregatorRole(outlier.DefaultConfig, p.addr),
 			pace: make(map[string]float64), tried: make(map[string]int64)}
 		w.flocks, w.by[p] = append(w.flocks, f), f
 	}
-	base.watch = func(p *proc, i gossip.Item) {
+	base.watch = func(p *proc, i gossip.Entry) {
 		f := w.by[p]
 		var a outlier.Assignment
-		if f == nil || i.Key != groupsKey || json.Unmarshal(i.Body, &a) != nil {
+		if f == nil || i.Key != groupsKey || json.Unmarshal(i.Value, &a) != nil {
 			return
 		}
-		f.seat.Told(i.Rank, a)
-		if f.groups.Told(w.now, i.Rank, a) {
+		f.seat.Observe(i.Version, a)
+		if f.groups.Observe(w.now, i.Version, a) {
 			w.after(0, func() { w.look(f) })
 		}
 	}
@@ -169,7 +169,7 @@
 		x := int64(w.took()*max(w.slow[name], 1)) + way
 		w.after(min(x, aimTime), func() {
 			f.pace[name] += (float64(min(x, aimTime))/float64(20_000+way) - f.pace[name]) * paceStep
-			doubted := f.watch.Saw(w.now, outlier.Sample{Name: name, Shard: fmt.Sprint("s", s), Kind: fmt.Sprint("sweep ", far), Took: min(x, aimTime), Whole: x < aimTime})
+			doubted := f.watch.Record(w.now, outlier.Sample{Name: name, Shard: fmt.Sprint("s", s), Kind: fmt.Sprint("sweep ", far), Latency: min(x, aimTime), Complete: x < aimTime})
 			if doubted && !f.looks {
 				w.look(f)
 			}
@@ -184,20 +184,20 @@
 	if f.looks || !f.p.up {
 		return
 	}
-	said, _ := f.groups.Said(w.now)
-	list := f.watch.Tell(w.now, said)
+	said, _ := f.groups.Assignment(w.now)
+	list := f.watch.TakeEvidence(w.now, said)
 	w.moves += len(f.groups.Step(w.now, w.members, f.watch))
 	if w.hook != nil {
 		w.hook()
 	}
-	if f.watch.Doubted() > 0 || !f.groups.Quiet(w.now) {
+	if f.watch.Suspected() > 0 || !f.groups.Quiet(w.now) {
 		f.looks = true
 		w.after(300*ms, func() { f.looks = false; w.look(f) })
 	}
 	if len(list) == 0 || w.alone {
 		return
 	}
-	c, known := f.p.kin.Holder(outlier.Duty)
+	c, known := f.p.kin.Holder(outlier.Role)
 	if !known || c.Holder == f.p.addr {
 		w.given(f, f.p.addr, list)
 		return
@@ -213,9 +213,9 @@
 }
 
 func (w *laggardWorld) given(f *flock, from string, list []outlier.Evidence) {
-	epoch, holds := f.p.kin.Holds(outlier.Duty)
-	f.seat.Holds(w.now, epoch, holds)
-	if f.seat.Given(w.now, from, list) {
+	epoch, holds := f.p.kin.Holds(outlier.Role)
+	f.seat.SetHolder(w.now, epoch, holds)
+	if f.seat.AddEvidence(w.now, from, list) {
 		w.sit(f)
 	}
 }
@@ -225,8 +225,8 @@
 	if f.steps || !f.p.up {
 		return
 	}
-	epoch, holds := f.p.kin.Holds(outlier.Duty)
-	f.seat.Holds(w.now, epoch, holds)
+	epoch, holds := f.p.kin.Holds(outlier.Role)
+	f.seat.SetHolder(w.now, epoch, holds)
 	a, rank, say := f.seat.Step(w.now, len(w.flocks), w.members)
 	if say {
 		body, err := json.Marshal(a)
@@ -234,7 +234,7 @@
 			panic(err)
 		}
 		w.sent += len(body) * len(w.procs)
-		f.p.kin.Put(w.now, gossip.Item{Key: groupsKey, Rank: rank, Body: body})
+		f.p.kin.Put(w.now, gossip.Entry{Key: groupsKey, Version: rank, Value: body})
 		f.p.soon()
 	}
 	if f.seat.Busy() {
@@ -246,7 +246,7 @@
 // holder is the mixer that holds the council.
 func (w *laggardWorld) holder() *flock {
 	for _, f := range w.flocks {
-		if _, holds := f.p.kin.Holds(outlier.Duty); holds && f.p.up {
+		if _, holds := f.p.kin.Holds(outlier.Role); holds && f.p.up {
 			return f
 		}
 	}
@@ -313,7 +313,7 @@
 		known := make(map[*flock]bool)
 		l.until(at+60_000*ms, func() bool {
 			for _, f := range l.flocks {
-				if o, seen := f.watch.Of(l.now, name); !known[f] && seen && o.Score >= outlier.Usual.Agree {
+				if o, seen := f.watch.Describe(l.now, name); !known[f] && seen && o.Score >= outlier.DefaultConfig.EjectScore {
 					known[f] = true
 					lone.Spans = append(lone.Spans, time.Duration((l.now-at)*micro))
 				}
@@ -355,7 +355,7 @@
 		h.p.life++
 		w.once(&row, everyone)
 		h.p.start()
-		h.groups, h.seat, h.looks, h.steps = outlier.NewGroups(outlier.Usual), outlier.NewSeat(outlier.Usual, h.p.addr), false, false
+		h.groups, h.seat, h.looks, h.steps = outlier.NewEjections(outlier.DefaultConfig), outlier.NewAggregatorRole(outlier.DefaultConfig, h.p.addr), false, false
 		w.until(w.now+15_000*ms, nil)
 	}
 	rows = append(rows, row)
--- a/internal/lab/measure/news.go
+++ b/internal/lab/measure/news.go
@@ -66,8 +66,8 @@
 	seeds  []string
 	killed map[string]bool
 	false_ int
-	watch  func(p *proc, i gossip.Item)
-	duties []member.Duty
+	watch  func(p *proc, i gossip.Entry)
+	duties []member.SingletonRole
 	cut    func(p, q *proc) bool // nil: no way is
 }
 
@@ -86,8 +86,8 @@
 	}
 	p.up, p.life = true, p.life+1
 	self := gossip.Process{Addr: p.addr, Name: fmt.Sprint("m", p.i), Kind: kind, Zone: fmt.Sprint("z", p.zone), Region: fmt.Sprint("g", p.region)}
-	p.kin = member.New(p.w.now, member.Usual(p.w.duties...), self, p.w.seeds, p.w.rng)
-	p.kin.Took = func(i gossip.Item) {
+	p.kin = member.New(p.w.now, member.DefaultConfig(p.w.duties...), self, p.w.seeds, p.w.rng)
+	p.kin.OnUpdate = func(i gossip.Entry) {
 		if p.w.watch != nil {
 			p.w.watch(p, i)
 		}
@@ -111,7 +111,7 @@
 	p.flush()
 	p.timer++
 	mine, life := p.timer, p.life
-	p.w.after(max(p.kin.Next()-p.w.now, ms), func() {
+	p.w.after(max(p.kin.NextTick()-p.w.now, ms), func() {
 		if p.timer == mine && p.life == life {
 			p.step()
 		}
@@ -120,43 +120,43 @@
 
 func (p *proc) flush() {
 	w := p.w
-	out := p.kin.Take()
-	for _, n := range out.Noted {
-		if n.What == member.Dead && !w.killed[n.Process] {
+	out := p.kin.TakeOutput()
+	for _, n := range out.Events {
+		if n.Kind == member.ProcessDead && !w.killed[n.Process] {
 			w.false_++
 		}
 	}
 	life := p.life
-	for _, o := range out.Orders {
-		w.call(p, o.To, size(o.Pass), func(q *proc) (any, int) {
-			ans := q.kin.Got(w.now, o.Pass)
+	for _, o := range out.Calls {
+		w.call(p, o.To, size(o.Request), func(q *proc) (any, int) {
+			ans := q.kin.HandleExchange(w.now, o.Request)
 			q.soon()
 			return ans, size(ans)
 		}, func(ans any, ok bool) {
 			if p.life != life {
 				return
 			}
-			a, _ := ans.(gossip.Passed)
-			p.kin.Done(w.now, o, a, ok)
+			a, _ := ans.(gossip.ExchangeResponse)
+			p.kin.HandleExchangeResult(w.now, o, a, ok)
 			p.flush()
 			p.soon()
 		})
 	}
-	for _, q := range out.Ask {
+	for _, q := range out.Probes {
 		w.ask(p, q, life)
 	}
 }
 
 // ask carries a question of the ring, and the try that it may lead to.
-func (w *newsWorld) ask(p *proc, q failuredetector.Question, life int) {
+func (w *newsWorld) ask(p *proc, q failuredetector.Probe, life int) {
 	answer := func(hears, came bool) {
 		if p.life == life {
-			p.kin.Answered(w.now, q, hears, came)
+			p.kin.HandleProbeResult(w.now, q, hears, came)
 		}
 	}
 	var hears, try bool
 	w.call(p, q.To, 40, func(x *proc) (any, int) {
-		hears, try = x.kin.Hears(w.now, q.About)
+		hears, try = x.kin.HandleProbe(w.now, q.About)
 		return nil, 12
 	}, func(_ any, ok bool) {
 		if !ok || !try {
@@ -241,7 +241,7 @@
 }
 
 // newNewsWorld has a fleet about to start.
-func newNewsWorld(plan NewsPlan, duties ...member.Duty) *newsWorld {
+func newNewsWorld(plan NewsPlan, duties ...member.SingletonRole) *newsWorld {
 	w := &newsWorld{sim: newSim(plan.Seed), plan: plan, byAddr: make(map[string]*proc), killed: make(map[string]bool), duties: duties}
 	for i := range plan.Processes {
 		p := &proc{w: w, i: i, addr: fmt.Sprintf("10.%d.%d.%d:7080", i%plan.Zones+1, i/200, i%200+1)}
@@ -260,12 +260,12 @@
 
 func (p *proc) told(server int, seq uint64, state registry.State) {
 	s := registry.Server{ID: fmt.Sprint("i-", server), Service: fmt.Sprint("s", server%20), Addr: fmt.Sprintf("10.9.%d.%d:80", server/200, server%200),
-		Zone: fmt.Sprint("z", server%p.w.plan.Zones), Revision: "v1", Capacity: 3, State: state, By: p.addr}
+		Zone: fmt.Sprint("z", server%p.w.plan.Zones), Revision: "v1", Capacity: 3, State: state, Owner: p.addr}
 	body, err := json.Marshal(s)
 	if err != nil {
 		panic(err)
 	}
-	p.kin.Put(p.w.now, gossip.Item{Key: registry.Prefix + s.ID, Rank: seq << 2, Body: body})
+	p.kin.Put(p.w.now, gossip.Entry{Key: registry.Prefix + s.ID, Version: seq << 2, Value: body})
 	p.soon()
 }
 
@@ -289,7 +289,7 @@
 		return n
 	}
 	n, halfAt := count(), int64(0)
-	w.watch = func(p *proc, _ gossip.Item) {
+	w.watch = func(p *proc, _ gossip.Entry) {
 		if !know[p] && p.up && holds(p) {
 			know[p] = true
 			if n++; halfAt == 0 && 2*n >= live {
@@ -311,7 +311,7 @@
 	seq := uint64(run + 2)
 	w.procs[w.rng.IntN(w.plan.cores())].told(server, seq, registry.Draining)
 	key := registry.Prefix + fmt.Sprint("i-", server)
-	w.spread(func(p *proc) bool { i, _ := p.kin.Book().Get(key); return i.Rank >= seq<<2 }, &out.Half, &out.Reached)
+	w.spread(func(p *proc) bool { i, _ := p.kin.Store().Get(key); return i.Version >= seq<<2 }, &out.Half, &out.Reached)
 }
 
 // kill ends a process without a word, and starts it anew once all know.
@@ -319,17 +319,17 @@
 	x := w.procs[w.rng.IntN(len(w.procs))]
 	x.up, w.killed[x.addr] = false, true
 	x.life++
-	key := gossip.Processes + x.addr
-	w.spread(func(p *proc) bool { i, known := p.kin.Book().Get(key); return known && i.Gone() }, nil, &out.Noticed)
+	key := gossip.ProcessPrefix + x.addr
+	w.spread(func(p *proc) bool { i, known := p.kin.Store().Get(key); return known && i.Deleted() }, nil, &out.Noticed)
 	want := 0
 	for _, p := range w.procs {
 		if p.up {
-			want = max(want, p.kin.Book().Len())
+			want = max(want, p.kin.Store().Len())
 		}
 	}
 	x.start()
 	begin := w.now
-	w.until(begin+60_000*ms, func() bool { return x.kin.Book().Len() < want })
+	w.until(begin+60_000*ms, func() bool { return x.kin.Store().Len() < want })
 	out.Joined = append(out.Joined, time.Duration((w.now-begin)*micro))
 	w.until(w.now+5000*ms, nil)
 	w.killed[x.addr] = false
--- a/internal/lab/yard/yard.go
+++ b/internal/lab/yard/yard.go
@@ -229,7 +229,7 @@
 func (y *Yard) beat(ctx context.Context, l *leaf, i int) {
 	defer y.beats.Done()
 	for seq := int64(1); ; seq++ {
-		b, _ := json.Marshal(registry.Beat{Service: l.service, Addr: l.Addr, Zone: fmt.Sprint("z", i%3), Capacity: float64(cap(l.slots)), State: "available", Sequence: seq})
+		b, _ := json.Marshal(registry.Heartbeat{Service: l.service, Addr: l.Addr, Zone: fmt.Sprint("z", i%3), Capacity: float64(cap(l.slots)), State: "available", Sequence: seq})
 		post("http://"+y.at(1+i%3, controlAt)+"/Instances.Heartbeat/"+l.ID, string(b))
 		select {
 		case <-ctx.Done():
--- a/internal/node/cli/more.go
+++ b/internal/node/cli/more.go
@@ -47,13 +47,13 @@
 			if err != nil {
 				return err
 			}
-			ch, err := routeconfig.Read(raw)
+			ch, err := routeconfig.Parse(raw)
 			if err != nil {
 				return fmt.Errorf("%s: %w", args[0], err)
 			}
 			gathered := 0
 			for _, r := range ch.Routes {
-				if len(r.Fanout) > 0 {
+				if len(r.FanoutServices) > 0 {
 					gathered++
 				}
 			}
--- a/internal/node/role/allow.go
+++ b/internal/node/role/allow.go
@@ -42,9 +42,9 @@
 	lookBank  = time.Second
 )
 
-func statedOf(c *routeconfig.Charter) (out []quota.Stated) {
+func statedOf(c *routeconfig.Config) (out []quota.Allowance) {
 	for _, a := range c.Allowances {
-		out = append(out, quota.Stated{Name: a.Name, Rate: a.Rate, Burst: a.Burst})
+		out = append(out, quota.Allowance{Name: a.Name, Rate: a.Rate, Burst: a.Burst})
 	}
 	return out
 }
@@ -53,23 +53,23 @@
 type clerk struct {
 	t    *tide
 	mu   sync.Mutex // the clients' goroutines and the one that claims
-	till *quota.Till
+	till *quota.Holder
 	some bool
 	call chan struct{}
 }
 
 func newClerk(t *tide) *clerk {
-	return &clerk{t: t, till: quota.NewTill(quota.UsualTerms), call: make(chan struct{}, 1)}
+	return &clerk{t: t, till: quota.NewHolder(quota.DefaultLeaseConfig), call: make(chan struct{}, 1)}
 }
 
 func (k *clerk) now() int64 { return time.Since(k.t.start).Microseconds() }
 
 // state takes the allowances of the configuration that is in force from now on.
-func (k *clerk) state(c *routeconfig.Charter) {
+func (k *clerk) state(c *routeconfig.Config) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	list := statedOf(c)
-	k.till.State(k.now(), list)
+	k.till.SetAllowances(k.now(), list)
 	if k.some = len(list) > 0; k.some {
 		select {
 		case k.call <- struct{}{}:
@@ -81,7 +81,7 @@
 func (k *clerk) mixers(n int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.till.Mixers(n)
+	k.till.SetProxies(n)
 }
 
 // allow takes a request off an allowance.
@@ -116,7 +116,7 @@
 func (k *clerk) claim(ctx context.Context) (more bool) {
 	k.mu.Lock()
 	sent := k.now()
-	list := k.till.Claims(sent)
+	list := k.till.TakeClaims(sent)
 	more = k.some
 	k.mu.Unlock()
 	if len(list) == 0 {
@@ -127,7 +127,7 @@
 	cancel()
 	if err == nil { // else the part that is held runs out, and the floor's is left
 		k.mu.Lock()
-		k.till.Granted(k.now(), sent, ans.List)
+		k.till.HandleGrants(k.now(), sent, ans.List)
 		k.mu.Unlock()
 	}
 	return more
@@ -138,12 +138,12 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	t := Table{Title: "allowance", Head: []string{"allowance", "stated, a second", "burst", "held here, a second", "for", "at once", "admitted here", "refused here"}}
-	for _, h := range k.till.Held(k.now()) {
+	for _, h := range k.till.Status(k.now()) {
 		lease := "no lease: its part of the floor"
 		if h.Lease > 0 {
 			lease = ago(h.Lease)
 		}
-		t.Rows = append(t.Rows, []string{h.Name, fmt.Sprint(h.Stated.Rate), fmt.Sprint(h.Burst), fmt.Sprintf("%.2f", h.Rate), lease,
+		t.Rows = append(t.Rows, []string{h.Name, fmt.Sprint(h.Allowance.Rate), fmt.Sprint(h.Burst), fmt.Sprintf("%.2f", h.Rate), lease,
 			fmt.Sprintf("%.1f", h.Level), fmt.Sprint(h.Admitted), fmt.Sprint(h.Refused)})
 	}
 	return t
@@ -152,29 +152,29 @@
 // vault is an agent's part: it passes claims on, and holds the bank where that is its duty.
 type vault struct {
 	n     *Node
-	bank  *quota.Bank // under the node's mu, as all below; nil: another holds it
+	bank  *quota.Lessor // under the node's mu, as all below; nil: another holds it
 	epoch uint64
 	rank  uint64 // of the configuration that stated was read from
-	list  []quota.Stated
+	list  []quota.Allowance
 	call  chan struct{}
 }
 
 func newVault(n *Node) *vault { return &vault{n: n, call: make(chan struct{}, 1)} }
 
 // told takes a configuration from the news. Under mu.
-func (v *vault) told(i gossip.Item) {
-	if i.Key != charterAt || i.Rank <= v.rank {
+func (v *vault) told(i gossip.Entry) {
+	if i.Key != charterAt || i.Version <= v.rank {
 		return
 	}
-	v.rank = i.Rank
-	var list []quota.Stated
-	if bytes.Contains(i.Body, []byte(`"allowances"`)) { // else it need not be read here
-		if c, err := routeconfig.Read(i.Body); err == nil {
+	v.rank = i.Version
+	var list []quota.Allowance
+	if bytes.Contains(i.Value, []byte(`"allowances"`)) { // else it need not be read here
+		if c, err := routeconfig.Parse(i.Value); err == nil {
 			list = statedOf(c)
 		}
 	}
 	if v.list = list; v.bank != nil {
-		v.bank.State(list)
+		v.bank.SetAllowances(list)
 	}
 	if len(list) > 0 {
 		select {
@@ -188,16 +188,16 @@
 
 // hold has the bank here while the duty is. Under mu.
 func (v *vault) hold() {
-	epoch, holds := v.n.kin.Holds(outlier.Duty)
+	epoch, holds := v.n.kin.Holds(outlier.Role)
 	switch {
 	case !holds:
 		v.bank = nil
 	case v.bank == nil || v.epoch != epoch:
-		v.epoch, v.bank = epoch, quota.NewBank(v.n.now(), quota.UsualTerms, v.mixers())
-		v.bank.State(v.list)
+		v.epoch, v.bank = epoch, quota.NewLessor(v.n.now(), quota.DefaultLeaseConfig, v.mixers())
+		v.bank.SetAllowances(v.list)
 	}
 	if v.bank != nil {
-		v.bank.Look(v.n.now(), v.mixers())
+		v.bank.ObserveProxies(v.n.now(), v.mixers())
 	}
 }
 
@@ -207,9 +207,9 @@
 		v.hold()
 		if v.bank != nil {
 			defer v.n.mu.Unlock()
-			return Grants{v.bank.Claims(v.n.now(), v.n.self.Addr, v.mixers(), c.List)}, nil
+			return Grants{v.bank.HandleClaims(v.n.now(), v.n.self.Addr, v.mixers(), c.List)}, nil
 		}
-		holder, known := v.n.kin.Holder(outlier.Duty)
+		holder, known := v.n.kin.Holder(outlier.Role)
 		v.n.mu.Unlock()
 		if !known {
 			return Grants{}, rpc.Fail(http.StatusServiceUnavailable, "nobody is known to hold the bank")
@@ -222,7 +222,7 @@
 		if v.hold(); v.bank == nil {
 			return Grants{}, rpc.Fail(http.StatusConflict, "the duty is another's")
 		}
-		return Grants{v.bank.Claims(v.n.now(), c.From, v.mixers(), c.List)}, nil
+		return Grants{v.bank.HandleClaims(v.n.now(), c.From, v.mixers(), c.List)}, nil
 	})
 }
 
--- a/internal/node/role/apart.go
+++ b/internal/node/role/apart.go
@@ -47,7 +47,7 @@
 )
 
 // council is the duty of one mixer to say who is set apart.
-var council = member.Duty{Name: outlier.Duty, Kind: "echo"}
+var council = member.SingletonRole{Name: outlier.Role, ProcessKind: "echo"}
 
 type place struct {
 	service string
@@ -63,9 +63,9 @@
 type flock struct {
 	t       *tide
 	mu      sync.Mutex // the exchange's goroutine, the clients' and the one that looks
-	servers *outlier.Watch
-	callers *outlier.Watch
-	groups  *outlier.Groups
+	servers *outlier.Observer
+	callers *outlier.Observer
+	groups  *outlier.Ejections
 	where   map[string]place // by server
 	kinds   map[kindOf]string
 	call    chan struct{}
@@ -74,9 +74,9 @@
 }
 
 func newFlock(t *tide) *flock {
-	slow := outlier.Usual
-	slow.Floor = callerFloor
-	return &flock{t: t, servers: outlier.NewWatch(outlier.Usual), callers: outlier.NewWatch(slow), groups: outlier.NewGroups(outlier.Usual),
+	slow := outlier.DefaultConfig
+	slow.MinMedian = callerFloor
+	return &flock{t: t, servers: outlier.NewObserver(outlier.DefaultConfig), callers: outlier.NewObserver(slow), groups: outlier.NewEjections(outlier.DefaultConfig),
 		where: make(map[string]place), kinds: make(map[kindOf]string), call: make(chan struct{}, 1)}
 }
 
@@ -110,7 +110,7 @@
 		kind = fmt.Sprint(h.Class, " ", at.far)
 		f.kinds[of] = kind
 	}
-	if f.servers.Saw(f.now(), outlier.Sample{Name: h.Server, Shard: at.service, Kind: kind, Took: h.Took.Microseconds(), Whole: whole}) {
+	if f.servers.Record(f.now(), outlier.Sample{Name: h.Server, Shard: at.service, Kind: kind, Latency: h.Took.Microseconds(), Complete: whole}) {
 		f.wake()
 	}
 }
@@ -119,7 +119,7 @@
 func (f *flock) took(caller string, took time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.callers.Saw(f.now(), outlier.Sample{Name: callerName + caller, Shard: outlier.Callers, Kind: "turn", Took: took.Microseconds(), Whole: true}) {
+	if f.callers.Record(f.now(), outlier.Sample{Name: callerName + caller, Shard: outlier.Callers, Kind: "turn", Latency: took.Microseconds(), Complete: true}) {
 		f.wake()
 	}
 }
@@ -143,14 +143,14 @@
 }
 
 // told takes the council's word from the news.
-func (f *flock) told(i gossip.Item) {
+func (f *flock) told(i gossip.Entry) {
 	var a outlier.Assignment
-	if i.Gone() || json.Unmarshal(i.Body, &a) != nil {
+	if i.Deleted() || json.Unmarshal(i.Value, &a) != nil {
 		return
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.groups.Told(f.now(), i.Rank, a) {
+	if f.groups.Observe(f.now(), i.Version, a) {
 		f.wake()
 	}
 }
@@ -184,11 +184,11 @@
 func (f *flock) look(ctx context.Context) (more bool) {
 	f.mu.Lock()
 	now := f.now()
-	said, _ := f.groups.Said(now)
-	list := append(f.servers.Tell(now, said), f.callers.Tell(now, said)...)
+	said, _ := f.groups.Assignment(now)
+	list := append(f.servers.TakeEvidence(now, said), f.callers.TakeEvidence(now, said)...)
 	members := f.members()
 	changes := f.groups.Step(now, func(shard string) int { return members[shard] }, f.servers, f.callers)
-	more = f.servers.Doubted()+f.callers.Doubted() > 0 || !f.groups.Quiet(now)
+	more = f.servers.Suspected()+f.callers.Suspected() > 0 || !f.groups.Quiet(now)
 	f.moved += len(changes)
 	if len(list) > 0 {
 		f.sent++
@@ -223,16 +223,16 @@
 	for _, c := range changes {
 		if c.Known {
 			events.ApartStill.Log("member", c.Name, "times", fmt.Sprintf("%.1f", c.Ratio))
-		} else if c.Back {
+		} else if c.Restored {
 			events.BroughtBack.Log("member", c.Name, "shard", c.Shard)
 		} else {
-			events.SetApart.Log("member", c.Name, "shard", c.Shard, "times", fmt.Sprintf("%.1f", c.Ratio), "mixers", c.Mixers, "alone", c.Alone)
+			events.SetApart.Log("member", c.Name, "shard", c.Shard, "times", fmt.Sprintf("%.1f", c.Ratio), "mixers", c.Reporters, "alone", c.LocalOnly)
 		}
 		if strings.HasPrefix(c.Name, callerName) {
 			callers = true
 			continue
 		}
-		if i, known := t.book.Get(registry.Prefix + c.Name); known && !i.Gone() {
+		if i, known := t.book.Get(registry.Prefix + c.Name); known && !i.Deleted() {
 			if row, _, ok := t.server(i); ok {
 				list.Servers = append(list.Servers, row)
 			}
@@ -258,7 +258,7 @@
 // duty.
 type bench struct {
 	n       *Node
-	seat    *outlier.Seat // under the node's mu, as all below
+	seat    *outlier.AggregatorRole // under the node's mu, as all below
 	members map[string]int
 	seq     uint64 // of the book, when members was made
 	passing bool
@@ -267,11 +267,11 @@
 }
 
 func newBench(n *Node) *bench {
-	b := &bench{n: n, seat: outlier.NewSeat(outlier.Usual, n.self.Addr), call: make(chan struct{}, 1), vault: newVault(n)}
-	n.took = func(i gossip.Item) {
+	b := &bench{n: n, seat: outlier.NewAggregatorRole(outlier.DefaultConfig, n.self.Addr), call: make(chan struct{}, 1), vault: newVault(n)}
+	n.took = func(i gossip.Entry) {
 		var a outlier.Assignment
-		if i.Key == groupsAt && json.Unmarshal(i.Body, &a) == nil {
-			b.seat.Told(i.Rank, a)
+		if i.Key == groupsAt && json.Unmarshal(i.Value, &a) == nil {
+			b.seat.Observe(i.Version, a)
 		}
 		b.vault.told(i)
 	}
@@ -284,7 +284,7 @@
 	sawCall.On(loop, func(_ context.Context, _ rpc.Named, w Witness) (Nothing, error) {
 		b.n.mu.Lock()
 		defer b.n.mu.Unlock()
-		if c, known := b.n.kin.Holder(outlier.Duty); known && c.Holder != b.n.self.Addr {
+		if c, known := b.n.kin.Holder(outlier.Role); known && c.Holder != b.n.self.Addr {
 			if !b.passing {
 				b.passing = true
 				go b.pass(c.Holder, Witness{From: b.n.self.Addr, List: w.List})
@@ -316,7 +316,7 @@
 // given takes evidence where the council is held here. Under mu.
 func (b *bench) given(from string, list []outlier.Evidence) bool {
 	b.hold()
-	if !b.seat.Given(b.n.now(), from, list) {
+	if !b.seat.AddEvidence(b.n.now(), from, list) {
 		return false
 	}
 	select {
@@ -327,8 +327,8 @@
 }
 
 func (b *bench) hold() {
-	epoch, holds := b.n.kin.Holds(outlier.Duty)
-	b.seat.Holds(b.n.now(), epoch, holds)
+	epoch, holds := b.n.kin.Holds(outlier.Role)
+	b.seat.SetHolder(b.n.now(), epoch, holds)
 }
 
 // run steps the council until ctx ends. It rests while there are no cases.
@@ -355,8 +355,8 @@
 	b.hold()
 	if seq := b.n.book.Seq(); seq != b.seq {
 		b.seq, b.members = seq, make(map[string]int)
-		b.n.book.Each(func(i gossip.Item, _ int64) {
-			if strings.HasPrefix(i.Key, registry.Prefix) && !i.Gone() {
+		b.n.book.Range(func(i gossip.Entry, _ int64) {
+			if strings.HasPrefix(i.Key, registry.Prefix) && !i.Deleted() {
 				if s, err := registry.Parse(i); err == nil {
 					b.members[s.Service]++
 				}
@@ -369,7 +369,7 @@
 		if err != nil {
 			panic(err) // numbers and texts always have a form
 		}
-		b.n.put(gossip.Item{Key: groupsAt, Rank: rank, Body: body})
+		b.n.put(gossip.Entry{Key: groupsAt, Version: rank, Value: body})
 	}
 	return b.seat.Busy()
 }
--- a/internal/node/role/capacity_test.go
+++ b/internal/node/role/capacity_test.go
@@ -28,7 +28,7 @@
 					p.Kind, p.Control = "keel", fmt.Sprintf("10.2.%d.%d:8047", i/200, i%200)
 				}
 				body, _ := json.Marshal(p)
-				k.Put(gossip.Item{Key: gossip.Processes + p.Addr, Rank: 1, Body: body})
+				k.Put(gossip.Entry{Key: gossip.ProcessPrefix + p.Addr, Version: 1, Value: body})
 			}
 			servers := agents * 8700 / 1800 / 12
 			names := make([]string, servers)
@@ -37,7 +37,7 @@
 			}
 			b.ResetTimer()
 			for i := 0; i < b.N; i++ {
-				beat := registry.Beat{Service: "s1", Addr: "10.9.0.1:80", Zone: "z1", Revision: "v1", Capacity: 3, State: registry.SaysAvailable, Sequence: int64(i/servers + 1)}
+				beat := registry.Heartbeat{Service: "s1", Addr: "10.9.0.1:80", Zone: "z1", Revision: "v1", Capacity: 3, State: registry.LifecycleAvailable, Sequence: int64(i/servers + 1)}
 				if _, err := k.heard(rpc.Named{Name: names[i%servers]}, beat); err != nil {
 					b.Fatal(err)
 				}
--- a/internal/node/role/core.go
+++ b/internal/node/role/core.go
@@ -207,7 +207,7 @@
 	c.epoch = v.Epoch
 	events.View.Log("epoch", v.Epoch, "members", len(v.Members), "chain", fmt.Sprint(v.Chain), "member", c.replica.Consensus.IsMember())
 	if body, err := json.Marshal(v); err == nil {
-		c.node.Put(gossip.Item{Key: viewAt, Rank: v.Epoch, Body: body})
+		c.node.Put(gossip.Entry{Key: viewAt, Version: v.Epoch, Value: body})
 	}
 }
 
@@ -222,9 +222,9 @@
 // announce makes an acknowledged configuration known to all.
 func (c *core) announce(e message.Entry) {
 	c.told = e.Version
-	if ch, err := routeconfig.Read(e.Content); err == nil {
+	if ch, err := routeconfig.Parse(e.Content); err == nil {
 		events.Acknowledged.Log("version", ch.Revision)
-		c.node.Put(gossip.Item{Key: charterAt, Rank: e.Version, Body: json.RawMessage(e.Content)})
+		c.node.Put(gossip.Entry{Key: charterAt, Version: e.Version, Value: json.RawMessage(e.Content)})
 	}
 }
 
--- a/internal/node/role/coredisk.go
+++ b/internal/node/role/coredisk.go
@@ -184,7 +184,7 @@
 }
 
 // remembered is what was kept of them.
-func (c *core) remembered() (list []gossip.Item) {
+func (c *core) remembered() (list []gossip.Entry) {
 	if raw, err := c.disk.Get(keyServers); err == nil && raw != nil {
 		json.Unmarshal(raw, &list)
 	}
--- a/internal/node/role/disk_test.go
+++ b/internal/node/role/disk_test.go
@@ -158,8 +158,8 @@
 		So(c.replica.Chain.Stored().Version, ShouldEqual, held.Version)
 		told, known = c.node.book.Get(charterAt)
 		So(known, ShouldBeTrue)
-		So(told.Rank, ShouldEqual, seen.Version)
-		So(string(told.Body), ShouldEqual, string(seen.Content))
+		So(told.Version, ShouldEqual, seen.Version)
+		So(string(told.Value), ShouldEqual, string(seen.Content))
 	})
 }
 
--- a/internal/node/role/echo.go
+++ b/internal/node/role/echo.go
@@ -16,18 +16,18 @@
 // Feed is what a proxy asks its agent for: what changed since a count of the agent's
 // changes, waiting for a while if nothing has.
 type Feed struct {
-	Life  string        `json:"life"` // of the agent, as its last answer told it
-	Since uint64        `json:"since"`
-	Rank  uint64        `json:"rank"`           // of the configuration that the proxy holds
-	News  []gossip.Item `json:"news,omitempty"` // which an agent that lacks it wants
+	Life  string         `json:"life"` // of the agent, as its last answer told it
+	Since uint64         `json:"since"`
+	Rank  uint64         `json:"rank"`           // of the configuration that the proxy holds
+	News  []gossip.Entry `json:"news,omitempty"` // which an agent that lacks it wants
 }
 
 // Fed is the answer.
 type Fed struct {
-	Life  string        `json:"life"`
-	Seq   uint64        `json:"seq"`
-	Want  bool          `json:"want,omitempty"` // of the proxy's configuration
-	Items []gossip.Item `json:"items,omitempty"`
+	Life  string         `json:"life"`
+	Seq   uint64         `json:"seq"`
+	Want  bool           `json:"want,omitempty"` // of the proxy's configuration
+	Items []gossip.Entry `json:"items,omitempty"`
 }
 
 var feedCall = rpc.Declare[Feed, Fed]("POST", "/Feed", mostCall, "the proxy on the same machine")
@@ -72,7 +72,7 @@
 		}
 		defer n.mu.Unlock()
 		held, _ := n.book.Get(charterAt)
-		return Fed{Life: life, Seq: n.book.Seq(), Want: f.Rank > held.Rank, Items: n.book.Since(f.Since)}, nil
+		return Fed{Life: life, Seq: n.book.Seq(), Want: f.Rank > held.Version, Items: n.book.ChangedSince(f.Since)}, nil
 	})
 	inner := http.NewServeMux()
 	n.Serve(inner)
--- a/internal/node/role/fleet_test.go
+++ b/internal/node/role/fleet_test.go
@@ -128,7 +128,7 @@
 }
 
 func (f *fleet) beat(machine int, s *standin.Server, service, state string, seq int64) int {
-	b, _ := json.Marshal(registry.Beat{Service: service, Addr: s.Addr, Zone: "z1", Capacity: 3, State: state, Sequence: seq})
+	b, _ := json.Marshal(registry.Heartbeat{Service: service, Addr: s.Addr, Zone: "z1", Capacity: 3, State: state, Sequence: seq})
 	code, _ := f.call("POST", f.control(machine), "/Instances.Heartbeat/"+s.ID, string(b))
 	return code
 }
@@ -327,9 +327,9 @@
 			case len(q.News) > 0:
 				<-ctx.Done()
 			case q.Life == "":
-				return Fed{Life: "one", Seq: 1, Items: []gossip.Item{{Key: charterAt, Rank: 5 << 16, Body: raw.Bytes()}}}, nil
+				return Fed{Life: "one", Seq: 1, Items: []gossip.Entry{{Key: charterAt, Version: 5 << 16, Value: raw.Bytes()}}}, nil
 			}
-			return Fed{Life: "two", Seq: 1, Want: true, Items: []gossip.Item{{Key: charterAt, Rank: 4 << 16, Body: raw.Bytes()}}}, nil
+			return Fed{Life: "two", Seq: 1, Want: true, Items: []gossip.Entry{{Key: charterAt, Version: 4 << 16, Value: raw.Bytes()}}}, nil
 		})
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
@@ -341,6 +341,6 @@
 		So((<-given).Rank, ShouldEqual, uint64(5<<16)) // it says what it holds
 		back := <-given
 		So(back.News, ShouldHaveLength, 1) // and gives it back to an agent that lacks it
-		So(back.News[0].Rank, ShouldEqual, uint64(5<<16))
+		So(back.News[0].Version, ShouldEqual, uint64(5<<16))
 	})
 }
--- a/internal/node/role/keel.go
+++ b/internal/node/role/keel.go
@@ -30,7 +30,7 @@
 type Nothing struct{}
 
 var (
-	beatCall     = rpc.Declare[registry.Beat, Beaten]("POST", "/Instances.Heartbeat/{name}", 16<<10, "servers")
+	beatCall     = rpc.Declare[registry.Heartbeat, Beaten]("POST", "/Instances.Heartbeat/{name}", 16<<10, "servers")
 	leaveCall    = rpc.Declare[rpc.Raw, Nothing]("POST", "/Instances.Deregister/{name}", 16<<10, "servers")
 	replaceCall  = rpc.Declare[rpc.Raw, Nothing]("POST", "/Config.Replace", mostCall, "the operator").AtOnce(mostOrders)
 	describeCall = rpc.Declare[rpc.Raw, rpc.Raw]("GET", "/Config.Describe", mostCall, "the operator")
@@ -49,9 +49,9 @@
 
 type keel struct {
 	*Node
-	roster *registry.Roster // under mu
-	kept   []byte           // what is remembered of the servers that beat here; under mu
-	keeps  int              // how many they are
+	roster *registry.Registry // under mu
+	kept   []byte             // what is remembered of the servers that beat here; under mu
+	keeps  int                // how many they are
 
 	core     *core
 	checking sync.Mutex // one configuration at a time: as a tree it takes many times its bytes
@@ -151,9 +151,9 @@
 // remember keeps the servers that beat here on the disk when they have changed. After a
 // loss of all processes they are known at once, not only when each has beaten again. Under mu.
 func (k *keel) remember() {
-	var list []gossip.Item
-	k.book.All(func(i gossip.Item) {
-		if strings.HasPrefix(i.Key, registry.Prefix) && !i.Gone() && k.roster.Hears(strings.TrimPrefix(i.Key, registry.Prefix)) {
+	var list []gossip.Entry
+	k.book.RangeSorted(func(i gossip.Entry) {
+		if strings.HasPrefix(i.Key, registry.Prefix) && !i.Deleted() && k.roster.Tracks(strings.TrimPrefix(i.Key, registry.Prefix)) {
 			list = append(list, i)
 		}
 	})
@@ -175,9 +175,9 @@
 	for _, p := range k.kin.Peers("keel") {
 		hearers[p.Addr] = true
 	}
-	var long []gossip.Item
-	k.book.Each(func(i gossip.Item, at int64) {
-		if i.Gone() || !strings.HasPrefix(i.Key, registry.Prefix) {
+	var long []gossip.Entry
+	k.book.Range(func(i gossip.Entry, at int64) {
+		if i.Deleted() || !strings.HasPrefix(i.Key, registry.Prefix) {
 			return
 		}
 		s, err := registry.Parse(i)
@@ -187,27 +187,27 @@
 			if duty && now-at > letAfter.Microseconds() {
 				long = append(long, i)
 			}
-		case s.By == k.self.Addr, duty && !hearers[s.By]:
+		case s.Owner == k.self.Addr, duty && !hearers[s.Owner]:
 			k.roster.Adopt(now, i)
 		}
 	})
 	for _, i := range long {
-		k.put(registry.Let(i))
+		k.put(registry.RemovedEntry(i))
 	}
 }
 
 // told has the roster see the news of others. Under mu.
-func (k *keel) told(i gossip.Item) {
+func (k *keel) told(i gossip.Entry) {
 	if len(i.Key) > 2 && i.Key[:2] == registry.Prefix {
-		if news, is := k.roster.Told(k.now(), i); is {
+		if news, is := k.roster.HandleUpdate(k.now(), i); is {
 			k.put(news)
 		}
 	}
 }
 
-func (k *keel) beat(ctx context.Context, who rpc.Named, b registry.Beat) (Beaten, error) {
+func (k *keel) beat(ctx context.Context, who rpc.Named, b registry.Heartbeat) (Beaten, error) {
 	ans, err := k.heard(who, b)
-	if err == nil && b.State == registry.SaysDraining {
+	if err == nil && b.State == registry.LifecycleDraining {
 		err = k.core.outOfTouch(ctx)
 	}
 	return ans, err
@@ -217,7 +217,7 @@
 func (k *keel) left(ctx context.Context, who rpc.Named, _ rpc.Raw) (Nothing, error) {
 	events.ServerLeft.Log("server", who.Name)
 	k.mu.Lock()
-	k.put(k.roster.Left(who.Name))
+	k.put(k.roster.HandleDeregister(who.Name))
 	k.mu.Unlock()
 	// Those that this machine does not reach do not hear of it: then it is not acknowledged, and
 	// the server tells another.
@@ -225,12 +225,12 @@
 }
 
 // heard takes a heartbeat.
-func (k *keel) heard(who rpc.Named, b registry.Beat) (Beaten, error) {
+func (k *keel) heard(who rpc.Named, b registry.Heartbeat) (Beaten, error) {
 	near := k.near(who.Name, b.Zone)
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	held, known := k.book.Get(registry.Prefix + who.Name)
-	news, is, err := k.roster.Heard(k.now(), who.Name, b, held, known)
+	news, is, err := k.roster.HandleHeartbeat(k.now(), who.Name, b, held, known)
 	if err != nil {
 		events.BadBeat.Log("server", who.Name, "peer", who.Peer, "err", err)
 		return Beaten{}, rpc.Fail(http.StatusBadRequest, "%v", err)
@@ -238,7 +238,7 @@
 	if is {
 		if !known {
 			events.ServerNew.Log("server", who.Name, "service", b.Service, "addr", b.Addr, "zone", b.Zone)
-		} else if b.State == registry.SaysDraining {
+		} else if b.State == registry.LifecycleDraining {
 			events.ServerDrains.Log("server", who.Name, "service", b.Service)
 		}
 		k.put(news)
@@ -276,7 +276,7 @@
 
 func (k *keel) replace(ctx context.Context, who rpc.Named, raw rpc.Raw) (Nothing, error) {
 	k.checking.Lock()
-	c, err := routeconfig.Read(raw)
+	c, err := routeconfig.Parse(raw)
 	k.checking.Unlock()
 	if err != nil {
 		events.Invalid.Log("peer", who.Peer, "path", err)
--- a/internal/node/role/node.go
+++ b/internal/node/role/node.go
@@ -26,7 +26,7 @@
 
 // The calls between all agents and core processes.
 var (
-	passCall  = rpc.Declare[gossip.Pass, gossip.Passed]("POST", "/Rumour.Pass", mostCall, "every agent and core process").Packed()
+	passCall  = rpc.Declare[gossip.ExchangeRequest, gossip.ExchangeResponse]("POST", "/Rumour.Pass", mostCall, "every agent and core process").Packed()
 	afterCall = rpc.Declare[After, Heard]("POST", "/Ring.After", 4<<10, "every agent and core process")
 )
 
@@ -44,7 +44,7 @@
 const charterAt = "c"
 
 // orphans is the duty of one core machine to listen for servers that nobody listens for.
-var orphans = member.Duty{Name: "orphans", Kind: "keel"}
+var orphans = member.SingletonRole{Name: "orphans", ProcessKind: "keel"}
 
 // Node is what an agent and a core process have in common. It does the calls that the
 // machine wants, and knows nothing of what it decides by.
@@ -53,13 +53,13 @@
 	self   gossip.Process
 	client *rpc.Client
 	start  time.Time
-	took   func(gossip.Item) // after news was taken, under mu; nil: nobody
+	took   func(gossip.Entry) // after news was taken, under mu; nil: nobody
 	calls  sync.WaitGroup
 
 	mu      sync.Mutex
 	ctx     context.Context // of the calls; ends with Run
 	kin     *member.Machine
-	book    *gossip.Book  // kin's
+	book    *gossip.Store // kin's
 	changed chan struct{} // closed at the next change
 	hot     chan struct{} // the loop has something to do
 }
@@ -69,16 +69,16 @@
 	boot := set.Boot()
 	n := &Node{set: set, client: rpc.NewClient(dialPeer), start: time.Now(), changed: make(chan struct{}), hot: make(chan struct{}, 1)}
 	n.self = gossip.Process{Addr: boot.Inner(), Name: boot.Name, Kind: kind, Zone: boot.Zone, Region: boot.Region, Control: boot.Control}
-	n.kin = member.New(n.now(), member.Usual(orphans, council), n.self, boot.SeedPeers(), rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
-	n.kin.Took = n.noted
-	n.book = n.kin.Book()
+	n.kin = member.New(n.now(), member.DefaultConfig(orphans, council), n.self, boot.SeedPeers(), rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
+	n.kin.OnUpdate = n.noted
+	n.book = n.kin.Store()
 	return n
 }
 
 func (n *Node) now() int64 { return time.Since(n.start).Microseconds() }
 
 // noted is told of all news that was taken. Under mu.
-func (n *Node) noted(i gossip.Item) {
+func (n *Node) noted(i gossip.Entry) {
 	if n.took != nil {
 		n.took(i)
 	}
@@ -91,10 +91,10 @@
 }
 
 // put takes news of this process's own or of its proxy. Under mu.
-func (n *Node) put(i gossip.Item) { n.kin.Put(n.now(), i) }
+func (n *Node) put(i gossip.Entry) { n.kin.Put(n.now(), i) }
 
 // Put takes news of this process's own.
-func (n *Node) Put(items ...gossip.Item) {
+func (n *Node) Put(items ...gossip.Entry) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, i := range items {
@@ -104,14 +104,14 @@
 
 // Serve answers the other processes.
 func (n *Node) Serve(mux *http.ServeMux) {
-	passCall.On(mux, func(_ context.Context, _ rpc.Named, p gossip.Pass) (gossip.Passed, error) {
+	passCall.On(mux, func(_ context.Context, _ rpc.Named, p gossip.ExchangeRequest) (gossip.ExchangeResponse, error) {
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		return n.kin.Got(n.now(), p), nil
+		return n.kin.HandleExchange(n.now(), p), nil
 	})
 	afterCall.On(mux, func(ctx context.Context, _ rpc.Named, a After) (Heard, error) {
 		n.mu.Lock()
-		hears, try := n.kin.Hears(n.now(), a.About)
+		hears, try := n.kin.HandleProbe(n.now(), a.About)
 		n.mu.Unlock()
 		if try {
 			ctx, cancel := context.WithTimeout(ctx, dialPeer)
@@ -136,7 +136,7 @@
 	defer n.mu.Unlock()
 	now := n.now()
 	for _, p := range list {
-		if n.kin.Awake(now, p.Addr) {
+		if n.kin.Reachable(now, p.Addr) {
 			out = append(out, p)
 		}
 	}
@@ -166,10 +166,10 @@
 		}
 		n.mu.Lock()
 		now := n.now()
-		n.kin.Seeds(n.set.Boot().SeedPeers())
+		n.kin.SetSeeds(n.set.Boot().SeedPeers())
 		n.kin.Tick(now)
 		n.flush()
-		next := n.kin.Next()
+		next := n.kin.NextTick()
 		n.mu.Unlock()
 		timer.Reset(max(time.Duration(next-now)*time.Microsecond, time.Millisecond))
 	}
@@ -177,54 +177,54 @@
 
 // flush does what the machine wants done. Under mu.
 func (n *Node) flush() {
-	out := n.kin.Take()
-	for _, x := range out.Noted {
-		switch x.What {
+	out := n.kin.TakeOutput()
+	for _, x := range out.Events {
+		switch x.Kind {
 		case member.Joined:
 			events.Joined.Log("peers", len(n.kin.Peers("")))
-		case member.Dead:
+		case member.ProcessDead:
 			events.ProcessDead.Log("process", x.Process)
-		case member.Gone:
+		case member.ProcessGone:
 			events.ProcessGone.Log("process", x.Process)
-		case member.DutyTaken:
-			events.DutyTaken.Log("duty", x.Duty, "epoch", lease.Number(x.Epoch))
-		case member.DutyLost:
-			events.DutyLost.Log("duty", x.Duty, "epoch", lease.Number(x.Epoch), "to", x.Process)
+		case member.RoleTaken:
+			events.DutyTaken.Log("duty", x.Role, "epoch", lease.TermOf(x.Epoch))
+		case member.RoleLost:
+			events.DutyLost.Log("duty", x.Role, "epoch", lease.TermOf(x.Epoch), "to", x.Process)
 		}
 	}
-	n.calls.Add(len(out.Ask) + len(out.Orders))
-	for _, q := range out.Ask {
+	n.calls.Add(len(out.Probes) + len(out.Calls))
+	for _, q := range out.Probes {
 		go n.ask(n.ctx, q)
 	}
-	for _, o := range out.Orders {
+	for _, o := range out.Calls {
 		go n.pass(n.ctx, o)
 	}
 }
 
 // ask carries a question of the ring.
-func (n *Node) ask(ctx context.Context, q failuredetector.Question) {
+func (n *Node) ask(ctx context.Context, q failuredetector.Probe) {
 	defer n.calls.Done()
 	ctx, cancel := context.WithTimeout(ctx, callTime)
 	defer cancel()
 	ans, err := afterCall.Ask(ctx, n.client, q.To, "", After{About: q.About})
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.kin.Answered(n.now(), q, ans.Hears, err == nil)
+	n.kin.HandleProbeResult(n.now(), q, ans.Hears, err == nil)
 }
 
 // pass carries news.
-func (n *Node) pass(ctx context.Context, o gossip.Order) {
+func (n *Node) pass(ctx context.Context, o gossip.OutboundCall) {
 	defer n.calls.Done()
 	span := callTime
-	if len(o.Pass.News)+len(o.Pass.Ask) > 0 {
+	if len(o.Request.Entries)+len(o.Request.Want) > 0 {
 		span = largeTime
 	}
 	ctx, cancel := context.WithTimeout(ctx, span)
 	defer cancel()
-	ans, err := passCall.Ask(ctx, n.client, o.To, "", o.Pass)
+	ans, err := passCall.Ask(ctx, n.client, o.To, "", o.Request)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.kin.Done(n.now(), o, ans, err == nil)
+	n.kin.HandleExchangeResult(n.now(), o, ans, err == nil)
 	n.flush()
 }
 
@@ -234,7 +234,7 @@
 	defer cancel()
 	n.mu.Lock()
 	n.ctx = ctx
-	n.kin.Leave(n.now())
+	n.kin.AnnounceLeave(n.now())
 	n.flush()
 	n.mu.Unlock()
 	n.calls.Wait()
--- a/internal/node/role/show.go
+++ b/internal/node/role/show.go
@@ -80,26 +80,26 @@
 }
 
 // newsTables are what a node holds of the news. Under mu.
-func newsTables(book *gossip.Book) []Table {
+func newsTables(book *gossip.Store) []Table {
 	servers := Table{Title: "servers", Head: []string{"service", "server", "address", "zone", "state", "heard by"}}
 	left := 0
 	others := Table{Title: "processes", Head: []string{"name", "kind", "address", "zone"}}
 	version := Table{Title: "configuration", Head: []string{"version", "bytes"}}
-	book.All(func(i gossip.Item) {
+	book.RangeSorted(func(i gossip.Entry) {
 		switch {
 		case strings.HasPrefix(i.Key, registry.Prefix):
-			if s, err := registry.Parse(i); i.Gone() {
+			if s, err := registry.Parse(i); i.Deleted() {
 				left++
 			} else if err == nil {
-				servers.Rows = append(servers.Rows, []string{s.Service, s.ID, s.Addr, s.Zone, s.State.String(), s.By})
+				servers.Rows = append(servers.Rows, []string{s.Service, s.ID, s.Addr, s.Zone, s.State.String(), s.Owner})
 			}
-		case strings.HasPrefix(i.Key, gossip.Processes):
+		case strings.HasPrefix(i.Key, gossip.ProcessPrefix):
 			var p gossip.Process
-			if json.Unmarshal(i.Body, &p) == nil {
-				others.Rows = append(others.Rows, []string{p.Name, p.Kind, strings.TrimPrefix(i.Key, gossip.Processes), p.Zone})
+			if json.Unmarshal(i.Value, &p) == nil {
+				others.Rows = append(others.Rows, []string{p.Name, p.Kind, strings.TrimPrefix(i.Key, gossip.ProcessPrefix), p.Zone})
 			}
 		case i.Key == charterAt:
-			version.Rows = append(version.Rows, []string{fmt.Sprint(message.RevisionOf(i.Rank)), fmt.Sprint(len(i.Body))})
+			version.Rows = append(version.Rows, []string{fmt.Sprint(message.RevisionOf(i.Version)), fmt.Sprint(len(i.Value))})
 		}
 	})
 	slices.SortFunc(servers.Rows, slices.Compare)
@@ -123,15 +123,15 @@
 		ring.Rows = append(ring.Rows, row)
 	}
 	duties := Table{Title: "duties", Head: []string{"duty", "holder", "epoch", ""}}
-	for _, d := range n.kin.Duties() {
+	for _, d := range n.kin.Roles() {
 		if c, known := n.kin.Holder(d.Name); known {
 			_, mine := n.kin.Holds(d.Name)
-			duties.Rows = append(duties.Rows, []string{d.Name, c.Holder, fmt.Sprint(lease.Number(c.Epoch)), []string{"", "this one"}[bit(mine)]})
+			duties.Rows = append(duties.Rows, []string{d.Name, c.Holder, fmt.Sprint(lease.TermOf(c.Epoch)), []string{"", "this one"}[bit(mine)]})
 		}
 	}
-	swept := n.kin.Swept()
+	swept := n.kin.SweepStats()
 	repair := Table{Title: "comparisons of news", Head: []string{"found different", "looks of the sweep", "rounds"},
-		Rows: [][]string{{fmt.Sprint(n.kin.Found()), fmt.Sprint(swept.Swept), fmt.Sprint(swept.Rounds)}}}
+		Rows: [][]string{{fmt.Sprint(n.kin.DifferencesFound()), fmt.Sprint(swept.Swept), fmt.Sprint(swept.Rounds)}}}
 	return append(newsTables(n.book), ring, duties, repair), nil
 }
 
@@ -178,7 +178,7 @@
 	e := h.Chain.Stored()
 	held.Rows = [][]string{{fmt.Sprint(message.RevisionOf(e.Version)), fmt.Sprint(len(e.Content)), fmt.Sprint(h.Chain.Acknowledged() >= e.Version && e.Version > 0), fmt.Sprint(h.Chain.Sealed())}}
 	mended := h.RepairStats()
-	repair := Table{Title: "copies of members", Head: []string{"mended", "looks of the sweep"}, Rows: [][]string{{fmt.Sprint(mended.Reads), fmt.Sprint(mended.Swept)}}}
+	repair := Table{Title: "copies of members", Head: []string{"mended", "looks of the sweep"}, Rows: [][]string{{fmt.Sprint(mended.Repairs), fmt.Sprint(mended.Swept)}}}
 	return []Table{view, held, repair}
 }
 
@@ -198,18 +198,18 @@
 		routes.Title = fmt.Sprintf("routes of version %d (%d, of %d classes)", c.Revision, len(c.Routes), len(p.Classes))
 		for _, r := range c.Routes {
 			kind, to := "once", make([]string, 0, 1)
-			if r.Repeatable {
+			if r.Idempotent {
 				kind = "repeatable"
 			}
 			for _, b := range r.Backends {
 				to = append(to, fmt.Sprintf("%s:%g", b.Service, b.Weight))
 			}
-			if len(r.Fanout) > 0 {
-				kind = fmt.Sprintf("gathered, top %d of %g", r.Limit, r.Least)
-				to = r.Fanout
+			if len(r.FanoutServices) > 0 {
+				kind = fmt.Sprintf("gathered, top %d of %g", r.ResultLimit, r.MinSuccessRatio)
+				to = r.FanoutServices
 			}
-			routes.Rows = append(routes.Rows, []string{r.Host, r.Prefix, kind, fmt.Sprint(r.Aim.Milliseconds()),
-				fmt.Sprint(r.Timeout.Milliseconds()), fmt.Sprint(r.Attempts), strings.Join(to, " ")})
+			routes.Rows = append(routes.Rows, []string{r.Host, r.Prefix, kind, fmt.Sprint(r.TargetLatency.Milliseconds()),
+				fmt.Sprint(r.Timeout.Milliseconds()), fmt.Sprint(r.MaxAttempts), strings.Join(to, " ")})
 		}
 	}
 	count := Table{Title: "counters", Head: []string{"counter", "since the start"}}
--- a/internal/node/role/tide.go
+++ b/internal/node/role/tide.go
@@ -52,8 +52,8 @@
 	servers atomic.Int64
 
 	mu      sync.Mutex // the goroutine that follows the agent writes; show reads
-	book    *gossip.Book
-	purse   *quota.Purse
+	book    *gossip.Store
+	purse   *quota.RetryBudget
 	routers int
 	spare   float64
 	flock   *flock
@@ -81,9 +81,9 @@
 		return err
 	}
 	leaves := (boot.Files - spareFiles) / leafShare
-	t := &tide{boot: boot, x: x, client: rpc.NewClient(time.Second), book: gossip.NewBook(), start: time.Now(),
+	t := &tide{boot: boot, x: x, client: rpc.NewClient(time.Second), book: gossip.NewStore(), start: time.Now(),
 		gate: &gate.Gate{Exchange: x}, back: reach.New(reach.Config{Exchange: x, MaxConns: leaves}), conns: make(map[string]int)}
-	t.purse = quota.New(0, quota.Config{Whole: boot.Bounds.RetrySlack, Window: boot.Bounds.RetryWindow.Microseconds(), Least: leastRouters, Fresh: boot.Bootstrap})
+	t.purse = quota.NewRetryBudget(0, quota.Config{Total: boot.Bounds.RetrySlack, Window: boot.Bounds.RetryWindow.Microseconds(), MinProxies: leastRouters, FirstStart: boot.Bootstrap})
 	clients := boot.Files - spareFiles - leaves
 	t.flock, t.clerk = newFlock(t), newClerk(t)
 	t.gate.Allow = t.clerk.allow
@@ -91,7 +91,7 @@
 	if !from.Alike {
 		x.Heard, lanes.Saw = t.flock.heard, t.flock.took
 	}
-	f := front.New(front.Config{Exchange: x, Protocol: t.gate, MaxClients: clients, Pace: gate.Pace(routeconfig.Usual), Lanes: lanes})
+	f := front.New(front.Config{Exchange: x, Protocol: t.gate, MaxClients: clients, Pace: gate.Pace(routeconfig.DefaultLimits), Lanes: lanes})
 	t.front = f
 	ln, err := transport.Listen(ctx, boot.Front)
 	if err != nil {
@@ -169,7 +169,7 @@
 	for ctx.Err() == nil {
 		ask, cancel := context.WithTimeout(ctx, feedWait+5*time.Second)
 		held, _ := t.book.Get(charterAt)
-		f.Rank = held.Rank
+		f.Rank = held.Version
 		ans, err := feedCall.Ask(ask, t.client, t.boot.Loop(), "", f)
 		cancel()
 		if err != nil && ctx.Err() == nil && !away {
@@ -190,18 +190,18 @@
 		t.take(ans.Items, ans.Life != f.Life)
 		f = Feed{Life: ans.Life, Since: ans.Seq}
 		if ans.Want {
-			f.News = t.book.Pick([]string{charterAt})
+			f.News = t.book.GetAll([]string{charterAt})
 		}
 	}
 }
 
 // take puts news in force. anew: it is all that an agent knows that has started anew.
-func (t *tide) take(items []gossip.Item, anew bool) {
+func (t *tide) take(items []gossip.Entry, anew bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if anew {
 		t.doubtful, t.doubtAt = make(map[string]bool), time.Now().Add(doubtTime)
-		t.book.Each(func(i gossip.Item, _ int64) { t.doubtful[i.Key] = i.Key != charterAt })
+		t.book.Range(func(i gossip.Entry, _ int64) { t.doubtful[i.Key] = i.Key != charterAt })
 	}
 	for _, i := range items {
 		delete(t.doubtful, i.Key)
@@ -213,25 +213,25 @@
 // it is gone was told while there was no agent, and is told no more. Under mu.
 func (t *tide) doubt() {
 	now := time.Since(t.start).Microseconds()
-	t.book.Forget(now)
+	t.book.PurgeTombstones(now)
 	if len(t.doubtful) == 0 || time.Now().Before(t.doubtAt) {
 		return
 	}
-	var gone []gossip.Item
+	var gone []gossip.Entry
 	for key, is := range t.doubtful {
-		if held, known := t.book.Get(key); known && is && !held.Gone() {
-			gone = append(gone, gossip.Item{Key: key, Rank: held.Rank + 1})
+		if held, known := t.book.Get(key); known && is && !held.Deleted() {
+			gone = append(gone, gossip.Entry{Key: key, Version: held.Version + 1})
 		}
 	}
 	t.doubtful = nil
 	t.news(gone)
 	for _, i := range gone {
-		t.book.Drop(i.Key) // should it be told after all, it counts
+		t.book.Remove(i.Key) // should it be told after all, it counts
 	}
 }
 
 // news puts news in force. Under mu.
-func (t *tide) news(items []gossip.Item) {
+func (t *tide) news(items []gossip.Entry) {
 	list := choice.List{Form: choice.Delta}
 	var told []reach.Server
 	now := time.Since(t.start).Microseconds()
@@ -252,7 +252,7 @@
 			}
 		}
 	}
-	t.book.Hot() // nothing is passed on from here
+	t.book.TakePending() // nothing is passed on from here
 	t.tier()
 	if len(told) > 0 {
 		events.ServerNews.Log("servers", len(told))
@@ -261,18 +261,18 @@
 	}
 }
 
-func (t *tide) charter(i gossip.Item) {
-	c, err := routeconfig.Read(i.Body)
+func (t *tide) charter(i gossip.Entry) {
+	c, err := routeconfig.Parse(i.Value)
 	var p *gate.Plan
 	if err == nil {
 		p, err = gate.NewPlan(c, &t.numbers)
 	}
 	if err != nil {
-		events.Unusable.Log("rank", i.Rank, "err", err)
+		events.Unusable.Log("rank", i.Version, "err", err)
 		return
 	}
 	for name, s := range c.Services {
-		t.conns[name] = s.MaxConns
+		t.conns[name] = s.MaxConnections
 	}
 	t.clerk.state(c)
 	t.x.Retune(p.Classes)
@@ -281,13 +281,13 @@
 	events.InForce.Log("version", c.Revision, "routes", len(c.Routes), "services", len(c.Services), "classes", len(p.Classes))
 }
 
-func (t *tide) server(i gossip.Item) (choice.Server, reach.Server, bool) {
+func (t *tide) server(i gossip.Entry) (choice.Server, reach.Server, bool) {
 	s, err := registry.Parse(i)
 	if err != nil {
 		return choice.Server{}, reach.Server{}, false
 	}
 	row := choice.Server{ID: s.ID, Zone: s.Zone, Kind: s.Revision, Scale: max(s.Capacity, 1), State: choice.Gone}
-	if i.Gone() {
+	if i.Deleted() {
 		t.flock.place(s.ID, "", 0, true)
 		return row, reach.Server{ID: s.ID, Gone: true}, true
 	}
@@ -326,18 +326,18 @@
 // tier tells the decisions how many proxies there are, and counts servers.
 func (t *tide) tier() {
 	routers, servers := 0, int64(0)
-	t.book.All(func(i gossip.Item) {
+	t.book.RangeSorted(func(i gossip.Entry) {
 		switch {
-		case i.Gone():
+		case i.Deleted():
 		case strings.HasPrefix(i.Key, registry.Prefix):
 			servers++
-		case strings.HasPrefix(i.Key, gossip.Processes) && strings.Contains(string(i.Body), `"k":"echo"`):
+		case strings.HasPrefix(i.Key, gossip.ProcessPrefix) && strings.Contains(string(i.Value), `"k":"echo"`):
 			routers++
 		}
 	})
 	t.servers.Store(servers)
 	t.clerk.mixers(routers)
-	spare := t.purse.Part(time.Since(t.start).Microseconds(), routers)
+	spare := t.purse.Share(time.Since(t.start).Microseconds(), routers)
 	if routers = max(routers, leastRouters); routers != t.routers || spare != t.spare {
 		t.routers, t.spare = routers, spare
 		t.x.Tiered(choice.Tier{Routers: routers, Spare: spare})
