--- a/internal/cluster/chain/calls.go
+++ b/internal/cluster/chain/calls.go
@@ -4,20 +4,20 @@
 	"fmt"
 	"slices"
 
-	"saddleport/internal/cluster/message"
+	"saddleport/internal/cluster/views"
 )
 
 // call is an order or a read that was made here, and is sent to the head or the tail.
 type localCall struct {
 	id        string
-	entry     *message.Entry // nil: a read
+	entry     *Entry // nil: a read
 	since     int64
 	sentAt    int64
 	entrySent bool  // the receiver was sent the entry: from then on its rank will do
 	pendingAt int64 // when its receiver was last heard of it: it lives
 }
 
-func (c localCall) receiver(v message.View) message.Member {
+func (c localCall) receiver(v views.View) views.Member {
 	if c.entry == nil {
 		return v.Tail()
 	}
@@ -25,12 +25,12 @@
 }
 
 // Put asks for an entry to be acknowledged; the Result comes under the id returned.
-func (m *Machine) Put(now int64, e message.Entry) string { return m.startCall(now, &e) }
+func (m *Machine) Put(now int64, e Entry) string { return m.startCall(now, &e) }
 
 // Get asks for the newest acknowledged entry.
 func (m *Machine) Get(now int64) string { return m.startCall(now, nil) }
 
-func (m *Machine) startCall(now int64, e *message.Entry) string {
+func (m *Machine) startCall(now int64, e *Entry) string {
 	m.callSequence++
 	id := fmt.Sprintf("%s.%d", m.nonce, m.callSequence)
 	if len(m.localCalls) >= maxPending {
@@ -54,10 +54,10 @@
 		}
 		c.sentAt = max(now, 1)
 		if c.entry == nil {
-			m.send(m.view.Tail(), message.QueryRequest{ID: c.id})
+			m.send(m.view.Tail(), QueryRequest{ID: c.id})
 			continue
 		}
-		body := message.UpdateRequest{ID: c.id, Version: c.entry.Version, Digest: c.entry.Digest}
+		body := UpdateRequest{ID: c.id, Version: c.entry.Version, Digest: c.entry.Digest}
 		if !c.entrySent {
 			body.Entry, c.entrySent = c.entry, true
 		}
@@ -66,7 +66,7 @@
 }
 
 // answered takes the head's answer to an order.
-func (m *Machine) handleUpdateResponse(now int64, a message.UpdateResponse) {
+func (m *Machine) handleUpdateResponse(now int64, a UpdateResponse) {
 	if a.Reason != "" {
 		m.retryLater(now, a.ID)
 		return
@@ -75,7 +75,7 @@
 }
 
 // found takes the tail's answer to a read.
-func (m *Machine) handleQueryResponse(now int64, f message.QueryResponse) {
+func (m *Machine) handleQueryResponse(now int64, f QueryResponse) {
 	if f.Reason != "" {
 		m.retryLater(now, f.ID)
 		return
--- a/internal/cluster/chain/chain.go
+++ b/internal/cluster/chain/chain.go
@@ -12,7 +12,8 @@
 	"fmt"
 	"slices"
 
-	"saddleport/internal/cluster/message"
+	"saddleport/internal/cluster/envelope"
+	"saddleport/internal/cluster/views"
 )
 
 // Config tunes a chain; the times are microseconds of the caller's clock.
@@ -40,9 +41,9 @@
 // Result is what the caller of Put or Get is told.
 type Result struct {
 	ID      string
-	Verdict message.Verdict // of an order
-	Entry   *message.Entry  // of a read
-	Reason  string          // of a refusal
+	Verdict Verdict // of an order
+	Entry   *Entry  // of a read
+	Reason  string  // of a refusal
 }
 
 // OK tells whether there is an answer.
@@ -50,8 +51,8 @@
 
 // Old is a copy that a read found to be older than the reader's.
 type StaleReplica struct {
-	Member    message.Member
-	Viewstamp message.Viewstamp
+	Member    views.Member
+	Viewstamp views.Viewstamp
 }
 
 const (
@@ -63,11 +64,11 @@
 type Machine struct {
 	cfg       Config
 	mutations Mutations
-	self      message.Member
+	self      views.Member
 
-	view                message.View
+	view                views.View
 	sealed              bool // another view was promised
-	stored              message.Entry
+	stored              Entry
 	entryChanged        bool
 	epochChanged        bool
 	acknowledgedVersion uint64 // the highest rank known to be acknowledged
@@ -79,7 +80,7 @@
 	callSequence   uint64
 	nonce          string
 
-	outbox        []message.Message
+	outbox        []envelope.Message
 	results       []Result
 	suspect       Suspect
 	staleReplicas []StaleReplica
@@ -87,18 +88,18 @@
 
 // Suspect is a member that does not move on; the zero one: there is none.
 type Suspect struct {
-	Member         message.Member
+	Member         views.Member
 	MissingVersion uint64 // the rank that it has not been seen to hold; 0: it does not answer calls
 }
 
 // New returns a chain that knows no view. nonce sets its calls apart from those of its
 // earlier lives.
-func New(cfg Config, self message.Member, stored message.Entry, nonce string, mutations Mutations) *Machine {
+func New(cfg Config, self views.Member, stored Entry, nonce string, mutations Mutations) *Machine {
 	return &Machine{cfg: cfg, self: self, stored: stored, nonce: nonce, mutations: mutations}
 }
 
 // Held is the entry that is kept here.
-func (m *Machine) Stored() message.Entry { return m.stored }
+func (m *Machine) Stored() Entry { return m.stored }
 
 // Acknowledged is the highest rank known to be acknowledged.
 func (m *Machine) Acknowledged() uint64 { return m.acknowledgedVersion }
@@ -107,10 +108,10 @@
 func (m *Machine) Sealed() bool { return m.sealed }
 
 // View is the view in force here.
-func (m *Machine) View() message.View { return m.view }
+func (m *Machine) View() views.View { return m.view }
 
 // Keep keeps an entry if it is newer than the one that is kept.
-func (m *Machine) Store(e message.Entry) {
+func (m *Machine) Store(e Entry) {
 	switch {
 	case !m.stored.Viewstamp().Less(e.Viewstamp()):
 	case !e.ContentOmitted:
@@ -129,7 +130,7 @@
 }
 
 // Adopt takes a view over. The entry that goes with it was kept before.
-func (m *Machine) AdoptView(now int64, v message.View) {
+func (m *Machine) AdoptView(now int64, v views.View) {
 	if !m.mutations.JoinBehind && m.stored.Viewstamp().Less(v.BaseViewstamp()) {
 		panic(fmt.Sprintf("invariant: %s is in epoch %d and holds %+v below its base %+v", m.self, v.Epoch, m.stored.Viewstamp(), v.BaseViewstamp()))
 	}
@@ -170,7 +171,7 @@
 func (m *Machine) Suspected() (Suspect, bool) {
 	s := m.suspect
 	m.suspect = Suspect{}
-	return s, s.Member != message.Member{}
+	return s, s.Member != views.Member{}
 }
 
 // Old returns the copies that reads found old since it was last asked.
@@ -181,66 +182,66 @@
 }
 
 // Repair sends a member the entry that is kept here.
-func (m *Machine) Repair(to message.Member) {
-	m.send(to, message.Repair{Entry: m.stored})
+func (m *Machine) Repair(to views.Member) {
+	m.send(to, Repair{Entry: m.stored})
 }
 
 // Take returns what is to be sent and told since it was last asked.
-func (m *Machine) TakeOutput() ([]message.Message, []Result) {
+func (m *Machine) TakeOutput() ([]envelope.Message, []Result) {
 	out, results := m.outbox, m.results
 	m.outbox, m.results = nil, nil
 	return out, results
 }
 
-func (m *Machine) send(to message.Member, body message.Body) {
-	m.outbox = append(m.outbox, message.Message{From: m.self, To: to, Epoch: m.view.Epoch, Body: body})
+func (m *Machine) send(to views.Member, body envelope.Body) {
+	m.outbox = append(m.outbox, envelope.Message{From: m.self, To: to, Epoch: m.view.Epoch, Body: body})
 }
 
 // Speaks tells whether a message is one of the chain's.
-func IsChainMessage(body message.Body) bool {
+func IsChainMessage(body envelope.Body) bool {
 	switch body.(type) {
-	case message.UpdateRequest, message.UpdateResponse, message.Forward, message.Acknowledge, message.EntryMissing, message.QueryRequest, message.QueryResponse,
-		message.ConfirmView, message.ViewConfirmed, message.Repair, message.RequestPending:
+	case UpdateRequest, UpdateResponse, Forward, Acknowledge, EntryMissing, QueryRequest, QueryResponse,
+		ConfirmView, ViewConfirmed, Repair, RequestPending:
 		return true
 	}
 	return false
 }
 
 // Got takes a message of the chain.
-func (m *Machine) Step(now int64, msg message.Message) {
+func (m *Machine) Step(now int64, msg envelope.Message) {
 	current := msg.Epoch == m.view.Epoch && !m.sealed
 	switch body := msg.Body.(type) {
-	case message.UpdateRequest:
+	case UpdateRequest:
 		m.handleUpdateRequest(now, msg.From, body)
-	case message.UpdateResponse:
+	case UpdateResponse:
 		m.handleUpdateResponse(now, body)
-	case message.Forward:
+	case Forward:
 		if current && m.isPredecessor(msg.From) {
 			m.handleForward(now, msg.From, body)
 		}
-	case message.EntryMissing:
+	case EntryMissing:
 		if current && m.isSuccessor(msg.From) && m.inFlight.active && m.inFlight.entry.Version == body.Version {
 			m.forwardEntry(now, false)
 		}
-	case message.Acknowledge:
+	case Acknowledge:
 		if current && m.isSuccessor(msg.From) {
 			m.markAcknowledged(now, body.Version)
 		}
-	case message.QueryRequest:
+	case QueryRequest:
 		m.handleQueryRequest(now, msg.From, body)
-	case message.ConfirmView:
+	case ConfirmView:
 		if current && m.view.Has(m.self) {
-			m.send(msg.From, message.ViewConfirmed{ID: body.ID, Viewstamp: m.stored.Viewstamp()})
+			m.send(msg.From, ViewConfirmed{ID: body.ID, Viewstamp: m.stored.Viewstamp()})
 		}
-	case message.ViewConfirmed:
+	case ViewConfirmed:
 		m.handleViewConfirmed(msg.From, msg.Epoch, body)
-	case message.Repair:
+	case Repair:
 		if m.view.Has(msg.From) {
 			m.Store(body.Entry)
 		}
-	case message.RequestPending:
+	case RequestPending:
 		m.handleRequestPending(now, body.ID)
-	case message.QueryResponse:
+	case QueryResponse:
 		m.handleQueryResponse(now, body)
 	}
 }
@@ -256,10 +257,10 @@
 
 func (m *Machine) refuseAll(reason string) {
 	for _, w := range m.pendingUpdates {
-		m.send(w.from, message.UpdateResponse{ID: w.id, Reason: reason})
+		m.send(w.from, UpdateResponse{ID: w.id, Reason: reason})
 	}
 	for _, r := range m.pendingQueries {
-		m.send(r.from, message.QueryResponse{ID: r.id, Reason: reason})
+		m.send(r.from, QueryResponse{ID: r.id, Reason: reason})
 	}
 	m.pendingUpdates, m.pendingQueries = nil, nil
 }
@@ -276,7 +277,7 @@
 	}
 }
 
-func (m *Machine) suspectMember(x message.Member) {
+func (m *Machine) suspectMember(x views.Member) {
 	if x != m.self {
 		m.suspect = Suspect{Member: x}
 	}
--- a/internal/cluster/chain/chain_test.go
+++ b/internal/cluster/chain/chain_test.go
@@ -6,23 +6,24 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"saddleport/internal/cluster/message"
+	"saddleport/internal/cluster/envelope"
+	"saddleport/internal/cluster/views"
 )
 
 const (
-	enter = message.Kind("enter")
-	pass  = message.Kind("pass")
-	lacks = message.Kind("lacks")
+	enter = envelope.Kind("enter")
+	pass  = envelope.Kind("pass")
+	lacks = envelope.Kind("lacks")
 )
 
-func kind(m message.Message) message.Kind { return m.Body.Kind() }
+func kind(m envelope.Message) envelope.Kind { return m.Body.Kind() }
 
 // carries tells whether a message has an entry with it.
-func carries(body message.Body) bool {
+func carries(body envelope.Body) bool {
 	switch b := body.(type) {
-	case message.UpdateRequest:
+	case UpdateRequest:
 		return b.Entry != nil
-	case message.Forward:
+	case Forward:
 		return b.Entry != nil
 	}
 	return false
@@ -32,17 +33,17 @@
 // that says that it lacks it.
 func TestSentOnce(t *testing.T) {
 	Convey("Of a chain of four whose tail is silent for a while", t, func() {
-		var view message.View
-		machines := make(map[message.Member]*Machine)
+		var view views.View
+		machines := make(map[views.Member]*Machine)
 		for i := range 4 {
-			x := message.Member{Addr: fmt.Sprint("m", i), DiskID: "d"}
+			x := views.Member{Addr: fmt.Sprint("m", i), DiskID: "d"}
 			view.Members = append(view.Members, x)
-			machines[x] = New(Config{RetryInterval: 500, SuspectTimeout: 1200, CallTimeout: 5000}, x, message.Entry{}, "n", Mutations{})
+			machines[x] = New(Config{RetryInterval: 500, SuspectTimeout: 1200, CallTimeout: 5000}, x, Entry{}, "n", Mutations{})
 		}
 		view.Epoch, view.Chain = 1, view.Members
-		now, whole := int64(1000), make(map[message.Kind]int)
+		now, whole := int64(1000), make(map[envelope.Kind]int)
 		var results []Result
-		lost := func(message.Message) bool { return false }
+		lost := func(envelope.Message) bool { return false }
 		run := func(until int64) {
 			for ; now < until; now += 50 {
 				for more := true; more; {
@@ -68,21 +69,21 @@
 		for _, x := range view.Members {
 			machines[x].AdoptView(now, view)
 		}
-		entry := message.NewEntry(3, []byte("three"))
+		entry := NewEntry(3, []byte("three"))
 		caller := machines[view.Members[2]]
 		Convey("each is sent it once, and the caller is answered", func() {
-			lost = func(m message.Message) bool { return now < 2500 && m.From == view.Tail() }
+			lost = func(m envelope.Message) bool { return now < 2500 && m.From == view.Tail() }
 			caller.Put(now, entry)
 			run(2500)
 			So(results, ShouldBeEmpty)
 			run(4000)
 			So(results, ShouldHaveLength, 1)
 			So(results[0].OK(), ShouldBeTrue)
-			So(whole, ShouldResemble, map[message.Kind]int{enter: 1, pass: 3})
+			So(whole, ShouldResemble, map[envelope.Kind]int{enter: 1, pass: 3})
 			So(machines[view.Tail()].Stored().Digest, ShouldEqual, entry.Digest)
 		})
 		Convey("one that answers no rank is sent it whole now and then", func() {
-			lost = func(m message.Message) bool {
+			lost = func(m envelope.Message) bool {
 				return kind(m) == pass && m.To == view.Tail() && (!carries(m.Body) || now < 2000) || kind(m) == lacks
 			}
 			caller.Put(now, entry)
@@ -92,7 +93,7 @@
 			So(whole[pass], ShouldBeBetweenOrEqual, 4, 9) // a round of three each two seconds
 		})
 		Convey("what was lost on its way is asked for", func() {
-			lost = func(m message.Message) bool { return now < 1400 && (kind(m) == pass || kind(m) == enter) }
+			lost = func(m envelope.Message) bool { return now < 1400 && (kind(m) == pass || kind(m) == enter) }
 			caller.Put(now, entry)
 			run(4000)
 			So(results, ShouldHaveLength, 1)
--- a/internal/cluster/message/entry.go
+++ b/internal/cluster/chain/entry.go
@@ -1,9 +1,10 @@
-package message
+package chain
 
 import (
 	"crypto/sha256"
 	"encoding/binary"
 	"encoding/json"
+	"saddleport/internal/cluster/views"
 	"slices"
 	"unicode/utf8"
 )
@@ -20,20 +21,6 @@
 // Version is the version of a rank.
 func RevisionOf(version uint64) uint64 { return version >> DigestBits }
 
-// Stamp orders entries: first by the epoch of the view whose head last vouched for them,
-// then by rank. What a head of an earlier view took and could not have acknowledged is
-// thereby older than whatever a later view has, even under the same version.
-type Viewstamp struct {
-	Epoch         uint64 `json:"e"`
-	Version       uint64 `json:"r"`
-	HistoryDigest uint64 `json:"l,omitempty"` // of the entry; it orders nothing
-}
-
-// Less orders stamps.
-func (s Viewstamp) Less(o Viewstamp) bool {
-	return s.Epoch < o.Epoch || s.Epoch == o.Epoch && s.Version < o.Version
-}
-
 // Order is what is remembered of a configuration that was overtaken: its version, and a
 // digest that stands for its bytes.
 type PastRevision struct {
@@ -60,11 +47,13 @@
 }
 
 // Stamp is the entry's place in the order of entries.
-func (e Entry) Viewstamp() Viewstamp { return Viewstamp{e.Epoch, e.Version, e.HistoryDigest} }
+func (e Entry) Viewstamp() views.Viewstamp {
+	return views.Viewstamp{Epoch: e.Epoch, Version: e.Version, HistoryDigest: e.HistoryDigest}
+}
 
 // For is the entry as it is told to one that holds something of a stamp: without its content
 // if that is the same, for contents are large.
-func (e Entry) WithoutKnownContent(stored Viewstamp) Entry {
+func (e Entry) WithoutKnownContent(stored views.Viewstamp) Entry {
 	if e.Matches(stored.Version, stored.HistoryDigest) {
 		return Entry{Epoch: e.Epoch, Version: e.Version, HistoryDigest: e.HistoryDigest, ContentOmitted: true}
 	}
--- a/internal/cluster/chain/orders.go
+++ b/internal/cluster/chain/orders.go
@@ -3,26 +3,26 @@
 import (
 	"slices"
 
-	"saddleport/internal/cluster/message"
+	"saddleport/internal/cluster/views"
 )
 
 // waiter is an order that waits at the head until what is kept is acknowledged.
 type pendingUpdate struct {
 	id      string
-	from    message.Member
+	from    views.Member
 	version uint64
-	verdict message.Verdict
+	verdict Verdict
 	since   int64
 }
 
 // entered takes an order at the head.
-func (m *Machine) handleUpdateRequest(now int64, from message.Member, update message.UpdateRequest) {
-	revision := message.RevisionOf(update.Version)
+func (m *Machine) handleUpdateRequest(now int64, from views.Member, update UpdateRequest) {
+	revision := RevisionOf(update.Version)
 	switch {
 	case m.view.Head() != m.self || m.sealed:
 		m.sendRefusal(from, update.ID, "not the head")
 		return
-	case update.Entry == nil && revision > message.RevisionOf(m.stored.Version):
+	case update.Entry == nil && revision > RevisionOf(m.stored.Version):
 		m.sendRefusal(from, update.ID, "not known here")
 		return
 	case len(m.pendingUpdates) >= maxPending:
@@ -33,7 +33,7 @@
 		m.sendRequestPending(from, update.ID)
 		return
 	}
-	if revision > message.RevisionOf(m.stored.Version) {
+	if revision > RevisionOf(m.stored.Version) {
 		m.Store(update.Entry.Following(m.stored, m.epoch()))
 	}
 	// Whatever is told of an order rests on what is kept, so it waits until that is acknowledged.
@@ -46,14 +46,14 @@
 }
 
 // sayWaiting tells a caller that its call is known here and waits for others.
-func (m *Machine) sendRequestPending(to message.Member, id string) {
-	m.send(to, message.RequestPending{ID: id})
+func (m *Machine) sendRequestPending(to views.Member, id string) {
+	m.send(to, RequestPending{ID: id})
 }
 
 // verdict is what has become of an order, by what is kept.
-func (m *Machine) verdict(update message.UpdateRequest) message.Verdict {
-	revision := message.RevisionOf(update.Version)
-	if revision == message.RevisionOf(m.stored.Version) {
+func (m *Machine) verdict(update UpdateRequest) Verdict {
+	revision := RevisionOf(update.Version)
+	if revision == RevisionOf(m.stored.Version) {
 		return m.compareDigests(update.Digest, m.stored.Digest)
 	}
 	for _, previous := range m.stored.Previous {
@@ -61,18 +61,18 @@
 			return m.compareDigests(update.Digest, previous.Digest)
 		}
 	}
-	return message.UpdateSuperseded
+	return UpdateSuperseded
 }
 
-func (m *Machine) compareDigests(sent, taken uint64) message.Verdict {
+func (m *Machine) compareDigests(sent, taken uint64) Verdict {
 	if sent == taken || m.mutations.SameNumber {
-		return message.UpdateAccepted
+		return UpdateAccepted
 	}
-	return message.UpdateConflict
+	return UpdateConflict
 }
 
-func (m *Machine) sendRefusal(to message.Member, id, reason string) {
-	m.send(to, message.UpdateResponse{ID: id, Reason: reason})
+func (m *Machine) sendRefusal(to views.Member, id, reason string) {
+	m.send(to, UpdateResponse{ID: id, Reason: reason})
 }
 
 // answerOrders tells those whose order rests on what is acknowledged.
@@ -81,7 +81,7 @@
 		if w.version > m.acknowledgedVersion {
 			return false
 		}
-		m.send(w.from, message.UpdateResponse{ID: w.id, Verdict: w.verdict})
+		m.send(w.from, UpdateResponse{ID: w.id, Verdict: w.verdict})
 		return true
 	})
 }
--- a/internal/cluster/chain/pass.go
+++ b/internal/cluster/chain/pass.go
@@ -3,13 +3,13 @@
 import (
 	"slices"
 
-	"saddleport/internal/cluster/message"
+	"saddleport/internal/cluster/views"
 )
 
 // flight is what was passed on and has no answer.
 type inFlightEntry struct {
 	active           bool
-	entry            message.Entry
+	entry            Entry
 	firstVersion     uint64 // the rank that was passed when it last moved
 	progressAt       int64
 	sentAt           int64
@@ -19,19 +19,19 @@
 func (m *Machine) chainIndex() int { return slices.Index(m.view.Chain, m.self) }
 
 // next is the member behind this one, if there is one.
-func (m *Machine) successor() (message.Member, bool) {
+func (m *Machine) successor() (views.Member, bool) {
 	if i := m.chainIndex(); i >= 0 && i+1 < len(m.view.Chain) {
 		return m.view.Chain[i+1], true
 	}
-	return message.Member{}, false
+	return views.Member{}, false
 }
 
-func (m *Machine) isSuccessor(x message.Member) bool {
+func (m *Machine) isSuccessor(x views.Member) bool {
 	n, ok := m.successor()
 	return ok && n == x
 }
 
-func (m *Machine) isPredecessor(x message.Member) bool {
+func (m *Machine) isPredecessor(x views.Member) bool {
 	i := m.chainIndex()
 	return i > 0 && m.view.Chain[i-1] == x
 }
@@ -59,7 +59,7 @@
 	n, _ := m.successor()
 	e := m.inFlight.entry
 	m.inFlight.sentAt = now
-	body := message.Forward{Version: e.Version, HistoryDigest: e.HistoryDigest}
+	body := Forward{Version: e.Version, HistoryDigest: e.HistoryDigest}
 	if m.inFlight.versionOnlySends++; !likelyStored || m.inFlight.versionOnlySends >= maxVersionOnlySends {
 		body.Entry, m.inFlight.versionOnlySends = &e, 0
 	}
@@ -67,7 +67,7 @@
 }
 
 // passed takes what the one before has passed.
-func (m *Machine) handleForward(now int64, from message.Member, p message.Forward) {
+func (m *Machine) handleForward(now int64, from views.Member, p Forward) {
 	if m.epochIsCurrent() && p.Version < m.stored.Version && !m.mutations.RankOnly {
 		return // an older one that comes late
 	}
@@ -81,7 +81,7 @@
 	case m.stored.Matches(p.Version, p.HistoryDigest):
 		m.acceptForward(now, true)
 	default:
-		m.send(from, message.EntryMissing{Version: p.Version})
+		m.send(from, EntryMissing{Version: p.Version})
 	}
 }
 
@@ -103,7 +103,7 @@
 	}
 	m.acknowledgedVersion = max(m.acknowledgedVersion, version)
 	if i := m.chainIndex(); i > 0 {
-		m.send(m.view.Chain[i-1], message.Acknowledge{Version: version})
+		m.send(m.view.Chain[i-1], Acknowledge{Version: version})
 		return
 	}
 	m.answerUpdates()
--- a/internal/cluster/chain/reads.go
+++ b/internal/cluster/chain/reads.go
@@ -3,30 +3,30 @@
 import (
 	"slices"
 
-	"saddleport/internal/cluster/message"
+	"saddleport/internal/cluster/views"
 )
 
 // reader is a read that waits at the tail until most members have said that its view
 // stands, and the head has vouched for what is kept.
 type pendingQuery struct {
 	id        string
-	from      message.Member
+	from      views.Member
 	since     int64
 	sentAt    int64
-	confirmed map[message.Member]bool
+	confirmed map[views.Member]bool
 }
 
 // asked takes a read at the tail.
-func (m *Machine) handleQueryRequest(now int64, from message.Member, read message.QueryRequest) {
+func (m *Machine) handleQueryRequest(now int64, from views.Member, read QueryRequest) {
 	if m.view.Tail() != m.self || m.sealed || len(m.pendingQueries) >= maxPending {
-		m.send(from, message.QueryResponse{ID: read.ID, Reason: "not the tail"})
+		m.send(from, QueryResponse{ID: read.ID, Reason: "not the tail"})
 		return
 	}
 	if slices.ContainsFunc(m.pendingQueries, func(o pendingQuery) bool { return o.id == read.ID && o.from == from }) {
 		m.sendRequestPending(from, read.ID)
 		return
 	}
-	r := pendingQuery{id: read.ID, from: from, since: now, sentAt: now, confirmed: map[message.Member]bool{m.self: true}}
+	r := pendingQuery{id: read.ID, from: from, since: now, sentAt: now, confirmed: map[views.Member]bool{m.self: true}}
 	m.pendingQueries = append(m.pendingQueries, r)
 	if !m.mutations.StaleRead {
 		m.requestConfirmations(r)
@@ -37,13 +37,13 @@
 func (m *Machine) requestConfirmations(r pendingQuery) {
 	for _, o := range m.view.Members {
 		if o != m.self && !r.confirmed[o] {
-			m.send(o, message.ConfirmView{ID: r.id})
+			m.send(o, ConfirmView{ID: r.id})
 		}
 	}
 }
 
 // confirmed takes a member's word that the view stands.
-func (m *Machine) handleViewConfirmed(from message.Member, epoch uint64, c message.ViewConfirmed) {
+func (m *Machine) handleViewConfirmed(from views.Member, epoch uint64, c ViewConfirmed) {
 	if epoch != m.view.Epoch || !m.view.Has(from) {
 		return
 	}
@@ -69,7 +69,7 @@
 			return false
 		}
 		held := m.stored
-		m.send(r.from, message.QueryResponse{ID: r.id, Entry: &held})
+		m.send(r.from, QueryResponse{ID: r.id, Entry: &held})
 		return true
 	})
 }
--- a/internal/cluster/message/message_test.go
+++ b/internal/cluster/codec/codec_test.go
@@ -1,9 +1,13 @@
-package message
+package codec
 
 import (
 	"bytes"
 	"encoding/json"
 	"errors"
+	"saddleport/internal/cluster/chain"
+	"saddleport/internal/cluster/consensus"
+	"saddleport/internal/cluster/envelope"
+	"saddleport/internal/cluster/views"
 	"testing"
 
 	. "github.com/smartystreets/goconvey/convey"
@@ -14,15 +18,15 @@
 func TestEntryForm(t *testing.T) {
 	Convey("An entry keeps its bytes", t, func() {
 		for _, raw := range []string{"", "{\"a\":\"<\\u00e9>&\u2028\"}\r\n\t", "\xff\xfe not text", "a\x00b", "\ufffd"} {
-			text, err := json.Marshal(Entry{Epoch: 3, Version: 7, Content: []byte(raw), Previous: []PastRevision{{6, 1}}})
+			text, err := json.Marshal(chain.Entry{Epoch: 3, Version: 7, Content: []byte(raw), Previous: []chain.PastRevision{{Revision: 6, Digest: 1}}})
 			So(err, ShouldBeNil)
-			var back Entry
+			var back chain.Entry
 			So(json.Unmarshal(text, &back), ShouldBeNil)
-			So(back.Viewstamp(), ShouldResemble, Viewstamp{Epoch: 3, Version: 7})
-			So(back.Previous, ShouldResemble, []PastRevision{{6, 1}})
+			So(back.Viewstamp(), ShouldResemble, views.Viewstamp{Epoch: 3, Version: 7})
+			So(back.Previous, ShouldResemble, []chain.PastRevision{{Revision: 6, Digest: 1}})
 			So(string(back.Content), ShouldEqual, raw)
 		}
-		var old Entry
+		var old chain.Entry
 		So(json.Unmarshal([]byte(`{"r":9,"w":"eyJhIjoxfQ=="}`), &old), ShouldBeNil)
 		So(string(old.Content), ShouldEqual, `{"a":1}`)
 		So(json.Unmarshal([]byte(`{"r":9,"w":"%"}`), &old), ShouldNotBeNil)
@@ -32,31 +36,34 @@
 // A message of a kind that is not spoken here, or cut short, is an error that names it.
 func TestMessageForm(t *testing.T) {
 	Convey("A message is read as it was written", t, func() {
-		sent := Message{From: Member{"a", "1"}, To: Member{"b", "2"}, Epoch: 4, Body: Forward{Version: 9, HistoryDigest: 3}}
-		text, err := json.Marshal(sent)
+		sent := envelope.Message{From: views.Member{Addr: "a", DiskID: "1"}, To: views.Member{Addr: "b", DiskID: "2"}, Epoch: 4, Body: chain.Forward{Version: 9, HistoryDigest: 3}}
+		text, err := EncodeMessage(sent)
+		So(err, ShouldBeNil)
+		back, err := DecodeMessage(text)
 		So(err, ShouldBeNil)
-		var back Message
-		So(json.Unmarshal(text, &back), ShouldBeNil)
 		So(back, ShouldResemble, sent)
 		for kind := range decoders {
-			So(json.Unmarshal([]byte(`{"k":"`+string(kind)+`","b":7}`), &back), ShouldNotBeNil)
+			_, err := DecodeMessage([]byte(`{"k":"` + string(kind) + `","b":7}`))
+			So(err, ShouldNotBeNil)
 		}
 		var unknown *UnknownKindError
-		So(errors.As(json.Unmarshal([]byte(`{"k":"elect","f":{"a":"x","d":"1"},"b":{}}`), &back), &unknown), ShouldBeTrue)
+		_, err = DecodeMessage([]byte(`{"k":"elect","f":{"a":"x","d":"1"},"b":{}}`))
+		So(errors.As(err, &unknown), ShouldBeTrue)
 		So(unknown.Error(), ShouldContainSubstring, "elect")
-		So(json.Unmarshal(text[:len(text)-3], &back), ShouldNotBeNil)
+		_, err = DecodeMessage(text[:len(text)-3])
+		So(err, ShouldNotBeNil)
 	})
 }
 
 // An entry names the orders before it, a bounded number.
 func TestPrevious(t *testing.T) {
 	Convey("Of a thousand orders the last ones are named", t, func() {
-		held := Entry{}
+		held := chain.Entry{}
 		for version := uint64(1); version <= 1000; version++ {
-			held = NewEntry(version, []byte("x")).Following(held, 2)
+			held = chain.NewEntry(version, []byte("x")).Following(held, 2)
 		}
-		So(held.Previous, ShouldHaveLength, MaxPrevious)
-		So(held.Previous[MaxPrevious-1].Revision, ShouldEqual, uint64(999))
+		So(held.Previous, ShouldHaveLength, chain.MaxPrevious)
+		So(held.Previous[chain.MaxPrevious-1].Revision, ShouldEqual, uint64(999))
 	})
 }
 
@@ -64,13 +71,13 @@
 // with it, and mail that is cut short is an error.
 func TestMail(t *testing.T) {
 	Convey("Mail with contents, some of them no text", t, func() {
-		a, b := NewEntry(3, []byte("\xff\x00 no text\n")), NewEntry(4, []byte(`{"revision":4}`))
-		a.Previous = []PastRevision{{2, 9}}
-		sent := []Message{
-			{From: Member{"a", "1"}, To: Member{"b", "2"}, Epoch: 4, Body: Forward{Version: a.Version, HistoryDigest: a.HistoryDigest, Entry: &a}},
-			{From: Member{"a", "1"}, Epoch: 4, Body: Heartbeat{Viewstamp: a.Viewstamp(), HasQuorum: true}},
-			{From: Member{"a", "1"}, Body: Repair{Entry: b}},
-			{From: Member{"a", "1"}, Body: Decide{View: View{Epoch: 5}, Entry: &Entry{Version: 3, ContentOmitted: true}}},
+		a, b := chain.NewEntry(3, []byte("\xff\x00 no text\n")), chain.NewEntry(4, []byte(`{"revision":4}`))
+		a.Previous = []chain.PastRevision{{Revision: 2, Digest: 9}}
+		sent := []envelope.Message{
+			{From: views.Member{Addr: "a", DiskID: "1"}, To: views.Member{Addr: "b", DiskID: "2"}, Epoch: 4, Body: chain.Forward{Version: a.Version, HistoryDigest: a.HistoryDigest, Entry: &a}},
+			{From: views.Member{Addr: "a", DiskID: "1"}, Epoch: 4, Body: consensus.Heartbeat{Viewstamp: a.Viewstamp(), HasQuorum: true}},
+			{From: views.Member{Addr: "a", DiskID: "1"}, Body: chain.Repair{Entry: b}},
+			{From: views.Member{Addr: "a", DiskID: "1"}, Body: consensus.Decide{View: views.View{Epoch: 5}, Entry: &chain.Entry{Version: 3, ContentOmitted: true}}},
 		}
 		mail, err := EncodeBatch(sent)
 		So(err, ShouldBeNil)
--- a/internal/cluster/consensus/acceptor.go
+++ b/internal/cluster/consensus/acceptor.go
@@ -3,11 +3,12 @@
 import (
 	"slices"
 
-	"saddleport/internal/cluster/message"
+	"saddleport/internal/cluster/envelope"
+	"saddleport/internal/cluster/views"
 )
 
 // prepared answers the first phase of another's ballot.
-func (m *Machine) handlePrepare(now int64, msg message.Message, p message.Prepare) {
+func (m *Machine) handlePrepare(now int64, msg envelope.Message, p Prepare) {
 	if p.Joiner != nil {
 		if *p.Joiner == m.Self {
 			m.answerAsLearner(msg, p)
@@ -22,18 +23,18 @@
 
 // answerAsLearner says that this process is there, and holds what the proposer does once
 // this step is on the disk.
-func (m *Machine) answerAsLearner(msg message.Message, p message.Prepare) {
+func (m *Machine) answerAsLearner(msg envelope.Message, p Prepare) {
 	if p.Entry != nil {
 		m.store.Store(*p.Entry)
 	}
 	if m.leaving {
 		return
 	}
-	m.send(msg.From, msg.Epoch, message.Promise{Ballot: p.Ballot, Viewstamp: m.store.Stored().Viewstamp(), Joiner: true})
+	m.send(msg.From, msg.Epoch, Promise{Ballot: p.Ballot, Viewstamp: m.store.Stored().Viewstamp(), Joiner: true})
 }
 
 // acceptAsked answers the second phase of another's ballot.
-func (m *Machine) handleAccept(now int64, msg message.Message, a message.Accept) {
+func (m *Machine) handleAccept(now int64, msg envelope.Message, a Accept) {
 	if !m.admitBallot(now, msg, a.Ballot, a.Viewstamp) {
 		return
 	}
@@ -44,13 +45,13 @@
 		m.send(msg.From, msg.Epoch, m.promise(a.Ballot, a.Viewstamp)) // it brings the entry
 		return
 	}
-	m.Accepted, m.changed = &message.Proposal{Ballot: a.Ballot, View: a.View}, true
-	m.send(msg.From, msg.Epoch, message.Accepted{Ballot: a.Ballot})
+	m.Accepted, m.changed = &Proposal{Ballot: a.Ballot, View: a.View}, true
+	m.send(msg.From, msg.Epoch, Accepted{Ballot: a.Ballot})
 }
 
 // mayVote promises a ballot, unless it is not for this process, not for the next epoch, or
 // below another that was promised.
-func (m *Machine) admitBallot(now int64, msg message.Message, b message.Ballot, proposer message.Viewstamp) bool {
+func (m *Machine) admitBallot(now int64, msg envelope.Message, b Ballot, proposer views.Viewstamp) bool {
 	switch {
 	case m.View.Epoch == 0:
 		return false
@@ -65,7 +66,7 @@
 	}
 	m.highestBallot = max(m.highestBallot, b.Number)
 	if b.Less(m.Promised) {
-		m.send(msg.From, msg.Epoch, message.Nack{Ballot: m.Promised})
+		m.send(msg.From, msg.Epoch, Nack{Ballot: m.Promised})
 		return false
 	}
 	if b != m.Promised {
@@ -84,9 +85,9 @@
 }
 
 // promise is the answer to a proposer that holds an entry of a stamp.
-func (m *Machine) promise(b message.Ballot, proposer message.Viewstamp) message.Promise {
+func (m *Machine) promise(b Ballot, proposer views.Viewstamp) Promise {
 	stored := m.store.Stored()
-	p := message.Promise{Ballot: b, Viewstamp: stored.Viewstamp(), Accepted: m.Accepted}
+	p := Promise{Ballot: b, Viewstamp: stored.Viewstamp(), Accepted: m.Accepted}
 	if proposer.Less(stored.Viewstamp()) {
 		e := stored.WithoutKnownContent(proposer)
 		p.Entry = &e
--- /dev/null
+++ b/internal/cluster/consensus/ballot.go
@@ -0,0 +1,20 @@
+package consensus
+
+import "saddleport/internal/cluster/views"
+
+// Ballot orders proposals.
+type Ballot struct {
+	Number   uint64 `json:"n"`
+	Proposer string `json:"b"`
+}
+
+// Less orders ballots.
+func (b Ballot) Less(o Ballot) bool {
+	return b.Number < o.Number || b.Number == o.Number && b.Proposer < o.Proposer
+}
+
+// Proposal is a view under a ballot.
+type Proposal struct {
+	Ballot Ballot     `json:"b"`
+	View   views.View `json:"v"`
+}
--- a/internal/cluster/consensus/consensus.go
+++ b/internal/cluster/consensus/consensus.go
@@ -20,7 +20,8 @@
 	"slices"
 
 	"saddleport/internal/cluster/chain"
-	"saddleport/internal/cluster/message"
+	"saddleport/internal/cluster/envelope"
+	"saddleport/internal/cluster/views"
 )
 
 // Config tunes the agreement; times are microseconds of the caller's clock.
@@ -38,17 +39,17 @@
 
 // State is what a member must find on its disk again.
 type State struct {
-	Self     message.Member    `json:"self"`
-	View     message.View      `json:"view"`
-	Promised message.Ballot    `json:"promised"` // for the next epoch
-	Accepted *message.Proposal `json:"accepted,omitempty"`
+	Self     views.Member `json:"self"`
+	View     views.View   `json:"view"`
+	Promised Ballot       `json:"promised"` // for the next epoch
+	Accepted *Proposal    `json:"accepted,omitempty"`
 }
 
 // Holder is the chain's part in an agreement.
 type EntryStore interface {
-	Stored() message.Entry
-	Store(message.Entry)
-	AdoptView(now int64, v message.View)
+	Stored() chain.Entry
+	Store(chain.Entry)
+	AdoptView(now int64, v views.View)
 	Seal()
 }
 
@@ -71,7 +72,7 @@
 	highestBallot   uint64 // ballot number seen
 	lastHeartbeatAt int64
 	seeds           []string // addresses to ask to be taken in
-	outbox          []message.Message
+	outbox          []envelope.Message
 }
 
 // FirstDisk names the disks of the machines of the first view.
@@ -80,16 +81,16 @@
 // Genesis is the view that all processes take for the first one, at the system's first
 // start: an odd number of the machines that its settings name as seeds, each with its
 // first disk.
-func InitialView(addrs []string) message.View {
+func InitialView(addrs []string) views.View {
 	sorted := slices.Clone(addrs)
 	slices.Sort(sorted)
 	sorted = slices.Compact(sorted)
 	if n := len(sorted); n > 0 && n%2 == 0 {
 		sorted = sorted[:n-1]
 	}
-	v := message.View{Epoch: 1}
+	v := views.View{Epoch: 1}
 	for _, a := range sorted {
-		v.Members = append(v.Members, message.Member{Addr: a, DiskID: FirstDiskID})
+		v.Members = append(v.Members, views.Member{Addr: a, DiskID: FirstDiskID})
 	}
 	v.Chain = slices.Clone(v.Members)
 	return v
@@ -103,7 +104,7 @@
 	m.highestBallot = s.Promised.Number
 	if s.View.Epoch > 0 {
 		store.AdoptView(now, s.View)
-		if s.Promised != (message.Ballot{}) {
+		if s.Promised != (Ballot{}) {
 			m.seal(now)
 		}
 	}
@@ -118,7 +119,7 @@
 }
 
 // Take returns what is to be sent, once the state is on the disk.
-func (m *Machine) TakeMessages() []message.Message {
+func (m *Machine) TakeMessages() []envelope.Message {
 	out := m.outbox
 	m.outbox = nil
 	return out
@@ -142,7 +143,7 @@
 }
 
 // PeersInTouch are the others that have said lately that they are in touch, members first.
-func (m *Machine) PeersWithQuorum(now int64) (out []message.Member) {
+func (m *Machine) PeersWithQuorum(now int64) (out []views.Member) {
 	for _, x := range append(slices.Clone(m.View.Members), m.Learners(now)...) {
 		if x != m.Self && m.peers.recentlyHeard(now, x) && m.peers.states[x].hasQuorum && !m.isLeaving(x) {
 			out = append(out, x)
@@ -152,25 +153,25 @@
 }
 
 // Heard is the stamp of what a member last said that it holds, and whether it lives.
-func (m *Machine) LastHeard(now int64, x message.Member) (message.Viewstamp, bool) {
+func (m *Machine) LastHeard(now int64, x views.Member) (views.Viewstamp, bool) {
 	return m.peers.states[x].viewstamp, m.peers.recentlyHeard(now, x)
 }
 
 // Learners are those that are no members and have asked lately to be taken in.
-func (m *Machine) Learners(now int64) []message.Member { return m.peers.recentLearners(now, m.View) }
+func (m *Machine) Learners(now int64) []views.Member { return m.peers.recentLearners(now, m.View) }
 
 // Live tells whether a member was heard of lately; this process always is, and at the start
 // all members are given the time to be heard.
-func (m *Machine) Alive(now int64, x message.Member) bool {
+func (m *Machine) Alive(now int64, x views.Member) bool {
 	return x == m.Self || m.peers.silentFor(now, x) < m.cfg.FailureTimeout
 }
 
 // fit tells whether a member belongs into the chain.
-func (m *Machine) eligible(now int64, x message.Member) bool {
+func (m *Machine) eligible(now int64, x views.Member) bool {
 	return m.Alive(now, x) && !m.suspicions.suspected(now, x) && !m.isLeaving(x)
 }
 
-func (m *Machine) isLeaving(x message.Member) bool {
+func (m *Machine) isLeaving(x views.Member) bool {
 	if x == m.Self {
 		return m.leaving
 	}
@@ -182,28 +183,28 @@
 	m.sealedAt = now
 }
 
-func (m *Machine) send(to message.Member, epoch uint64, body message.Body) {
+func (m *Machine) send(to views.Member, epoch uint64, body envelope.Body) {
 	if to != m.Self {
-		m.outbox = append(m.outbox, message.Message{From: m.Self, To: to, Epoch: epoch, Body: body})
+		m.outbox = append(m.outbox, envelope.Message{From: m.Self, To: to, Epoch: epoch, Body: body})
 	}
 }
 
 // Speaks tells whether a message is one of the agreement's.
-func IsConsensusMessage(body message.Body) bool { return !chain.IsChainMessage(body) }
+func IsConsensusMessage(body envelope.Body) bool { return !chain.IsChainMessage(body) }
 
 // Stranger answers a message that was meant for a disk that this machine no longer has.
-func (m *Machine) HandleMisaddressed(from message.Member) { m.send(from, m.View.Epoch, m.join()) }
+func (m *Machine) HandleMisaddressed(from views.Member) { m.send(from, m.View.Epoch, m.join()) }
 
-func (m *Machine) join() message.Join {
-	return message.Join{Viewstamp: m.store.Stored().Viewstamp(), Leaving: m.leaving}
+func (m *Machine) join() Join {
+	return Join{Viewstamp: m.store.Stored().Viewstamp(), Leaving: m.leaving}
 }
 
-func (m *Machine) heartbeat(now int64) message.Heartbeat {
-	return message.Heartbeat{Viewstamp: m.store.Stored().Viewstamp(), HasQuorum: m.HasQuorum(now), Leaving: m.leaving}
+func (m *Machine) heartbeat(now int64) Heartbeat {
+	return Heartbeat{Viewstamp: m.store.Stored().Viewstamp(), HasQuorum: m.HasQuorum(now), Leaving: m.leaving}
 }
 
 // Hear takes a message of the chain as a sign of life, and as one of who is behind.
-func (m *Machine) ObserveChainMessage(now int64, msg message.Message) {
+func (m *Machine) ObserveChainMessage(now int64, msg envelope.Message) {
 	m.peers.observe(now, msg, m.View)
 	if msg.Epoch > 0 && m.View.Epoch > 0 {
 		m.compareViews(now, msg, m.peers.states[msg.From].viewstamp) // a message of the chain does not say
@@ -211,32 +212,32 @@
 }
 
 // Got takes a message of the agreement.
-func (m *Machine) Step(now int64, msg message.Message) {
+func (m *Machine) Step(now int64, msg envelope.Message) {
 	if msg.From == m.Self {
 		return
 	}
 	m.peers.observe(now, msg, m.View)
 	switch body := msg.Body.(type) {
-	case message.Heartbeat:
+	case Heartbeat:
 		m.compareViews(now, msg, body.Viewstamp)
-	case message.Join:
+	case Join:
 		m.peers.observeLearner(now, msg.From, body)
 		m.compareViews(now, msg, body.Viewstamp)
-	case message.Decide:
+	case Decide:
 		m.handleDecide(now, body)
-	case message.Suspect:
+	case Suspect:
 		if m.View.Has(msg.From) && m.View.Has(body.Member) {
 			m.suspicions.report(now, msg.From, body.Member)
 		}
-	case message.Prepare:
+	case Prepare:
 		m.handlePrepare(now, msg, body)
-	case message.Accept:
+	case Accept:
 		m.handleAccept(now, msg, body)
-	case message.Promise:
+	case Promise:
 		m.handlePromise(now, msg, body)
-	case message.Accepted:
+	case Accepted:
 		m.handleAccepted(now, msg, body)
-	case message.Nack:
+	case Nack:
 		m.handleNack(now, msg, body)
 	}
 }
@@ -271,21 +272,21 @@
 	}
 	// Those that this process takes for members may all be gone by now: others know.
 	for _, addr := range m.seeds {
-		known := func(x message.Member) bool { return x.Addr == addr }
+		known := func(x views.Member) bool { return x.Addr == addr }
 		if addr != m.Self.Addr && !slices.ContainsFunc(m.View.Members, known) {
-			m.send(message.Member{Addr: addr}, m.View.Epoch, announcement)
+			m.send(views.Member{Addr: addr}, m.View.Epoch, announcement)
 		}
 	}
 }
 
 // Suspect has all members know that one does not move on.
-func (m *Machine) Suspect(now int64, x message.Member) {
+func (m *Machine) Suspect(now int64, x views.Member) {
 	if x == m.Self || !m.View.Has(x) {
 		return
 	}
 	m.suspicions.report(now, m.Self, x)
 	for _, to := range m.View.Members {
-		m.send(to, m.View.Epoch, message.Suspect{Member: x})
+		m.send(to, m.View.Epoch, Suspect{Member: x})
 	}
 }
 
--- a/internal/cluster/consensus/peers.go
+++ b/internal/cluster/consensus/peers.go
@@ -4,7 +4,8 @@
 	"cmp"
 	"slices"
 
-	"saddleport/internal/cluster/message"
+	"saddleport/internal/cluster/envelope"
+	"saddleport/internal/cluster/views"
 )
 
 // heard is what a process last said.
@@ -12,7 +13,7 @@
 	lastHeardAt int64 // its last word
 	aliveSince  int64 // it is live since then
 	epoch       uint64
-	viewstamp   message.Viewstamp
+	viewstamp   views.Viewstamp
 	hasQuorum   bool // by its own word
 	leaving     bool
 }
@@ -20,7 +21,7 @@
 // learner is one that is no member and wants to be.
 type learnerState struct {
 	lastHeardAt int64
-	viewstamp   message.Viewstamp
+	viewstamp   views.Viewstamp
 	leaving     bool
 }
 
@@ -28,18 +29,18 @@
 type peers struct {
 	cfg      Config
 	started  int64
-	states   map[message.Member]peerState
-	learners map[message.Member]learnerState
+	states   map[views.Member]peerState
+	learners map[views.Member]learnerState
 }
 
 const expiryFactor = 4 // times Live without a word
 
 func newPeers(now int64, cfg Config) peers {
-	return peers{cfg: cfg, started: now, states: make(map[message.Member]peerState), learners: make(map[message.Member]learnerState)}
+	return peers{cfg: cfg, started: now, states: make(map[views.Member]peerState), learners: make(map[views.Member]learnerState)}
 }
 
 // hear takes any message as a sign of life.
-func (p *peers) observe(now int64, msg message.Message, v message.View) {
+func (p *peers) observe(now int64, msg envelope.Message, v views.View) {
 	h, known := p.states[msg.From]
 	if !known && !v.Has(msg.From) && len(p.states) >= 2*p.cfg.MaxLearners {
 		return // a stranger too many
@@ -49,24 +50,24 @@
 	}
 	h.lastHeardAt = max(now, 1)
 	switch body := msg.Body.(type) {
-	case message.Heartbeat:
+	case Heartbeat:
 		h.epoch, h.viewstamp, h.hasQuorum, h.leaving = msg.Epoch, body.Viewstamp, body.HasQuorum, body.Leaving
-	case message.Join:
+	case Join:
 		h.epoch, h.viewstamp, h.hasQuorum, h.leaving = msg.Epoch, body.Viewstamp, false, body.Leaving
 	}
 	p.states[msg.From] = h
 }
 
 // learn notes one that asks to be taken in.
-func (p *peers) observeLearner(now int64, x message.Member, j message.Join) {
+func (p *peers) observeLearner(now int64, x views.Member, j Join) {
 	if _, known := p.learners[x]; known || len(p.learners) < p.cfg.MaxLearners {
 		p.learners[x] = learnerState{max(now, 1), j.Viewstamp, j.Leaving}
 	}
 }
 
 // learning are the learners that were heard lately, in order.
-func (p *peers) recentLearners(now int64, v message.View) []message.Member {
-	var out []message.Member
+func (p *peers) recentLearners(now int64, v views.View) []views.Member {
+	var out []views.Member
 	for x, l := range p.learners {
 		if now-l.lastHeardAt < p.cfg.FailureTimeout && !v.Has(x) {
 			out = append(out, x)
@@ -76,29 +77,29 @@
 	return out
 }
 
-func compareMembers(a, b message.Member) int {
+func compareMembers(a, b views.Member) int {
 	return cmp.Or(cmp.Compare(a.Addr, b.Addr), cmp.Compare(a.DiskID, b.DiskID))
 }
 
 // silence is how long nothing was heard of a process, at most since the start.
-func (p *peers) silentFor(now int64, x message.Member) int64 {
+func (p *peers) silentFor(now int64, x views.Member) int64 {
 	return now - max(p.states[x].lastHeardAt, p.started)
 }
 
 // heardLately is without the time that all are given at the start.
-func (p *peers) recentlyHeard(now int64, x message.Member) bool {
+func (p *peers) recentlyHeard(now int64, x views.Member) bool {
 	h, known := p.states[x]
 	return known && now-h.lastHeardAt < p.cfg.FailureTimeout
 }
 
 // settled tells whether a process has lived long enough, in a view's epoch.
-func (p *peers) rejoined(now int64, x message.Member, v message.View) bool {
+func (p *peers) rejoined(now int64, x views.Member, v views.View) bool {
 	h := p.states[x]
 	return now-h.aliveSince >= p.cfg.RejoinDelay && h.epoch == v.Epoch
 }
 
 // forget lets go of who is no member and silent.
-func (p *peers) expire(now int64, v message.View) {
+func (p *peers) expire(now int64, v views.View) {
 	for x, l := range p.learners {
 		if v.Has(x) || now-l.lastHeardAt >= expiryFactor*p.cfg.FailureTimeout {
 			delete(p.learners, x)
--- a/internal/cluster/consensus/proposer.go
+++ b/internal/cluster/consensus/proposer.go
@@ -4,18 +4,19 @@
 	"fmt"
 	"slices"
 
-	"saddleport/internal/cluster/message"
+	"saddleport/internal/cluster/envelope"
+	"saddleport/internal/cluster/views"
 )
 
 // ballot is one of this process.
 type ballotState struct {
-	ballot         message.Ballot
+	ballot         Ballot
 	startedAt      int64
-	storedAtStart  message.Viewstamp // by the proposer, as it began
-	promises       map[message.Member]message.Promise
-	joinedLearners map[message.Member]message.Viewstamp // learners that answered
-	value          *message.View                        // in the second phase
-	accepts        map[message.Member]bool
+	storedAtStart  views.Viewstamp // by the proposer, as it began
+	promises       map[views.Member]Promise
+	joinedLearners map[views.Member]views.Viewstamp // learners that answered
+	value          *views.View                      // in the second phase
+	accepts        map[views.Member]bool
 }
 
 // proposeIfDue begins a ballot where the view should change and it is this member's turn.
@@ -47,7 +48,7 @@
 }
 
 // lost tells whether the view in force can't go on as it is.
-func (m *Machine) chainBroken(now int64, target message.View) bool {
+func (m *Machine) chainBroken(now int64, target views.View) bool {
 	if m.sealedAt != 0 && now-m.sealedAt >= m.cfg.BallotTimeout {
 		return true // a proposer has left us sealed
 	}
@@ -76,18 +77,18 @@
 func (m *Machine) propose(now int64) {
 	m.changeDueSince = now // if it fails, the next turns come first
 	m.highestBallot++
-	b := message.Ballot{Number: m.highestBallot, Proposer: m.Self.String()}
+	b := Ballot{Number: m.highestBallot, Proposer: m.Self.String()}
 	if b.Less(m.Promised) {
 		panic(fmt.Sprintf("invariant: ballot %v is below what was promised, %v", b, m.Promised))
 	}
 	m.Promised, m.changed = b, true
 	m.seal(now)
 	stored := m.store.Stored().Viewstamp()
-	m.ownBallot = &ballotState{ballot: b, startedAt: now, storedAtStart: stored, joinedLearners: make(map[message.Member]message.Viewstamp),
-		promises: map[message.Member]message.Promise{m.Self: {Ballot: b, Viewstamp: stored, Accepted: m.Accepted}},
-		accepts:  make(map[message.Member]bool)}
+	m.ownBallot = &ballotState{ballot: b, startedAt: now, storedAtStart: stored, joinedLearners: make(map[views.Member]views.Viewstamp),
+		promises: map[views.Member]Promise{m.Self: {Ballot: b, Viewstamp: stored, Accepted: m.Accepted}},
+		accepts:  make(map[views.Member]bool)}
 	for _, to := range m.View.Members {
-		m.send(to, m.View.Epoch+1, message.Prepare{Ballot: b, Viewstamp: stored})
+		m.send(to, m.View.Epoch+1, Prepare{Ballot: b, Viewstamp: stored})
 	}
 	for _, x := range m.targetView(now, true).Members {
 		if !m.View.Has(x) {
@@ -99,18 +100,18 @@
 
 // prepareLearner asks one that is to be taken in whether it is there, and brings it up to
 // date.
-func (m *Machine) prepareLearner(x message.Member, b message.Ballot, stored message.Viewstamp) {
+func (m *Machine) prepareLearner(x views.Member, b Ballot, stored views.Viewstamp) {
 	entry := m.entryFor(m.peers.learners[x].viewstamp, stored)
-	m.send(x, m.View.Epoch+1, message.Prepare{Ballot: b, Viewstamp: stored, Joiner: &x, Entry: entry})
+	m.send(x, m.View.Epoch+1, Prepare{Ballot: b, Viewstamp: stored, Joiner: &x, Entry: entry})
 }
 
 // answers tells whether a message answers the ballot at hand.
-func (m *Machine) answers(msg message.Message, b message.Ballot) bool {
+func (m *Machine) answers(msg envelope.Message, b Ballot) bool {
 	return m.ownBallot != nil && msg.Epoch == m.View.Epoch+1 && m.ownBallot.ballot == b
 }
 
 // promised counts the answer to the first phase.
-func (m *Machine) handlePromise(now int64, msg message.Message, p message.Promise) {
+func (m *Machine) handlePromise(now int64, msg envelope.Message, p Promise) {
 	if !m.answers(msg, p.Ballot) {
 		return
 	}
@@ -160,8 +161,8 @@
 }
 
 // bound is what another has proposed and may have been agreed on already.
-func (m *Machine) mostRecentAccepted() (v message.View, found bool) {
-	var best *message.Proposal
+func (m *Machine) mostRecentAccepted() (v views.View, found bool) {
+	var best *Proposal
 	for _, p := range m.ownBallot.promises {
 		if p.Accepted != nil && !m.mutations.Forget && (best == nil || best.Ballot.Less(p.Accepted.Ballot)) {
 			best = p.Accepted
@@ -174,10 +175,10 @@
 }
 
 // acceptAll begins the second phase.
-func (m *Machine) sendAccepts(now int64, v message.View) {
+func (m *Machine) sendAccepts(now int64, v views.View) {
 	p := m.ownBallot
 	p.value = &v
-	m.Accepted, m.changed = &message.Proposal{Ballot: p.ballot, View: v}, true
+	m.Accepted, m.changed = &Proposal{Ballot: p.ballot, View: v}, true
 	p.accepts[m.Self] = true
 	for _, to := range m.View.Members {
 		if x, ok := p.promises[to]; ok {
@@ -189,14 +190,14 @@
 	m.decideIfAccepted(now)
 }
 
-func (m *Machine) sendAccept(to message.Member, stored message.Viewstamp) {
+func (m *Machine) sendAccept(to views.Member, stored views.Viewstamp) {
 	v := *m.ownBallot.value
-	body := message.Accept{Ballot: m.ownBallot.ballot, Viewstamp: m.store.Stored().Viewstamp(), View: v, Entry: m.entryFor(stored, v.BaseViewstamp())}
+	body := Accept{Ballot: m.ownBallot.ballot, Viewstamp: m.store.Stored().Viewstamp(), View: v, Entry: m.entryFor(stored, v.BaseViewstamp())}
 	m.send(to, v.Epoch, body)
 }
 
 // accepted counts the answer to the second phase.
-func (m *Machine) handleAccepted(now int64, msg message.Message, a message.Accepted) {
+func (m *Machine) handleAccepted(now int64, msg envelope.Message, a Accepted) {
 	if m.answers(msg, a.Ballot) && m.View.Has(msg.From) && m.ownBallot.value != nil {
 		m.ownBallot.accepts[msg.From] = true
 		m.decideIfAccepted(now)
@@ -204,7 +205,7 @@
 }
 
 // refused gives way to a higher ballot.
-func (m *Machine) handleNack(now int64, msg message.Message, n message.Nack) {
+func (m *Machine) handleNack(now int64, msg envelope.Message, n Nack) {
 	if msg.Epoch != m.View.Epoch+1 || !m.View.Has(msg.From) {
 		return
 	}
@@ -234,7 +235,7 @@
 }
 
 // holds is what a member holds at least, by what it said last and in this ballot.
-func (p *ballotState) lastKnownViewstamp(x message.Member, said message.Viewstamp, v message.View) message.Viewstamp {
+func (p *ballotState) lastKnownViewstamp(x views.Member, said views.Viewstamp, v views.View) views.Viewstamp {
 	if p.accepts[x] {
 		return v.BaseViewstamp()
 	}
--- a/internal/cluster/consensus/suspicion.go
+++ b/internal/cluster/consensus/suspicion.go
@@ -1,33 +1,33 @@
 package consensus
 
-import "saddleport/internal/cluster/message"
+import "saddleport/internal/cluster/views"
 
 // suspicions are who is said not to move on, by whom, and who therefore stays out of the
 // chain for a while.
 type suspicions struct {
 	cfg            Config
-	reports        map[message.Member]map[message.Member]int64 // by suspect: who says so, since when
-	suspectedUntil map[message.Member]int64
+	reports        map[views.Member]map[views.Member]int64 // by suspect: who says so, since when
+	suspectedUntil map[views.Member]int64
 }
 
 func newSuspicions(cfg Config) suspicions {
-	return suspicions{cfg: cfg, reports: make(map[message.Member]map[message.Member]int64), suspectedUntil: make(map[message.Member]int64)}
+	return suspicions{cfg: cfg, reports: make(map[views.Member]map[views.Member]int64), suspectedUntil: make(map[views.Member]int64)}
 }
 
-func (s *suspicions) report(now int64, by, x message.Member) {
+func (s *suspicions) report(now int64, by, x views.Member) {
 	if s.reports[x] == nil {
-		s.reports[x] = make(map[message.Member]int64)
+		s.reports[x] = make(map[views.Member]int64)
 	}
 	s.reports[x][by] = now
 }
 
-func (s *suspicions) suspected(now int64, x message.Member) bool { return now < s.suspectedUntil[x] }
+func (s *suspicions) suspected(now int64, x views.Member) bool { return now < s.suspectedUntil[x] }
 
 func (s *suspicions) clear() { clear(s.reports) }
 
 // judge has suspects stay out of the chain for a while, but for one that is only held up: it
 // suspects another itself, of which no fewer complain.
-func (s *suspicions) evaluate(now int64, v message.View) {
+func (s *suspicions) evaluate(now int64, v views.View) {
 	s.expire(now, v)
 	for x, against := range s.reports {
 		if s.blockedByAnother(x, len(against)) { // also where it was judged before the other was complained of
@@ -38,7 +38,7 @@
 	}
 }
 
-func (s *suspicions) blockedByAnother(x message.Member, against int) bool {
+func (s *suspicions) blockedByAnother(x views.Member, against int) bool {
 	for other, by := range s.reports {
 		if _, suspects := by[x]; suspects && other != x && len(by) >= against {
 			return true
@@ -47,7 +47,7 @@
 	return false
 }
 
-func (s *suspicions) expire(now int64, v message.View) {
+func (s *suspicions) expire(now int64, v views.View) {
 	for x, by := range s.reports {
 		for other, at := range by {
 			if now-at >= s.cfg.FailureTimeout || !v.Has(other) {
--- a/internal/cluster/replica/record.go
+++ b/internal/cluster/replica/record.go
@@ -4,8 +4,8 @@
 	"encoding/json"
 	"fmt"
 
+	"saddleport/internal/cluster/chain"
 	"saddleport/internal/cluster/consensus"
-	"saddleport/internal/cluster/message"
 )
 
 // Format is the version of the form in which a record stands on the disk. Records without
@@ -16,12 +16,12 @@
 type Record struct {
 	State       consensus.State
 	StoredEpoch uint64 // of the entry; it may be newer than what the entry itself says
-	Entry       *message.Entry
+	Entry       *chain.Entry
 }
 
 // held is the entry as it counts.
-func (r Record) currentEntry() message.Entry {
-	var e message.Entry
+func (r Record) currentEntry() chain.Entry {
+	var e chain.Entry
 	if r.Entry != nil {
 		e = *r.Entry
 	}
--- a/internal/cluster/replica/replica.go
+++ b/internal/cluster/replica/replica.go
@@ -9,7 +9,8 @@
 	"saddleport/internal/cluster/antientropy"
 	"saddleport/internal/cluster/chain"
 	"saddleport/internal/cluster/consensus"
-	"saddleport/internal/cluster/message"
+	"saddleport/internal/cluster/envelope"
+	"saddleport/internal/cluster/views"
 )
 
 // Config tunes both machines.
@@ -35,7 +36,7 @@
 // Output is what a step returns: first what is to be written, then what may go out.
 type Output struct {
 	Persist *Record
-	Send    []message.Message
+	Send    []envelope.Message
 	Results []chain.Result
 }
 
@@ -57,7 +58,7 @@
 }
 
 // Got takes a message.
-func (r *Machine) Step(now int64, msg message.Message) Output {
+func (r *Machine) Step(now int64, msg envelope.Message) Output {
 	self := r.Consensus.Self
 	switch {
 	case msg.To.DiskID != "" && msg.To != self: // to a disk that this machine no longer has
@@ -100,7 +101,7 @@
 }
 
 // repair brings a copy that was found old up to date, if what is kept here is acknowledged.
-func (r *Machine) repair(now int64, member message.Member, viewstamp message.Viewstamp) {
+func (r *Machine) repair(now int64, member views.Member, viewstamp views.Viewstamp) {
 	own := r.Chain.Stored()
 	if r.cfg.Repair.SweepInterval > 0 && r.Chain.Acknowledged() >= own.Version && r.repairs.ShouldRepair(now, member.String(), viewstamp.Version, own.Version) {
 		r.Chain.Repair(member)
@@ -114,7 +115,7 @@
 	if r.cfg.Repair.SweepInterval == 0 || v.Head() != r.Consensus.Self || r.Chain.Sealed() {
 		return
 	}
-	copies := make(map[string]message.Member, len(v.Members))
+	copies := make(map[string]views.Member, len(v.Members))
 	names := make([]string, 0, len(v.Members))
 	for _, x := range append(r.Consensus.Learners(now), v.Members...) {
 		if x != r.Consensus.Self {
@@ -134,7 +135,7 @@
 
 // Put asks for a configuration to be acknowledged, Get for the newest that was. The Result
 // under the id returned comes in this or a later Output.
-func (r *Machine) Put(now int64, e message.Entry) (string, Output) {
+func (r *Machine) Put(now int64, e chain.Entry) (string, Output) {
 	id := r.Chain.Put(now, e)
 	return id, r.drainOutput(now)
 }
--- a/internal/cluster/routeconfig/routeconfig.go
+++ b/internal/cluster/routeconfig/routeconfig.go
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"saddleport/internal/cluster/message"
+	"saddleport/internal/cluster/chain"
 	"saddleport/internal/paths"
 )
 
@@ -91,8 +91,8 @@
 // that orders two contents of one number.
 func revision(at paths.Reader) int64 {
 	n := at.NoText().Int()
-	if n < 0 || n > message.MaxRevision {
-		at.Failf("%d is not between 0 and %d", n, int64(message.MaxRevision))
+	if n < 0 || n > chain.MaxRevision {
+		at.Failf("%d is not between 0 and %d", n, int64(chain.MaxRevision))
 	}
 	return n
 }
--- a/internal/cluster/message/view.go
+++ b/internal/cluster/views/views.go
@@ -1,7 +1,8 @@
-// Package message holds what core machines agree on and say to one another: members, views,
-// entries, ballots, and one type for each message, with their form on the wire and on disk.
-// It decides nothing.
-package message
+// Package views holds what the control-plane machines agree on: who the voting members are,
+// in which order they form the replication chain, and the viewstamp by which replicated
+// entries are ordered. The terms are those of Viewstamped Replication (Oki and Liskov, 1988)
+// and of chain replication (van Renesse and Schneider, 2004). The package decides nothing.
+package views
 
 import (
 	"fmt"
@@ -75,19 +76,17 @@
 	return nil
 }
 
-// Ballot orders proposals.
-type Ballot struct {
-	Number   uint64 `json:"n"`
-	Proposer string `json:"b"`
+// Viewstamp orders entries: first by the epoch of the view whose head last confirmed them,
+// then by version. An entry that the head of an earlier view stored and could not have
+// acknowledged is thereby older than every entry of a later view, even under the same
+// revision.
+type Viewstamp struct {
+	Epoch         uint64 `json:"e"`
+	Version       uint64 `json:"r"`
+	HistoryDigest uint64 `json:"l,omitempty"` // of the entry; it orders nothing
 }
 
-// Less orders ballots.
-func (b Ballot) Less(o Ballot) bool {
-	return b.Number < o.Number || b.Number == o.Number && b.Proposer < o.Proposer
-}
-
-// Proposal is a view under a ballot.
-type Proposal struct {
-	Ballot Ballot `json:"b"`
-	View   View   `json:"v"`
+// Less orders stamps.
+func (s Viewstamp) Less(o Viewstamp) bool {
+	return s.Epoch < o.Epoch || s.Epoch == o.Epoch && s.Version < o.Version
 }
--- a/internal/compat/storage_test.go
+++ b/internal/compat/storage_test.go
@@ -8,8 +8,8 @@
 	"path/filepath"
 	"testing"
 
+	"saddleport/internal/cluster/chain"
 	"saddleport/internal/cluster/gossip"
-	"saddleport/internal/cluster/message"
 	"saddleport/internal/cluster/replica"
 	"saddleport/internal/cluster/routeconfig"
 	"saddleport/internal/node/role"
@@ -39,9 +39,9 @@
 				t.Errorf("the view is %+v; want epoch %d", record.State.View, want.epoch)
 			}
 			for _, key := range []string{"entry", "known"} {
-				var entry message.Entry
+				var entry chain.Entry
 				unchanged(t, get(t, store, key), &entry)
-				if got := message.RevisionOf(entry.Version); got != want.revision {
+				if got := chain.RevisionOf(entry.Version); got != want.revision {
 					t.Errorf("%s: revision %d; want %d", key, got, want.revision)
 				}
 				if _, err := routeconfig.Parse(entry.Content); err != nil {
--- a/internal/compat/wire_test.go
+++ b/internal/compat/wire_test.go
@@ -9,10 +9,14 @@
 	"reflect"
 	"testing"
 
+	"saddleport/internal/cluster/chain"
+	"saddleport/internal/cluster/codec"
+	"saddleport/internal/cluster/consensus"
+	"saddleport/internal/cluster/envelope"
 	"saddleport/internal/cluster/gossip"
-	"saddleport/internal/cluster/message"
 	"saddleport/internal/cluster/outlier"
 	"saddleport/internal/cluster/registry"
+	"saddleport/internal/cluster/views"
 	"saddleport/internal/node/role"
 )
 
@@ -37,30 +41,30 @@
 	"server-heartbeat":    &registry.Heartbeat{},
 	"heartbeat-answer":    &role.Beaten{},
 	"show":                &role.Shown{},
-	"replica-view":        &message.View{},
-	"replica-entry":       &message.Entry{},
-	"core-enter":          &message.UpdateRequest{},
-	"core-entered":        &message.UpdateResponse{},
-	"core-pass":           &message.Forward{},
-	"core-ack":            &message.Acknowledge{},
-	"core-lacks":          &message.EntryMissing{},
-	"core-read":           &message.QueryRequest{},
-	"core-read-result":    &message.QueryResponse{},
-	"core-confirm":        &message.ConfirmView{},
-	"core-confirmed":      &message.ViewConfirmed{},
-	"core-repair":         &message.Repair{},
-	"core-waiting":        &message.RequestPending{},
-	"core-heartbeat":      &message.Heartbeat{},
-	"core-join":           &message.Join{},
-	"core-prepare":        &message.Prepare{},
-	"core-promise":        &message.Promise{},
-	"core-accept":         &message.Accept{},
-	"core-accepted":       &message.Accepted{},
-	"core-nack":           &message.Nack{},
-	"core-decide":         &message.Decide{},
-	"core-suspect":        &message.Suspect{},
-	"core-stamp":          &message.Viewstamp{},
-	"core-previous-order": &message.PastRevision{},
+	"replica-view":        &views.View{},
+	"replica-entry":       &chain.Entry{},
+	"core-enter":          &chain.UpdateRequest{},
+	"core-entered":        &chain.UpdateResponse{},
+	"core-pass":           &chain.Forward{},
+	"core-ack":            &chain.Acknowledge{},
+	"core-lacks":          &chain.EntryMissing{},
+	"core-read":           &chain.QueryRequest{},
+	"core-read-result":    &chain.QueryResponse{},
+	"core-confirm":        &chain.ConfirmView{},
+	"core-confirmed":      &chain.ViewConfirmed{},
+	"core-repair":         &chain.Repair{},
+	"core-waiting":        &chain.RequestPending{},
+	"core-heartbeat":      &consensus.Heartbeat{},
+	"core-join":           &consensus.Join{},
+	"core-prepare":        &consensus.Prepare{},
+	"core-promise":        &consensus.Promise{},
+	"core-accept":         &consensus.Accept{},
+	"core-accepted":       &consensus.Accepted{},
+	"core-nack":           &consensus.Nack{},
+	"core-decide":         &consensus.Decide{},
+	"core-suspect":        &consensus.Suspect{},
+	"core-stamp":          &views.Viewstamp{},
+	"core-previous-order": &chain.PastRevision{},
 }
 
 // Each form is written as the release before wrote it, and read and written again unchanged.
@@ -95,11 +99,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	messages, unread, err := message.DecodeBatch(mail)
+	messages, unread, err := codec.DecodeBatch(mail)
 	if err != nil || len(unread) > 0 || len(messages) != 20 {
 		t.Fatalf("%d messages, %v unread, %v", len(messages), unread, err)
 	}
-	again, err := message.EncodeBatch(messages)
+	again, err := codec.EncodeBatch(messages)
 	if err != nil || !bytes.Equal(again, mail) {
 		t.Fatalf("the mail was written otherwise: %v", err)
 	}
@@ -126,17 +130,17 @@
 
 func writeMail(t *testing.T, path string) {
 	t.Helper()
-	from, to := message.Member{Addr: "10.0.0.1:7080", DiskID: "0"}, message.Member{Addr: "10.0.0.2:7080", DiskID: "d2"}
-	var list []message.Message
+	from, to := views.Member{Addr: "10.0.0.1:7080", DiskID: "0"}, views.Member{Addr: "10.0.0.2:7080", DiskID: "d2"}
+	var list []envelope.Message
 	for _, name := range names() {
-		if body, is := reflect.ValueOf(sent[name]).Elem().Interface().(message.Body); is {
+		if body, is := reflect.ValueOf(sent[name]).Elem().Interface().(envelope.Body); is {
 			value := reflect.ValueOf(sent[name]).Elem()
 			fill(t, value, name)
-			body = value.Interface().(message.Body)
-			list = append(list, message.Message{From: from, To: to, Epoch: 7, Body: body})
+			body = value.Interface().(envelope.Body)
+			list = append(list, envelope.Message{From: from, To: to, Epoch: 7, Body: body})
 		}
 	}
-	mail, err := message.EncodeBatch(list)
+	mail, err := codec.EncodeBatch(list)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/measure/catchup.go
+++ b/internal/lab/measure/catchup.go
@@ -11,9 +11,10 @@
 
 	"github.com/spf13/cobra"
 
+	"saddleport/internal/cluster/chain"
 	"saddleport/internal/cluster/consensus"
-	"saddleport/internal/cluster/message"
 	"saddleport/internal/cluster/replica"
+	"saddleport/internal/cluster/views"
 )
 
 // CatchUp is how long a core machine needs to hold what is in force, after so many orders.
@@ -67,7 +68,7 @@
 			}
 		}
 		w.version++
-		w.putAt(w.version, message.NewEntry(w.version, []byte(fmt.Sprint(w.version, text))))
+		w.putAt(w.version, chain.NewEntry(w.version, []byte(fmt.Sprint(w.version, text))))
 		w.until(w.now+orderEvery, nil)
 	}
 	w.until(w.now+3000*ms, nil)
@@ -78,7 +79,7 @@
 		c.Never++
 	}
 	w.crash(down)
-	down.disk = replica.Record{State: consensus.State{Self: message.Member{Addr: down.addr, DiskID: "again"}}}
+	down.disk = replica.Record{State: consensus.State{Self: views.Member{Addr: down.addr, DiskID: "again"}}}
 	w.start(down)
 	if span, ok := w.untilHolds(down); ok {
 		c.Empty = append(c.Empty, span)
@@ -98,7 +99,7 @@
 }
 
 // putAt sends an order to the first machine that runs.
-func (w *coreWorld) putAt(version uint64, e message.Entry) {
+func (w *coreWorld) putAt(version uint64, e chain.Entry) {
 	i := slices.IndexFunc(w.ms, func(x *machine) bool { return x.up })
 	id, out := w.ms[i].m.Put(w.now, e)
 	w.asked[id] = w.now
@@ -109,7 +110,7 @@
 func (w *coreWorld) untilHolds(x *machine) (time.Duration, bool) {
 	begun := w.now
 	holds := func() bool {
-		return x.m.Consensus.IsMember() && x.disk.Entry != nil && message.RevisionOf(x.disk.Entry.Version) == w.version
+		return x.m.Consensus.IsMember() && x.disk.Entry != nil && chain.RevisionOf(x.disk.Entry.Version) == w.version
 	}
 	w.until(begun+mostCatchUp, func() bool { return !holds() })
 	return time.Duration((w.now - begun) * micro), holds()
--- a/internal/lab/measure/core.go
+++ b/internal/lab/measure/core.go
@@ -6,8 +6,9 @@
 
 	"saddleport/internal/cluster/chain"
 	"saddleport/internal/cluster/consensus"
-	"saddleport/internal/cluster/message"
+	"saddleport/internal/cluster/envelope"
 	"saddleport/internal/cluster/replica"
+	"saddleport/internal/cluster/views"
 )
 
 // Loss is what befalls the core.
@@ -122,7 +123,7 @@
 		w.seeds = append(w.seeds, x.addr)
 	}
 	for _, x := range w.ms {
-		x.disk = replica.Record{State: consensus.State{Self: message.Member{Addr: x.addr, DiskID: consensus.FirstDiskID}, View: consensus.InitialView(w.seeds)}}
+		x.disk = replica.Record{State: consensus.State{Self: views.Member{Addr: x.addr, DiskID: consensus.FirstDiskID}, View: consensus.InitialView(w.seeds)}}
 		w.after(w.rng.Int64N(200*ms), func() { w.start(x) })
 	}
 	w.after(500*ms, w.ask)
@@ -159,7 +160,7 @@
 }
 
 // view is the newest that a machine is in.
-func (w *coreWorld) view() (v message.View) {
+func (w *coreWorld) view() (v views.View) {
 	for _, x := range w.ms {
 		if x.m.Consensus.View.Epoch > v.Epoch {
 			v = x.m.Consensus.View
@@ -201,7 +202,7 @@
 	if len(up) > 0 {
 		x := up[w.rng.IntN(len(up))]
 		w.version++
-		id, out := x.m.Put(w.now, message.NewEntry(w.version, []byte("x")))
+		id, out := x.m.Put(w.now, chain.NewEntry(w.version, []byte("x")))
 		w.asked[id], w.sent[id] = w.now, w.version
 		w.flow(x, out)
 	}
@@ -264,7 +265,7 @@
 	}
 }
 
-func (w *coreWorld) send(x *machine, list []message.Message) {
+func (w *coreWorld) send(x *machine, list []envelope.Message) {
 	for _, msg := range list {
 		to := w.byAddr[msg.To.Addr]
 		if to == nil || x.cutOut {
--- a/internal/lab/measure/cut.go
+++ b/internal/lab/measure/cut.go
@@ -9,7 +9,6 @@
 	"github.com/spf13/cobra"
 
 	"saddleport/internal/cluster/chain"
-	"saddleport/internal/cluster/message"
 )
 
 const (
@@ -73,7 +72,7 @@
 		if at != x || !own || !res.OK() {
 			return
 		}
-		if res.Entry != nil && message.RevisionOf(res.Entry.Version) < floor {
+		if res.Entry != nil && chain.RevisionOf(res.Entry.Version) < floor {
 			c.Old++
 		}
 		if w.now-begun < cutSpan {
@@ -90,7 +89,7 @@
 		get, out := x.m.Get(w.now)
 		floors[get] = w.newest
 		w.flow(x, out)
-		put, out := x.m.Put(w.now, message.NewEntry(1, []byte("sent before")))
+		put, out := x.m.Put(w.now, chain.NewEntry(1, []byte("sent before")))
 		floors[put] = 0
 		w.flow(x, out)
 		w.after(askEvery, call)
--- a/internal/lab/modelcheck/faults.go
+++ b/internal/lab/modelcheck/faults.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"saddleport/internal/cluster/message"
+	"saddleport/internal/cluster/views"
 )
 
 // Times of the users' pages, virtual.
@@ -137,7 +137,7 @@
 }
 
 // newest is the newest view on any disk.
-func (w *World) newest() (v message.View) {
+func (w *World) newest() (v views.View) {
 	for _, n := range w.nodes {
 		if n.disk != nil && n.disk.State.View.Epoch > v.Epoch {
 			v = n.disk.State.View
@@ -147,7 +147,7 @@
 }
 
 // lost counts the members of a view whose disk is lost.
-func (w *World) lost(v message.View) (n int) {
+func (w *World) lost(v views.View) (n int) {
 	for _, m := range v.Members {
 		if x := w.nodes[w.index(m.Addr)]; x.removed || x.disk == nil || x.disk.State.Self != m {
 			n++
--- a/internal/lab/modelcheck/oracle.go
+++ b/internal/lab/modelcheck/oracle.go
@@ -2,7 +2,6 @@
 
 import (
 	"saddleport/internal/cluster/chain"
-	"saddleport/internal/cluster/message"
 )
 
 // result judges what a caller was told.
@@ -25,9 +24,9 @@
 
 // readResult holds a read to what was acknowledged before it was asked, and to what other
 // reads found under the same version.
-func (w *World) readResult(a asked, e message.Entry) {
+func (w *World) readResult(a asked, e chain.Entry) {
 	w.Seen.Reads++
-	version := message.RevisionOf(e.Version)
+	version := chain.RevisionOf(e.Version)
 	w.note("a read finds version %d: %s", version, e.Content)
 	if version < a.floor {
 		w.fail("a read found version %d though %d was acknowledged before it was asked", version, a.floor)
@@ -46,7 +45,7 @@
 	w.note("version %d is acknowledged", o.version)
 	holders := 0
 	for _, n := range w.nodes {
-		if n.disk != nil && n.disk.Entry != nil && message.RevisionOf(n.disk.Entry.Version) >= o.version {
+		if n.disk != nil && n.disk.Entry != nil && chain.RevisionOf(n.disk.Entry.Version) >= o.version {
 			holders++
 		}
 	}
@@ -57,14 +56,14 @@
 
 // verdict holds what operators are told to one content under one number: an order that was
 // confirmed is never refused when it is sent again, and no other one is confirmed.
-func (w *World) verdict(o order, v message.Verdict) {
+func (w *World) verdict(o order, v chain.Verdict) {
 	was, taken := w.taken[o.version]
 	switch {
-	case v == message.UpdateAccepted && taken && was != o.raw:
+	case v == chain.UpdateAccepted && taken && was != o.raw:
 		w.fail("version %d is confirmed as %q and as %q", o.version, was, o.raw)
-	case v == message.UpdateAccepted:
+	case v == chain.UpdateAccepted:
 		w.taken[o.version] = o.raw
-	case v == message.UpdateConflict && taken && was == o.raw:
+	case v == chain.UpdateConflict && taken && was == o.raw:
 		w.fail("version %d as %q was confirmed, and is refused when it is sent again", o.version, o.raw)
 	}
 }
--- a/internal/lab/modelcheck/world.go
+++ b/internal/lab/modelcheck/world.go
@@ -11,9 +11,11 @@
 	"strings"
 
 	"saddleport/internal/cluster/antientropy"
+	"saddleport/internal/cluster/chain"
 	"saddleport/internal/cluster/consensus"
-	"saddleport/internal/cluster/message"
+	"saddleport/internal/cluster/envelope"
 	"saddleport/internal/cluster/replica"
+	"saddleport/internal/cluster/views"
 )
 
 type node struct {
@@ -30,7 +32,7 @@
 	pending []replica.Output
 }
 
-type mail struct{ msg message.Message }
+type mail struct{ msg envelope.Message }
 
 // order is a configuration that an operator sends.
 type order struct {
@@ -38,7 +40,7 @@
 	raw     string
 }
 
-func (o order) entry() message.Entry { return message.NewEntry(o.version, []byte(o.raw)) }
+func (o order) entry() chain.Entry { return chain.NewEntry(o.version, []byte(o.raw)) }
 
 type asked struct {
 	floor uint64 // the version acknowledged before it was asked
@@ -115,7 +117,7 @@
 	}
 	n.up, n.lives = true, n.lives+1
 	if n.disk == nil {
-		r := replica.Record{State: consensus.State{Self: message.Member{Addr: n.addr, DiskID: fmt.Sprint(n.disks)}}}
+		r := replica.Record{State: consensus.State{Self: views.Member{Addr: n.addr, DiskID: fmt.Sprint(n.disks)}}}
 		if n.disks == 0 && i < w.plan.Machines {
 			r.State.View = consensus.InitialView(w.first())
 		}
@@ -296,7 +298,7 @@
 	return
 }
 
-func (w *World) deliver(msg message.Message) {
+func (w *World) deliver(msg envelope.Message) {
 	from, to := w.index(msg.From.Addr), w.index(msg.To.Addr)
 	if to < 0 || !w.nodes[to].up || w.cuts[[2]int{from, to}] {
 		return
--- a/internal/node/role/core.go
+++ b/internal/node/role/core.go
@@ -14,7 +14,6 @@
 
 	"saddleport/internal/cluster/chain"
 	"saddleport/internal/cluster/gossip"
-	"saddleport/internal/cluster/message"
 	"saddleport/internal/cluster/replica"
 	"saddleport/internal/cluster/routeconfig"
 	"saddleport/internal/node/events"
@@ -51,8 +50,8 @@
 
 	mu      sync.Mutex
 	queue   []replica.Output
-	servers []byte         // to be kept, beside what promises rest on; nil: as they are
-	known   *message.Entry // the same
+	servers []byte       // to be kept, beside what promises rest on; nil: as they are
+	known   *chain.Entry // the same
 	ready   chan struct{}
 	since   time.Time // when the write at hand began; zero: none is
 	posts   map[lane]*post
@@ -76,7 +75,7 @@
 	c.replica = replica.New(c.now(), replica.DefaultConfig(boot.Faults), r, boot.SeedPeers(), nonce(), chain.Mutations{})
 	// What was acknowledged stays so: the proxies need not wait until the chain stands.
 	if raw, err := disk.Get(keyKnown); err == nil && raw != nil {
-		var e message.Entry
+		var e chain.Entry
 		if json.Unmarshal(raw, &e) == nil {
 			c.announce(e)
 		}
@@ -220,7 +219,7 @@
 }
 
 // announce makes an acknowledged configuration known to all.
-func (c *core) announce(e message.Entry) {
+func (c *core) announce(e chain.Entry) {
 	c.told = e.Version
 	if ch, err := routeconfig.Parse(e.Content); err == nil {
 		events.Acknowledged.Log("version", ch.Revision)
--- a/internal/node/role/coredisk.go
+++ b/internal/node/role/coredisk.go
@@ -10,10 +10,11 @@
 	"slices"
 	"time"
 
+	"saddleport/internal/cluster/chain"
 	"saddleport/internal/cluster/consensus"
 	"saddleport/internal/cluster/gossip"
-	"saddleport/internal/cluster/message"
 	"saddleport/internal/cluster/replica"
+	"saddleport/internal/cluster/views"
 	"saddleport/internal/node/events"
 	"saddleport/internal/node/storage"
 )
@@ -23,7 +24,7 @@
 // promised is not known, and it counts for nothing until the others have taken it in.
 func openDisk(boot *Boot) (*storage.Store, replica.Record, error) {
 	s, r, err := readDisk(boot)
-	if err == nil && r.State.Self == (message.Member{}) {
+	if err == nil && r.State.Self == (views.Member{}) {
 		return initDisk(s, boot, boot.Bootstrap && slices.Contains(boot.SeedPeers(), boot.Inner()))
 	}
 	if err == nil {
@@ -56,10 +57,10 @@
 
 // initDisk gives an empty disk its name. founder: it is of the system's first view.
 func initDisk(s *storage.Store, boot *Boot, founder bool) (*storage.Store, replica.Record, error) {
-	r := replica.Record{State: consensus.State{Self: message.Member{Addr: boot.Inner(), DiskID: nonce()}}}
+	r := replica.Record{State: consensus.State{Self: views.Member{Addr: boot.Inner(), DiskID: nonce()}}}
 	if founder {
 		r.State.View = consensus.InitialView(boot.SeedPeers())
-		if first := (message.Member{Addr: boot.Inner(), DiskID: consensus.FirstDiskID}); r.State.View.Has(first) {
+		if first := (views.Member{Addr: boot.Inner(), DiskID: consensus.FirstDiskID}); r.State.View.Has(first) {
 			r.State.Self = first
 		}
 	} else if !boot.Bootstrap {
@@ -89,7 +90,7 @@
 		return s, r, err
 	}
 	if raw != nil {
-		r.Entry = &message.Entry{}
+		r.Entry = &chain.Entry{}
 		if err := json.Unmarshal(raw, r.Entry); err != nil {
 			return s, r, err
 		}
--- a/internal/node/role/coremail.go
+++ b/internal/node/role/coremail.go
@@ -6,7 +6,9 @@
 	"sync"
 	"time"
 
-	"saddleport/internal/cluster/message"
+	"saddleport/internal/cluster/chain"
+	"saddleport/internal/cluster/codec"
+	"saddleport/internal/cluster/envelope"
 	"saddleport/internal/node/events"
 	"saddleport/internal/node/rpc"
 )
@@ -19,7 +21,7 @@
 	postIdle  = time.Minute            // a machine that was sent nothing for so long is let go of
 )
 
-// mailCall carries messages between core machines (message.EncodeMail). Nothing is answered
+// mailCall carries messages between core machines (codec.EncodeBatch). Nothing is answered
 // but that it came: what is lost is sent again by whoever waits for it.
 var mailCall = rpc.Declare[rpc.Raw, Nothing]("POST", "/Core.Mail", 4*mostCall, "core processes").Packed()
 
@@ -41,12 +43,12 @@
 type post struct {
 	lane  lane
 	mu    sync.Mutex
-	queue []message.Message
+	queue []envelope.Message
 	ended bool // nobody carries it any more
 	ready chan struct{}
 }
 
-func (p *post) put(msg message.Message) (taken bool) {
+func (p *post) put(msg envelope.Message) (taken bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.ended {
@@ -63,12 +65,12 @@
 }
 
 // take returns what may go in one call: of large messages only so many as the call bears.
-func (p *post) take() (batch []message.Message, more bool) {
+func (p *post) take() (batch []envelope.Message, more bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n, size := 0, 0
 	for n < len(p.queue) {
-		size += len(message.ContentOf(p.queue[n].Body))
+		size += len(chain.ContentOf(p.queue[n].Body))
 		if n > 0 && size > mostCall {
 			break
 		}
@@ -87,9 +89,9 @@
 }
 
 // send puts messages into the mail of their receivers.
-func (c *core) send(list []message.Message) {
+func (c *core) send(list []envelope.Message) {
 	for _, msg := range list {
-		if p := c.postFor(lane{msg.To.Addr, message.ContentOf(msg.Body) != nil}); p != nil && !p.put(msg) {
+		if p := c.postFor(lane{msg.To.Addr, chain.ContentOf(msg.Body) != nil}); p != nil && !p.put(msg) {
 			if p = c.postFor(p.lane); p != nil { // it has just been let go of
 				p.put(msg)
 			}
@@ -136,9 +138,9 @@
 
 func (c *core) carryAll(p *post) {
 	for more := true; more && c.running.Err() == nil; {
-		var batch []message.Message
+		var batch []envelope.Message
 		batch, more = p.take()
-		mail, err := message.EncodeBatch(batch)
+		mail, err := codec.EncodeBatch(batch)
 		if err != nil {
 			panic("invariant: " + err.Error()) // each message has a form
 		}
@@ -161,7 +163,7 @@
 // serve answers the other core machines.
 func (c *core) serve(mux *http.ServeMux) {
 	mailCall.On(mux, func(ctx context.Context, who rpc.Named, mail rpc.Raw) (Nothing, error) {
-		messages, unread, err := message.DecodeBatch(mail)
+		messages, unread, err := codec.DecodeBatch(mail)
 		if err != nil {
 			events.MailUnread.Log("peer", who.Peer, "err", err)
 			return Nothing{}, rpc.Fail(http.StatusBadRequest, "%v", err)
--- a/internal/node/role/disk_test.go
+++ b/internal/node/role/disk_test.go
@@ -11,8 +11,8 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
+	"saddleport/internal/cluster/chain"
 	"saddleport/internal/cluster/consensus"
-	"saddleport/internal/cluster/message"
 	"saddleport/internal/cluster/replica"
 	"saddleport/internal/node/events"
 	"saddleport/internal/node/storage"
@@ -82,7 +82,7 @@
 		Convey("of another address brings nothing of that machine's along", func() {
 			s, err := storage.Open(dir)
 			So(err, ShouldBeNil)
-			entry, _ := json.Marshal(message.NewEntry(8, []byte("x")))
+			entry, _ := json.Marshal(chain.NewEntry(8, []byte("x")))
 			So(s.Put(storage.Entry{Key: keyEntry, Value: entry}), ShouldBeNil)
 			So(s.Close(), ShouldBeNil)
 			f.dirs[f.ip(2)] = dir
@@ -108,8 +108,8 @@
 		Convey("whose configuration is older than its view says is not trusted", func() {
 			s, err := storage.Open(dir)
 			So(err, ShouldBeNil)
-			r.State.View.Base = 9 << message.DigestBits
-			old, _ := json.Marshal(message.NewEntry(8, []byte("x")))
+			r.State.View.Base = 9 << chain.DigestBits
+			old, _ := json.Marshal(chain.NewEntry(8, []byte("x")))
 			So(s.Put(storage.Entry{Key: keyState, Value: replica.EncodeState(r)}, storage.Entry{Key: keyEntry, Value: old}), ShouldBeNil)
 			So(s.Close(), ShouldBeNil)
 			back, err := again(1)
@@ -127,8 +127,8 @@
 	Convey("A core machine that starts alone", t, func() {
 		events.To(io.Discard)
 		f := newFleet(t)
-		entry := func(version uint64) message.Entry {
-			return message.NewEntry(version, []byte(config(int(version), "v")))
+		entry := func(version uint64) chain.Entry {
+			return chain.NewEntry(version, []byte(config(int(version), "v")))
 		}
 		start := func(first bool) *core {
 			boot := f.boot(1, first)
@@ -172,7 +172,7 @@
 		raw := make([]byte, 100_000)
 		for version := range uint64(1000) {
 			rand.Read(raw) // nothing that a store could make smaller
-			text, err := json.Marshal(message.NewEntry(version+1, raw))
+			text, err := json.Marshal(chain.NewEntry(version+1, raw))
 			So(err, ShouldBeNil)
 			So(s.Put(storage.Entry{Key: keyState, Value: make([]byte, 800)}, storage.Entry{Key: keyEntry, Value: text}), ShouldBeNil)
 		}
--- a/internal/node/role/keel.go
+++ b/internal/node/role/keel.go
@@ -11,8 +11,8 @@
 
 	"github.com/cespare/xxhash/v2"
 
+	"saddleport/internal/cluster/chain"
 	"saddleport/internal/cluster/gossip"
-	"saddleport/internal/cluster/message"
 	"saddleport/internal/cluster/registry"
 	"saddleport/internal/cluster/replica"
 	"saddleport/internal/cluster/routeconfig"
@@ -285,13 +285,13 @@
 	if err := k.core.outOfTouch(ctx); err != nil {
 		return Nothing{}, err
 	}
-	e := message.NewEntry(uint64(c.Revision), raw)
+	e := chain.NewEntry(uint64(c.Revision), raw)
 	r, err := k.core.ask(ctx, func(now int64) (string, replica.Output) { return k.core.replica.Put(now, e) })
 	if err != nil {
 		events.Unsafe.Log("version", c.Revision, "err", err)
 		return Nothing{}, later(err)
 	}
-	if r.Verdict == message.UpdateConflict {
+	if r.Verdict == chain.UpdateConflict {
 		events.Conflicting.Log("version", c.Revision, "peer", who.Peer)
 		return Nothing{}, rpc.Fail(http.StatusConflict, "other content was taken under revision %d; this one is not in force", c.Revision)
 	}
--- a/internal/node/role/show.go
+++ b/internal/node/role/show.go
@@ -13,9 +13,9 @@
 
 	"context"
 
+	"saddleport/internal/cluster/chain"
 	"saddleport/internal/cluster/gossip"
 	"saddleport/internal/cluster/lease"
-	"saddleport/internal/cluster/message"
 	"saddleport/internal/cluster/registry"
 	"saddleport/internal/cluster/replica"
 	"saddleport/internal/node/rpc"
@@ -99,7 +99,7 @@
 				others.Rows = append(others.Rows, []string{p.Name, p.Kind, strings.TrimPrefix(i.Key, gossip.ProcessPrefix), p.Zone})
 			}
 		case i.Key == charterAt:
-			version.Rows = append(version.Rows, []string{fmt.Sprint(message.RevisionOf(i.Version)), fmt.Sprint(len(i.Value))})
+			version.Rows = append(version.Rows, []string{fmt.Sprint(chain.RevisionOf(i.Version)), fmt.Sprint(len(i.Value))})
 		}
 	})
 	slices.SortFunc(servers.Rows, slices.Compare)
@@ -176,7 +176,7 @@
 	}
 	held := Table{Title: "kept here", Head: []string{"version", "bytes", "acknowledged", "sealed"}}
 	e := h.Chain.Stored()
-	held.Rows = [][]string{{fmt.Sprint(message.RevisionOf(e.Version)), fmt.Sprint(len(e.Content)), fmt.Sprint(h.Chain.Acknowledged() >= e.Version && e.Version > 0), fmt.Sprint(h.Chain.Sealed())}}
+	held.Rows = [][]string{{fmt.Sprint(chain.RevisionOf(e.Version)), fmt.Sprint(len(e.Content)), fmt.Sprint(h.Chain.Acknowledged() >= e.Version && e.Version > 0), fmt.Sprint(h.Chain.Sealed())}}
 	mended := h.RepairStats()
 	repair := Table{Title: "copies of members", Head: []string{"mended", "looks of the sweep"}, Rows: [][]string{{fmt.Sprint(mended.Repairs), fmt.Sprint(mended.Swept)}}}
 	return []Table{view, held, repair}
