--- a/internal/compat/storage_test.go
+++ b/internal/compat/storage_test.go
@@ -63,8 +63,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got := fmt.Sprint(boot.Name, " ", boot.Role, " ", boot.Inner(), " ", boot.Loop(), " ", boot.Control, " ", boot.Zone, " ", boot.Region,
-		" ", len(boot.Regions), " ", boot.SeedPeers(), " ", boot.Bootstrap, " ", boot.Bounds.Drain, " ", boot.Bounds.Grace, " ", boot.Dir)
+	got := fmt.Sprint(boot.Name, " ", boot.Role, " ", boot.PeerAddr(), " ", boot.AgentAddr(), " ", boot.Control, " ", boot.Zone, " ", boot.Region,
+		" ", len(boot.Regions), " ", boot.SeedPeers(), " ", boot.Bootstrap, " ", boot.Bounds.Drain, " ", boot.Bounds.Grace, " ", boot.DataDir)
 	const want = "core-2 controlplane 127.77.7.2:17070 127.77.7.2:17071 127.77.7.2:17079 zone-2 region-1 3 " +
 		"[127.77.7.1:17070 127.77.7.2:17070 127.77.7.3:17070] true 4s 6s /var/lib/saddleport"
 	if got != want {
--- a/internal/node/cli/cli.go
+++ b/internal/node/cli/cli.go
@@ -21,15 +21,15 @@
 // Program is one of the system's programs.
 type Program struct {
 	Name, Short string
-	Run         func(context.Context, *role.Settings) error
+	Run         func(context.Context, *role.File) error
 	Garbage     int // GOGC
 }
 
 // The programs.
 var (
-	Tide = Program{Name: "tide", Short: "the proxy: takes clients' requests and answers them", Run: role.Tide, Garbage: 100}
-	Echo = Program{Name: "echo", Short: "the agent beside a proxy: keeps the link to the control plane", Run: role.Echo, Garbage: 50}
-	Keel = Program{Name: "keel", Short: "a core process: takes heartbeats and configurations", Run: role.Keel, Garbage: 50}
+	Tide = Program{Name: "tide", Short: "the proxy: takes clients' requests and answers them", Run: role.RunProxy, Garbage: 100}
+	Echo = Program{Name: "echo", Short: "the agent beside a proxy: keeps the link to the control plane", Run: role.RunAgent, Garbage: 50}
+	Keel = Program{Name: "keel", Short: "a core process: takes heartbeats and configurations", Run: role.RunControlPlane, Garbage: 50}
 )
 
 const memoryShare = 0.6 // of the limit: from there on the collector works harder
@@ -39,18 +39,18 @@
 	signal.Ignore(syscall.SIGHUP) // until the settings are watched; it would end the process
 	root := &cobra.Command{Use: p.Name, Short: p.Short, SilenceUsage: true, SilenceErrors: true}
 	alike := false
-	file := root.PersistentFlags().String("settings", os.Getenv(role.Variable), "the settings file; "+role.Variable+" names it too")
+	file := root.PersistentFlags().String("settings", os.Getenv(role.PathVariable), "the settings file; "+role.PathVariable+" names it too")
 	run := &cobra.Command{Use: "run", Short: "Run " + p.Short, Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
-		set, err := role.OpenSettings(*file)
+		set, err := role.Open(*file)
 		if err != nil {
 			return err
 		}
-		set.Alike = alike
+		set.NoEjection = alike
 		ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 		defer stop()
 		runtime.GOMAXPROCS(1)
 		debug.SetGCPercent(p.Garbage)
-		debug.SetMemoryLimit(int64(float64(set.Boot().MemoryMB) * memoryShare * (1 << 20)))
+		debug.SetMemoryLimit(int64(float64(set.Current().MemoryMB) * memoryShare * (1 << 20)))
 		err = p.Run(ctx, set)
 		if err != nil {
 			events.Failed.Log("err", err)
--- a/internal/node/cli/more.go
+++ b/internal/node/cli/more.go
@@ -29,13 +29,13 @@
 				name = args[0]
 			}
 			if name == "" {
-				return errors.New("no settings file: name one, or set " + role.Variable)
+				return errors.New("no settings file: name one, or set " + role.PathVariable)
 			}
 			b, err := role.Load(name)
 			if err != nil {
 				return err
 			}
-			fmt.Fprintf(c.OutOrStdout(), "%s: good: %s on a %s machine in %s, %d seeds, %d machines may be lost at once\n", name, b.Name, b.Role, b.Zone, len(b.Seeds), b.Faults)
+			fmt.Fprintf(c.OutOrStdout(), "%s: good: %s on a %s machine in %s, %d seeds, %d machines may be lost at once\n", name, b.Name, b.Role, b.Zone, len(b.Seeds), b.FaultTolerance)
 			return nil
 		}}
 }
@@ -65,14 +65,14 @@
 // ask asks a running process, where its settings or a flag say, and prints the answer.
 func ask(c *cobra.Command, program, file, addr string, asJSON bool, what func(ctx context.Context, via *rpc.Client, addr string) (role.Shown, error)) error {
 	if addr == "" && file == "" {
-		return errors.New("where does it answer? Name --settings FILE or --addr HOST:PORT, or set " + role.Variable)
+		return errors.New("where does it answer? Name --settings FILE or --addr HOST:PORT, or set " + role.PathVariable)
 	}
 	if addr == "" {
 		b, err := role.Load(file)
 		if err != nil {
 			return fmt.Errorf("%w (or name --addr HOST:PORT)", err)
 		}
-		addr = role.ShowAt(program, b)
+		addr = role.ShowAddr(program, b)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), showTime)
 	defer cancel()
@@ -152,7 +152,7 @@
 // Lens is the toolbox's command line.
 func Lens() *cobra.Command {
 	root := &cobra.Command{Use: "lens", Short: "the toolbox of the system: checks, and looks at running processes", SilenceUsage: true, SilenceErrors: true}
-	file := root.PersistentFlags().String("settings", os.Getenv(role.Variable), "a settings file; "+role.Variable+" names it too")
+	file := root.PersistentFlags().String("settings", os.Getenv(role.PathVariable), "a settings file; "+role.PathVariable+" names it too")
 	check := &cobra.Command{Use: "check", Short: "Check files"}
 	settings := checkSettings(file)
 	settings.Use = "settings [FILE]"
--- a/internal/node/role/allow_test.go
+++ b/internal/node/role/allow_test.go
@@ -23,11 +23,11 @@
 	Convey("A burst over three mixers", t, func() {
 		f := newFleet(t)
 		for m := 1; m <= 3; m++ {
-			f.start("keel", m, true, Keel)
+			f.start("keel", m, true, RunControlPlane)
 		}
 		for m := 11; m <= 13; m++ {
-			f.start("echo", m, true, Echo)
-			f.start("tide", m, true, Tide)
+			f.start("echo", m, true, RunAgent)
+			f.start("tide", m, true, RunProxy)
 		}
 		s, err := standin.NewServer("i-a", func(int, standin.Seen) standin.Reply { return standin.Reply{Body: "a"} })
 		So(err, ShouldBeNil)
--- a/internal/node/role/apart_test.go
+++ b/internal/node/role/apart_test.go
@@ -14,7 +14,7 @@
 
 // explains asks a proxy what it knows of a server.
 func (f *fleet) explains(program string, machine int, about string) string {
-	_, text := f.call("GET", ShowAt(program, f.boot(machine, false)), "/Explain/"+about, "")
+	_, text := f.call("GET", ShowAddr(program, f.boot(machine, false)), "/Explain/"+about, "")
 	return text
 }
 
@@ -24,11 +24,11 @@
 	Convey("Mixers on loopback before a server that turns slow", t, func() {
 		f := newFleet(t)
 		for m := 1; m <= 3; m++ {
-			f.start("keel", m, true, Keel)
+			f.start("keel", m, true, RunControlPlane)
 		}
 		for m := 11; m <= 13; m++ {
-			f.start("echo", m, true, Echo)
-			f.start("tide", m, true, Tide)
+			f.start("echo", m, true, RunAgent)
+			f.start("tide", m, true, RunProxy)
 		}
 		var slow atomic.Bool
 		for i := range 4 {
@@ -85,7 +85,7 @@
 		for _, other := range []string{"i-0", "i-1", "i-3"} {
 			So(f.explains("tide", 11, other), ShouldNotContainSubstring, "laggard")
 		}
-		code, text := f.call("GET", ShowAt("tide", f.boot(11, false)), "/Explain/i-99", "")
+		code, text := f.call("GET", ShowAddr("tide", f.boot(11, false)), "/Explain/i-99", "")
 		So(code, ShouldEqual, 404)
 		So(text, ShouldContainSubstring, "i-99")
 		holder := 0
--- a/internal/node/role/boot.go
+++ b/internal/node/role/boot.go
@@ -14,38 +14,38 @@
 )
 
 // Boot is what a process is told at its start.
-type Boot struct {
-	Name, Role, IP, Zone, Region string
-	Regions                      map[string]string // by zone
-	LoopIP                       string            // of the machine's own loopback
-	Front, Ready, Control        string            // addresses to listen on; "": none
-	Port, LastPort               int               // of the range between processes
-	Seeds                        []string
-	Bootstrap, Counts            bool
-	MemoryMB, Files              int
-	Cores                        float64
-	Dir                          string
-	Beat                         time.Duration
-	Faults                       int // machines that may be lost at once
-	Bounds                       Bounds
+type Settings struct {
+	Name, Role, IP, Zone, Region  string
+	Regions                       map[string]string // by zone
+	LoopbackIP                    string            // of the machine's own loopback
+	Front, Readiness, Control     string            // addresses to listen on; "": none
+	FirstPort, LastPort           int               // of the range between processes
+	Seeds                         []string
+	Bootstrap, CountsTowardQuorum bool
+	MemoryMB, MaxOpenFiles        int
+	Cores                         float64
+	DataDir                       string
+	HeartbeatInterval             time.Duration
+	FaultTolerance                int // machines that may be lost at once
+	Bounds                        Bounds
 }
 
 // Bounds are the figures of the rules.
 type Bounds struct {
-	SeedLag, Reuse, Contact, Ack, CatchUp, Drain, Grace, LossSlack, Apply, Downgrade, Stretch, RetryWindow time.Duration
-	RetryRatio, RetrySlack                                                                                 float64
+	SeedLag, AddressReuse, Contact, AckTimeout, CatchUp, Drain, Grace, LossSlack, ConfigApply, DowngradeSlack, MaxStretch, RetryWindow time.Duration
+	RetryRatio, RetrySlack                                                                                                             float64
 }
 
 // Variable names the environment's variable that holds the settings file's path.
-const Variable = "SADDLEPORT_CONFIG"
+const PathVariable = "SADDLEPORT_CONFIG"
 
 // Load reads the settings file.
-func Load(file string) (*Boot, error) {
+func Load(file string) (*Settings, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return nil, paths.Error.Wrap(err)
 	}
-	b, err := ParseBoot(string(text))
+	b, err := Parse(string(text))
 	if err != nil {
 		return nil, paths.Error.New("%s: %v", file, err)
 	}
@@ -53,40 +53,40 @@
 }
 
 // ParseBoot reads a settings file's text.
-func ParseBoot(text string) (*Boot, error) {
+func Parse(text string) (*Settings, error) {
 	r, err := paths.Lines(text)
 	if err != nil {
 		return nil, err
 	}
 	ms := func(path string) time.Duration { return time.Duration(r.At(path).Number() * float64(time.Millisecond)) }
 	s := func(path string) time.Duration { return time.Duration(r.At(path).Number() * float64(time.Second)) }
-	b := &Boot{
+	b := &Settings{
 		Name: r.At("node_name").Must().Text(), Role: r.At("role").Text(), IP: r.At("ip_address").Must().Text(),
-		LoopIP: "127.0.0.1", Zone: r.At("zone").Text(), Region: r.At("region").Text(), Regions: make(map[string]string),
-		Front: r.At("listen_addresses.front").Text(), Ready: r.At("listen_addresses.readiness").Text(),
+		LoopbackIP: "127.0.0.1", Zone: r.At("zone").Text(), Region: r.At("region").Text(), Regions: make(map[string]string),
+		Front: r.At("listen_addresses.front").Text(), Readiness: r.At("listen_addresses.readiness").Text(),
 		Control:   r.At("listen_addresses.control_plane").Text(),
-		Bootstrap: r.At("bootstrap").Bool(), Counts: r.At("counts_toward_quorum").Bool(),
-		MemoryMB: int(r.At("limits.memory_mb").Int()), Files: int(r.At("limits.max_open_files").Int()),
-		Cores: r.At("limits.cpu_cores").Number(), Dir: r.At("data_directory").Text(), Beat: ms("heartbeat_interval_ms"),
-		Faults: int(r.At("fault_tolerance.machines").Int()),
-		Bounds: Bounds{SeedLag: s("bounds.seed_lag_s"), Reuse: s("bounds.address_reuse_s"), Contact: ms("bounds.contact_ms"),
-			Ack: ms("bounds.ack_timeout_ms"), CatchUp: s("bounds.catch_up_s"), Drain: ms("bounds.drain_ms"),
-			Grace: s("bounds.grace_s"), LossSlack: ms("bounds.loss_slack_ms"), Apply: ms("bounds.config_apply_ms"),
-			Downgrade: ms("bounds.downgrade_slack_ms"), Stretch: ms("bounds.max_stretch_ms"),
+		Bootstrap: r.At("bootstrap").Bool(), CountsTowardQuorum: r.At("counts_toward_quorum").Bool(),
+		MemoryMB: int(r.At("limits.memory_mb").Int()), MaxOpenFiles: int(r.At("limits.max_open_files").Int()),
+		Cores: r.At("limits.cpu_cores").Number(), DataDir: r.At("data_directory").Text(), HeartbeatInterval: ms("heartbeat_interval_ms"),
+		FaultTolerance: int(r.At("fault_tolerance.machines").Int()),
+		Bounds: Bounds{SeedLag: s("bounds.seed_lag_s"), AddressReuse: s("bounds.address_reuse_s"), Contact: ms("bounds.contact_ms"),
+			AckTimeout: ms("bounds.ack_timeout_ms"), CatchUp: s("bounds.catch_up_s"), Drain: ms("bounds.drain_ms"),
+			Grace: s("bounds.grace_s"), LossSlack: ms("bounds.loss_slack_ms"), ConfigApply: ms("bounds.config_apply_ms"),
+			DowngradeSlack: ms("bounds.downgrade_slack_ms"), MaxStretch: ms("bounds.max_stretch_ms"),
 			RetryWindow: s("bounds.retry_window_s"), RetryRatio: r.At("bounds.retry_budget_ratio").Number(),
 			RetrySlack: r.At("bounds.retry_budget_slack").Number()},
 	}
 	if ip := r.At("loopback_ip").Text(); ip != "" { // of our own: several machines played on one
-		b.LoopIP = ip
+		b.LoopbackIP = ip
 	}
 	for _, zone := range r.At("zones").Names() {
 		b.Regions[zone] = r.At("zones." + zone).Text()
 	}
 	ports := r.At("internal_port_range").Must()
 	if list := ports.Items(); len(list) == 2 {
-		b.Port, b.LastPort = int(list[0].Int()), int(list[1].Int())
+		b.FirstPort, b.LastPort = int(list[0].Int()), int(list[1].Int())
 	}
-	if b.Port < 1 || b.LastPort < b.Port+1 || b.LastPort > 65535 {
+	if b.FirstPort < 1 || b.LastPort < b.FirstPort+1 || b.LastPort > 65535 {
 		ports.Failf("two ports, of which the second is greater, are needed")
 	}
 	for _, seed := range r.At("seed_addresses").Items() {
@@ -103,17 +103,19 @@
 
 // Inner is where a process that talks to others listens; Loop where an agent feeds its
 // proxy.
-func (b *Boot) Inner() string { return net.JoinHostPort(b.IP, strconv.Itoa(b.Port)) }
+func (b *Settings) PeerAddr() string { return net.JoinHostPort(b.IP, strconv.Itoa(b.FirstPort)) }
 
 // Loop is the agent's address on its own machine.
-func (b *Boot) Loop() string { return net.JoinHostPort(b.LoopIP, strconv.Itoa(b.Port+1)) }
+func (b *Settings) AgentAddr() string {
+	return net.JoinHostPort(b.LoopbackIP, strconv.Itoa(b.FirstPort+1))
+}
 
 // SeedPeers are the addresses between processes of the machines that the seeds name.
-func (b *Boot) SeedPeers() []string {
+func (b *Settings) SeedPeers() []string {
 	var out []string
 	for _, seed := range b.Seeds {
 		host, _, _ := strings.Cut(seed, ":")
-		out = append(out, net.JoinHostPort(host, strconv.Itoa(b.Port)))
+		out = append(out, net.JoinHostPort(host, strconv.Itoa(b.FirstPort)))
 	}
 	return out
 }
--- a/internal/node/role/capacity_test.go
+++ b/internal/node/role/capacity_test.go
@@ -15,13 +15,13 @@
 func BenchmarkHeartbeat(b *testing.B) {
 	for _, agents := range []int{60, 180, 600, 1800} {
 		b.Run(fmt.Sprint(agents), func(b *testing.B) {
-			boot, err := ParseBoot("node_name=m\nip_address=10.1.0.1\nzone=z0\nregion=r0\ninternal_port_range=7080,7090\nseed_addresses=10.1.0.1:8047\n" +
+			boot, err := Parse("node_name=m\nip_address=10.1.0.1\nzone=z0\nregion=r0\ninternal_port_range=7080,7090\nseed_addresses=10.1.0.1:8047\n" +
 				"heartbeat_interval_ms=1200\nlisten_addresses.control_plane=10.1.0.1:8047")
 			if err != nil {
 				b.Fatal(err)
 			}
-			k := &keel{Node: NewNode(Fixed(boot), "keel")}
-			k.roster = registry.New(k.self.Addr, 1<<40)
+			k := &server{Node: NewNode(Fixed(boot), "keel")}
+			k.registry = registry.New(k.Self.Addr, 1<<40)
 			for i := range agents + 12 {
 				p := gossip.Process{Addr: fmt.Sprintf("10.2.%d.%d:7080", i/200, i%200), Kind: "echo", Zone: fmt.Sprint("z", i%7)}
 				if i < 12 {
@@ -38,7 +38,7 @@
 			b.ResetTimer()
 			for i := 0; i < b.N; i++ {
 				beat := registry.Heartbeat{Service: "s1", Addr: "10.9.0.1:80", Zone: "z1", Revision: "v1", Capacity: 3, State: registry.LifecycleAvailable, Sequence: int64(i/servers + 1)}
-				if _, err := k.heard(rpc.Named{Name: names[i%servers]}, beat); err != nil {
+				if _, err := k.recordHeartbeat(rpc.Named{Name: names[i%servers]}, beat); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/node/role/core.go
+++ b/internal/node/role/core.go
@@ -21,42 +21,42 @@
 )
 
 const (
-	coreTick    = 100 * time.Millisecond
-	mostQueued  = 1024 // outputs that wait for the disk
-	diskRetry   = 200 * time.Millisecond
-	keyState    = "pact"
-	keyEntry    = "entry"
-	keyServers  = "servers"
-	keyKnown    = "known" // the last entry that was seen to be acknowledged
-	viewAt      = "v"
-	answerTime  = 4 * time.Second
-	diskStalled = time.Second
+	replicaTick          = 100 * time.Millisecond
+	maxQueuedOutputs     = 1024 // outputs that wait for the disk
+	diskRetryInterval    = 200 * time.Millisecond
+	keyState             = "pact"
+	keyEntry             = "entry"
+	keyRememberedServers = "servers"
+	keyLastAcknowledged  = "known" // the last entry that was seen to be acknowledged
+	ViewKey              = "v"
+	answerTimeout        = 4 * time.Second
+	diskStallTime        = time.Second
 )
 
 // core runs a replica: its loop steps it, its disk goroutine writes down what a step wants
 // written and only then lets go what the step wants sent and told.
-type core struct {
-	node *Node
-	dir  string
-	disk *storage.Store
+type replicaRunner struct {
+	node    *Node
+	dataDir string
+	store   *storage.Store
 
-	in      chan func()
-	done    chan struct{}
-	replica *replica.Machine             // owned by the loop
-	waiting map[string]chan chain.Result // the same
-	told    uint64                       // rank of the configuration announced; the same
-	epoch   uint64                       // of the view announced; the same
-	inTouch bool                         // when it was last looked at; the same
+	commands         chan func()
+	done             chan struct{}
+	replica          *replica.Machine             // owned by the loop
+	callers          map[string]chan chain.Result // the same
+	announcedVersion uint64                       // rank of the configuration announced; the same
+	announcedEpoch   uint64                       // of the view announced; the same
+	hadQuorum        bool                         // when it was last looked at; the same
 
-	mu      sync.Mutex
-	queue   []replica.Output
-	servers []byte       // to be kept, beside what promises rest on; nil: as they are
-	known   *chain.Entry // the same
-	ready   chan struct{}
-	since   time.Time // when the write at hand began; zero: none is
-	posts   map[lane]*post
-	post    sync.WaitGroup
-	running context.Context
+	mu               sync.Mutex
+	queue            []replica.Output
+	servers          []byte       // to be kept, beside what promises rest on; nil: as they are
+	lastAcknowledged *chain.Entry // the same
+	diskWake         chan struct{}
+	writeStartedAt   time.Time // when the write at hand began; zero: none is
+	outboxes         map[outboxKey]*outbox
+	outboxesDone     sync.WaitGroup
+	running          context.Context
 }
 
 func nonce() string {
@@ -65,16 +65,16 @@
 	return hex.EncodeToString(b[:])
 }
 
-func newCore(n *Node, boot *Boot) (*core, error) {
-	disk, r, err := openDisk(boot)
+func newReplicaRunner(n *Node, boot *Settings) (*replicaRunner, error) {
+	disk, r, err := openStore(boot)
 	if err != nil {
 		return nil, err
 	}
-	c := &core{node: n, dir: boot.Dir, disk: disk, in: make(chan func(), 256), done: make(chan struct{}),
-		waiting: make(map[string]chan chain.Result), ready: make(chan struct{}, 1), posts: make(map[lane]*post)}
-	c.replica = replica.New(c.now(), replica.DefaultConfig(boot.Faults), r, boot.SeedPeers(), nonce(), chain.Mutations{})
+	c := &replicaRunner{node: n, dataDir: boot.DataDir, store: disk, commands: make(chan func(), 256), done: make(chan struct{}),
+		callers: make(map[string]chan chain.Result), diskWake: make(chan struct{}, 1), outboxes: make(map[outboxKey]*outbox)}
+	c.replica = replica.New(c.now(), replica.DefaultConfig(boot.FaultTolerance), r, boot.SeedPeers(), nonce(), chain.Mutations{})
 	// What was acknowledged stays so: the proxies need not wait until the chain stands.
-	if raw, err := disk.Get(keyKnown); err == nil && raw != nil {
+	if raw, err := disk.Get(keyLastAcknowledged); err == nil && raw != nil {
 		var e chain.Entry
 		if json.Unmarshal(raw, &e) == nil {
 			c.announce(e)
@@ -84,12 +84,12 @@
 }
 
 // now is the machines' clock: it starts above 0.
-func (c *core) now() int64 { return c.node.now() + 1 }
+func (c *replicaRunner) now() int64 { return c.node.Now() + 1 }
 
 // do runs f on the loop.
-func (c *core) do(ctx context.Context, f func()) error {
+func (c *replicaRunner) do(ctx context.Context, f func()) error {
 	select {
-	case c.in <- f:
+	case c.commands <- f:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
@@ -99,7 +99,7 @@
 }
 
 // run steps the machine until ctx ends. A broken invariant ends the process.
-func (c *core) run(ctx context.Context) {
+func (c *replicaRunner) run(ctx context.Context) {
 	c.running = ctx
 	defer func() {
 		if x := recover(); x != nil {
@@ -109,43 +109,43 @@
 	}()
 	var wait sync.WaitGroup
 	wait.Add(1)
-	go func() { defer wait.Done(); c.write(ctx) }()
-	tick := time.NewTicker(coreTick)
+	go func() { defer wait.Done(); c.runDisk(ctx) }()
+	tick := time.NewTicker(replicaTick)
 	defer tick.Stop()
-	c.flow(replica.Output{})
+	c.process(replica.Output{})
 	for {
 		select {
 		case <-ctx.Done():
 			close(c.done)
 			wait.Wait()
-			c.post.Wait()
-			c.disk.Close()
+			c.outboxesDone.Wait()
+			c.store.Close()
 			return
-		case f := <-c.in:
+		case f := <-c.commands:
 			f()
 		case <-tick.C:
 			c.replica.Consensus.SetSeeds(c.seeds())
-			c.flow(c.replica.Tick(c.now()))
-			c.noteTouch()
+			c.process(c.replica.Tick(c.now()))
+			c.logQuorumChange()
 		}
 	}
 }
 
 // noteTouch tells when most of the core is heard no more, and when it is again. On the loop.
-func (c *core) noteTouch() {
+func (c *replicaRunner) logQuorumChange() {
 	now := c.replica.Consensus.HasQuorum(c.now())
 	switch {
-	case now && !c.inTouch:
-		events.InTouch.Log("epoch", c.epoch)
-	case !now && c.inTouch:
-		events.OutOfTouch.Log("epoch", c.epoch)
+	case now && !c.hadQuorum:
+		events.InTouch.Log("epoch", c.announcedEpoch)
+	case !now && c.hadQuorum:
+		events.OutOfTouch.Log("epoch", c.announcedEpoch)
 	}
-	c.inTouch = now
+	c.hadQuorum = now
 }
 
 // seeds are where to ask to be taken in: what the settings name and what the news knows.
-func (c *core) seeds() []string {
-	seeds := c.node.set.Boot().SeedPeers()
+func (c *replicaRunner) seeds() []string {
+	seeds := c.node.Settings.Current().SeedPeers()
 	if !c.replica.Consensus.IsMember() || !c.replica.Consensus.HasQuorum(c.now()) {
 		for _, p := range c.node.Peers("keel") {
 			if !slices.Contains(seeds, p.Addr) {
@@ -157,21 +157,21 @@
 }
 
 // flow queues what a step returned, and makes known what is safe. On the loop.
-func (c *core) flow(out replica.Output) {
+func (c *replicaRunner) process(out replica.Output) {
 	if out.Persist != nil || len(out.Send) > 0 || len(out.Results) > 0 {
 		c.enqueue(out)
 		c.wake()
 	}
-	c.announceHeld()
+	c.announceAcknowledged()
 	c.announceView()
 }
 
 // enqueue has an output wait for the disk. Behind a disk that stalls for long, what is to be
 // sent is dropped, as a network may do; what is to be written and told is not.
-func (c *core) enqueue(out replica.Output) {
+func (c *replicaRunner) enqueue(out replica.Output) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.queue) < mostQueued {
+	if len(c.queue) < maxQueuedOutputs {
 		c.queue = append(c.queue, out)
 		return
 	}
@@ -186,65 +186,65 @@
 	last.Persist = out.Persist
 }
 
-func (c *core) announceHeld() {
+func (c *replicaRunner) announceAcknowledged() {
 	held := c.replica.Chain.Stored()
-	if held.Version <= c.told || c.replica.Chain.Acknowledged() < held.Version {
+	if held.Version <= c.announcedVersion || c.replica.Chain.Acknowledged() < held.Version {
 		return
 	}
 	c.announce(held)
 	c.mu.Lock()
-	c.known = &held
+	c.lastAcknowledged = &held
 	c.mu.Unlock()
 	c.wake()
 }
 
-func (c *core) announceView() {
+func (c *replicaRunner) announceView() {
 	v := c.replica.Consensus.View
-	if v.Epoch <= c.epoch {
+	if v.Epoch <= c.announcedEpoch {
 		return
 	}
-	c.epoch = v.Epoch
+	c.announcedEpoch = v.Epoch
 	events.View.Log("epoch", v.Epoch, "members", len(v.Members), "chain", fmt.Sprint(v.Chain), "member", c.replica.Consensus.IsMember())
 	if body, err := json.Marshal(v); err == nil {
-		c.node.Put(gossip.Entry{Key: viewAt, Version: v.Epoch, Value: body})
+		c.node.Put(gossip.Entry{Key: ViewKey, Version: v.Epoch, Value: body})
 	}
 }
 
 // wake has the disk's goroutine look at what there is to write.
-func (c *core) wake() {
+func (c *replicaRunner) wake() {
 	select {
-	case c.ready <- struct{}{}:
+	case c.diskWake <- struct{}{}:
 	default:
 	}
 }
 
 // announce makes an acknowledged configuration known to all.
-func (c *core) announce(e chain.Entry) {
-	c.told = e.Version
+func (c *replicaRunner) announce(e chain.Entry) {
+	c.announcedVersion = e.Version
 	if ch, err := routeconfig.Parse(e.Content); err == nil {
 		events.Acknowledged.Log("version", ch.Revision)
-		c.node.Put(gossip.Entry{Key: charterAt, Version: e.Version, Value: json.RawMessage(e.Content)})
+		c.node.Put(gossip.Entry{Key: ConfigurationKey, Version: e.Version, Value: json.RawMessage(e.Content)})
 	}
 }
 
-func (c *core) results(list []chain.Result) {
+func (c *replicaRunner) deliver(list []chain.Result) {
 	for _, r := range list {
-		if ch := c.waiting[r.ID]; ch != nil {
-			delete(c.waiting, r.ID)
+		if ch := c.callers[r.ID]; ch != nil {
+			delete(c.callers, r.ID)
 			ch <- r
 		}
 	}
 }
 
 // ask steps the machine for a caller and waits for its result.
-func (c *core) ask(ctx context.Context, step func(now int64) (string, replica.Output)) (chain.Result, error) {
-	ctx, cancel := context.WithTimeout(ctx, answerTime)
+func (c *replicaRunner) call(ctx context.Context, step func(now int64) (string, replica.Output)) (chain.Result, error) {
+	ctx, cancel := context.WithTimeout(ctx, answerTimeout)
 	defer cancel()
 	ch := make(chan chain.Result, 1)
 	err := c.do(ctx, func() {
 		id, out := step(c.now())
-		c.waiting[id] = ch
-		c.flow(out)
+		c.callers[id] = ch
+		c.process(out)
 	})
 	if err != nil {
 		return chain.Result{}, err
--- a/internal/node/role/coredisk.go
+++ b/internal/node/role/coredisk.go
@@ -22,25 +22,25 @@
 // openDisk reads what the disk holds. One that is empty though the system is not new, that
 // can't be read, or that is another machine's, is another disk: what it once held and
 // promised is not known, and it counts for nothing until the others have taken it in.
-func openDisk(boot *Boot) (*storage.Store, replica.Record, error) {
-	s, r, err := readDisk(boot)
+func openStore(boot *Settings) (*storage.Store, replica.Record, error) {
+	s, r, err := readStore(boot)
 	if err == nil && r.State.Self == (views.Member{}) {
-		return initDisk(s, boot, boot.Bootstrap && slices.Contains(boot.SeedPeers(), boot.Inner()))
+		return initStore(s, boot, boot.Bootstrap && slices.Contains(boot.SeedPeers(), boot.PeerAddr()))
 	}
 	if err == nil {
 		return s, r, nil
 	}
-	events.Damaged.Log("dir", boot.Dir, "err", err)
+	events.Damaged.Log("dir", boot.DataDir, "err", err)
 	if s != nil {
 		s.Close()
 	}
-	if err := setAside(boot.Dir); err != nil {
+	if err := setAside(boot.DataDir); err != nil {
 		return nil, r, err
 	}
-	if s, err = storage.Open(boot.Dir); err != nil {
+	if s, err = storage.Open(boot.DataDir); err != nil {
 		return nil, r, err
 	}
-	return initDisk(s, boot, false)
+	return initStore(s, boot, false)
 }
 
 // setAside moves a state that is not trusted out of the way.
@@ -56,11 +56,11 @@
 }
 
 // initDisk gives an empty disk its name. founder: it is of the system's first view.
-func initDisk(s *storage.Store, boot *Boot, founder bool) (*storage.Store, replica.Record, error) {
-	r := replica.Record{State: consensus.State{Self: views.Member{Addr: boot.Inner(), DiskID: nonce()}}}
+func initStore(s *storage.Store, boot *Settings, founder bool) (*storage.Store, replica.Record, error) {
+	r := replica.Record{State: consensus.State{Self: views.Member{Addr: boot.PeerAddr(), DiskID: nonce()}}}
 	if founder {
 		r.State.View = consensus.InitialView(boot.SeedPeers())
-		if first := (views.Member{Addr: boot.Inner(), DiskID: consensus.FirstDiskID}); r.State.View.Has(first) {
+		if first := (views.Member{Addr: boot.PeerAddr(), DiskID: consensus.FirstDiskID}); r.State.View.Has(first) {
 			r.State.Self = first
 		}
 	} else if !boot.Bootstrap {
@@ -69,9 +69,9 @@
 	return s, r, s.Put(storage.Entry{Key: keyState, Value: replica.EncodeState(r)})
 }
 
-func readDisk(boot *Boot) (*storage.Store, replica.Record, error) {
+func readStore(boot *Settings) (*storage.Store, replica.Record, error) {
 	var r replica.Record
-	s, err := storage.Open(boot.Dir)
+	s, err := storage.Open(boot.DataDir)
 	if err != nil {
 		return nil, r, err
 	}
@@ -82,7 +82,7 @@
 	if r, err = replica.DecodeState(state); err != nil {
 		return s, r, err
 	}
-	if own := boot.Inner(); r.State.Self.Addr != own {
+	if own := boot.PeerAddr(); r.State.Self.Addr != own {
 		return s, r, fmt.Errorf("the state is of the machine at %s, and this one is at %s", r.State.Self.Addr, own)
 	}
 	raw, err := s.Get(keyEntry)
@@ -103,17 +103,17 @@
 
 // write is the disk's goroutine. What came together is written together; a disk that
 // refuses is asked again, and until it has written nothing goes out.
-func (c *core) write(ctx context.Context) {
+func (c *replicaRunner) runDisk(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-c.ready:
+		case <-c.diskWake:
 		}
 		c.mu.Lock()
-		batch, servers, known := c.queue, c.servers, c.known
-		c.queue, c.servers, c.known = nil, nil, nil
-		c.since = time.Now()
+		batch, servers, known := c.queue, c.servers, c.lastAcknowledged
+		c.queue, c.servers, c.lastAcknowledged = nil, nil, nil
+		c.writeStartedAt = time.Now()
 		c.mu.Unlock()
 		var r replica.Record
 		dirty := false
@@ -126,45 +126,45 @@
 			}
 		}
 		for dirty && ctx.Err() == nil {
-			err := c.keep(r)
+			err := c.persist(r)
 			if err == nil {
 				break
 			}
 			events.Refused.Log("err", err)
 			select {
 			case <-ctx.Done():
-			case <-time.After(diskRetry):
+			case <-time.After(diskRetryInterval):
 			}
-			if s, err := storage.Open(c.dir); err == nil { // a store that failed once takes no more writes
-				c.disk.Close()
-				c.disk = s
+			if s, err := storage.Open(c.dataDir); err == nil { // a store that failed once takes no more writes
+				c.store.Close()
+				c.store = s
 			}
 		}
 		c.mu.Lock()
-		c.since = time.Time{}
+		c.writeStartedAt = time.Time{}
 		c.mu.Unlock()
 		if ctx.Err() != nil {
 			return
 		}
 		if servers != nil { // nothing rests on it: should it fail, the next change is kept
-			c.disk.Put(storage.Entry{Key: keyServers, Value: servers})
+			c.store.Put(storage.Entry{Key: keyRememberedServers, Value: servers})
 		}
 		for _, out := range batch {
-			c.send(out.Send)
+			c.enqueueMessages(out.Send)
 			if len(out.Results) > 0 {
 				results := out.Results
-				c.do(ctx, func() { c.results(results) })
+				c.do(ctx, func() { c.deliver(results) })
 			}
 		}
 		if known != nil { // nothing rests on it either, and it is large: last
 			if raw, err := json.Marshal(known); err == nil {
-				c.disk.Put(storage.Entry{Key: keyKnown, Value: raw})
+				c.store.Put(storage.Entry{Key: keyLastAcknowledged, Value: raw})
 			}
 		}
 	}
 }
 
-func (c *core) keep(r replica.Record) error {
+func (c *replicaRunner) persist(r replica.Record) error {
 	entries := []storage.Entry{{Key: keyState, Value: replica.EncodeState(r)}}
 	if r.Entry != nil {
 		raw, err := json.Marshal(r.Entry)
@@ -173,11 +173,11 @@
 		}
 		entries = append(entries, storage.Entry{Key: keyEntry, Value: raw})
 	}
-	return c.disk.Put(entries...)
+	return c.store.Put(entries...)
 }
 
 // remember has the servers that beat here kept on the disk, in their own time.
-func (c *core) remember(servers []byte) {
+func (c *replicaRunner) rememberServers(servers []byte) {
 	c.mu.Lock()
 	c.servers = servers
 	c.mu.Unlock()
@@ -185,8 +185,8 @@
 }
 
 // remembered is what was kept of them.
-func (c *core) remembered() (list []gossip.Entry) {
-	if raw, err := c.disk.Get(keyServers); err == nil && raw != nil {
+func (c *replicaRunner) rememberedServers() (list []gossip.Entry) {
+	if raw, err := c.store.Get(keyRememberedServers); err == nil && raw != nil {
 		json.Unmarshal(raw, &list)
 	}
 	return list
--- a/internal/node/role/coremail.go
+++ b/internal/node/role/coremail.go
@@ -14,47 +14,47 @@
 )
 
 const (
-	mailTime  = 900 * time.Millisecond // for messages that are small
-	bulkTime  = 4 * time.Second        // for those that carry an entry: links may be thin
-	mostMail  = 128                    // messages that wait for one machine; the oldest go first
-	mostPosts = 64                     // machines that mail is sent to at once, twice: small and bulk
-	postIdle  = time.Minute            // a machine that was sent nothing for so long is let go of
+	messageTimeout    = 900 * time.Millisecond // for messages that are small
+	bulkTimeout       = 4 * time.Second        // for those that carry an entry: links may be thin
+	maxOutboxMessages = 128                    // messages that wait for one machine; the oldest go first
+	maxOutboxPeers    = 64                     // machines that mail is sent to at once, twice: small and bulk
+	outboxIdleTimeout = time.Minute            // a machine that was sent nothing for so long is let go of
 )
 
 // mailCall carries messages between core machines (codec.EncodeBatch). Nothing is answered
 // but that it came: what is lost is sent again by whoever waits for it.
-var mailCall = rpc.Declare[rpc.Raw, Nothing]("POST", "/Core.Mail", 4*mostCall, "core processes").Packed()
+var messagesCall = rpc.Declare[rpc.Raw, Nothing]("POST", "/Core.Mail", 4*MaxCallBytes, "core processes").Packed()
 
 // lane is one of the two ways of mail to a machine. What is large has one of its own, so
 // that heartbeats do not wait behind it.
-type lane struct {
+type outboxKey struct {
 	addr string
 	bulk bool
 }
 
-func (l lane) timeout() time.Duration {
+func (l outboxKey) timeout() time.Duration {
 	if l.bulk {
-		return bulkTime
+		return bulkTimeout
 	}
-	return mailTime
+	return messageTimeout
 }
 
 // post is the mail that waits for one lane.
-type post struct {
-	lane  lane
-	mu    sync.Mutex
-	queue []envelope.Message
-	ended bool // nobody carries it any more
-	ready chan struct{}
+type outbox struct {
+	key    outboxKey
+	mu     sync.Mutex
+	queue  []envelope.Message
+	closed bool // nobody carries it any more
+	ready  chan struct{}
 }
 
-func (p *post) put(msg envelope.Message) (taken bool) {
+func (p *outbox) put(msg envelope.Message) (taken bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.ended {
+	if p.closed {
 		return false
 	}
-	if p.queue = append(p.queue, msg); len(p.queue) > mostMail {
+	if p.queue = append(p.queue, msg); len(p.queue) > maxOutboxMessages {
 		p.queue = p.queue[1:]
 	}
 	select {
@@ -65,13 +65,13 @@
 }
 
 // take returns what may go in one call: of large messages only so many as the call bears.
-func (p *post) take() (batch []envelope.Message, more bool) {
+func (p *outbox) take() (batch []envelope.Message, more bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n, size := 0, 0
 	for n < len(p.queue) {
 		size += len(chain.ContentOf(p.queue[n].Body))
-		if n > 0 && size > mostCall {
+		if n > 0 && size > MaxCallBytes {
 			break
 		}
 		n++
@@ -81,18 +81,18 @@
 }
 
 // end lets go of the post if nothing waits.
-func (p *post) end() bool {
+func (p *outbox) closeIfEmpty() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.ended = len(p.queue) == 0
-	return p.ended
+	p.closed = len(p.queue) == 0
+	return p.closed
 }
 
 // send puts messages into the mail of their receivers.
-func (c *core) send(list []envelope.Message) {
+func (c *replicaRunner) enqueueMessages(list []envelope.Message) {
 	for _, msg := range list {
-		if p := c.postFor(lane{msg.To.Addr, chain.ContentOf(msg.Body) != nil}); p != nil && !p.put(msg) {
-			if p = c.postFor(p.lane); p != nil { // it has just been let go of
+		if p := c.outboxFor(outboxKey{msg.To.Addr, chain.ContentOf(msg.Body) != nil}); p != nil && !p.put(msg) {
+			if p = c.outboxFor(p.key); p != nil { // it has just been let go of
 				p.put(msg)
 			}
 		}
@@ -100,43 +100,43 @@
 }
 
 // postFor returns the mail of a lane; nil: there are too many.
-func (c *core) postFor(l lane) *post {
+func (c *replicaRunner) outboxFor(l outboxKey) *outbox {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if p := c.posts[l]; p != nil {
+	if p := c.outboxes[l]; p != nil {
 		return p
 	}
-	if len(c.posts) >= 2*mostPosts {
+	if len(c.outboxes) >= 2*maxOutboxPeers {
 		return nil
 	}
-	p := &post{lane: l, ready: make(chan struct{}, 1)}
-	c.posts[l] = p
-	c.post.Add(1)
-	go c.carry(p)
+	p := &outbox{key: l, ready: make(chan struct{}, 1)}
+	c.outboxes[l] = p
+	c.outboxesDone.Add(1)
+	go c.runOutbox(p)
 	return p
 }
 
 // carry posts the mail of one lane, in order, until nothing has come for long.
-func (c *core) carry(p *post) {
-	defer c.post.Done()
-	idle := time.NewTimer(postIdle)
+func (c *replicaRunner) runOutbox(p *outbox) {
+	defer c.outboxesDone.Done()
+	idle := time.NewTimer(outboxIdleTimeout)
 	defer idle.Stop()
 	for {
 		select {
 		case <-c.running.Done():
 			return
 		case <-idle.C:
-			if c.letGo(p) {
+			if c.removeOutbox(p) {
 				return
 			}
 		case <-p.ready:
-			c.carryAll(p)
+			c.sendAll(p)
 		}
-		idle.Reset(postIdle)
+		idle.Reset(outboxIdleTimeout)
 	}
 }
 
-func (c *core) carryAll(p *post) {
+func (c *replicaRunner) sendAll(p *outbox) {
 	for more := true; more && c.running.Err() == nil; {
 		var batch []envelope.Message
 		batch, more = p.take()
@@ -144,25 +144,25 @@
 		if err != nil {
 			panic("invariant: " + err.Error()) // each message has a form
 		}
-		ctx, cancel := context.WithTimeout(c.running, p.lane.timeout())
-		mailCall.Ask(ctx, c.node.client, p.lane.addr, "", mail) // what is lost is sent again
+		ctx, cancel := context.WithTimeout(c.running, p.key.timeout())
+		messagesCall.Ask(ctx, c.node.Client, p.key.addr, "", mail) // what is lost is sent again
 		cancel()
 	}
 }
 
-func (c *core) letGo(p *post) bool {
+func (c *replicaRunner) removeOutbox(p *outbox) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !p.end() {
+	if !p.closeIfEmpty() {
 		return false
 	}
-	delete(c.posts, p.lane)
+	delete(c.outboxes, p.key)
 	return true
 }
 
 // serve answers the other core machines.
-func (c *core) serve(mux *http.ServeMux) {
-	mailCall.On(mux, func(ctx context.Context, who rpc.Named, mail rpc.Raw) (Nothing, error) {
+func (c *replicaRunner) serveMessages(mux *http.ServeMux) {
+	messagesCall.On(mux, func(ctx context.Context, who rpc.Named, mail rpc.Raw) (Nothing, error) {
 		messages, unread, err := codec.DecodeBatch(mail)
 		if err != nil {
 			events.MailUnread.Log("peer", who.Peer, "err", err)
@@ -173,7 +173,7 @@
 		}
 		return Nothing{}, c.do(ctx, func() {
 			for _, msg := range messages {
-				c.flow(c.replica.Step(c.now(), msg))
+				c.process(c.replica.Step(c.now(), msg))
 			}
 		})
 	})
--- a/internal/node/role/disk_test.go
+++ b/internal/node/role/disk_test.go
@@ -25,19 +25,19 @@
 		events.To(io.Discard)
 		f := newFleet(t)
 		first := func() replica.Record {
-			s, r, err := openDisk(f.boot(1, true))
+			s, r, err := openStore(f.boot(1, true))
 			So(err, ShouldBeNil)
 			So(s.Close(), ShouldBeNil)
 			return r
 		}
 		again := func(machine int) (replica.Record, error) {
-			s, r, err := openDisk(f.boot(machine, false))
+			s, r, err := openStore(f.boot(machine, false))
 			if err == nil {
 				So(s.Close(), ShouldBeNil)
 			}
 			return r, err
 		}
-		dir := f.boot(1, true).Dir
+		dir := f.boot(1, true).DataDir
 		r := first()
 		So(r.State.Self.DiskID, ShouldEqual, consensus.FirstDiskID)
 		So(r.State.View.Members, ShouldHaveLength, 3)
@@ -75,7 +75,7 @@
 			f.dirs[f.ip(2)] = dir
 			back, err := again(2)
 			So(err, ShouldBeNil)
-			So(back.State.Self.Addr, ShouldEqual, f.boot(2, false).Inner())
+			So(back.State.Self.Addr, ShouldEqual, f.boot(2, false).PeerAddr())
 			So(back.State.Self.DiskID, ShouldNotEqual, consensus.FirstDiskID)
 			So(back.State.View.Epoch, ShouldEqual, uint64(0))
 		})
@@ -88,7 +88,7 @@
 			f.dirs[f.ip(2)] = dir
 			boot := f.boot(2, false)
 			boot.Bootstrap = true // even where the settings take it for the first start
-			moved, back, err := openDisk(boot)
+			moved, back, err := openStore(boot)
 			So(err, ShouldBeNil)
 			So(moved.Close(), ShouldBeNil)
 			So(back.Entry, ShouldBeNil)
@@ -130,33 +130,33 @@
 		entry := func(version uint64) chain.Entry {
 			return chain.NewEntry(version, []byte(config(int(version), "v")))
 		}
-		start := func(first bool) *core {
+		start := func(first bool) *replicaRunner {
 			boot := f.boot(1, first)
-			c, err := newCore(NewNode(Fixed(boot), "keel"), boot)
+			c, err := newReplicaRunner(NewNode(Fixed(boot), "keel"), boot)
 			So(err, ShouldBeNil)
 			return c
 		}
 		c := start(true)
-		told, known := c.node.book.Get(charterAt)
+		told, known := c.node.Store.Get(ConfigurationKey)
 		So(known, ShouldBeFalse)
 		ctx, cancel := context.WithCancel(context.Background())
 		over := make(chan struct{})
-		go func() { defer close(over); c.write(ctx) }()
+		go func() { defer close(over); c.runDisk(ctx) }()
 		seen, held := entry(3), entry(4)
 		c.mu.Lock()
-		c.known = &seen
+		c.lastAcknowledged = &seen
 		c.mu.Unlock()
 		c.wake()
-		until("it kept", func() bool { raw, err := c.disk.Get(keyKnown); return err == nil && raw != nil })
-		So(c.keep(replica.Record{State: c.replica.Consensus.State, Entry: &held}), ShouldBeNil)
+		until("it kept", func() bool { raw, err := c.store.Get(keyLastAcknowledged); return err == nil && raw != nil })
+		So(c.persist(replica.Record{State: c.replica.Consensus.State, Entry: &held}), ShouldBeNil)
 		cancel()
 		<-over
-		So(c.disk.Close(), ShouldBeNil)
+		So(c.store.Close(), ShouldBeNil)
 
 		c = start(false)
-		defer c.disk.Close()
+		defer c.store.Close()
 		So(c.replica.Chain.Stored().Version, ShouldEqual, held.Version)
-		told, known = c.node.book.Get(charterAt)
+		told, known = c.node.Store.Get(ConfigurationKey)
 		So(known, ShouldBeTrue)
 		So(told.Version, ShouldEqual, seen.Version)
 		So(string(told.Value), ShouldEqual, string(seen.Content))
--- a/internal/node/role/fleet_test.go
+++ b/internal/node/role/fleet_test.go
@@ -33,7 +33,7 @@
 	seeds string
 	dirs  map[string]string
 	stops map[string]func()
-	boots map[string]*Boot
+	boots map[string]*Settings
 }
 
 func newFleet(t *testing.T) *fleet {
@@ -46,7 +46,7 @@
 		port -= 1000
 	}
 	f := &fleet{t: t, net: fmt.Sprintf("127.%d.%d", 1+rand.IntN(250), rand.IntN(250)), port: port,
-		dirs: make(map[string]string), stops: make(map[string]func()), boots: make(map[string]*Boot)}
+		dirs: make(map[string]string), stops: make(map[string]func()), boots: make(map[string]*Settings)}
 	f.seeds = fmt.Sprintf("%s,%s,%s", f.control(1), f.control(2), f.control(3))
 	t.Cleanup(func() {
 		for _, stop := range f.stops {
@@ -60,24 +60,24 @@
 func (f *fleet) control(machine int) string { return fmt.Sprintf("%s:%d", f.ip(machine), f.port+9) }
 func (f *fleet) front(machine int) string   { return fmt.Sprintf("%s:%d", f.ip(machine), f.port+8) }
 
-func (f *fleet) boot(machine int, first bool) *Boot {
+func (f *fleet) boot(machine int, first bool) *Settings {
 	dir := f.dirs[f.ip(machine)]
 	if dir == "" {
 		dir = f.t.TempDir()
 		f.dirs[f.ip(machine)] = dir
 	}
-	b, err := ParseBoot(fmt.Sprintf("node_name=m%d\nip_address=%s\nzone=z%d\nregion=z%d\ninternal_port_range=%d,%d\nseed_addresses=%s\nbootstrap=%t\n"+
+	b, err := Parse(fmt.Sprintf("node_name=m%d\nip_address=%s\nzone=z%d\nregion=z%d\ninternal_port_range=%d,%d\nseed_addresses=%s\nbootstrap=%t\n"+
 		"limits.memory_mb=200\nlimits.max_open_files=2000\ndata_directory=%s\nheartbeat_interval_ms=1000\nfault_tolerance.machines=1\n"+
 		"listen_addresses.control_plane=%s\nlisten_addresses.front=%s\nlisten_addresses.readiness=%s:%d\n"+
 		"bounds.drain_ms=4000\nbounds.grace_s=1\nbounds.retry_window_s=10\nbounds.retry_budget_ratio=0.2\nbounds.retry_budget_slack=58",
 		machine, f.ip(machine), machine%3, machine%3, f.port, f.port+7, f.seeds, first, dir, f.control(machine), f.front(machine), f.ip(machine), f.port+7))
 	So(err, ShouldBeNil)
-	b.LoopIP = f.ip(machine)
+	b.LoopbackIP = f.ip(machine)
 	return b
 }
 
 // start runs a program on a machine; stop ends it as SIGTERM does.
-func (f *fleet) start(name string, machine int, first bool, run func(context.Context, *Settings) error) {
+func (f *fleet) start(name string, machine int, first bool, run func(context.Context, *File) error) {
 	key := fmt.Sprint(name, machine)
 	ctx, cancel := context.WithCancel(context.Background())
 	over := make(chan error, 1)
@@ -172,7 +172,7 @@
 func (f *fleet) shows(program string, machine int, text string) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	s, err := ShowCall.Ask(ctx, rpc.NewClient(time.Second), ShowAt(program, f.boot(machine, false)), "", nil)
+	s, err := ShowCall.Ask(ctx, rpc.NewClient(time.Second), ShowAddr(program, f.boot(machine, false)), "", nil)
 	return err == nil && strings.Contains(s.Text(), text)
 }
 
@@ -186,11 +186,11 @@
 	Convey("The system on loopback", t, func() {
 		f := newFleet(t)
 		for m := 1; m <= 3; m++ {
-			f.start("keel", m, true, Keel)
+			f.start("keel", m, true, RunControlPlane)
 		}
 		for m := 11; m <= 12; m++ {
-			f.start("echo", m, true, Echo)
-			f.start("tide", m, true, Tide)
+			f.start("echo", m, true, RunAgent)
+			f.start("tide", m, true, RunProxy)
 		}
 		a, err := standin.NewServer("i-a", func(int, standin.Seen) standin.Reply { return standin.Reply{Body: "a"} })
 		So(err, ShouldBeNil)
@@ -261,22 +261,22 @@
 		// A proxy that starts again has all of it from its agent at once; an agent that
 		// starts again, without a core, from its proxy and the other agents.
 		f.stop("tide", 11)
-		f.start("tide", 11, false, Tide)
+		f.start("tide", 11, false, RunProxy)
 		until("the restarted proxy serves", func() bool { code, _ = f.get(11, "/v5/x"); return code == 200 })
 		f.stop("echo", 11)
 		f.stop("echo", 12)
 		code, _ = f.get(11, "/v5/x")
 		So(code, ShouldEqual, 200)
-		f.start("echo", 11, false, Echo)
+		f.start("echo", 11, false, RunAgent)
 		until("the agent has its proxy's version back", func() bool { return f.shows("echo", 11, "\n  5 ") })
 		f.stop("tide", 11)
-		f.start("tide", 11, false, Tide)
+		f.start("tide", 11, false, RunProxy)
 		until("the configuration in force again", func() bool { return f.shows("tide", 11, "routes of version 5") })
 
 		// The core comes back with what it acknowledged; one machine's disk is lost.
 		So(os.RemoveAll(f.dirs[f.ip(3)]+"/state"), ShouldBeNil)
 		for m := 1; m <= 3; m++ {
-			f.start("keel", m, false, Keel)
+			f.start("keel", m, false, RunControlPlane)
 		}
 		until("a read", func() bool { code, text = f.call("GET", f.control(2), "/Config.Describe", ""); return code == 200 })
 		So(text, ShouldEqual, config(5, "v5"))
@@ -292,7 +292,7 @@
 	Convey("A core that starts again knows the servers that beat at it", t, func() {
 		f := newFleet(t)
 		for m := 1; m <= 3; m++ {
-			f.start("keel", m, true, Keel)
+			f.start("keel", m, true, RunControlPlane)
 		}
 		a, err := standin.NewServer("i-a", func(int, standin.Seen) standin.Reply { return standin.Reply{Body: "a"} })
 		So(err, ShouldBeNil)
@@ -306,9 +306,9 @@
 			f.stop("keel", m)
 		}
 		for m := 1; m <= 3; m++ {
-			f.start("keel", m, false, Keel)
+			f.start("keel", m, false, RunControlPlane)
 		}
-		f.start("echo", 11, false, Echo)
+		f.start("echo", 11, false, RunAgent)
 		until("it known at an agent that starts", func() bool { return f.shows("echo", 11, "i-a") && f.shows("echo", 11, "available") })
 		until("its silence noticed", func() bool { return f.shows("echo", 11, "silent") })
 	})
@@ -320,27 +320,27 @@
 		f := newFleet(t)
 		var raw bytes.Buffer
 		So(json.Compact(&raw, []byte(config(5, "v5"))), ShouldBeNil)
-		loop, given := http.NewServeMux(), make(chan Feed, 100)
-		feedCall.On(loop, func(ctx context.Context, _ rpc.Named, q Feed) (Fed, error) {
+		loop, given := http.NewServeMux(), make(chan FeedRequest, 100)
+		FeedCall.On(loop, func(ctx context.Context, _ rpc.Named, q FeedRequest) (FeedResponse, error) {
 			given <- q
 			switch {
-			case len(q.News) > 0:
+			case len(q.Entries) > 0:
 				<-ctx.Done()
-			case q.Life == "":
-				return Fed{Life: "one", Seq: 1, Items: []gossip.Entry{{Key: charterAt, Version: 5 << 16, Value: raw.Bytes()}}}, nil
+			case q.Incarnation == "":
+				return FeedResponse{Incarnation: "one", Seq: 1, Entries: []gossip.Entry{{Key: ConfigurationKey, Version: 5 << 16, Value: raw.Bytes()}}}, nil
 			}
-			return Fed{Life: "two", Seq: 1, Want: true, Items: []gossip.Entry{{Key: charterAt, Version: 4 << 16, Value: raw.Bytes()}}}, nil
+			return FeedResponse{Incarnation: "two", Seq: 1, WantConfig: true, Entries: []gossip.Entry{{Key: ConfigurationKey, Version: 4 << 16, Value: raw.Bytes()}}}, nil
 		})
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		ln, err := net.Listen("tcp4", f.boot(11, true).Loop())
+		ln, err := net.Listen("tcp4", f.boot(11, true).AgentAddr())
 		So(err, ShouldBeNil)
 		go rpc.Serve(ctx, ln, loop, time.Minute)
-		f.start("tide", 11, true, Tide)
-		So((<-given).Life, ShouldEqual, "")
-		So((<-given).Rank, ShouldEqual, uint64(5<<16)) // it says what it holds
+		f.start("tide", 11, true, RunProxy)
+		So((<-given).Incarnation, ShouldEqual, "")
+		So((<-given).ConfigVersion, ShouldEqual, uint64(5<<16)) // it says what it holds
 		back := <-given
-		So(back.News, ShouldHaveLength, 1) // and gives it back to an agent that lacks it
-		So(back.News[0].Version, ShouldEqual, uint64(5<<16))
+		So(back.Entries, ShouldHaveLength, 1) // and gives it back to an agent that lacks it
+		So(back.Entries[0].Version, ShouldEqual, uint64(5<<16))
 	})
 }
--- a/internal/node/role/handover.go
+++ b/internal/node/role/handover.go
@@ -10,23 +10,23 @@
 )
 
 const (
-	handoverPoll   = 50 * time.Millisecond
-	handoverMargin = 700 * time.Millisecond  // before the grace is over
-	standbyTime    = 2000 * time.Millisecond // for somebody to come that takes the vote
+	handOverPollInterval = 50 * time.Millisecond
+	handOverMargin       = 700 * time.Millisecond  // before the grace is over
+	standbyTimeout       = 2000 * time.Millisecond // for somebody to come that takes the vote
 )
 
 // handOver has this machine leave the voters before its process ends. It returns when that
 // is done, when nobody is there to take its vote, or when the grace is nearly over.
-func (c *core) handOver(grace time.Duration) {
+func (c *replicaRunner) handOverVote(grace time.Duration) {
 	begun := time.Now()
-	over, standby := begun.Add(grace-handoverMargin), begun.Add(standbyTime)
+	over, standby := begun.Add(grace-handOverMargin), begun.Add(standbyTimeout)
 	ctx, cancel := context.WithDeadline(context.Background(), over)
 	defer cancel()
-	if c.do(ctx, func() { c.flow(c.replica.StartLeave(c.now())) }) != nil {
+	if c.do(ctx, func() { c.process(c.replica.StartLeave(c.now())) }) != nil {
 		return
 	}
 	for time.Now().Before(over) {
-		left, alone := c.leaving(ctx)
+		left, alone := c.leaveStatus(ctx)
 		switch {
 		case left:
 			events.HandedOver.Log("after", time.Since(begun).Round(time.Millisecond))
@@ -35,13 +35,13 @@
 			events.NotHandedOver.Log("why", "nobody stands by to take this vote; the disk keeps it")
 			return
 		}
-		time.Sleep(handoverPoll)
+		time.Sleep(handOverPollInterval)
 	}
 	events.NotHandedOver.Log("why", "the others have not agreed within the grace")
 }
 
 // leaving tells whether this machine has left, and whether nobody is there to take its place.
-func (c *core) leaving(ctx context.Context) (left, alone bool) {
+func (c *replicaRunner) leaveStatus(ctx context.Context) (left, alone bool) {
 	done := make(chan struct{})
 	if c.do(ctx, func() {
 		left, alone = c.replica.HasLeft(c.now()), c.replica.Consensus.CannotHandOver(c.now())
@@ -59,8 +59,8 @@
 
 // outOfTouch tells a caller where to go if this machine has not heard most of the core
 // lately: what it would say may be old, and what it would take may be lost. nil: it has.
-func (c *core) outOfTouch(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, answerTime)
+func (c *replicaRunner) requireQuorum(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, answerTimeout)
 	defer cancel()
 	var inTouch bool
 	var others []string
@@ -74,22 +74,22 @@
 		close(done)
 	})
 	if err != nil {
-		return later(err)
+		return retryLater(err)
 	}
 	select {
 	case <-done:
 	case <-ctx.Done():
-		return later(ctx.Err())
+		return retryLater(ctx.Err())
 	}
 	if inTouch {
 		return nil
 	}
-	return c.sendOn(others)
+	return c.redirect(others)
 }
 
 // sendOn is the answer that sends a caller to the first of some machines whose address for
 // callers is known; to none: to come again.
-func (c *core) sendOn(others []string) error {
+func (c *replicaRunner) redirect(others []string) error {
 	control := make(map[string]string)
 	for _, p := range c.node.Peers("keel") {
 		control[p.Addr] = p.Control
--- a/internal/node/role/hardening_test.go
+++ b/internal/node/role/hardening_test.go
@@ -16,7 +16,7 @@
 	Convey("Three core machines and their successor", t, func() {
 		f := newFleet(t)
 		for m := 1; m <= 3; m++ {
-			f.start("keel", m, true, Keel)
+			f.start("keel", m, true, RunControlPlane)
 		}
 		order := config(1, "a")
 		until("an order acknowledged", func() bool {
@@ -34,7 +34,7 @@
 		}
 		So(f.clear(2, config(1, "b")), ShouldEqual, 409)
 
-		f.start("keel", 4, false, Keel)
+		f.start("keel", 4, false, RunControlPlane)
 		until("the successor learns", func() bool { return f.shows("keel", 4, "\n  2 ") })
 		So(f.votes(1, 4), ShouldBeFalse) // and has no vote yet
 		f.stop("keel", 1)
@@ -59,7 +59,7 @@
 		So(f.beat(4, s, "s", "available", 2), ShouldEqual, 200)
 		So(f.beat(4, s, "s", "draining", 3), ShouldEqual, 503) // it is told on, and not acknowledged
 		for m := 2; m <= 3; m++ {
-			f.start("keel", m, false, Keel)
+			f.start("keel", m, false, RunControlPlane)
 		}
 		until("the core again, with what it acknowledged", func() bool {
 			code, text := f.call("GET", f.control(4), "/Config.Describe", "")
--- a/internal/node/role/life.go
+++ b/internal/node/role/life.go
@@ -11,20 +11,20 @@
 	"saddleport/internal/node/events"
 )
 
-const lookEvery = 5 * time.Second // at the settings file, which may change without a signal
+const rereadInterval = 5 * time.Second // at the settings file, which may change without a signal
 
 // Settings are a settings file that may change while the process runs.
-type Settings struct {
-	file string
-	text atomic.Pointer[string]
-	now  atomic.Pointer[Boot]
+type File struct {
+	file    string
+	text    atomic.Pointer[string]
+	current atomic.Pointer[Settings]
 
-	Alike bool // of a proxy: nobody is set apart
+	NoEjection bool // of a proxy: nobody is set apart
 }
 
 // OpenSettings reads a settings file.
-func OpenSettings(file string) (*Settings, error) {
-	s := &Settings{file: file}
+func Open(file string) (*File, error) {
+	s := &File{file: file}
 	boot, err := Load(file)
 	if err != nil {
 		return nil, err
@@ -32,30 +32,30 @@
 	text, _ := os.ReadFile(file)
 	t := string(text)
 	s.text.Store(&t)
-	s.now.Store(boot)
+	s.current.Store(boot)
 	return s, nil
 }
 
 // Fixed makes settings that don't change, for tests.
-func Fixed(boot *Boot) *Settings {
-	s := &Settings{}
-	s.now.Store(boot)
+func Fixed(boot *Settings) *File {
+	s := &File{}
+	s.current.Store(boot)
 	return s
 }
 
 // Boot is what the file says now.
-func (s *Settings) Boot() *Boot { return s.now.Load() }
+func (s *File) Current() *Settings { return s.current.Load() }
 
 // Watch rereads the file on SIGHUP, and when it has changed, until ctx ends. One that
 // can't be read changes nothing. Addresses count from the next start.
-func (s *Settings) Watch(ctx context.Context) {
+func (s *File) Watch(ctx context.Context) {
 	if s.file == "" {
 		return
 	}
 	hup := make(chan os.Signal, 4)
 	signal.Notify(hup, syscall.SIGHUP)
 	defer signal.Stop(hup)
-	tick := time.NewTicker(lookEvery)
+	tick := time.NewTicker(rereadInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -71,9 +71,9 @@
 		}
 		if err == nil {
 			s.text.Store(&t)
-			var boot *Boot
-			if boot, err = ParseBoot(t); err == nil {
-				s.now.Store(boot)
+			var boot *Settings
+			if boot, err = Parse(t); err == nil {
+				s.current.Store(boot)
 				events.Reloaded.Log("file", s.file)
 			}
 		}
--- a/internal/node/role/node.go
+++ b/internal/node/role/node.go
@@ -16,127 +16,127 @@
 )
 
 const (
-	callTime   = 900 * time.Millisecond
-	largeTime  = 4 * time.Second // for news that may be large: links are thin
-	dialPeer   = 500 * time.Millisecond
-	mostCall   = 8 << 20
-	aloneAfter = 3 * time.Second        // without another process, that is told
-	leaveTime  = 400 * time.Millisecond // for the last word of a process that ends
+	callTimeout      = 900 * time.Millisecond
+	largeCallTimeout = 4 * time.Second // for news that may be large: links are thin
+	peerDialTimeout  = 500 * time.Millisecond
+	MaxCallBytes     = 8 << 20
+	aloneDelay       = 3 * time.Second        // without another process, that is told
+	leaveTimeout     = 400 * time.Millisecond // for the last word of a process that ends
 )
 
 // The calls between all agents and core processes.
 var (
-	passCall  = rpc.Declare[gossip.ExchangeRequest, gossip.ExchangeResponse]("POST", "/Rumour.Pass", mostCall, "every agent and core process").Packed()
-	afterCall = rpc.Declare[After, Heard]("POST", "/Ring.After", 4<<10, "every agent and core process")
+	exchangeCall = rpc.Declare[gossip.ExchangeRequest, gossip.ExchangeResponse]("POST", "/Rumour.Pass", MaxCallBytes, "every agent and core process").Packed()
+	probeCall    = rpc.Declare[ProbeRequest, ProbeResponse]("POST", "/Ring.After", 4<<10, "every agent and core process")
 )
 
 // After asks whether another process is heard of, or the one called itself.
-type After struct {
-	About string `json:"a"`
+type ProbeRequest struct {
+	Target string `json:"a"`
 }
 
 // Heard is the answer.
-type Heard struct {
-	Hears bool `json:"h"`
+type ProbeResponse struct {
+	Alive bool `json:"h"`
 }
 
 // charterAt is the key of the configuration among the news.
-const charterAt = "c"
+const ConfigurationKey = "c"
 
 // orphans is the duty of one core machine to listen for servers that nobody listens for.
-var orphans = member.SingletonRole{Name: "orphans", ProcessKind: "keel"}
+var OrphanedServersRole = member.SingletonRole{Name: "orphans", ProcessKind: "keel"}
 
 // Node is what an agent and a core process have in common. It does the calls that the
 // machine wants, and knows nothing of what it decides by.
 type Node struct {
-	set    *Settings
-	self   gossip.Process
-	client *rpc.Client
-	start  time.Time
-	took   func(gossip.Entry) // after news was taken, under mu; nil: nobody
-	calls  sync.WaitGroup
-
-	mu      sync.Mutex
+	Settings  *File
+	Self      gossip.Process
+	Client    *rpc.Client
+	StartedAt time.Time
+	OnUpdate  func(gossip.Entry) // after news was taken, under mu; nil: nobody
+	calls     sync.WaitGroup
+
+	Mu      sync.Mutex
 	ctx     context.Context // of the calls; ends with Run
-	kin     *member.Machine
-	book    *gossip.Store // kin's
-	changed chan struct{} // closed at the next change
-	hot     chan struct{} // the loop has something to do
+	Members *member.Machine
+	Store   *gossip.Store // kin's
+	Changed chan struct{} // closed at the next change
+	wake    chan struct{} // the loop has something to do
 }
 
 // NewNode returns a node that knows itself alone.
-func NewNode(set *Settings, kind string) *Node {
-	boot := set.Boot()
-	n := &Node{set: set, client: rpc.NewClient(dialPeer), start: time.Now(), changed: make(chan struct{}), hot: make(chan struct{}, 1)}
-	n.self = gossip.Process{Addr: boot.Inner(), Name: boot.Name, Kind: kind, Zone: boot.Zone, Region: boot.Region, Control: boot.Control}
-	n.kin = member.New(n.now(), member.DefaultConfig(orphans, council), n.self, boot.SeedPeers(), rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
-	n.kin.OnUpdate = n.noted
-	n.book = n.kin.Store()
+func NewNode(set *File, kind string) *Node {
+	boot := set.Current()
+	n := &Node{Settings: set, Client: rpc.NewClient(peerDialTimeout), StartedAt: time.Now(), Changed: make(chan struct{}), wake: make(chan struct{}, 1)}
+	n.Self = gossip.Process{Addr: boot.PeerAddr(), Name: boot.Name, Kind: kind, Zone: boot.Zone, Region: boot.Region, Control: boot.Control}
+	n.Members = member.New(n.Now(), member.DefaultConfig(OrphanedServersRole, OutlierRole), n.Self, boot.SeedPeers(), rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
+	n.Members.OnUpdate = n.onUpdate
+	n.Store = n.Members.Store()
 	return n
 }
 
-func (n *Node) now() int64 { return time.Since(n.start).Microseconds() }
+func (n *Node) Now() int64 { return time.Since(n.StartedAt).Microseconds() }
 
 // noted is told of all news that was taken. Under mu.
-func (n *Node) noted(i gossip.Entry) {
-	if n.took != nil {
-		n.took(i)
+func (n *Node) onUpdate(i gossip.Entry) {
+	if n.OnUpdate != nil {
+		n.OnUpdate(i)
 	}
-	close(n.changed)
-	n.changed = make(chan struct{})
+	close(n.Changed)
+	n.Changed = make(chan struct{})
 	select {
-	case n.hot <- struct{}{}:
+	case n.wake <- struct{}{}:
 	default:
 	}
 }
 
 // put takes news of this process's own or of its proxy. Under mu.
-func (n *Node) put(i gossip.Entry) { n.kin.Put(n.now(), i) }
+func (n *Node) PutLocked(i gossip.Entry) { n.Members.Put(n.Now(), i) }
 
 // Put takes news of this process's own.
 func (n *Node) Put(items ...gossip.Entry) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
+	n.Mu.Lock()
+	defer n.Mu.Unlock()
 	for _, i := range items {
-		n.put(i)
+		n.PutLocked(i)
 	}
 }
 
 // Serve answers the other processes.
 func (n *Node) Serve(mux *http.ServeMux) {
-	passCall.On(mux, func(_ context.Context, _ rpc.Named, p gossip.ExchangeRequest) (gossip.ExchangeResponse, error) {
-		n.mu.Lock()
-		defer n.mu.Unlock()
-		return n.kin.HandleExchange(n.now(), p), nil
+	exchangeCall.On(mux, func(_ context.Context, _ rpc.Named, p gossip.ExchangeRequest) (gossip.ExchangeResponse, error) {
+		n.Mu.Lock()
+		defer n.Mu.Unlock()
+		return n.Members.HandleExchange(n.Now(), p), nil
 	})
-	afterCall.On(mux, func(ctx context.Context, _ rpc.Named, a After) (Heard, error) {
-		n.mu.Lock()
-		hears, try := n.kin.HandleProbe(n.now(), a.About)
-		n.mu.Unlock()
+	probeCall.On(mux, func(ctx context.Context, _ rpc.Named, a ProbeRequest) (ProbeResponse, error) {
+		n.Mu.Lock()
+		hears, try := n.Members.HandleProbe(n.Now(), a.Target)
+		n.Mu.Unlock()
 		if try {
-			ctx, cancel := context.WithTimeout(ctx, dialPeer)
+			ctx, cancel := context.WithTimeout(ctx, peerDialTimeout)
 			defer cancel()
-			ans, err := afterCall.Ask(ctx, n.client, a.About, "", After{About: a.About})
-			hears = err == nil && ans.Hears
+			ans, err := probeCall.Ask(ctx, n.Client, a.Target, "", ProbeRequest{Target: a.Target})
+			hears = err == nil && ans.Alive
 		}
-		return Heard{Hears: hears}, nil
+		return ProbeResponse{Alive: hears}, nil
 	})
 }
 
 // Peers are the other processes, of a kind or of any.
 func (n *Node) Peers(kind string) []gossip.Process {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.kin.Peers(kind)
+	n.Mu.Lock()
+	defer n.Mu.Unlock()
+	return n.Members.Peers(kind)
 }
 
 // awake leaves out the peers that did not answer lately.
-func (n *Node) awake(list []gossip.Process) (out []gossip.Process) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	now := n.now()
+func (n *Node) Reachable(list []gossip.Process) (out []gossip.Process) {
+	n.Mu.Lock()
+	defer n.Mu.Unlock()
+	now := n.Now()
 	for _, p := range list {
-		if n.kin.Reachable(now, p.Addr) {
+		if n.Members.Reachable(now, p.Addr) {
 			out = append(out, p)
 		}
 	}
@@ -145,12 +145,12 @@
 
 // Run steps the machine until ctx ends. Then it tells that the process ends.
 func (n *Node) Run(ctx context.Context) {
-	n.mu.Lock()
+	n.Mu.Lock()
 	n.ctx = ctx
-	n.mu.Unlock()
-	alone := time.AfterFunc(aloneAfter, func() {
+	n.Mu.Unlock()
+	alone := time.AfterFunc(aloneDelay, func() {
 		if len(n.Peers("")) == 0 {
-			events.Alone.Log("seeds", n.set.Boot().Seeds)
+			events.Alone.Log("seeds", n.Settings.Current().Seeds)
 		}
 	})
 	defer alone.Stop()
@@ -161,27 +161,27 @@
 		case <-ctx.Done():
 			n.leave()
 			return
-		case <-n.hot:
+		case <-n.wake:
 		case <-timer.C:
 		}
-		n.mu.Lock()
-		now := n.now()
-		n.kin.SetSeeds(n.set.Boot().SeedPeers())
-		n.kin.Tick(now)
-		n.flush()
-		next := n.kin.NextTick()
-		n.mu.Unlock()
+		n.Mu.Lock()
+		now := n.Now()
+		n.Members.SetSeeds(n.Settings.Current().SeedPeers())
+		n.Members.Tick(now)
+		n.flushLocked()
+		next := n.Members.NextTick()
+		n.Mu.Unlock()
 		timer.Reset(max(time.Duration(next-now)*time.Microsecond, time.Millisecond))
 	}
 }
 
 // flush does what the machine wants done. Under mu.
-func (n *Node) flush() {
-	out := n.kin.TakeOutput()
+func (n *Node) flushLocked() {
+	out := n.Members.TakeOutput()
 	for _, x := range out.Events {
 		switch x.Kind {
 		case member.Joined:
-			events.Joined.Log("peers", len(n.kin.Peers("")))
+			events.Joined.Log("peers", len(n.Members.Peers("")))
 		case member.ProcessDead:
 			events.ProcessDead.Log("process", x.Process)
 		case member.ProcessGone:
@@ -194,48 +194,48 @@
 	}
 	n.calls.Add(len(out.Probes) + len(out.Calls))
 	for _, q := range out.Probes {
-		go n.ask(n.ctx, q)
+		go n.probe(n.ctx, q)
 	}
 	for _, o := range out.Calls {
-		go n.pass(n.ctx, o)
+		go n.exchange(n.ctx, o)
 	}
 }
 
 // ask carries a question of the ring.
-func (n *Node) ask(ctx context.Context, q failuredetector.Probe) {
+func (n *Node) probe(ctx context.Context, q failuredetector.Probe) {
 	defer n.calls.Done()
-	ctx, cancel := context.WithTimeout(ctx, callTime)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	ans, err := afterCall.Ask(ctx, n.client, q.To, "", After{About: q.About})
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.kin.HandleProbeResult(n.now(), q, ans.Hears, err == nil)
+	ans, err := probeCall.Ask(ctx, n.Client, q.To, "", ProbeRequest{Target: q.About})
+	n.Mu.Lock()
+	defer n.Mu.Unlock()
+	n.Members.HandleProbeResult(n.Now(), q, ans.Alive, err == nil)
 }
 
 // pass carries news.
-func (n *Node) pass(ctx context.Context, o gossip.OutboundCall) {
+func (n *Node) exchange(ctx context.Context, o gossip.OutboundCall) {
 	defer n.calls.Done()
-	span := callTime
+	span := callTimeout
 	if len(o.Request.Entries)+len(o.Request.Want) > 0 {
-		span = largeTime
+		span = largeCallTimeout
 	}
 	ctx, cancel := context.WithTimeout(ctx, span)
 	defer cancel()
-	ans, err := passCall.Ask(ctx, n.client, o.To, "", o.Request)
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.kin.HandleExchangeResult(n.now(), o, ans, err == nil)
-	n.flush()
+	ans, err := exchangeCall.Ask(ctx, n.Client, o.To, "", o.Request)
+	n.Mu.Lock()
+	defer n.Mu.Unlock()
+	n.Members.HandleExchangeResult(n.Now(), o, ans, err == nil)
+	n.flushLocked()
 }
 
 // leave tells some others that this process ends, and waits for its calls to end.
 func (n *Node) leave() {
-	ctx, cancel := context.WithTimeout(context.Background(), leaveTime)
+	ctx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
 	defer cancel()
-	n.mu.Lock()
+	n.Mu.Lock()
 	n.ctx = ctx
-	n.kin.AnnounceLeave(n.now())
-	n.flush()
-	n.mu.Unlock()
+	n.Members.AnnounceLeave(n.Now())
+	n.flushLocked()
+	n.Mu.Unlock()
 	n.calls.Wait()
 }
--- a/internal/node/role/show.go
+++ b/internal/node/role/show.go
@@ -23,9 +23,9 @@
 
 // Table is one part of what a running process shows.
 type Table struct {
-	Title string     `json:"title"`
-	Head  []string   `json:"head,omitempty"`
-	Rows  [][]string `json:"rows"`
+	Title   string     `json:"title"`
+	Columns []string   `json:"head,omitempty"`
+	Rows    [][]string `json:"rows"`
 }
 
 // Shown is what a running process holds.
@@ -38,17 +38,17 @@
 
 // ShowCall asks a running process what it holds. It listens where only its own machine or
 // other processes of the system can reach it.
-var ShowCall = rpc.Declare[rpc.Raw, Shown]("GET", "/Show", mostCall, "`show`, on the same machine or from a core machine")
+var ShowCall = rpc.Declare[rpc.Raw, Shown]("GET", "/Show", MaxCallBytes, "`show`, on the same machine or from a core machine")
 
 // ShowAt is where a program answers that.
-func ShowAt(program string, b *Boot) string {
+func ShowAddr(program string, b *Settings) string {
 	switch program {
 	case "tide":
-		return net.JoinHostPort(b.LoopIP, strconv.Itoa(b.Port+2))
+		return net.JoinHostPort(b.LoopbackIP, strconv.Itoa(b.FirstPort+2))
 	case "echo":
-		return b.Loop()
+		return b.AgentAddr()
 	}
-	return b.Inner()
+	return b.PeerAddr()
 }
 
 // Text writes what is shown as tables.
@@ -58,8 +58,8 @@
 	for _, t := range s.Tables {
 		fmt.Fprintf(&b, "\n%s\n", t.Title)
 		w := tabwriter.NewWriter(&b, 0, 0, 2, ' ', 0)
-		if len(t.Head) > 0 {
-			fmt.Fprintln(w, "  "+strings.Join(t.Head, "\t"))
+		if len(t.Columns) > 0 {
+			fmt.Fprintln(w, "  "+strings.Join(t.Columns, "\t"))
 		}
 		for _, r := range t.Rows {
 			fmt.Fprintln(w, "  "+strings.Join(r, "\t"))
@@ -72,7 +72,7 @@
 	return b.String()
 }
 
-func onShow(mux *http.ServeMux, program, name string, start time.Time, tables func(context.Context) ([]Table, error)) {
+func RegisterShow(mux *http.ServeMux, program, name string, start time.Time, tables func(context.Context) ([]Table, error)) {
 	ShowCall.On(mux, func(ctx context.Context, _ rpc.Named, _ rpc.Raw) (Shown, error) {
 		t, err := tables(ctx)
 		return Shown{Program: program, Name: name, Up: time.Since(start).Round(time.Millisecond).String(), Tables: t}, err
@@ -80,11 +80,11 @@
 }
 
 // newsTables are what a node holds of the news. Under mu.
-func newsTables(book *gossip.Store) []Table {
-	servers := Table{Title: "servers", Head: []string{"service", "server", "address", "zone", "state", "heard by"}}
+func storeTables(book *gossip.Store) []Table {
+	servers := Table{Title: "servers", Columns: []string{"service", "server", "address", "zone", "state", "heard by"}}
 	left := 0
-	others := Table{Title: "processes", Head: []string{"name", "kind", "address", "zone"}}
-	version := Table{Title: "configuration", Head: []string{"version", "bytes"}}
+	others := Table{Title: "processes", Columns: []string{"name", "kind", "address", "zone"}}
+	version := Table{Title: "configuration", Columns: []string{"version", "bytes"}}
 	book.RangeSorted(func(i gossip.Entry) {
 		switch {
 		case strings.HasPrefix(i.Key, registry.Prefix):
@@ -98,7 +98,7 @@
 			if json.Unmarshal(i.Value, &p) == nil {
 				others.Rows = append(others.Rows, []string{p.Name, p.Kind, strings.TrimPrefix(i.Key, gossip.ProcessPrefix), p.Zone})
 			}
-		case i.Key == charterAt:
+		case i.Key == ConfigurationKey:
 			version.Rows = append(version.Rows, []string{fmt.Sprint(chain.RevisionOf(i.Version)), fmt.Sprint(len(i.Value))})
 		}
 	})
@@ -107,11 +107,11 @@
 	return []Table{version, others, servers}
 }
 
-func (n *Node) tables(context.Context) ([]Table, error) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	ring := Table{Title: "ring", Head: []string{"beats at", "is beaten at by"}}
-	at, by := n.kin.Watchers(), n.kin.Watched()
+func (n *Node) Tables(context.Context) ([]Table, error) {
+	n.Mu.Lock()
+	defer n.Mu.Unlock()
+	ring := Table{Title: "ring", Columns: []string{"beats at", "is beaten at by"}}
+	at, by := n.Members.Watchers(), n.Members.Watched()
 	for i := range max(len(at), len(by)) {
 		row := []string{"", ""}
 		if i < len(at) {
@@ -122,24 +122,24 @@
 		}
 		ring.Rows = append(ring.Rows, row)
 	}
-	duties := Table{Title: "duties", Head: []string{"duty", "holder", "epoch", ""}}
-	for _, d := range n.kin.Roles() {
-		if c, known := n.kin.Holder(d.Name); known {
-			_, mine := n.kin.Holds(d.Name)
+	duties := Table{Title: "duties", Columns: []string{"duty", "holder", "epoch", ""}}
+	for _, d := range n.Members.Roles() {
+		if c, known := n.Members.Holder(d.Name); known {
+			_, mine := n.Members.Holds(d.Name)
 			duties.Rows = append(duties.Rows, []string{d.Name, c.Holder, fmt.Sprint(lease.TermOf(c.Epoch)), []string{"", "this one"}[bit(mine)]})
 		}
 	}
-	swept := n.kin.SweepStats()
-	repair := Table{Title: "comparisons of news", Head: []string{"found different", "looks of the sweep", "rounds"},
-		Rows: [][]string{{fmt.Sprint(n.kin.DifferencesFound()), fmt.Sprint(swept.Swept), fmt.Sprint(swept.Rounds)}}}
-	return append(newsTables(n.book), ring, duties, repair), nil
+	swept := n.Members.SweepStats()
+	repair := Table{Title: "comparisons of news", Columns: []string{"found different", "looks of the sweep", "rounds"},
+		Rows: [][]string{{fmt.Sprint(n.Members.DifferencesFound()), fmt.Sprint(swept.Swept), fmt.Sprint(swept.Rounds)}}}
+	return append(storeTables(n.Store), ring, duties, repair), nil
 }
 
-func (k *keel) tables(ctx context.Context) ([]Table, error) {
+func (k *server) tables(ctx context.Context) ([]Table, error) {
 	var core []Table
 	done := make(chan struct{})
-	err := k.core.do(ctx, func() {
-		core = coreTables(k.core.replica, k.core.now())
+	err := k.replica.do(ctx, func() {
+		core = replicaTables(k.replica.replica, k.replica.now())
 		close(done)
 	})
 	if err != nil {
@@ -150,17 +150,17 @@
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
-	news, err := k.Node.tables(ctx)
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	here := Table{Title: "servers here", Head: []string{"beat here", "remembered on the disk"}, Rows: [][]string{{fmt.Sprint(k.roster.Len()), fmt.Sprint(k.keeps)}}}
+	news, err := k.Node.Tables(ctx)
+	k.Mu.Lock()
+	defer k.Mu.Unlock()
+	here := Table{Title: "servers here", Columns: []string{"beat here", "remembered on the disk"}, Rows: [][]string{{fmt.Sprint(k.registry.Len()), fmt.Sprint(k.rememberedCount)}}}
 	return append(append(core, here), news...), err
 }
 
-func coreTables(h *replica.Machine, now int64) []Table {
+func replicaTables(h *replica.Machine, now int64) []Table {
 	v := h.Consensus.View
 	how := h.Consensus.Describe(now)
-	view := Table{Title: fmt.Sprintf("view of epoch %d", v.Epoch), Head: []string{"member", "in the chain", "how it is"}}
+	view := Table{Title: fmt.Sprintf("view of epoch %d", v.Epoch), Columns: []string{"member", "in the chain", "how it is"}}
 	if v.Epoch == 0 {
 		view.Title = "no view yet: waiting to be taken in"
 	}
@@ -174,11 +174,11 @@
 		}
 		view.Rows = append(view.Rows, []string{m.String(), at, how[m.String()]})
 	}
-	held := Table{Title: "kept here", Head: []string{"version", "bytes", "acknowledged", "sealed"}}
+	held := Table{Title: "kept here", Columns: []string{"version", "bytes", "acknowledged", "sealed"}}
 	e := h.Chain.Stored()
 	held.Rows = [][]string{{fmt.Sprint(chain.RevisionOf(e.Version)), fmt.Sprint(len(e.Content)), fmt.Sprint(h.Chain.Acknowledged() >= e.Version && e.Version > 0), fmt.Sprint(h.Chain.Sealed())}}
 	mended := h.RepairStats()
-	repair := Table{Title: "copies of members", Head: []string{"mended", "looks of the sweep"}, Rows: [][]string{{fmt.Sprint(mended.Repairs), fmt.Sprint(mended.Swept)}}}
+	repair := Table{Title: "copies of members", Columns: []string{"mended", "looks of the sweep"}, Rows: [][]string{{fmt.Sprint(mended.Repairs), fmt.Sprint(mended.Swept)}}}
 	return []Table{view, held, repair}
 }
 
@@ -189,11 +189,11 @@
 	return 0
 }
 
-func (t *tide) tables(context.Context) ([]Table, error) {
+func (t *proxy) tables(context.Context) ([]Table, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	routes := Table{Title: "routes: no configuration yet", Head: []string{"host", "prefix", "kind", "aim ms", "timeout ms", "attempts", "to"}}
-	if p := t.gate.Plan(); p != nil {
+	routes := Table{Title: "routes: no configuration yet", Columns: []string{"host", "prefix", "kind", "aim ms", "timeout ms", "attempts", "to"}}
+	if p := t.routes.Plan(); p != nil {
 		c := p.Charter
 		routes.Title = fmt.Sprintf("routes of version %d (%d, of %d classes)", c.Revision, len(c.Routes), len(p.Classes))
 		for _, r := range c.Routes {
@@ -212,13 +212,13 @@
 				fmt.Sprint(r.Timeout.Milliseconds()), fmt.Sprint(r.MaxAttempts), strings.Join(to, " ")})
 		}
 	}
-	count := Table{Title: "counters", Head: []string{"counter", "since the start"}}
-	for pair := range strings.FieldsSeq(t.x.Counters.String()) {
+	count := Table{Title: "counters", Columns: []string{"counter", "since the start"}}
+	for pair := range strings.FieldsSeq(t.exchange.Counters.String()) {
 		name, value, _ := strings.Cut(pair, "=")
 		count.Rows = append(count.Rows, []string{name, value})
 	}
-	count.Rows = append(count.Rows, []string{"unrouted_requests", fmt.Sprint(t.gate.Unrouted.Load())})
-	tier := Table{Title: "tier", Head: []string{"proxies known", "of the retry slack"},
-		Rows: [][]string{{fmt.Sprint(t.routers), fmt.Sprint(t.spare)}}}
-	return append(append([]Table{routes, tier, count}, append(t.flock.table(), t.clerk.table())...), newsTables(t.book)...), nil
+	count.Rows = append(count.Rows, []string{"unrouted_requests", fmt.Sprint(t.routes.Unrouted.Load())})
+	tier := Table{Title: "tier", Columns: []string{"proxies known", "of the retry slack"},
+		Rows: [][]string{{fmt.Sprint(t.proxyCount), fmt.Sprint(t.retrySlack)}}}
+	return append(append([]Table{routes, tier, count}, append(t.outliers.table(), t.quotas.table())...), storeTables(t.store)...), nil
 }
