--- a/cmd/echo/main.go
+++ b/cmd/echo/main.go
@@ -1,6 +1,6 @@
-// Command echo is the agent beside a proxy.
+// Command echo is the old name of agent, kept for one version.
 package main
 
 import "saddleport/internal/node/cli"
 
-func main() { cli.Main(cli.Echo) }
+func main() { cli.MainUnderOldName(cli.Agent) }
--- a/cmd/keel/main.go
+++ b/cmd/keel/main.go
@@ -1,6 +1,6 @@
-// Command keel is a core process.
+// Command keel is the old name of controlplane, kept for one version.
 package main
 
 import "saddleport/internal/node/cli"
 
-func main() { cli.Main(cli.Keel) }
+func main() { cli.MainUnderOldName(cli.ControlPlane) }
--- /dev/null
+++ b/cmd/saddlectl/main.go
@@ -0,0 +1,29 @@
+// Command saddlectl is the toolbox of the system: it checks files, looks at running
+// processes, searches the control plane for broken rules and measures.
+package main
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+
+	"saddleport/internal/lab/answers"
+	"saddleport/internal/lab/measure"
+	"saddleport/internal/lab/modelcheck"
+	"saddleport/internal/lab/yard"
+	"saddleport/internal/node/cli"
+)
+
+func main() {
+	if name := filepath.Base(os.Args[0]); name == "lens" {
+		cli.WarnOldName(name, "saddlectl")
+	}
+	toolbox := cli.Toolbox()
+	measure := measure.Command()
+	measure.AddCommand(yard.Command(), answers.Command())
+	toolbox.AddCommand(modelcheck.Command(), measure)
+	if err := toolbox.Execute(); err != nil {
+		fmt.Fprintln(os.Stderr, "saddlectl:", err)
+		os.Exit(1)
+	}
+}
--- a/cmd/tide/main.go
+++ b/cmd/tide/main.go
@@ -1,6 +1,6 @@
-// Command tide is the proxy: takes clients' requests and answers them.
+// Command tide is the old name of proxy, kept for one version.
 package main
 
 import "saddleport/internal/node/cli"
 
-func main() { cli.Main(cli.Tide) }
+func main() { cli.MainUnderOldName(cli.Proxy) }
--- a/internal/cluster/chain/entry.go
+++ b/internal/cluster/chain/entry.go
@@ -4,9 +4,10 @@
 	"crypto/sha256"
 	"encoding/binary"
 	"encoding/json"
-	"saddleport/internal/cluster/views"
 	"slices"
 	"unicode/utf8"
+
+	"saddleport/internal/cluster/views"
 )
 
 // MarkBits is the number of bits of a rank below its version.
--- a/internal/cluster/codec/codec_test.go
+++ b/internal/cluster/codec/codec_test.go
@@ -4,11 +4,12 @@
 	"bytes"
 	"encoding/json"
 	"errors"
+	"testing"
+
 	"saddleport/internal/cluster/chain"
 	"saddleport/internal/cluster/consensus"
 	"saddleport/internal/cluster/envelope"
 	"saddleport/internal/cluster/views"
-	"testing"
 
 	. "github.com/smartystreets/goconvey/convey"
 )
--- a/internal/cluster/gossip/exchange.go
+++ b/internal/cluster/gossip/exchange.go
@@ -14,12 +14,19 @@
 type Process struct {
 	Addr    string `json:"-"`
 	Name    string `json:"n"`
-	Kind    string `json:"k"` // "echo" or "keel"
+	Kind    string `json:"k"` // KindAgent or KindControlPlane
 	Zone    string `json:"z"`
 	Region  string `json:"g"`
 	Control string `json:"c,omitempty"`
 }
 
+// The kinds of processes as they stand on the wire. The values are the names that the programs
+// had in the first releases, and stay: processes of two releases talk to each other.
+const (
+	KindAgent        = "echo" // the agent beside a proxy
+	KindControlPlane = "keel" // a control-plane process
+)
+
 // Processes begins the keys of processes among the news. A rank that is odd, or no body,
 // says that one is thought dead; it takes that back by the next even rank.
 const ProcessPrefix = "p/"
--- a/internal/cluster/member/member.go
+++ b/internal/cluster/member/member.go
@@ -23,7 +23,7 @@
 }
 
 // Sweep is the duty of one mixer to look at every process's news in turn.
-var SweepRole = SingletonRole{"sweep", "echo"}
+var SweepRole = SingletonRole{"sweep", gossip.KindAgent}
 
 // Config tunes the machines; times are microseconds of the caller's clock.
 type Config struct {
--- a/internal/compat/storage_test.go
+++ b/internal/compat/storage_test.go
@@ -12,7 +12,7 @@
 	"saddleport/internal/cluster/gossip"
 	"saddleport/internal/cluster/replica"
 	"saddleport/internal/cluster/routeconfig"
-	"saddleport/internal/node/role"
+	"saddleport/internal/node/nodesettings"
 	"saddleport/internal/node/storage"
 )
 
@@ -59,12 +59,12 @@
 
 // Settings, a configuration and the operator file are read as before.
 func TestFiles(t *testing.T) {
-	boot, err := role.Load(filepath.Join("testdata", "settings.conf"))
+	settings, err := nodesettings.Load(filepath.Join("testdata", "settings.conf"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	got := fmt.Sprint(boot.Name, " ", boot.Role, " ", boot.PeerAddr(), " ", boot.AgentAddr(), " ", boot.Control, " ", boot.Zone, " ", boot.Region,
-		" ", len(boot.Regions), " ", boot.SeedPeers(), " ", boot.Bootstrap, " ", boot.Bounds.Drain, " ", boot.Bounds.Grace, " ", boot.DataDir)
+	got := fmt.Sprint(settings.Name, " ", settings.Role, " ", settings.PeerAddr(), " ", settings.AgentAddr(), " ", settings.Control, " ", settings.Zone, " ", settings.Region,
+		" ", len(settings.Regions), " ", settings.SeedPeers(), " ", settings.Bootstrap, " ", settings.Bounds.Drain, " ", settings.Bounds.Grace, " ", settings.DataDir)
 	const want = "core-2 controlplane 127.77.7.2:17070 127.77.7.2:17071 127.77.7.2:17079 zone-2 region-1 3 " +
 		"[127.77.7.1:17070 127.77.7.2:17070 127.77.7.3:17070] true 4s 6s /var/lib/saddleport"
 	if got != want {
--- a/internal/compat/wire_test.go
+++ b/internal/compat/wire_test.go
@@ -17,7 +17,10 @@
 	"saddleport/internal/cluster/outlier"
 	"saddleport/internal/cluster/registry"
 	"saddleport/internal/cluster/views"
-	"saddleport/internal/node/role"
+	"saddleport/internal/node/admin"
+	"saddleport/internal/node/agentapi"
+	"saddleport/internal/node/controlplane"
+	"saddleport/internal/node/peer"
 )
 
 // update writes the fixtures anew. They are those of the release before the renaming: only a
@@ -29,18 +32,18 @@
 	"rumour-pass":         &gossip.ExchangeRequest{},
 	"rumour-passed":       &gossip.ExchangeResponse{},
 	"process":             &gossip.Process{},
-	"ring-after":          &role.ProbeRequest{},
-	"ring-heard":          &role.ProbeResponse{},
-	"feed":                &role.FeedRequest{},
-	"feed-answer":         &role.FeedResponse{},
-	"herd-witness":        &role.EvidenceReport{},
+	"ring-after":          &peer.ProbeRequest{},
+	"ring-heard":          &peer.ProbeResponse{},
+	"feed":                &agentapi.FeedRequest{},
+	"feed-answer":         &agentapi.FeedResponse{},
+	"herd-witness":        &agentapi.EvidenceReport{},
 	"herd-assignment":     &outlier.Assignment{},
-	"allow-claims":        &role.ClaimRequest{},
-	"allow-grants":        &role.ClaimResponse{},
+	"allow-claims":        &agentapi.ClaimRequest{},
+	"allow-grants":        &agentapi.ClaimResponse{},
 	"server":              &registry.Server{},
 	"server-heartbeat":    &registry.Heartbeat{},
-	"heartbeat-answer":    &role.HeartbeatResponse{},
-	"show":                &role.Shown{},
+	"heartbeat-answer":    &controlplane.HeartbeatResponse{},
+	"show":                &admin.Shown{},
 	"replica-view":        &views.View{},
 	"replica-entry":       &chain.Entry{},
 	"core-enter":          &chain.UpdateRequest{},
--- a/internal/lab/measure/laggards.go
+++ b/internal/lab/measure/laggards.go
@@ -80,7 +80,7 @@
 	for (NewsPlan{Processes: plan.Mixers + core}).cores() != core {
 		core++
 	}
-	base := newNewsWorld(NewsPlan{Processes: plan.Mixers + core, Zones: plan.Zones, Seed: plan.Seed, Delays: plan.Delays}, member.SingletonRole{Name: outlier.Role, ProcessKind: "echo"})
+	base := newNewsWorld(NewsPlan{Processes: plan.Mixers + core, Zones: plan.Zones, Seed: plan.Seed, Delays: plan.Delays}, member.SingletonRole{Name: outlier.Role, ProcessKind: gossip.KindAgent})
 	w := &laggardWorld{newsWorld: base, plan: plan, by: make(map[*proc]*flock), slow: make(map[string]float64)}
 	for _, p := range base.procs[core:] {
 		f := &flock{p: p, watch: outlier.NewObserver(outlier.DefaultConfig), groups: outlier.NewEjections(outlier.DefaultConfig), seat: outlier.NewAggregatorRole(outlier.DefaultConfig, p.addr),
--- a/internal/lab/measure/news.go
+++ b/internal/lab/measure/news.go
@@ -80,9 +80,9 @@
 }
 
 func (p *proc) start() {
-	kind := "echo"
+	kind := gossip.KindAgent
 	if p.i < p.w.plan.cores() {
-		kind = "keel"
+		kind = gossip.KindControlPlane
 	}
 	p.up, p.life = true, p.life+1
 	self := gossip.Process{Addr: p.addr, Name: fmt.Sprint("m", p.i), Kind: kind, Zone: fmt.Sprint("z", p.zone), Region: fmt.Sprint("g", p.region)}
--- a/internal/lab/yard/yard.go
+++ b/internal/lab/yard/yard.go
@@ -24,6 +24,7 @@
 
 	"saddleport/internal/cluster/registry"
 	"saddleport/internal/lab/standin"
+	"saddleport/internal/node/admin"
 )
 
 // Yard is one fleet: three core machines, mixers each with its agent, servers.
@@ -128,19 +129,19 @@
 	y := &Yard{dir: dir, net: fmt.Sprintf("127.%d.%d", 1+rand.IntN(250), rand.IntN(250)), port: port, mixers: mixers, files: files,
 		alike: alike, programs: programs}
 	for m := 1; m <= 3; m++ {
-		if err := y.run("keel", m); err != nil {
+		if err := y.run(admin.ControlPlane, m); err != nil {
 			y.Close()
 			return nil, err
 		}
 	}
 	var flags []string
 	if alike {
-		flags = []string{"--alike"}
+		flags = []string{"--no-ejection"}
 	}
 	for m := range mixers {
-		err := y.run("echo", firstMixer+m)
+		err := y.run(admin.Agent, firstMixer+m)
 		if err == nil {
-			err = y.run("tide", firstMixer+m, flags...)
+			err = y.run(admin.Proxy, firstMixer+m, flags...)
 		}
 		if err != nil {
 			y.Close()
--- /dev/null
+++ b/internal/node/admin/admin.go
@@ -0,0 +1,95 @@
+package admin
+
+import (
+	"context"
+	"fmt"
+	"net"
+	"net/http"
+	"strconv"
+	"strings"
+	"text/tabwriter"
+	"time"
+
+	"saddleport/internal/node/agentapi"
+	"saddleport/internal/node/nodesettings"
+	"saddleport/internal/node/rpc"
+)
+
+// The programs as they name themselves in logs and in what they show.
+const (
+	Proxy        = "proxy"
+	Agent        = "agent"
+	ControlPlane = "controlplane"
+)
+
+// Table is one part of what a running process shows.
+type Table struct {
+	Title   string     `json:"title"`
+	Columns []string   `json:"head,omitempty"`
+	Rows    [][]string `json:"rows"`
+}
+
+// Shown is what a running process holds.
+type Shown struct {
+	Program string  `json:"program"`
+	Name    string  `json:"name"`
+	Up      string  `json:"up"`
+	Tables  []Table `json:"tables"`
+}
+
+// ShowCall asks a running process what it holds. It listens where only its own machine or
+// other processes of the system can reach it.
+var ShowCall = rpc.Declare[rpc.Raw, Shown]("GET", "/Show", agentapi.MaxCallBytes, "`show`, on the same machine or from a core machine")
+
+// ShowAt is where a program answers that.
+func ShowAddr(program string, b *nodesettings.Settings) string {
+	switch program {
+	case Proxy:
+		return net.JoinHostPort(b.LoopbackIP, strconv.Itoa(b.FirstPort+2))
+	case Agent:
+		return b.AgentAddr()
+	}
+	return b.PeerAddr()
+}
+
+// Text writes what is shown as tables.
+func (s Shown) Text() string {
+	var b strings.Builder
+	fmt.Fprintf(&b, "%s %s, up %s\n", s.Program, s.Name, s.Up)
+	for _, t := range s.Tables {
+		fmt.Fprintf(&b, "\n%s\n", t.Title)
+		w := tabwriter.NewWriter(&b, 0, 0, 2, ' ', 0)
+		if len(t.Columns) > 0 {
+			fmt.Fprintln(w, "  "+strings.Join(t.Columns, "\t"))
+		}
+		for _, r := range t.Rows {
+			fmt.Fprintln(w, "  "+strings.Join(r, "\t"))
+		}
+		if len(t.Rows) == 0 {
+			fmt.Fprintln(w, "  none")
+		}
+		w.Flush()
+	}
+	return b.String()
+}
+
+func RegisterShow(mux *http.ServeMux, program, name string, start time.Time, tables func(context.Context) ([]Table, error)) {
+	ShowCall.On(mux, func(ctx context.Context, _ rpc.Named, _ rpc.Raw) (Shown, error) {
+		t, err := tables(ctx)
+		return Shown{Program: program, Name: name, Up: time.Since(start).Round(time.Millisecond).String(), Tables: t}, err
+	})
+}
+
+// ExplainCall asks a running process what it knows of one server or caller.
+var ExplainCall = rpc.Declare[rpc.Raw, Shown]("GET", "/Explain/{name}", agentapi.MaxCallBytes, "`explain`, on the same machine or from a core machine")
+
+func RegisterExplain(mux *http.ServeMux, program, name string, start time.Time, tables func(about string) ([]Table, error)) {
+	ExplainCall.On(mux, func(_ context.Context, who rpc.Named, _ rpc.Raw) (Shown, error) {
+		t, err := tables(who.Name)
+		return Shown{Program: program, Name: name, Up: time.Since(start).Round(time.Millisecond).String(), Tables: t}, err
+	})
+}
+
+func FormatAge(us int64) string {
+	return time.Duration(us * int64(time.Microsecond)).Round(100 * time.Millisecond).String()
+}
--- a/internal/node/role/echo.go
+++ b/internal/node/agent/agent.go
@@ -1,4 +1,4 @@
-package role
+package agent
 
 import (
 	"context"
@@ -8,46 +8,31 @@
 	"time"
 
 	"saddleport/internal/cluster/gossip"
+	"saddleport/internal/node/admin"
+	"saddleport/internal/node/agentapi"
 	"saddleport/internal/node/events"
+	"saddleport/internal/node/nodesettings"
+	"saddleport/internal/node/peer"
 	"saddleport/internal/node/rpc"
 	"saddleport/internal/node/transport"
 )
 
-// Feed is what a proxy asks its agent for: what changed since a count of the agent's
-// changes, waiting for a while if nothing has.
-type FeedRequest struct {
-	Incarnation   string         `json:"life"` // of the agent, as its last answer told it
-	Since         uint64         `json:"since"`
-	ConfigVersion uint64         `json:"rank"`           // of the configuration that the proxy holds
-	Entries       []gossip.Entry `json:"news,omitempty"` // which an agent that lacks it wants
-}
-
-// Fed is the answer.
-type FeedResponse struct {
-	Incarnation string         `json:"life"`
-	Seq         uint64         `json:"seq"`
-	WantConfig  bool           `json:"want,omitempty"` // of the proxy's configuration
-	Entries     []gossip.Entry `json:"items,omitempty"`
-}
-
-var FeedCall = rpc.Declare[FeedRequest, FeedResponse]("POST", "/Feed", MaxCallBytes, "the proxy on the same machine")
-
 const (
-	FeedWait       = 8 * time.Second        // less than a caller waits for an answer to begin
 	proxyGoneAfter = 500 * time.Millisecond // without a call of the proxy, after SIGTERM: it has ended
+	pollInterval   = 20 * time.Millisecond
 	graceMargin    = 400 * time.Millisecond // before the grace is over
 )
 
 // Echo is the agent beside a proxy: it keeps the link to the control plane and feeds the
 // proxy over loopback. It serves no requests and decides nothing.
-func RunAgent(ctx context.Context, set *File) error {
+func Run(ctx context.Context, set *nodesettings.File) error {
 	boot := set.Current()
-	n := NewNode(set, "echo")
+	n := peer.NewNode(set, gossip.KindAgent)
 	var fed atomic.Int64  // when the proxy last asked or was answered, by n.now
 	var open atomic.Int64 // calls of the proxy that wait
 	life := strconv.FormatInt(time.Now().UnixNano(), 36)
 	loop := http.NewServeMux()
-	FeedCall.On(loop, func(ctx context.Context, _ rpc.Named, f FeedRequest) (FeedResponse, error) {
+	agentapi.FeedCall.On(loop, func(ctx context.Context, _ rpc.Named, f agentapi.FeedRequest) (agentapi.FeedResponse, error) {
 		open.Add(1)
 		defer func() { fed.Store(n.Now()); open.Add(-1) }()
 		n.Mu.Lock()
@@ -57,29 +42,29 @@
 		if f.Incarnation != life {
 			f.Since = 0
 		}
-		end := time.After(FeedWait)
+		end := time.After(agentapi.FeedWait)
 		for n.Store.Seq() <= f.Since {
 			changed := n.Changed
 			n.Mu.Unlock()
 			select {
 			case <-changed:
 			case <-end:
-				return FeedResponse{Incarnation: life, Seq: f.Since}, nil
+				return agentapi.FeedResponse{Incarnation: life, Seq: f.Since}, nil
 			case <-ctx.Done():
-				return FeedResponse{}, ctx.Err()
+				return agentapi.FeedResponse{}, ctx.Err()
 			}
 			n.Mu.Lock()
 		}
 		defer n.Mu.Unlock()
-		held, _ := n.Store.Get(ConfigurationKey)
-		return FeedResponse{Incarnation: life, Seq: n.Store.Seq(), WantConfig: f.ConfigVersion > held.Version, Entries: n.Store.ChangedSince(f.Since)}, nil
+		held, _ := n.Store.Get(agentapi.ConfigurationKey)
+		return agentapi.FeedResponse{Incarnation: life, Seq: n.Store.Seq(), WantConfig: f.ConfigVersion > held.Version, Entries: n.Store.ChangedSince(f.Since)}, nil
 	})
 	inner := http.NewServeMux()
 	n.Serve(inner)
 	b := newOutlierAggregator(n)
 	b.serve(loop, inner)
-	RegisterShow(loop, "echo", boot.Name, n.StartedAt, b.tables)
-	RegisterExplain(loop, "echo", boot.Name, n.StartedAt, b.explain)
+	admin.RegisterShow(loop, admin.Agent, boot.Name, n.StartedAt, b.tables)
+	admin.RegisterExplain(loop, admin.Agent, boot.Name, n.StartedAt, b.explain)
 	lnLoop, err := transport.Listen(ctx, boot.AgentAddr())
 	if err != nil {
 		return err
@@ -92,13 +77,13 @@
 	over := make(chan struct{})
 	defer func() { end(); <-over }()
 	failed := make(chan error, 2)
-	go func() { failed <- rpc.Serve(running, lnLoop, loop, FeedWait+5*time.Second) }()
+	go func() { failed <- rpc.Serve(running, lnLoop, loop, agentapi.FeedWait+5*time.Second) }()
 	go func() { failed <- rpc.Serve(running, lnInner, inner, 0) }()
 	go func() { n.Run(running); close(over) }()
 	go set.Watch(running)
 	go b.run(running)
 	go b.quotas.run(running)
-	events.Started.Log("program", "echo", "name", boot.Name, "inner", boot.PeerAddr(), "loop", boot.AgentAddr())
+	events.Started.Log("program", admin.Agent, "name", boot.Name, "inner", boot.PeerAddr(), "loop", boot.AgentAddr())
 	select {
 	case err := <-failed:
 		return err
--- /dev/null
+++ b/internal/node/agent/show.go
@@ -0,0 +1,71 @@
+package agent
+
+import (
+	"context"
+	"fmt"
+	"net"
+	"net/http"
+
+	"saddleport/internal/cluster/lease"
+	"saddleport/internal/cluster/outlier"
+	"saddleport/internal/node/admin"
+	"saddleport/internal/node/agentapi"
+	"saddleport/internal/node/rpc"
+)
+
+// table is what an agent shows of the bank. Under mu.
+func (v *quotaService) table() admin.Table {
+	t := admin.Table{Title: "allowance: the bank is another's"}
+	if v.lessor == nil {
+		return t
+	}
+	now := v.node.Now()
+	t = admin.Table{Title: "allowance: the bank is here", Columns: []string{"allowance", "stated, a second", "leased, a second", "to mixers", "asked, a second", "admitted by all so far"}}
+	for _, s := range v.allowances {
+		rate, tills := v.lessor.Leased(now, s.Name)
+		t.Rows = append(t.Rows, []string{s.Name, fmt.Sprint(s.Rate), fmt.Sprintf("%.1f", rate), fmt.Sprint(tills),
+			fmt.Sprintf("%.1f", v.lessor.Asked[s.Name]), fmt.Sprintf("%.0f", v.lessor.Spent[s.Name])})
+	}
+	return t
+}
+
+// explain tells what an agent knows: the council's evidence, where it holds that.
+func (b *outlierAggregator) explain(about string) ([]admin.Table, error) {
+	b.node.Mu.Lock()
+	defer b.node.Mu.Unlock()
+	if net.ParseIP(about) != nil {
+		about = agentapi.CallerPrefix + about
+	}
+	c, known := b.node.Members.Holder(outlier.Role)
+	if words, held := b.role.Reports(b.node.Now(), about); held {
+		t := admin.Table{Title: "evidence on " + about, Columns: []string{"mixer", "told", "samples", "times its peers' middle", "score"}}
+		for _, w := range words {
+			t.Rows = append(t.Rows, []string{w.Proxy, admin.FormatAge(w.Age) + " ago", fmt.Sprint(w.Samples), fmt.Sprintf("%.1f", w.Middle), fmt.Sprintf("%.1f", w.Score)})
+		}
+		return []admin.Table{t}, nil
+	}
+	if !known {
+		return nil, rpc.Fail(http.StatusServiceUnavailable, "nobody is known to hold the council")
+	}
+	return []admin.Table{{Title: "the council is held by", Columns: []string{"agent", "epoch"}, Rows: [][]string{{c.Holder, fmt.Sprint(lease.TermOf(c.Epoch))}}}}, nil
+}
+
+// tables are the node's and who is set apart.
+func (b *outlierAggregator) tables(ctx context.Context) ([]admin.Table, error) {
+	out, err := b.node.Tables(ctx)
+	b.node.Mu.Lock()
+	defer b.node.Mu.Unlock()
+	a := b.role.Last()
+	apart, back := b.role.Counts()
+	t := admin.Table{Title: "groups: the council's last word", Columns: []string{"member", "shard", "times slow", "on the evidence of"}}
+	for _, m := range a.Ejected {
+		t.Rows = append(t.Rows, []string{m.Name, m.Shard, fmt.Sprintf("%.1f", m.Ratio), fmt.Sprintf("%d mixers, %d samples", m.Reporters, m.Samples)})
+	}
+	by := a.By
+	if by == "" {
+		by = "nobody yet"
+	}
+	moves := admin.Table{Title: "groups: state", Columns: []string{"by", "under epoch", "word", "asked for", "set apart here", "brought back here"},
+		Rows: [][]string{{by, fmt.Sprint(lease.TermOf(a.Epoch)), fmt.Sprint(a.Seq), fmt.Sprint(len(a.Requested)), fmt.Sprint(apart), fmt.Sprint(back)}}}
+	return append(out, t, moves, b.quotas.table()), err
+}
--- a/internal/node/cli/cli.go
+++ b/internal/node/cli/cli.go
@@ -1,6 +1,6 @@
-// Package cli is what the system's programs have in common: their command lines,
-// their logs, their signals and their limits. It must never hold anything of what one
-// program does.
+// Package cli holds what the system's programs have in common: their command lines, logs,
+// signals and resource limits. What a single program does stands in its own package below
+// internal/node.
 package cli
 
 import (
@@ -14,60 +14,91 @@
 
 	"github.com/spf13/cobra"
 
+	"saddleport/internal/node/admin"
+	"saddleport/internal/node/agent"
+	"saddleport/internal/node/controlplane"
 	"saddleport/internal/node/events"
-	"saddleport/internal/node/role"
+	"saddleport/internal/node/nodesettings"
+	"saddleport/internal/node/proxy"
 )
 
 // Program is one of the system's programs.
 type Program struct {
 	Name, Short string
-	Run         func(context.Context, *role.File) error
-	Garbage     int // GOGC
+	Run         func(context.Context, *nodesettings.File) error
+	GCPercent   int    // as of debug.SetGCPercent
+	OldName     string // until version 0.9; still accepted for one version
 }
 
 // The programs.
 var (
-	Tide = Program{Name: "tide", Short: "the proxy: takes clients' requests and answers them", Run: role.RunProxy, Garbage: 100}
-	Echo = Program{Name: "echo", Short: "the agent beside a proxy: keeps the link to the control plane", Run: role.RunAgent, Garbage: 50}
-	Keel = Program{Name: "keel", Short: "a core process: takes heartbeats and configurations", Run: role.RunControlPlane, Garbage: 50}
+	Proxy = Program{Name: admin.Proxy, OldName: "tide", Run: proxy.Run, GCPercent: 100,
+		Short: "the proxy: takes requests of clients and answers them"}
+	Agent = Program{Name: admin.Agent, OldName: "echo", Run: agent.Run, GCPercent: 50,
+		Short: "the agent beside a proxy: keeps the link to the control plane"}
+	ControlPlane = Program{Name: admin.ControlPlane, OldName: "keel", Run: controlplane.Run, GCPercent: 50,
+		Short: "a control-plane process: takes heartbeats and configurations"}
 )
 
-const memoryShare = 0.6 // of the limit: from there on the collector works harder
+// memoryLimitShare is the share of the process's memory limit from which on the garbage
+// collector works harder.
+const memoryLimitShare = 0.6
 
 // Main runs a program's command line.
 func Main(p Program) {
-	signal.Ignore(syscall.SIGHUP) // until the settings are watched; it would end the process
+	signal.Ignore(syscall.SIGHUP) // it would end the process until the settings file is watched
 	root := &cobra.Command{Use: p.Name, Short: p.Short, SilenceUsage: true, SilenceErrors: true}
-	alike := false
-	file := root.PersistentFlags().String("settings", os.Getenv(role.PathVariable), "the settings file; "+role.PathVariable+" names it too")
+	file := root.PersistentFlags().String("settings", os.Getenv(nodesettings.PathVariable), "the settings file; "+nodesettings.PathVariable+" names it too")
+	root.AddCommand(runCommand(p, file), checkSettings(file), show(p.Name, file), version(p.Name))
+	if p.Name != ControlPlane.Name {
+		root.AddCommand(explain(p.Name, file))
+	}
+	if err := root.Execute(); err != nil {
+		fmt.Fprintln(os.Stderr, p.Name+":", err)
+		os.Exit(1)
+	}
+}
+
+// MainUnderOldName runs a program that was started under its old name, and says so.
+func MainUnderOldName(p Program) {
+	WarnOldName(p.OldName, p.Name)
+	Main(p)
+}
+
+// WarnOldName tells on standard error that a program has another name now.
+func WarnOldName(old, name string) {
+	fmt.Fprintf(os.Stderr, "%s: this program is called %s now; the old name goes with the next version\n", old, name)
+}
+
+func runCommand(p Program, file *string) *cobra.Command {
+	noEjection := false
 	run := &cobra.Command{Use: "run", Short: "Run " + p.Short, Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
-		set, err := role.Open(*file)
+		settings, err := nodesettings.Open(*file)
 		if err != nil {
 			return err
 		}
-		set.NoEjection = alike
+		settings.NoEjection = noEjection
 		ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 		defer stop()
-		runtime.GOMAXPROCS(1)
-		debug.SetGCPercent(p.Garbage)
-		debug.SetMemoryLimit(int64(float64(set.Current().MemoryMB) * memoryShare * (1 << 20)))
-		err = p.Run(ctx, set)
-		if err != nil {
+		setRuntimeLimits(p.GCPercent, settings.Current().MemoryMB)
+		if err := p.Run(ctx, settings); err != nil {
 			events.Failed.Log("err", err)
-		} else {
-			events.Stopped.Log()
+			return err
 		}
-		return err
+		events.Stopped.Log()
+		return nil
 	}}
-	if p.Name == Tide.Name {
-		run.Flags().BoolVar(&alike, "alike", false, "set nobody apart: servers and callers that are slow are treated as all others")
-	}
-	if p.Name != Keel.Name {
-		root.AddCommand(explain(p.Name, file))
-	}
-	root.AddCommand(run, checkSettings(file), show(p.Name, file), version(p.Name))
-	if err := root.Execute(); err != nil {
-		fmt.Fprintln(os.Stderr, p.Name+":", err)
-		os.Exit(1)
+	if p.Name == Proxy.Name {
+		run.Flags().BoolVar(&noEjection, "no-ejection", false, "eject no server or caller for being slow")
+		run.Flags().BoolVar(&noEjection, "alike", false, "")
+		run.Flags().MarkDeprecated("alike", "use --no-ejection")
 	}
+	return run
+}
+
+// setRuntimeLimits fits the Go runtime to a machine of one processor and little memory.
+func setRuntimeLimits(gcPercent, memoryMB int) {
+	runtime.GOMAXPROCS(1)
+	debug.SetGCPercent(gcPercent)
+	debug.SetMemoryLimit(int64(float64(memoryMB) * memoryLimitShare * (1 << 20)))
 }
--- a/internal/node/cli/more.go
+++ b/internal/node/cli/commands.go
@@ -14,8 +14,9 @@
 	"github.com/spf13/cobra"
 
 	"saddleport/internal/cluster/routeconfig"
+	"saddleport/internal/node/admin"
 	"saddleport/internal/node/events"
-	"saddleport/internal/node/role"
+	"saddleport/internal/node/nodesettings"
 	"saddleport/internal/node/rpc"
 )
 
@@ -29,9 +30,9 @@
 				name = args[0]
 			}
 			if name == "" {
-				return errors.New("no settings file: name one, or set " + role.PathVariable)
+				return errors.New("no settings file: name one, or set " + nodesettings.PathVariable)
 			}
-			b, err := role.Load(name)
+			b, err := nodesettings.Load(name)
 			if err != nil {
 				return err
 			}
@@ -63,16 +64,16 @@
 }
 
 // ask asks a running process, where its settings or a flag say, and prints the answer.
-func ask(c *cobra.Command, program, file, addr string, asJSON bool, what func(ctx context.Context, via *rpc.Client, addr string) (role.Shown, error)) error {
+func ask(c *cobra.Command, program, file, addr string, asJSON bool, what func(ctx context.Context, via *rpc.Client, addr string) (admin.Shown, error)) error {
 	if addr == "" && file == "" {
-		return errors.New("where does it answer? Name --settings FILE or --addr HOST:PORT, or set " + role.PathVariable)
+		return errors.New("where does it answer? Name --settings FILE or --addr HOST:PORT, or set " + nodesettings.PathVariable)
 	}
 	if addr == "" {
-		b, err := role.Load(file)
+		b, err := nodesettings.Load(file)
 		if err != nil {
 			return fmt.Errorf("%w (or name --addr HOST:PORT)", err)
 		}
-		addr = role.ShowAddr(program, b)
+		addr = admin.ShowAddr(program, b)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), showTime)
 	defer cancel()
@@ -95,8 +96,8 @@
 	cmd := &cobra.Command{Use: "show [TABLE]", Short: "Show what the running " + program + " holds: routes, servers, groups, view, versions", Args: cobra.MaximumNArgs(1),
 		Long: "Show what the running " + program + " holds. TABLE leaves the tables whose titles begin so, as in: show groups",
 		RunE: func(c *cobra.Command, args []string) error {
-			return ask(c, program, *file, addr, asJSON, func(ctx context.Context, via *rpc.Client, addr string) (role.Shown, error) {
-				s, err := role.ShowCall.Ask(ctx, via, addr, "", nil)
+			return ask(c, program, *file, addr, asJSON, func(ctx context.Context, via *rpc.Client, addr string) (admin.Shown, error) {
+				s, err := admin.ShowCall.Ask(ctx, via, addr, "", nil)
 				if err != nil || len(args) == 0 {
 					return s, err
 				}
@@ -125,8 +126,8 @@
 	var asJSON bool
 	cmd := &cobra.Command{Use: "explain NAME", Short: "Tell what the running " + program + " knows of one server (its id) or caller (its address): prompt, doubtful or laggard, and why", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			return ask(c, program, *file, addr, asJSON, func(ctx context.Context, via *rpc.Client, addr string) (role.Shown, error) {
-				return role.ExplainCall.Ask(ctx, via, addr, url.PathEscape(args[0]), nil)
+			return ask(c, program, *file, addr, asJSON, func(ctx context.Context, via *rpc.Client, addr string) (admin.Shown, error) {
+				return admin.ExplainCall.Ask(ctx, via, addr, url.PathEscape(args[0]), nil)
 			})
 		}}
 	cmd.Flags().StringVar(&addr, "addr", "", "where it answers; else as its settings file says")
@@ -149,30 +150,50 @@
 	}}
 }
 
-// Lens is the toolbox's command line.
-func Lens() *cobra.Command {
-	root := &cobra.Command{Use: "lens", Short: "the toolbox of the system: checks, and looks at running processes", SilenceUsage: true, SilenceErrors: true}
-	file := root.PersistentFlags().String("settings", os.Getenv(role.PathVariable), "a settings file; "+role.PathVariable+" names it too")
+// Toolbox returns the command line of saddlectl: checks of files, and looks at running
+// processes.
+func Toolbox() *cobra.Command {
+	root := &cobra.Command{Use: "saddlectl", Short: "the toolbox of the system: checks, and looks at running processes", SilenceUsage: true, SilenceErrors: true}
+	file := root.PersistentFlags().String("settings", os.Getenv(nodesettings.PathVariable), "a settings file; "+nodesettings.PathVariable+" names it too")
+	root.AddCommand(checkCommand(file), showCommand(file), explainCommand(file), version("saddlectl"),
+		page("events", "Print the catalogue of events", events.Page), page("calls", "Print the table of calls", rpc.Page))
+	return root
+}
+
+func checkCommand(file *string) *cobra.Command {
 	check := &cobra.Command{Use: "check", Short: "Check files"}
 	settings := checkSettings(file)
 	settings.Use = "settings [FILE]"
 	check.AddCommand(settings, checkConfig())
-	looks := &cobra.Command{Use: "show", Short: "Show what a running process holds"}
-	for _, p := range []Program{Tide, Echo, Keel} {
-		s := show(p.Name, file)
-		s.Use = p.Name + " [TABLE]"
-		looks.AddCommand(s)
+	return check
+}
+
+func showCommand(file *string) *cobra.Command {
+	all := &cobra.Command{Use: "show", Short: "Show what a running process holds"}
+	for _, p := range []Program{Proxy, Agent, ControlPlane} {
+		named := show(p.Name, file)
+		named.Use = p.Name + " [TABLE]"
+		old := show(p.Name, file)
+		old.Use, old.Deprecated = p.OldName+" [TABLE]", "use show "+p.Name
+		all.AddCommand(named, old)
 	}
-	why := &cobra.Command{Use: "explain", Short: "Tell what a running process knows of one server or caller"}
-	for _, p := range []Program{Tide, Echo} {
-		e := explain(p.Name, file)
-		e.Use = p.Name + " NAME"
-		why.AddCommand(e)
+	return all
+}
+
+func explainCommand(file *string) *cobra.Command {
+	all := &cobra.Command{Use: "explain", Short: "Tell what a running process knows of one server or caller"}
+	for _, p := range []Program{Proxy, Agent} {
+		named := explain(p.Name, file)
+		named.Use = p.Name + " NAME"
+		old := explain(p.Name, file)
+		old.Use, old.Deprecated = p.OldName+" NAME", "use explain "+p.Name
+		all.AddCommand(named, old)
 	}
-	root.AddCommand(why)
-	root.AddCommand(check, looks, version("lens"), &cobra.Command{Use: "events", Short: "Print the catalogue of events", Args: cobra.NoArgs,
-		Run: func(c *cobra.Command, _ []string) { fmt.Fprint(c.OutOrStdout(), events.Page()) }},
-		&cobra.Command{Use: "calls", Short: "Print the table of calls", Args: cobra.NoArgs,
-			Run: func(c *cobra.Command, _ []string) { fmt.Fprint(c.OutOrStdout(), rpc.Page()) }})
-	return root
+	return all
+}
+
+// page makes a command that prints a page of the operators' documentation.
+func page(name, short string, text func() string) *cobra.Command {
+	return &cobra.Command{Use: name, Short: short, Args: cobra.NoArgs,
+		Run: func(c *cobra.Command, _ []string) { fmt.Fprint(c.OutOrStdout(), text()) }}
 }
--- a/internal/node/cli/pages_test.go
+++ b/internal/node/cli/pages_test.go
@@ -25,7 +25,7 @@
 
 func run(args ...string) (string, error) {
 	var out bytes.Buffer
-	c := Lens()
+	c := Toolbox()
 	c.SetOut(&out)
 	c.SetErr(&out)
 	c.SetArgs(args)
@@ -34,7 +34,7 @@
 }
 
 // What people type, right and wrong.
-func TestLens(t *testing.T) {
+func TestToolbox(t *testing.T) {
 	Convey("Files are checked", t, func() {
 		dir := t.TempDir()
 		put := func(name, text string) string {
@@ -60,7 +60,7 @@
 		So(err.Error(), ShouldContainSubstring, "routes[0].hostname: is missing")
 		_, err = run("check", "settings", filepath.Join(dir, "none"))
 		So(err, ShouldNotBeNil)
-		_, err = run("show", "tide")
+		_, err = run("show", "proxy")
 		So(err.Error(), ShouldContainSubstring, "--addr")
 	})
 }
--- a/internal/node/role/handover.go
+++ b/internal/node/controlplane/handover.go
@@ -1,10 +1,11 @@
-package role
+package controlplane
 
 import (
 	"context"
 	"net/http"
 	"time"
 
+	"saddleport/internal/cluster/gossip"
 	"saddleport/internal/node/events"
 	"saddleport/internal/node/rpc"
 )
@@ -91,7 +92,7 @@
 // callers is known; to none: to come again.
 func (c *replicaRunner) redirect(others []string) error {
 	control := make(map[string]string)
-	for _, p := range c.node.Peers("keel") {
+	for _, p := range c.node.Peers(gossip.KindControlPlane) {
 		control[p.Addr] = p.Control
 	}
 	for _, addr := range others {
--- a/internal/node/role/capacity_test.go
+++ b/internal/node/controlplane/heartbeat_bench_test.go
@@ -1,4 +1,4 @@
-package role
+package controlplane
 
 import (
 	"encoding/json"
@@ -7,6 +7,8 @@
 
 	"saddleport/internal/cluster/gossip"
 	"saddleport/internal/cluster/registry"
+	"saddleport/internal/node/nodesettings"
+	"saddleport/internal/node/peer"
 	"saddleport/internal/node/rpc"
 )
 
@@ -15,17 +17,17 @@
 func BenchmarkHeartbeat(b *testing.B) {
 	for _, agents := range []int{60, 180, 600, 1800} {
 		b.Run(fmt.Sprint(agents), func(b *testing.B) {
-			boot, err := Parse("node_name=m\nip_address=10.1.0.1\nzone=z0\nregion=r0\ninternal_port_range=7080,7090\nseed_addresses=10.1.0.1:8047\n" +
+			boot, err := nodesettings.Parse("node_name=m\nip_address=10.1.0.1\nzone=z0\nregion=r0\ninternal_port_range=7080,7090\nseed_addresses=10.1.0.1:8047\n" +
 				"heartbeat_interval_ms=1200\nlisten_addresses.control_plane=10.1.0.1:8047")
 			if err != nil {
 				b.Fatal(err)
 			}
-			k := &server{Node: NewNode(Fixed(boot), "keel")}
+			k := &server{Node: peer.NewNode(nodesettings.Fixed(boot), gossip.KindControlPlane)}
 			k.registry = registry.New(k.Self.Addr, 1<<40)
 			for i := range agents + 12 {
-				p := gossip.Process{Addr: fmt.Sprintf("10.2.%d.%d:7080", i/200, i%200), Kind: "echo", Zone: fmt.Sprint("z", i%7)}
+				p := gossip.Process{Addr: fmt.Sprintf("10.2.%d.%d:7080", i/200, i%200), Kind: gossip.KindAgent, Zone: fmt.Sprint("z", i%7)}
 				if i < 12 {
-					p.Kind, p.Control = "keel", fmt.Sprintf("10.2.%d.%d:8047", i/200, i%200)
+					p.Kind, p.Control = gossip.KindControlPlane, fmt.Sprintf("10.2.%d.%d:8047", i/200, i%200)
 				}
 				body, _ := json.Marshal(p)
 				k.Put(gossip.Entry{Key: gossip.ProcessPrefix + p.Addr, Version: 1, Value: body})
--- a/internal/node/role/coremail.go
+++ b/internal/node/controlplane/outbox.go
@@ -1,4 +1,4 @@
-package role
+package controlplane
 
 import (
 	"context"
@@ -9,6 +9,7 @@
 	"saddleport/internal/cluster/chain"
 	"saddleport/internal/cluster/codec"
 	"saddleport/internal/cluster/envelope"
+	"saddleport/internal/node/agentapi"
 	"saddleport/internal/node/events"
 	"saddleport/internal/node/rpc"
 )
@@ -23,7 +24,7 @@
 
 // mailCall carries messages between core machines (codec.EncodeBatch). Nothing is answered
 // but that it came: what is lost is sent again by whoever waits for it.
-var messagesCall = rpc.Declare[rpc.Raw, Nothing]("POST", "/Core.Mail", 4*MaxCallBytes, "core processes").Packed()
+var messagesCall = rpc.Declare[rpc.Raw, rpc.Empty]("POST", "/Core.Mail", 4*agentapi.MaxCallBytes, "core processes").Packed()
 
 // lane is one of the two ways of mail to a machine. What is large has one of its own, so
 // that heartbeats do not wait behind it.
@@ -71,7 +72,7 @@
 	n, size := 0, 0
 	for n < len(p.queue) {
 		size += len(chain.ContentOf(p.queue[n].Body))
-		if n > 0 && size > MaxCallBytes {
+		if n > 0 && size > agentapi.MaxCallBytes {
 			break
 		}
 		n++
@@ -162,16 +163,16 @@
 
 // serve answers the other core machines.
 func (c *replicaRunner) serveMessages(mux *http.ServeMux) {
-	messagesCall.On(mux, func(ctx context.Context, who rpc.Named, mail rpc.Raw) (Nothing, error) {
+	messagesCall.On(mux, func(ctx context.Context, who rpc.Named, mail rpc.Raw) (rpc.Empty, error) {
 		messages, unread, err := codec.DecodeBatch(mail)
 		if err != nil {
 			events.MailUnread.Log("peer", who.Peer, "err", err)
-			return Nothing{}, rpc.Fail(http.StatusBadRequest, "%v", err)
+			return rpc.Empty{}, rpc.Fail(http.StatusBadRequest, "%v", err)
 		}
 		for _, err := range unread {
 			events.MailUnread.Log("peer", who.Peer, "err", err)
 		}
-		return Nothing{}, c.do(ctx, func() {
+		return rpc.Empty{}, c.do(ctx, func() {
 			for _, msg := range messages {
 				c.process(c.replica.Step(c.now(), msg))
 			}
--- a/internal/node/role/core.go
+++ b/internal/node/controlplane/replica.go
@@ -1,4 +1,4 @@
-package role
+package controlplane
 
 import (
 	"context"
@@ -16,7 +16,10 @@
 	"saddleport/internal/cluster/gossip"
 	"saddleport/internal/cluster/replica"
 	"saddleport/internal/cluster/routeconfig"
+	"saddleport/internal/node/agentapi"
 	"saddleport/internal/node/events"
+	"saddleport/internal/node/nodesettings"
+	"saddleport/internal/node/peer"
 	"saddleport/internal/node/storage"
 )
 
@@ -36,7 +39,7 @@
 // core runs a replica: its loop steps it, its disk goroutine writes down what a step wants
 // written and only then lets go what the step wants sent and told.
 type replicaRunner struct {
-	node    *Node
+	node    *peer.Node
 	dataDir string
 	store   *storage.Store
 
@@ -65,7 +68,7 @@
 	return hex.EncodeToString(b[:])
 }
 
-func newReplicaRunner(n *Node, boot *Settings) (*replicaRunner, error) {
+func newReplicaRunner(n *peer.Node, boot *nodesettings.Settings) (*replicaRunner, error) {
 	disk, r, err := openStore(boot)
 	if err != nil {
 		return nil, err
@@ -147,7 +150,7 @@
 func (c *replicaRunner) seeds() []string {
 	seeds := c.node.Settings.Current().SeedPeers()
 	if !c.replica.Consensus.IsMember() || !c.replica.Consensus.HasQuorum(c.now()) {
-		for _, p := range c.node.Peers("keel") {
+		for _, p := range c.node.Peers(gossip.KindControlPlane) {
 			if !slices.Contains(seeds, p.Addr) {
 				seeds = append(seeds, p.Addr)
 			}
@@ -223,7 +226,7 @@
 	c.announcedVersion = e.Version
 	if ch, err := routeconfig.Parse(e.Content); err == nil {
 		events.Acknowledged.Log("version", ch.Revision)
-		c.node.Put(gossip.Entry{Key: ConfigurationKey, Version: e.Version, Value: json.RawMessage(e.Content)})
+		c.node.Put(gossip.Entry{Key: agentapi.ConfigurationKey, Version: e.Version, Value: json.RawMessage(e.Content)})
 	}
 }
 
--- a/internal/node/role/keel.go
+++ b/internal/node/controlplane/server.go
@@ -1,4 +1,4 @@
-package role
+package controlplane
 
 import (
 	"bytes"
@@ -16,7 +16,11 @@
 	"saddleport/internal/cluster/registry"
 	"saddleport/internal/cluster/replica"
 	"saddleport/internal/cluster/routeconfig"
+	"saddleport/internal/node/admin"
+	"saddleport/internal/node/agentapi"
 	"saddleport/internal/node/events"
+	"saddleport/internal/node/nodesettings"
+	"saddleport/internal/node/peer"
 	"saddleport/internal/node/rpc"
 	"saddleport/internal/node/transport"
 )
@@ -26,14 +30,11 @@
 	Endpoint string `json:"heartbeat_endpoint,omitempty"`
 }
 
-// Nothing is a body of no meaning.
-type Nothing struct{}
-
 var (
 	heartbeatCall  = rpc.Declare[registry.Heartbeat, HeartbeatResponse]("POST", "/Instances.Heartbeat/{name}", 16<<10, "servers")
-	deregisterCall = rpc.Declare[rpc.Raw, Nothing]("POST", "/Instances.Deregister/{name}", 16<<10, "servers")
-	replaceCall    = rpc.Declare[rpc.Raw, Nothing]("POST", "/Config.Replace", MaxCallBytes, "the operator").AtOnce(maxConcurrentUpdates)
-	describeCall   = rpc.Declare[rpc.Raw, rpc.Raw]("GET", "/Config.Describe", MaxCallBytes, "the operator")
+	deregisterCall = rpc.Declare[rpc.Raw, rpc.Empty]("POST", "/Instances.Deregister/{name}", 16<<10, "servers")
+	replaceCall    = rpc.Declare[rpc.Raw, rpc.Empty]("POST", "/Config.Replace", agentapi.MaxCallBytes, "the operator").AtOnce(maxConcurrentUpdates)
+	describeCall   = rpc.Declare[rpc.Raw, rpc.Raw]("GET", "/Config.Describe", agentapi.MaxCallBytes, "the operator")
 )
 
 const (
@@ -43,12 +44,11 @@
 	tickInterval         = 250 * time.Millisecond
 	orphanTicks          = 4                // ticks between looks at servers that nobody listens for
 	removeSilentAfter    = 10 * time.Minute // of silence
-
-	rememberTicks = 8 // ticks between looks at what is to be remembered of servers
+	rememberTicks        = 8                // ticks between looks at what is to be remembered of servers
 )
 
 type server struct {
-	*Node
+	*peer.Node
 	registry        *registry.Registry // under mu
 	rememberedJSON  []byte             // what is remembered of the servers that beat here; under mu
 	rememberedCount int                // how many they are
@@ -72,15 +72,15 @@
 	k.reachablePeers.mu.Lock()
 	defer k.reachablePeers.mu.Unlock()
 	if now := k.Now(); k.reachablePeers.at == 0 || now-k.reachablePeers.at >= peerCacheLifetime {
-		k.reachablePeers.list, k.reachablePeers.at = k.Reachable(k.Peers("keel")), max(now, 1)
+		k.reachablePeers.list, k.reachablePeers.at = k.Reachable(k.Peers(gossip.KindControlPlane)), max(now, 1)
 	}
 	return k.reachablePeers.list
 }
 
 // Keel is a core process: it takes heartbeats and configurations.
-func RunControlPlane(ctx context.Context, set *File) error {
+func Run(ctx context.Context, set *nodesettings.File) error {
 	boot := set.Current()
-	k := &server{Node: NewNode(set, "keel")}
+	k := &server{Node: peer.NewNode(set, gossip.KindControlPlane)}
 	k.registry = registry.New(k.Self.Addr, int64(silenceHeartbeats*float64(boot.HeartbeatInterval.Microseconds())))
 	k.OnUpdate = k.onUpdate
 	var err error
@@ -93,7 +93,7 @@
 	outer, inner := http.NewServeMux(), http.NewServeMux()
 	k.Node.Serve(inner)
 	k.replica.serveMessages(inner)
-	RegisterShow(inner, "keel", boot.Name, k.StartedAt, k.tables)
+	admin.RegisterShow(inner, admin.ControlPlane, boot.Name, k.StartedAt, k.tables)
 	heartbeatCall.On(outer, k.handleHeartbeat)
 	deregisterCall.On(outer, k.handleDeregister)
 	replaceCall.On(outer, k.handleReplace)
@@ -115,7 +115,7 @@
 	over.Go(func() { k.replica.run(life) })
 	defer func() { end(); over.Wait() }()
 	go set.Watch(life)
-	events.Started.Log("program", "keel", "name", boot.Name, "control", boot.Control, "inner", boot.PeerAddr())
+	events.Started.Log("program", admin.ControlPlane, "name", boot.Name, "control", boot.Control, "inner", boot.PeerAddr())
 	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	for ticks := 0; ; ticks++ {
@@ -170,9 +170,9 @@
 // Under mu.
 func (k *server) adoptOrphans() {
 	now := k.Now()
-	_, duty := k.Members.Holds(OrphanedServersRole.Name)
+	_, duty := k.Members.Holds(peer.OrphanedServersRole.Name)
 	hearers := map[string]bool{k.Self.Addr: true}
-	for _, p := range k.Members.Peers("keel") {
+	for _, p := range k.Members.Peers(gossip.KindControlPlane) {
 		hearers[p.Addr] = true
 	}
 	var long []gossip.Entry
@@ -214,14 +214,14 @@
 }
 
 // left takes the last word of a server.
-func (k *server) handleDeregister(ctx context.Context, who rpc.Named, _ rpc.Raw) (Nothing, error) {
+func (k *server) handleDeregister(ctx context.Context, who rpc.Named, _ rpc.Raw) (rpc.Empty, error) {
 	events.ServerLeft.Log("server", who.Name)
 	k.Mu.Lock()
 	k.PutLocked(k.registry.HandleDeregister(who.Name))
 	k.Mu.Unlock()
 	// Those that this machine does not reach do not hear of it: then it is not acknowledged, and
 	// the server tells another.
-	return Nothing{}, k.replica.requireQuorum(ctx)
+	return rpc.Empty{}, k.replica.requireQuorum(ctx)
 }
 
 // heard takes a heartbeat.
@@ -274,28 +274,28 @@
 	return best.Control
 }
 
-func (k *server) handleReplace(ctx context.Context, who rpc.Named, raw rpc.Raw) (Nothing, error) {
+func (k *server) handleReplace(ctx context.Context, who rpc.Named, raw rpc.Raw) (rpc.Empty, error) {
 	k.validating.Lock()
 	c, err := routeconfig.Parse(raw)
 	k.validating.Unlock()
 	if err != nil {
 		events.Invalid.Log("peer", who.Peer, "path", err)
-		return Nothing{}, rpc.Fail(http.StatusBadRequest, "%v", err)
+		return rpc.Empty{}, rpc.Fail(http.StatusBadRequest, "%v", err)
 	}
 	if err := k.replica.requireQuorum(ctx); err != nil {
-		return Nothing{}, err
+		return rpc.Empty{}, err
 	}
 	e := chain.NewEntry(uint64(c.Revision), raw)
 	r, err := k.replica.call(ctx, func(now int64) (string, replica.Output) { return k.replica.replica.Put(now, e) })
 	if err != nil {
 		events.Unsafe.Log("version", c.Revision, "err", err)
-		return Nothing{}, retryLater(err)
+		return rpc.Empty{}, retryLater(err)
 	}
 	if r.Verdict == chain.UpdateConflict {
 		events.Conflicting.Log("version", c.Revision, "peer", who.Peer)
-		return Nothing{}, rpc.Fail(http.StatusConflict, "other content was taken under revision %d; this one is not in force", c.Revision)
+		return rpc.Empty{}, rpc.Fail(http.StatusConflict, "other content was taken under revision %d; this one is not in force", c.Revision)
 	}
-	return Nothing{}, nil
+	return rpc.Empty{}, nil
 }
 
 func (k *server) handleDescribe(ctx context.Context, _ rpc.Named, _ rpc.Raw) (rpc.Raw, error) {
--- a/internal/node/role/coredisk.go
+++ b/internal/node/controlplane/store.go
@@ -1,4 +1,4 @@
-package role
+package controlplane
 
 import (
 	"context"
@@ -16,13 +16,14 @@
 	"saddleport/internal/cluster/replica"
 	"saddleport/internal/cluster/views"
 	"saddleport/internal/node/events"
+	"saddleport/internal/node/nodesettings"
 	"saddleport/internal/node/storage"
 )
 
 // openDisk reads what the disk holds. One that is empty though the system is not new, that
 // can't be read, or that is another machine's, is another disk: what it once held and
 // promised is not known, and it counts for nothing until the others have taken it in.
-func openStore(boot *Settings) (*storage.Store, replica.Record, error) {
+func openStore(boot *nodesettings.Settings) (*storage.Store, replica.Record, error) {
 	s, r, err := readStore(boot)
 	if err == nil && r.State.Self == (views.Member{}) {
 		return initStore(s, boot, boot.Bootstrap && slices.Contains(boot.SeedPeers(), boot.PeerAddr()))
@@ -56,7 +57,7 @@
 }
 
 // initDisk gives an empty disk its name. founder: it is of the system's first view.
-func initStore(s *storage.Store, boot *Settings, founder bool) (*storage.Store, replica.Record, error) {
+func initStore(s *storage.Store, boot *nodesettings.Settings, founder bool) (*storage.Store, replica.Record, error) {
 	r := replica.Record{State: consensus.State{Self: views.Member{Addr: boot.PeerAddr(), DiskID: nonce()}}}
 	if founder {
 		r.State.View = consensus.InitialView(boot.SeedPeers())
@@ -69,7 +70,7 @@
 	return s, r, s.Put(storage.Entry{Key: keyState, Value: replica.EncodeState(r)})
 }
 
-func readStore(boot *Settings) (*storage.Store, replica.Record, error) {
+func readStore(boot *nodesettings.Settings) (*storage.Store, replica.Record, error) {
 	var r replica.Record
 	s, err := storage.Open(boot.DataDir)
 	if err != nil {
--- a/internal/node/role/disk_test.go
+++ b/internal/node/controlplane/store_test.go
@@ -1,4 +1,4 @@
-package role
+package controlplane
 
 import (
 	"context"
@@ -13,8 +13,12 @@
 
 	"saddleport/internal/cluster/chain"
 	"saddleport/internal/cluster/consensus"
+	"saddleport/internal/cluster/gossip"
 	"saddleport/internal/cluster/replica"
+	"saddleport/internal/node/agentapi"
 	"saddleport/internal/node/events"
+	"saddleport/internal/node/nodesettings"
+	"saddleport/internal/node/peer"
 	"saddleport/internal/node/storage"
 )
 
@@ -23,21 +27,21 @@
 func TestDisk(t *testing.T) {
 	Convey("A core machine's disk", t, func() {
 		events.To(io.Discard)
-		f := newFleet(t)
+		f := newTestMachines(t)
 		first := func() replica.Record {
-			s, r, err := openStore(f.boot(1, true))
+			s, r, err := openStore(f.settings(1, true))
 			So(err, ShouldBeNil)
 			So(s.Close(), ShouldBeNil)
 			return r
 		}
 		again := func(machine int) (replica.Record, error) {
-			s, r, err := openStore(f.boot(machine, false))
+			s, r, err := openStore(f.settings(machine, false))
 			if err == nil {
 				So(s.Close(), ShouldBeNil)
 			}
 			return r, err
 		}
-		dir := f.boot(1, true).DataDir
+		dir := f.settings(1, true).DataDir
 		r := first()
 		So(r.State.Self.DiskID, ShouldEqual, consensus.FirstDiskID)
 		So(r.State.View.Members, ShouldHaveLength, 3)
@@ -72,10 +76,10 @@
 			So(err, ShouldBeNil)
 		})
 		Convey("of another address makes another member", func() {
-			f.dirs[f.ip(2)] = dir
+			f.dirs[2] = dir
 			back, err := again(2)
 			So(err, ShouldBeNil)
-			So(back.State.Self.Addr, ShouldEqual, f.boot(2, false).PeerAddr())
+			So(back.State.Self.Addr, ShouldEqual, f.settings(2, false).PeerAddr())
 			So(back.State.Self.DiskID, ShouldNotEqual, consensus.FirstDiskID)
 			So(back.State.View.Epoch, ShouldEqual, uint64(0))
 		})
@@ -85,8 +89,8 @@
 			entry, _ := json.Marshal(chain.NewEntry(8, []byte("x")))
 			So(s.Put(storage.Entry{Key: keyEntry, Value: entry}), ShouldBeNil)
 			So(s.Close(), ShouldBeNil)
-			f.dirs[f.ip(2)] = dir
-			boot := f.boot(2, false)
+			f.dirs[2] = dir
+			boot := f.settings(2, false)
 			boot.Bootstrap = true // even where the settings take it for the first start
 			moved, back, err := openStore(boot)
 			So(err, ShouldBeNil)
@@ -126,18 +130,18 @@
 func TestKnownAtOnce(t *testing.T) {
 	Convey("A core machine that starts alone", t, func() {
 		events.To(io.Discard)
-		f := newFleet(t)
+		f := newTestMachines(t)
 		entry := func(version uint64) chain.Entry {
-			return chain.NewEntry(version, []byte(config(int(version), "v")))
+			return chain.NewEntry(version, []byte(testConfiguration(int(version))))
 		}
 		start := func(first bool) *replicaRunner {
-			boot := f.boot(1, first)
-			c, err := newReplicaRunner(NewNode(Fixed(boot), "keel"), boot)
+			boot := f.settings(1, first)
+			c, err := newReplicaRunner(peer.NewNode(nodesettings.Fixed(boot), gossip.KindControlPlane), boot)
 			So(err, ShouldBeNil)
 			return c
 		}
 		c := start(true)
-		told, known := c.node.Store.Get(ConfigurationKey)
+		told, known := c.node.Store.Get(agentapi.ConfigurationKey)
 		So(known, ShouldBeFalse)
 		ctx, cancel := context.WithCancel(context.Background())
 		over := make(chan struct{})
@@ -147,7 +151,10 @@
 		c.lastAcknowledged = &seen
 		c.mu.Unlock()
 		c.wake()
-		until("it kept", func() bool { raw, err := c.store.Get(keyLastAcknowledged); return err == nil && raw != nil })
+		waitUntil(t, "the acknowledged entry on disk", func() bool {
+			raw, err := c.store.Get(keyLastAcknowledged)
+			return err == nil && raw != nil
+		})
 		So(c.persist(replica.Record{State: c.replica.Consensus.State, Entry: &held}), ShouldBeNil)
 		cancel()
 		<-over
@@ -156,7 +163,7 @@
 		c = start(false)
 		defer c.store.Close()
 		So(c.replica.Chain.Stored().Version, ShouldEqual, held.Version)
-		told, known = c.node.Store.Get(ConfigurationKey)
+		told, known = c.node.Store.Get(agentapi.ConfigurationKey)
 		So(known, ShouldBeTrue)
 		So(told.Version, ShouldEqual, seen.Version)
 		So(string(told.Value), ShouldEqual, string(seen.Content))
--- a/internal/node/events/events.go
+++ b/internal/node/events/events.go
@@ -93,9 +93,9 @@
 // Page prints the catalogue as the operators' page.
 func Page() string {
 	var b strings.Builder
-	b.WriteString("# Events\n\nWhat `tide`, `echo` and `keel` log, one line an event, `key=value`, on standard error.\n" +
+	b.WriteString("# Events\n\nWhat `proxy`, `agent` and `controlplane` log, one line an event, `key=value`, on standard error.\n" +
 		"Of one event at most " + fmt.Sprint(mostLines) + " lines a second are written; `unlogged` tells how many were left out.\n" +
-		"`lens events` prints this page; a test holds it to the code.\n\n" +
+		"`saddlectl events` prints this page; a test holds it to the code.\n\n" +
 		"| number | event | level | what has happened | what to do |\n| --- | --- | --- | --- | --- |\n")
 	for _, e := range catalogue {
 		fmt.Fprintf(&b, "| %d | `%s` | %s | %s | %s |\n", e.Number, e.Name, e.Level, e.Means, e.Do)
--- a/internal/node/role/fleet_test.go
+++ b/internal/node/fleettest/fleet_test.go
@@ -1,4 +1,4 @@
-package role
+package fleettest
 
 import (
 	"bufio"
@@ -20,7 +20,13 @@
 	"saddleport/internal/cluster/gossip"
 	"saddleport/internal/cluster/registry"
 	"saddleport/internal/lab/standin"
+	"saddleport/internal/node/admin"
+	"saddleport/internal/node/agent"
+	"saddleport/internal/node/agentapi"
+	"saddleport/internal/node/controlplane"
 	"saddleport/internal/node/events"
+	"saddleport/internal/node/nodesettings"
+	"saddleport/internal/node/proxy"
 	"saddleport/internal/node/rpc"
 )
 
@@ -31,12 +37,12 @@
 	net   string
 	port  int
 	seeds string
-	dirs  map[string]string
+	Dirs  map[string]string
 	stops map[string]func()
-	boots map[string]*Settings
+	boots map[string]*nodesettings.Settings
 }
 
-func newFleet(t *testing.T) *fleet {
+func NewFleet(t *testing.T) *fleet {
 	events.To(io.Discard)
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	So(err, ShouldBeNil)
@@ -46,7 +52,7 @@
 		port -= 1000
 	}
 	f := &fleet{t: t, net: fmt.Sprintf("127.%d.%d", 1+rand.IntN(250), rand.IntN(250)), port: port,
-		dirs: make(map[string]string), stops: make(map[string]func()), boots: make(map[string]*Settings)}
+		Dirs: make(map[string]string), stops: make(map[string]func()), boots: make(map[string]*nodesettings.Settings)}
 	f.seeds = fmt.Sprintf("%s,%s,%s", f.control(1), f.control(2), f.control(3))
 	t.Cleanup(func() {
 		for _, stop := range f.stops {
@@ -56,34 +62,36 @@
 	return f
 }
 
-func (f *fleet) ip(machine int) string      { return fmt.Sprintf("%s.%d", f.net, machine) }
-func (f *fleet) control(machine int) string { return fmt.Sprintf("%s:%d", f.ip(machine), f.port+9) }
-func (f *fleet) front(machine int) string   { return fmt.Sprintf("%s:%d", f.ip(machine), f.port+8) }
+func (f *fleet) Ip(machine int) string { return fmt.Sprintf("%s.%d", f.net, machine) }
 
-func (f *fleet) boot(machine int, first bool) *Settings {
-	dir := f.dirs[f.ip(machine)]
+func (f *fleet) control(machine int) string { return fmt.Sprintf("%s:%d", f.Ip(machine), f.port+9) }
+
+func (f *fleet) front(machine int) string { return fmt.Sprintf("%s:%d", f.Ip(machine), f.port+8) }
+
+func (f *fleet) Boot(machine int, first bool) *nodesettings.Settings {
+	dir := f.Dirs[f.Ip(machine)]
 	if dir == "" {
 		dir = f.t.TempDir()
-		f.dirs[f.ip(machine)] = dir
+		f.Dirs[f.Ip(machine)] = dir
 	}
-	b, err := Parse(fmt.Sprintf("node_name=m%d\nip_address=%s\nzone=z%d\nregion=z%d\ninternal_port_range=%d,%d\nseed_addresses=%s\nbootstrap=%t\n"+
+	b, err := nodesettings.Parse(fmt.Sprintf("node_name=m%d\nip_address=%s\nzone=z%d\nregion=z%d\ninternal_port_range=%d,%d\nseed_addresses=%s\nbootstrap=%t\n"+
 		"limits.memory_mb=200\nlimits.max_open_files=2000\ndata_directory=%s\nheartbeat_interval_ms=1000\nfault_tolerance.machines=1\n"+
 		"listen_addresses.control_plane=%s\nlisten_addresses.front=%s\nlisten_addresses.readiness=%s:%d\n"+
 		"bounds.drain_ms=4000\nbounds.grace_s=1\nbounds.retry_window_s=10\nbounds.retry_budget_ratio=0.2\nbounds.retry_budget_slack=58",
-		machine, f.ip(machine), machine%3, machine%3, f.port, f.port+7, f.seeds, first, dir, f.control(machine), f.front(machine), f.ip(machine), f.port+7))
+		machine, f.Ip(machine), machine%3, machine%3, f.port, f.port+7, f.seeds, first, dir, f.control(machine), f.front(machine), f.Ip(machine), f.port+7))
 	So(err, ShouldBeNil)
-	b.LoopbackIP = f.ip(machine)
+	b.LoopbackIP = f.Ip(machine)
 	return b
 }
 
 // start runs a program on a machine; stop ends it as SIGTERM does.
-func (f *fleet) start(name string, machine int, first bool, run func(context.Context, *File) error) {
+func (f *fleet) start(name string, machine int, first bool, run func(context.Context, *nodesettings.File) error) {
 	key := fmt.Sprint(name, machine)
 	ctx, cancel := context.WithCancel(context.Background())
 	over := make(chan error, 1)
-	boot := f.boot(machine, first)
+	boot := f.Boot(machine, first)
 	f.boots[key] = boot
-	go func() { over <- run(ctx, Fixed(boot)) }()
+	go func() { over <- run(ctx, nodesettings.Fixed(boot)) }()
 	f.stops[key] = func() {
 		cancel()
 		<-over
@@ -101,7 +109,7 @@
 }
 
 // until waits for what must come about.
-func until(what string, f func() bool) {
+func Until(what string, f func() bool) {
 	end := time.After(60 * time.Second)
 	tick := time.NewTicker(5 * time.Millisecond)
 	defer tick.Stop()
@@ -172,11 +180,11 @@
 func (f *fleet) shows(program string, machine int, text string) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	s, err := ShowCall.Ask(ctx, rpc.NewClient(time.Second), ShowAddr(program, f.boot(machine, false)), "", nil)
+	s, err := admin.ShowCall.Ask(ctx, rpc.NewClient(time.Second), admin.ShowAddr(program, f.Boot(machine, false)), "", nil)
 	return err == nil && strings.Contains(s.Text(), text)
 }
 
-func config(version int, prefix string) string {
+func Config(version int, prefix string) string {
 	return fmt.Sprintf(`{"revision":%d, "services":[{"name":"s","max_connections":76}],
  "routes":[{"hostname":"h","path_prefix":"/%s/","route_type":"idempotent","timeout_ms":2000,"target_latency_ms":500,"target_service":"s","max_attempts":2}]}`, version, prefix)
 }
@@ -184,13 +192,13 @@
 // The whole path, and what it bears: no seeds, no core, no agent, no proxy for a while.
 func TestFleet(t *testing.T) {
 	Convey("The system on loopback", t, func() {
-		f := newFleet(t)
+		f := NewFleet(t)
 		for m := 1; m <= 3; m++ {
-			f.start("keel", m, true, RunControlPlane)
+			f.start(admin.ControlPlane, m, true, controlplane.Run)
 		}
 		for m := 11; m <= 12; m++ {
-			f.start("echo", m, true, RunAgent)
-			f.start("tide", m, true, RunProxy)
+			f.start(admin.Agent, m, true, agent.Run)
+			f.start(admin.Proxy, m, true, proxy.Run)
 		}
 		a, err := standin.NewServer("i-a", func(int, standin.Seen) standin.Reply { return standin.Reply{Body: "a"} })
 		So(err, ShouldBeNil)
@@ -201,29 +209,29 @@
 		code := 0
 
 		// A configuration is taken by any core machine and read back at any, byte by byte.
-		until("an acknowledgement", func() bool {
-			code, _ = f.call("POST", f.control(2), "/Config.Replace", config(3, "v3"))
+		Until("an acknowledgement", func() bool {
+			code, _ = f.call("POST", f.control(2), "/Config.Replace", Config(3, "v3"))
 			return code == 200
 		})
 		for m := 1; m <= 3; m++ {
-			until("a read", func() bool { code, _ = f.call("GET", f.control(m), "/Config.Describe", ""); return code == 200 })
+			Until("a read", func() bool { code, _ = f.call("GET", f.control(m), "/Config.Describe", ""); return code == 200 })
 			_, text := f.call("GET", f.control(m), "/Config.Describe", "")
-			So(text, ShouldEqual, config(3, "v3"))
+			So(text, ShouldEqual, Config(3, "v3"))
 		}
-		code, text := f.call("POST", f.control(1), "/Config.Replace", strings.Replace(config(9, "x"), `"s","max`, `"q","max`, 1))
+		code, text := f.call("POST", f.control(1), "/Config.Replace", strings.Replace(Config(9, "x"), `"s","max`, `"q","max`, 1))
 		So(code, ShouldEqual, 400)
 		So(text, ShouldContainSubstring, "routes[0].target_service")
-		code, _ = f.call("POST", f.control(3), "/Config.Replace", config(2, "old")) // acknowledged, and alters nothing
+		code, _ = f.call("POST", f.control(3), "/Config.Replace", Config(2, "old")) // acknowledged, and alters nothing
 		So(code, ShouldEqual, 200)
 		_, text = f.call("GET", f.control(1), "/Config.Describe", "")
-		So(text, ShouldEqual, config(3, "v3"))
+		So(text, ShouldEqual, Config(3, "v3"))
 
 		// A server is known by its beats, and a request goes there.
-		until("a beat taken", func() bool { return f.beat(1, a, "s", "available", 1) == 200 })
+		Until("a beat taken", func() bool { return f.beat(1, a, "s", "available", 1) == 200 })
 		for m := 11; m <= 12; m++ {
-			until("a request served", func() bool { code, text = f.get(m, "/v3/x"); return code == 200 })
+			Until("a request served", func() bool { code, text = f.get(m, "/v3/x"); return code == 200 })
 			So(text, ShouldEqual, "a")
-			ready, _ := f.call("GET", fmt.Sprintf("%s:%d", f.ip(m), f.port+7), "/readiness", "")
+			ready, _ := f.call("GET", fmt.Sprintf("%s:%d", f.Ip(m), f.port+7), "/readiness", "")
 			So(ready, ShouldEqual, 200)
 			code, _ = f.get(m, "/old/x")
 			So(code, ShouldEqual, 404)
@@ -233,55 +241,55 @@
 		So(f.beat(2, b, "s", "available", 1), ShouldEqual, 200)
 		So(f.beat(3, a, "s", "draining", 2), ShouldEqual, 200)
 		for m := 11; m <= 12; m++ {
-			until("the drain known", func() bool { return f.shows("tide", m, "draining") && f.shows("tide", m, "i-b") })
+			Until("the drain known", func() bool { return f.shows(admin.Proxy, m, "draining") && f.shows(admin.Proxy, m, "i-b") })
 		}
 		before := len(a.Seen())
 		for range 20 {
-			until("a request served", func() bool { code, text = f.get(11, "/v3/x"); return code == 200 }) // a machine that is held up may refuse
+			Until("a request served", func() bool { code, text = f.get(11, "/v3/x"); return code == 200 }) // a machine that is held up may refuse
 			So(text, ShouldEqual, "b")
 		}
 		So(len(a.Seen()), ShouldEqual, before)
 
 		// A new version is in force everywhere; then the core goes away, and all serve on.
-		until("an acknowledgement", func() bool {
-			code, _ = f.call("POST", f.control(1), "/Config.Replace", config(5, "v5"))
+		Until("an acknowledgement", func() bool {
+			code, _ = f.call("POST", f.control(1), "/Config.Replace", Config(5, "v5"))
 			return code == 200
 		})
 		for m := 11; m <= 12; m++ {
-			until("the new version in force", func() bool { code, _ = f.get(m, "/v5/x"); return code == 200 })
+			Until("the new version in force", func() bool { code, _ = f.get(m, "/v5/x"); return code == 200 })
 			code, _ = f.get(m, "/v3/x")
 			So(code, ShouldEqual, 404)
 		}
 		for m := 1; m <= 3; m++ {
-			f.stop("keel", m)
+			f.stop(admin.ControlPlane, m)
 		}
 		code, _ = f.get(11, "/v5/x")
 		So(code, ShouldEqual, 200)
 
 		// A proxy that starts again has all of it from its agent at once; an agent that
 		// starts again, without a core, from its proxy and the other agents.
-		f.stop("tide", 11)
-		f.start("tide", 11, false, RunProxy)
-		until("the restarted proxy serves", func() bool { code, _ = f.get(11, "/v5/x"); return code == 200 })
-		f.stop("echo", 11)
-		f.stop("echo", 12)
+		f.stop(admin.Proxy, 11)
+		f.start(admin.Proxy, 11, false, proxy.Run)
+		Until("the restarted proxy serves", func() bool { code, _ = f.get(11, "/v5/x"); return code == 200 })
+		f.stop(admin.Agent, 11)
+		f.stop(admin.Agent, 12)
 		code, _ = f.get(11, "/v5/x")
 		So(code, ShouldEqual, 200)
-		f.start("echo", 11, false, RunAgent)
-		until("the agent has its proxy's version back", func() bool { return f.shows("echo", 11, "\n  5 ") })
-		f.stop("tide", 11)
-		f.start("tide", 11, false, RunProxy)
-		until("the configuration in force again", func() bool { return f.shows("tide", 11, "routes of version 5") })
+		f.start(admin.Agent, 11, false, agent.Run)
+		Until("the agent has its proxy's version back", func() bool { return f.shows(admin.Agent, 11, "\n  5 ") })
+		f.stop(admin.Proxy, 11)
+		f.start(admin.Proxy, 11, false, proxy.Run)
+		Until("the configuration in force again", func() bool { return f.shows(admin.Proxy, 11, "routes of version 5") })
 
 		// The core comes back with what it acknowledged; one machine's disk is lost.
-		So(os.RemoveAll(f.dirs[f.ip(3)]+"/state"), ShouldBeNil)
+		So(os.RemoveAll(f.Dirs[f.Ip(3)]+"/state"), ShouldBeNil)
 		for m := 1; m <= 3; m++ {
-			f.start("keel", m, false, RunControlPlane)
+			f.start(admin.ControlPlane, m, false, controlplane.Run)
 		}
-		until("a read", func() bool { code, text = f.call("GET", f.control(2), "/Config.Describe", ""); return code == 200 })
-		So(text, ShouldEqual, config(5, "v5"))
-		until("the lost disk made up for", func() bool {
-			return f.shows("keel", 1, f.ip(3)) && !f.shows("keel", 1, f.ip(3)+fmt.Sprintf(":%d/0 ", f.port)) && f.shows("keel", 1, "tail")
+		Until("a read", func() bool { code, text = f.call("GET", f.control(2), "/Config.Describe", ""); return code == 200 })
+		So(text, ShouldEqual, Config(5, "v5"))
+		Until("the lost disk made up for", func() bool {
+			return f.shows(admin.ControlPlane, 1, f.Ip(3)) && !f.shows(admin.ControlPlane, 1, f.Ip(3)+fmt.Sprintf(":%d/0 ", f.port)) && f.shows(admin.ControlPlane, 1, "tail")
 		})
 	})
 }
@@ -290,53 +298,53 @@
 // that does not is silent soon.
 func TestRemembered(t *testing.T) {
 	Convey("A core that starts again knows the servers that beat at it", t, func() {
-		f := newFleet(t)
+		f := NewFleet(t)
 		for m := 1; m <= 3; m++ {
-			f.start("keel", m, true, RunControlPlane)
+			f.start(admin.ControlPlane, m, true, controlplane.Run)
 		}
 		a, err := standin.NewServer("i-a", func(int, standin.Seen) standin.Reply { return standin.Reply{Body: "a"} })
 		So(err, ShouldBeNil)
 		defer a.Close()
-		until("a beat taken", func() bool { return f.beat(2, a, "s", "available", 1) == 200 })
-		until("it remembered", func() bool {
+		Until("a beat taken", func() bool { return f.beat(2, a, "s", "available", 1) == 200 })
+		Until("it remembered", func() bool {
 			f.beat(2, a, "s", "available", 2)
-			return f.shows("keel", 2, "\n  1          1\n")
+			return f.shows(admin.ControlPlane, 2, "\n  1          1\n")
 		})
 		for m := 1; m <= 3; m++ {
-			f.stop("keel", m)
+			f.stop(admin.ControlPlane, m)
 		}
 		for m := 1; m <= 3; m++ {
-			f.start("keel", m, false, RunControlPlane)
+			f.start(admin.ControlPlane, m, false, controlplane.Run)
 		}
-		f.start("echo", 11, false, RunAgent)
-		until("it known at an agent that starts", func() bool { return f.shows("echo", 11, "i-a") && f.shows("echo", 11, "available") })
-		until("its silence noticed", func() bool { return f.shows("echo", 11, "silent") })
+		f.start(admin.Agent, 11, false, agent.Run)
+		Until("it known at an agent that starts", func() bool { return f.shows(admin.Agent, 11, "i-a") && f.shows(admin.Agent, 11, "available") })
+		Until("its silence noticed", func() bool { return f.shows(admin.Agent, 11, "silent") })
 	})
 }
 
 // A machine goes back to no older version, whatever its agent tells.
 func TestNeverBack(t *testing.T) {
 	Convey("A proxy that holds version 5 stays there when its agent, started anew, tells 4", t, func() {
-		f := newFleet(t)
+		f := NewFleet(t)
 		var raw bytes.Buffer
-		So(json.Compact(&raw, []byte(config(5, "v5"))), ShouldBeNil)
-		loop, given := http.NewServeMux(), make(chan FeedRequest, 100)
-		FeedCall.On(loop, func(ctx context.Context, _ rpc.Named, q FeedRequest) (FeedResponse, error) {
+		So(json.Compact(&raw, []byte(Config(5, "v5"))), ShouldBeNil)
+		loop, given := http.NewServeMux(), make(chan agentapi.FeedRequest, 100)
+		agentapi.FeedCall.On(loop, func(ctx context.Context, _ rpc.Named, q agentapi.FeedRequest) (agentapi.FeedResponse, error) {
 			given <- q
 			switch {
 			case len(q.Entries) > 0:
 				<-ctx.Done()
 			case q.Incarnation == "":
-				return FeedResponse{Incarnation: "one", Seq: 1, Entries: []gossip.Entry{{Key: ConfigurationKey, Version: 5 << 16, Value: raw.Bytes()}}}, nil
+				return agentapi.FeedResponse{Incarnation: "one", Seq: 1, Entries: []gossip.Entry{{Key: agentapi.ConfigurationKey, Version: 5 << 16, Value: raw.Bytes()}}}, nil
 			}
-			return FeedResponse{Incarnation: "two", Seq: 1, WantConfig: true, Entries: []gossip.Entry{{Key: ConfigurationKey, Version: 4 << 16, Value: raw.Bytes()}}}, nil
+			return agentapi.FeedResponse{Incarnation: "two", Seq: 1, WantConfig: true, Entries: []gossip.Entry{{Key: agentapi.ConfigurationKey, Version: 4 << 16, Value: raw.Bytes()}}}, nil
 		})
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		ln, err := net.Listen("tcp4", f.boot(11, true).AgentAddr())
+		ln, err := net.Listen("tcp4", f.Boot(11, true).AgentAddr())
 		So(err, ShouldBeNil)
 		go rpc.Serve(ctx, ln, loop, time.Minute)
-		f.start("tide", 11, true, RunProxy)
+		f.start(admin.Proxy, 11, true, proxy.Run)
 		So((<-given).Incarnation, ShouldEqual, "")
 		So((<-given).ConfigVersion, ShouldEqual, uint64(5<<16)) // it says what it holds
 		back := <-given
--- a/internal/node/role/hardening_test.go
+++ b/internal/node/fleettest/losses_test.go
@@ -1,4 +1,4 @@
-package role
+package fleettest
 
 import (
 	"fmt"
@@ -8,39 +8,41 @@
 	. "github.com/smartystreets/goconvey/convey"
 
 	"saddleport/internal/lab/standin"
+	"saddleport/internal/node/admin"
+	"saddleport/internal/node/controlplane"
 )
 
 // Several core processes on loopback: an order sent again and another one under its number, a
 // replacement that takes the vote of a machine that is told to stop, and one machine alone.
 func TestControlUnderLosses(t *testing.T) {
 	Convey("Three core machines and their successor", t, func() {
-		f := newFleet(t)
+		f := NewFleet(t)
 		for m := 1; m <= 3; m++ {
-			f.start("keel", m, true, RunControlPlane)
+			f.start(admin.ControlPlane, m, true, controlplane.Run)
 		}
-		order := config(1, "a")
-		until("an order acknowledged", func() bool {
+		order := Config(1, "a")
+		Until("an order acknowledged", func() bool {
 			code, _ := f.call("POST", f.control(1), "/Config.Replace", order)
 			return code == 200
 		})
 		for m := 1; m <= 3; m++ { // to any machine
 			So(f.clear(m, order), ShouldEqual, 200)
-			So(f.clear(m, config(1, "b")), ShouldEqual, 409)
+			So(f.clear(m, Config(1, "b")), ShouldEqual, 409)
 		}
 		So(f.must("GET", 2, "/Config.Describe", ""), ShouldEqual, order)
-		So(f.clear(3, config(2, "c")), ShouldEqual, 200)
-		for _, late := range []string{config(1, "a"), config(2, "c")} { // also after newer ones
+		So(f.clear(3, Config(2, "c")), ShouldEqual, 200)
+		for _, late := range []string{Config(1, "a"), Config(2, "c")} { // also after newer ones
 			So(f.clear(2, late), ShouldEqual, 200)
 		}
-		So(f.clear(2, config(1, "b")), ShouldEqual, 409)
+		So(f.clear(2, Config(1, "b")), ShouldEqual, 409)
 
-		f.start("keel", 4, false, RunControlPlane)
-		until("the successor learns", func() bool { return f.shows("keel", 4, "\n  2 ") })
+		f.start(admin.ControlPlane, 4, false, controlplane.Run)
+		Until("the successor learns", func() bool { return f.shows(admin.ControlPlane, 4, "\n  2 ") })
 		So(f.votes(1, 4), ShouldBeFalse) // and has no vote yet
-		f.stop("keel", 1)
-		until("it has the vote", func() bool { return f.votes(2, 4) && !f.votes(2, 1) })
-		until("the next order acknowledged", func() bool {
-			code, _ := f.call("POST", f.control(4), "/Config.Replace", config(3, "d"))
+		f.stop(admin.ControlPlane, 1)
+		Until("it has the vote", func() bool { return f.votes(2, 4) && !f.votes(2, 1) })
+		Until("the next order acknowledged", func() bool {
+			code, _ := f.call("POST", f.control(4), "/Config.Replace", Config(3, "d"))
 			return code == 200
 		})
 
@@ -48,34 +50,34 @@
 		So(err, ShouldBeNil)
 		defer s.Close()
 		So(f.beat(4, s, "s", "available", 1), ShouldEqual, 200)
-		f.kill("keel", 2)
-		f.kill("keel", 3)
-		until("the machine that is left knows that it is alone", func() bool {
+		f.kill(admin.ControlPlane, 2)
+		f.kill(admin.ControlPlane, 3)
+		Until("the machine that is left knows that it is alone", func() bool {
 			code, text := f.call("GET", f.control(4), "/Config.Describe", "")
 			return code == 503 && strings.Contains(text, "out of touch")
 		})
-		code, _ := f.call("POST", f.control(4), "/Config.Replace", config(4, "e"))
+		code, _ := f.call("POST", f.control(4), "/Config.Replace", Config(4, "e"))
 		So(code, ShouldEqual, 503)
 		So(f.beat(4, s, "s", "available", 2), ShouldEqual, 200)
 		So(f.beat(4, s, "s", "draining", 3), ShouldEqual, 503) // it is told on, and not acknowledged
 		for m := 2; m <= 3; m++ {
-			f.start("keel", m, false, RunControlPlane)
+			f.start(admin.ControlPlane, m, false, controlplane.Run)
 		}
-		until("the core again, with what it acknowledged", func() bool {
+		Until("the core again, with what it acknowledged", func() bool {
 			code, text := f.call("GET", f.control(4), "/Config.Describe", "")
-			return code == 200 && text == config(3, "d")
+			return code == 200 && text == Config(3, "d")
 		})
 	})
 }
 
 // votes tells whether a machine has a vote, as another one sees it.
 func (f *fleet) votes(seenBy, machine int) bool {
-	return f.shows("keel", seenBy, fmt.Sprintf("%s:%d/", f.ip(machine), f.port))
+	return f.shows(admin.ControlPlane, seenBy, fmt.Sprintf("%s:%d/", f.Ip(machine), f.port))
 }
 
 // clear sends an order until there is a clear answer.
 func (f *fleet) clear(machine int, order string) (code int) {
-	until("a clear answer", func() bool {
+	Until("a clear answer", func() bool {
 		code, _ = f.call("POST", f.control(machine), "/Config.Replace", order)
 		return code != 0 && code != 503
 	})
@@ -84,7 +86,7 @@
 
 // must calls until it is answered 200.
 func (f *fleet) must(method string, machine int, path, body string) (text string) {
-	until(method+" "+path, func() bool {
+	Until(method+" "+path, func() bool {
 		code, answer := f.call(method, f.control(machine), path, body)
 		text = answer
 		return code == 200
--- a/internal/node/role/apart_test.go
+++ b/internal/node/fleettest/outliers_test.go
@@ -1,4 +1,4 @@
-package role
+package fleettest
 
 import (
 	"fmt"
@@ -10,11 +10,15 @@
 	. "github.com/smartystreets/goconvey/convey"
 
 	"saddleport/internal/lab/standin"
+	"saddleport/internal/node/admin"
+	"saddleport/internal/node/agent"
+	"saddleport/internal/node/controlplane"
+	"saddleport/internal/node/proxy"
 )
 
 // explains asks a proxy what it knows of a server.
 func (f *fleet) explains(program string, machine int, about string) string {
-	_, text := f.call("GET", ShowAddr(program, f.boot(machine, false)), "/Explain/"+about, "")
+	_, text := f.call("GET", admin.ShowAddr(program, f.Boot(machine, false)), "/Explain/"+about, "")
 	return text
 }
 
@@ -22,13 +26,13 @@
 // holds the council dies, and is brought back once it is well: by whoever follows.
 func TestSetApart(t *testing.T) {
 	Convey("Mixers on loopback before a server that turns slow", t, func() {
-		f := newFleet(t)
+		f := NewFleet(t)
 		for m := 1; m <= 3; m++ {
-			f.start("keel", m, true, RunControlPlane)
+			f.start(admin.ControlPlane, m, true, controlplane.Run)
 		}
 		for m := 11; m <= 13; m++ {
-			f.start("echo", m, true, RunAgent)
-			f.start("tide", m, true, RunProxy)
+			f.start(admin.Agent, m, true, agent.Run)
+			f.start(admin.Proxy, m, true, proxy.Run)
 		}
 		var slow atomic.Bool
 		for i := range 4 {
@@ -43,17 +47,17 @@
 			})
 			So(err, ShouldBeNil)
 			defer s.Close()
-			until("a beat taken", func() bool { return f.beat(1+i%3, s, "s", "available", 1) == 200 })
+			Until("a beat taken", func() bool { return f.beat(1+i%3, s, "s", "available", 1) == 200 })
 			defer f.beating(1+i%3, s, "s")()
 		}
 		// A mixer keeps away from a suspect for some aims between trials: a short aim, or three
 		// mixers asked in turn have no two trials close enough to be evidence.
-		until("an acknowledgement", func() bool {
-			code, _ := f.call("POST", f.control(1), "/Config.Replace", strings.Replace(config(3, "v3"), `latency_ms":500`, `latency_ms":50`, 1))
+		Until("an acknowledgement", func() bool {
+			code, _ := f.call("POST", f.control(1), "/Config.Replace", strings.Replace(Config(3, "v3"), `latency_ms":500`, `latency_ms":50`, 1))
 			return code == 200
 		})
 		for m := 11; m <= 13; m++ {
-			until("a request served", func() bool { code, _ := f.get(m, "/v3/x"); return code == 200 && f.shows("tide", m, "i-3") })
+			Until("a request served", func() bool { code, _ := f.get(m, "/v3/x"); return code == 200 && f.shows(admin.Proxy, m, "i-3") })
 		}
 		ask := func() { // one of each mixer at once
 			over := make(chan int, 3)
@@ -68,14 +72,14 @@
 			ask()
 		}
 		for m := 11; m <= 13; m++ {
-			So(f.explains("tide", m, "i-2"), ShouldNotContainSubstring, "laggard")
+			So(f.explains(admin.Proxy, m, "i-2"), ShouldNotContainSubstring, "laggard")
 		}
 		slow.Store(true)
 		begin := time.Now()
-		until("it set apart everywhere", func() bool {
+		Until("it set apart everywhere", func() bool {
 			ask()
 			for m := 11; m <= 13; m++ {
-				if !strings.Contains(f.explains("tide", m, "i-2"), "laggard") {
+				if !strings.Contains(f.explains(admin.Proxy, m, "i-2"), "laggard") {
 					return false
 				}
 			}
@@ -83,31 +87,31 @@
 		})
 		t.Logf("set apart by all after %v", time.Since(begin).Round(time.Millisecond))
 		for _, other := range []string{"i-0", "i-1", "i-3"} {
-			So(f.explains("tide", 11, other), ShouldNotContainSubstring, "laggard")
+			So(f.explains(admin.Proxy, 11, other), ShouldNotContainSubstring, "laggard")
 		}
-		code, text := f.call("GET", ShowAddr("tide", f.boot(11, false)), "/Explain/i-99", "")
+		code, text := f.call("GET", admin.ShowAddr(admin.Proxy, f.Boot(11, false)), "/Explain/i-99", "")
 		So(code, ShouldEqual, 404)
 		So(text, ShouldContainSubstring, "i-99")
 		holder := 0
 		for m := 11; m <= 13; m++ {
-			if strings.Contains(f.explains("echo", m, "i-2"), "evidence on") {
+			if strings.Contains(f.explains(admin.Agent, m, "i-2"), "evidence on") {
 				holder = m
 			}
 		}
 		So(holder, ShouldNotEqual, 0)
-		f.stop("echo", holder)
+		f.stop(admin.Agent, holder)
 		for range 20 {
 			ask()
 		}
 		for m := 11; m <= 13; m++ {
-			So(f.explains("tide", m, "i-2"), ShouldContainSubstring, "laggard")
+			So(f.explains(admin.Proxy, m, "i-2"), ShouldContainSubstring, "laggard")
 		}
 		// Once it is well it comes back, by the word of whoever holds the council next.
 		slow.Store(false)
-		until("it brought back everywhere", func() bool {
+		Until("it brought back everywhere", func() bool {
 			ask()
 			for m := 11; m <= 13; m++ {
-				if strings.Contains(f.explains("tide", m, "i-2"), "laggard") {
+				if strings.Contains(f.explains(admin.Proxy, m, "i-2"), "laggard") {
 					return false
 				}
 			}
--- a/internal/node/role/allow_test.go
+++ b/internal/node/fleettest/quota_test.go
@@ -1,4 +1,4 @@
-package role
+package fleettest
 
 import (
 	"bufio"
@@ -15,19 +15,23 @@
 	. "github.com/smartystreets/goconvey/convey"
 
 	"saddleport/internal/lab/standin"
+	"saddleport/internal/node/admin"
+	"saddleport/internal/node/agent"
+	"saddleport/internal/node/controlplane"
+	"saddleport/internal/node/proxy"
 )
 
 // Three mixers on loopback, a caller that asks ten times its allowance at all of them:
 // together they hold it to that; who is within is not touched; a change counts at once.
 func TestOneAllowance(t *testing.T) {
 	Convey("A burst over three mixers", t, func() {
-		f := newFleet(t)
+		f := NewFleet(t)
 		for m := 1; m <= 3; m++ {
-			f.start("keel", m, true, RunControlPlane)
+			f.start(admin.ControlPlane, m, true, controlplane.Run)
 		}
 		for m := 11; m <= 13; m++ {
-			f.start("echo", m, true, RunAgent)
-			f.start("tide", m, true, RunProxy)
+			f.start(admin.Agent, m, true, agent.Run)
+			f.start(admin.Proxy, m, true, proxy.Run)
 		}
 		s, err := standin.NewServer("i-a", func(int, standin.Seen) standin.Reply { return standin.Reply{Body: "a"} })
 		So(err, ShouldBeNil)
@@ -35,14 +39,14 @@
 		defer f.beating(1, s, "s")()
 		const rate, burst = 20, 10
 		stated := func(version int, list string) string {
-			return strings.Replace(config(version, "v"), `"routes"`, `"allowances":`+list+`,"routes"`, 1)
+			return strings.Replace(Config(version, "v"), `"routes"`, `"allowances":`+list+`,"routes"`, 1)
 		}
 		replace := func(text string) {
-			until("an acknowledgement", func() bool { code, _ := f.call("POST", f.control(1), "/Config.Replace", text); return code == 200 })
+			Until("an acknowledgement", func() bool { code, _ := f.call("POST", f.control(1), "/Config.Replace", text); return code == 200 })
 		}
 		replace(stated(1, fmt.Sprintf(`[{"name":"billing","header":"X-Desk","value":"billing","rate":%d,"burst":%d}]`, rate, burst)))
 		for m := 11; m <= 13; m++ {
-			until("a request served", func() bool { code, _ := f.get(m, "/v/x"); return code == 200 && f.shows("tide", m, "billing") })
+			Until("a request served", func() bool { code, _ := f.get(m, "/v/x"); return code == 200 && f.shows(admin.Proxy, m, "billing") })
 		}
 		before := len(s.Seen())
 		var admitted, refused, urgent, other atomic.Int64
@@ -92,15 +96,15 @@
 		So(len(s.Seen())-before, ShouldBeLessThanOrEqualTo, admitted.Load()+urgent.Load()+other.Load()) // nobody who was refused got there
 		shown := 0
 		for m := 11; m <= 13; m++ {
-			if f.shows("echo", m, "the bank is here") {
+			if f.shows(admin.Agent, m, "the bank is here") {
 				shown++
 			}
 		}
 		So(shown, ShouldEqual, 1)
 		replace(stated(2, `[]`))
-		until("it gone everywhere", func() bool {
+		Until("it gone everywhere", func() bool {
 			for m := 11; m <= 13; m++ {
-				if f.shows("tide", m, "billing") || !f.shows("tide", m, "routes of version 2") {
+				if f.shows(admin.Proxy, m, "billing") || !f.shows(admin.Proxy, m, "routes of version 2") {
 					return false
 				}
 			}
--- a/internal/node/role/life.go
+++ b/internal/node/nodesettings/file.go
@@ -1,4 +1,4 @@
-package role
+package nodesettings
 
 import (
 	"context"
--- a/internal/node/role/boot.go
+++ b/internal/node/nodesettings/settings.go
@@ -1,7 +1,4 @@
-// Package role holds one loop a process: it takes what I/O brings, steps the pure
-// machines, and does what they say. It is the only place that knows them all. It must
-// never decide what a machine decides.
-package role
+package nodesettings
 
 import (
 	"net"
--- a/internal/node/role/node.go
+++ b/internal/node/peer/peer.go
@@ -1,4 +1,4 @@
-package role
+package peer
 
 import (
 	"context"
@@ -11,22 +11,26 @@
 	"saddleport/internal/cluster/gossip"
 	"saddleport/internal/cluster/lease"
 	"saddleport/internal/cluster/member"
+	"saddleport/internal/cluster/outlier"
+	"saddleport/internal/node/agentapi"
 	"saddleport/internal/node/events"
+	"saddleport/internal/node/nodesettings"
 	"saddleport/internal/node/rpc"
 )
 
+// council is the duty of one mixer to say who is set apart.
+var OutlierRole = member.SingletonRole{Name: outlier.Role, ProcessKind: gossip.KindAgent}
+
 const (
 	callTimeout      = 900 * time.Millisecond
 	largeCallTimeout = 4 * time.Second // for news that may be large: links are thin
 	peerDialTimeout  = 500 * time.Millisecond
-	MaxCallBytes     = 8 << 20
 	aloneDelay       = 3 * time.Second        // without another process, that is told
 	leaveTimeout     = 400 * time.Millisecond // for the last word of a process that ends
 )
 
-// The calls between all agents and core processes.
 var (
-	exchangeCall = rpc.Declare[gossip.ExchangeRequest, gossip.ExchangeResponse]("POST", "/Rumour.Pass", MaxCallBytes, "every agent and core process").Packed()
+	exchangeCall = rpc.Declare[gossip.ExchangeRequest, gossip.ExchangeResponse]("POST", "/Rumour.Pass", agentapi.MaxCallBytes, "every agent and core process").Packed()
 	probeCall    = rpc.Declare[ProbeRequest, ProbeResponse]("POST", "/Ring.After", 4<<10, "every agent and core process")
 )
 
@@ -40,16 +44,13 @@
 	Alive bool `json:"h"`
 }
 
-// charterAt is the key of the configuration among the news.
-const ConfigurationKey = "c"
-
 // orphans is the duty of one core machine to listen for servers that nobody listens for.
-var OrphanedServersRole = member.SingletonRole{Name: "orphans", ProcessKind: "keel"}
+var OrphanedServersRole = member.SingletonRole{Name: "orphans", ProcessKind: gossip.KindControlPlane}
 
 // Node is what an agent and a core process have in common. It does the calls that the
 // machine wants, and knows nothing of what it decides by.
 type Node struct {
-	Settings  *File
+	Settings  *nodesettings.File
 	Self      gossip.Process
 	Client    *rpc.Client
 	StartedAt time.Time
@@ -65,7 +66,7 @@
 }
 
 // NewNode returns a node that knows itself alone.
-func NewNode(set *File, kind string) *Node {
+func NewNode(set *nodesettings.File, kind string) *Node {
 	boot := set.Current()
 	n := &Node{Settings: set, Client: rpc.NewClient(peerDialTimeout), StartedAt: time.Now(), Changed: make(chan struct{}), wake: make(chan struct{}, 1)}
 	n.Self = gossip.Process{Addr: boot.PeerAddr(), Name: boot.Name, Kind: kind, Zone: boot.Zone, Region: boot.Region, Control: boot.Control}
--- a/internal/node/role/apart.go
+++ b/internal/node/proxy/outliers.go
@@ -1,54 +1,28 @@
-package role
+package proxy
 
 import (
 	"context"
 	"encoding/json"
 	"fmt"
-	"net/http"
 	"strings"
 	"sync"
 	"time"
 
 	"saddleport/choice"
 	"saddleport/internal/cluster/gossip"
-	"saddleport/internal/cluster/member"
 	"saddleport/internal/cluster/outlier"
 	"saddleport/internal/cluster/registry"
 	"saddleport/internal/exchange"
+	"saddleport/internal/node/agentapi"
 	"saddleport/internal/node/events"
-	"saddleport/internal/node/rpc"
-)
-
-// Laggards: a proxy watches its own answers and clients and tells its agent while it
-// doubts somebody; the agent passes that on to the one that holds the council; what the
-// council says is news as any other, and the proxies act on it. While nobody is doubted
-// nothing is sent.
-
-// Witness is a mixer's evidence on its way to the council.
-type EvidenceReport struct {
-	From     string             `json:"f,omitempty"` // the agent; empty: the proxy on the same machine
-	Evidence []outlier.Evidence `json:"l"`
-}
-
-var (
-	ReportEvidenceCall  = rpc.Declare[EvidenceReport, Nothing]("POST", "/Herd.Saw", MaxReportBytes, "the proxy on the same machine")
-	ForwardEvidenceCall = rpc.Declare[EvidenceReport, Nothing]("POST", "/Herd.Witness", MaxReportBytes, "every agent")
 )
 
 const (
-	EjectionsKey       = "g"   // the key of the council's last word among the news
-	CallerPrefix       = "ip/" // begins a caller's name among members
-	MaxReportBytes     = 64 << 10
-	EvidenceTimeout    = 400 * time.Millisecond
-	trackerInterval    = 300 * time.Millisecond // between looks while somebody is doubted or apart
-	aggregatorInterval = 200 * time.Millisecond // between steps of the council while there are cases
-	minCallerMedian    = 20_000                 // microseconds: what callers take counts as this at least
-	slowLaneShare      = 8                      // one in so many of the clients' connections is for slow callers
+	trackerInterval = 300 * time.Millisecond // between looks while somebody is doubted or apart
+	minCallerMedian = 20_000                 // microseconds: what callers take counts as this at least
+	slowLaneShare   = 8                      // one in so many of the clients' connections is for slow callers
 )
 
-// council is the duty of one mixer to say who is set apart.
-var OutlierRole = member.SingletonRole{Name: outlier.Role, ProcessKind: "echo"}
-
 type serverPlacement struct {
 	service string
 	far     int
@@ -119,7 +93,7 @@
 func (f *outlierTracker) recordCaller(caller string, took time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.callers.Record(f.now(), outlier.Sample{Name: CallerPrefix + caller, Shard: outlier.Callers, Kind: "turn", Latency: took.Microseconds(), Complete: true}) {
+	if f.callers.Record(f.now(), outlier.Sample{Name: agentapi.CallerPrefix + caller, Shard: outlier.Callers, Kind: "turn", Latency: took.Microseconds(), Complete: true}) {
 		f.wake()
 	}
 }
@@ -198,8 +172,8 @@
 		f.proxy.applyEjections(changes)
 	}
 	if len(list) > 0 {
-		ask, cancel := context.WithTimeout(ctx, EvidenceTimeout)
-		ReportEvidenceCall.Ask(ask, f.proxy.client, f.proxy.settings.AgentAddr(), "", EvidenceReport{Evidence: list}) // lost: there is more of it soon
+		ask, cancel := context.WithTimeout(ctx, agentapi.EvidenceTimeout)
+		agentapi.ReportEvidenceCall.Ask(ask, f.proxy.client, f.proxy.settings.AgentAddr(), "", agentapi.EvidenceReport{Evidence: list}) // lost: there is more of it soon
 		cancel()
 	}
 	return more
@@ -228,7 +202,7 @@
 		} else {
 			events.SetApart.Log("member", c.Name, "shard", c.Shard, "times", fmt.Sprintf("%.1f", c.Ratio), "mixers", c.Reporters, "alone", c.LocalOnly)
 		}
-		if strings.HasPrefix(c.Name, CallerPrefix) {
+		if strings.HasPrefix(c.Name, agentapi.CallerPrefix) {
 			callers = true
 			continue
 		}
@@ -245,7 +219,7 @@
 		apart := make(map[string]bool)
 		t.outliers.mu.Lock()
 		for _, a := range t.outliers.ejections.All() {
-			if name, is := strings.CutPrefix(a.Name, CallerPrefix); is {
+			if name, is := strings.CutPrefix(a.Name, agentapi.CallerPrefix); is {
 				apart[name] = true
 			}
 		}
@@ -253,123 +227,3 @@
 		t.downstream.Lanes.Apart(apart)
 	}
 }
-
-// bench is an agent's part: it passes evidence on, and holds the council where that is its
-// duty.
-type outlierAggregator struct {
-	node          *Node
-	role          *outlier.AggregatorRole // under the node's mu, as all below
-	shardSizes    map[string]int
-	shardSizesSeq uint64 // of the book, when members was made
-	forwarding    bool
-	wake          chan struct{}
-	quotas        *quotaService
-}
-
-func newOutlierAggregator(n *Node) *outlierAggregator {
-	b := &outlierAggregator{node: n, role: outlier.NewAggregatorRole(outlier.DefaultConfig, n.Self.Addr), wake: make(chan struct{}, 1), quotas: newQuotaService(n)}
-	n.OnUpdate = func(i gossip.Entry) {
-		var a outlier.Assignment
-		if i.Key == EjectionsKey && json.Unmarshal(i.Value, &a) == nil {
-			b.role.Observe(i.Version, a)
-		}
-		b.quotas.onUpdate(i)
-	}
-	return b
-}
-
-// serve answers the proxy and the other agents.
-func (b *outlierAggregator) serve(loop, inner *http.ServeMux) {
-	b.quotas.serve(loop, inner)
-	ReportEvidenceCall.On(loop, func(_ context.Context, _ rpc.Named, w EvidenceReport) (Nothing, error) {
-		b.node.Mu.Lock()
-		defer b.node.Mu.Unlock()
-		if c, known := b.node.Members.Holder(outlier.Role); known && c.Holder != b.node.Self.Addr {
-			if !b.forwarding {
-				b.forwarding = true
-				go b.forward(c.Holder, EvidenceReport{From: b.node.Self.Addr, Evidence: w.Evidence})
-			}
-			return Nothing{}, nil
-		}
-		b.addEvidence(b.node.Self.Addr, w.Evidence)
-		return Nothing{}, nil
-	})
-	ForwardEvidenceCall.On(inner, func(_ context.Context, _ rpc.Named, w EvidenceReport) (Nothing, error) {
-		b.node.Mu.Lock()
-		defer b.node.Mu.Unlock()
-		if !b.addEvidence(w.From, w.Evidence) {
-			return Nothing{}, rpc.Fail(http.StatusConflict, "the duty is another's")
-		}
-		return Nothing{}, nil
-	})
-}
-
-func (b *outlierAggregator) forward(to string, w EvidenceReport) {
-	ctx, cancel := context.WithTimeout(context.Background(), EvidenceTimeout)
-	defer cancel()
-	ForwardEvidenceCall.Ask(ctx, b.node.Client, to, "", w) // lost: there is more of it soon
-	b.node.Mu.Lock()
-	defer b.node.Mu.Unlock()
-	b.forwarding = false
-}
-
-// given takes evidence where the council is held here. Under mu.
-func (b *outlierAggregator) addEvidence(from string, list []outlier.Evidence) bool {
-	b.updateHolder()
-	if !b.role.AddEvidence(b.node.Now(), from, list) {
-		return false
-	}
-	select {
-	case b.wake <- struct{}{}:
-	default:
-	}
-	return true
-}
-
-func (b *outlierAggregator) updateHolder() {
-	epoch, holds := b.node.Members.Holds(outlier.Role)
-	b.role.SetHolder(b.node.Now(), epoch, holds)
-}
-
-// run steps the council until ctx ends. It rests while there are no cases.
-func (b *outlierAggregator) run(ctx context.Context) {
-	for {
-		select {
-		case <-ctx.Done():
-			return
-		case <-b.wake:
-		}
-		for b.step() {
-			select {
-			case <-ctx.Done():
-				return
-			case <-time.After(aggregatorInterval):
-			}
-		}
-	}
-}
-
-func (b *outlierAggregator) step() (more bool) {
-	b.node.Mu.Lock()
-	defer b.node.Mu.Unlock()
-	b.updateHolder()
-	if seq := b.node.Store.Seq(); seq != b.shardSizesSeq {
-		b.shardSizesSeq, b.shardSizes = seq, make(map[string]int)
-		b.node.Store.Range(func(i gossip.Entry, _ int64) {
-			if strings.HasPrefix(i.Key, registry.Prefix) && !i.Deleted() {
-				if s, err := registry.Parse(i); err == nil {
-					b.shardSizes[s.Service]++
-				}
-			}
-		})
-	}
-	a, rank, say := b.role.Step(b.node.Now(), len(b.node.Members.Peers("echo"))+1, func(shard string) int { return b.shardSizes[shard] })
-	if say {
-		body, err := json.Marshal(a)
-		if err != nil {
-			panic(err) // numbers and texts always have a form
-		}
-		b.node.PutLocked(gossip.Entry{Key: EjectionsKey, Version: rank, Value: body})
-	}
-	return b.role.Busy()
-}
--- a/internal/node/role/tide.go
+++ b/internal/node/proxy/proxy.go
@@ -1,4 +1,4 @@
-package role
+package proxy
 
 import (
 	"context"
@@ -18,7 +18,10 @@
 	"saddleport/internal/exchange"
 	"saddleport/internal/front"
 	"saddleport/internal/front/gate"
+	"saddleport/internal/node/admin"
+	"saddleport/internal/node/agentapi"
 	"saddleport/internal/node/events"
+	"saddleport/internal/node/nodesettings"
 	"saddleport/internal/node/rpc"
 	"saddleport/internal/node/transport"
 	"saddleport/internal/settings"
@@ -41,7 +44,7 @@
 )
 
 type proxy struct {
-	settings     *Settings
+	settings     *nodesettings.Settings
 	exchange     *exchange.Exchange
 	upstream     *reach.Back
 	routes       *gate.Gate
@@ -67,7 +70,7 @@
 // Tide is the proxy: it takes clients' requests and answers them. What it knows of
 // servers and routes comes from the agent on its machine; while that is away it goes on
 // with what it last had.
-func RunProxy(ctx context.Context, from *File) error {
+func Run(ctx context.Context, from *nodesettings.File) error {
 	boot := from.Current()
 	set := settings.Settings{MostHeld: maxRequests, Router: choice.Settings{
 		ClassesLater: true, Cells: gate.MostShards, Width: 1, BundleMax: 1, Resolution: tickMicroseconds, Cancel: true,
@@ -123,13 +126,13 @@
 		go t.outliers.run(life)
 	}
 	go from.Watch(life)
-	lnShow, err := transport.Listen(ctx, ShowAddr("tide", boot))
+	lnShow, err := transport.Listen(ctx, admin.ShowAddr(admin.Proxy, boot))
 	if err != nil {
 		return err
 	}
 	shown := http.NewServeMux()
-	RegisterShow(shown, "tide", boot.Name, t.startedAt, t.tables)
-	RegisterExplain(shown, "tide", boot.Name, t.startedAt, t.explain)
+	admin.RegisterShow(shown, admin.Proxy, boot.Name, t.startedAt, t.tables)
+	admin.RegisterExplain(shown, admin.Proxy, boot.Name, t.startedAt, t.explain)
 	failed := make(chan error, 3)
 	go func() { failed <- rpc.Serve(life, lnShow, shown, 0) }()
 	go func() { failed <- rpc.Serve(life, lnReady, mux, 0) }()
@@ -138,7 +141,7 @@
 			failed <- err
 		}
 	}()
-	events.Started.Log("program", "tide", "name", boot.Name, "front", boot.Front, "clients", clients, "leaves", leaves)
+	events.Started.Log("program", admin.Proxy, "name", boot.Name, "front", boot.Front, "clients", clients, "leaves", leaves)
 	tick := time.NewTicker(countersInterval)
 	defer tick.Stop()
 	look := time.NewTicker(budgetInterval)
@@ -165,12 +168,12 @@
 
 // follow takes what the agent tells for as long as the proxy lives.
 func (t *proxy) followAgent(ctx context.Context) {
-	f, away := FeedRequest{}, false
+	f, away := agentapi.FeedRequest{}, false
 	for ctx.Err() == nil {
-		ask, cancel := context.WithTimeout(ctx, FeedWait+5*time.Second)
-		held, _ := t.store.Get(ConfigurationKey)
+		ask, cancel := context.WithTimeout(ctx, agentapi.FeedWait+5*time.Second)
+		held, _ := t.store.Get(agentapi.ConfigurationKey)
 		f.ConfigVersion = held.Version
-		ans, err := FeedCall.Ask(ask, t.client, t.settings.AgentAddr(), "", f)
+		ans, err := agentapi.FeedCall.Ask(ask, t.client, t.settings.AgentAddr(), "", f)
 		cancel()
 		if err != nil && ctx.Err() == nil && !away {
 			away = true
@@ -188,9 +191,9 @@
 			events.AgentBack.Log()
 		}
 		t.applyFeed(ans.Entries, ans.Incarnation != f.Incarnation)
-		f = FeedRequest{Incarnation: ans.Incarnation, Since: ans.Seq}
+		f = agentapi.FeedRequest{Incarnation: ans.Incarnation, Since: ans.Seq}
 		if ans.WantConfig {
-			f.Entries = t.store.GetAll([]string{ConfigurationKey})
+			f.Entries = t.store.GetAll([]string{agentapi.ConfigurationKey})
 		}
 	}
 }
@@ -201,7 +204,7 @@
 	defer t.mu.Unlock()
 	if anew {
 		t.unconfirmed, t.confirmBy = make(map[string]bool), time.Now().Add(confirmTimeout)
-		t.store.Range(func(i gossip.Entry, _ int64) { t.unconfirmed[i.Key] = i.Key != ConfigurationKey })
+		t.store.Range(func(i gossip.Entry, _ int64) { t.unconfirmed[i.Key] = i.Key != agentapi.ConfigurationKey })
 	}
 	for _, i := range items {
 		delete(t.unconfirmed, i.Key)
@@ -240,9 +243,9 @@
 			continue
 		}
 		switch {
-		case i.Key == ConfigurationKey:
+		case i.Key == agentapi.ConfigurationKey:
 			t.applyConfiguration(i)
-		case i.Key == EjectionsKey:
+		case i.Key == agentapi.EjectionsKey:
 			t.outliers.applyAssignment(i)
 		case strings.HasPrefix(i.Key, registry.Prefix):
 			row, s, ok := t.serverRow(i)
--- a/internal/node/role/shutdown.go
+++ b/internal/node/proxy/shutdown.go
@@ -1,4 +1,4 @@
-package role
+package proxy
 
 import (
 	"net"
@@ -7,7 +7,6 @@
 	"saddleport/internal/node/events"
 )
 
-// The steps of a proxy's end, from SIGTERM on.
 const (
 	readyDrainTime = 2500 * time.Millisecond // until the platform has seen that this proxy is not ready
 	refuseAfter    = 2800 * time.Millisecond // from then on a request might not be finished within the grace
--- a/internal/node/rpc/rpc.go
+++ b/internal/node/rpc/rpc.go
@@ -82,7 +82,7 @@
 func Page() string {
 	sort.Strings(declared)
 	return "# Calls\n\nWhat the processes of the system answer, JSON over HTTP/1.1. `Raw` is a body carried as it is.\n" +
-		"`lens calls` prints this page; a test holds it to the code.\n\n" +
+		"`saddlectl calls` prints this page; a test holds it to the code.\n\n" +
 		"| call | who may call it | request | answer | bytes at most |\n| --- | --- | --- | --- | --- |\n" + strings.Join(declared, "\n") + "\n"
 }
 
@@ -104,6 +104,9 @@
 // Raw is a request or an answer whose bytes are carried as they are.
 type Raw []byte
 
+// Empty is the body of an answer that says nothing but that the call was handled.
+type Empty struct{}
+
 // Named is the name that a call's path ends in, and who called.
 type Named struct {
 	Name string
