--- a/internal/lab/answers/answers_test.go
+++ b/internal/lab/answers/answers_test.go
@@ -7,7 +7,7 @@
 )
 
 // Whatever servers do with answers and connections, no caller gets another's answer, and
-// what may run once does. `lens measure answers` plays it at length.
+// what may run once does. `saddlectl measure answers` plays it at length.
 func TestAnswersReachTheirCallers(t *testing.T) {
 	Convey("Of thousands of requests to servers that answer in disorder", t, func() {
 		p := Usual
--- a/internal/lab/yard/command.go
+++ b/internal/lab/yard/command.go
@@ -18,7 +18,7 @@
 
 // DispatchPlan says what is measured of dispatchers' gathers.
 type DispatchPlan struct {
-	Programs string // where tide, echo and keel are
+	Programs string // folder of the programs proxy, agent and controlplane
 	Mixers   int
 	Rate     float64 // gathers a second
 	Span     time.Duration
--- a/internal/node/proxy/outliers.go
+++ b/internal/node/proxy/outliers.go
@@ -98,7 +98,7 @@
 	}
 }
 
-// place notes where a server is; gone: nowhere any more. Under the tide's mu.
+// place notes where a server is; gone: nowhere any more. Under the proxy's mu.
 func (f *outlierTracker) setPlacement(id, service string, far int, gone bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
