--- a/internal/back/reach/reach.go
+++ b/internal/back/reach/reach.go
@@ -19,7 +19,7 @@
 	"saddleport/choice"
 	"saddleport/internal/exchange"
 	"saddleport/internal/httpwire"
-	"saddleport/internal/node/transport"
+	"saddleport/internal/transport"
 )
 
 const (
--- a/internal/cluster/antientropy/antientropy.go
+++ b/internal/cluster/antientropy/antientropy.go
@@ -1,22 +1,23 @@
-// Package antientropy owns the repair of copies: whoever reads a copy and finds it old has it
-// mended, and a sweep that one process does as its duty finds the rest. It owns how often
-// one copy is mended and how fast the sweep goes. It must never overwrite newer with older,
-// or mend one copy over and over while the first time is still on its way.
+// Package antientropy limits the repair of outdated replicas. A reader that finds a replica
+// outdated repairs it, and a sweep that one process does as a singleton role finds the rest.
+// The package owns how often one replica is repaired and how fast the sweep goes. It never
+// lets newer data be replaced by older, nor one replica be repaired again while a repair is
+// under way.
 package antientropy
 
 import "slices"
 
-// Config tunes repairs; times are microseconds of the caller's clock.
+// Config tunes repairs. Times are microseconds of the caller's clock.
 type Config struct {
-	RepairInterval int64 // a copy is not mended again sooner
-	SweepInterval  int64 // between two copies that the sweep looks at
-	MaxTracked     int   // copies kept in mind
+	RepairInterval int64 // the same replica is not repaired again sooner
+	SweepInterval  int64 // between two replicas that the sweep checks
+	MaxTracked     int   // replicas that are remembered
 }
 
-// Usual is the configuration for service.
+// DefaultConfig is the configuration for service.
 var DefaultConfig = Config{RepairInterval: 1_000_000, SweepInterval: 1_000_000, MaxTracked: 512}
 
-// Machine is the repairs of one process. It is not safe for concurrent use.
+// Repairer schedules the repairs of one process. It is not safe for concurrent use.
 type Repairer struct {
 	cfg         Config
 	repairedAt  map[string]int64 // when a copy was last mended
@@ -27,16 +28,16 @@
 
 // Stats counts repairs.
 type Stats struct {
-	Repairs int // copies found old by a read
-	Swept   int // looks of the sweep
-	Rounds  int // times that the sweep has gone over all
+	Repairs int // replicas that a read found outdated
+	Swept   int // replicas that the sweep checked
+	Rounds  int // times that the sweep has checked all
 }
 
-// New returns repairs of which none was made.
+// New returns a repairer that has repaired nothing.
 func New(cfg Config) *Repairer { return &Repairer{cfg: cfg, repairedAt: make(map[string]int64)} }
 
-// Saw takes what a read found of a copy, its rank beside the rank of the reader's own, and
-// tells whether the reader is to mend it now.
+// ShouldRepair takes the version that a read found at a replica beside the reader's own, and
+// reports whether the reader is to repair the replica now.
 func (m *Repairer) ShouldRepair(now int64, copy string, version, own uint64) bool {
 	if version >= own {
 		delete(m.repairedAt, copy)
@@ -63,8 +64,8 @@
 	}
 }
 
-// Sweep returns the copy that the sweep looks at now, one after another in their order;
-// none where it is not yet time. Copies that come or go meanwhile make it skip none.
+// Sweep returns the replica that the sweep checks now, one after another in their order; due
+// is false if it is not yet time. Replicas that come or go meanwhile make it skip none.
 func (m *Repairer) Sweep(now int64, copies []string) (copy string, due bool) {
 	if now < m.nextSweepAt || len(copies) == 0 {
 		return "", false
@@ -85,5 +86,5 @@
 	return m.lastSwept, true
 }
 
-// Stats are the counts so far.
+// Stats returns the counts so far.
 func (m *Repairer) Stats() Stats { return m.stats }
--- a/internal/cluster/chain/calls.go
+++ b/internal/cluster/chain/calls.go
@@ -7,14 +7,14 @@
 	"saddleport/internal/cluster/views"
 )
 
-// call is an order or a read that was made here, and is sent to the head or the tail.
+// localCall is an update or a read that this process makes for a caller.
 type localCall struct {
 	id        string
 	entry     *Entry // nil: a read
 	since     int64
 	sentAt    int64
-	entrySent bool  // the receiver was sent the entry: from then on its rank will do
-	pendingAt int64 // when its receiver was last heard of it: it lives
+	entrySent bool  // the receiver was sent the entry; from then on its version is enough
+	pendingAt int64 // when the receiver last said that it waits for others
 }
 
 func (c localCall) receiver(v views.View) views.Member {
@@ -24,10 +24,10 @@
 	return v.Head()
 }
 
-// Put asks for an entry to be acknowledged; the Result comes under the id returned.
+// Put requests that an entry be acknowledged. The Result comes under the returned id.
 func (m *Machine) Put(now int64, e Entry) string { return m.startCall(now, &e) }
 
-// Get asks for the newest acknowledged entry.
+// Get requests the newest acknowledged entry. The Result comes under the returned id.
 func (m *Machine) Get(now int64) string { return m.startCall(now, nil) }
 
 func (m *Machine) startCall(now int64, e *Entry) string {
@@ -42,7 +42,7 @@
 	return id
 }
 
-// forward sends the calls made here to the head or the tail.
+// sendCalls sends this process's calls to the head or the tail.
 func (m *Machine) sendCalls(now int64) {
 	if len(m.view.Chain) == 0 {
 		return
@@ -65,7 +65,7 @@
 	}
 }
 
-// answered takes the head's answer to an order.
+// handleUpdateResponse takes the head's answer to an update.
 func (m *Machine) handleUpdateResponse(now int64, a UpdateResponse) {
 	if a.Reason != "" {
 		m.retryLater(now, a.ID)
@@ -74,7 +74,7 @@
 	m.finishCall(Result{ID: a.ID, Verdict: a.Verdict})
 }
 
-// found takes the tail's answer to a read.
+// handleQueryResponse takes the tail's answer to a read.
 func (m *Machine) handleQueryResponse(now int64, f QueryResponse) {
 	if f.Reason != "" {
 		m.retryLater(now, f.ID)
@@ -83,7 +83,7 @@
 	m.finishCall(Result{ID: f.ID, Entry: f.Entry})
 }
 
-// again has a call that was refused for the view's sake go out once more, a little later.
+// retryLater sends a call again shortly, after it was refused because of a view change.
 func (m *Machine) retryLater(now int64, id string) {
 	for i := range m.localCalls {
 		if c := &m.localCalls[i]; c.id == id {
@@ -92,7 +92,7 @@
 	}
 }
 
-// known notes that a call's receiver has it and waits for others.
+// handleRequestPending notes that a call's receiver has it and waits for others.
 func (m *Machine) handleRequestPending(now int64, id string) {
 	for i := range m.localCalls {
 		if m.localCalls[i].id == id {
--- a/internal/cluster/chain/chain.go
+++ b/internal/cluster/chain/chain.go
@@ -1,11 +1,14 @@
-// Package chain owns what the core machines keep: one configuration each, of which the
-// newer one counts, passed from the head of an agreed view to its tail. It owns what is
-// acknowledged, who is passed what, and reads at the tail. It must never change the
-// membership, acknowledge what the tail does not hold on its disk, or answer a read from a
-// view that may be over.
+// Package chain replicates the configuration over the control-plane machines by chain
+// replication. Each member stores one entry; an update enters at the head of the agreed view,
+// is forwarded from member to member, and is acknowledged once the tail stores it. Reads are
+// answered by the tail.
 //
-// A machine here is a value that is stepped: it does no I/O and reads no clock. What it
-// returns may go out only once what it keeps is synced.
+// The package owns what is acknowledged, which member is sent what, and reads. It never
+// changes the membership, acknowledges what the tail has not stored durably, or answers a read
+// from a view that may have been replaced.
+//
+// A Machine is stepped by its caller: it does no I/O and reads no clock. What TakeOutput
+// returns may go out only once the entry that TakeChanges reports is durable.
 package chain
 
 import (
@@ -16,14 +19,15 @@
 	"saddleport/internal/cluster/views"
 )
 
-// Config tunes a chain; the times are microseconds of the caller's clock.
+// Config tunes a chain. Times are microseconds of the caller's clock.
 type Config struct {
-	RetryInterval  int64 // a message of the chain without an answer is sent again
-	SuspectTimeout int64 // and its receiver is complained of
-	CallTimeout    int64 // a caller is told that there is no answer
+	RetryInterval  int64 // a message without an answer is sent again after this time
+	SuspectTimeout int64 // a receiver that makes no progress for so long is suspected
+	CallTimeout    int64 // a caller is told after this time that there is no answer
 }
 
-// Breaks leaves rules out on purpose, so that the checker can show that it finds each.
+// Mutations leave out one rule each, so that the model checker can show that it finds the
+// consequences. In service all are false.
 type Mutations struct {
 	AckEarly    bool // the head acknowledges what it alone holds
 	StaleRead   bool // the tail does not ask whether its view stands
@@ -38,18 +42,18 @@
 	JoinBehind  bool // a view is taken over without the entry that goes with it
 }
 
-// Result is what the caller of Put or Get is told.
+// Result is the outcome of Put or Get.
 type Result struct {
 	ID      string
 	Verdict Verdict // of an order
 	Entry   *Entry  // of a read
-	Reason  string  // of a refusal
+	Reason  string  // why there is no answer
 }
 
-// OK tells whether there is an answer.
+// OK reports whether there is an answer.
 func (r Result) OK() bool { return r.Reason == "" }
 
-// Old is a copy that a read found to be older than the reader's.
+// StaleReplica is a member that a read found to store an older entry than the reader.
 type StaleReplica struct {
 	Member    views.Member
 	Viewstamp views.Viewstamp
@@ -57,10 +61,10 @@
 
 const (
 	maxPending          = 256 // calls in each of the lists below
-	maxVersionOnlySends = 4   // a member that answers no rank is sent the entry after so many times
+	maxVersionOnlySends = 4   // a member that does not answer is sent the whole entry after so many sends of its version alone
 )
 
-// Machine is the chain as one member sees it.
+// Machine is the chain as one member sees it. It is not safe for concurrent use.
 type Machine struct {
 	cfg       Config
 	mutations Mutations
@@ -71,12 +75,12 @@
 	stored              Entry
 	entryChanged        bool
 	epochChanged        bool
-	acknowledgedVersion uint64 // the highest rank known to be acknowledged
+	acknowledgedVersion uint64 // highest version known to be acknowledged
 
 	inFlight       inFlightEntry
-	pendingUpdates []pendingUpdate // orders, at the head
+	pendingUpdates []pendingUpdate // at the head
 	pendingQueries []pendingQuery  // at the tail
-	localCalls     []localCall     // made here, sent to the head or the tail
+	localCalls     []localCall     // made by this process, sent to the head or the tail
 	callSequence   uint64
 	nonce          string
 
@@ -86,31 +90,31 @@
 	staleReplicas []StaleReplica
 }
 
-// Suspect is a member that does not move on; the zero one: there is none.
+// Suspect is a member that makes no progress. The zero value means none.
 type Suspect struct {
 	Member         views.Member
-	MissingVersion uint64 // the rank that it has not been seen to hold; 0: it does not answer calls
+	MissingVersion uint64 // the version that it has not acknowledged; 0: it does not answer calls
 }
 
-// New returns a chain that knows no view. nonce sets its calls apart from those of its
-// earlier lives.
+// New returns a chain without a view. The nonce tells its calls apart from those that this
+// machine made before a restart.
 func New(cfg Config, self views.Member, stored Entry, nonce string, mutations Mutations) *Machine {
 	return &Machine{cfg: cfg, self: self, stored: stored, nonce: nonce, mutations: mutations}
 }
 
-// Held is the entry that is kept here.
+// Stored returns the entry that this member stores.
 func (m *Machine) Stored() Entry { return m.stored }
 
-// Acknowledged is the highest rank known to be acknowledged.
+// Acknowledged returns the highest version known to be acknowledged.
 func (m *Machine) Acknowledged() uint64 { return m.acknowledgedVersion }
 
-// Sealed tells whether another view was promised.
+// Sealed reports whether this member has promised another view and stopped serving its own.
 func (m *Machine) Sealed() bool { return m.sealed }
 
-// View is the view in force here.
+// View returns the view in force here.
 func (m *Machine) View() views.View { return m.view }
 
-// Keep keeps an entry if it is newer than the one that is kept.
+// Store replaces the stored entry by a newer one. An older one is ignored.
 func (m *Machine) Store(e Entry) {
 	switch {
 	case !m.stored.Viewstamp().Less(e.Viewstamp()):
@@ -121,15 +125,15 @@
 	}
 }
 
-// Changed tells whether the entry that is kept has changed since it was last asked, and
-// whether only its epoch has.
+// TakeChanges reports what has to be made durable since the last call: the whole entry, or
+// only its epoch.
 func (m *Machine) TakeChanges() (entry, stamp bool) {
 	entry, stamp = m.entryChanged, m.epochChanged
 	m.entryChanged, m.epochChanged = false, false
 	return entry, stamp
 }
 
-// Adopt takes a view over. The entry that goes with it was kept before.
+// AdoptView puts a view in force. The entry that the view rests on must be stored already.
 func (m *Machine) AdoptView(now int64, v views.View) {
 	if !m.mutations.JoinBehind && m.stored.Viewstamp().Less(v.BaseViewstamp()) {
 		panic(fmt.Sprintf("invariant: %s is in epoch %d and holds %+v below its base %+v", m.self, v.Epoch, m.stored.Viewstamp(), v.BaseViewstamp()))
@@ -145,7 +149,7 @@
 	}
 }
 
-// epoch is the one under which entries are kept.
+// epoch returns the epoch under which entries are stored.
 func (m *Machine) epoch() uint64 {
 	if m.mutations.RankOnly {
 		return 0
@@ -153,40 +157,40 @@
 	return m.view.Epoch
 }
 
-// vouch puts the entry that is kept under the epoch in force.
+// stampEpoch puts the stored entry under the epoch in force.
 func (m *Machine) stampEpoch() {
 	if m.stored.Epoch != m.epoch() {
 		m.stored.Epoch, m.epochChanged = m.epoch(), true
 	}
 }
 
-// vouched tells whether the head of the view in force has vouched for what is kept here.
+// epochIsCurrent reports whether the head of the view in force has confirmed the stored entry.
 func (m *Machine) epochIsCurrent() bool { return m.stored.Epoch == m.epoch() }
 
-// Seal has the member refuse to go on in its view.
+// Seal makes the member stop serving its view.
 func (m *Machine) Seal() { m.sealed = !m.mutations.NoSeal }
 
-// Suspected is the member that does not move on, if any; asking clears it. One that is
-// known to hold what it was passed waits for others itself, and is not to blame.
+// Suspected returns the member that makes no progress, if any, and clears it.
 func (m *Machine) Suspected() (Suspect, bool) {
 	s := m.suspect
 	m.suspect = Suspect{}
 	return s, s.Member != views.Member{}
 }
 
-// Old returns the copies that reads found old since it was last asked.
+// TakeStaleReplicas returns the members that reads found outdated since the last call.
 func (m *Machine) TakeStaleReplicas() []StaleReplica {
 	old := m.staleReplicas
 	m.staleReplicas = nil
 	return old
 }
 
-// Repair sends a member the entry that is kept here.
+// Repair sends a member the entry that is stored here.
 func (m *Machine) Repair(to views.Member) {
 	m.send(to, Repair{Entry: m.stored})
 }
 
-// Take returns what is to be sent and told since it was last asked.
+// TakeOutput returns the messages to send and the results of calls since the last call. They
+// may go out only once what TakeChanges reports is durable.
 func (m *Machine) TakeOutput() ([]envelope.Message, []Result) {
 	out, results := m.outbox, m.results
 	m.outbox, m.results = nil, nil
@@ -197,7 +201,7 @@
 	m.outbox = append(m.outbox, envelope.Message{From: m.self, To: to, Epoch: m.view.Epoch, Body: body})
 }
 
-// Speaks tells whether a message is one of the chain's.
+// IsChainMessage reports whether a body is one of the messages of this package.
 func IsChainMessage(body envelope.Body) bool {
 	switch body.(type) {
 	case UpdateRequest, UpdateResponse, Forward, Acknowledge, EntryMissing, QueryRequest, QueryResponse,
@@ -207,7 +211,7 @@
 	return false
 }
 
-// Got takes a message of the chain.
+// Step handles a message of the chain.
 func (m *Machine) Step(now int64, msg envelope.Message) {
 	current := msg.Epoch == m.view.Epoch && !m.sealed
 	switch body := msg.Body.(type) {
@@ -246,8 +250,8 @@
 	}
 }
 
-// Tick sends again what has no answer, complains of who does not move on, and gives up
-// what has waited too long.
+// Tick retries what has no answer, suspects members without progress, and ends calls that have
+// waited too long.
 func (m *Machine) Tick(now int64) {
 	m.retryForward(now)
 	m.retryConfirmations(now)
--- a/internal/cluster/chain/entry.go
+++ b/internal/cluster/chain/entry.go
@@ -10,50 +10,50 @@
 	"saddleport/internal/cluster/views"
 )
 
-// MarkBits is the number of bits of a rank below its version.
+// DigestBits is the number of bits of a version below its revision.
 const DigestBits = 16
 
-// MostPrevious is how many earlier orders an entry names.
+// MaxPrevious is how many earlier revisions an entry names.
 const MaxPrevious = 64
 
-// MostVersion is the highest version that a rank has room for.
+// MaxRevision is the highest revision that a version has room for.
 const MaxRevision = 1<<47 - 1
 
-// Version is the version of a rank.
+// RevisionOf returns the operator's revision number in a version.
 func RevisionOf(version uint64) uint64 { return version >> DigestBits }
 
-// Order is what is remembered of a configuration that was overtaken: its version, and a
-// digest that stands for its bytes.
+// PastRevision is what is remembered of a configuration that was replaced: its revision, and a
+// digest of its content.
 type PastRevision struct {
 	Revision uint64 `json:"v"`
 	Digest   uint64 `json:"d"`
 }
 
-// Entry is a configuration as the core keeps it.
+// Entry is a configuration as the control plane stores it.
 type Entry struct {
-	Epoch          uint64         // of the view whose head last vouched for it
-	Version        uint64         // the version above, a mark of the bytes below
-	Digest         uint64         // of the bytes
+	Epoch          uint64         // of the view whose head last confirmed it
+	Version        uint64         // the revision in the high bits, bits of the digest in the low ones
+	Digest         uint64         // of the content
 	Content        []byte         // as the operator sent it
-	Previous       []PastRevision // those before it, the newest last, MostPrevious at most
-	HistoryDigest  uint64         // stands for its content and for all orders that were taken before it
-	ContentOmitted bool           // there is no content: it is for one that holds the same
+	Previous       []PastRevision // the entries before it, the newest last, at most MaxPrevious
+	HistoryDigest  uint64         // of its content and of all entries before it
+	ContentOmitted bool           // the receiver stores the content already
 }
 
-// NewEntry makes an entry of an operator's bytes.
+// NewEntry makes an entry of a configuration that an operator has sent.
 func NewEntry(revision uint64, content []byte) Entry {
 	sum := sha256.Sum256(content)
 	digest := binary.BigEndian.Uint64(sum[:])
 	return Entry{Version: revision<<DigestBits | digest>>(64-DigestBits), Digest: digest, Content: content}
 }
 
-// Stamp is the entry's place in the order of entries.
+// Viewstamp returns the entry's place in the order of entries.
 func (e Entry) Viewstamp() views.Viewstamp {
 	return views.Viewstamp{Epoch: e.Epoch, Version: e.Version, HistoryDigest: e.HistoryDigest}
 }
 
-// For is the entry as it is told to one that holds something of a stamp: without its content
-// if that is the same, for contents are large.
+// WithoutKnownContent returns the entry as it is sent to a process that stores something of a
+// viewstamp: without its content if that is the same.
 func (e Entry) WithoutKnownContent(stored views.Viewstamp) Entry {
 	if e.Matches(stored.Version, stored.HistoryDigest) {
 		return Entry{Epoch: e.Epoch, Version: e.Version, HistoryDigest: e.HistoryDigest, ContentOmitted: true}
@@ -61,13 +61,13 @@
 	return e
 }
 
-// Same tells whether an entry has a rank and a lineage. One content may be taken twice, by the
-// heads of two views, after different orders: then it is not the same entry.
+// Matches reports whether an entry has a version and a history. One content may be accepted
+// twice, by the heads of two views, after different entries: then it is not the same entry.
 func (e Entry) Matches(version, historyDigest uint64) bool {
 	return e.Version == version && e.HistoryDigest == historyDigest
 }
 
-// After is the entry as it follows another one, in an epoch.
+// Following returns the entry as the successor of another one, in an epoch.
 func (e Entry) Following(previous Entry, epoch uint64) Entry {
 	e.Epoch = epoch
 	e.HistoryDigest = digestHistory(previous.HistoryDigest, e.Version, e.Digest)
@@ -90,9 +90,9 @@
 	return binary.BigEndian.Uint64(sum[:])
 }
 
-// entryForm is how an entry is told and kept: text as text, for base64 hides from those
-// who pack it that its lines are alike; what is no text, and what older programs kept, as
-// base64.
+// entryJSON is the stored and sent form of an entry. Content that is text stands as text, so
+// that a compressor sees its repetitions; other content, and what earlier releases stored,
+// as base64.
 type entryJSON struct {
 	Epoch          uint64         `json:"e,omitempty"`
 	Version        uint64         `json:"r"`
@@ -104,7 +104,7 @@
 	ContentOmitted bool           `json:"h,omitempty"`
 }
 
-// MarshalJSON keeps every byte.
+// MarshalJSON keeps every byte of the content.
 func (e Entry) MarshalJSON() ([]byte, error) {
 	form := entryJSON{Epoch: e.Epoch, Version: e.Version, Digest: e.Digest, Previous: e.Previous, HistoryDigest: e.HistoryDigest, ContentOmitted: e.ContentOmitted}
 	if utf8.Valid(e.Content) {
@@ -115,7 +115,7 @@
 	return json.Marshal(form)
 }
 
-// UnmarshalJSON takes both forms.
+// UnmarshalJSON reads both forms of the content.
 func (e *Entry) UnmarshalJSON(text []byte) error {
 	var form entryJSON
 	if err := json.Unmarshal(text, &form); err != nil {
--- a/internal/cluster/chain/orders.go
+++ b/internal/cluster/chain/orders.go
@@ -6,7 +6,7 @@
 	"saddleport/internal/cluster/views"
 )
 
-// waiter is an order that waits at the head until what is kept is acknowledged.
+// pendingUpdate is an update that waits at the head until the stored entry is acknowledged.
 type pendingUpdate struct {
 	id      string
 	from    views.Member
@@ -15,7 +15,7 @@
 	since   int64
 }
 
-// entered takes an order at the head.
+// handleUpdateRequest takes an update at the head.
 func (m *Machine) handleUpdateRequest(now int64, from views.Member, update UpdateRequest) {
 	revision := RevisionOf(update.Version)
 	switch {
@@ -45,12 +45,12 @@
 	m.forwardEntry(now, m.inFlight.active && m.inFlight.entry.Version == m.stored.Version)
 }
 
-// sayWaiting tells a caller that its call is known here and waits for others.
+// sendRequestPending tells a caller that its call is known here and waits for others.
 func (m *Machine) sendRequestPending(to views.Member, id string) {
 	m.send(to, RequestPending{ID: id})
 }
 
-// verdict is what has become of an order, by what is kept.
+// verdict returns the outcome of an update, judged by what is stored.
 func (m *Machine) verdict(update UpdateRequest) Verdict {
 	revision := RevisionOf(update.Version)
 	if revision == RevisionOf(m.stored.Version) {
@@ -75,7 +75,7 @@
 	m.send(to, UpdateResponse{ID: id, Reason: reason})
 }
 
-// answerOrders tells those whose order rests on what is acknowledged.
+// answerUpdates answers the updates whose outcome rests on what is acknowledged.
 func (m *Machine) answerUpdates() {
 	m.pendingUpdates = slices.DeleteFunc(m.pendingUpdates, func(w pendingUpdate) bool {
 		if w.version > m.acknowledgedVersion {
--- a/internal/cluster/chain/pass.go
+++ b/internal/cluster/chain/pass.go
@@ -6,19 +6,19 @@
 	"saddleport/internal/cluster/views"
 )
 
-// flight is what was passed on and has no answer.
+// inFlightEntry is the entry that was forwarded to the successor and is not acknowledged.
 type inFlightEntry struct {
 	active           bool
 	entry            Entry
-	firstVersion     uint64 // the rank that was passed when it last moved
+	firstVersion     uint64 // the version that was in flight when progress was last made
 	progressAt       int64
 	sentAt           int64
-	versionOnlySends int // times that it was sent since it was sent whole
+	versionOnlySends int // sends of the version alone since the whole entry was sent
 }
 
 func (m *Machine) chainIndex() int { return slices.Index(m.view.Chain, m.self) }
 
-// next is the member behind this one, if there is one.
+// successor returns the next member of the chain, if there is one.
 func (m *Machine) successor() (views.Member, bool) {
 	if i := m.chainIndex(); i >= 0 && i+1 < len(m.view.Chain) {
 		return m.view.Chain[i+1], true
@@ -36,10 +36,9 @@
 	return i > 0 && m.view.Chain[i-1] == x
 }
 
-// pass sends what is kept here on along the chain; the tail acknowledges it. known: the
-// next member most likely holds it, and its rank alone goes there; one that does not says
-// so. Entries are large, and links and machines may be slow: sent again whole they would
-// hold up themselves.
+// forwardEntry sends the stored entry on along the chain; the tail acknowledges it. If the
+// successor likely stores it, only its version is sent, and a successor that lacks it says so:
+// entries are large, and links and machines may be slow.
 func (m *Machine) forwardEntry(now int64, likelyStored bool) {
 	if _, ok := m.successor(); !ok {
 		m.markAcknowledged(now, m.stored.Version)
@@ -66,7 +65,7 @@
 	m.send(n, body)
 }
 
-// passed takes what the one before has passed.
+// handleForward takes an entry from the predecessor.
 func (m *Machine) handleForward(now int64, from views.Member, p Forward) {
 	if m.epochIsCurrent() && p.Version < m.stored.Version && !m.mutations.RankOnly {
 		return // an older one that comes late
@@ -91,7 +90,8 @@
 	m.answerQueries()
 }
 
-// acknowledged notes that all from here to the tail hold a rank, and tells those before.
+// markAcknowledged notes that every member from here to the tail stores a version, and tells
+// the predecessor.
 func (m *Machine) markAcknowledged(now int64, version uint64) {
 	if !m.epochIsCurrent() || version > m.stored.Version {
 		return // of what this member does not hold itself nothing may be told
@@ -109,7 +109,8 @@
 	m.answerUpdates()
 }
 
-// passAgain sends what has no answer again, and complains of who does not move on.
+// retryForward sends the entry in flight again, and suspects a successor that makes no
+// progress.
 func (m *Machine) retryForward(now int64) {
 	n, ok := m.successor()
 	if !ok || !m.inFlight.active || m.sealed {
--- a/internal/cluster/chain/reads.go
+++ b/internal/cluster/chain/reads.go
@@ -6,8 +6,8 @@
 	"saddleport/internal/cluster/views"
 )
 
-// reader is a read that waits at the tail until most members have said that its view
-// stands, and the head has vouched for what is kept.
+// pendingQuery is a read that waits at the tail until a majority has confirmed the view and
+// the head has confirmed the stored entry.
 type pendingQuery struct {
 	id        string
 	from      views.Member
@@ -16,7 +16,7 @@
 	confirmed map[views.Member]bool
 }
 
-// asked takes a read at the tail.
+// handleQueryRequest takes a read at the tail.
 func (m *Machine) handleQueryRequest(now int64, from views.Member, read QueryRequest) {
 	if m.view.Tail() != m.self || m.sealed || len(m.pendingQueries) >= maxPending {
 		m.send(from, QueryResponse{ID: read.ID, Reason: "not the tail"})
@@ -42,7 +42,7 @@
 	}
 }
 
-// confirmed takes a member's word that the view stands.
+// handleViewConfirmed counts a member's confirmation that the view is in force.
 func (m *Machine) handleViewConfirmed(from views.Member, epoch uint64, c ViewConfirmed) {
 	if epoch != m.view.Epoch || !m.view.Has(from) {
 		return
@@ -58,8 +58,8 @@
 	m.answerQueries()
 }
 
-// answerReads answers the reads for which most members say that the view stands: had
-// another taken over before the read began, most of them would have promised it.
+// answerQueries answers the reads whose view a majority has confirmed: had another view
+// replaced it before the read began, a majority would have promised that one.
 func (m *Machine) answerQueries() {
 	if m.view.Tail() != m.self || m.sealed || !m.epochIsCurrent() {
 		return
--- a/internal/cluster/consensus/acceptor.go
+++ b/internal/cluster/consensus/acceptor.go
@@ -7,7 +7,7 @@
 	"saddleport/internal/cluster/views"
 )
 
-// prepared answers the first phase of another's ballot.
+// handlePrepare answers the first phase of another member's ballot.
 func (m *Machine) handlePrepare(now int64, msg envelope.Message, p Prepare) {
 	if p.Joiner != nil {
 		if *p.Joiner == m.Self {
@@ -21,8 +21,8 @@
 	m.send(msg.From, msg.Epoch, m.promise(p.Ballot, p.Viewstamp))
 }
 
-// answerAsLearner says that this process is there, and holds what the proposer does once
-// this step is on the disk.
+// answerAsLearner answers a proposer that wants to give this process a vote. Once this step is
+// durable the process stores what the proposer stores.
 func (m *Machine) answerAsLearner(msg envelope.Message, p Prepare) {
 	if p.Entry != nil {
 		m.store.Store(*p.Entry)
@@ -33,7 +33,7 @@
 	m.send(msg.From, msg.Epoch, Promise{Ballot: p.Ballot, Viewstamp: m.store.Stored().Viewstamp(), Joiner: true})
 }
 
-// acceptAsked answers the second phase of another's ballot.
+// handleAccept answers the second phase of another member's ballot.
 func (m *Machine) handleAccept(now int64, msg envelope.Message, a Accept) {
 	if !m.admitBallot(now, msg, a.Ballot, a.Viewstamp) {
 		return
@@ -49,8 +49,8 @@
 	m.send(msg.From, msg.Epoch, Accepted{Ballot: a.Ballot})
 }
 
-// mayVote promises a ballot, unless it is not for this process, not for the next epoch, or
-// below another that was promised.
+// admitBallot promises a ballot. It returns false if the ballot is not for this process, not
+// for the next epoch, or lower than one that was promised.
 func (m *Machine) admitBallot(now int64, msg envelope.Message, b Ballot, proposer views.Viewstamp) bool {
 	switch {
 	case m.View.Epoch == 0:
@@ -77,14 +77,14 @@
 	return true
 }
 
-// yield gives another proposer the time of a ballot, and members one after another a
-// little more: two that outbid one another at once would never end.
+// backOff leaves another proposer the time of a ballot, and later members of the view a little
+// more: two proposers that keep outbidding each other would never finish.
 func (m *Machine) backOff(now int64) {
 	place := max(slices.Index(m.View.Members, m.Self), 0)
 	m.backoffUntil = now + m.cfg.BallotTimeout + int64(place)*m.cfg.BallotTimeout/4
 }
 
-// promise is the answer to a proposer that holds an entry of a stamp.
+// promise answers a proposer, and brings the entry if the proposer's is older.
 func (m *Machine) promise(b Ballot, proposer views.Viewstamp) Promise {
 	stored := m.store.Stored()
 	p := Promise{Ballot: b, Viewstamp: stored.Viewstamp(), Accepted: m.Accepted}
--- a/internal/cluster/consensus/ballot.go
+++ b/internal/cluster/consensus/ballot.go
@@ -2,7 +2,7 @@
 
 import "saddleport/internal/cluster/views"
 
-// Ballot orders proposals.
+// Ballot orders proposals: by number, then by proposer.
 type Ballot struct {
 	Number   uint64 `json:"n"`
 	Proposer string `json:"b"`
--- a/internal/cluster/consensus/consensus.go
+++ b/internal/cluster/consensus/consensus.go
@@ -1,18 +1,24 @@
-// Package consensus owns the small agreed view of the core: who votes, in which order, and
-// which of the voters form the chain, under an epoch. The voters of one view agree on the
-// next, one at a time, by ballots of which more than half must promise and accept (Paxos,
-// one instance an epoch). It owns who may vote: a disk that was lost comes back as another
-// member, which votes only once a view has it, so nothing that was promised can be
-// forgotten into a second majority. It must never decide what a configuration says, or
-// have two views of one epoch.
+// Package consensus agrees on the views of the control plane: who votes, in which order, and
+// which of the voters form the replication chain, under an epoch. The voters of one view agree
+// on the next one by Paxos, one instance an epoch: a majority must promise a ballot and a
+// majority must accept it.
 //
-// The number of voters is odd and stays so. Whoever is no voter learns: it is sent the
-// configuration and waits. It gets a vote in the same agreement that takes another's away,
-// or together with a second learner where there are fewer voters than wanted.
+// The package owns who may vote. A machine whose disk was lost comes back as another member
+// and votes only once a view includes it, so nothing that was promised can be forgotten into a
+// second majority. It never decides what a configuration says, and there are never two views
+// of one epoch.
 //
-// Each view change carries the newest entry that most voters held when they promised it;
-// whoever is in the view holds it. As a chain is more than half of its voters, that is at
-// least all that was ever acknowledged.
+// The number of voters is odd and stays so. A process without a vote is a learner: it is sent
+// the configuration and waits. It gets a vote in the same agreement that takes another
+// member's away, or together with a second learner while there are fewer voters than
+// configured.
+//
+// Each view carries the newest entry that was reported by the majority which promised it, and
+// every member of the view stores that entry. A chain is more than half of its voters, so the
+// entry is at least as new as anything that was ever acknowledged.
+//
+// The machine does no I/O and reads no clock. What TakeMessages returns may be sent only once
+// the state that TakeChanged reports is durable.
 package consensus
 
 import (
@@ -24,20 +30,20 @@
 	"saddleport/internal/cluster/views"
 )
 
-// Config tunes the agreement; times are microseconds of the caller's clock.
+// Config tunes the agreement. Times are microseconds of the caller's clock.
 type Config struct {
-	HeartbeatInterval int64 // between heartbeats
-	FailureTimeout    int64 // without a word for longer, a member is not live
-	SuspicionTimeout  int64 // so long a member that was suspected stays out of the chain
-	RejoinDelay       int64 // so long a member is live before it comes into the chain
+	HeartbeatInterval int64 // between two heartbeats
+	FailureTimeout    int64 // a member that was silent for longer is not alive
+	SuspicionTimeout  int64 // how long a suspected member stays out of the chain
+	RejoinDelay       int64 // how long a member must be alive before it enters the chain
 	ProposerStagger   int64 // between the turns of the members to propose
-	BallotTimeout     int64 // a ballot that is not over by then has failed
-	MinViewAge        int64 // for so long after a view change nothing but a loss changes it
-	Voters            int   // wanted; odd
-	MaxLearners       int   // kept in mind
+	BallotTimeout     int64 // a ballot that is not decided by then has failed
+	MinViewAge        int64 // for so long after a view change only a loss causes another
+	Voters            int   // wanted number of voters; odd
+	MaxLearners       int   // learners that are remembered
 }
 
-// State is what a member must find on its disk again.
+// State must be durable before any message that was produced with it is sent.
 type State struct {
 	Self     views.Member `json:"self"`
 	View     views.View   `json:"view"`
@@ -45,7 +51,7 @@
 	Accepted *Proposal    `json:"accepted,omitempty"`
 }
 
-// Holder is the chain's part in an agreement.
+// EntryStore is the part of the chain that an agreement needs.
 type EntryStore interface {
 	Stored() chain.Entry
 	Store(chain.Entry)
@@ -53,7 +59,7 @@
 	Seal()
 }
 
-// Machine is the agreement as one process sees it.
+// Machine is the agreement as one process sees it. It is not safe for concurrent use.
 type Machine struct {
 	State
 	cfg       Config
@@ -75,12 +81,11 @@
 	outbox          []envelope.Message
 }
 
-// FirstDisk names the disks of the machines of the first view.
+// FirstDiskID names the disks of the machines of the first view.
 const FirstDiskID = "0"
 
-// Genesis is the view that all processes take for the first one, at the system's first
-// start: an odd number of the machines that its settings name as seeds, each with its
-// first disk.
+// InitialView returns the view that all processes start from when the whole system starts for
+// the first time: an odd number of the machines that the settings name as seeds.
 func InitialView(addrs []string) views.View {
 	sorted := slices.Clone(addrs)
 	slices.Sort(sorted)
@@ -96,8 +101,8 @@
 	return v
 }
 
-// New returns the agreement of a process whose disk holds a state; seeds are where one
-// that is no member asks to be taken in.
+// New returns the agreement of a process whose disk holds a state. A process that is no member
+// asks the seeds for a vote.
 func New(now int64, cfg Config, s State, seeds []string, store EntryStore, mutations chain.Mutations) *Machine {
 	m := &Machine{State: s, cfg: cfg, store: store, mutations: mutations, seeds: seeds, adoptedAt: now,
 		peers: newPeers(now, cfg), suspicions: newSuspicions(cfg)}
@@ -111,27 +116,28 @@
 	return m
 }
 
-// Changed tells whether the state has changed since it was last asked.
+// TakeChanged reports whether the state has changed since the last call.
 func (m *Machine) TakeChanged() bool {
 	changed := m.changed
 	m.changed = false
 	return changed
 }
 
-// Take returns what is to be sent, once the state is on the disk.
+// TakeMessages returns the messages to send. They may go out only once the state is durable.
 func (m *Machine) TakeMessages() []envelope.Message {
 	out := m.outbox
 	m.outbox = nil
 	return out
 }
 
-// Member tells whether this process votes in the view it knows.
+// IsMember reports whether this process has a vote in the view that it knows.
 func (m *Machine) IsMember() bool { return m.View.Has(m.Self) }
 
-// Seeds tells where else to ask to be taken in.
+// SetSeeds sets further addresses at which to ask for a vote.
 func (m *Machine) SetSeeds(addrs []string) { m.seeds = addrs }
 
-// InTouch tells whether most members of the view were heard lately, this process included.
+// HasQuorum reports whether a majority of the view, this process included, was heard within
+// the failure timeout.
 func (m *Machine) HasQuorum(now int64) bool {
 	n := 0
 	for _, x := range m.View.Members {
@@ -142,7 +148,8 @@
 	return m.View.Epoch > 0 && n >= m.View.Majority()
 }
 
-// PeersInTouch are the others that have said lately that they are in touch, members first.
+// PeersWithQuorum returns the other processes that have recently said that they have a quorum,
+// members first.
 func (m *Machine) PeersWithQuorum(now int64) (out []views.Member) {
 	for _, x := range append(slices.Clone(m.View.Members), m.Learners(now)...) {
 		if x != m.Self && m.peers.recentlyHeard(now, x) && m.peers.states[x].hasQuorum && !m.isLeaving(x) {
@@ -152,21 +159,22 @@
 	return out
 }
 
-// Heard is the stamp of what a member last said that it holds, and whether it lives.
+// LastHeard returns the viewstamp that a member last reported, and whether the member is
+// alive.
 func (m *Machine) LastHeard(now int64, x views.Member) (views.Viewstamp, bool) {
 	return m.peers.states[x].viewstamp, m.peers.recentlyHeard(now, x)
 }
 
-// Learners are those that are no members and have asked lately to be taken in.
+// Learners returns the processes that have recently asked for a vote.
 func (m *Machine) Learners(now int64) []views.Member { return m.peers.recentLearners(now, m.View) }
 
-// Live tells whether a member was heard of lately; this process always is, and at the start
-// all members are given the time to be heard.
+// Alive reports whether a member was heard within the failure timeout. This process always is.
+// After a start all members are given that time to be heard.
 func (m *Machine) Alive(now int64, x views.Member) bool {
 	return x == m.Self || m.peers.silentFor(now, x) < m.cfg.FailureTimeout
 }
 
-// fit tells whether a member belongs into the chain.
+// eligible reports whether a member may be in the chain.
 func (m *Machine) eligible(now int64, x views.Member) bool {
 	return m.Alive(now, x) && !m.suspicions.suspected(now, x) && !m.isLeaving(x)
 }
@@ -189,10 +197,11 @@
 	}
 }
 
-// Speaks tells whether a message is one of the agreement's.
+// IsConsensusMessage reports whether a body is one of the messages of this package.
 func IsConsensusMessage(body envelope.Body) bool { return !chain.IsChainMessage(body) }
 
-// Stranger answers a message that was meant for a disk that this machine no longer has.
+// HandleMisaddressed answers a message that was sent to a disk which this machine no longer
+// has.
 func (m *Machine) HandleMisaddressed(from views.Member) { m.send(from, m.View.Epoch, m.join()) }
 
 func (m *Machine) join() Join {
@@ -203,7 +212,8 @@
 	return Heartbeat{Viewstamp: m.store.Stored().Viewstamp(), HasQuorum: m.HasQuorum(now), Leaving: m.leaving}
 }
 
-// Hear takes a message of the chain as a sign of life, and as one of who is behind.
+// ObserveChainMessage takes a message of the chain as a sign of life, and as a hint that its
+// sender has an older or newer view.
 func (m *Machine) ObserveChainMessage(now int64, msg envelope.Message) {
 	m.peers.observe(now, msg, m.View)
 	if msg.Epoch > 0 && m.View.Epoch > 0 {
@@ -211,7 +221,7 @@
 	}
 }
 
-// Got takes a message of the agreement.
+// Step handles a message of the agreement.
 func (m *Machine) Step(now int64, msg envelope.Message) {
 	if msg.From == m.Self {
 		return
@@ -242,7 +252,7 @@
 	}
 }
 
-// Tick sends heartbeats, asks to be taken in, and proposes when it is this member's turn.
+// Tick sends heartbeats, asks for a vote, and proposes a view when it is this member's turn.
 func (m *Machine) Tick(now int64) {
 	m.suspicions.evaluate(now, m.View)
 	m.peers.expire(now, m.View)
@@ -279,7 +289,7 @@
 	}
 }
 
-// Suspect has all members know that one does not move on.
+// Suspect reports to all members that one of them makes no progress.
 func (m *Machine) Suspect(now int64, x views.Member) {
 	if x == m.Self || !m.View.Has(x) {
 		return
@@ -290,7 +300,7 @@
 	}
 }
 
-// Describe tells how each member stands, for show.
+// Describe returns the state of each member as text, for show.
 func (m *Machine) Describe(now int64) map[string]string {
 	out := make(map[string]string)
 	for _, x := range m.View.Members {
--- a/internal/cluster/consensus/decide.go
+++ b/internal/cluster/consensus/decide.go
@@ -6,8 +6,8 @@
 	"saddleport/internal/cluster/views"
 )
 
-// compareViews hands the view on to one that is behind, and asks one that is ahead for its
-// own: those that this process takes for members may all be others by now.
+// compareViews sends the view to a process that is behind, and asks one that is ahead for its
+// view: all members that this process knows may have been replaced.
 func (m *Machine) compareViews(now int64, msg envelope.Message, stored views.Viewstamp) {
 	switch {
 	case msg.Epoch < m.View.Epoch:
@@ -17,7 +17,7 @@
 	}
 }
 
-// word is what this process says of itself.
+// announcement is the heartbeat of a member, or the request of a process without a vote.
 func (m *Machine) announcement(now int64) envelope.Body {
 	if m.IsMember() {
 		return m.heartbeat(now)
@@ -25,12 +25,13 @@
 	return m.join()
 }
 
-// tell hands the view on, with the entry that goes with it where that may be lacking.
+// sendView sends the view, with its entry if the receiver may lack it.
 func (m *Machine) sendView(to views.Member, stored views.Viewstamp) {
 	m.send(to, m.View.Epoch, Decide{View: m.View, Entry: m.entryFor(stored, m.View.BaseViewstamp())})
 }
 
-// bring is what one that holds something of a stamp lacks of what is needed; nil: nothing.
+// entryFor returns the entry that a process lacks which stores one viewstamp and needs
+// another; nil if it lacks nothing.
 func (m *Machine) entryFor(stored, needed views.Viewstamp) *chain.Entry {
 	if !stored.Less(needed) || m.mutations.JoinBehind {
 		return nil
@@ -39,7 +40,7 @@
 	return &e
 }
 
-// decided takes a view that was agreed on, if the entry that goes with it is here.
+// handleDecide adopts a view that was decided, provided that its entry is stored here.
 func (m *Machine) handleDecide(now int64, d Decide) {
 	if d.View.Epoch <= m.View.Epoch {
 		return
@@ -53,6 +54,7 @@
 	m.adopt(now, d.View)
 }
 
+// missesEntryOf reports whether the entry that a view rests on is not stored here.
 func (m *Machine) missesEntryOf(v views.View) bool {
 	return m.store.Stored().Viewstamp().Less(v.BaseViewstamp()) && !m.mutations.JoinBehind
 }
--- a/internal/cluster/consensus/leave.go
+++ b/internal/cluster/consensus/leave.go
@@ -2,16 +2,16 @@
 
 import "slices"
 
-// Leave has this member go: the others take it out of the chain at once, and give its vote
-// to a learner where there is one. Until then it goes on voting.
+// StartLeave makes this member hand its vote over. The others take it out of the chain at once
+// and give its vote to a learner if there is one. Until then it goes on voting.
 func (m *Machine) StartLeave() {
 	if !m.leaving {
 		m.leaving, m.lastHeartbeatAt = true, 0
 	}
 }
 
-// Left tells whether this process may end without a loss: it has no vote any more, and most
-// members are in the view that has none for it, and so hold all that was acknowledged before.
+// HasLeft reports whether this process may end without weakening the control plane: it has no
+// vote any more, and a majority is in the view that excludes it.
 func (m *Machine) HasLeft(now int64) bool {
 	if !m.leaving {
 		return false
@@ -31,8 +31,8 @@
 	return n >= m.View.Majority()
 }
 
-// Alone tells whether a member that leaves finds nobody to take its vote, and nothing else to
-// hand over: it is out of the chain, or no chain can be formed without it.
+// CannotHandOver reports whether a leaving member finds no learner for its vote and has
+// nothing else to hand over.
 func (m *Machine) CannotHandOver(now int64) bool {
 	if !m.leaving || !m.IsMember() || len(m.readyLearners(now)) > 0 {
 		return false
--- a/internal/cluster/consensus/peers.go
+++ b/internal/cluster/consensus/peers.go
@@ -8,24 +8,24 @@
 	"saddleport/internal/cluster/views"
 )
 
-// heard is what a process last said.
+// peerState is what is known of another process.
 type peerState struct {
-	lastHeardAt int64 // its last word
-	aliveSince  int64 // it is live since then
+	lastHeardAt int64 // the last message
+	aliveSince  int64 // start of the current period without a failure timeout
 	epoch       uint64
 	viewstamp   views.Viewstamp
-	hasQuorum   bool // by its own word
+	hasQuorum   bool // as it said itself
 	leaving     bool
 }
 
-// learner is one that is no member and wants to be.
+// learnerState is what is known of a process that asks for a vote.
 type learnerState struct {
 	lastHeardAt int64
 	viewstamp   views.Viewstamp
 	leaving     bool
 }
 
-// peers are the other processes as they were heard of.
+// peers are the other processes as this one has heard from them.
 type peers struct {
 	cfg      Config
 	started  int64
@@ -33,13 +33,14 @@
 	learners map[views.Member]learnerState
 }
 
+// failure timeouts
 const expiryFactor = 4 // times Live without a word
 
 func newPeers(now int64, cfg Config) peers {
 	return peers{cfg: cfg, started: now, states: make(map[views.Member]peerState), learners: make(map[views.Member]learnerState)}
 }
 
-// hear takes any message as a sign of life.
+// observe takes any message as a sign of life.
 func (p *peers) observe(now int64, msg envelope.Message, v views.View) {
 	h, known := p.states[msg.From]
 	if !known && !v.Has(msg.From) && len(p.states) >= 2*p.cfg.MaxLearners {
@@ -58,14 +59,14 @@
 	p.states[msg.From] = h
 }
 
-// learn notes one that asks to be taken in.
+// observeLearner remembers a process that asks for a vote.
 func (p *peers) observeLearner(now int64, x views.Member, j Join) {
 	if _, known := p.learners[x]; known || len(p.learners) < p.cfg.MaxLearners {
 		p.learners[x] = learnerState{max(now, 1), j.Viewstamp, j.Leaving}
 	}
 }
 
-// learning are the learners that were heard lately, in order.
+// recentLearners returns the learners that were heard recently, in order.
 func (p *peers) recentLearners(now int64, v views.View) []views.Member {
 	var out []views.Member
 	for x, l := range p.learners {
@@ -81,24 +82,24 @@
 	return cmp.Or(cmp.Compare(a.Addr, b.Addr), cmp.Compare(a.DiskID, b.DiskID))
 }
 
-// silence is how long nothing was heard of a process, at most since the start.
+// silentFor returns how long a process has been silent, at most since the start.
 func (p *peers) silentFor(now int64, x views.Member) int64 {
 	return now - max(p.states[x].lastHeardAt, p.started)
 }
 
-// heardLately is without the time that all are given at the start.
+// recentlyHeard is like Alive without the time that all members are given after a start.
 func (p *peers) recentlyHeard(now int64, x views.Member) bool {
 	h, known := p.states[x]
 	return known && now-h.lastHeardAt < p.cfg.FailureTimeout
 }
 
-// settled tells whether a process has lived long enough, in a view's epoch.
+// rejoined reports whether a process has been alive long enough in the epoch of a view.
 func (p *peers) rejoined(now int64, x views.Member, v views.View) bool {
 	h := p.states[x]
 	return now-h.aliveSince >= p.cfg.RejoinDelay && h.epoch == v.Epoch
 }
 
-// forget lets go of who is no member and silent.
+// expire removes processes that are no members and silent.
 func (p *peers) expire(now int64, v views.View) {
 	for x, l := range p.learners {
 		if v.Has(x) || now-l.lastHeardAt >= expiryFactor*p.cfg.FailureTimeout {
--- a/internal/cluster/consensus/proposer.go
+++ b/internal/cluster/consensus/proposer.go
@@ -8,18 +8,18 @@
 	"saddleport/internal/cluster/views"
 )
 
-// ballot is one of this process.
+// ballotState is the ballot that this process leads.
 type ballotState struct {
 	ballot         Ballot
 	startedAt      int64
-	storedAtStart  views.Viewstamp // by the proposer, as it began
+	storedAtStart  views.Viewstamp // viewstamp of the proposer's entry
 	promises       map[views.Member]Promise
 	joinedLearners map[views.Member]views.Viewstamp // learners that answered
-	value          *views.View                      // in the second phase
+	value          *views.View                      // set in the second phase
 	accepts        map[views.Member]bool
 }
 
-// proposeIfDue begins a ballot where the view should change and it is this member's turn.
+// proposeIfDue starts a ballot if the view should change and it is this member's turn.
 func (m *Machine) proposeIfDue(now int64) {
 	if !m.viewChangeDue(now) {
 		m.changeDueSince = 0
@@ -33,8 +33,8 @@
 	}
 }
 
-// due tells whether the view should change: at once after a loss, else once it has been in
-// force for a while.
+// viewChangeDue reports whether the view should change: at once after a loss, otherwise once
+// it has been in force for a while.
 func (m *Machine) viewChangeDue(now int64) bool {
 	if !m.IsMember() {
 		return false
@@ -47,7 +47,7 @@
 	return m.chainBroken(now, target) || !same && now-m.adoptedAt >= m.cfg.MinViewAge
 }
 
-// lost tells whether the view in force can't go on as it is.
+// chainBroken reports whether the view in force cannot go on.
 func (m *Machine) chainBroken(now int64, target views.View) bool {
 	if m.sealedAt != 0 && now-m.sealedAt >= m.cfg.BallotTimeout {
 		return true // a proposer has left us sealed
@@ -60,7 +60,8 @@
 	return false
 }
 
-// turn is how many fit members come before this one, in the order agreed on.
+// eligiblePredecessors counts the eligible members that come before this one; each gets its
+// turn to propose first.
 func (m *Machine) eligiblePredecessors(now int64) int64 {
 	n := int64(0)
 	for _, x := range m.View.Members {
@@ -98,19 +99,19 @@
 	m.startAcceptPhase(now)
 }
 
-// prepareLearner asks one that is to be taken in whether it is there, and brings it up to
-// date.
+// prepareLearner asks a learner that is to get a vote whether it is alive, and brings its
+// entry up to date.
 func (m *Machine) prepareLearner(x views.Member, b Ballot, stored views.Viewstamp) {
 	entry := m.entryFor(m.peers.learners[x].viewstamp, stored)
 	m.send(x, m.View.Epoch+1, Prepare{Ballot: b, Viewstamp: stored, Joiner: &x, Entry: entry})
 }
 
-// answers tells whether a message answers the ballot at hand.
+// answers reports whether a message answers the current ballot.
 func (m *Machine) answers(msg envelope.Message, b Ballot) bool {
 	return m.ownBallot != nil && msg.Epoch == m.View.Epoch+1 && m.ownBallot.ballot == b
 }
 
-// promised counts the answer to the first phase.
+// handlePromise counts an answer to the first phase.
 func (m *Machine) handlePromise(now int64, msg envelope.Message, p Promise) {
 	if !m.answers(msg, p.Ballot) {
 		return
@@ -134,8 +135,8 @@
 	m.startAcceptPhase(now)
 }
 
-// choose goes on to the second phase once most have promised, and those that are to be
-// taken in have answered: one that is dead must not count from its first moment on.
+// startAcceptPhase enters the second phase once a majority has promised and the learners that
+// are to get a vote have answered: a dead one must not count from its first moment.
 func (m *Machine) startAcceptPhase(now int64) {
 	p := m.ownBallot
 	if p == nil || p.value != nil || len(p.promises) < m.View.Majority() {
@@ -160,7 +161,8 @@
 	m.sendAccepts(now, v)
 }
 
-// bound is what another has proposed and may have been agreed on already.
+// mostRecentAccepted returns the view under the highest ballot that a promise reports as
+// accepted. It may have been decided, so it must be proposed again.
 func (m *Machine) mostRecentAccepted() (v views.View, found bool) {
 	var best *Proposal
 	for _, p := range m.ownBallot.promises {
@@ -174,7 +176,7 @@
 	return best.View, true
 }
 
-// acceptAll begins the second phase.
+// sendAccepts starts the second phase.
 func (m *Machine) sendAccepts(now int64, v views.View) {
 	p := m.ownBallot
 	p.value = &v
@@ -196,7 +198,7 @@
 	m.send(to, v.Epoch, body)
 }
 
-// accepted counts the answer to the second phase.
+// handleAccepted counts an answer to the second phase.
 func (m *Machine) handleAccepted(now int64, msg envelope.Message, a Accepted) {
 	if m.answers(msg, a.Ballot) && m.View.Has(msg.From) && m.ownBallot.value != nil {
 		m.ownBallot.accepts[msg.From] = true
@@ -204,7 +206,7 @@
 	}
 }
 
-// refused gives way to a higher ballot.
+// handleNack gives way to a higher ballot.
 func (m *Machine) handleNack(now int64, msg envelope.Message, n Nack) {
 	if msg.Epoch != m.View.Epoch+1 || !m.View.Has(msg.From) {
 		return
@@ -216,7 +218,7 @@
 	}
 }
 
-// agree puts the view in force once most have accepted it, and tells all.
+// decideIfAccepted adopts the view once a majority has accepted it, and announces it.
 func (m *Machine) decideIfAccepted(now int64) {
 	p := m.ownBallot
 	if len(p.accepts) < m.View.Majority() {
@@ -234,7 +236,8 @@
 	}
 }
 
-// holds is what a member holds at least, by what it said last and in this ballot.
+// lastKnownViewstamp returns what a member stores at least, by its answers in this ballot or
+// its last heartbeat.
 func (p *ballotState) lastKnownViewstamp(x views.Member, said views.Viewstamp, v views.View) views.Viewstamp {
 	if p.accepts[x] {
 		return v.BaseViewstamp()
--- a/internal/cluster/consensus/reconfigure.go
+++ b/internal/cluster/consensus/reconfigure.go
@@ -6,17 +6,16 @@
 	"saddleport/internal/cluster/views"
 )
 
-// wanted is the view as it should be, made of the one in force. In a hurry nothing waits
-// for members that have only just come back.
+// targetView returns the view as it should be, derived from the one in force.
 func (m *Machine) targetView(now int64, skipRejoinDelay bool) views.View {
 	members := m.targetVoters(now, m.readyLearners(now))
 	return views.View{Epoch: m.View.Epoch, Members: members, Chain: m.chainMembers(now, members, skipRejoinDelay),
 		Base: m.View.Base, BaseEpoch: m.View.BaseEpoch}
 }
 
-// ready are the learners that may get a vote: they were heard lately, hold what goes with
-// the view in force, and do not leave. Late in a ballot, only those that have answered in it
-// and hold what the proposer held as it began.
+// readyLearners returns the learners that may get a vote: heard recently, not leaving. Late in
+// a ballot only those that have answered in it and store what the proposer stored when it
+// began.
 func (m *Machine) readyLearners(now int64) []views.Member {
 	learning := m.Learners(now)
 	late := m.ownBallot != nil && m.ownBallot.value == nil && now-m.ownBallot.startedAt >= m.cfg.BallotTimeout/2
@@ -33,8 +32,8 @@
 	})
 }
 
-// voters are the members as they should be. Their number is odd and stays: whoever comes
-// takes another's place.
+// targetVoters returns the voters as they should be. Their number is odd and stays: a new
+// voter replaces another.
 func (m *Machine) targetVoters(now int64, ready []views.Member) []views.Member {
 	members := slices.Clone(m.View.Members)
 	if m.mutations.VoteAtOnce {
@@ -49,8 +48,9 @@
 	return m.removeVoters(now, members)
 }
 
-// swap gives a learner the vote of a member that is gone or wants to go: first one whose
-// machine has come back with another disk, then one that leaves, then one that is silent.
+// replaceVoter gives a learner the vote of a member that is gone or leaves: first of one whose
+// machine has come back with another disk, then of one that leaves, then of one that is
+// silent.
 func (m *Machine) replaceVoter(now int64, members, ready []views.Member) ([]views.Member, bool) {
 	for _, j := range ready {
 		sameAddr := func(x views.Member) bool { return x.Addr == j.Addr }
@@ -71,13 +71,14 @@
 	return replaced(members, goes, ready[0]), true
 }
 
-// replaced has one member less and another more, at the end: those that have proven
-// themselves come first.
+// replaced returns the members with one exchanged for another, which comes last: members that
+// have proven themselves come first.
 func replaced(members []views.Member, i int, by views.Member) []views.Member {
 	return append(slices.Delete(slices.Clone(members), i, i+1), by)
 }
 
-// longestSilent is the place of the member that was not heard for longest, and is not live.
+// longestSilent returns the index of the member that has been silent longest and is not alive;
+// -1 if all are.
 func (m *Machine) longestSilent(now int64, members []views.Member) int {
 	at, longest := -1, int64(0)
 	for i, x := range members {
@@ -88,8 +89,8 @@
 	return at
 }
 
-// grow takes learners in where there are fewer voters than wanted, so many that their
-// number is odd.
+// addVoters gives learners a vote while there are fewer voters than wanted, as many as make
+// their number odd.
 func (m *Machine) addVoters(members, ready []views.Member) ([]views.Member, bool) {
 	more := 2 - len(members)%2
 	if len(members)%2 == 0 {
@@ -101,8 +102,8 @@
 	return append(slices.Clone(members), ready[:more]...), true
 }
 
-// shrink lets members go where their number is even, or above what is wanted: those that
-// are silent first, then the last ones.
+// removeVoters removes members if their number is even or above what is wanted: silent ones
+// first, then the last ones.
 func (m *Machine) removeVoters(now int64, members []views.Member) []views.Member {
 	less := 0
 	switch {
@@ -121,6 +122,7 @@
 	return members
 }
 
+// lastOther returns the index of the last member that is not this process.
 func (m *Machine) lastOther(members []views.Member) int {
 	for i := len(members) - 1; i > 0; i-- {
 		if members[i] != m.Self {
@@ -130,8 +132,8 @@
 	return 0
 }
 
-// chainOf are the members that form the chain: those that are fit, and were in it before or
-// have been live for a while. Of too few, those that are at least live are better than nobody.
+// chainMembers returns the members that form the chain: eligible ones that were in it before
+// or have been alive for a while. If these are no majority, all members that are alive.
 func (m *Machine) chainMembers(now int64, members []views.Member, skipRejoinDelay bool) []views.Member {
 	var chain []views.Member
 	for _, x := range members {
@@ -151,6 +153,7 @@
 	return chain
 }
 
+// mayJoinChain reports whether an eligible member may be in the chain of the next view.
 func (m *Machine) mayJoinChain(now int64, x views.Member, skipRejoinDelay bool) bool {
 	if !m.View.Has(x) && m.ownBallot != nil { // it would hold up the chain until it had caught up
 		return !m.ownBallot.joinedLearners[x].Less(m.store.Stored().Viewstamp())
@@ -158,8 +161,8 @@
 	return skipRejoinDelay || x == m.Self || slices.Contains(m.View.Chain, x) || m.peers.rejoined(now, x, m.View)
 }
 
-// crowd is the rule left out: a newcomer votes beside the one whose place it is to take,
-// and the dead one goes when it has been silent for long.
+// votersWithoutSwap is the mutation vote-at-once: a newcomer votes beside the member that it
+// replaces, which is removed when it has been silent for long.
 func (m *Machine) votersWithoutSwap(now int64, members, ready []views.Member) []views.Member {
 	if len(ready) > 0 {
 		return append(members, ready[0])
@@ -170,4 +173,5 @@
 	return members
 }
 
+// longSilenceFactor counts failure timeouts, for the mutation vote-at-once.
 const longSilenceFactor = 11 // times Live, of the rule left out
--- a/internal/cluster/consensus/suspicion.go
+++ b/internal/cluster/consensus/suspicion.go
@@ -2,11 +2,11 @@
 
 import "saddleport/internal/cluster/views"
 
-// suspicions are who is said not to move on, by whom, and who therefore stays out of the
-// chain for a while.
+// suspicions record which members are said to make no progress, by whom, and which of them
+// therefore stay out of the chain.
 type suspicions struct {
 	cfg            Config
-	reports        map[views.Member]map[views.Member]int64 // by suspect: who says so, since when
+	reports        map[views.Member]map[views.Member]int64 // by suspect: the reporters and when they reported
 	suspectedUntil map[views.Member]int64
 }
 
@@ -25,8 +25,8 @@
 
 func (s *suspicions) clear() { clear(s.reports) }
 
-// judge has suspects stay out of the chain for a while, but for one that is only held up: it
-// suspects another itself, of which no fewer complain.
+// evaluate keeps suspects out of the chain for a while, except a member that is itself waiting
+// for another one that no fewer members suspect.
 func (s *suspicions) evaluate(now int64, v views.View) {
 	s.expire(now, v)
 	for x, against := range s.reports {
@@ -38,6 +38,7 @@
 	}
 }
 
+// blockedByAnother reports whether a suspect is only waiting for another member.
 func (s *suspicions) blockedByAnother(x views.Member, against int) bool {
 	for other, by := range s.reports {
 		if _, suspects := by[x]; suspects && other != x && len(by) >= against {
--- a/internal/cluster/failuredetector/failuredetector.go
+++ b/internal/cluster/failuredetector/failuredetector.go
@@ -1,8 +1,9 @@
-// Package failuredetector owns who watches whom. Each process beats at a few others that its place on
-// a ring names: mostly of its own zone, one beyond it. A watcher that misses the beats asks
-// the watched itself and its other watchers, and only what more than one of them has seen
-// counts as a death. It must never believe one witness alone where there are two, grow with
-// the number of processes in what it sends, or act on what it finds: it only tells.
+// Package failuredetector decides which processes are dead. Each process sends heartbeats to a
+// few watchers that its position on a ring names: mostly of its own zone, one beyond it. A
+// watcher that misses heartbeats probes the watched process itself and asks its other
+// watchers; only what more than one of them observes counts as a death. It never believes a
+// single witness where there are two, what it sends does not grow with the number of
+// processes, and it only reports.
 package failuredetector
 
 import (
@@ -18,39 +19,39 @@
 	Addr, Zone string
 }
 
-// Config tunes a ring; times are microseconds of the caller's clock.
+// Config tunes a detector. Times are microseconds of the caller's clock.
 type Config struct {
 	Watchers          int   // of each process
-	HeartbeatInterval int64 // between two beats of one process, which go to its watchers in turn
-	MissedHeartbeats  int64 // beats at one watcher that may be missed before it asks
-	ConfirmTimeout    int64 // the answers to a question must have come by then
+	HeartbeatInterval int64 // between two heartbeats of one process, which go to its watchers in turn
+	MissedHeartbeats  int64 // at one watcher, before it probes
+	ConfirmTimeout    int64 // the answers to a probe must have come by then
 }
 
-// Usual is the configuration for service: three watchers hear each process every 3 s; a
-// death is told after 7 to 11 s.
+// DefaultConfig is the configuration for service: three watchers hear each process every 3 s;
+// a death is reported after 7 to 11 s.
 var DefaultConfig = Config{Watchers: 3, HeartbeatInterval: 1_000_000, MissedHeartbeats: 2, ConfirmTimeout: 1_200_000}
 
-// Question is a call to one process about another, or about itself.
+// Probe is a call to one process about another, or about itself.
 type Probe struct {
 	To, About string
 }
 
-// Output is what a step returns.
+// Output is the result of a step.
 type Output struct {
-	Heartbeats []string // processes to beat at
-	Probes     []Probe  // calls whose answers come back by Answered
-	Dead       []string // processes that are dead
+	Heartbeats []string // addresses to send a heartbeat to
+	Probes     []Probe  // calls whose answers come back by HandleProbeResult
+	Dead       []string // addresses
 }
 
 type watchedPeer struct {
-	lastHeardAt    int64 // the last sign of life, or when watching began
-	nextProbeAt    int64 // not before is it asked after; 0: once it is silent
-	probedAt       int64 // when it was asked after; 0: no question is out
-	round          int   // 0: its other watchers are asked; 1: processes of other zones, to try it
-	pendingAnswers int   // answers that have not come
-	confirmations  int   // others that do not hear it either
-	aliveElsewhere bool  // one does: no sign of life here, and none to pass on
-	answeredItself bool  // it has answered itself
+	lastHeardAt    int64 // last sign of life, or when watching began
+	nextProbeAt    int64 // no probe before; 0: as soon as it is silent
+	probedAt       int64 // 0: no probe is under way
+	round          int   // 0: its other watchers are asked; 1: processes of other zones, which are to try it
+	pendingAnswers int   // that have not come
+	confirmations  int   // other processes that do not hear it either
+	aliveElsewhere bool  // another process hears it
+	answeredItself bool  // it has answered the probe
 }
 
 type ringMember struct {
@@ -58,18 +59,18 @@
 	position uint64
 }
 
-// Machine is the ring as one process sees it. It is not safe for concurrent use.
+// Detector is the ring as one process sees it. It is not safe for concurrent use.
 type Detector struct {
 	cfg             Config
 	self            Peer
-	ring            []ringMember // by place, this process included
+	ring            []ringMember // by position, this process included
 	ownWatchers     []string     // this one's watchers
 	nextWatcher     int
 	lastHeartbeatAt int64
 	watched         map[string]*watchedPeer
 }
 
-// New returns the ring of a process that knows itself alone.
+// New returns the detector of a process that knows itself alone.
 func New(now int64, cfg Config, self Peer) *Detector {
 	m := &Detector{cfg: cfg, self: self, watched: make(map[string]*watchedPeer)}
 	m.SetPeers(now, nil)
@@ -78,7 +79,7 @@
 
 func ringPosition(addr string) uint64 { return xxhash.Sum64String(addr) }
 
-// Members takes the other processes that are thought to live.
+// SetPeers sets the other processes that are thought to be alive.
 func (m *Detector) SetPeers(now int64, peers []Peer) {
 	m.ring = append(m.ring[:0], ringMember{m.self, ringPosition(m.self.Addr)})
 	for _, p := range peers {
@@ -106,8 +107,8 @@
 	}
 }
 
-// watchers are those behind a process on the ring: all but one of its own zone, and one
-// beyond it, for a zone may be lost whole; whoever there is where these are too few.
+// watchersOf returns the watchers of a process: the next ones on the ring, all but one of its
+// own zone and one beyond it, since a whole zone may be lost; any others if these are too few.
 func (m *Detector) watchersOf(of Peer) (out []string) {
 	at := slices.IndexFunc(m.ring, func(p ringMember) bool { return p.Addr == of.Addr })
 	if at < 0 {
@@ -131,10 +132,10 @@
 	return append(out, rest[:min(len(rest), m.cfg.Watchers-len(out))]...)
 }
 
-// Watchers are the processes that this one beats at; Watched, those that beat here.
+// Watchers returns the addresses that this process sends heartbeats to.
 func (m *Detector) Watchers() []string { return slices.Clone(m.ownWatchers) }
 
-// Watched is as Watchers.
+// Watched returns the addresses that send their heartbeats here.
 func (m *Detector) Watched() (out []string) {
 	for addr := range m.watched {
 		out = append(out, addr)
@@ -143,21 +144,21 @@
 	return out
 }
 
-// Heard takes a sign of life, whatever it was.
+// Observe takes any sign of life of a process.
 func (m *Detector) Observe(now int64, addr string) {
 	if w := m.watched[addr]; w != nil {
 		*w = watchedPeer{lastHeardAt: now}
 	}
 }
 
-// patience is how long a watched process may be silent before it is asked after.
+// suspectTimeout is how long a watched process may be silent before it is probed.
 func (m *Detector) suspectTimeout() int64 {
 	return (m.cfg.MissedHeartbeats*int64(max(m.cfg.Watchers, 1)) + 1) * m.cfg.HeartbeatInterval
 }
 
-// Hears answers a question of another watcher: whether this process has heard of one
-// within the time that it would itself wait. One that does not watch it does not know, and
-// is to try it.
+// HandleProbe answers a probe of another watcher: whether this process has heard of one within
+// the time that it would itself wait. A process that does not watch it does not know, and is
+// to try it.
 func (m *Detector) HandleProbe(now int64, about string) (alive, knows bool) {
 	if about == m.self.Addr {
 		return true, true
@@ -169,7 +170,7 @@
 	return now-w.lastHeardAt <= m.suspectTimeout(), true
 }
 
-// Answered takes the answer to a question; one that did not come is none.
+// HandleProbeResult takes the answer to a probe; answered is false if none came.
 func (m *Detector) HandleProbeResult(now int64, q Probe, alive, answered bool) {
 	w := m.watched[q.About]
 	if w == nil || w.probedAt == 0 {
@@ -186,7 +187,7 @@
 	}
 }
 
-// Tick beats, asks after those that are silent, and tells who is dead.
+// Tick sends heartbeats, probes silent processes, and reports dead ones.
 func (m *Detector) Tick(now int64) (out Output) {
 	if len(m.ownWatchers) > 0 && now-m.lastHeartbeatAt >= m.cfg.HeartbeatInterval {
 		m.lastHeartbeatAt = now
@@ -225,8 +226,8 @@
 	return out
 }
 
-// others are those that are asked after a process: its other watchers, or, where these may
-// be lost with it, processes of other zones.
+// proberCandidates returns the processes that are asked about a silent one: its other watchers
+// or, since these may be lost with it, processes of other zones.
 func (m *Detector) proberCandidates(addr string, round int) (out []string) {
 	at := slices.IndexFunc(m.ring, func(p ringMember) bool { return p.Addr == addr })
 	if at < 0 {
--- a/internal/cluster/gossip/exchange.go
+++ b/internal/cluster/gossip/exchange.go
@@ -10,7 +10,7 @@
 	"strings"
 )
 
-// Process is what is told of a process of the system.
+// Process describes a process of the system.
 type Process struct {
 	Addr    string `json:"-"`
 	Name    string `json:"n"`
@@ -27,51 +27,54 @@
 	KindControlPlane = "keel" // a control-plane process
 )
 
-// Processes begins the keys of processes among the news. A rank that is odd, or no body,
+// ProcessPrefix begins the keys of processes among the news. A rank that is odd, or no body,
 // says that one is thought dead; it takes that back by the next even rank.
 const ProcessPrefix = "p/"
 
+// initialVersion is the version of a process that nothing is known of. An odd version, or no
+// value, means that the process is thought to be dead; a process that is alive answers with
+// the next even one.
 const initialVersion = 2 // the rank of a process that nothing is known of
 
-// Pass is what two processes say to one another of news.
+// ExchangeRequest is what one process sends another.
 type ExchangeRequest struct {
 	From     string         `json:"f"`
 	Entries  []Entry        `json:"n,omitempty"`
-	Versions []EntryVersion `json:"m,omitempty"` // of news too large to be sent unasked
-	Checksum uint64         `json:"s,omitempty"` // of all that the caller holds; 0: not told
-	Digest   *Digest        `json:"d,omitempty"` // the same by bucket
+	Versions []EntryVersion `json:"m,omitempty"` // of entries that are too large to be sent unasked
+	Checksum uint64         `json:"s,omitempty"` // of the caller's whole store; 0: not sent
+	Digest   *Digest        `json:"d,omitempty"` // of the caller's store
 	Want     []string       `json:"a,omitempty"` // keys
 }
 
-// Passed is the answer.
+// ExchangeResponse answers ExchangeRequest.
 type ExchangeResponse struct {
-	Differs  bool           `json:"x,omitempty"` // the sums
+	Differs  bool           `json:"x,omitempty"` // the checksums do
 	Want     []string       `json:"w,omitempty"`
 	Versions []EntryVersion `json:"m,omitempty"`
 	Buckets  []int          `json:"b,omitempty"`
 	Entries  []Entry        `json:"n,omitempty"`
 }
 
-// Order is a call that is to be made. It must come back by Done, once.
+// OutboundCall is a call to make. Its outcome must come back by HandleResponse, once.
 type OutboundCall struct {
 	ID      uint64
 	To      string
 	Request ExchangeRequest
 }
 
-// Config tunes a conversation; times are microseconds of the caller's clock.
+// Config tunes a gossiper. Times are microseconds of the caller's clock.
 type Config struct {
-	Fanout           int   // peers of the own zone that one message's news goes to
-	MaxTransmits     int   // messages that a piece of news goes out in from one process
-	GossipInterval   int64 // between two messages of news
-	JoinRetryMin     int64 // between two rounds of asking the seeds, at first
+	Fanout           int   // peers of the own zone that the entries of one message go to
+	MaxTransmits     int   // messages that an entry is sent in from one process
+	GossipInterval   int64 // between two messages of entries
+	JoinRetryMin     int64 // between two attempts to reach the seeds, at first
 	JoinRetryMax     int64 // and at most
-	PeerBackoff      int64 // a peer that did not answer is left alone for so long, times the misses
+	PeerBackoff      int64 // a peer that did not answer is left alone for so long, times its failures
 	PeerBackoffMax   int64 // at most
-	MaxCallsInFlight int   // calls out at once
+	MaxCallsInFlight int   // further calls are dropped; the next comparison makes up for them
 }
 
-// Usual is the configuration for service.
+// DefaultConfig is the configuration for service.
 var DefaultConfig = Config{Fanout: 2, MaxTransmits: 2, GossipInterval: 100_000, JoinRetryMin: 60_000, JoinRetryMax: 2_000_000, PeerBackoff: 1_000_000, PeerBackoffMax: 8_000_000,
 	MaxCallsInFlight: 64}
 
@@ -80,15 +83,15 @@
 	until    int64
 }
 
-// step says what a call was for.
+// callPurpose says what a call is for.
 type callPurpose int
 
 const (
-	pushUpdate      callPurpose = iota // news for one process; the next one of the list where it fails
-	pushWanted                         // news that was asked for
-	compareChecksum                    // one sum
-	compareDigest                      // sums by bucket
-	exchangeEntries                    // what either lacks
+	pushUpdate      callPurpose = iota // new entries for one process; the next of the alternates if it fails
+	pushWanted                         // entries that were asked for
+	compareChecksum                    // one checksum
+	compareDigest                      // a digest by bucket
+	exchangeEntries                    // what either side lacks
 )
 
 type callState struct {
@@ -98,10 +101,10 @@
 	update     Update
 }
 
-// Talk is the conversation of one process. It is not safe for concurrent use.
+// Gossiper is the gossip of one process. It is not safe for concurrent use.
 type Gossiper struct {
 	Store    *Store
-	OnUpdate func(Entry) // after news was taken; nil: nobody
+	OnUpdate func(Entry) // called after an entry was stored; may be nil
 
 	cfg      Config
 	self     Process
@@ -114,10 +117,10 @@
 	outbox   []OutboundCall
 
 	nextJoinAt, joinInterval, nextGossipAt int64
-	differencesFound                       int // differences that comparing found
+	differencesFound                       int // by comparisons
 }
 
-// NewTalk returns the conversation of a process that knows itself and addresses to ask.
+// New returns the gossiper of a process that knows itself and some addresses to ask.
 func New(now int64, cfg Config, self Process, seeds []string, rng *rand.Rand) *Gossiper {
 	t := &Gossiper{Store: NewStore(), cfg: cfg, self: self, rng: rng, seeds: seeds, peers: make(map[string]Process),
 		backoffs: make(map[string]peerBackoff), inFlight: make(map[uint64]callState), joinInterval: cfg.JoinRetryMin}
@@ -133,10 +136,10 @@
 	return Entry{Key: ProcessPrefix + t.self.Addr, Version: version, Value: body}
 }
 
-// Leave tells the others that this process ends of its own will.
+// AnnounceLeave tells the others that this process ends.
 func (t *Gossiper) AnnounceLeave(now int64) { t.MarkDead(now, t.self.Addr) }
 
-// Dead tells that a process is gone. One that lives takes that back.
+// MarkDead announces that a process is gone. One that is alive refutes it.
 func (t *Gossiper) MarkDead(now int64, addr string) {
 	key := ProcessPrefix + addr
 	if stored, known := t.Store.Get(key); known && !stored.Deleted() {
@@ -144,8 +147,8 @@
 	}
 }
 
-// Put takes news, of this process's own or of another, to be passed on to all or within
-// the zone, and tells whether it was new.
+// Put stores an entry of this process or of another, to be passed on, and reports whether it
+// was newer.
 func (t *Gossiper) Put(now int64, i Entry, allZones bool) bool {
 	if i.Key == ProcessPrefix+t.self.Addr && i.Deleted() { // we live
 		i = t.selfEntry((i.Version/2 + 1) * 2)
@@ -172,10 +175,10 @@
 	return true
 }
 
-// Seeds tells whom to ask while nobody is known.
+// SetSeeds sets the addresses to ask while no other process is known.
 func (t *Gossiper) SetSeeds(addrs []string) { t.seeds = addrs }
 
-// Peers are the other processes, of a kind or of any, by address.
+// Peers returns the other processes, of one kind or of any, ordered by address.
 func (t *Gossiper) Peers(kind string) []Process {
 	out := make([]Process, 0, len(t.peers))
 	for _, p := range t.peers {
@@ -187,13 +190,13 @@
 	return out
 }
 
-// Awake tells whether a peer answered when it was last called, or may have come back.
+// Reachable reports whether a peer answered its last call, or its backoff is over.
 func (t *Gossiper) Reachable(now int64, addr string) bool { return now >= t.backoffs[addr].until }
 
-// Found counts the differences that comparing has found.
+// DifferencesFound counts the differences that comparisons have found.
 func (t *Gossiper) DifferencesFound() int { return t.differencesFound }
 
-// sum is one figure for all that is held; never 0.
+// checksum summarizes the whole store; it is never 0.
 func (t *Gossiper) checksum() uint64 {
 	s := uint64(0)
 	for _, x := range t.Store.Digest() {
@@ -202,7 +205,7 @@
 	return s | 1
 }
 
-// Got answers another process.
+// HandleRequest answers another process.
 func (t *Gossiper) HandleRequest(now int64, p ExchangeRequest) ExchangeResponse {
 	delete(t.backoffs, p.From)
 	for _, i := range p.Entries {
@@ -228,14 +231,14 @@
 	t.outbox = append(t.outbox, OutboundCall{ID: t.lastID, To: k.to, Request: p})
 }
 
-// Take returns the calls that are to be made since it was last asked.
+// TakeCalls returns the calls to make.
 func (t *Gossiper) TakeCalls() []OutboundCall {
 	out := t.outbox
 	t.outbox = nil
 	return out
 }
 
-// Done says how a call ended.
+// HandleResponse takes the outcome of a call.
 func (t *Gossiper) HandleResponse(now int64, id uint64, ans ExchangeResponse, ok bool) {
 	k, known := t.inFlight[id]
 	if !known {
@@ -277,19 +280,19 @@
 	}
 }
 
-// Compare finds out by one sum whether a peer holds the same, and if not, what either
-// lacks.
+// CompareChecksums finds out with one checksum whether a peer holds the same entries, and if
+// not, which entries either side lacks.
 func (t *Gossiper) CompareChecksums(addr string) {
 	t.startCall(callState{purpose: compareChecksum, to: addr}, ExchangeRequest{Checksum: t.checksum()})
 }
 
-// Align brings two processes to the same news.
+// CompareDigests brings two processes to the same entries.
 func (t *Gossiper) CompareDigests(addr string) {
 	sums := t.Store.Digest()
 	t.startCall(callState{purpose: compareDigest, to: addr}, ExchangeRequest{Digest: &sums})
 }
 
-// Tick asks the seeds while nobody is known, and passes news on.
+// Tick asks the seeds while no other process is known, and passes entries on.
 func (t *Gossiper) Tick(now int64) {
 	if len(t.peers) == 0 && now >= t.nextJoinAt {
 		t.nextJoinAt, t.joinInterval = now+t.joinInterval, min(t.joinInterval*3/2, t.cfg.JoinRetryMax)
@@ -309,7 +312,7 @@
 	t.sendPending(now)
 }
 
-// Next is when a Tick has something to do; 0: when something comes in.
+// NextTick returns when Tick has something to do; 0: when something comes in.
 func (t *Gossiper) NextTick() int64 {
 	switch {
 	case len(t.peers) == 0:
@@ -320,8 +323,9 @@
 	return 0
 }
 
-// spread passes hot news on: to some of the own zone, and what began here to one process
-// of every other zone, where it is then passed on in turn. Ways between zones are dear.
+// sendPending passes pending entries on: to some processes of this zone, and what began here
+// to one process of every other zone, where it is passed on in turn. Traffic between zones is
+// expensive.
 func (t *Gossiper) sendPending(now int64) {
 	sameZone, otherZones := t.Store.TakePending()
 	zones := make(map[string][]string)
@@ -349,14 +353,14 @@
 	}
 }
 
-// tell has news given to one of some processes.
+// push sends an update to the first of some processes that answers.
 func (t *Gossiper) push(m Update, to []string) {
 	if !m.Empty() {
 		t.startCall(callState{purpose: pushUpdate, to: to[0], alternates: to[1:], update: m}, ExchangeRequest{Entries: m.Inline, Versions: m.Advertised})
 	}
 }
 
-// Forget drops what has long been gone, and peers' rests that are over.
+// Purge removes old tombstones, and backoffs that are over.
 func (t *Gossiper) Purge(now int64) {
 	t.Store.PurgeTombstones(now)
 	for addr, r := range t.backoffs {
--- a/internal/cluster/gossip/gossip.go
+++ b/internal/cluster/gossip/gossip.go
@@ -1,8 +1,7 @@
-// Package gossip owns news: what each process holds of it, what it passes on to whom, and
-// how two processes find by digests what one of them lacks. News is a value under a key
-// with a rank; of two values of a key the one with the higher rank counts, wherever and
-// whenever it comes from. It must never go back to a lower rank, do I/O, or send what the
-// other side was seen to hold.
+// Package gossip spreads versioned entries to all processes. It owns the store (of two values
+// of a key the one with the higher version wins), what is passed on to whom, and how two
+// processes find by digests which entries one of them lacks (anti-entropy). It never goes back
+// to a lower version, does no I/O, and does not send what the other side was seen to store.
 package gossip
 
 import (
@@ -14,49 +13,49 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Item is one piece of news.
+// Entry is a versioned value. An empty value means that the key was deleted.
 type Entry struct {
 	Key     string          `json:"k"`
 	Version uint64          `json:"r"`
 	Value   json.RawMessage `json:"b,omitempty"` // nothing: the key is gone
 }
 
-// Gone tells whether the news is that the key is gone.
+// Deleted reports whether the entry is a tombstone.
 func (i Entry) Deleted() bool { return len(i.Value) == 0 }
 
-// Buckets is the number of parts that a digest has.
+// Buckets is the number of parts of a digest.
 const Buckets = 32
 
-// Digest is a sum of what is held, by bucket. Two processes with equal digests hold the
-// same keys at the same ranks; what is gone does not count.
+// Digest summarizes a store, by bucket. Two stores with equal digests hold the same keys at
+// the same versions; tombstones do not count.
 type Digest [Buckets]uint64
 
 const (
 	maxEntries           = 20_000
-	maxInlineValue       = 2048 // a body up to this many bytes travels with its news, others are fetched
-	maxPendingPerMessage = 512  // items of one message
-	tombstoneLifetime    = 120_000_000
+	maxInlineValue       = 2048        // bytes; larger values are advertised by version and fetched
+	maxPendingPerMessage = 512         // entries of one message
+	tombstoneLifetime    = 120_000_000 // microseconds
 )
 
 type storedEntry struct {
 	Entry
-	seq           uint64 // when it was learned, in steps of the book
-	changedAt     int64  // the same, in microseconds of the caller's clock
+	seq           uint64 // number of the store's change that brought it
+	changedAt     int64  // microseconds of the caller's clock
 	transmitsLeft int    // times that it may still be passed on
-	allZones      bool   // to every zone, not only to the own one
+	allZones      bool   // it is passed on to every zone, not only to this process's own
 }
 
-// Book is what one process holds. It is not safe for concurrent use.
+// Store holds the entries of one process. It is not safe for concurrent use.
 type Store struct {
 	entries    map[string]*storedEntry
 	seq        uint64
 	digest     Digest
 	pending    []string // keys that are still passed on
-	changeLog  []string // keys by seq, with those that changed since: compacted now and then
+	changeLog  []string // keys in the order of their changes; outdated ones are compacted now and then
 	changeSeqs []uint64
 }
 
-// NewBook returns a book that holds nothing.
+// NewStore returns an empty store.
 func NewStore() *Store { return &Store{entries: make(map[string]*storedEntry)} }
 
 func bucket(key string) int { return int(xxhash.Sum64String(key) % Buckets) }
@@ -73,8 +72,9 @@
 	return d.Sum64()
 }
 
-// Put takes news, and tells whether it was newer than what was held. passes is how many
-// times it is to be passed on from here; wide, whether to every zone or to the own one.
+// Put stores an entry and reports whether it was newer than what the store held. transmits is
+// how many times it is passed on from here; allZones, whether to every zone or only to this
+// process's own.
 func (b *Store) Put(now int64, i Entry, transmits int, allZones bool) bool {
 	h := b.entries[i.Key]
 	if h != nil && i.Version <= h.Version {
@@ -113,7 +113,7 @@
 	b.changeLog, b.changeSeqs = b.changeLog[:at], b.changeSeqs[:at]
 }
 
-// Get returns what is held under a key.
+// Get returns the entry of a key.
 func (b *Store) Get(key string) (Entry, bool) {
 	if h := b.entries[key]; h != nil {
 		return h.Entry, true
@@ -121,10 +121,10 @@
 	return Entry{}, false
 }
 
-// Seq counts the changes so far.
+// Seq counts the changes of the store.
 func (b *Store) Seq() uint64 { return b.seq }
 
-// Since returns what was learned after a count of changes, oldest first.
+// ChangedSince returns the entries that changed after a count of changes, oldest first.
 func (b *Store) ChangedSince(seq uint64) []Entry {
 	from, _ := slices.BinarySearch(b.changeSeqs, seq+1)
 	var out []Entry
@@ -136,7 +136,8 @@
 	return out
 }
 
-// All calls f with all that is held, in the order of keys; f must not change the book.
+// RangeSorted calls f with all entries in the order of their keys. f must not change the
+// store.
 func (b *Store) RangeSorted(f func(Entry)) {
 	keys := make([]string, 0, len(b.entries))
 	for key := range b.entries {
@@ -148,15 +149,15 @@
 	}
 }
 
-// Each calls f with all that is held, in any order, and when it was learned; f must not
-// change the book.
+// Range calls f with all entries in any order, and when each changed. f must not change the
+// store.
 func (b *Store) Range(f func(i Entry, at int64)) {
 	for _, h := range b.entries {
 		f(h.Entry, h.changedAt)
 	}
 }
 
-// Drop lets a key go as if it had never been heard of.
+// Remove drops a key as if it had never been stored.
 func (b *Store) Remove(key string) {
 	if h := b.entries[key]; h != nil {
 		b.digest[bucket(key)] ^= entryHash(h.Entry)
@@ -164,17 +165,17 @@
 	}
 }
 
-// Len counts the keys held.
+// Len counts the keys, tombstones included.
 func (b *Store) Len() int { return len(b.entries) }
 
-// Message is news for one message. Of what is large only the rank travels, and the other
-// side asks for it.
+// Update holds the entries for one message. Large values are advertised by their versions, and
+// the receiver asks for them.
 type Update struct {
 	Inline     []Entry
 	Advertised []EntryVersion
 }
 
-// Empty tells whether there is nothing in a message.
+// Empty reports whether there is nothing in an update.
 func (m Update) Empty() bool { return len(m.Inline)+len(m.Advertised) == 0 }
 
 func (m *Update) add(i Entry) {
@@ -185,8 +186,9 @@
 	}
 }
 
-// Hot returns news to pass on, and counts it as passed once: all of it to the own zone,
-// and what is wide to one process of every other. Wide news goes wide once.
+// TakePending returns the entries to pass on and counts them as passed on once: all of them
+// for this process's own zone, and those for all zones for one process of every other zone. An
+// entry goes to the other zones once.
 func (b *Store) TakePending() (sameZone, otherZones Update) {
 	rest := b.pending[:0]
 	n := 0
@@ -212,16 +214,16 @@
 	return sameZone, otherZones
 }
 
-// Idle tells whether there is nothing to pass on.
+// NothingPending reports whether there is nothing to pass on.
 func (b *Store) NothingPending() bool { return len(b.pending) == 0 }
 
-// Mark is a key with its rank.
+// EntryVersion is a key with its version.
 type EntryVersion struct {
 	Key     string `json:"k"`
 	Version uint64 `json:"r"`
 }
 
-// Lacks returns which of the marks name newer news than what is held.
+// Missing returns the keys of which newer versions are named than the store holds.
 func (b *Store) Missing(versions []EntryVersion) (want []string) {
 	for _, m := range versions {
 		if h := b.entries[m.Key]; h == nil || h.Version < m.Version {
@@ -231,7 +233,7 @@
 	return want
 }
 
-// Pick returns what is held under keys.
+// GetAll returns the entries of keys.
 func (b *Store) GetAll(keys []string) (out []Entry) {
 	for _, key := range keys {
 		if h := b.entries[key]; h != nil {
@@ -241,10 +243,10 @@
 	return out
 }
 
-// Sums is the digest of what is held.
+// Digest returns the digest of the store.
 func (b *Store) Digest() Digest { return b.digest }
 
-// Marks lists what is held in the buckets in which two digests differ.
+// VersionsWhereDifferent lists the entries in the buckets in which two digests differ.
 func (b *Store) VersionsWhereDifferent(theirs Digest) (versions []EntryVersion, buckets []int) {
 	differs := [Buckets]bool{}
 	for i := range theirs {
@@ -264,8 +266,9 @@
 	return versions, buckets
 }
 
-// Newer returns what is held in the buckets and newer than, or not among, the marks of
-// the other side, and the keys of which the other side has newer.
+// Diff compares the store with the versions that another process holds in some buckets. It
+// returns the entries of which the store holds the newer version, and the keys of which the
+// other process does.
 func (b *Store) Diff(versions []EntryVersion, buckets []int) (newer []Entry, want []string) {
 	remote := make(map[string]uint64, len(versions))
 	for _, m := range versions {
@@ -299,7 +302,7 @@
 	return newer, want
 }
 
-// Forget drops what has long been gone.
+// PurgeTombstones removes keys that were deleted long ago.
 func (b *Store) PurgeTombstones(now int64) {
 	for key, h := range b.entries {
 		if h.Deleted() && now-h.changedAt > tombstoneLifetime {
--- a/internal/cluster/member/member.go
+++ b/internal/cluster/member/member.go
@@ -1,9 +1,8 @@
-// Package member is what an agent and a core process have in common, as one machine that is
-// stepped: the conversation of news (rumour), who watches whom (ring), duties (turn) and
-// the sweep over the others' copies (mend). It owns how these are fed by one another: news
-// of processes makes the ring and the order of duties, beats of the ring carry the sum by
-// which copies are compared. It must never know what a piece of news means beyond that, do
-// I/O, or read a clock.
+// Package member joins the state machines that an agent and a control-plane process have in
+// common: gossip, the failure detector, singleton roles and the anti-entropy sweep. It owns
+// how they feed one another: gossiped entries of processes make the ring and the order of
+// roles, heartbeats of the ring carry the checksum by which stores are compared. It does not
+// know what an entry means beyond that, does no I/O and reads no clock.
 package member
 
 import (
@@ -17,30 +16,30 @@
 	"saddleport/internal/cluster/lease"
 )
 
-// Duty is a duty and the kind of processes of which one does it.
+// SingletonRole is a role that one process of a kind holds at a time.
 type SingletonRole struct {
 	Name, ProcessKind string
 }
 
-// Sweep is the duty of one mixer to look at every process's news in turn.
+// SweepRole is the role of the agent that compares its store with every process's in turn.
 var SweepRole = SingletonRole{"sweep", gossip.KindAgent}
 
-// Config tunes the machines; times are microseconds of the caller's clock.
+// Config tunes the machines. Times are microseconds of the caller's clock.
 type Config struct {
 	Gossip              gossip.Config
 	FailureDetector     failuredetector.Config
 	AntiEntropy         antientropy.Config
-	ClaimDelay          int64 // a process is the first of a duty's order for so long before it claims it
-	MaintenanceInterval int64 // between looks at what is done now and then
+	ClaimDelay          int64 // how long a process must be the first of a role's order before it claims the role
+	MaintenanceInterval int64 // between two runs of what is done periodically
 	Roles               []SingletonRole
 }
 
-// Usual is the configuration for service, with these duties beside the sweep.
+// DefaultConfig returns the configuration for service, with these roles beside the sweep.
 func DefaultConfig(more ...SingletonRole) Config {
 	return Config{Gossip: gossip.DefaultConfig, FailureDetector: failuredetector.DefaultConfig, AntiEntropy: antientropy.DefaultConfig, ClaimDelay: 2_000_000, MaintenanceInterval: 1_000_000, Roles: append([]SingletonRole{SweepRole}, more...)}
 }
 
-// Noted is something worth a line in the log.
+// Event is something that is worth a line in the log.
 type Event struct {
 	Kind    EventKind
 	Process string
@@ -48,26 +47,27 @@
 	Epoch   uint64
 }
 
-// What it is.
+// EventKind is the kind of an event.
 type EventKind int
 
 // The kinds of it.
 const (
 	Joined      EventKind = iota // the first other process was met
-	ProcessDead                  // the ring found a process dead
+	ProcessDead                  // the failure detector found a process dead
 	ProcessGone                  // a process is known to have ended
 	RoleTaken                    // by this process
-	RoleLost                     // to another
+	RoleLost                     // to another process
 )
 
-// Output is what is to be done: calls to make, whose ends come back by Done and Answered.
+// Output is what is to be done. The outcomes of calls come back by HandleExchangeResult and
+// HandleProbeResult.
 type Output struct {
 	Calls  []gossip.OutboundCall
 	Probes []failuredetector.Probe
 	Events []Event
 }
 
-// Claims begins the keys of claims of duties among the news.
+// ClaimPrefix begins the keys of claims of roles in the gossip store.
 const ClaimPrefix = "d/"
 
 type claimJSON struct {
@@ -76,7 +76,7 @@
 
 // Machine is one process among the others. It is not safe for concurrent use.
 type Machine struct {
-	OnUpdate func(gossip.Entry) // after news was taken; nil: nobody
+	OnUpdate func(gossip.Entry) // called after an entry was stored; may be nil
 
 	cfg               Config
 	self              gossip.Process
@@ -90,7 +90,7 @@
 	out               Output
 }
 
-// New returns a process that knows itself and addresses to ask.
+// New returns a process that knows itself and some addresses to ask.
 func New(now int64, cfg Config, self gossip.Process, seeds []string, rng *rand.Rand) *Machine {
 	names := make([]string, len(cfg.Roles))
 	for i, d := range cfg.Roles {
@@ -102,42 +102,42 @@
 	return m
 }
 
-// Book is the news that is held.
+// Store returns the gossip store.
 func (m *Machine) Store() *gossip.Store { return m.gossiper.Store }
 
-// Peers are the other processes that live, of a kind or of any.
+// Peers returns the other processes that are alive, of one kind or of any.
 func (m *Machine) Peers(kind string) []gossip.Process { return m.gossiper.Peers(kind) }
 
-// Awake tells whether a peer answered when it was last called.
+// Reachable reports whether a peer answered when it was last called.
 func (m *Machine) Reachable(now int64, addr string) bool { return m.gossiper.Reachable(now, addr) }
 
-// Holds tells whether this process holds a duty, and under which epoch.
+// Holds reports whether this process holds a role, and under which epoch.
 func (m *Machine) Holds(duty string) (epoch uint64, holds bool) { return m.leases.Holds(duty) }
 
-// Holder is who holds a duty as far as is known.
+// Holder returns the highest claim that is known for a role.
 func (m *Machine) Holder(duty string) (lease.Claim, bool) { return m.leases.Holder(duty) }
 
-// Refuses tells whether work under an epoch of a duty comes too late.
+// IsStale reports whether work under an epoch of a role comes too late.
 func (m *Machine) IsStale(duty string, epoch uint64) bool { return m.leases.IsStale(duty, epoch) }
 
-// Duties are those that there are.
+// Roles returns all singleton roles.
 func (m *Machine) Roles() []SingletonRole { return m.cfg.Roles }
 
-// Watchers are the processes that this one beats at; Watched, those that beat here.
+// Watchers returns the addresses that this process sends heartbeats to.
 func (m *Machine) Watchers() []string { return m.detector.Watchers() }
 
-// Watched is as Watchers.
+// Watched returns the addresses that send their heartbeats here.
 func (m *Machine) Watched() []string { return m.detector.Watched() }
 
-// Found counts the differences that comparing news has found; Swept, the sweep's looks.
+// DifferencesFound counts the differences that comparisons of stores have found.
 func (m *Machine) DifferencesFound() int { return m.gossiper.DifferencesFound() }
 
-// Swept is as Found.
+// SweepStats counts the sweep's work.
 func (m *Machine) SweepStats() antientropy.Stats { return m.antiEntropy.Stats() }
 
 func (m *Machine) emit(n Event) { m.out.Events = append(m.out.Events, n) }
 
-// took is told of all news that was taken.
+// onUpdate is called for every entry that was stored.
 func (m *Machine) onUpdate(i gossip.Entry) {
 	if addr, found := strings.CutPrefix(i.Key, gossip.ProcessPrefix); found {
 		m.membersChanged = true
@@ -158,16 +158,16 @@
 	}
 }
 
-// Put takes news of this process's own, for all.
+// Put stores an entry of this process, for all others.
 func (m *Machine) Put(now int64, i gossip.Entry) { m.gossiper.Put(now, i, true) }
 
-// Got answers another process.
+// HandleExchange answers another process's gossip.
 func (m *Machine) HandleExchange(now int64, p gossip.ExchangeRequest) gossip.ExchangeResponse {
 	m.detector.Observe(now, p.From)
 	return m.gossiper.HandleRequest(now, p)
 }
 
-// Done says how an order ended.
+// HandleExchangeResult takes the outcome of a gossip call.
 func (m *Machine) HandleExchangeResult(now int64, o gossip.OutboundCall, ans gossip.ExchangeResponse, ok bool) {
 	if ok {
 		m.detector.Observe(now, o.To)
@@ -175,29 +175,29 @@
 	m.gossiper.HandleResponse(now, o.ID, ans, ok)
 }
 
-// Hears answers a question of the ring: where this process does not know, it is to try the
-// process asked about, if there is such a one.
+// HandleProbe answers a probe of the failure detector. If this process does not know, try
+// tells whether it is to try the process in question.
 func (m *Machine) HandleProbe(now int64, about string) (alive, try bool) {
 	alive, knows := m.detector.HandleProbe(now, about)
 	_, known := m.gossiper.Store.Get(gossip.ProcessPrefix + about)
 	return alive, !knows && known
 }
 
-// Answered takes the answer to a question of the ring, or says that none came.
+// HandleProbeResult takes the answer to a probe; answered is false if none came.
 func (m *Machine) HandleProbeResult(now int64, q failuredetector.Probe, alive, answered bool) {
 	m.detector.HandleProbeResult(now, q, alive, answered)
 }
 
-// Seeds tells whom to ask while nobody is known.
+// SetSeeds sets the addresses to ask while no other process is known.
 func (m *Machine) SetSeeds(addrs []string) { m.gossiper.SetSeeds(addrs) }
 
-// Leave tells some others that this process ends.
+// AnnounceLeave tells some other processes that this one ends.
 func (m *Machine) AnnounceLeave(now int64) {
 	m.gossiper.AnnounceLeave(now)
 	m.gossiper.Tick(now + m.cfg.Gossip.GossipInterval)
 }
 
-// Take returns what is to be done since it was last asked.
+// TakeOutput returns what is to be done.
 func (m *Machine) TakeOutput() Output {
 	out := m.out
 	m.out = Output{}
@@ -205,7 +205,7 @@
 	return out
 }
 
-// Next is when Tick has something to do.
+// NextTick returns when Tick has something to do.
 func (m *Machine) NextTick() int64 {
 	if at := m.gossiper.NextTick(); at != 0 {
 		return min(at, m.nextMaintenanceAt)
@@ -213,7 +213,8 @@
 	return m.nextMaintenanceAt
 }
 
-// Tick passes news on, beats, asks after the silent, and does this process's duties.
+// Tick passes entries on, sends heartbeats, probes silent processes, and does this process's
+// roles.
 func (m *Machine) Tick(now int64) {
 	if !m.joined && len(m.gossiper.Peers("")) > 0 {
 		m.joined = true
@@ -264,7 +265,7 @@
 	}
 }
 
-// able are the processes that live and may have a duty.
+// candidates returns the processes that are alive and may hold a role.
 func (m *Machine) candidates(duty string) (out []string) {
 	for _, d := range m.cfg.Roles {
 		if d.Name != duty {
--- a/internal/cluster/outlier/council.go
+++ b/internal/cluster/outlier/council.go
@@ -5,26 +5,27 @@
 	"slices"
 )
 
-// Member is one that is set apart.
+// Ejected is a member that is ejected.
 type Ejected struct {
 	Name      string  `json:"n"`
 	Shard     string  `json:"s"`
-	Ratio     float64 `json:"r"` // times its peers' middle
-	Age       int64   `json:"a"` // microseconds since it was set apart, when this was said
-	Reporters int     `json:"m"` // whose evidence it was
+	Ratio     float64 `json:"r"` // its latency as a multiple of its peers' median
+	Age       int64   `json:"a"` // microseconds since its ejection, when this was published
+	Reporters int     `json:"m"` // proxies whose evidence it was
 	Samples   int     `json:"c"`
 }
 
-// Assignment is who is set apart, as the holder of the duty says under its epoch.
+// Assignment is the list of ejected members that the holder of the role publishes under its
+// epoch.
 type Assignment struct {
 	Epoch     uint64    `json:"e"`
-	Seq       uint64    `json:"q"` // rises with each word
+	Seq       uint64    `json:"q"` // rises with each publication
 	Ejected   []Ejected `json:"p,omitempty"`
-	Requested []string  `json:"k,omitempty"` // whose evidence is asked for, beside theirs
+	Requested []string  `json:"k,omitempty"` // members on which evidence is asked for, beside the ejected ones
 	By        string    `json:"b"`
 }
 
-// Empty tells whether an assignment says of nobody anything.
+// Empty reports whether an assignment names nobody.
 func (a Assignment) Empty() bool { return len(a.Ejected)+len(a.Requested) == 0 }
 
 type timedEvidence struct {
@@ -32,18 +33,19 @@
 	at int64
 }
 
+// candidate is a member that some proxy suspects.
 type candidate struct {
 	name, shard string
-	evidence    map[string]timedEvidence // evidence by mixer
-	requestedAt int64                    // 0: not asked for
-	ejectedAt   int64                    // 0: not apart
-	lastSlowAt  int64                    // when evidence last spoke for slowness, while apart
-	restoredAt  int64                    // when it last came back; 0: never
+	evidence    map[string]timedEvidence // by proxy
+	requestedAt int64                    // when evidence was asked for; 0: it was not
+	ejectedAt   int64                    // 0: it is not ejected
+	lastSlowAt  int64                    // when evidence last spoke for slowness, while it was ejected
+	restoredAt  int64                    // when it was last restored; 0: never
 	member      Ejected
 }
 
-// Council merges the evidence of all mixers. It is held by one process at a time; who
-// follows takes over what is said to be in force. It is not safe for concurrent use.
+// Aggregator merges the evidence of all proxies. One process at a time holds it; a successor
+// starts from what was last published. It is not safe for concurrent use.
 type Aggregator struct {
 	cfg          Config
 	epoch        uint64
@@ -51,19 +53,19 @@
 	seq          uint64
 	publishedAt  int64
 	candidates   map[string]*candidate
-	Ejections    int // into the group so far
-	Restorations int // and out of it
+	Ejections    int // so far
+	Restorations int // so far
 }
 
 const (
 	maxCandidates = 2048
-	maxReporters  = 512 // whose evidence on one member is held
+	maxReporters  = 512 // proxies whose evidence on one member is held
 	maxRequested  = 64
 	maxEjected    = 256
 )
 
-// NewCouncil returns the council that a process holds under an epoch; it begins with what
-// was last said to be in force.
+// NewAggregator returns the aggregator that a process holds under an epoch. It starts from
+// what was last published.
 func NewAggregator(now int64, cfg Config, by string, epoch uint64, previous Assignment) *Aggregator {
 	c := &Aggregator{cfg: cfg, epoch: epoch, by: by, seq: previous.Seq, candidates: make(map[string]*candidate)}
 	for _, m := range previous.Ejected[:min(len(previous.Ejected), maxEjected)] {
@@ -72,7 +74,7 @@
 	return c
 }
 
-// Given takes a mixer's evidence.
+// AddEvidence takes a proxy's evidence.
 func (c *Aggregator) AddEvidence(now int64, from string, list []Evidence) {
 	for _, e := range list[:min(len(list), maxReported)] {
 		k := c.candidates[e.Name]
@@ -90,7 +92,8 @@
 	}
 }
 
-// merged is all mixers' evidence on a member; slow, how many of them speak for slowness.
+// merged returns the evidence of all proxies on a member, how many reported, how many of them
+// for slowness, and how many members the shard has.
 func (c *Aggregator) merged(now int64, k *candidate) (all Sketch, mixers, slow, of int) {
 	all = newSketch()
 	for from, g := range k.evidence {
@@ -107,8 +110,8 @@
 	return all, mixers, slow, of
 }
 
-// Step decides. members tells how many members a shard has, 0 where that is not known, and
-// mixers how many mixers there are. It returns what is to be said, if anything is.
+// Step decides. members returns how many members a shard has, 0 if that is not known, and
+// mixers is how many proxies there are. It returns what is to be published, if anything is.
 func (c *Aggregator) Step(now int64, mixers int, members func(shard string) int) (Assignment, bool) {
 	changed := false
 	want := make(map[string][]*candidate) // by shard: those that the evidence is against
@@ -168,8 +171,8 @@
 	return c.Assignment(now), true
 }
 
-// settle sets the slowest of a shard apart, as far as may be; where most of it is slow,
-// nobody: there is nothing left to go to.
+// applyShardLimit ejects the slowest members of a shard as far as its limit allows. If most of
+// the shard is slow nobody is ejected: there would be nothing left to use.
 func (c *Aggregator) applyShardLimit(now int64, list []*candidate, members int) (changed bool) {
 	most := int(float64(members) * c.cfg.MaxEjectedShare)
 	whole := 2*len(list) > members
@@ -201,7 +204,7 @@
 	c.Restorations++
 }
 
-// Says is what the council holds.
+// Assignment returns what the aggregator has decided.
 func (c *Aggregator) Assignment(now int64) Assignment {
 	a := Assignment{Epoch: c.epoch, Seq: c.seq, By: c.by}
 	for _, k := range sortedCandidates(c.candidates) {
@@ -216,7 +219,7 @@
 	return a
 }
 
-// values are the cases in the order of their names.
+// sortedCandidates returns the candidates in the order of their names.
 func sortedCandidates(cases map[string]*candidate) []*candidate {
 	out := make([]*candidate, 0, len(cases))
 	for _, k := range cases {
@@ -226,7 +229,7 @@
 	return out
 }
 
-// Word is what one mixer told of a member.
+// Report is what one proxy reported of a member.
 type Report struct {
 	Proxy   string
 	Age     int64 // microseconds
@@ -235,7 +238,7 @@
 	Score   float64
 }
 
-// Words are the evidence on a member that the council holds, by mixer.
+// Reports returns the evidence on a member, by proxy.
 func (c *Aggregator) Reports(now int64, name string) (out []Report) {
 	k := c.candidates[name]
 	if k == nil {
--- a/internal/cluster/outlier/groups.go
+++ b/internal/cluster/outlier/groups.go
@@ -5,38 +5,39 @@
 	"slices"
 )
 
-// Apart is a member that is set apart in one mixer.
+// EjectedHere is a member that is ejected in one proxy.
 type EjectedHere struct {
 	Ejected
 	Since     int64
-	LocalOnly bool // on this mixer's own evidence
+	LocalOnly bool // on this proxy's own evidence
 }
 
-// Change is a member that was set apart, came back, or is much slower or faster by now.
+// Change is a member that was ejected, was restored, or is much slower or faster by now.
 type Change struct {
 	EjectedHere
 	Restored, Known bool
 }
 
+// sameRatio is the factor up to which two ratios count as one.
 const sameRatio = 1.5 // times another: so far two ratios count as one
 
-// Groups is what is in force in one mixer: what the council says, for as long as it goes
-// on saying it; without a council, what the mixer's own evidence says, and that more
-// carefully. It is not safe for concurrent use.
+// Ejections is what is in force in one proxy: what the aggregator publishes as long as it
+// renews it; otherwise what the proxy's own evidence says, by a stricter rule. It is not safe
+// for concurrent use.
 type Ejections struct {
 	cfg        Config
 	assignment Assignment
 	version    uint64
-	assignedAt int64 // when the council was last heard; 0: never
+	assignedAt int64 // when the aggregator was last heard; 0: never
 	ejected    map[string]EjectedHere
 }
 
-// NewGroups returns groups in which nobody is set apart.
+// NewEjections returns ejections in which nobody is ejected.
 func NewEjections(cfg Config) *Ejections {
 	return &Ejections{cfg: cfg, ejected: make(map[string]EjectedHere)}
 }
 
-// Told takes the council's word under its rank, and tells whether it is news.
+// Observe takes a published assignment under its version, and reports whether it is new.
 func (g *Ejections) Observe(now int64, version uint64, a Assignment) bool {
 	if version <= g.version {
 		return false
@@ -45,7 +46,7 @@
 	return true
 }
 
-// Said is the council's last word, if that still counts.
+// Assignment returns what was last published, if that is still valid.
 func (g *Ejections) Assignment(now int64) (Assignment, bool) {
 	if g.assignedAt == 0 || now-g.assignedAt > g.cfg.AssignmentLifetime {
 		return Assignment{}, false
@@ -53,14 +54,14 @@
 	return g.assignment, true
 }
 
-// Quiet tells that there is nothing to look after until something comes in.
+// Quiet reports that there is nothing to do until something comes in.
 func (g *Ejections) Quiet(now int64) bool {
 	said, counts := g.Assignment(now)
 	return len(g.ejected) == 0 && (!counts || said.Empty())
 }
 
-// Step brings the groups in line with the council's last word or, where none has come for
-// long, with the mixer's own evidence. members tells how many members a shard has.
+// Step brings the ejections in line with what was last published or, if nothing has been for
+// long, with the proxy's own evidence. members returns how many members a shard has.
 func (g *Ejections) Step(now int64, members func(shard string) int, own ...*Observer) (out []Change) {
 	want := make(map[string]EjectedHere)
 	said, counts := g.Assignment(now)
@@ -91,9 +92,10 @@
 	return out
 }
 
-// alone adds what this mixer's own evidence says and the council has not taken up: one of
-// a shard of which most are not doubted, doubted for long, with more of a score than the
-// council would want. It stays for the time of a lease, for its evidence dries up.
+// addLocal adds what this proxy's own evidence says and the aggregator has not taken up: one
+// member of a shard of which most are not suspected, suspected for long, with a higher score
+// than the aggregator would need. It stays for an assignment's lifetime, since its evidence
+// dries up.
 func (g *Ejections) addLocal(now int64, members func(string) int, own []*Observer, want map[string]EjectedHere) {
 	taken, doubted := make(map[string]bool), make(map[string]int)
 	for _, a := range want {
@@ -121,10 +123,11 @@
 	}
 }
 
-// Ratio is how many times its peers' middle a member that is set apart takes; 0: it is not.
+// Ratio returns the latency of an ejected member as a multiple of its peers' median; 0: it is
+// not ejected.
 func (g *Ejections) Ratio(name string) float64 { return g.ejected[name].Ratio }
 
-// All are those set apart, in the order of their shards and names.
+// All returns the ejected members in the order of their shards and names.
 func (g *Ejections) All() []EjectedHere {
 	out := make([]EjectedHere, 0, len(g.ejected))
 	for _, a := range g.ejected {
--- a/internal/cluster/outlier/outlier.go
+++ b/internal/cluster/outlier/outlier.go
@@ -1,9 +1,9 @@
-// Package outlier tells laggards from the prompt: servers and callers that take many times
-// as long as their peers. It owns three machines. A Watch is one mixer's own evidence,
-// from the answers and bytes that it sees anyway. A Council merges the evidence of all
-// mixers and says who is set apart. A Groups is what is in force in one mixer. None of
-// them sends a probe, moves a request, reads a clock, or empties a shard: a bounded part
-// of one may be set apart, and where most of it is slow nobody is.
+// Package outlier finds members that are much slower than their peers, among servers and among
+// callers, by the evidence of all proxies together. An Observer is one proxy's own evidence,
+// from the answers and bytes that it sees anyway. An Aggregator merges the evidence of all
+// proxies and decides who is ejected. Ejections is what is in force in one proxy. None of them
+// sends a probe, moves a request or reads a clock, and a shard is never emptied: at most a
+// share of it is ejected, and if most of it is slow nobody is.
 //
 // All times are microseconds of the caller's steady clock.
 package outlier
@@ -51,12 +51,12 @@
 	LocalScoreFactor     float64 // a mixer alone wants so many times the score
 }
 
-// Usual is the configuration for service.
+// DefaultConfig is the configuration for service.
 var DefaultConfig = Config{SampleLifetime: 12_000_000, SingleSampleLifetime: 2_000_000, RecentSpan: 600_000, FewSpan: 5_000_000, ReportDelay: 300_000, MedianWindow: 10_000_000, MedianSampleInterval: 100_000, MinMedian: 3_000, MinMedianSamples: 20,
 	SuspectScore: 0.75, ReportInterval: 1_000_000, RequestScore: 1.5, EjectScore: 2.3, MinEjectSamples: 3, MaxEjectedShare: 0.34, EvidenceDelay: 400_000, EvidenceLifetime: 2_500_000, MinEjectionTime: 3_000_000, RestoreRatio: 1.7, MinRestoreSamples: 3,
 	NoEvidenceTimeout: 15_000_000, ProbationTime: 20_000_000, RenewInterval: 3_000_000, AssignmentLifetime: 10_000_000, LocalEjectDelay: 5_000_000, LocalScoreFactor: 2}
 
-// Callers is the shard that callers stand in.
+// Callers is the shard that all callers belong to.
 const Callers = "callers"
 
 // Sample is one answer, or one wait that was given up.
@@ -64,11 +64,11 @@
 	Name     string // of the server, or of the caller
 	Shard    string
 	Kind     string // what is alike in all but the member: its middle is what a sample is measured by
-	Latency  int64
-	Complete bool // else it would have taken longer
+	Latency  int64  // microseconds
+	Complete bool   // otherwise it would have taken longer
 }
 
-// Evidence is what one mixer knows of one member.
+// Evidence is what one proxy knows of one member.
 type Evidence struct {
 	Name   string `json:"n"`
 	Shard  string `json:"s"`
@@ -84,12 +84,12 @@
 	due  int   // samples until the next look
 }
 
-// seen is a member and its last samples, as a ring.
+// memberSamples is a member with its last samples, as a ring.
 type memberSamples struct {
 	name, shard string
 	last        [ringSize]sample
 	n           int   // samples so far
-	suspectedAt int64 // since when it is doubted; 0: it is not
+	suspectedAt int64 // 0: it is not suspected
 	since       int64 // when it was first seen
 	basisAt     int64 // when a sample of it last counted for its kind's middle
 }
@@ -139,7 +139,7 @@
 	return score, length
 }
 
-// Watch is one mixer's own evidence. It is not safe for concurrent use.
+// Observer is one proxy's own evidence. It is not safe for concurrent use.
 type Observer struct {
 	cfg          Config
 	kinds        map[string]*kind
@@ -147,7 +147,7 @@
 	shards       map[string]int // members seen, by shard
 	suspected    int
 	reportedAt   int64
-	reportedMark int // a mark of what was told last
+	reportedMark int // what was reported last
 	Dropped      int // samples that found no room
 }
 
@@ -160,13 +160,13 @@
 	expirySpans = 10 // spans: a member not seen for so long is forgotten
 )
 
-// NewWatch returns a watch that has seen nothing.
+// NewObserver returns an observer without samples.
 func NewObserver(cfg Config) *Observer {
 	return &Observer{cfg: cfg, kinds: make(map[string]*kind), seen: make(map[string]*memberSamples), shards: make(map[string]int)}
 }
 
-// middle takes a sample into its kind and returns the kind's middle; 0: there is none yet.
-// Each member counts now and then only: else one that asks a lot would be its own measure.
+// middle adds a sample to its kind and returns the kind's median; 0: there is none yet. Each
+// member counts only now and then: otherwise one that answers a lot would be its own measure.
 func (w *Observer) middle(now int64, s Sample, m *memberSamples) int64 {
 	k := w.kinds[s.Kind]
 	if k == nil {
@@ -211,7 +211,7 @@
 	return k.mid
 }
 
-// Saw takes a sample, and tells whether its member is doubted.
+// Record takes a sample, and reports whether its member is suspected.
 func (w *Observer) Record(now int64, s Sample) bool {
 	m := w.seen[s.Name]
 	if m == nil {
@@ -254,8 +254,8 @@
 	}
 }
 
-// sketch is what is told of a member: the run that speaks for slowness, or else the last
-// samples.
+// sketch returns what is reported of a member: the run of samples that speaks for slowness, or
+// else the last samples.
 func (w *Observer) sketch(now int64, m *memberSamples, few int64) Sketch {
 	out := newSketch()
 	score, length := m.run(now, &w.cfg)
@@ -275,11 +275,11 @@
 	return out
 }
 
-// Doubted counts the members doubted here.
+// Suspected counts the members suspected here.
 func (w *Observer) Suspected() int { return w.suspected }
 
-// Tell returns the evidence on the members that are doubted here, and on those that are
-// asked for: worst first, a bounded number; nothing where it was told a moment ago.
+// TakeEvidence returns the evidence on the members that are suspected here and on those that
+// were asked for: worst first, a bounded number; nothing if it was reported a moment ago.
 func (w *Observer) TakeEvidence(now int64, said Assignment) (out []Evidence) {
 	told := func(m *memberSamples, few int64) {
 		if k := w.sketch(now, m, few); k.Samples() > 0 {
@@ -320,10 +320,10 @@
 	return out[:min(len(out), maxReported)]
 }
 
-// Members counts the members of a shard that were seen lately.
+// Members counts the members of a shard that were seen recently.
 func (w *Observer) Members(shard string) int { return w.shards[shard] }
 
-// Forget lets go of members that were not seen for long.
+// Expire removes members that were not seen for long.
 func (w *Observer) Expire(now int64) {
 	for name, m := range w.seen {
 		if now-m.at() > expirySpans*w.cfg.SampleLifetime {
@@ -338,16 +338,16 @@
 	}
 }
 
-// Own is a member as this mixer alone sees it.
+// LocalView is a member as this proxy alone sees it.
 type LocalView struct {
 	Name, Shard  string
 	Middle       float64 // times its peers' middle
 	Samples      int
 	Score        float64
-	SuspectedFor int64 // for so long; 0: it is not
+	SuspectedFor int64 // microseconds; 0: it is not suspected
 }
 
-// Of returns what is known here of one member.
+// Describe returns what is known here of one member.
 func (w *Observer) Describe(now int64, name string) (LocalView, bool) {
 	m := w.seen[name]
 	if m == nil {
@@ -362,7 +362,7 @@
 	return o, true
 }
 
-// doubts returns the members doubted here, worst first.
+// suspects returns the members suspected here, worst first.
 func (w *Observer) suspects(now int64) (out []LocalView) {
 	if w.suspected == 0 {
 		return nil
--- a/internal/cluster/outlier/seat.go
+++ b/internal/cluster/outlier/seat.go
@@ -1,6 +1,6 @@
 package outlier
 
-// Duty is the name of the duty to hold the council.
+// Role is the name of the singleton role of the aggregator.
 const Role = "herd"
 
 const (
@@ -9,36 +9,37 @@
 	epochHashBits = 32 // the part of an epoch that is its holder's mark
 )
 
-// Rank orders what councils say: by the duty's takeovers, then by words. The mark keeps
-// the words of two holders apart who each think that they followed the same one.
+// VersionOf orders assignments: by the role's term, then by publication. The hash keeps apart
+// the publications of two holders that each believe to follow the same one.
 func VersionOf(a Assignment) uint64 {
 	return a.Epoch>>epochHashBits<<termShift | a.Seq&(1<<(termShift-sequenceShift)-1)<<sequenceShift | a.Epoch&(1<<sequenceShift-1)
 }
 
-// Seat is a process that may hold the council. It is not safe for concurrent use.
+// AggregatorRole is the aggregator in a process that may hold its role. It is not safe for
+// concurrent use.
 type AggregatorRole struct {
 	cfg        Config
 	self       string
-	aggregator *Aggregator // nil: another holds it
+	aggregator *Aggregator // nil: another process holds the role
 	epoch      uint64
 	last       Assignment
 	version    uint64
 }
 
-// NewSeat returns the seat of a process.
+// NewAggregatorRole returns the role of a process.
 func NewAggregatorRole(cfg Config, self string) *AggregatorRole {
 	return &AggregatorRole{cfg: cfg, self: self}
 }
 
-// Told takes a council's word from the news.
+// Observe takes an assignment that was gossiped.
 func (s *AggregatorRole) Observe(version uint64, a Assignment) {
 	if version > s.version {
 		s.version, s.last = version, a
 	}
 }
 
-// Holds says whether the process holds the duty, and under which epoch. Who takes it over
-// begins with what is said to be in force.
+// SetHolder tells whether the process holds the role, and under which epoch. A new holder
+// starts from what was last published.
 func (s *AggregatorRole) SetHolder(now int64, epoch uint64, holds bool) {
 	switch {
 	case !holds:
@@ -48,7 +49,7 @@
 	}
 }
 
-// Given takes a mixer's evidence; false: this process does not hold the council.
+// AddEvidence takes a proxy's evidence; false: this process does not hold the role.
 func (s *AggregatorRole) AddEvidence(now int64, from string, list []Evidence) bool {
 	if s.aggregator == nil {
 		return false
@@ -57,10 +58,10 @@
 	return true
 }
 
-// Busy tells whether the council has something to look after.
+// Busy reports whether there are candidates.
 func (s *AggregatorRole) Busy() bool { return s.aggregator != nil && len(s.aggregator.candidates) > 0 }
 
-// Step decides, and returns what is to be told to all, if anything is.
+// Step decides, and returns what is to be gossiped, if anything is.
 func (s *AggregatorRole) Step(now int64, mixers int, members func(shard string) int) (a Assignment, version uint64, publish bool) {
 	if s.aggregator == nil {
 		return a, 0, false
@@ -72,7 +73,7 @@
 	return a, version, publish
 }
 
-// Moves counts those set apart and those that came back under this council.
+// Counts returns the ejections and restorations under this aggregator.
 func (s *AggregatorRole) Counts() (apart, back int) {
 	if s.aggregator == nil {
 		return 0, 0
@@ -80,10 +81,10 @@
 	return s.aggregator.Ejections, s.aggregator.Restorations
 }
 
-// Last is the council's last word as far as this process has heard.
+// Last returns the last assignment that this process has heard of.
 func (s *AggregatorRole) Last() Assignment { return s.last }
 
-// Words are the evidence on a member, where the council is held here.
+// Reports returns the evidence on a member, if the role is held here.
 func (s *AggregatorRole) Reports(now int64, name string) (out []Report, held bool) {
 	if s.aggregator == nil {
 		return nil, false
--- a/internal/cluster/outlier/sketch.go
+++ b/internal/cluster/outlier/sketch.go
@@ -8,8 +8,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// A sketch holds how many times its peers' middle a member took: a histogram of ratios,
-// with a tenth of error at most. Sketches of several mixers merge by adding.
+// Sketch is a histogram of latencies as multiples of the peers' median, with an error of at
+// most a tenth. Sketches of several proxies are merged by adding.
 type Sketch struct{ h *hdrhistogram.Histogram }
 
 const (
@@ -32,10 +32,10 @@
 // Merge adds another sketch's samples.
 func (s Sketch) Merge(o Sketch) { s.h.Merge(o.h) }
 
-// Samples counts them.
+// Samples counts the samples.
 func (s Sketch) Samples() int { return int(s.h.TotalCount()) }
 
-// Middle is the median ratio; 0 where there are no samples.
+// Middle returns the median ratio; 0 if there are no samples.
 func (s Sketch) Middle() float64 {
 	if s.h.TotalCount() == 0 {
 		return 0
@@ -43,8 +43,8 @@
 	return float64(s.h.ValueAtQuantile(50)) / fine
 }
 
-// Score weighs all samples: each that is slow speaks for slowness, each that is not,
-// against it, and none alone for much. It adds up over mixers as the sketches do.
+// Score weighs all samples: a slow one counts for slowness, any other against it, and none
+// alone for much. Scores add up over proxies as the sketches do.
 func (s Sketch) Score() (sum float64) {
 	for _, bar := range s.h.Distribution() {
 		if bar.Count > 0 {
@@ -54,8 +54,8 @@
 	return sum
 }
 
-// speaks is what one sample says: the logarithm of the ratio beyond what is slow, within
-// bounds, so that one answer of a heavy tail weighs no more than a prompt one against it.
+// speaks is the weight of one sample: the logarithm of the ratio beyond what is slow, within
+// bounds, so that one answer of a heavy tail weighs no more than a fast one against it.
 func speaks(ratio float64) float64 {
 	return min(max(math.Log(max(ratio, 1.0/fine)/slowRatio), -mostAgainst), mostFor)
 }
--- a/internal/cluster/quota/allowance.go
+++ b/internal/cluster/quota/allowance.go
@@ -13,35 +13,35 @@
 //
 // All times are microseconds of the caller's steady clock.
 
-// Stated is an allowance as the operators state it.
+// Allowance is a limit as the operator states it.
 type Allowance struct {
 	Name  string
-	Rate  float64 // requests a second, over all mixers
-	Burst float64 // that may be saved up, over all mixers
+	Rate  float64 // requests a second, over all proxies
+	Burst float64 // requests that may be saved up, over all proxies
 }
 
-// Terms are the figures of leases.
+// LeaseConfig tunes the leases of allowances. Times are microseconds.
 type LeaseConfig struct {
-	Duration      int64   // a part lasts so long
-	RenewInterval int64   // a mixer that is asked for it claims anew after so long
-	UnleasedShare float64 // share of each allowance that is never leased: all mixers have equal parts of it
-	MinProxies    int     // mixers that it is divided among, however few are known
-	ExtraWeight   float64 // so much more than a mixer was asked for it is given weight for
-	ProxyMemory   int64   // the most mixers known within so long are those that there are
+	Duration      int64   // of a lease
+	RenewInterval int64   // a proxy that is asked for an allowance claims it again after so long
+	UnleasedShare float64 // share of each allowance that is never leased: all proxies have equal parts of it
+	MinProxies    int     // that the unleased share is divided among, however few are known
+	ExtraWeight   float64 // share of the rate that is added to each proxy's demand when the rest is divided
+	ProxyMemory   int64   // the largest number of proxies known within so long is taken for the real one
 }
 
-// UsualTerms are those for service.
+// DefaultLeaseConfig is the configuration for service.
 var DefaultLeaseConfig = LeaseConfig{Duration: 3_000_000, RenewInterval: 1_000_000, UnleasedShare: 0.1, MinProxies: 8, ExtraWeight: 0.05, ProxyMemory: 60_000_000}
 
-// Claim is what a mixer tells of an allowance when it asks for a part.
+// Claim is a proxy's request for a lease.
 type Claim struct {
 	Name    string  `json:"n"`
-	Asked   float64 `json:"a"` // requests a second that it was asked for, admitted or not
-	Spent   float64 `json:"s"` // admitted since the last claim, for who looks on
-	Current float64 `json:"h"` // the part that it goes by now: an answer may have been lost
+	Asked   float64 `json:"a"` // requests a second that were asked of it, admitted or not
+	Spent   float64 `json:"s"` // admitted since the last claim, for statistics
+	Current float64 `json:"h"` // the rate that it uses now: an answer may have been lost
 }
 
-// Grant is a part. It lasts the terms' lease from the moment when the claim was sent.
+// Grant is a lease. It lasts from the moment at which the claim was sent.
 type Grant struct {
 	Name string  `json:"n"`
 	Rate float64 `json:"r"`
@@ -52,11 +52,11 @@
 type leaseState struct {
 	rate, asked   float64
 	until         int64
-	previousRate  float64 // what the mixer went by when it last claimed,
-	previousUntil int64   // and may go by yet, if the answer does not reach it
+	previousRate  float64 // what the proxy used when it last claimed,
+	previousUntil int64   // and may still use if the answer does not reach it
 }
 
-// out is what a mixer may go by now.
+// current returns what a proxy may use now.
 func (l *leaseState) current(now int64) (rate float64) {
 	if now <= l.until {
 		rate = l.rate
@@ -67,15 +67,16 @@
 	return rate
 }
 
-// Bank leases parts. It is not safe for concurrent use.
+// Lessor leases shares of allowances. One process at a time holds it. It is not safe for
+// concurrent use.
 type Lessor struct {
 	cfg         LeaseConfig
 	since       int64
 	allowances  map[string]Allowance
-	leases      map[string]map[string]*leaseState // by allowance and mixer
+	leases      map[string]map[string]*leaseState // by allowance and proxy
 	proxyCounts []proxyCount                      // mixers, as in Purse
-	Spent       map[string]float64                // over all mixers, since this one holds the bank
-	Asked       map[string]float64                // a second, over all mixers, lately
+	Spent       map[string]float64                // over all proxies, since this process holds the role
+	Asked       map[string]float64                // a second, over all proxies, recently
 }
 
 const (
@@ -84,15 +85,16 @@
 	roundingSlack = 1e-6 // of a rate: what sums may be off by
 )
 
-// NewBank returns the bank of a process that takes the duty over now, and has known so many
-// mixers of late, itself included. The one before may have leased everything a moment ago:
-// for a lease's time nothing is given out.
+// NewLessor returns the lessor of a process that takes the role over now and has recently
+// known so many proxies, itself included. Its predecessor may have leased everything a moment
+// ago: nothing is granted for the duration of a lease.
 func NewLessor(now int64, terms LeaseConfig, mixers int) *Lessor {
 	return &Lessor{cfg: terms, since: now, proxyCounts: []proxyCount{{mixers, now}}, allowances: make(map[string]Allowance), leases: make(map[string]map[string]*leaseState),
 		Spent: make(map[string]float64), Asked: make(map[string]float64)}
 }
 
-// State takes the allowances of a configuration. Parts of one that is smaller now run out.
+// SetAllowances sets the allowances of a configuration. Leases of one that became smaller run
+// out.
 func (b *Lessor) SetAllowances(list []Allowance) {
 	b.allowances = make(map[string]Allowance, len(list))
 	for _, s := range list[:min(len(list), maxAllowances)] {
@@ -106,8 +108,8 @@
 	}
 }
 
-// whole tells whether this side has most of the mixers that there were lately: else
-// another side may have a bank of its own.
+// hasMajority reports whether this side has most of the proxies that were known recently;
+// otherwise another side may have a lessor of its own.
 func (b *Lessor) hasMajority(now int64, mixers int) bool {
 	for len(b.proxyCounts) > 0 && b.proxyCounts[len(b.proxyCounts)-1].n <= mixers {
 		b.proxyCounts = b.proxyCounts[:len(b.proxyCounts)-1]
@@ -119,16 +121,16 @@
 	return 2*mixers > b.proxyCounts[0].n
 }
 
-// Look is called now and then, and whenever mixers come or go, with how many are known,
-// this one included. While this side is not most of them nothing is given out, nor for a
-// lease's time after: another side's leases may be out.
+// ObserveProxies is to be called periodically and when proxies come or go, with the number
+// known, this one included. Without a majority nothing is granted, nor for the duration of a
+// lease after: leases of another side may be in use.
 func (b *Lessor) ObserveProxies(now int64, mixers int) {
 	if !b.hasMajority(now, mixers) {
 		b.since = now
 	}
 }
 
-// Claims answers a mixer's claims; mixers is as for Look.
+// HandleClaims answers a proxy's claims; proxies is as for ObserveProxies.
 func (b *Lessor) HandleClaims(now int64, from string, mixers int, list []Claim) (out []Grant) {
 	b.ObserveProxies(now, mixers)
 	for _, c := range list[:min(len(list), maxAllowances)] {
@@ -183,7 +185,7 @@
 	return l.rate
 }
 
-// Leased is what is leased of an allowance now.
+// Leased returns what is leased of an allowance now, and to how many proxies.
 func (b *Lessor) Leased(now int64, name string) (sum float64, tills int) {
 	for _, l := range b.leases[name] {
 		if r := l.current(now); r > 0 {
@@ -209,24 +211,25 @@
 	counts  Counts
 }
 
-// Counts are a mixer's figures of one allowance since its start.
+// Counts are a proxy's figures of one allowance since its start.
 type Counts struct{ Admitted, Refused int64 }
 
-// Till admits by a mixer's parts. It is not safe for concurrent use.
+// Holder admits requests by a proxy's leases. It is not safe for concurrent use.
 type Holder struct {
 	cfg         LeaseConfig
 	proxies     int
 	buckets     map[string]*bucket
-	lastClaimAt int64 // when something was last claimed
+	lastClaimAt int64 // when anything was last claimed
 }
 
-// NewTill returns the till of a process that starts with nothing saved up: its life before
-// may have spent all of it.
+// NewHolder returns the holder of a process that starts with nothing saved up: before a
+// restart it may have spent all of it.
 func NewHolder(terms LeaseConfig) *Holder {
 	return &Holder{cfg: terms, proxies: terms.MinProxies, buckets: make(map[string]*bucket)}
 }
 
-// State takes the allowances of a configuration; what is held of those that stay is kept.
+// SetAllowances sets the allowances of a configuration; what is held of those that stay is
+// kept.
 func (t *Holder) SetAllowances(now int64, list []Allowance) {
 	old := t.buckets
 	t.buckets = make(map[string]*bucket, len(list))
@@ -242,10 +245,10 @@
 	}
 }
 
-// Mixers says how many there are, this one included.
+// SetProxies sets how many proxies there are, this one included.
 func (t *Holder) SetProxies(n int) { t.proxies = max(n, t.cfg.MinProxies) }
 
-// rateOf is a mixer's part now: of the floor, and what it has leased.
+// rateOf returns a proxy's rate now: its part of the unleased share and its lease.
 func (t *Holder) rateOf(now int64, x *bucket) float64 {
 	r := x.Rate * t.cfg.UnleasedShare / float64(t.proxies)
 	if now <= x.until {
@@ -254,7 +257,7 @@
 	return r
 }
 
-// most is what a part may save up: its share of the burst, one request at least.
+// maxLevel returns what may be saved up: the rate's share of the burst, one request at least.
 func (t *Holder) maxLevel(now int64, x *bucket) float64 {
 	return max(x.Burst*t.rateOf(now, x)/x.Rate, 1)
 }
@@ -273,7 +276,8 @@
 	x.level = min(x.level, t.maxLevel(now, x))
 }
 
-// Admit takes a request off an allowance, or tells when one may be admitted.
+// Admit takes a request off an allowance, or returns after how many microseconds one may be
+// admitted.
 func (t *Holder) Admit(now int64, name string) (ok bool, after int64) {
 	x := t.buckets[name]
 	if x == nil {
@@ -292,7 +296,7 @@
 	return false, int64(math.Ceil((1-x.level)/t.rateOf(now, x)*1e6)) + 1
 }
 
-// Due tells whether there is something to claim.
+// Due reports whether there is something to claim.
 func (t *Holder) Due(now int64) bool {
 	for _, x := range t.buckets {
 		if t.due(now, x) {
@@ -306,8 +310,8 @@
 	return x.lastAt != 0 && now-x.lastAt <= t.cfg.Duration
 }
 
-// due: a part is claimed anew after Renew; one that is asked for the first time, soon, but
-// not in a call of its own for each.
+// due reports whether a lease is to be renewed. One that is asked for the first time is
+// claimed soon, but not in a call of its own.
 func (t *Holder) due(now int64, x *bucket) bool {
 	switch {
 	case !t.recentlyAsked(now, x):
@@ -318,10 +322,11 @@
 	return now-x.claimAt >= t.cfg.RenewInterval
 }
 
+// maxEarlyClaims bounds the calls for newly asked allowances within a renewal interval.
 const maxEarlyClaims = 5 // calls for them at most, within the time between two claims of one part
 
-// Claims returns what is claimed now, for the allowances that were asked for lately. Once
-// one is claimed anew all are: many allowances cost no more calls than one.
+// TakeClaims returns the claims to send, for the allowances that were asked for recently. If
+// one is renewed all are: many allowances cost no more calls than one.
 func (t *Holder) TakeClaims(now int64) (out []Claim) {
 	renewed := false
 	for _, x := range t.buckets {
@@ -349,7 +354,7 @@
 	return out
 }
 
-// Granted takes the answer to claims that were sent at a time.
+// HandleGrants takes the answer to claims that were sent at a time.
 func (t *Holder) HandleGrants(now, sent int64, list []Grant) {
 	for _, g := range list {
 		x := t.buckets[g.Name]
@@ -362,16 +367,16 @@
 	}
 }
 
-// Held is one allowance as a mixer holds it.
+// AllowanceStatus is one allowance as a proxy holds it.
 type AllowanceStatus struct {
 	Allowance
 	Counts
-	Rate  float64 // its part now
+	Rate  float64 // its rate now
 	Level float64
-	Lease int64 // for so long yet; 0: it has none
+	Lease int64 // microseconds left; 0: it has no lease
 }
 
-// Held are all allowances, by name.
+// Status returns all allowances, by name.
 func (t *Holder) Status(now int64) (out []AllowanceStatus) {
 	for _, x := range t.buckets {
 		t.refill(now, x)
--- a/internal/cluster/quota/quota.go
+++ b/internal/cluster/quota/quota.go
@@ -1,22 +1,23 @@
-// Package quota owns each proxy's part of what all proxies may spend together without a
-// word on a request's way: the slack of the retry budget. It must never let the parts of
-// all proxies add up to more than the whole over any window, as long as each of them knows
-// at least half of those that live.
+// Package quota divides limits among proxies without a call per request: the slack of the
+// retry budget (RetryBudget), and allowances of callers, which one agent leases (Lessor) and
+// each proxy spends (Holder). The shares of all proxies never add up to more than the limit
+// over any window, as long as each proxy knows at least half of those that are alive.
 package quota
 
 import "math"
 
-// Config is what is shared. Times are microseconds of the caller's clock.
+// Config tunes a retry budget. Times are microseconds of the caller's clock.
 type Config struct {
-	Total      float64 // what all may spend together in a window
+	Total      float64 // what all proxies may spend together in a window
 	Window     int64
-	MinProxies int  // proxies taken for granted, however few are known
+	MinProxies int  // proxies that are assumed, however few are known
 	FirstStart bool // the whole system starts for the first time: nobody has spent anything
 }
 
+// hiddenProxyFactor is how many proxies may be alive for each one that is known.
 const hiddenProxyFactor = 2 // so many proxies may live for each that is known
 
-// Purse is one proxy's part.
+// RetryBudget is one proxy's share of the retry budget. It is not safe for concurrent use.
 type RetryBudget struct {
 	cfg     Config
 	started int64
@@ -28,13 +29,13 @@
 	at int64 // when it was last so many
 }
 
-// New returns the purse of a process that starts now. Its life before may have spent a
-// whole part, of which this one knows nothing: it gets none before a window has passed.
+// NewRetryBudget returns the budget of a process that starts now. Before a restart it may have
+// spent a whole share, so it gets none before a window has passed.
 func NewRetryBudget(now int64, cfg Config) *RetryBudget { return &RetryBudget{cfg: cfg, started: now} }
 
-// Part tells what this proxy may spend in any window, in whole units, where so many
-// proxies are known, this one included. Where they grow fewer it grows only once a window
-// has passed: those that are gone may have spent theirs.
+// Share returns what this proxy may spend in any window, in whole units, if so many proxies
+// are known, this one included. If they become fewer the share grows only after a window:
+// those that are gone may have spent theirs.
 func (p *RetryBudget) Share(now int64, known int) float64 {
 	for len(p.counts) > 0 && p.counts[len(p.counts)-1].n <= known {
 		p.counts = p.counts[:len(p.counts)-1]
--- a/internal/cluster/registry/registry.go
+++ b/internal/cluster/registry/registry.go
@@ -1,8 +1,8 @@
-// Package registry owns the servers: which lives are there, where, for which service, and
-// whether one serves, leaves or has fallen silent. Every core machine runs one, fed by
-// the beats that it takes itself and by the news of the others. It must never trust a
-// beat of a lower sequence than one it has seen, bring back a life that has left, or take
-// silence here for silence everywhere.
+// Package registry tracks the servers: which incarnations exist, where, for which service, and
+// whether each is available, draining or silent. Every control-plane machine runs one, fed by
+// the heartbeats that it receives itself and by gossip from the others. It never trusts a
+// heartbeat with a lower sequence than one it has seen, brings back an incarnation that has
+// deregistered, or takes silence here for silence everywhere.
 package registry
 
 import (
@@ -13,7 +13,7 @@
 	"saddleport/internal/cluster/gossip"
 )
 
-// Server is what is told of one life of a server.
+// Server is one incarnation of a server as it is gossiped.
 type Server struct {
 	ID         string  `json:"-"`
 	Service    string  `json:"s"`
@@ -22,8 +22,8 @@
 	Revision   string  `json:"v,omitempty"`
 	Capacity   float64 `json:"c"`
 	State      State   `json:"t"`
-	WarmupLeft int64   `json:"w,omitempty"` // ms that it is still slow, when this was told
-	Owner      string  `json:"b"`           // the core machine that hears it
+	WarmupLeft int64   `json:"w,omitempty"` // milliseconds that it is still slow, when this was gossiped
+	Owner      string  `json:"b"`           // the control-plane machine that receives its heartbeats
 }
 
 // What a server says of itself in a heartbeat.
@@ -32,7 +32,7 @@
 	LifecycleDraining  = "draining"
 )
 
-// State is how a server stands.
+// State is the state of a server.
 type State int
 
 // The states. Left is told by no body at all.
@@ -46,10 +46,10 @@
 	return [...]string{"available", "draining", "silent"}[min(max(s, 0), Silent)]
 }
 
-// Prefix begins the keys of servers among the news.
+// Prefix begins the keys of servers in the gossip store.
 const Prefix = "s/"
 
-// Beat is a heartbeat.
+// Heartbeat is the body of a server's heartbeat; the names on the wire are the operators'.
 type Heartbeat struct {
 	Service    string  `json:"target_service"`
 	Addr       string  `json:"address"`
@@ -61,7 +61,7 @@
 	Sequence   int64   `json:"sequence"`
 }
 
-// Check tells what is wrong with a beat.
+// Validate returns what is wrong with a heartbeat.
 func (b Heartbeat) Validate(id string) error {
 	switch {
 	case id == "" || len(id) > 200:
@@ -87,6 +87,7 @@
 	deregisteredVersion = uint64(1) << 62
 )
 
+// maxServers is how many servers one machine tracks.
 const maxServers = 10_000 // servers heard by one machine
 
 type trackedServer struct {
@@ -95,15 +96,16 @@
 	lastHeardAt int64 // microseconds of the caller's clock
 }
 
-// Roster is the state of one core machine.
+// Registry is the servers as one control-plane machine sees them. It is not safe for
+// concurrent use.
 type Registry struct {
 	self           string
 	silenceTimeout int64 // microseconds without a beat after which a server is silent
 	tracked        map[string]*trackedServer
 }
 
-// New returns a roster of the core machine self, to which a server that says nothing for
-// quiet microseconds is silent.
+// New returns the registry of a machine, to which a server that sends nothing for
+// silenceTimeout microseconds is silent.
 func New(self string, silenceTimeout int64) *Registry {
 	return &Registry{self: self, silenceTimeout: silenceTimeout, tracked: make(map[string]*trackedServer)}
 }
@@ -116,7 +118,7 @@
 	return gossip.Entry{Key: Prefix + s.ID, Version: version, Value: body}
 }
 
-// Parse reads the news of a server; gone ones have their id alone.
+// Parse reads the gossiped entry of a server. Of a deleted one only the id is known.
 func Parse(i gossip.Entry) (s Server, err error) {
 	if !i.Deleted() {
 		err = json.Unmarshal(i.Value, &s)
@@ -125,8 +127,8 @@
 	return s, err
 }
 
-// Heard takes a beat and returns the news that it makes, if any. held is the news that is
-// known of the server so far.
+// HandleHeartbeat takes a heartbeat and returns the entry to gossip, if anything changed.
+// stored is the entry that is known of the server so far.
 func (r *Registry) HandleHeartbeat(now int64, id string, b Heartbeat, stored gossip.Entry, known bool) (update gossip.Entry, changed bool, err error) {
 	if err := b.Validate(id); err != nil {
 		return update, false, err
@@ -167,8 +169,8 @@
 	return entryOf(s, version), true, nil
 }
 
-// Adopt has this machine listen for a server that another one heard, or that it heard in an
-// earlier life itself: it is silent unless it beats here, or is told to beat elsewhere.
+// Adopt makes this machine track a server that another machine owned, or that it owned itself
+// before a restart: it is silent unless it sends heartbeats here or is heard elsewhere.
 func (r *Registry) Adopt(now int64, i gossip.Entry) {
 	s, err := Parse(i)
 	if err != nil || i.Deleted() || s.State == Silent || r.tracked[s.ID] != nil || len(r.tracked) >= maxServers {
@@ -177,22 +179,23 @@
 	r.tracked[s.ID] = &trackedServer{server: s, sequence: int64(i.Version >> versionShift), lastHeardAt: now}
 }
 
-// Hears tells whether a server beats here, or is listened for.
+// Tracks reports whether a server sends its heartbeats here or was adopted.
 func (r *Registry) Tracks(id string) bool { return r.tracked[id] != nil }
 
-// Let is the news that a server that has long been silent is let go. One that beats again
-// comes back.
+// RemovedEntry is the entry of a server that is removed after long silence. A later heartbeat
+// brings it back.
 func RemovedEntry(i gossip.Entry) gossip.Entry {
 	return gossip.Entry{Key: i.Key, Version: i.Version>>versionShift<<versionShift | removedBit}
 }
 
-// Left takes a server's last word.
+// HandleDeregister takes a server's last call and returns the entry to gossip.
 func (r *Registry) HandleDeregister(id string) gossip.Entry {
 	delete(r.tracked, id)
 	return gossip.Entry{Key: Prefix + id, Version: deregisteredVersion}
 }
 
-// Told takes the news of others: what is heard here too late a beat of is answered.
+// HandleUpdate takes an entry that another machine gossiped. If it is older than what was
+// heard here, the entry that corrects it is returned.
 func (r *Registry) HandleUpdate(now int64, i gossip.Entry) (update gossip.Entry, changed bool) {
 	s, err := Parse(i)
 	if err != nil {
@@ -211,7 +214,7 @@
 	return update, false
 }
 
-// Tick returns the news of servers that have fallen silent here.
+// Tick returns the entries of servers that have become silent here.
 func (r *Registry) Tick(now int64) (updates []gossip.Entry) {
 	for id, h := range r.tracked {
 		if now-h.lastHeardAt > r.silenceTimeout {
@@ -224,5 +227,5 @@
 	return updates
 }
 
-// Len counts the servers that beat here.
+// Len counts the servers that send their heartbeats here.
 func (r *Registry) Len() int { return len(r.tracked) }
--- a/internal/cluster/replica/record.go
+++ b/internal/cluster/replica/record.go
@@ -8,18 +8,18 @@
 	"saddleport/internal/cluster/consensus"
 )
 
-// Format is the version of the form in which a record stands on the disk. Records without
-// one were kept by older programs and are read too.
+// StateFormat is the version of the form in which the state stands on disk. A state without
+// one was written by earlier releases and is read too.
 const StateFormat = 1
 
-// Record is what must be on the disk. Entry is nil where its content has not changed.
+// Record is what must be on disk. Entry is nil if its content has not changed.
 type Record struct {
 	State       consensus.State
-	StoredEpoch uint64 // of the entry; it may be newer than what the entry itself says
+	StoredEpoch uint64 // epoch of the stored entry; it may be newer than the one that the entry itself names
 	Entry       *chain.Entry
 }
 
-// held is the entry as it counts.
+// currentEntry returns the entry under its newest epoch.
 func (r Record) currentEntry() chain.Entry {
 	var e chain.Entry
 	if r.Entry != nil {
@@ -29,19 +29,19 @@
 	return e
 }
 
-// Behind tells whether the entry is older than the one that goes with the view.
+// EntryBehindView reports whether the entry is older than the one that the view rests on.
 func (r Record) EntryBehindView() bool {
 	return r.currentEntry().Viewstamp().Less(r.State.View.BaseViewstamp())
 }
 
-// stored is a record's state as it stands on the disk, beside the entry.
+// stateJSON is the form of a record's state on disk. The entry stands beside it.
 type stateJSON struct {
 	Format int `json:"format,omitempty"`
 	consensus.State
 	StoredEpoch uint64 `json:"heldEpoch,omitempty"`
 }
 
-// Encode writes the state of a record as it stands on the disk; Decode reads it back.
+// EncodeState writes the state of a record as it stands on disk.
 func EncodeState(r Record) []byte {
 	b, err := json.Marshal(stateJSON{StateFormat, r.State, r.StoredEpoch})
 	if err != nil {
@@ -50,7 +50,7 @@
 	return b
 }
 
-// Decode is as Encode.
+// DecodeState reads what EncodeState writes.
 func DecodeState(b []byte) (r Record, err error) {
 	var s stateJSON
 	if err := json.Unmarshal(b, &s); err != nil {
--- a/internal/cluster/replica/replica.go
+++ b/internal/cluster/replica/replica.go
@@ -1,8 +1,8 @@
-// Package replica is a core machine's control state as one machine that is stepped: the
-// agreement on the view (consensus) and the chain under it, with what both must have on the
-// disk. It owns the order of things: what a step returns to be sent or told may go out only
-// once what it returns to be written is synced, and so is all that was before it. It does
-// no I/O and reads no clock; a broken invariant panics with what was seen.
+// Package replica is the replicated state of one control-plane machine: the agreement on views
+// (package consensus) and the chain under it (package chain), with what both must keep on
+// disk. It owns the order of effects: what a step returns to be sent or answered may go out
+// only once what it returns to be written, and all that was written before, is synced. It does
+// no I/O and reads no clock. A broken invariant panics with the values that break it.
 package replica
 
 import (
@@ -13,17 +13,18 @@
 	"saddleport/internal/cluster/views"
 )
 
-// Config tunes both machines.
+// Config tunes the machines.
 type Config struct {
 	Chain     chain.Config
 	Consensus consensus.Config
-	Repair    antientropy.Config // Sweep 0: nothing is repaired beyond what the chain itself does
+	Repair    antientropy.Config // SweepInterval 0: no repair beyond what the chain does itself
 }
 
 const millisecond = int64(1000)
 
-// Usual is the configuration for service: a loss is noticed within 2 s, and the chain is
-// mended well within an operator's patience of 6 s. faults machines may be lost at once.
+// DefaultConfig is the configuration for service: a loss is noticed within 2 s, and the chain
+// is repaired well within an operator's timeout of 6 s. faults is the number of machines that
+// may be lost at once.
 func DefaultConfig(faults int) Config {
 	return Config{
 		Repair: antientropy.Config{RepairInterval: 2000 * millisecond, SweepInterval: 1000 * millisecond, MaxTracked: 64},
@@ -33,14 +34,15 @@
 	}
 }
 
-// Output is what a step returns: first what is to be written, then what may go out.
+// Output is the result of a step. Persist must be synced before Send and Results go out.
 type Output struct {
 	Persist *Record
 	Send    []envelope.Message
 	Results []chain.Result
 }
 
-// Machine is one core machine.
+// Machine is the replicated state of one control-plane machine. It is not safe for concurrent
+// use.
 type Machine struct {
 	Consensus     *consensus.Machine
 	Chain         *chain.Machine
@@ -49,15 +51,15 @@
 	repairs       *antientropy.Repairer
 }
 
-// New returns a machine whose disk holds a record; nonce sets its calls apart from those
-// of its earlier lives.
+// New returns a machine whose disk holds a record. The nonce tells its calls apart from those
+// that it made before a restart.
 func New(now int64, cfg Config, record Record, seeds []string, nonce string, mutations chain.Mutations) *Machine {
 	machine := &Machine{cfg: cfg, repairs: antientropy.New(cfg.Repair), Chain: chain.New(cfg.Chain, record.State.Self, record.currentEntry(), nonce, mutations)}
 	machine.Consensus = consensus.New(now, cfg.Consensus, record.State, seeds, machine.Chain, mutations)
 	return machine
 }
 
-// Got takes a message.
+// Step handles a message.
 func (r *Machine) Step(now int64, msg envelope.Message) Output {
 	self := r.Consensus.Self
 	switch {
@@ -77,7 +79,7 @@
 	return r.drainOutput(now)
 }
 
-// Tick lets time pass; it wants to be called several times a heartbeat.
+// Tick lets time pass. It is to be called several times a heartbeat interval.
 func (r *Machine) Tick(now int64) Output {
 	r.Chain.Tick(now)
 	r.reportSuspect(now)
@@ -86,8 +88,8 @@
 	return r.drainOutput(now)
 }
 
-// complain tells all of a member that does not move on. One that is known to hold what it
-// was passed waits for others itself.
+// reportSuspect tells all members of one that makes no progress. One that is known to store
+// what it was forwarded is waiting for another itself.
 func (r *Machine) reportSuspect(now int64) {
 	suspect, found := r.Chain.Suspected()
 	if !found || now-r.lastSuspectAt < r.cfg.Consensus.HeartbeatInterval {
@@ -100,7 +102,7 @@
 	}
 }
 
-// repair brings a copy that was found old up to date, if what is kept here is acknowledged.
+// repair brings an outdated replica up to date if the entry stored here is acknowledged.
 func (r *Machine) repair(now int64, member views.Member, viewstamp views.Viewstamp) {
 	own := r.Chain.Stored()
 	if r.cfg.Repair.SweepInterval > 0 && r.Chain.Acknowledged() >= own.Version && r.repairs.ShouldRepair(now, member.String(), viewstamp.Version, own.Version) {
@@ -108,8 +110,8 @@
 	}
 }
 
-// sweep has the head look at one copy after another: those outside the chain, and those that
-// no read has asked, are found by it alone.
+// sweep makes the head check one replica after another, for those outside the chain and those
+// that no read has asked are found in no other way.
 func (r *Machine) sweep(now int64) {
 	v := r.Chain.View()
 	if r.cfg.Repair.SweepInterval == 0 || v.Head() != r.Consensus.Self || r.Chain.Sealed() {
@@ -130,32 +132,33 @@
 	}
 }
 
-// Repaired counts the repairs.
+// RepairStats counts the repairs.
 func (r *Machine) RepairStats() antientropy.Stats { return r.repairs.Stats() }
 
-// Put asks for a configuration to be acknowledged, Get for the newest that was. The Result
-// under the id returned comes in this or a later Output.
+// Put requests that a configuration be acknowledged. The Result under the returned id comes in
+// this Output or a later one.
 func (r *Machine) Put(now int64, e chain.Entry) (string, Output) {
 	id := r.Chain.Put(now, e)
 	return id, r.drainOutput(now)
 }
 
-// Get is as Put.
+// Get requests the newest acknowledged configuration. The Result comes as that of Put.
 func (r *Machine) Get(now int64) (string, Output) {
 	id := r.Chain.Get(now)
 	return id, r.drainOutput(now)
 }
 
-// Leave has this machine hand its vote over; see Left.
+// StartLeave makes this machine hand its vote over; see HasLeft.
 func (r *Machine) StartLeave(now int64) Output {
 	r.Consensus.StartLeave()
 	return r.Tick(now)
 }
 
-// Left tells whether it may end without a loss.
+// HasLeft reports whether this machine may end without weakening the control plane.
 func (r *Machine) HasLeft(now int64) bool { return r.Consensus.HasLeft(now) }
 
-// output gathers what both want, and has them take at once what they send themselves.
+// drainOutput collects what both machines want done, and delivers at once what this machine
+// sends to itself.
 func (r *Machine) drainOutput(now int64) (out Output) {
 	for {
 		msgs, results := r.Chain.TakeOutput()
--- a/internal/cluster/routeconfig/routeconfig.go
+++ b/internal/cluster/routeconfig/routeconfig.go
@@ -1,7 +1,6 @@
-// Package routeconfig owns a configuration of the operators': it is checked whole, routes
-// are found in it, and of two the one with the higher version counts. It must never edit
-// an operator's bytes, take anything that can't be read whole, or go back to an older
-// version.
+// Package routeconfig holds an operator's configuration: it validates it as a whole, finds the
+// route of a request, and orders configurations by revision. It never edits an operator's
+// bytes, accepts anything that cannot be read whole, or goes back to an older revision.
 package routeconfig
 
 import (
@@ -13,7 +12,7 @@
 	"saddleport/internal/paths"
 )
 
-// Charter is a configuration that was found valid.
+// Config is a valid configuration. It must not be changed.
 type Config struct {
 	Revision int64
 	Raw      []byte // as it was sent
@@ -21,13 +20,13 @@
 	Services map[string]*Service
 	Limits   Limits
 	// Allowances are a part of the configuration of our own; most have none.
-	Allowances []*Allowance
+	Allowances []*Allowance // an extension of this project; most configurations have none
 
 	hosts map[string]map[string]*Route // by host and prefix
 }
 
-// Route says what becomes of the requests of a host below a prefix. Exactly one of
-// Backends and Fanout is filled.
+// Route says how the requests of a host below a path prefix are handled. Exactly one of
+// Backends and FanoutServices is set.
 type Route struct {
 	Name, Host, Prefix     string
 	Idempotent             bool
@@ -37,7 +36,7 @@
 	Backends               []Backend
 	FanoutServices         []string // the shards of a gathered answer
 	ResultLimit            int      // records of a gathered answer
-	MinSuccessRatio        float64  // share of the shards without which it is no success
+	MinSuccessRatio        float64  // share of the shards below which a gathered answer is no success
 }
 
 // Backend is a service and its weight beside the others of its route.
@@ -53,8 +52,8 @@
 	MaxConnections  int
 }
 
-// Allowance is how much one caller may ask of all mixers together: who is known by a header
-// with a value, by the routes that are asked, or by both.
+// Allowance limits how much one caller may ask of all proxies together. The caller is
+// identified by a header with a value, by the routes that are asked, or by both.
 type Allowance struct {
 	Name          string
 	Header, Value string          // "": any
@@ -68,7 +67,7 @@
 	HeaderTimeout, IdleTimeout   time.Duration
 }
 
-// The limits where a configuration tells none.
+// DefaultLimits are the limits where a configuration sets none.
 var DefaultLimits = Limits{MaxHeaderBytes: 16 << 10, MaxBodyBytes: 256 << 10, HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second}
 
 const (
@@ -79,6 +78,7 @@
 	maxRate       = 1e6
 )
 
+// milliseconds reads a duration.
 func milliseconds(r paths.Reader) time.Duration {
 	ms := r.Number()
 	if ms < 0 || ms > 1e9 {
@@ -87,8 +87,8 @@
 	return time.Duration(ms * float64(time.Millisecond))
 }
 
-// revision is the number of a configuration: whole, not negative, and with room for the mark
-// that orders two contents of one number.
+// revision reads a configuration's number: a whole one, not negative, with room for the digest
+// bits that order two contents of one number.
 func revision(at paths.Reader) int64 {
 	n := at.NoText().Int()
 	if n < 0 || n > chain.MaxRevision {
@@ -97,7 +97,7 @@
 	return n
 }
 
-// Read checks a configuration whole. What is wrong is told by its path.
+// Parse validates a configuration as a whole. The error names the path of what is wrong.
 func Parse(raw []byte) (*Config, error) {
 	root, err := paths.JSON(raw)
 	if err != nil {
@@ -234,8 +234,8 @@
 	c.Routes = append(c.Routes, r)
 }
 
-// Match finds the route of a request, nil where there is none: of the routes of its host
-// the one with the longest prefix that begins the path.
+// MatchRoute returns the route of a request: of the routes of its host the one with the
+// longest prefix that begins the path. It returns nil if there is none.
 func (c *Config) MatchRoute(host, path string) *Route {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
@@ -254,7 +254,7 @@
 	return nil
 }
 
-// Newer tells whether c counts beside what was held, which may be nil.
+// Newer reports whether c replaces the current configuration, which may be nil.
 func (c *Config) Newer(current *Config) bool { return current == nil || c.Revision > current.Revision }
 
 func (c *Config) parseAllowances(at paths.Reader) {
@@ -300,8 +300,7 @@
 	}
 }
 
-// Allowance finds the allowance that a request counts against: the first that is its
-// caller's and route's. Nil: none is.
+// MatchAllowance returns the first allowance that a request counts against; nil: none.
 func (c *Config) MatchAllowance(r *Route, header func(name string) string) *Allowance {
 	for _, a := range c.Allowances {
 		if (a.Routes == nil || a.Routes[r.Name]) && (a.Header == "" || header(a.Header) == a.Value) {
--- a/internal/cluster/views/views.go
+++ b/internal/cluster/views/views.go
@@ -9,8 +9,8 @@
 	"slices"
 )
 
-// Member is one disk of the core, at an address. A machine that comes back with an empty
-// disk is another member.
+// Member is one disk of the control plane, at an address. A machine that comes back with an
+// empty disk is another member.
 type Member struct {
 	Addr   string `json:"a"`
 	DiskID string `json:"d"`
@@ -18,26 +18,26 @@
 
 func (m Member) String() string { return m.Addr + "/" + m.DiskID }
 
-// View is what most of the voters of the view before have agreed on: who votes, in which
+// View is what a majority of the previous view's voters has agreed on: who votes, in which
 // order, and which of them form the chain, from head to tail.
 type View struct {
 	Epoch     uint64   `json:"e"`
 	Members   []Member `json:"m"`
 	Chain     []Member `json:"c"`
-	Base      uint64   `json:"b"`           // rank of an entry: whoever is in this view holds that one or a newer one
-	BaseEpoch uint64   `json:"f,omitempty"` // of the same entry
+	Base      uint64   `json:"b"`           // version of an entry: every member of this view stores that one or a newer one
+	BaseEpoch uint64   `json:"f,omitempty"` // epoch of the same entry
 }
 
-// Majority is how many members are more than half.
+// Majority returns how many members are more than half.
 func (v View) Majority() int { return len(v.Members)/2 + 1 }
 
-// Has tells whether m is a member.
+// Has reports whether m is a member.
 func (v View) Has(m Member) bool { return slices.Contains(v.Members, m) }
 
-// BaseStamp is the stamp of the entry that goes with the view.
+// BaseViewstamp returns the viewstamp of the entry that the view rests on.
 func (v View) BaseViewstamp() Viewstamp { return Viewstamp{Epoch: v.BaseEpoch, Version: v.Base} }
 
-// Head is the first of the chain; the zero Member where there is no view.
+// Head returns the first of the chain; the zero Member if there is no view.
 func (v View) Head() Member {
 	if len(v.Chain) == 0 {
 		return Member{}
@@ -45,7 +45,7 @@
 	return v.Chain[0]
 }
 
-// Tail is the last of the chain; the zero Member where there is no view.
+// Tail returns the last of the chain; the zero Member if there is no view.
 func (v View) Tail() Member {
 	if len(v.Chain) == 0 {
 		return Member{}
@@ -53,8 +53,9 @@
 	return v.Chain[len(v.Chain)-1]
 }
 
-// Check holds a view to what makes it safe: the chain is made of members, and is more than
-// half of them, so that whatever it acknowledged is on the disk of one in every majority.
+// Check returns what makes a view unsafe: the chain must be made of members and be more than
+// half of them, so that whatever it acknowledged is on the disk of one member of every
+// majority.
 func (v View) Check() error {
 	seen := make(map[Member]bool)
 	for _, m := range v.Members {
@@ -86,7 +87,7 @@
 	HistoryDigest uint64 `json:"l,omitempty"` // of the entry; it orders nothing
 }
 
-// Less orders stamps.
+// Less orders viewstamps.
 func (s Viewstamp) Less(o Viewstamp) bool {
 	return s.Epoch < o.Epoch || s.Epoch == o.Epoch && s.Version < o.Version
 }
--- a/internal/node/admin/admin.go
+++ b/internal/node/admin/admin.go
@@ -1,3 +1,5 @@
+// Package admin holds what running processes tell on-call engineers: the calls behind show and
+// explain, and the tables that they answer.
 package admin
 
 import (
@@ -37,11 +39,11 @@
 	Tables  []Table `json:"tables"`
 }
 
-// ShowCall asks a running process what it holds. It listens where only its own machine or
-// other processes of the system can reach it.
+// ShowCall asks a running process what it holds. It is answered where only processes of the
+// system and the own machine can reach it.
 var ShowCall = rpc.Declare[rpc.Raw, Shown]("GET", "/Show", agentapi.MaxCallBytes, "`show`, on the same machine or from a core machine")
 
-// ShowAt is where a program answers that.
+// ShowAddr returns where a program answers show and explain.
 func ShowAddr(program string, b *nodesettings.Settings) string {
 	switch program {
 	case Proxy:
@@ -52,7 +54,7 @@
 	return b.PeerAddr()
 }
 
-// Text writes what is shown as tables.
+// Text formats what is shown as tables.
 func (s Shown) Text() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s %s, up %s\n", s.Program, s.Name, s.Up)
@@ -73,6 +75,7 @@
 	return b.String()
 }
 
+// RegisterShow answers ShowCall.
 func RegisterShow(mux *http.ServeMux, program, name string, start time.Time, tables func(context.Context) ([]Table, error)) {
 	ShowCall.On(mux, func(ctx context.Context, _ rpc.Named, _ rpc.Raw) (Shown, error) {
 		t, err := tables(ctx)
@@ -83,6 +86,7 @@
 // ExplainCall asks a running process what it knows of one server or caller.
 var ExplainCall = rpc.Declare[rpc.Raw, Shown]("GET", "/Explain/{name}", agentapi.MaxCallBytes, "`explain`, on the same machine or from a core machine")
 
+// RegisterExplain answers ExplainCall.
 func RegisterExplain(mux *http.ServeMux, program, name string, start time.Time, tables func(about string) ([]Table, error)) {
 	ExplainCall.On(mux, func(_ context.Context, who rpc.Named, _ rpc.Raw) (Shown, error) {
 		t, err := tables(who.Name)
@@ -90,6 +94,7 @@
 	})
 }
 
+// FormatAge formats a number of microseconds.
 func FormatAge(us int64) string {
 	return time.Duration(us * int64(time.Microsecond)).Round(100 * time.Millisecond).String()
 }
--- a/internal/node/agent/agent.go
+++ b/internal/node/agent/agent.go
@@ -1,3 +1,6 @@
+// Package agent is the program beside a proxy: it gossips with the other agents and the control
+// plane, feeds the proxy over loopback, and holds singleton roles (the aggregator of evidence, the
+// lessor of allowances). It serves no requests of clients.
 package agent
 
 import (
@@ -14,17 +17,16 @@
 	"saddleport/internal/node/nodesettings"
 	"saddleport/internal/node/peer"
 	"saddleport/internal/node/rpc"
-	"saddleport/internal/node/transport"
+	"saddleport/internal/transport"
 )
 
 const (
-	proxyGoneAfter = 500 * time.Millisecond // without a call of the proxy, after SIGTERM: it has ended
+	proxyGoneAfter = 500 * time.Millisecond // after SIGTERM: without a call for so long the proxy has ended
 	pollInterval   = 20 * time.Millisecond
-	graceMargin    = 400 * time.Millisecond // before the grace is over
+	graceMargin    = 400 * time.Millisecond // before the grace period is over
 )
 
-// Echo is the agent beside a proxy: it keeps the link to the control plane and feeds the
-// proxy over loopback. It serves no requests and decides nothing.
+// Run is the program: it serves until ctx ends, and then for as long as its proxy asks.
 func Run(ctx context.Context, set *nodesettings.File) error {
 	boot := set.Current()
 	n := peer.NewNode(set, gossip.KindAgent)
--- a/internal/node/agent/outliers.go
+++ b/internal/node/agent/outliers.go
@@ -16,11 +16,11 @@
 )
 
 const (
-	aggregatorInterval = 200 * time.Millisecond // between steps of the council while there are cases
+	aggregatorInterval = 200 * time.Millisecond // between steps while there are candidates
 )
 
-// bench is an agent's part: it passes evidence on, and holds the council where that is its
-// duty.
+// outlierAggregator is an agent's part in finding slow members: it forwards evidence, and
+// holds the aggregator if the role is its own.
 type outlierAggregator struct {
 	node          *peer.Node
 	role          *outlier.AggregatorRole // under the node's mu, as all below
@@ -78,7 +78,7 @@
 	b.forwarding = false
 }
 
-// given takes evidence where the council is held here. Under mu.
+// addEvidence takes evidence if the role is held here. The node's lock must be held.
 func (b *outlierAggregator) addEvidence(from string, list []outlier.Evidence) bool {
 	b.updateHolder()
 	if !b.role.AddEvidence(b.node.Now(), from, list) {
@@ -96,7 +96,7 @@
 	b.role.SetHolder(b.node.Now(), epoch, holds)
 }
 
-// run steps the council until ctx ends. It rests while there are no cases.
+// run steps the aggregator until ctx ends. It rests while there are no candidates.
 func (b *outlierAggregator) run(ctx context.Context) {
 	for {
 		select {
--- a/internal/node/agent/quota.go
+++ b/internal/node/agent/quota.go
@@ -19,7 +19,8 @@
 	lessorInterval = time.Second
 )
 
-// vault is an agent's part: it passes claims on, and holds the bank where that is its duty.
+// quotaService is an agent's part in allowances: it forwards claims, and holds the lessor if
+// the role is its own.
 type quotaService struct {
 	node          *peer.Node
 	lessor        *quota.Lessor // under the node's mu, as all below; nil: another holds it
@@ -33,7 +34,7 @@
 	return &quotaService{node: n, wake: make(chan struct{}, 1)}
 }
 
-// told takes a configuration from the news. Under mu.
+// onUpdate takes a configuration that was gossiped. The node's lock must be held.
 func (v *quotaService) onUpdate(i gossip.Entry) {
 	if i.Key != agentapi.ConfigurationKey || i.Version <= v.configVersion {
 		return
@@ -58,7 +59,7 @@
 
 func (v *quotaService) proxyCount() int { return len(v.node.Members.Peers(gossip.KindAgent)) + 1 }
 
-// hold has the bank here while the duty is. Under mu.
+// updateHolder holds the lessor here while the role is. The node's lock must be held.
 func (v *quotaService) updateHolder() {
 	epoch, holds := v.node.Members.Holds(outlier.Role)
 	switch {
@@ -98,7 +99,7 @@
 	})
 }
 
-// run looks at how many mixers there are until ctx ends. It rests while there are no
+// run watches how many proxies there are until ctx ends. It rests while there are no
 // allowances.
 func (v *quotaService) run(ctx context.Context) {
 	for {
--- a/internal/node/agent/show.go
+++ b/internal/node/agent/show.go
@@ -13,7 +13,7 @@
 	"saddleport/internal/node/rpc"
 )
 
-// table is what an agent shows of the bank. Under mu.
+// table shows the lessor. The node's lock must be held.
 func (v *quotaService) table() admin.Table {
 	t := admin.Table{Title: "allowance: the bank is another's"}
 	if v.lessor == nil {
@@ -29,7 +29,7 @@
 	return t
 }
 
-// explain tells what an agent knows: the council's evidence, where it holds that.
+// explain shows the evidence on a member, if the role is held here.
 func (b *outlierAggregator) explain(about string) ([]admin.Table, error) {
 	b.node.Mu.Lock()
 	defer b.node.Mu.Unlock()
@@ -50,7 +50,7 @@
 	return []admin.Table{{Title: "the council is held by", Columns: []string{"agent", "epoch"}, Rows: [][]string{{c.Holder, fmt.Sprint(lease.TermOf(c.Epoch))}}}}, nil
 }
 
-// tables are the node's and who is set apart.
+// tables shows the node and the ejected members.
 func (b *outlierAggregator) tables(ctx context.Context) ([]admin.Table, error) {
 	out, err := b.node.Tables(ctx)
 	b.node.Mu.Lock()
--- a/internal/node/agentapi/keys.go
+++ b/internal/node/agentapi/keys.go
@@ -1,8 +1,8 @@
 package agentapi
 
 const (
-	EjectionsKey = "g" // the key of the council's last word among the news
+	EjectionsKey = "g" // key of the published assignment in the gossip store
 )
 
-// charterAt is the key of the configuration among the news.
+// ConfigurationKey is the key of the configuration in the gossip store.
 const ConfigurationKey = "c"
--- a/internal/node/agentapi/outliers.go
+++ b/internal/node/agentapi/outliers.go
@@ -7,19 +7,19 @@
 	"saddleport/internal/node/rpc"
 )
 
-// Witness is a mixer's evidence on its way to the council.
+// EvidenceReport is a proxy's evidence on its way to the aggregator.
 type EvidenceReport struct {
 	From     string             `json:"f,omitempty"` // the agent; empty: the proxy on the same machine
 	Evidence []outlier.Evidence `json:"l"`
 }
 
 var (
-	ReportEvidenceCall  = rpc.Declare[EvidenceReport, rpc.Empty]("POST", "/Herd.Saw", MaxReportBytes, "the proxy on the same machine")
-	ForwardEvidenceCall = rpc.Declare[EvidenceReport, rpc.Empty]("POST", "/Herd.Witness", MaxReportBytes, "every agent")
+	ReportEvidenceCall  = rpc.Declare[EvidenceReport, rpc.Empty]("POST", "/Herd.Saw", MaxReportBytes, "the proxy on the same machine") // from a proxy to its agent
+	ForwardEvidenceCall = rpc.Declare[EvidenceReport, rpc.Empty]("POST", "/Herd.Witness", MaxReportBytes, "every agent")               // from an agent to the one that holds the aggregator
 )
 
 const (
-	CallerPrefix    = "ip/" // begins a caller's name among members
-	MaxReportBytes  = 64 << 10
-	EvidenceTimeout = 400 * time.Millisecond
+	CallerPrefix    = "ip/"                  // begins the name of a caller among members
+	MaxReportBytes  = 64 << 10               // bytes of the body of a report
+	EvidenceTimeout = 400 * time.Millisecond // of a report; the next one repeats what is lost
 )
--- a/internal/node/cli/cli.go
+++ b/internal/node/cli/cli.go
@@ -27,7 +27,7 @@
 	Name, Short string
 	Run         func(context.Context, *nodesettings.File) error
 	GCPercent   int    // as of debug.SetGCPercent
-	OldName     string // until version 0.9; still accepted for one version
+	OldName     string // still accepted for one version
 }
 
 // The programs.
--- a/internal/node/controlplane/handover.go
+++ b/internal/node/controlplane/handover.go
@@ -16,8 +16,9 @@
 	standbyTimeout       = 2000 * time.Millisecond // for somebody to come that takes the vote
 )
 
-// handOver has this machine leave the voters before its process ends. It returns when that
-// is done, when nobody is there to take its vote, or when the grace is nearly over.
+// handOverVote makes this machine leave the voters before its process ends. It returns when
+// that is done, when there is no learner for the vote, or when the grace period is nearly
+// over.
 func (c *replicaRunner) handOverVote(grace time.Duration) {
 	begun := time.Now()
 	over, standby := begun.Add(grace-handOverMargin), begun.Add(standbyTimeout)
@@ -41,7 +42,8 @@
 	events.NotHandedOver.Log("why", "the others have not agreed within the grace")
 }
 
-// leaving tells whether this machine has left, and whether nobody is there to take its place.
+// leaveStatus reports whether this machine has left, and whether there is no learner for its
+// vote.
 func (c *replicaRunner) leaveStatus(ctx context.Context) (left, alone bool) {
 	done := make(chan struct{})
 	if c.do(ctx, func() {
@@ -58,8 +60,8 @@
 	}
 }
 
-// outOfTouch tells a caller where to go if this machine has not heard most of the core
-// lately: what it would say may be old, and what it would take may be lost. nil: it has.
+// requireQuorum returns an error that sends a caller elsewhere if this machine has not heard a
+// majority recently: what it would answer may be outdated, and what it would take may be lost.
 func (c *replicaRunner) requireQuorum(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, answerTimeout)
 	defer cancel()
@@ -88,8 +90,8 @@
 	return c.redirect(others)
 }
 
-// sendOn is the answer that sends a caller to the first of some machines whose address for
-// callers is known; to none: to come again.
+// redirect sends a caller to the first machine whose address for callers is known; if there is
+// none, tells it to come again.
 func (c *replicaRunner) redirect(others []string) error {
 	control := make(map[string]string)
 	for _, p := range c.node.Peers(gossip.KindControlPlane) {
--- a/internal/node/controlplane/outbox.go
+++ b/internal/node/controlplane/outbox.go
@@ -22,12 +22,12 @@
 	outboxIdleTimeout = time.Minute            // a machine that was sent nothing for so long is let go of
 )
 
-// mailCall carries messages between core machines (codec.EncodeBatch). Nothing is answered
-// but that it came: what is lost is sent again by whoever waits for it.
+// messagesCall carries messages between control-plane machines (codec.EncodeBatch). The answer
+// only says that they arrived: what is lost is sent again by whoever waits for it.
 var messagesCall = rpc.Declare[rpc.Raw, rpc.Empty]("POST", "/Core.Mail", 4*agentapi.MaxCallBytes, "core processes").Packed()
 
-// lane is one of the two ways of mail to a machine. What is large has one of its own, so
-// that heartbeats do not wait behind it.
+// outboxKey names one of the two outboxes of a machine. Large messages have their own, so that
+// heartbeats do not wait behind them.
 type outboxKey struct {
 	addr string
 	bulk bool
@@ -40,7 +40,7 @@
 	return messageTimeout
 }
 
-// post is the mail that waits for one lane.
+// outbox holds the messages that wait for one machine.
 type outbox struct {
 	key    outboxKey
 	mu     sync.Mutex
@@ -65,7 +65,7 @@
 	return true
 }
 
-// take returns what may go in one call: of large messages only so many as the call bears.
+// take returns what may go in one call.
 func (p *outbox) take() (batch []envelope.Message, more bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -81,7 +81,7 @@
 	return batch, len(p.queue) > 0
 }
 
-// end lets go of the post if nothing waits.
+// closeIfEmpty ends the outbox if nothing waits.
 func (p *outbox) closeIfEmpty() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -89,7 +89,7 @@
 	return p.closed
 }
 
-// send puts messages into the mail of their receivers.
+// enqueueMessages puts messages into the outboxes of their receivers.
 func (c *replicaRunner) enqueueMessages(list []envelope.Message) {
 	for _, msg := range list {
 		if p := c.outboxFor(outboxKey{msg.To.Addr, chain.ContentOf(msg.Body) != nil}); p != nil && !p.put(msg) {
@@ -100,7 +100,7 @@
 	}
 }
 
-// postFor returns the mail of a lane; nil: there are too many.
+// outboxFor returns an outbox; nil if there are too many.
 func (c *replicaRunner) outboxFor(l outboxKey) *outbox {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -117,7 +117,7 @@
 	return p
 }
 
-// carry posts the mail of one lane, in order, until nothing has come for long.
+// runOutbox sends the messages of one outbox in order until nothing has come for long.
 func (c *replicaRunner) runOutbox(p *outbox) {
 	defer c.outboxesDone.Done()
 	idle := time.NewTimer(outboxIdleTimeout)
@@ -161,7 +161,7 @@
 	return true
 }
 
-// serve answers the other core machines.
+// serveMessages answers the other control-plane machines.
 func (c *replicaRunner) serveMessages(mux *http.ServeMux) {
 	messagesCall.On(mux, func(ctx context.Context, who rpc.Named, mail rpc.Raw) (rpc.Empty, error) {
 		messages, unread, err := codec.DecodeBatch(mail)
--- a/internal/node/controlplane/replica.go
+++ b/internal/node/controlplane/replica.go
@@ -36,8 +36,8 @@
 	diskStallTime        = time.Second
 )
 
-// core runs a replica: its loop steps it, its disk goroutine writes down what a step wants
-// written and only then lets go what the step wants sent and told.
+// replicaRunner runs a replica.Machine. Its loop steps the machine; its disk goroutine writes
+// what a step wants written, and only then releases what the step wants sent and answered.
 type replicaRunner struct {
 	node    *peer.Node
 	dataDir string
@@ -86,7 +86,7 @@
 	return c, nil
 }
 
-// now is the machines' clock: it starts above 0.
+// now is the machine's clock, in microseconds; it starts above 0.
 func (c *replicaRunner) now() int64 { return c.node.Now() + 1 }
 
 // do runs f on the loop.
@@ -134,7 +134,7 @@
 	}
 }
 
-// noteTouch tells when most of the core is heard no more, and when it is again. On the loop.
+// logQuorumChange logs when the quorum is lost and when it is back. It is called on the loop.
 func (c *replicaRunner) logQuorumChange() {
 	now := c.replica.Consensus.HasQuorum(c.now())
 	switch {
@@ -146,7 +146,7 @@
 	c.hadQuorum = now
 }
 
-// seeds are where to ask to be taken in: what the settings name and what the news knows.
+// seeds returns where to ask for a vote: what the settings name and what gossip knows.
 func (c *replicaRunner) seeds() []string {
 	seeds := c.node.Settings.Current().SeedPeers()
 	if !c.replica.Consensus.IsMember() || !c.replica.Consensus.HasQuorum(c.now()) {
@@ -159,7 +159,8 @@
 	return seeds
 }
 
-// flow queues what a step returned, and makes known what is safe. On the loop.
+// process queues what a step returned, and announces what is acknowledged. It is called on the
+// loop.
 func (c *replicaRunner) process(out replica.Output) {
 	if out.Persist != nil || len(out.Send) > 0 || len(out.Results) > 0 {
 		c.enqueue(out)
@@ -169,8 +170,8 @@
 	c.announceView()
 }
 
-// enqueue has an output wait for the disk. Behind a disk that stalls for long, what is to be
-// sent is dropped, as a network may do; what is to be written and told is not.
+// enqueue makes an output wait for the disk. Behind a disk that stalls for long, messages are
+// dropped, as a network may do; what is to be written and answered is not.
 func (c *replicaRunner) enqueue(out replica.Output) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -213,7 +214,7 @@
 	}
 }
 
-// wake has the disk's goroutine look at what there is to write.
+// wake makes the disk goroutine look at the queue.
 func (c *replicaRunner) wake() {
 	select {
 	case c.diskWake <- struct{}{}:
@@ -221,7 +222,7 @@
 	}
 }
 
-// announce makes an acknowledged configuration known to all.
+// announce gossips an acknowledged configuration.
 func (c *replicaRunner) announce(e chain.Entry) {
 	c.announcedVersion = e.Version
 	if ch, err := routeconfig.Parse(e.Content); err == nil {
@@ -239,7 +240,7 @@
 	}
 }
 
-// ask steps the machine for a caller and waits for its result.
+// call steps the machine for a caller and waits for the result.
 func (c *replicaRunner) call(ctx context.Context, step func(now int64) (string, replica.Output)) (chain.Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, answerTimeout)
 	defer cancel()
--- a/internal/node/controlplane/server.go
+++ b/internal/node/controlplane/server.go
@@ -1,3 +1,6 @@
+// Package controlplane is the program that servers and operators call: it takes heartbeats and
+// configurations, runs the replicated state of package replica, and owns its disk. What a step of
+// the state wants sent or answered goes out only once what it wants written is synced.
 package controlplane
 
 import (
@@ -22,10 +25,10 @@
 	"saddleport/internal/node/nodesettings"
 	"saddleport/internal/node/peer"
 	"saddleport/internal/node/rpc"
-	"saddleport/internal/node/transport"
+	"saddleport/internal/transport"
 )
 
-// Beaten is the answer to a heartbeat.
+// HeartbeatResponse answers a server's heartbeat.
 type HeartbeatResponse struct {
 	Endpoint string `json:"heartbeat_endpoint,omitempty"`
 }
@@ -58,8 +61,8 @@
 	reachablePeers peerCache
 }
 
-// others are the core machines that answer, looked up now and then: a heartbeat must not cost
-// more the more processes there are.
+// peerCache holds the control-plane machines that answer, looked up periodically: a heartbeat
+// must not cost more the more processes there are.
 type peerCache struct {
 	mu   sync.Mutex
 	at   int64
@@ -77,7 +80,8 @@
 	return k.reachablePeers.list
 }
 
-// Keel is a core process: it takes heartbeats and configurations.
+// Run is the program: it serves until ctx ends, and then hands its vote over within the grace
+// period.
 func Run(ctx context.Context, set *nodesettings.File) error {
 	boot := set.Current()
 	k := &server{Node: peer.NewNode(set, gossip.KindControlPlane)}
@@ -132,7 +136,7 @@
 	}
 }
 
-// look has the servers' silences noticed, and now and then what else is due.
+// maintain finds servers that became silent, and does what else is due periodically.
 func (k *server) maintain(ticks int) {
 	k.Mu.Lock()
 	defer k.Mu.Unlock()
@@ -148,8 +152,9 @@
 	}
 }
 
-// remember keeps the servers that beat here on the disk when they have changed. After a
-// loss of all processes they are known at once, not only when each has beaten again. Under mu.
+// rememberServers writes the servers tracked here to the disk if they have changed. After a
+// loss of all processes they are known at once, not only when each has sent a heartbeat. Mu
+// must be held.
 func (k *server) rememberServers() {
 	var list []gossip.Entry
 	k.Store.RangeSorted(func(i gossip.Entry) {
@@ -165,9 +170,8 @@
 	k.replica.rememberServers(raw)
 }
 
-// orphans has this machine listen for servers that nobody listens for any more: its own of
-// an earlier life, and, as the duty of one core machine, those of machines that are gone.
-// Under mu.
+// adoptOrphans makes this machine track servers that no machine tracks any more: its own from
+// before a restart and, as a singleton role, those of machines that are gone. Mu must be held.
 func (k *server) adoptOrphans() {
 	now := k.Now()
 	_, duty := k.Members.Holds(peer.OrphanedServersRole.Name)
@@ -196,7 +200,7 @@
 	}
 }
 
-// told has the roster see the news of others. Under mu.
+// onUpdate shows the registry what others have gossiped. Mu must be held.
 func (k *server) onUpdate(i gossip.Entry) {
 	if len(i.Key) > 2 && i.Key[:2] == registry.Prefix {
 		if news, is := k.registry.HandleUpdate(k.Now(), i); is {
@@ -213,7 +217,8 @@
 	return ans, err
 }
 
-// left takes the last word of a server.
+// handleDeregister takes the last call of a server. Machines that are not reached from here do
+// not hear of it; then it is not acknowledged, and the server calls another one.
 func (k *server) handleDeregister(ctx context.Context, who rpc.Named, _ rpc.Raw) (rpc.Empty, error) {
 	events.ServerLeft.Log("server", who.Name)
 	k.Mu.Lock()
@@ -224,7 +229,7 @@
 	return rpc.Empty{}, k.replica.requireQuorum(ctx)
 }
 
-// heard takes a heartbeat.
+// recordHeartbeat takes a heartbeat.
 func (k *server) recordHeartbeat(who rpc.Named, b registry.Heartbeat) (HeartbeatResponse, error) {
 	near := k.heartbeatEndpoint(who.Name, b.Zone)
 	k.Mu.Lock()
@@ -246,8 +251,9 @@
 	return HeartbeatResponse{Endpoint: near}, nil
 }
 
-// near names the core machine that a server is to beat at: one of its zone, else of its
-// region, the same one for as long as the core stays as it is. "": this one will do.
+// heartbeatEndpoint names the machine that a server is to send its heartbeats to: one of its
+// zone, otherwise of its region, the same one as long as the control plane stays as it is.
+// Empty: this one will do.
 func (k *server) heartbeatEndpoint(server, zone string) string {
 	region := k.Settings.Current().Regions[zone]
 	far := func(p gossip.Process) int {
@@ -312,7 +318,8 @@
 	return r.Entry.Content, nil
 }
 
-// later has a caller come again: what it asked for may have been done, or may yet be.
+// retryLater tells a caller to come again: what it asked for may have been done, or may yet
+// be.
 func retryLater(err error) *rpc.Outcome {
 	o := rpc.Fail(http.StatusServiceUnavailable, "%v", err)
 	o.Retry = retryAfter
--- a/internal/node/controlplane/store.go
+++ b/internal/node/controlplane/store.go
@@ -20,9 +20,9 @@
 	"saddleport/internal/node/storage"
 )
 
-// openDisk reads what the disk holds. One that is empty though the system is not new, that
-// can't be read, or that is another machine's, is another disk: what it once held and
-// promised is not known, and it counts for nothing until the others have taken it in.
+// openStore reads the disk. One that is empty although the system is not new, that cannot be
+// read, or that belongs to another machine counts as another disk: what it once stored and
+// promised is not known, and the machine has no vote until the others give it one.
 func openStore(boot *nodesettings.Settings) (*storage.Store, replica.Record, error) {
 	s, r, err := readStore(boot)
 	if err == nil && r.State.Self == (views.Member{}) {
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// initDisk gives an empty disk its name. founder: it is of the system's first view.
+// initStore gives an empty disk its name. founder: it belongs to the system's first view.
 func initStore(s *storage.Store, boot *nodesettings.Settings, founder bool) (*storage.Store, replica.Record, error) {
 	r := replica.Record{State: consensus.State{Self: views.Member{Addr: boot.PeerAddr(), DiskID: nonce()}}}
 	if founder {
@@ -102,8 +102,8 @@
 	return s, r, nil
 }
 
-// write is the disk's goroutine. What came together is written together; a disk that
-// refuses is asked again, and until it has written nothing goes out.
+// runDisk is the disk goroutine. What is queued is written together. A disk that refuses is
+// tried again, and nothing is sent or answered until it has written.
 func (c *replicaRunner) runDisk(ctx context.Context) {
 	for {
 		select {
@@ -177,7 +177,7 @@
 	return c.store.Put(entries...)
 }
 
-// remember has the servers that beat here kept on the disk, in their own time.
+// rememberServers has the tracked servers written to disk when there is time.
 func (c *replicaRunner) rememberServers(servers []byte) {
 	c.mu.Lock()
 	c.servers = servers
@@ -185,7 +185,7 @@
 	c.wake()
 }
 
-// remembered is what was kept of them.
+// rememberedServers returns what was written of them.
 func (c *replicaRunner) rememberedServers() (list []gossip.Entry) {
 	if raw, err := c.store.Get(keyRememberedServers); err == nil && raw != nil {
 		json.Unmarshal(raw, &list)
--- a/internal/node/nodesettings/file.go
+++ b/internal/node/nodesettings/file.go
@@ -11,18 +11,19 @@
 	"saddleport/internal/node/events"
 )
 
+// rereadInterval is how often the file is looked at, since it may change without a signal.
 const rereadInterval = 5 * time.Second // at the settings file, which may change without a signal
 
-// Settings are a settings file that may change while the process runs.
+// File is a settings file that may change while the process runs.
 type File struct {
 	file    string
 	text    atomic.Pointer[string]
 	current atomic.Pointer[Settings]
 
-	NoEjection bool // of a proxy: nobody is set apart
+	NoEjection bool // of a proxy: no server or caller is ejected
 }
 
-// OpenSettings reads a settings file.
+// Open reads a settings file.
 func Open(file string) (*File, error) {
 	s := &File{file: file}
 	boot, err := Load(file)
@@ -36,18 +37,18 @@
 	return s, nil
 }
 
-// Fixed makes settings that don't change, for tests.
+// Fixed returns settings that do not change, for tests.
 func Fixed(boot *Settings) *File {
 	s := &File{}
 	s.current.Store(boot)
 	return s
 }
 
-// Boot is what the file says now.
+// Current returns the settings as they stand now.
 func (s *File) Current() *Settings { return s.current.Load() }
 
-// Watch rereads the file on SIGHUP, and when it has changed, until ctx ends. One that
-// can't be read changes nothing. Addresses count from the next start.
+// Watch rereads the file on SIGHUP and when it has changed, until ctx ends. A file that cannot
+// be read changes nothing. Addresses take effect at the next start.
 func (s *File) Watch(ctx context.Context) {
 	if s.file == "" {
 		return
--- a/internal/node/nodesettings/settings.go
+++ b/internal/node/nodesettings/settings.go
@@ -1,3 +1,5 @@
+// Package nodesettings reads the settings file that each process of the system is given, and
+// follows its changes. The names in the file are the operators'.
 package nodesettings
 
 import (
@@ -10,7 +12,7 @@
 	"saddleport/internal/paths"
 )
 
-// Boot is what a process is told at its start.
+// Settings is what a process is told at its start.
 type Settings struct {
 	Name, Role, IP, Zone, Region  string
 	Regions                       map[string]string // by zone
@@ -27,16 +29,16 @@
 	Bounds                        Bounds
 }
 
-// Bounds are the figures of the rules.
+// Bounds are the operators' figures of the rules; the names in the file begin with bounds.
 type Bounds struct {
 	SeedLag, AddressReuse, Contact, AckTimeout, CatchUp, Drain, Grace, LossSlack, ConfigApply, DowngradeSlack, MaxStretch, RetryWindow time.Duration
 	RetryRatio, RetrySlack                                                                                                             float64
 }
 
-// Variable names the environment's variable that holds the settings file's path.
+// PathVariable is the environment variable that names the settings file.
 const PathVariable = "SADDLEPORT_CONFIG"
 
-// Load reads the settings file.
+// Load reads a settings file.
 func Load(file string) (*Settings, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -49,7 +51,7 @@
 	return b, nil
 }
 
-// ParseBoot reads a settings file's text.
+// Parse reads the text of a settings file. Fields that are not known are ignored.
 func Parse(text string) (*Settings, error) {
 	r, err := paths.Lines(text)
 	if err != nil {
@@ -98,16 +100,15 @@
 	return b, r.Err()
 }
 
-// Inner is where a process that talks to others listens; Loop where an agent feeds its
-// proxy.
+// PeerAddr is where a process answers other processes.
 func (b *Settings) PeerAddr() string { return net.JoinHostPort(b.IP, strconv.Itoa(b.FirstPort)) }
 
-// Loop is the agent's address on its own machine.
+// AgentAddr is where an agent answers the proxy on its machine.
 func (b *Settings) AgentAddr() string {
 	return net.JoinHostPort(b.LoopbackIP, strconv.Itoa(b.FirstPort+1))
 }
 
-// SeedPeers are the addresses between processes of the machines that the seeds name.
+// SeedPeers returns where the processes on the seeds' machines answer other processes.
 func (b *Settings) SeedPeers() []string {
 	var out []string
 	for _, seed := range b.Seeds {
