--- a/internal/node/peer/peer.go
+++ b/internal/node/peer/peer.go
@@ -1,3 +1,5 @@
+// Package peer runs what an agent and a control-plane process have in common: package member's
+// state machine and its calls to other processes. It decides nothing.
 package peer
 
 import (
@@ -18,15 +20,15 @@
 	"saddleport/internal/node/rpc"
 )
 
-// council is the duty of one mixer to say who is set apart.
+// OutlierRole is held by the agent that decides which members are ejected.
 var OutlierRole = member.SingletonRole{Name: outlier.Role, ProcessKind: gossip.KindAgent}
 
 const (
-	callTimeout      = 900 * time.Millisecond
-	largeCallTimeout = 4 * time.Second // for news that may be large: links are thin
+	callTimeout      = 900 * time.Millisecond // of a small call
+	largeCallTimeout = 4 * time.Second        // of a call that may carry large values: links may be slow
 	peerDialTimeout  = 500 * time.Millisecond
-	aloneDelay       = 3 * time.Second        // without another process, that is told
-	leaveTimeout     = 400 * time.Millisecond // for the last word of a process that ends
+	aloneDelay       = 3 * time.Second        // without another process, before event 108
+	leaveTimeout     = 400 * time.Millisecond // of the last calls of a process that ends
 )
 
 var (
@@ -34,34 +36,35 @@
 	probeCall    = rpc.Declare[ProbeRequest, ProbeResponse]("POST", "/Ring.After", 4<<10, "every agent and core process")
 )
 
-// After asks whether another process is heard of, or the one called itself.
+// ProbeRequest asks whether another process is heard of, or the called one itself.
 type ProbeRequest struct {
 	Target string `json:"a"`
 }
 
-// Heard is the answer.
+// ProbeResponse answers ProbeRequest.
 type ProbeResponse struct {
 	Alive bool `json:"h"`
 }
 
-// orphans is the duty of one core machine to listen for servers that nobody listens for.
+// OrphanedServersRole is held by the control-plane process that tracks servers which no
+// machine tracks.
 var OrphanedServersRole = member.SingletonRole{Name: "orphans", ProcessKind: gossip.KindControlPlane}
 
-// Node is what an agent and a core process have in common. It does the calls that the
-// machine wants, and knows nothing of what it decides by.
+// Node runs a member.Machine: it makes the calls that the machine wants and answers those of
+// other processes.
 type Node struct {
 	Settings  *nodesettings.File
 	Self      gossip.Process
 	Client    *rpc.Client
 	StartedAt time.Time
-	OnUpdate  func(gossip.Entry) // after news was taken, under mu; nil: nobody
+	OnUpdate  func(gossip.Entry) // called after an entry was stored, with Mu held; may be nil
 	calls     sync.WaitGroup
 
-	Mu      sync.Mutex
+	Mu      sync.Mutex      // guards Members and Store
 	ctx     context.Context // of the calls; ends with Run
 	Members *member.Machine
-	Store   *gossip.Store // kin's
-	Changed chan struct{} // closed at the next change
+	Store   *gossip.Store // of Members
+	Changed chan struct{} // closed at the next change of the store
 	wake    chan struct{} // the loop has something to do
 }
 
@@ -76,6 +79,7 @@
 	return n
 }
 
+// Now returns the clock of the machine, in microseconds.
 func (n *Node) Now() int64 { return time.Since(n.StartedAt).Microseconds() }
 
 // noted is told of all news that was taken. Under mu.
@@ -91,10 +95,10 @@
 	}
 }
 
-// put takes news of this process's own or of its proxy. Under mu.
+// PutLocked stores an entry of this process or of its proxy. Mu must be held.
 func (n *Node) PutLocked(i gossip.Entry) { n.Members.Put(n.Now(), i) }
 
-// Put takes news of this process's own.
+// Put stores entries of this process.
 func (n *Node) Put(items ...gossip.Entry) {
 	n.Mu.Lock()
 	defer n.Mu.Unlock()
@@ -124,14 +128,14 @@
 	})
 }
 
-// Peers are the other processes, of a kind or of any.
+// Peers returns the other processes, of one kind or of any.
 func (n *Node) Peers(kind string) []gossip.Process {
 	n.Mu.Lock()
 	defer n.Mu.Unlock()
 	return n.Members.Peers(kind)
 }
 
-// awake leaves out the peers that did not answer lately.
+// Reachable leaves out the peers that did not answer recently.
 func (n *Node) Reachable(list []gossip.Process) (out []gossip.Process) {
 	n.Mu.Lock()
 	defer n.Mu.Unlock()
@@ -144,7 +148,8 @@
 	return out
 }
 
-// Run steps the machine until ctx ends. Then it tells that the process ends.
+// Run steps the machine until ctx ends, then announces that the process ends and waits for its
+// calls.
 func (n *Node) Run(ctx context.Context) {
 	n.Mu.Lock()
 	n.ctx = ctx
@@ -176,7 +181,7 @@
 	}
 }
 
-// flush does what the machine wants done. Under mu.
+// flushLocked does what the machine wants done. Mu must be held.
 func (n *Node) flushLocked() {
 	out := n.Members.TakeOutput()
 	for _, x := range out.Events {
@@ -202,7 +207,7 @@
 	}
 }
 
-// ask carries a question of the ring.
+// probe carries a probe of the failure detector.
 func (n *Node) probe(ctx context.Context, q failuredetector.Probe) {
 	defer n.calls.Done()
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
@@ -213,7 +218,7 @@
 	n.Members.HandleProbeResult(n.Now(), q, ans.Alive, err == nil)
 }
 
-// pass carries news.
+// exchange carries gossip.
 func (n *Node) exchange(ctx context.Context, o gossip.OutboundCall) {
 	defer n.calls.Done()
 	span := callTimeout
@@ -229,7 +234,7 @@
 	n.flushLocked()
 }
 
-// leave tells some others that this process ends, and waits for its calls to end.
+// leave announces that this process ends, and waits for its calls.
 func (n *Node) leave() {
 	ctx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
 	defer cancel()
--- a/internal/node/peer/tables.go
+++ b/internal/node/peer/tables.go
@@ -15,7 +15,7 @@
 	"saddleport/internal/node/agentapi"
 )
 
-// newsTables are what a node holds of the news. Under mu.
+// StoreTables shows a gossip store. Its owner's lock must be held.
 func StoreTables(book *gossip.Store) []admin.Table {
 	servers := admin.Table{Title: "servers", Columns: []string{"service", "server", "address", "zone", "state", "heard by"}}
 	left := 0
@@ -43,6 +43,7 @@
 	return []admin.Table{version, others, servers}
 }
 
+// Tables shows the node.
 func (n *Node) Tables(context.Context) ([]admin.Table, error) {
 	n.Mu.Lock()
 	defer n.Mu.Unlock()
--- a/internal/node/proxy/outliers.go
+++ b/internal/node/proxy/outliers.go
@@ -33,7 +33,9 @@
 	far   int
 }
 
-// flock is what a proxy knows of laggards.
+// outlierTracker is a proxy's part in finding slow members: it records answers and callers,
+// reports evidence to the agent while it suspects somebody, and applies the ejections. While
+// nobody is suspected nothing is sent.
 type outlierTracker struct {
 	proxy          *proxy
 	mu             sync.Mutex // the exchange's goroutine, the clients' and the one that looks
@@ -63,7 +65,7 @@
 	}
 }
 
-// heard takes an answer of a server, or a wait for one that was given up.
+// recordAnswer takes an answer of a server, or a wait for one that was given up.
 func (f *outlierTracker) recordAnswer(h exchange.Heard) {
 	whole := h.Verdict == choice.Served
 	if !whole && h.Verdict != choice.NoAnswer && h.Verdict != choice.CalledOff {
@@ -89,7 +91,7 @@
 	}
 }
 
-// took is told how long a caller's part of a turn took.
+// recordCaller takes the time that a caller took to read its answer.
 func (f *outlierTracker) recordCaller(caller string, took time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -98,7 +100,7 @@
 	}
 }
 
-// place notes where a server is; gone: nowhere any more. Under the proxy's mu.
+// setPlacement notes where a server is, or that it is gone.
 func (f *outlierTracker) setPlacement(id, service string, far int, gone bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -109,14 +111,15 @@
 	}
 }
 
-// slow is how many times slower than its peers a server that is set apart is; 0: it is not.
+// ejectedRatio returns how many times slower than its peers an ejected server is; 0: it is not
+// ejected.
 func (f *outlierTracker) ejectedRatio(id string) float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.ejections.Ratio(id)
 }
 
-// told takes the council's word from the news.
+// applyAssignment takes an assignment that was gossiped.
 func (f *outlierTracker) applyAssignment(i gossip.Entry) {
 	var a outlier.Assignment
 	if i.Deleted() || json.Unmarshal(i.Value, &a) != nil {
@@ -129,7 +132,7 @@
 	}
 }
 
-// run looks after the groups until ctx ends. It rests while nobody is doubted or apart.
+// run maintains the ejections until ctx ends. It rests while nobody is suspected or ejected.
 func (f *outlierTracker) run(ctx context.Context) {
 	for {
 		select {
@@ -153,8 +156,7 @@
 	}
 }
 
-// look tells evidence and brings the groups up to date; it tells whether there is more to
-// look after.
+// step reports evidence and updates the ejections; more: there is more to do.
 func (f *outlierTracker) step(ctx context.Context) (more bool) {
 	f.mu.Lock()
 	now := f.now()
@@ -179,7 +181,7 @@
 	return more
 }
 
-// members counts the servers of each service, and the callers seen. Under mu.
+// shardSizes counts the servers of each service, and the callers seen. The lock must be held.
 func (f *outlierTracker) shardSizes() map[string]int {
 	out := map[string]int{outlier.Callers: f.callers.Members(outlier.Callers)}
 	for _, at := range f.placements {
@@ -188,7 +190,7 @@
 	return out
 }
 
-// regroup puts changes in force: requests that are out finish where they are.
+// applyEjections puts changes in force: requests under way finish where they are.
 func (t *proxy) applyEjections(changes []outlier.Change) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/node/proxy/proxy.go
+++ b/internal/node/proxy/proxy.go
@@ -1,3 +1,8 @@
+// Package proxy is the program that takes requests of clients: it joins the exchange and the
+// decisions of package choice with connections to clients and servers, and with the agent on its
+// machine, which tells it servers and configurations. While the agent is away it goes on with what
+// it last had. It never asks another process while a request waits, and never goes back to an older
+// configuration.
 package proxy
 
 import (
@@ -23,8 +28,8 @@
 	"saddleport/internal/node/events"
 	"saddleport/internal/node/nodesettings"
 	"saddleport/internal/node/rpc"
-	"saddleport/internal/node/transport"
 	"saddleport/internal/settings"
+	"saddleport/internal/transport"
 )
 
 const (
@@ -43,6 +48,7 @@
 	minProxies          = 8   // taken for as long as fewer are known: a share of the budget too small does no harm
 )
 
+// proxy is one running proxy.
 type proxy struct {
 	settings     *nodesettings.Settings
 	exchange     *exchange.Exchange
@@ -54,22 +60,21 @@
 	startedAt    time.Time
 	serverCount  atomic.Int64
 
-	mu             sync.Mutex // the goroutine that follows the agent writes; show reads
+	mu             sync.Mutex // held by the goroutine that follows the agent, and by show
 	store          *gossip.Store
 	retryBudget    *quota.RetryBudget
 	proxyCount     int
 	retrySlack     float64
 	outliers       *outlierTracker
 	quotas         *quotaClient
-	maxConnections map[string]int // by service: connections that a server takes
+	maxConnections map[string]int // by service: connections that a server accepts
 
-	unconfirmed map[string]bool // keys that an agent which started anew has not told of yet
-	confirmBy   time.Time       // from then on they count as gone
+	unconfirmed map[string]bool // keys that a restarted agent has not confirmed yet
+	confirmBy   time.Time       // from then on these count as deleted
 }
 
-// Tide is the proxy: it takes clients' requests and answers them. What it knows of
-// servers and routes comes from the agent on its machine; while that is away it goes on
-// with what it last had.
+// Run is the program: it serves until ctx ends, and then for as long as the grace period
+// allows.
 func Run(ctx context.Context, from *nodesettings.File) error {
 	boot := from.Current()
 	set := settings.Settings{MostHeld: maxRequests, Router: choice.Settings{
@@ -166,7 +171,7 @@
 	return nil
 }
 
-// follow takes what the agent tells for as long as the proxy lives.
+// followAgent applies what the agent tells for as long as the proxy lives.
 func (t *proxy) followAgent(ctx context.Context) {
 	f, away := agentapi.FeedRequest{}, false
 	for ctx.Err() == nil {
@@ -198,7 +203,7 @@
 	}
 }
 
-// take puts news in force. anew: it is all that an agent knows that has started anew.
+// applyFeed puts entries in force. anew: they are all that a restarted agent knows.
 func (t *proxy) applyFeed(items []gossip.Entry, anew bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -212,8 +217,8 @@
 	t.applyEntries(items)
 }
 
-// doubt lets go of what an agent that started anew has not confirmed since: the news that
-// it is gone was told while there was no agent, and is told no more. Under mu.
+// dropUnconfirmed removes what a restarted agent has not confirmed: that it was deleted may
+// have been gossiped while there was no agent. Mu must be held.
 func (t *proxy) dropUnconfirmed() {
 	now := time.Since(t.startedAt).Microseconds()
 	t.store.PurgeTombstones(now)
@@ -233,7 +238,7 @@
 	}
 }
 
-// news puts news in force. Under mu.
+// applyEntries puts entries in force. Mu must be held.
 func (t *proxy) applyEntries(items []gossip.Entry) {
 	list := choice.List{Form: choice.Delta}
 	var told []reach.Server
@@ -314,8 +319,8 @@
 	return row, reach.Server{ID: s.ID, Addr: s.Addr, MaxConns: most}, true
 }
 
-// far tells how dear the way to a zone is: 0 in the own one, 1 in another of the region,
-// 2 beyond.
+// distance returns how expensive the way to a zone is: 0 within the own one, 1 to another of
+// the region, 2 beyond.
 func (t *proxy) distance(zone string) int {
 	switch {
 	case zone == t.settings.Zone:
@@ -326,7 +331,7 @@
 	return 2
 }
 
-// tier tells the decisions how many proxies there are, and counts servers.
+// updateBudget tells the decisions how many proxies there are, and counts servers.
 func (t *proxy) updateBudget() {
 	routers, servers := 0, int64(0)
 	t.store.RangeSorted(func(i gossip.Entry) {
--- a/internal/node/proxy/quota.go
+++ b/internal/node/proxy/quota.go
@@ -16,7 +16,7 @@
 	claimPollInterval = 100 * time.Millisecond // between looks whether a claim is due
 )
 
-// clerk is a proxy's part.
+// quotaClient is a proxy's part in allowances.
 type quotaClient struct {
 	proxy         *proxy
 	mu            sync.Mutex // the clients' goroutines and the one that claims
@@ -31,7 +31,7 @@
 
 func (k *quotaClient) now() int64 { return time.Since(k.proxy.startedAt).Microseconds() }
 
-// state takes the allowances of the configuration that is in force from now on.
+// setAllowances sets the allowances of the configuration in force.
 func (k *quotaClient) setAllowances(c *routeconfig.Config) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -51,7 +51,7 @@
 	k.holder.SetProxies(n)
 }
 
-// allow takes a request off an allowance.
+// admit takes a request off an allowance.
 func (k *quotaClient) admit(name string) (bool, time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -62,7 +62,7 @@
 	return ok, time.Duration(after) * time.Microsecond
 }
 
-// run claims parts until ctx ends. It rests while the configuration has no allowances.
+// run claims leases until ctx ends. It rests while the configuration has no allowances.
 func (k *quotaClient) run(ctx context.Context) {
 	for {
 		select {
--- a/internal/node/proxy/show.go
+++ b/internal/node/proxy/show.go
@@ -16,7 +16,7 @@
 	"saddleport/internal/node/rpc"
 )
 
-// table is what a proxy shows of allowances.
+// table shows the allowances.
 func (k *quotaClient) table() admin.Table {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -73,7 +73,7 @@
 	return fmt.Sprintf("%d mixers, %d samples", a.Reporters, a.Samples)
 }
 
-// groups is the table of who is set apart.
+// table shows the ejected members.
 func (f *outlierTracker) table() []admin.Table {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -94,7 +94,7 @@
 	return []admin.Table{t, state}
 }
 
-// explain tells what a proxy knows of one server or caller.
+// explain shows what the proxy knows of one server or caller.
 func (t *proxy) explain(about string) ([]admin.Table, error) {
 	t.mu.Lock()
 	i, listed := t.store.Get(registry.Prefix + about)
--- a/internal/node/proxy/shutdown.go
+++ b/internal/node/proxy/shutdown.go
@@ -18,9 +18,9 @@
 	pollInterval   = 20 * time.Millisecond
 )
 
-// shutDown ends the proxy in order: it goes on serving until the platform sends nobody any
-// more, then each answer ends its connection, then what comes is refused, and what is still
-// in hand shortly before the grace is over is answered as if its time were up.
+// shutDown ends the proxy in order: it serves until the platform sends no clients any more,
+// then each answer closes its connection, then requests are rejected, and those still in
+// progress shortly before the grace period is over are answered as if they had timed out.
 func (t *proxy) shutDown(ln net.Listener, grace time.Duration) {
 	begun := time.Now()
 	over := begun.Add(grace - graceEndMargin)
@@ -41,7 +41,7 @@
 	t.endRemaining(over)
 }
 
-// cutShort waits for the last connections, and ends those that last too long.
+// endRemaining waits for the last connections, and ends those that last too long.
 func (t *proxy) endRemaining(over time.Time) {
 	for cut := false; t.downstream.Clients() > 0 && time.Now().Before(over.Add(answerMargin)); {
 		if !cut && !time.Now().Before(over) {
--- a/internal/node/rpc/rpc.go
+++ b/internal/node/rpc/rpc.go
@@ -20,7 +20,7 @@
 
 	"github.com/zeebo/errs"
 
-	"saddleport/internal/node/transport"
+	"saddleport/internal/transport"
 )
 
 // Error is the class of failed calls.
