--- a/internal/back/reach/reach.go
+++ b/internal/back/reach/reach.go
@@ -135,7 +135,7 @@
 }
 
 // Told takes news of servers, before the exchange hears of them.
-func (b *Back) Told(list []Server) {
+func (b *Back) UpdateServers(list []Server) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, t := range list {
--- a/internal/cluster/chain/chain.go
+++ b/internal/cluster/chain/chain.go
@@ -23,7 +23,7 @@
 type Config struct {
 	RetryInterval  int64 // a message without an answer is sent again after this time
 	SuspectTimeout int64 // a receiver that makes no progress for so long is suspected
-	CallTimeout    int64 // a caller is told after this time that there is no answer
+	CallTimeout    int64 // a caller is informed after this time that there is no answer
 }
 
 // Mutations leave out one rule each, so that the model checker can show that it finds the
@@ -36,9 +36,9 @@
 	KeepDisk    bool // a disk that was lost votes on under its old name
 	Forget      bool // a proposer passes over what others have accepted
 	RankOnly    bool // entries are ordered by their rank alone, not first by their epoch
-	SameNumber  bool // whatever comes under a number that is held is acknowledged
+	SameNumber  bool // any content under a stored revision is acknowledged
 	VoteAtOnce  bool // a newcomer votes beside the one that it takes the place of
-	LeaveAtOnce bool // a member that is told to stop ends before others have taken its place
+	LeaveAtOnce bool // a member that is asked to stop ends before others have taken its place
 	JoinBehind  bool // a view is taken over without the entry that goes with it
 }
 
@@ -61,7 +61,7 @@
 
 const (
 	maxPending          = 256 // calls in each of the lists below
-	maxVersionOnlySends = 4   // a member that does not answer is sent the whole entry after so many sends of its version alone
+	maxVersionOnlySends = 4   // a member that does not answer is sent the complete entry after so many sends of its version alone
 )
 
 // Machine is the chain as one member sees it. It is not safe for concurrent use.
@@ -96,7 +96,7 @@
 	MissingVersion uint64 // the version that it has not acknowledged; 0: it does not answer calls
 }
 
-// New returns a chain without a view. The nonce tells its calls apart from those that this
+// New returns a chain without a view. The nonce distinguishes its calls from those that this
 // machine made before a restart.
 func New(cfg Config, self views.Member, stored Entry, nonce string, mutations Mutations) *Machine {
 	return &Machine{cfg: cfg, self: self, stored: stored, nonce: nonce, mutations: mutations}
@@ -125,7 +125,7 @@
 	}
 }
 
-// TakeChanges reports what has to be made durable since the last call: the whole entry, or
+// TakeChanges reports what has to be made durable since the last call: the complete entry, or
 // only its epoch.
 func (m *Machine) TakeChanges() (entry, stamp bool) {
 	entry, stamp = m.entryChanged, m.epochChanged
--- a/internal/cluster/chain/pass.go
+++ b/internal/cluster/chain/forward.go
@@ -13,7 +13,7 @@
 	firstVersion     uint64 // the version that was in flight when progress was last made
 	progressAt       int64
 	sentAt           int64
-	versionOnlySends int // sends of the version alone since the whole entry was sent
+	versionOnlySends int // sends of the version alone since the complete entry was sent
 }
 
 func (m *Machine) chainIndex() int { return slices.Index(m.view.Chain, m.self) }
@@ -90,11 +90,11 @@
 	m.answerQueries()
 }
 
-// markAcknowledged notes that every member from here to the tail stores a version, and tells
+// markAcknowledged notes that every member from here to the tail stores a version, and informs
 // the predecessor.
 func (m *Machine) markAcknowledged(now int64, version uint64) {
 	if !m.epochIsCurrent() || version > m.stored.Version {
-		return // of what this member does not hold itself nothing may be told
+		return // nothing may be acknowledged that this member does not store
 	}
 	if version >= m.inFlight.entry.Version {
 		m.inFlight = inFlightEntry{versionOnlySends: m.inFlight.versionOnlySends}
--- a/internal/cluster/chain/messages.go
+++ b/internal/cluster/chain/messages.go
@@ -12,7 +12,7 @@
 const (
 	Undecided        Verdict = iota // the outcome is not known
 	UpdateAccepted                  // in force as sent, or was in force until a newer revision came
-	UpdateSuperseded                // a newer revision is in force; what its own number held is no longer known
+	UpdateSuperseded                // a newer revision is in force; the content of its own revision is no longer known
 	UpdateConflict                  // other content was accepted under the same revision
 )
 
@@ -39,12 +39,12 @@
 		HistoryDigest uint64 `json:"l"`
 		Entry         *Entry `json:"n,omitempty"`
 	}
-	// Acknowledge tells the predecessor that every member from the sender to the tail stores
+	// Acknowledge informs the predecessor that every member from the sender to the tail stores
 	// a version.
 	Acknowledge struct {
 		Version uint64 `json:"r"`
 	}
-	// EntryMissing tells the predecessor that the sender does not store the entry that was
+	// EntryMissing informs the predecessor that the sender does not store the entry that was
 	// forwarded by its version alone.
 	EntryMissing struct {
 		Version uint64 `json:"r"`
@@ -72,7 +72,7 @@
 	Repair struct {
 		Entry Entry `json:"n"`
 	}
-	// RequestPending tells a caller that its request was received and waits for other members.
+	// RequestPending informs a caller that its request was received and waits for other members.
 	RequestPending struct {
 		ID string `json:"i"`
 	}
--- a/internal/cluster/chain/reads.go
+++ b/internal/cluster/chain/queries.go
@@ -68,8 +68,8 @@
 		if len(r.confirmed) < m.view.Majority() && !m.mutations.StaleRead {
 			return false
 		}
-		held := m.stored
-		m.send(r.from, QueryResponse{ID: r.id, Entry: &held})
+		stored := m.stored
+		m.send(r.from, QueryResponse{ID: r.id, Entry: &stored})
 		return true
 	})
 }
--- a/internal/cluster/chain/orders.go
+++ b/internal/cluster/chain/updates.go
@@ -36,7 +36,7 @@
 	if revision > RevisionOf(m.stored.Version) {
 		m.Store(update.Entry.Following(m.stored, m.epoch()))
 	}
-	// Whatever is told of an order rests on what is kept, so it waits until that is acknowledged.
+	// Every verdict rests on the stored entry, so it waits until that is acknowledged.
 	m.pendingUpdates = append(m.pendingUpdates, pendingUpdate{id: update.ID, from: from, version: m.stored.Version, verdict: m.verdict(update), since: now})
 	if m.acknowledgedVersion >= m.stored.Version {
 		m.answerUpdates()
@@ -45,7 +45,7 @@
 	m.forwardEntry(now, m.inFlight.active && m.inFlight.entry.Version == m.stored.Version)
 }
 
-// sendRequestPending tells a caller that its call is known here and waits for others.
+// sendRequestPending informs a caller that its call is known here and waits for others.
 func (m *Machine) sendRequestPending(to views.Member, id string) {
 	m.send(to, RequestPending{ID: id})
 }
--- a/internal/cluster/consensus/consensus.go
+++ b/internal/cluster/consensus/consensus.go
@@ -84,7 +84,7 @@
 // FirstDiskID names the disks of the machines of the first view.
 const FirstDiskID = "0"
 
-// InitialView returns the view that all processes start from when the whole system starts for
+// InitialView returns the view that all processes start from when the system starts for
 // the first time: an odd number of the machines that the settings name as seeds.
 func InitialView(addrs []string) views.View {
 	sorted := slices.Clone(addrs)
--- a/internal/cluster/consensus/messages.go
+++ b/internal/cluster/consensus/messages.go
@@ -8,7 +8,7 @@
 
 // The messages of the agreement on views. The phases are those of Paxos.
 type (
-	// Heartbeat tells the other members that the sender is alive and what it stores.
+	// Heartbeat informs the other members that the sender is alive and what it stores.
 	Heartbeat struct {
 		Viewstamp views.Viewstamp `json:"s"`
 		HasQuorum bool            `json:"c,omitempty"` // it has recently heard from a majority
@@ -45,7 +45,7 @@
 	Accepted struct {
 		Ballot Ballot `json:"b"`
 	}
-	// Nack tells a proposer that a higher ballot was promised.
+	// Nack informs a proposer that a higher ballot was promised.
 	Nack struct {
 		Ballot Ballot `json:"b"`
 	}
@@ -54,7 +54,7 @@
 		View  views.View   `json:"v"`
 		Entry *chain.Entry `json:"n,omitempty"`
 	}
-	// Suspect tells all members that one of them does not answer.
+	// Suspect informs all members that one of them does not answer.
 	Suspect struct {
 		Member views.Member `json:"m"`
 	}
--- a/internal/cluster/consensus/peers.go
+++ b/internal/cluster/consensus/peers.go
@@ -34,7 +34,7 @@
 }
 
 // failure timeouts
-const expiryFactor = 4 // times Live without a word
+const expiryFactor = 4 // failure timeouts
 
 func newPeers(now int64, cfg Config) peers {
 	return peers{cfg: cfg, started: now, states: make(map[views.Member]peerState), learners: make(map[views.Member]learnerState)}
--- a/internal/cluster/failuredetector/failuredetector.go
+++ b/internal/cluster/failuredetector/failuredetector.go
@@ -108,7 +108,7 @@
 }
 
 // watchersOf returns the watchers of a process: the next ones on the ring, all but one of its
-// own zone and one beyond it, since a whole zone may be lost; any others if these are too few.
+// own zone and one beyond it, since a zone may be lost at once; any others if these are too few.
 func (m *Detector) watchersOf(of Peer) (out []string) {
 	at := slices.IndexFunc(m.ring, func(p ringMember) bool { return p.Addr == of.Addr })
 	if at < 0 {
@@ -212,7 +212,7 @@
 		}
 		noOtherWitness := w.pendingAnswers <= 1 && w.confirmations == 0 && len(m.proberCandidates(addr, 0))+len(m.proberCandidates(addr, 1)) == 0
 		switch {
-		case w.answeredItself: // it lives, though its beats do not get here
+		case w.answeredItself: // it is alive, though its heartbeats do not arrive here
 			*w = watchedPeer{lastHeardAt: now}
 		case w.aliveElsewhere:
 			w.probedAt, w.nextProbeAt = 0, now+2*m.cfg.HeartbeatInterval
--- a/internal/cluster/gossip/exchange.go
+++ b/internal/cluster/gossip/gossiper.go
@@ -1,7 +1,7 @@
 package gossip
 
-// Who is told what, and when: the conversation of one process with the others. It owns no
-// connection: what it wants called comes out as Orders, and how each ended comes back.
+// The gossip of one process with the others. It owns no connection: the calls to make come out
+// of TakeCalls, and their outcomes come back by HandleResponse.
 
 import (
 	"encoding/json"
@@ -27,8 +27,8 @@
 	KindControlPlane = "keel" // a control-plane process
 )
 
-// ProcessPrefix begins the keys of processes among the news. A rank that is odd, or no body,
-// says that one is thought dead; it takes that back by the next even rank.
+// ProcessPrefix begins the keys of processes. An odd version, or no value, means that the
+// process is thought to be dead; a process that is alive answers with the next even version.
 const ProcessPrefix = "p/"
 
 // initialVersion is the version of a process that nothing is known of. An odd version, or no
@@ -136,7 +136,7 @@
 	return Entry{Key: ProcessPrefix + t.self.Addr, Version: version, Value: body}
 }
 
-// AnnounceLeave tells the others that this process ends.
+// AnnounceLeave informs the others that this process ends.
 func (t *Gossiper) AnnounceLeave(now int64) { t.MarkDead(now, t.self.Addr) }
 
 // MarkDead announces that a process is gone. One that is alive refutes it.
@@ -196,7 +196,7 @@
 // DifferencesFound counts the differences that comparisons have found.
 func (t *Gossiper) DifferencesFound() int { return t.differencesFound }
 
-// checksum summarizes the whole store; it is never 0.
+// checksum summarizes the store; it is never 0.
 func (t *Gossiper) checksum() uint64 {
 	s := uint64(0)
 	for _, x := range t.Store.Digest() {
--- a/internal/cluster/gossip/gossip.go
+++ b/internal/cluster/gossip/store.go
@@ -72,7 +72,7 @@
 	return d.Sum64()
 }
 
-// Put stores an entry and reports whether it was newer than what the store held. transmits is
+// Put stores an entry and reports whether it was newer than the stored one. transmits is
 // how many times it is passed on from here; allZones, whether to every zone or only to this
 // process's own.
 func (b *Store) Put(now int64, i Entry, transmits int, allZones bool) bool {
--- a/internal/cluster/lease/lease.go
+++ b/internal/cluster/lease/lease.go
@@ -14,7 +14,7 @@
 )
 
 // Claim says that a process holds a role from an epoch on. The low bits of the epoch are a
-// hash of the holder, which tells apart two claims that were made at the same time.
+// hash of the holder, which distinguishes two claims that were made at the same time.
 type Claim struct {
 	Role   string
 	Epoch  uint64
--- a/internal/cluster/member/member.go
+++ b/internal/cluster/member/member.go
@@ -176,7 +176,7 @@
 }
 
 // HandleProbe answers a probe of the failure detector. If this process does not know, try
-// tells whether it is to try the process in question.
+// reports whether it is to try the process in question.
 func (m *Machine) HandleProbe(now int64, about string) (alive, try bool) {
 	alive, knows := m.detector.HandleProbe(now, about)
 	_, known := m.gossiper.Store.Get(gossip.ProcessPrefix + about)
@@ -191,7 +191,7 @@
 // SetSeeds sets the addresses to ask while no other process is known.
 func (m *Machine) SetSeeds(addrs []string) { m.gossiper.SetSeeds(addrs) }
 
-// AnnounceLeave tells some other processes that this one ends.
+// AnnounceLeave informs some other processes that this one ends.
 func (m *Machine) AnnounceLeave(now int64) {
 	m.gossiper.AnnounceLeave(now)
 	m.gossiper.Tick(now + m.cfg.Gossip.GossipInterval)
--- a/internal/cluster/outlier/council.go
+++ b/internal/cluster/outlier/aggregator.go
@@ -59,7 +59,7 @@
 
 const (
 	maxCandidates = 2048
-	maxReporters  = 512 // proxies whose evidence on one member is held
+	maxReporters  = 512 // proxies whose evidence on one member is kept
 	maxRequested  = 64
 	maxEjected    = 256
 )
@@ -94,7 +94,7 @@
 
 // merged returns the evidence of all proxies on a member, how many reported, how many of them
 // for slowness, and how many members the shard has.
-func (c *Aggregator) merged(now int64, k *candidate) (all Sketch, mixers, slow, of int) {
+func (c *Aggregator) merged(now int64, k *candidate) (all Sketch, reporters, slow, of int) {
 	all = newSketch()
 	for from, g := range k.evidence {
 		if now-g.at > c.cfg.EvidenceLifetime {
@@ -102,22 +102,22 @@
 			continue
 		}
 		all.Merge(g.Sketch)
-		if mixers++; g.Sketch.Score() > 0 {
+		if reporters++; g.Sketch.Score() > 0 {
 			slow++
 		}
 		of = max(of, g.Of)
 	}
-	return all, mixers, slow, of
+	return all, reporters, slow, of
 }
 
 // Step decides. members returns how many members a shard has, 0 if that is not known, and
-// mixers is how many proxies there are. It returns what is to be published, if anything is.
-func (c *Aggregator) Step(now int64, mixers int, members func(shard string) int) (Assignment, bool) {
+// proxies is how many proxies there are. It returns what is to be published, if anything is.
+func (c *Aggregator) Step(now int64, proxies int, members func(shard string) int) (Assignment, bool) {
 	changed := false
 	want := make(map[string][]*candidate) // by shard: those that the evidence is against
 	count := make(map[string]int)
 	for name, k := range c.candidates {
-		all, told, slow, of := c.merged(now, k)
+		all, reporters, slow, of := c.merged(now, k)
 		if n := members(k.shard); n > 0 {
 			of = n
 		}
@@ -139,10 +139,10 @@
 				continue
 			}
 			if n >= c.cfg.MinRestoreSamples {
-				k.member.Ratio, k.member.Reporters, k.member.Samples = middle, told, n
+				k.member.Ratio, k.member.Reporters, k.member.Samples = middle, reporters, n
 			}
 			want[k.shard] = append(want[k.shard], k)
-		case told == 0:
+		case reporters == 0:
 			if k.requestedAt != 0 {
 				k.requestedAt, changed = 0, true
 			}
@@ -154,8 +154,8 @@
 		case k.requestedAt != 0 && score <= 0 && now-k.requestedAt >= c.cfg.EvidenceDelay:
 			k.requestedAt, changed = 0, true
 			k.evidence = make(map[string]timedEvidence)
-		case k.requestedAt != 0 && now-k.requestedAt >= c.cfg.EvidenceDelay && score >= agree && n >= c.cfg.MinEjectSamples && slow >= min(2, mixers):
-			k.member = Ejected{Name: k.name, Shard: k.shard, Ratio: middle, Reporters: told, Samples: n}
+		case k.requestedAt != 0 && now-k.requestedAt >= c.cfg.EvidenceDelay && score >= agree && n >= c.cfg.MinEjectSamples && slow >= min(2, proxies):
+			k.member = Ejected{Name: k.name, Shard: k.shard, Ratio: middle, Reporters: reporters, Samples: n}
 			want[k.shard] = append(want[k.shard], k)
 		}
 	}
@@ -175,22 +175,22 @@
 // the shard is slow nobody is ejected: there would be nothing left to use.
 func (c *Aggregator) applyShardLimit(now int64, list []*candidate, members int) (changed bool) {
 	most := int(float64(members) * c.cfg.MaxEjectedShare)
-	whole := 2*len(list) > members
-	held := func(k *candidate) int { // it was set apart a moment ago, and has its place
+	mostSlow := 2*len(list) > members
+	recentlyEjected := func(k *candidate) int { // it was ejected a moment ago and keeps its place
 		if k.ejectedAt != 0 && now-k.ejectedAt < c.cfg.MinEjectionTime {
 			return 1
 		}
 		return 0
 	}
 	slices.SortFunc(list, func(a, b *candidate) int {
-		return cmp.Or(held(b)-held(a), cmp.Compare(b.member.Ratio, a.member.Ratio), cmp.Compare(a.name, b.name))
+		return cmp.Or(recentlyEjected(b)-recentlyEjected(a), cmp.Compare(b.member.Ratio, a.member.Ratio), cmp.Compare(a.name, b.name))
 	})
 	for i, k := range list {
-		switch in := !whole && i < most; {
+		switch in := !mostSlow && i < most; {
 		case in && k.ejectedAt == 0:
 			k.ejectedAt, k.requestedAt, changed = now, 0, true
 			c.Ejections++
-		case !in && k.ejectedAt != 0 && held(k) == 0:
+		case !in && k.ejectedAt != 0 && recentlyEjected(k) == 0:
 			c.restore(now, k)
 			changed = true
 		}
--- a/internal/cluster/outlier/outlier.go
+++ b/internal/cluster/outlier/observer.go
@@ -17,7 +17,7 @@
 
 const (
 	slowRatio   = 2.5 // times the peers' middle: from there on a sample speaks for slowness
-	mostFor     = 0.8 // one sample's word at most
+	mostFor     = 0.8 // weight of one sample, at most
 	mostAgainst = 1.0 // and against
 )
 
@@ -25,30 +25,30 @@
 type Config struct {
 	SampleLifetime       int64   // a sample counts for so long
 	SingleSampleLifetime int64   // one alone that speaks for slowness, for so long
-	RecentSpan           int64   // the samples of so long are told where nothing speaks for slowness,
+	RecentSpan           int64   // samples of so long are reported if nothing speaks for slowness,
 	FewSpan              int64   // or the last few of so long
-	ReportDelay          int64   // a doubt that stands for so long is told: most are gone with the next answer
+	ReportDelay          int64   // a suspicion is reported after so long: most are gone with the next answer
 	MedianWindow         int64   // the same of the peers' middle
 	MedianSampleInterval int64   // between two samples of one member that count for the peers' middle
 	MinMedian            int64   // the peers' middle counts as this at least
 	MinMedianSamples     int     // samples of a kind before its middle is one
-	SuspectScore         float64 // score from which a mixer tells its evidence
-	ReportInterval       int64   // evidence that has not changed is told anew after so long
-	RequestScore         float64 // score of all mixers together from which the others' evidence is asked for
-	EjectScore           float64 // score of all mixers together from which a member is set apart
+	SuspectScore         float64 // score from which a proxy reports its evidence
+	ReportInterval       int64   // evidence that has not changed is reported again after so long
+	RequestScore         float64 // score of all proxies together from which evidence is requested of the others
+	EjectScore           float64 // score of all proxies together from which a member is ejected
 	MinEjectSamples      int     // samples for that
 	MaxEjectedShare      float64 // of a shard that may be set apart
 	EvidenceDelay        int64   // after the first doubt: for the others' evidence to come
-	EvidenceLifetime     int64   // evidence told longer ago does not count
+	EvidenceLifetime     int64   // evidence that was reported longer ago does not count
 	MinEjectionTime      int64   // a member set apart stays so for so long
 	RestoreRatio         float64 // its middle, from which it is prompt again
 	MinRestoreSamples    int     // samples for that
 	NoEvidenceTimeout    int64   // without evidence of slowness for so long it is tried
 	ProbationTime        int64   // after its return: half the score does
-	RenewInterval        int64   // between two words on an assignment that stands
+	RenewInterval        int64   // between two publications of an unchanged assignment
 	AssignmentLifetime   int64   // an assignment that was not renewed for so long is void
-	LocalEjectDelay      int64   // a doubt that no council has taken up for so long is acted on alone
-	LocalScoreFactor     float64 // a mixer alone wants so many times the score
+	LocalEjectDelay      int64   // a suspicion that no aggregator takes up for so long is acted on locally
+	LocalScoreFactor     float64 // factor on EjectScore for a proxy that acts alone
 }
 
 // DefaultConfig is the configuration for service.
@@ -280,29 +280,29 @@
 
 // TakeEvidence returns the evidence on the members that are suspected here and on those that
 // were asked for: worst first, a bounded number; nothing if it was reported a moment ago.
-func (w *Observer) TakeEvidence(now int64, said Assignment) (out []Evidence) {
-	told := func(m *memberSamples, few int64) {
+func (w *Observer) TakeEvidence(now int64, assignment Assignment) (out []Evidence) {
+	report := func(m *memberSamples, few int64) {
 		if k := w.sketch(now, m, few); k.Samples() > 0 {
 			out = append(out, Evidence{Name: m.name, Shard: m.shard, Of: w.shards[m.shard], Sketch: k})
 		}
 	}
-	done := make(map[string]bool, len(said.Requested)+len(said.Ejected))
-	tell := func(name string, few int64) {
+	done := make(map[string]bool, len(assignment.Requested)+len(assignment.Ejected))
+	reportOnce := func(name string, few int64) {
 		if m := w.seen[name]; m != nil && !done[name] {
 			done[name] = true
-			told(m, few)
+			report(m, few)
 		}
 	}
-	for _, a := range said.Ejected { // it is seldom met: all since it was set apart counts
-		tell(a.Name, w.cfg.SampleLifetime)
+	for _, a := range assignment.Ejected { // it is seldom met: all since it was set apart counts
+		reportOnce(a.Name, w.cfg.SampleLifetime)
 	}
-	for _, name := range said.Requested {
-		tell(name, w.cfg.FewSpan)
+	for _, name := range assignment.Requested {
+		reportOnce(name, w.cfg.FewSpan)
 	}
 	if w.suspected > 0 {
 		for name, m := range w.seen {
 			if w.evaluate(now, m); m.suspectedAt != 0 && now-m.suspectedAt >= w.cfg.ReportDelay {
-				tell(name, w.cfg.FewSpan)
+				reportOnce(name, w.cfg.FewSpan)
 			}
 		}
 	}
--- a/internal/cluster/outlier/seat.go
+++ b/internal/cluster/outlier/role.go
@@ -4,7 +4,7 @@
 const Role = "herd"
 
 const (
-	termShift     = 40 // of a rank: the takeover above, the count of words and a mark below
+	termShift     = 40 // of a version: the term above, the sequence and a hash below
 	sequenceShift = 16
 	epochHashBits = 32 // the part of an epoch that is its holder's mark
 )
@@ -38,7 +38,7 @@
 	}
 }
 
-// SetHolder tells whether the process holds the role, and under which epoch. A new holder
+// SetHolder sets whether the process holds the role, and under which epoch. A new holder
 // starts from what was last published.
 func (s *AggregatorRole) SetHolder(now int64, epoch uint64, holds bool) {
 	switch {
@@ -62,11 +62,11 @@
 func (s *AggregatorRole) Busy() bool { return s.aggregator != nil && len(s.aggregator.candidates) > 0 }
 
 // Step decides, and returns what is to be gossiped, if anything is.
-func (s *AggregatorRole) Step(now int64, mixers int, members func(shard string) int) (a Assignment, version uint64, publish bool) {
+func (s *AggregatorRole) Step(now int64, proxies int, members func(shard string) int) (a Assignment, version uint64, publish bool) {
 	if s.aggregator == nil {
 		return a, 0, false
 	}
-	if a, publish = s.aggregator.Step(now, mixers, members); publish {
+	if a, publish = s.aggregator.Step(now, proxies, members); publish {
 		version = VersionOf(a)
 		s.Observe(version, a)
 	}
@@ -84,8 +84,8 @@
 // Last returns the last assignment that this process has heard of.
 func (s *AggregatorRole) Last() Assignment { return s.last }
 
-// Reports returns the evidence on a member, if the role is held here.
-func (s *AggregatorRole) Reports(now int64, name string) (out []Report, held bool) {
+// Reports returns the evidence on a member, if this process holds the role.
+func (s *AggregatorRole) Reports(now int64, name string) (out []Report, holds bool) {
 	if s.aggregator == nil {
 		return nil, false
 	}
--- a/internal/cluster/quota/allowance.go
+++ b/internal/cluster/quota/allowance.go
@@ -7,9 +7,9 @@
 	"slices"
 )
 
-// An allowance is what a caller may ask of the whole system: a rate and a burst. The one
-// that holds the duty (Bank) leases parts of it to the mixers that are asked for it; each
-// mixer (Till) admits by its part alone, and asks nobody on a request's way.
+// An allowance is what a caller may ask of all proxies together: a rate and a burst. The
+// Lessor leases shares of it to the proxies that are asked for it; each proxy (Holder) admits
+// by its share alone, without a call per request.
 //
 // All times are microseconds of the caller's steady clock.
 
@@ -47,7 +47,7 @@
 	Rate float64 `json:"r"`
 }
 
-// ---- The holder.
+// The lessor's side.
 
 type leaseState struct {
 	rate, asked   float64
@@ -74,7 +74,7 @@
 	since       int64
 	allowances  map[string]Allowance
 	leases      map[string]map[string]*leaseState // by allowance and proxy
-	proxyCounts []proxyCount                      // mixers, as in Purse
+	proxyCounts []proxyCount                      // as in RetryBudget
 	Spent       map[string]float64                // over all proxies, since this process holds the role
 	Asked       map[string]float64                // a second, over all proxies, recently
 }
@@ -88,8 +88,8 @@
 // NewLessor returns the lessor of a process that takes the role over now and has recently
 // known so many proxies, itself included. Its predecessor may have leased everything a moment
 // ago: nothing is granted for the duration of a lease.
-func NewLessor(now int64, terms LeaseConfig, mixers int) *Lessor {
-	return &Lessor{cfg: terms, since: now, proxyCounts: []proxyCount{{mixers, now}}, allowances: make(map[string]Allowance), leases: make(map[string]map[string]*leaseState),
+func NewLessor(now int64, cfg LeaseConfig, proxies int) *Lessor {
+	return &Lessor{cfg: cfg, since: now, proxyCounts: []proxyCount{{proxies, now}}, allowances: make(map[string]Allowance), leases: make(map[string]map[string]*leaseState),
 		Spent: make(map[string]float64), Asked: make(map[string]float64)}
 }
 
@@ -110,29 +110,29 @@
 
 // hasMajority reports whether this side has most of the proxies that were known recently;
 // otherwise another side may have a lessor of its own.
-func (b *Lessor) hasMajority(now int64, mixers int) bool {
-	for len(b.proxyCounts) > 0 && b.proxyCounts[len(b.proxyCounts)-1].n <= mixers {
+func (b *Lessor) hasMajority(now int64, proxies int) bool {
+	for len(b.proxyCounts) > 0 && b.proxyCounts[len(b.proxyCounts)-1].n <= proxies {
 		b.proxyCounts = b.proxyCounts[:len(b.proxyCounts)-1]
 	}
-	b.proxyCounts = append(b.proxyCounts, proxyCount{mixers, now})
+	b.proxyCounts = append(b.proxyCounts, proxyCount{proxies, now})
 	for len(b.proxyCounts) > 1 && now-b.proxyCounts[0].at > b.cfg.ProxyMemory {
 		b.proxyCounts = b.proxyCounts[1:]
 	}
-	return 2*mixers > b.proxyCounts[0].n
+	return 2*proxies > b.proxyCounts[0].n
 }
 
 // ObserveProxies is to be called periodically and when proxies come or go, with the number
 // known, this one included. Without a majority nothing is granted, nor for the duration of a
 // lease after: leases of another side may be in use.
-func (b *Lessor) ObserveProxies(now int64, mixers int) {
-	if !b.hasMajority(now, mixers) {
+func (b *Lessor) ObserveProxies(now int64, proxies int) {
+	if !b.hasMajority(now, proxies) {
 		b.since = now
 	}
 }
 
 // HandleClaims answers a proxy's claims; proxies is as for ObserveProxies.
-func (b *Lessor) HandleClaims(now int64, from string, mixers int, list []Claim) (out []Grant) {
-	b.ObserveProxies(now, mixers)
+func (b *Lessor) HandleClaims(now int64, from string, proxies int, list []Claim) (out []Grant) {
+	b.ObserveProxies(now, proxies)
 	for _, c := range list[:min(len(list), maxAllowances)] {
 		s, known := b.allowances[c.Name]
 		if !known || math.IsNaN(c.Asked) || c.Asked < 0 || c.Asked > 1e9 || math.IsNaN(c.Spent) || c.Spent < 0 || c.Spent > 1e9 {
@@ -195,7 +195,7 @@
 	return sum, tills
 }
 
-// ---- A mixer.
+// The proxy's side.
 
 type bucket struct {
 	Allowance
@@ -224,11 +224,11 @@
 
 // NewHolder returns the holder of a process that starts with nothing saved up: before a
 // restart it may have spent all of it.
-func NewHolder(terms LeaseConfig) *Holder {
-	return &Holder{cfg: terms, proxies: terms.MinProxies, buckets: make(map[string]*bucket)}
+func NewHolder(cfg LeaseConfig) *Holder {
+	return &Holder{cfg: cfg, proxies: cfg.MinProxies, buckets: make(map[string]*bucket)}
 }
 
-// SetAllowances sets the allowances of a configuration; what is held of those that stay is
+// SetAllowances sets the allowances of a configuration; levels and leases of those that stay are
 // kept.
 func (t *Holder) SetAllowances(now int64, list []Allowance) {
 	old := t.buckets
--- a/internal/cluster/quota/quota.go
+++ b/internal/cluster/quota/retrybudget.go
@@ -11,7 +11,7 @@
 	Total      float64 // what all proxies may spend together in a window
 	Window     int64
 	MinProxies int  // proxies that are assumed, however few are known
-	FirstStart bool // the whole system starts for the first time: nobody has spent anything
+	FirstStart bool // the system starts for the first time: nobody has spent anything
 }
 
 // hiddenProxyFactor is how many proxies may be alive for each one that is known.
@@ -30,10 +30,10 @@
 }
 
 // NewRetryBudget returns the budget of a process that starts now. Before a restart it may have
-// spent a whole share, so it gets none before a window has passed.
+// spent a full share, so it gets none before a window has passed.
 func NewRetryBudget(now int64, cfg Config) *RetryBudget { return &RetryBudget{cfg: cfg, started: now} }
 
-// Share returns what this proxy may spend in any window, in whole units, if so many proxies
+// Share returns what this proxy may spend in any window, in full units, if so many proxies
 // are known, this one included. If they become fewer the share grows only after a window:
 // those that are gone may have spent theirs.
 func (p *RetryBudget) Share(now int64, known int) float64 {
--- a/internal/cluster/registry/registry.go
+++ b/internal/cluster/registry/registry.go
@@ -35,7 +35,7 @@
 // State is the state of a server.
 type State int
 
-// The states. Left is told by no body at all.
+// The states. A server that deregistered has an entry without a value.
 const (
 	Available State = iota
 	Draining
@@ -78,8 +78,8 @@
 	return nil
 }
 
-// A rank is the sequence of the beat that the news rests on; silence after it, and being
-// let go after long silence, rank above it and below the next beat.
+// The version of a server's entry is the sequence of its heartbeat, shifted. Silence after that
+// heartbeat, and removal after long silence, come above it and below the next heartbeat.
 const (
 	versionShift        = 2
 	silentBit           = 1
@@ -100,7 +100,7 @@
 // concurrent use.
 type Registry struct {
 	self           string
-	silenceTimeout int64 // microseconds without a beat after which a server is silent
+	silenceTimeout int64 // microseconds without a heartbeat after which a server is silent
 	tracked        map[string]*trackedServer
 }
 
@@ -134,7 +134,7 @@
 		return update, false, err
 	}
 	if known && stored.Version >= deregisteredVersion {
-		return update, false, nil // it has left: a late beat brings nothing back
+		return update, false, nil // deregistered: a late heartbeat brings nothing back
 	}
 	h := r.tracked[id]
 	if h != nil && b.Sequence < h.sequence {
@@ -162,7 +162,7 @@
 		if previous.WarmupLeft = s.WarmupLeft; err == nil && previous == s && !stored.Deleted() {
 			return update, false, nil
 		}
-		if version == stored.Version { // the same beat, sent here once more
+		if version == stored.Version { // the same heartbeat again
 			return update, false, nil
 		}
 	}
@@ -209,7 +209,7 @@
 	case (s.State == Silent || i.Deleted()) && uint64(h.sequence)<<versionShift > i.Version && now-h.lastHeardAt < r.silenceTimeout:
 		return entryOf(h.server, uint64(h.sequence)<<versionShift), true // it is heard here
 	case s.Owner != r.self && i.Version > uint64(h.sequence)<<versionShift:
-		delete(r.tracked, s.ID) // it beats elsewhere now
+		delete(r.tracked, s.ID) // its heartbeats go elsewhere now
 	}
 	return update, false
 }
--- a/internal/cluster/replica/replica.go
+++ b/internal/cluster/replica/replica.go
@@ -51,7 +51,7 @@
 	repairs       *antientropy.Repairer
 }
 
-// New returns a machine whose disk holds a record. The nonce tells its calls apart from those
+// New returns a machine whose disk holds a record. The nonce distinguishes its calls from those
 // that it made before a restart.
 func New(now int64, cfg Config, record Record, seeds []string, nonce string, mutations chain.Mutations) *Machine {
 	machine := &Machine{cfg: cfg, repairs: antientropy.New(cfg.Repair), Chain: chain.New(cfg.Chain, record.State.Self, record.currentEntry(), nonce, mutations)}
@@ -88,7 +88,7 @@
 	return r.drainOutput(now)
 }
 
-// reportSuspect tells all members of one that makes no progress. One that is known to store
+// reportSuspect informs all members of one that makes no progress. One that is known to store
 // what it was forwarded is waiting for another itself.
 func (r *Machine) reportSuspect(now int64) {
 	suspect, found := r.Chain.Suspected()
--- a/internal/cluster/routeconfig/routeconfig.go
+++ b/internal/cluster/routeconfig/routeconfig.go
@@ -1,6 +1,6 @@
-// Package routeconfig holds an operator's configuration: it validates it as a whole, finds the
+// Package routeconfig holds an operator's configuration: it validates it completely, finds the
 // route of a request, and orders configurations by revision. It never edits an operator's
-// bytes, accepts anything that cannot be read whole, or goes back to an older revision.
+// bytes, accepts anything that cannot be read completely, or goes back to an older revision.
 package routeconfig
 
 import (
@@ -30,7 +30,7 @@
 type Route struct {
 	Name, Host, Prefix     string
 	Idempotent             bool
-	Timeout, TargetLatency time.Duration // Aim is 0 where none was told
+	Timeout, TargetLatency time.Duration // TargetLatency is 0 if none is set
 	Priority               int
 	MaxAttempts            int
 	Backends               []Backend
@@ -87,7 +87,7 @@
 	return time.Duration(ms * float64(time.Millisecond))
 }
 
-// revision reads a configuration's number: a whole one, not negative, with room for the digest
+// revision reads a configuration's number: an integer, not negative, with room for the digest
 // bits that order two contents of one number.
 func revision(at paths.Reader) int64 {
 	n := at.NoText().Int()
@@ -97,7 +97,7 @@
 	return n
 }
 
-// Parse validates a configuration as a whole. The error names the path of what is wrong.
+// Parse validates a configuration completely. The error names the path of what is wrong.
 func Parse(raw []byte) (*Config, error) {
 	root, err := paths.JSON(raw)
 	if err != nil {
@@ -138,7 +138,7 @@
 	}
 	at.Object()
 	l := &c.Limits
-	l.MaxHeaderBytes = cmp.Or(int(at.At("max_header_bytes").Int()), l.MaxHeaderBytes) // 0 is as if it were not told
+	l.MaxHeaderBytes = cmp.Or(int(at.At("max_header_bytes").Int()), l.MaxHeaderBytes) // 0 counts as not set
 	l.MaxBodyBytes = cmp.Or(int(at.At("max_body_bytes").Int()), l.MaxBodyBytes)
 	l.HeaderTimeout = cmp.Or(milliseconds(at.At("header_timeout_ms")), l.HeaderTimeout)
 	l.IdleTimeout = cmp.Or(milliseconds(at.At("idle_timeout_ms")), l.IdleTimeout)
@@ -160,13 +160,7 @@
 	r := &Route{Name: at.At("name").Text(), Host: strings.ToLower(at.At("hostname").Must().Text()),
 		Prefix: at.At("path_prefix").Must().Text(), Priority: int(at.At("priority").Int()),
 		MaxAttempts: max(int(at.At("max_attempts").Int()), 1), ResultLimit: int(at.At("result_limit").Int())}
-	switch kind := at.At("route_type").Must().Text(); kind {
-	case "idempotent":
-		r.Idempotent = true
-	case "non_idempotent":
-	default:
-		at.At("route_type").Failf("%.40q is neither idempotent nor non_idempotent", kind)
-	}
+	r.Idempotent = parseRouteType(at.At("route_type").Must())
 	if !strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/") {
 		at.At("path_prefix").Failf("%.60q does not start and end with a slash", r.Prefix)
 	}
@@ -174,54 +168,86 @@
 		at.At("timeout_ms").Failf("is 0")
 	}
 	r.TargetLatency = milliseconds(at.At("target_latency_ms"))
-	told := 0
+	c.parseTarget(at, r)
+	c.addRoute(at, r)
+}
+
+// parseRouteType reports whether requests of a route may be repeated.
+func parseRouteType(at paths.Reader) (idempotent bool) {
+	switch kind := at.Text(); kind {
+	case "idempotent":
+		return true
+	case "non_idempotent":
+	default:
+		at.Failf("%.40q is neither idempotent nor non_idempotent", kind)
+	}
+	return false
+}
+
+// parseTarget reads where the requests of a route go. Exactly one form must be there.
+func (c *Config) parseTarget(at paths.Reader, r *Route) {
+	targets := 0
 	if t := at.At("target_service"); t.Is() {
-		told++
+		targets++
 		r.Backends = []Backend{{Service: c.parseServiceName(t), Weight: 1}}
 	}
 	if b := at.At("backends"); b.Is() {
-		told++
-		sum := 0.0
-		for _, item := range b.Items() {
-			name := item.Object().At("service")
-			for _, other := range []string{"target_service", "name"} { // the pages give no example
-				if !name.Is() {
-					name = item.At(other)
-				}
-			}
-			x := Backend{Service: c.parseServiceName(name), Weight: item.At("weight").Number()}
-			if x.Weight < 0 {
-				item.At("weight").Failf("is below 0")
-			}
-			sum += x.Weight
-			r.Backends = append(r.Backends, x)
-		}
-		if sum <= 0 {
-			b.Failf("the weights sum to 0")
-		}
+		targets++
+		r.Backends = c.parseBackends(b)
 	}
 	if f := at.At("fanout_services"); f.Is() {
-		told++
-		seen := make(map[string]bool)
-		for _, item := range f.Items() {
-			name := c.parseServiceName(item)
-			if seen[name] {
-				item.Failf("%.60q stands twice", name)
-			}
-			seen[name] = true
-			r.FanoutServices = append(r.FanoutServices, name)
-		}
-		if len(r.FanoutServices) == 0 || len(r.FanoutServices) > maxShards {
-			f.Failf("%d shards are not within 1 to %d", len(r.FanoutServices), maxShards)
-		}
+		targets++
+		r.FanoutServices = c.parseShards(f)
 		r.MinSuccessRatio = at.At("min_success_ratio").Number()
 		if r.MinSuccessRatio < 0 || r.MinSuccessRatio > 1 {
 			at.At("min_success_ratio").Failf("%v is no share", r.MinSuccessRatio)
 		}
 	}
-	if told != 1 {
-		at.Failf("%d of target_service, backends and fanout_services are there; one is needed", told)
+	if targets != 1 {
+		at.Failf("%d of target_service, backends and fanout_services are there; one is needed", targets)
+	}
+}
+
+func (c *Config) parseBackends(list paths.Reader) (backends []Backend) {
+	sum := 0.0
+	for _, item := range list.Items() {
+		name := item.Object().At("service")
+		for _, other := range []string{"target_service", "name"} { // the pages give no example
+			if !name.Is() {
+				name = item.At(other)
+			}
+		}
+		backend := Backend{Service: c.parseServiceName(name), Weight: item.At("weight").Number()}
+		if backend.Weight < 0 {
+			item.At("weight").Failf("is below 0")
+		}
+		sum += backend.Weight
+		backends = append(backends, backend)
 	}
+	if sum <= 0 {
+		list.Failf("the weights sum to 0")
+	}
+	return backends
+}
+
+func (c *Config) parseShards(list paths.Reader) (services []string) {
+	seen := make(map[string]bool)
+	for _, item := range list.Items() {
+		name := c.parseServiceName(item)
+		if seen[name] {
+			item.Failf("%.60q stands twice", name)
+		}
+		seen[name] = true
+		services = append(services, name)
+	}
+	if len(services) == 0 || len(services) > maxShards {
+		list.Failf("%d shards are not within 1 to %d", len(services), maxShards)
+	}
+	return services
+}
+
+// addRoute adds a route whose host and prefix no other route has.
+func (c *Config) addRoute(at paths.Reader, r *Route) {
 	host := c.hosts[r.Host]
 	if host == nil {
 		host = make(map[string]*Route)
--- a/internal/front/gate/gate.go
+++ b/internal/front/gate/gate.go
@@ -65,15 +65,15 @@
 	if p == nil {
 		return c.Write(503, "no configuration yet\n", keep, retry(lateRetry))
 	}
-	route := p.Charter.MatchRoute(r.Header.Get("Host"), r.Path)
+	route := p.Config.MatchRoute(r.Header.Get("Host"), r.Path)
 	if route == nil {
 		g.Unrouted.Add(1)
 		return c.Write(404, "no such route\n", keep)
 	}
 	c.Queried()
-	if len(p.Charter.Allowances) > 0 && g.Allow != nil {
+	if len(p.Config.Allowances) > 0 && g.Allow != nil {
 		// Before anything of it is sent: who is turned away here has had nothing of it done.
-		if a := p.Charter.MatchAllowance(route, r.Header.Get); a != nil {
+		if a := p.Config.MatchAllowance(route, r.Header.Get); a != nil {
 			if ok, after := g.Allow(a.Name); !ok {
 				after = min(after, mostAfter)
 				return c.Write(429, fmt.Sprintf("not done: the allowance %s (%g requests a second) is used up; come back in %.1f s\n", a.Name, a.Rate, after.Seconds()), keep, retry(after))
--- a/internal/front/gate/gate_test.go
+++ b/internal/front/gate/gate_test.go
@@ -75,7 +75,7 @@
 	p.servers[service] = s
 	n, err := p.numbers.Of(service)
 	require.NoError(p.t, err)
-	p.back.Told([]reach.Server{{ID: s.ID, Addr: s.Addr}})
+	p.back.UpdateServers([]reach.Server{{ID: s.ID, Addr: s.Addr}})
 	p.x.Listed(choice.List{Servers: []choice.Server{{ID: s.ID, Zone: "z", Cell: n, State: choice.Ready, Scale: 3}}})
 }
 
--- a/internal/front/gate/plan.go
+++ b/internal/front/gate/plan.go
@@ -15,7 +15,7 @@
 
 // Plan is a configuration made ready for requests. It does not change.
 type Plan struct {
-	Charter *routeconfig.Config
+	Config  *routeconfig.Config
 	Classes []choice.Class
 
 	lanes map[*routeconfig.Route]*lane
@@ -77,7 +77,7 @@
 
 // NewPlan makes a plan of a configuration.
 func NewPlan(c *routeconfig.Config, numbers *Shards) (*Plan, error) {
-	p := &Plan{Charter: c, lanes: make(map[*routeconfig.Route]*lane, len(c.Routes))}
+	p := &Plan{Config: c, lanes: make(map[*routeconfig.Route]*lane, len(c.Routes))}
 	classes := make(map[string]choice.Class)
 	for _, r := range c.Routes {
 		l := &lane{}
--- a/internal/lab/answers/answers.go
+++ b/internal/lab/answers/answers.go
@@ -127,7 +127,7 @@
 				return "", err
 			}
 			l.serve(s)
-			back.Told([]reach.Server{{ID: s.ID, Addr: s.Addr}})
+			back.UpdateServers([]reach.Server{{ID: s.ID, Addr: s.Addr}})
 			x.Listed(choice.List{Servers: []choice.Server{{ID: s.ID, Zone: "z", Cell: number, State: choice.Ready, Scale: 64}}})
 		}
 	}
--- a/internal/lab/yard/yard.go
+++ b/internal/lab/yard/yard.go
@@ -289,7 +289,7 @@
 		return 0
 	}
 	for _, t := range shown.Tables {
-		if t.Title == "groups: set apart" {
+		if t.Title == "ejections: members" {
 			n = len(t.Rows)
 		}
 	}
--- a/internal/node/agent/agent.go
+++ b/internal/node/agent/agent.go
@@ -26,52 +26,74 @@
 	graceMargin    = 400 * time.Millisecond // before the grace period is over
 )
 
-// Run is the program: it serves until ctx ends, and then for as long as its proxy asks.
-func Run(ctx context.Context, set *nodesettings.File) error {
-	boot := set.Current()
-	n := peer.NewNode(set, gossip.KindAgent)
-	var fed atomic.Int64  // when the proxy last asked or was answered, by n.now
-	var open atomic.Int64 // calls of the proxy that wait
-	life := strconv.FormatInt(time.Now().UnixNano(), 36)
-	loop := http.NewServeMux()
-	agentapi.FeedCall.On(loop, func(ctx context.Context, _ rpc.Named, f agentapi.FeedRequest) (agentapi.FeedResponse, error) {
-		open.Add(1)
-		defer func() { fed.Store(n.Now()); open.Add(-1) }()
-		n.Mu.Lock()
-		for _, i := range f.Entries {
-			n.PutLocked(i)
-		}
-		if f.Incarnation != life {
-			f.Since = 0
+// feed answers the proxy on the same machine.
+type feed struct {
+	node        *peer.Node
+	incarnation string       // of this agent: a proxy that followed another one starts anew
+	lastAt      atomic.Int64 // when the proxy last asked or was answered, by node.Now
+	open        atomic.Int64 // calls of the proxy that wait
+}
+
+// answer returns what changed since the proxy's last call, or waits until something does.
+func (f *feed) answer(ctx context.Context, _ rpc.Named, request agentapi.FeedRequest) (agentapi.FeedResponse, error) {
+	f.open.Add(1)
+	defer func() { f.lastAt.Store(f.node.Now()); f.open.Add(-1) }()
+	n := f.node
+	n.Mu.Lock()
+	for _, entry := range request.Entries {
+		n.PutLocked(entry)
+	}
+	if request.Incarnation != f.incarnation {
+		request.Since = 0
+	}
+	end := time.After(agentapi.FeedWait)
+	for n.Store.Seq() <= request.Since {
+		changed := n.Changed
+		n.Mu.Unlock()
+		select {
+		case <-changed:
+		case <-end:
+			return agentapi.FeedResponse{Incarnation: f.incarnation, Seq: request.Since}, nil
+		case <-ctx.Done():
+			return agentapi.FeedResponse{}, ctx.Err()
 		}
-		end := time.After(agentapi.FeedWait)
-		for n.Store.Seq() <= f.Since {
-			changed := n.Changed
-			n.Mu.Unlock()
-			select {
-			case <-changed:
-			case <-end:
-				return agentapi.FeedResponse{Incarnation: life, Seq: f.Since}, nil
-			case <-ctx.Done():
-				return agentapi.FeedResponse{}, ctx.Err()
-			}
-			n.Mu.Lock()
+		n.Mu.Lock()
+	}
+	defer n.Mu.Unlock()
+	configuration, _ := n.Store.Get(agentapi.ConfigurationKey)
+	return agentapi.FeedResponse{Incarnation: f.incarnation, Seq: n.Store.Seq(),
+		WantConfig: request.ConfigVersion > configuration.Version, Entries: n.Store.ChangedSince(request.Since)}, nil
+}
+
+// waitForProxy returns when the proxy has ended, at the latest when the grace period nearly is.
+func (f *feed) waitForProxy(grace time.Duration) {
+	since := time.Now()
+	for time.Since(since) < grace-graceMargin {
+		if f.open.Load() == 0 && f.node.Now()-f.lastAt.Load() > proxyGoneAfter.Microseconds() {
+			events.ProxyGone.Log()
+			return
 		}
-		defer n.Mu.Unlock()
-		held, _ := n.Store.Get(agentapi.ConfigurationKey)
-		return agentapi.FeedResponse{Incarnation: life, Seq: n.Store.Seq(), WantConfig: f.ConfigVersion > held.Version, Entries: n.Store.ChangedSince(f.Since)}, nil
-	})
-	inner := http.NewServeMux()
-	n.Serve(inner)
-	b := newOutlierAggregator(n)
-	b.serve(loop, inner)
-	admin.RegisterShow(loop, admin.Agent, boot.Name, n.StartedAt, b.tables)
-	admin.RegisterExplain(loop, admin.Agent, boot.Name, n.StartedAt, b.explain)
-	lnLoop, err := transport.Listen(ctx, boot.AgentAddr())
+		time.Sleep(pollInterval)
+	}
+}
+
+// Run is the program: it serves until ctx ends, and then for as long as its proxy asks.
+func Run(ctx context.Context, file *nodesettings.File) error {
+	settings := file.Current()
+	n := peer.NewNode(file, gossip.KindAgent)
+	f := &feed{node: n, incarnation: strconv.FormatInt(time.Now().UnixNano(), 36)}
+	outliers := newOutlierAggregator(n)
+	loopback, internal := http.NewServeMux(), http.NewServeMux()
+	agentapi.FeedCall.On(loopback, f.answer)
+	n.Serve(internal)
+	outliers.serve(loopback, internal)
+	admin.RegisterShow(loopback, admin.Agent, settings.Name, n.StartedAt, outliers.tables)
+	admin.RegisterExplain(loopback, admin.Agent, settings.Name, n.StartedAt, outliers.explain)
+	loopbackListener, err := transport.Listen(ctx, settings.AgentAddr())
 	if err != nil {
 		return err
 	}
-	lnInner, err := transport.Listen(ctx, boot.PeerAddr())
+	internalListener, err := transport.Listen(ctx, settings.PeerAddr())
 	if err != nil {
 		return err
 	}
@@ -79,26 +101,19 @@
 	over := make(chan struct{})
 	defer func() { end(); <-over }()
 	failed := make(chan error, 2)
-	go func() { failed <- rpc.Serve(running, lnLoop, loop, agentapi.FeedWait+5*time.Second) }()
-	go func() { failed <- rpc.Serve(running, lnInner, inner, 0) }()
+	go func() { failed <- rpc.Serve(running, loopbackListener, loopback, agentapi.FeedWait+5*time.Second) }()
+	go func() { failed <- rpc.Serve(running, internalListener, internal, 0) }()
 	go func() { n.Run(running); close(over) }()
-	go set.Watch(running)
-	go b.run(running)
-	go b.quotas.run(running)
-	events.Started.Log("program", admin.Agent, "name", boot.Name, "inner", boot.PeerAddr(), "loop", boot.AgentAddr())
+	go file.Watch(running)
+	go outliers.run(running)
+	go outliers.quotas.run(running)
+	events.Started.Log("program", admin.Agent, "name", settings.Name, "inner", settings.PeerAddr(), "loop", settings.AgentAddr())
 	select {
 	case err := <-failed:
 		return err
 	case <-ctx.Done():
 	}
 	events.Stopping.Log()
-	since := time.Now()
-	for time.Since(since) < set.Current().Bounds.Grace-graceMargin {
-		if open.Load() == 0 && n.Now()-fed.Load() > proxyGoneAfter.Microseconds() {
-			events.ProxyGone.Log()
-			break
-		}
-		time.Sleep(pollInterval)
-	}
+	f.waitForProxy(file.Current().Bounds.Grace)
 	return nil
 }
--- a/internal/node/agent/outliers.go
+++ b/internal/node/agent/outliers.go
@@ -25,7 +25,7 @@
 	node          *peer.Node
 	role          *outlier.AggregatorRole // under the node's mu, as all below
 	shardSizes    map[string]int
-	shardSizesSeq uint64 // of the book, when members was made
+	shardSizesSeq uint64 // of the store when shardSizes was computed
 	forwarding    bool
 	wake          chan struct{}
 	quotas        *quotaService
@@ -78,7 +78,7 @@
 	b.forwarding = false
 }
 
-// addEvidence takes evidence if the role is held here. The node's lock must be held.
+// addEvidence takes evidence if this process holds the role. The caller must have locked the node.
 func (b *outlierAggregator) addEvidence(from string, list []outlier.Evidence) bool {
 	b.updateHolder()
 	if !b.role.AddEvidence(b.node.Now(), from, list) {
--- a/internal/node/agent/quota.go
+++ b/internal/node/agent/quota.go
@@ -34,7 +34,7 @@
 	return &quotaService{node: n, wake: make(chan struct{}, 1)}
 }
 
-// onUpdate takes a configuration that was gossiped. The node's lock must be held.
+// onUpdate takes a configuration that was gossiped. The caller must have locked the node.
 func (v *quotaService) onUpdate(i gossip.Entry) {
 	if i.Key != agentapi.ConfigurationKey || i.Version <= v.configVersion {
 		return
@@ -59,7 +59,7 @@
 
 func (v *quotaService) proxyCount() int { return len(v.node.Members.Peers(gossip.KindAgent)) + 1 }
 
-// updateHolder holds the lessor here while the role is. The node's lock must be held.
+// updateHolder holds the lessor here while the role is. The caller must have locked the node.
 func (v *quotaService) updateHolder() {
 	epoch, holds := v.node.Members.Holds(outlier.Role)
 	switch {
@@ -85,7 +85,7 @@
 		holder, known := v.node.Members.Holder(outlier.Role)
 		v.node.Mu.Unlock()
 		if !known {
-			return agentapi.ClaimResponse{}, rpc.Fail(http.StatusServiceUnavailable, "nobody is known to hold the bank")
+			return agentapi.ClaimResponse{}, rpc.Fail(http.StatusServiceUnavailable, "no process is known to hold the lessor")
 		}
 		return agentapi.ForwardClaimCall.Ask(ctx, v.node.Client, holder.Holder, "", agentapi.ClaimRequest{From: v.node.Self.Addr, Claims: c.Claims})
 	})
--- a/internal/node/agent/show.go
+++ b/internal/node/agent/show.go
@@ -13,14 +13,14 @@
 	"saddleport/internal/node/rpc"
 )
 
-// table shows the lessor. The node's lock must be held.
+// table shows the lessor. The caller must have locked the node.
 func (v *quotaService) table() admin.Table {
-	t := admin.Table{Title: "allowance: the bank is another's"}
+	t := admin.Table{Title: "allowance: another process has the lessor"}
 	if v.lessor == nil {
 		return t
 	}
 	now := v.node.Now()
-	t = admin.Table{Title: "allowance: the bank is here", Columns: []string{"allowance", "stated, a second", "leased, a second", "to mixers", "asked, a second", "admitted by all so far"}}
+	t = admin.Table{Title: "allowance: the lessor is here", Columns: []string{"allowance", "stated, a second", "leased, a second", "to proxies", "asked, a second", "admitted by all so far"}}
 	for _, s := range v.allowances {
 		rate, tills := v.lessor.Leased(now, s.Name)
 		t.Rows = append(t.Rows, []string{s.Name, fmt.Sprint(s.Rate), fmt.Sprintf("%.1f", rate), fmt.Sprint(tills),
@@ -29,7 +29,7 @@
 	return t
 }
 
-// explain shows the evidence on a member, if the role is held here.
+// explain shows the evidence on a member, if this process holds the role.
 func (b *outlierAggregator) explain(about string) ([]admin.Table, error) {
 	b.node.Mu.Lock()
 	defer b.node.Mu.Unlock()
@@ -37,17 +37,17 @@
 		about = agentapi.CallerPrefix + about
 	}
 	c, known := b.node.Members.Holder(outlier.Role)
-	if words, held := b.role.Reports(b.node.Now(), about); held {
-		t := admin.Table{Title: "evidence on " + about, Columns: []string{"mixer", "told", "samples", "times its peers' middle", "score"}}
-		for _, w := range words {
+	if reports, holds := b.role.Reports(b.node.Now(), about); holds {
+		t := admin.Table{Title: "evidence on " + about, Columns: []string{"proxy", "reported", "samples", "times its peers' middle", "score"}}
+		for _, w := range reports {
 			t.Rows = append(t.Rows, []string{w.Proxy, admin.FormatAge(w.Age) + " ago", fmt.Sprint(w.Samples), fmt.Sprintf("%.1f", w.Middle), fmt.Sprintf("%.1f", w.Score)})
 		}
 		return []admin.Table{t}, nil
 	}
 	if !known {
-		return nil, rpc.Fail(http.StatusServiceUnavailable, "nobody is known to hold the council")
+		return nil, rpc.Fail(http.StatusServiceUnavailable, "no process is known to hold the aggregator")
 	}
-	return []admin.Table{{Title: "the council is held by", Columns: []string{"agent", "epoch"}, Rows: [][]string{{c.Holder, fmt.Sprint(lease.TermOf(c.Epoch))}}}}, nil
+	return []admin.Table{{Title: "holder of the aggregator", Columns: []string{"agent", "epoch"}, Rows: [][]string{{c.Holder, fmt.Sprint(lease.TermOf(c.Epoch))}}}}, nil
 }
 
 // tables shows the node and the ejected members.
@@ -57,15 +57,15 @@
 	defer b.node.Mu.Unlock()
 	a := b.role.Last()
 	apart, back := b.role.Counts()
-	t := admin.Table{Title: "groups: the council's last word", Columns: []string{"member", "shard", "times slow", "on the evidence of"}}
+	t := admin.Table{Title: "ejections: last published", Columns: []string{"member", "shard", "times slow", "on the evidence of"}}
 	for _, m := range a.Ejected {
-		t.Rows = append(t.Rows, []string{m.Name, m.Shard, fmt.Sprintf("%.1f", m.Ratio), fmt.Sprintf("%d mixers, %d samples", m.Reporters, m.Samples)})
+		t.Rows = append(t.Rows, []string{m.Name, m.Shard, fmt.Sprintf("%.1f", m.Ratio), fmt.Sprintf("%d proxies, %d samples", m.Reporters, m.Samples)})
 	}
 	by := a.By
 	if by == "" {
 		by = "nobody yet"
 	}
-	moves := admin.Table{Title: "groups: state", Columns: []string{"by", "under epoch", "word", "asked for", "set apart here", "brought back here"},
+	moves := admin.Table{Title: "ejections: state", Columns: []string{"by", "under epoch", "publication", "requested", "ejected here", "restored here"},
 		Rows: [][]string{{by, fmt.Sprint(lease.TermOf(a.Epoch)), fmt.Sprint(a.Seq), fmt.Sprint(len(a.Requested)), fmt.Sprint(apart), fmt.Sprint(back)}}}
 	return append(out, t, moves, b.quotas.table()), err
 }
--- a/internal/node/cli/commands.go
+++ b/internal/node/cli/commands.go
@@ -23,7 +23,7 @@
 const showTime = 3 * time.Second
 
 func checkSettings(file *string) *cobra.Command {
-	return &cobra.Command{Use: "check [FILE]", Short: "Check a settings file; what is wrong is told by its line or path", Args: cobra.MaximumNArgs(1),
+	return &cobra.Command{Use: "check [FILE]", Short: "Check a settings file; errors name the line or path", Args: cobra.MaximumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			name := *file
 			if len(args) > 0 {
@@ -42,7 +42,7 @@
 }
 
 func checkConfig() *cobra.Command {
-	return &cobra.Command{Use: "config FILE", Short: "Check a configuration; what is wrong is told by its path", Args: cobra.ExactArgs(1),
+	return &cobra.Command{Use: "config FILE", Short: "Check a configuration; errors name the path", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			raw, err := os.ReadFile(args[0])
 			if err != nil {
@@ -124,7 +124,7 @@
 func explain(program string, file *string) *cobra.Command {
 	var addr string
 	var asJSON bool
-	cmd := &cobra.Command{Use: "explain NAME", Short: "Tell what the running " + program + " knows of one server (its id) or caller (its address): prompt, doubtful or laggard, and why", Args: cobra.ExactArgs(1),
+	cmd := &cobra.Command{Use: "explain NAME", Short: "Tell what the running " + program + " knows of one server (its id) or caller (its address): in use, suspected or ejected, and why", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			return ask(c, program, *file, addr, asJSON, func(ctx context.Context, via *rpc.Client, addr string) (admin.Shown, error) {
 				return admin.ExplainCall.Ask(ctx, via, addr, url.PathEscape(args[0]), nil)
--- a/internal/node/controlplane/handover.go
+++ b/internal/node/controlplane/handover.go
@@ -91,7 +91,7 @@
 }
 
 // redirect sends a caller to the first machine whose address for callers is known; if there is
-// none, tells it to come again.
+// none, asks it to come again.
 func (c *replicaRunner) redirect(others []string) error {
 	control := make(map[string]string)
 	for _, p := range c.node.Peers(gossip.KindControlPlane) {
--- a/internal/node/controlplane/outbox.go
+++ b/internal/node/controlplane/outbox.go
@@ -18,7 +18,7 @@
 	messageTimeout    = 900 * time.Millisecond // for messages that are small
 	bulkTimeout       = 4 * time.Second        // for those that carry an entry: links may be thin
 	maxOutboxMessages = 128                    // messages that wait for one machine; the oldest go first
-	maxOutboxPeers    = 64                     // machines that mail is sent to at once, twice: small and bulk
+	maxOutboxPeers    = 64                     // machines that are sent to at once, each by two outboxes
 	outboxIdleTimeout = time.Minute            // a machine that was sent nothing for so long is let go of
 )
 
@@ -141,12 +141,12 @@
 	for more := true; more && c.running.Err() == nil; {
 		var batch []envelope.Message
 		batch, more = p.take()
-		mail, err := codec.EncodeBatch(batch)
+		body, err := codec.EncodeBatch(batch)
 		if err != nil {
 			panic("invariant: " + err.Error()) // each message has a form
 		}
 		ctx, cancel := context.WithTimeout(c.running, p.key.timeout())
-		messagesCall.Ask(ctx, c.node.Client, p.key.addr, "", mail) // what is lost is sent again
+		messagesCall.Ask(ctx, c.node.Client, p.key.addr, "", body) // what is lost is sent again
 		cancel()
 	}
 }
@@ -163,14 +163,14 @@
 
 // serveMessages answers the other control-plane machines.
 func (c *replicaRunner) serveMessages(mux *http.ServeMux) {
-	messagesCall.On(mux, func(ctx context.Context, who rpc.Named, mail rpc.Raw) (rpc.Empty, error) {
-		messages, unread, err := codec.DecodeBatch(mail)
+	messagesCall.On(mux, func(ctx context.Context, who rpc.Named, body rpc.Raw) (rpc.Empty, error) {
+		messages, unread, err := codec.DecodeBatch(body)
 		if err != nil {
-			events.MailUnread.Log("peer", who.Peer, "err", err)
+			events.MessageInvalid.Log("peer", who.Peer, "err", err)
 			return rpc.Empty{}, rpc.Fail(http.StatusBadRequest, "%v", err)
 		}
 		for _, err := range unread {
-			events.MailUnread.Log("peer", who.Peer, "err", err)
+			events.MessageInvalid.Log("peer", who.Peer, "err", err)
 		}
 		return rpc.Empty{}, c.do(ctx, func() {
 			for _, msg := range messages {
--- a/internal/node/controlplane/replica.go
+++ b/internal/node/controlplane/replica.go
@@ -106,7 +106,7 @@
 	c.running = ctx
 	defer func() {
 		if x := recover(); x != nil {
-			events.Broken.Log("what", fmt.Sprint(x))
+			events.InvariantBroken.Log("what", fmt.Sprint(x))
 			os.Exit(2)
 		}
 	}()
@@ -139,9 +139,9 @@
 	now := c.replica.Consensus.HasQuorum(c.now())
 	switch {
 	case now && !c.hadQuorum:
-		events.InTouch.Log("epoch", c.announcedEpoch)
+		events.QuorumRegained.Log("epoch", c.announcedEpoch)
 	case !now && c.hadQuorum:
-		events.OutOfTouch.Log("epoch", c.announcedEpoch)
+		events.QuorumLost.Log("epoch", c.announcedEpoch)
 	}
 	c.hadQuorum = now
 }
@@ -191,13 +191,13 @@
 }
 
 func (c *replicaRunner) announceAcknowledged() {
-	held := c.replica.Chain.Stored()
-	if held.Version <= c.announcedVersion || c.replica.Chain.Acknowledged() < held.Version {
+	stored := c.replica.Chain.Stored()
+	if stored.Version <= c.announcedVersion || c.replica.Chain.Acknowledged() < stored.Version {
 		return
 	}
-	c.announce(held)
+	c.announce(stored)
 	c.mu.Lock()
-	c.lastAcknowledged = &held
+	c.lastAcknowledged = &stored
 	c.mu.Unlock()
 	c.wake()
 }
@@ -208,7 +208,7 @@
 		return
 	}
 	c.announcedEpoch = v.Epoch
-	events.View.Log("epoch", v.Epoch, "members", len(v.Members), "chain", fmt.Sprint(v.Chain), "member", c.replica.Consensus.IsMember())
+	events.ViewChanged.Log("epoch", v.Epoch, "members", len(v.Members), "chain", fmt.Sprint(v.Chain), "member", c.replica.Consensus.IsMember())
 	if body, err := json.Marshal(v); err == nil {
 		c.node.Put(gossip.Entry{Key: ViewKey, Version: v.Epoch, Value: body})
 	}
@@ -226,7 +226,7 @@
 func (c *replicaRunner) announce(e chain.Entry) {
 	c.announcedVersion = e.Version
 	if ch, err := routeconfig.Parse(e.Content); err == nil {
-		events.Acknowledged.Log("version", ch.Revision)
+		events.ConfigAcknowledged.Log("revision", ch.Revision)
 		c.node.Put(gossip.Entry{Key: agentapi.ConfigurationKey, Version: e.Version, Value: json.RawMessage(e.Content)})
 	}
 }
--- a/internal/node/controlplane/server.go
+++ b/internal/node/controlplane/server.go
@@ -43,7 +43,7 @@
 const (
 	maxConcurrentUpdates = 16 // at once: twice what the operators' page names, each of mostCall at most
 	retryAfter           = 300 * time.Millisecond
-	silenceHeartbeats    = 3.5 // beats missed, before a server is silent
+	silenceHeartbeats    = 3.5 // missed heartbeats until a server is silent
 	tickInterval         = 250 * time.Millisecond
 	orphanTicks          = 4                // ticks between looks at servers that nobody listens for
 	removeSilentAfter    = 10 * time.Minute // of silence
@@ -53,7 +53,7 @@
 type server struct {
 	*peer.Node
 	registry        *registry.Registry // under mu
-	rememberedJSON  []byte             // what is remembered of the servers that beat here; under mu
+	rememberedJSON  []byte             // what is on disk of the servers tracked here; guarded by Mu
 	rememberedCount int                // how many they are
 
 	replica        *replicaRunner
@@ -92,7 +92,7 @@
 		return err
 	}
 	for _, i := range k.replica.rememberedServers() {
-		k.Store.Put(k.Now(), i, 0, false) // each is silent soon unless it beats again
+		k.Store.Put(k.Now(), i, 0, false) // each is silent soon unless it sends a heartbeat
 	}
 	outer, inner := http.NewServeMux(), http.NewServeMux()
 	k.Node.Serve(inner)
@@ -154,7 +154,7 @@
 
 // rememberServers writes the servers tracked here to the disk if they have changed. After a
 // loss of all processes they are known at once, not only when each has sent a heartbeat. Mu
-// must be held.
+// must be locked.
 func (k *server) rememberServers() {
 	var list []gossip.Entry
 	k.Store.RangeSorted(func(i gossip.Entry) {
@@ -171,7 +171,7 @@
 }
 
 // adoptOrphans makes this machine track servers that no machine tracks any more: its own from
-// before a restart and, as a singleton role, those of machines that are gone. Mu must be held.
+// before a restart and, as a singleton role, those of machines that are gone. Mu must be locked.
 func (k *server) adoptOrphans() {
 	now := k.Now()
 	_, duty := k.Members.Holds(peer.OrphanedServersRole.Name)
@@ -200,11 +200,11 @@
 	}
 }
 
-// onUpdate shows the registry what others have gossiped. Mu must be held.
+// onUpdate shows the registry what others have gossiped. Mu must be locked.
 func (k *server) onUpdate(i gossip.Entry) {
 	if len(i.Key) > 2 && i.Key[:2] == registry.Prefix {
-		if news, is := k.registry.HandleUpdate(k.Now(), i); is {
-			k.PutLocked(news)
+		if update, changed := k.registry.HandleUpdate(k.Now(), i); changed {
+			k.PutLocked(update)
 		}
 	}
 }
@@ -220,12 +220,12 @@
 // handleDeregister takes the last call of a server. Machines that are not reached from here do
 // not hear of it; then it is not acknowledged, and the server calls another one.
 func (k *server) handleDeregister(ctx context.Context, who rpc.Named, _ rpc.Raw) (rpc.Empty, error) {
-	events.ServerLeft.Log("server", who.Name)
+	events.ServerDeregistered.Log("server", who.Name)
 	k.Mu.Lock()
 	k.PutLocked(k.registry.HandleDeregister(who.Name))
 	k.Mu.Unlock()
 	// Those that this machine does not reach do not hear of it: then it is not acknowledged, and
-	// the server tells another.
+	// the server calls another one.
 	return rpc.Empty{}, k.replica.requireQuorum(ctx)
 }
 
@@ -234,19 +234,19 @@
 	near := k.heartbeatEndpoint(who.Name, b.Zone)
 	k.Mu.Lock()
 	defer k.Mu.Unlock()
-	held, known := k.Store.Get(registry.Prefix + who.Name)
-	news, is, err := k.registry.HandleHeartbeat(k.Now(), who.Name, b, held, known)
+	stored, known := k.Store.Get(registry.Prefix + who.Name)
+	update, changed, err := k.registry.HandleHeartbeat(k.Now(), who.Name, b, stored, known)
 	if err != nil {
-		events.BadBeat.Log("server", who.Name, "peer", who.Peer, "err", err)
+		events.HeartbeatInvalid.Log("server", who.Name, "peer", who.Peer, "err", err)
 		return HeartbeatResponse{}, rpc.Fail(http.StatusBadRequest, "%v", err)
 	}
-	if is {
+	if changed {
 		if !known {
 			events.ServerNew.Log("server", who.Name, "service", b.Service, "addr", b.Addr, "zone", b.Zone)
 		} else if b.State == registry.LifecycleDraining {
-			events.ServerDrains.Log("server", who.Name, "service", b.Service)
+			events.ServerDraining.Log("server", who.Name, "service", b.Service)
 		}
-		k.PutLocked(news)
+		k.PutLocked(update)
 	}
 	return HeartbeatResponse{Endpoint: near}, nil
 }
@@ -285,7 +285,7 @@
 	c, err := routeconfig.Parse(raw)
 	k.validating.Unlock()
 	if err != nil {
-		events.Invalid.Log("peer", who.Peer, "path", err)
+		events.ConfigInvalid.Log("peer", who.Peer, "path", err)
 		return rpc.Empty{}, rpc.Fail(http.StatusBadRequest, "%v", err)
 	}
 	if err := k.replica.requireQuorum(ctx); err != nil {
@@ -294,11 +294,11 @@
 	e := chain.NewEntry(uint64(c.Revision), raw)
 	r, err := k.replica.call(ctx, func(now int64) (string, replica.Output) { return k.replica.replica.Put(now, e) })
 	if err != nil {
-		events.Unsafe.Log("version", c.Revision, "err", err)
+		events.ConfigNotDurable.Log("revision", c.Revision, "err", err)
 		return rpc.Empty{}, retryLater(err)
 	}
 	if r.Verdict == chain.UpdateConflict {
-		events.Conflicting.Log("version", c.Revision, "peer", who.Peer)
+		events.ConfigConflict.Log("revision", c.Revision, "peer", who.Peer)
 		return rpc.Empty{}, rpc.Fail(http.StatusConflict, "other content was taken under revision %d; this one is not in force", c.Revision)
 	}
 	return rpc.Empty{}, nil
@@ -318,7 +318,7 @@
 	return r.Entry.Content, nil
 }
 
-// retryLater tells a caller to come again: what it asked for may have been done, or may yet
+// retryLater asks a caller to come again: what it asked for may have been done, or may yet
 // be.
 func retryLater(err error) *rpc.Outcome {
 	o := rpc.Fail(http.StatusServiceUnavailable, "%v", err)
--- a/internal/node/controlplane/show.go
+++ b/internal/node/controlplane/show.go
@@ -26,11 +26,11 @@
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
-	news, err := k.Node.Tables(ctx)
+	tables, err := k.Node.Tables(ctx)
 	k.Mu.Lock()
 	defer k.Mu.Unlock()
-	here := admin.Table{Title: "servers here", Columns: []string{"beat here", "remembered on the disk"}, Rows: [][]string{{fmt.Sprint(k.registry.Len()), fmt.Sprint(k.rememberedCount)}}}
-	return append(append(core, here), news...), err
+	here := admin.Table{Title: "servers here", Columns: []string{"tracked here", "remembered on disk"}, Rows: [][]string{{fmt.Sprint(k.registry.Len()), fmt.Sprint(k.rememberedCount)}}}
+	return append(append(core, here), tables...), err
 }
 
 func replicaTables(h *replica.Machine, now int64) []admin.Table {
@@ -38,7 +38,7 @@
 	how := h.Consensus.Describe(now)
 	view := admin.Table{Title: fmt.Sprintf("view of epoch %d", v.Epoch), Columns: []string{"member", "in the chain", "how it is"}}
 	if v.Epoch == 0 {
-		view.Title = "no view yet: waiting to be taken in"
+		view.Title = "no view yet: waiting for a vote"
 	}
 	for _, m := range v.Members {
 		at := "no"
@@ -50,12 +50,12 @@
 		}
 		view.Rows = append(view.Rows, []string{m.String(), at, how[m.String()]})
 	}
-	held := admin.Table{Title: "kept here", Columns: []string{"version", "bytes", "acknowledged", "sealed"}}
+	stored := admin.Table{Title: "stored here", Columns: []string{"version", "bytes", "acknowledged", "sealed"}}
 	e := h.Chain.Stored()
-	held.Rows = [][]string{{fmt.Sprint(chain.RevisionOf(e.Version)), fmt.Sprint(len(e.Content)), fmt.Sprint(h.Chain.Acknowledged() >= e.Version && e.Version > 0), fmt.Sprint(h.Chain.Sealed())}}
-	mended := h.RepairStats()
-	repair := admin.Table{Title: "copies of members", Columns: []string{"mended", "looks of the sweep"}, Rows: [][]string{{fmt.Sprint(mended.Repairs), fmt.Sprint(mended.Swept)}}}
-	return []admin.Table{view, held, repair}
+	stored.Rows = [][]string{{fmt.Sprint(chain.RevisionOf(e.Version)), fmt.Sprint(len(e.Content)), fmt.Sprint(h.Chain.Acknowledged() >= e.Version && e.Version > 0), fmt.Sprint(h.Chain.Sealed())}}
+	repairs := h.RepairStats()
+	repair := admin.Table{Title: "replicas of members", Columns: []string{"repaired", "checked by the sweep"}, Rows: [][]string{{fmt.Sprint(repairs.Repairs), fmt.Sprint(repairs.Swept)}}}
+	return []admin.Table{view, stored, repair}
 }
 
 func bit(b bool) int {
--- a/internal/node/controlplane/store.go
+++ b/internal/node/controlplane/store.go
@@ -31,7 +31,7 @@
 	if err == nil {
 		return s, r, nil
 	}
-	events.Damaged.Log("dir", boot.DataDir, "err", err)
+	events.DiskDamaged.Log("dir", boot.DataDir, "err", err)
 	if s != nil {
 		s.Close()
 	}
@@ -65,7 +65,7 @@
 			r.State.Self = first
 		}
 	} else if !boot.Bootstrap {
-		events.Filling.Log("as", r.State.Self)
+		events.DiskEmpty.Log("as", r.State.Self)
 	}
 	return s, r, s.Put(storage.Entry{Key: keyState, Value: replica.EncodeState(r)})
 }
@@ -131,7 +131,7 @@
 			if err == nil {
 				break
 			}
-			events.Refused.Log("err", err)
+			events.DiskRefuses.Log("err", err)
 			select {
 			case <-ctx.Done():
 			case <-time.After(diskRetryInterval):
--- a/internal/node/events/events.go
+++ b/internal/node/events/events.go
@@ -94,7 +94,7 @@
 func Page() string {
 	var b strings.Builder
 	b.WriteString("# Events\n\nWhat `proxy`, `agent` and `controlplane` log, one line an event, `key=value`, on standard error.\n" +
-		"Of one event at most " + fmt.Sprint(mostLines) + " lines a second are written; `unlogged` tells how many were left out.\n" +
+		"Of one event at most " + fmt.Sprint(mostLines) + " lines a second are written; `unlogged` counts those left out.\n" +
 		"`saddlectl events` prints this page; a test holds it to the code.\n\n" +
 		"| number | event | level | what has happened | what to do |\n| --- | --- | --- | --- | --- |\n")
 	for _, e := range catalogue {
--- a/internal/node/fleettest/outliers_test.go
+++ b/internal/node/fleettest/outliers_test.go
@@ -72,14 +72,14 @@
 			ask()
 		}
 		for m := 11; m <= 13; m++ {
-			So(f.explains(admin.Proxy, m, "i-2"), ShouldNotContainSubstring, "laggard")
+			So(f.explains(admin.Proxy, m, "i-2"), ShouldNotContainSubstring, "outlier: ejected")
 		}
 		slow.Store(true)
 		begin := time.Now()
 		Until("it set apart everywhere", func() bool {
 			ask()
 			for m := 11; m <= 13; m++ {
-				if !strings.Contains(f.explains(admin.Proxy, m, "i-2"), "laggard") {
+				if !strings.Contains(f.explains(admin.Proxy, m, "i-2"), "outlier: ejected") {
 					return false
 				}
 			}
@@ -87,7 +87,7 @@
 		})
 		t.Logf("set apart by all after %v", time.Since(begin).Round(time.Millisecond))
 		for _, other := range []string{"i-0", "i-1", "i-3"} {
-			So(f.explains(admin.Proxy, 11, other), ShouldNotContainSubstring, "laggard")
+			So(f.explains(admin.Proxy, 11, other), ShouldNotContainSubstring, "outlier: ejected")
 		}
 		code, text := f.call("GET", admin.ShowAddr(admin.Proxy, f.Boot(11, false)), "/Explain/i-99", "")
 		So(code, ShouldEqual, 404)
@@ -104,14 +104,14 @@
 			ask()
 		}
 		for m := 11; m <= 13; m++ {
-			So(f.explains(admin.Proxy, m, "i-2"), ShouldContainSubstring, "laggard")
+			So(f.explains(admin.Proxy, m, "i-2"), ShouldContainSubstring, "outlier: ejected")
 		}
 		// Once it is well it comes back, by the word of whoever holds the council next.
 		slow.Store(false)
 		Until("it brought back everywhere", func() bool {
 			ask()
 			for m := 11; m <= 13; m++ {
-				if strings.Contains(f.explains(admin.Proxy, m, "i-2"), "laggard") {
+				if strings.Contains(f.explains(admin.Proxy, m, "i-2"), "outlier: ejected") {
 					return false
 				}
 			}
--- a/internal/node/fleettest/quota_test.go
+++ b/internal/node/fleettest/quota_test.go
@@ -96,7 +96,7 @@
 		So(len(s.Seen())-before, ShouldBeLessThanOrEqualTo, admitted.Load()+urgent.Load()+other.Load()) // nobody who was refused got there
 		shown := 0
 		for m := 11; m <= 13; m++ {
-			if f.shows(admin.Agent, m, "the bank is here") {
+			if f.shows(admin.Agent, m, "the lessor is here") {
 				shown++
 			}
 		}
--- a/internal/node/nodesettings/file.go
+++ b/internal/node/nodesettings/file.go
@@ -79,7 +79,7 @@
 			}
 		}
 		if err != nil {
-			events.Unread.Log("file", s.file, "err", err)
+			events.SettingsInvalid.Log("file", s.file, "err", err)
 		}
 	}
 }
--- a/internal/node/nodesettings/settings.go
+++ b/internal/node/nodesettings/settings.go
@@ -12,7 +12,7 @@
 	"saddleport/internal/paths"
 )
 
-// Settings is what a process is told at its start.
+// Settings are what a process is given at its start.
 type Settings struct {
 	Name, Role, IP, Zone, Region  string
 	Regions                       map[string]string // by zone
--- a/internal/node/peer/peer.go
+++ b/internal/node/peer/peer.go
@@ -20,7 +20,7 @@
 	"saddleport/internal/node/rpc"
 )
 
-// OutlierRole is held by the agent that decides which members are ejected.
+// OutlierRole belongs to the agent that decides which members are ejected.
 var OutlierRole = member.SingletonRole{Name: outlier.Role, ProcessKind: gossip.KindAgent}
 
 const (
@@ -46,7 +46,7 @@
 	Alive bool `json:"h"`
 }
 
-// OrphanedServersRole is held by the control-plane process that tracks servers which no
+// OrphanedServersRole belongs to the control-plane process that tracks servers which no
 // machine tracks.
 var OrphanedServersRole = member.SingletonRole{Name: "orphans", ProcessKind: gossip.KindControlPlane}
 
@@ -57,7 +57,7 @@
 	Self      gossip.Process
 	Client    *rpc.Client
 	StartedAt time.Time
-	OnUpdate  func(gossip.Entry) // called after an entry was stored, with Mu held; may be nil
+	OnUpdate  func(gossip.Entry) // called after an entry was stored, with Mu locked; may be nil
 	calls     sync.WaitGroup
 
 	Mu      sync.Mutex      // guards Members and Store
@@ -82,7 +82,7 @@
 // Now returns the clock of the machine, in microseconds.
 func (n *Node) Now() int64 { return time.Since(n.StartedAt).Microseconds() }
 
-// noted is told of all news that was taken. Under mu.
+// onUpdate is called for every entry that was stored. Mu must be locked.
 func (n *Node) onUpdate(i gossip.Entry) {
 	if n.OnUpdate != nil {
 		n.OnUpdate(i)
@@ -95,7 +95,7 @@
 	}
 }
 
-// PutLocked stores an entry of this process or of its proxy. Mu must be held.
+// PutLocked stores an entry of this process or of its proxy. Mu must be locked.
 func (n *Node) PutLocked(i gossip.Entry) { n.Members.Put(n.Now(), i) }
 
 // Put stores entries of this process.
@@ -156,7 +156,7 @@
 	n.Mu.Unlock()
 	alone := time.AfterFunc(aloneDelay, func() {
 		if len(n.Peers("")) == 0 {
-			events.Alone.Log("seeds", n.Settings.Current().Seeds)
+			events.NoPeers.Log("seeds", n.Settings.Current().Seeds)
 		}
 	})
 	defer alone.Stop()
@@ -181,7 +181,7 @@
 	}
 }
 
-// flushLocked does what the machine wants done. Mu must be held.
+// flushLocked does what the machine wants done. Mu must be locked.
 func (n *Node) flushLocked() {
 	out := n.Members.TakeOutput()
 	for _, x := range out.Events {
@@ -193,9 +193,9 @@
 		case member.ProcessGone:
 			events.ProcessGone.Log("process", x.Process)
 		case member.RoleTaken:
-			events.DutyTaken.Log("duty", x.Role, "epoch", lease.TermOf(x.Epoch))
+			events.RoleTaken.Log("role", x.Role, "epoch", lease.TermOf(x.Epoch))
 		case member.RoleLost:
-			events.DutyLost.Log("duty", x.Role, "epoch", lease.TermOf(x.Epoch), "to", x.Process)
+			events.RoleLost.Log("role", x.Role, "epoch", lease.TermOf(x.Epoch), "to", x.Process)
 		}
 	}
 	n.calls.Add(len(out.Probes) + len(out.Calls))
--- a/internal/node/peer/tables.go
+++ b/internal/node/peer/tables.go
@@ -15,13 +15,13 @@
 	"saddleport/internal/node/agentapi"
 )
 
-// StoreTables shows a gossip store. Its owner's lock must be held.
-func StoreTables(book *gossip.Store) []admin.Table {
-	servers := admin.Table{Title: "servers", Columns: []string{"service", "server", "address", "zone", "state", "heard by"}}
+// StoreTables shows a gossip store. Its owner must have locked it.
+func StoreTables(store *gossip.Store) []admin.Table {
+	servers := admin.Table{Title: "servers", Columns: []string{"service", "server", "address", "zone", "state", "owner"}}
 	left := 0
 	others := admin.Table{Title: "processes", Columns: []string{"name", "kind", "address", "zone"}}
 	version := admin.Table{Title: "configuration", Columns: []string{"version", "bytes"}}
-	book.RangeSorted(func(i gossip.Entry) {
+	store.RangeSorted(func(i gossip.Entry) {
 		switch {
 		case strings.HasPrefix(i.Key, registry.Prefix):
 			if s, err := registry.Parse(i); i.Deleted() {
@@ -47,7 +47,7 @@
 func (n *Node) Tables(context.Context) ([]admin.Table, error) {
 	n.Mu.Lock()
 	defer n.Mu.Unlock()
-	ring := admin.Table{Title: "ring", Columns: []string{"beats at", "is beaten at by"}}
+	ring := admin.Table{Title: "ring", Columns: []string{"sends heartbeats to", "hears heartbeats of"}}
 	at, by := n.Members.Watchers(), n.Members.Watched()
 	for i := range max(len(at), len(by)) {
 		row := []string{"", ""}
@@ -67,7 +67,7 @@
 		}
 	}
 	swept := n.Members.SweepStats()
-	repair := admin.Table{Title: "comparisons of news", Columns: []string{"found different", "looks of the sweep", "rounds"},
+	repair := admin.Table{Title: "comparisons of stores", Columns: []string{"found different", "checked by the sweep", "passes"},
 		Rows: [][]string{{fmt.Sprint(n.Members.DifferencesFound()), fmt.Sprint(swept.Swept), fmt.Sprint(swept.Rounds)}}}
 	return append(StoreTables(n.Store), ring, duties, repair), nil
 }
--- a/internal/node/proxy/outliers.go
+++ b/internal/node/proxy/outliers.go
@@ -45,7 +45,7 @@
 	placements     map[string]serverPlacement // by server
 	kindNames      map[answerKind]string
 	wakeUp         chan struct{}
-	reportsSent    int // words of evidence
+	reportsSent    int // reports of evidence
 	changesApplied int
 }
 
@@ -67,8 +67,8 @@
 
 // recordAnswer takes an answer of a server, or a wait for one that was given up.
 func (f *outlierTracker) recordAnswer(h exchange.Heard) {
-	whole := h.Verdict == choice.Served
-	if !whole && h.Verdict != choice.NoAnswer && h.Verdict != choice.CalledOff {
+	complete := h.Verdict == choice.Served
+	if !complete && h.Verdict != choice.NoAnswer && h.Verdict != choice.CalledOff {
 		return
 	}
 	f.mu.Lock()
@@ -86,7 +86,7 @@
 		kind = fmt.Sprint(h.Class, " ", at.far)
 		f.kindNames[of] = kind
 	}
-	if f.servers.Record(f.now(), outlier.Sample{Name: h.Server, Shard: at.service, Kind: kind, Latency: h.Took.Microseconds(), Complete: whole}) {
+	if f.servers.Record(f.now(), outlier.Sample{Name: h.Server, Shard: at.service, Kind: kind, Latency: h.Took.Microseconds(), Complete: complete}) {
 		f.wake()
 	}
 }
@@ -146,7 +146,7 @@
 				return
 			case <-time.After(trackerInterval):
 			case <-f.wakeUp:
-				select { // its answer is due at once, if it is the council's, but not without a pause
+				select { // its answer is due at once, if it is from the aggregator, but not without a pause
 				case <-ctx.Done():
 					return
 				case <-time.After(trackerInterval / 5):
@@ -181,7 +181,7 @@
 	return more
 }
 
-// shardSizes counts the servers of each service, and the callers seen. The lock must be held.
+// shardSizes counts the servers of each service, and the callers seen. The lock must be taken.
 func (f *outlierTracker) shardSizes() map[string]int {
 	out := map[string]int{outlier.Callers: f.callers.Members(outlier.Callers)}
 	for _, at := range f.placements {
@@ -198,11 +198,11 @@
 	callers := false
 	for _, c := range changes {
 		if c.Known {
-			events.ApartStill.Log("member", c.Name, "times", fmt.Sprintf("%.1f", c.Ratio))
+			events.EjectionChanged.Log("member", c.Name, "times", fmt.Sprintf("%.1f", c.Ratio))
 		} else if c.Restored {
-			events.BroughtBack.Log("member", c.Name, "shard", c.Shard)
+			events.Restored.Log("member", c.Name, "shard", c.Shard)
 		} else {
-			events.SetApart.Log("member", c.Name, "shard", c.Shard, "times", fmt.Sprintf("%.1f", c.Ratio), "mixers", c.Reporters, "alone", c.LocalOnly)
+			events.Ejected.Log("member", c.Name, "shard", c.Shard, "times", fmt.Sprintf("%.1f", c.Ratio), "proxies", c.Reporters, "local_only", c.LocalOnly)
 		}
 		if strings.HasPrefix(c.Name, agentapi.CallerPrefix) {
 			callers = true
--- a/internal/node/proxy/proxy.go
+++ b/internal/node/proxy/proxy.go
@@ -1,6 +1,6 @@
 // Package proxy is the program that takes requests of clients: it joins the exchange and the
 // decisions of package choice with connections to clients and servers, and with the agent on its
-// machine, which tells it servers and configurations. While the agent is away it goes on with what
+// machine, which feeds it servers and configurations. While the agent is away it goes on with what
 // it last had. It never asks another process while a request waits, and never goes back to an older
 // configuration.
 package proxy
@@ -40,14 +40,18 @@
 	feedRetryInterval   = 60 * time.Millisecond
 	countersInterval    = 30 * time.Second
 	confirmTimeout      = 60 * time.Second // until then an agent that started anew has learned all there is
-	budgetInterval      = 5 * time.Second  // beside news: a part of the budget that was withheld is given by then
+	budgetInterval      = 5 * time.Second  // beside updates: a share of the budget that was withheld is granted by then
 	tickMicroseconds    = 1000             // microseconds
 	maxAttempts         = 8
 	overdueBy           = 3.3 // times the upper quantile: second copies mostly leave the zone (docs/results/grown.md)
-	overdueMax          = 0.8 // of the aim
+	overdueMax          = 0.8 // of the latency target
 	minProxies          = 8   // taken for as long as fewer are known: a share of the budget too small does no harm
 )
 
+// agentKindJSON is how the entry of an agent begins to differ from that of other processes: the
+// kind as gossip.Process writes it.
+const agentKindJSON = `"k":"` + gossip.KindAgent + `"`
+
 // proxy is one running proxy.
 type proxy struct {
 	settings     *nodesettings.Settings
@@ -60,7 +64,11 @@
 	startedAt    time.Time
 	serverCount  atomic.Int64
 
-	mu             sync.Mutex // held by the goroutine that follows the agent, and by show
+	maxClients  int // connections of clients
+	maxUpstream int // connections to servers
+	stopping    atomic.Bool
+
+	mu             sync.Mutex // taken by the goroutine that follows the agent, and by show
 	store          *gossip.Store
 	retryBudget    *quota.RetryBudget
 	proxyCount     int
@@ -73,111 +81,149 @@
 	confirmBy   time.Time       // from then on these count as deleted
 }
 
-// Run is the program: it serves until ctx ends, and then for as long as the grace period
-// allows.
-func Run(ctx context.Context, from *nodesettings.File) error {
-	boot := from.Current()
-	set := settings.Settings{MostHeld: maxRequests, Router: choice.Settings{
+// exchangeSettings returns the settings of the exchange and of the decisions.
+func exchangeSettings(bounds nodesettings.Bounds) settings.Settings {
+	return settings.Settings{MostHeld: maxRequests, Router: choice.Settings{
 		ClassesLater: true, Cells: gate.MostShards, Width: 1, BundleMax: 1, Resolution: tickMicroseconds, Cancel: true,
 		ParallelTries: true, RetryAdvice: true, MaxRetryAfter: time.Second.Microseconds(), AttemptCap: maxAttempts,
-		Keepalive: (30 * time.Second).Microseconds(), DrainGrace: boot.Bounds.Drain.Microseconds() / 4,
-		Routers: minProxies, ExtraBudget: true, ExtraByShard: true, ExtraRatio: boot.Bounds.RetryRatio,
-		ExtraSpare: 0, ExtraWindow: boot.Bounds.RetryWindow.Microseconds(), OverdueBy: overdueBy, OverdueMax: overdueMax,
+		Keepalive: (30 * time.Second).Microseconds(), DrainGrace: bounds.Drain.Microseconds() / 4,
+		Routers: minProxies, ExtraBudget: true, ExtraByShard: true, ExtraRatio: bounds.RetryRatio,
+		ExtraSpare: 0, ExtraWindow: bounds.RetryWindow.Microseconds(), OverdueBy: overdueBy, OverdueMax: overdueMax,
 	}}
-	x, err := exchange.New(uint64(time.Now().UnixNano()), set)
+}
+
+// newProxy joins the parts of a proxy. Nothing runs yet.
+func newProxy(file *nodesettings.File) (*proxy, error) {
+	boot := file.Current()
+	x, err := exchange.New(uint64(time.Now().UnixNano()), exchangeSettings(boot.Bounds))
 	if err != nil {
-		return err
+		return nil, err
 	}
-	leaves := (boot.MaxOpenFiles - reservedDescriptors) / upstreamShare
+	upstreamConnections := (boot.MaxOpenFiles - reservedDescriptors) / upstreamShare
 	t := &proxy{settings: boot, exchange: x, client: rpc.NewClient(time.Second), store: gossip.NewStore(), startedAt: time.Now(),
-		routes: &gate.Gate{Exchange: x}, upstream: reach.New(reach.Config{Exchange: x, MaxConns: leaves}), maxConnections: make(map[string]int)}
-	t.retryBudget = quota.NewRetryBudget(0, quota.Config{Total: boot.Bounds.RetrySlack, Window: boot.Bounds.RetryWindow.Microseconds(), MinProxies: minProxies, FirstStart: boot.Bootstrap})
-	clients := boot.MaxOpenFiles - reservedDescriptors - leaves
+		routes: &gate.Gate{Exchange: x}, upstream: reach.New(reach.Config{Exchange: x, MaxConns: upstreamConnections}),
+		maxConnections: make(map[string]int), maxClients: boot.MaxOpenFiles - reservedDescriptors - upstreamConnections,
+		maxUpstream: upstreamConnections}
+	t.retryBudget = quota.NewRetryBudget(0, quota.Config{Total: boot.Bounds.RetrySlack, Window: boot.Bounds.RetryWindow.Microseconds(),
+		MinProxies: minProxies, FirstStart: boot.Bootstrap})
 	t.outliers, t.quotas = newOutlierTracker(t), newQuotaClient(t)
 	t.routes.Allow = t.quotas.admit
-	lanes := &front.Lanes{Most: max(clients/slowLaneShare, 1)}
-	if !from.NoEjection {
+	lanes := &front.Lanes{Most: max(t.maxClients/slowLaneShare, 1)}
+	if !file.NoEjection {
 		x.Heard, lanes.Saw = t.outliers.recordAnswer, t.outliers.recordCaller
 	}
-	f := front.New(front.Config{Exchange: x, Protocol: t.routes, MaxClients: clients, Pace: gate.Pace(routeconfig.DefaultLimits), Lanes: lanes})
-	t.downstream = f
-	ln, err := transport.Listen(ctx, boot.Front)
+	t.downstream = front.New(front.Config{Exchange: x, Protocol: t.routes, MaxClients: t.maxClients,
+		Pace: gate.Pace(routeconfig.DefaultLimits), Lanes: lanes})
+	return t, nil
+}
+
+// handleReadiness answers the platform: ready with a configuration and servers, until the
+// proxy stops.
+func (t *proxy) handleReadiness(w http.ResponseWriter, _ *http.Request) {
+	if t.stopping.Load() || t.routes.Plan() == nil || t.serverCount.Load() == 0 {
+		w.WriteHeader(http.StatusServiceUnavailable)
+		return
+	}
+	io.WriteString(w, "ready\n")
+}
+
+// Run is the program: it serves until ctx ends, and then for as long as the grace period
+// allows.
+func Run(ctx context.Context, file *nodesettings.File) error {
+	t, err := newProxy(file)
 	if err != nil {
 		return err
 	}
-	transport.Bounded(ln, sendBufferBytes)
-	lnReady, err := transport.Listen(ctx, boot.Readiness)
+	front, err := transport.Listen(ctx, t.settings.Front)
 	if err != nil {
 		return err
 	}
-	var stopping atomic.Bool
-	mux := http.NewServeMux()
-	mux.HandleFunc("GET /readiness", func(w http.ResponseWriter, _ *http.Request) {
-		if stopping.Load() || t.routes.Plan() == nil || t.serverCount.Load() == 0 {
-			w.WriteHeader(http.StatusServiceUnavailable)
-			return
-		}
-		io.WriteString(w, "ready\n")
-	})
-	life, end := context.WithCancel(context.Background())
-	defer end()
-	stop := make(chan struct{})
-	defer close(stop)
-	go x.Run(t.upstream, stop)
-	go t.upstream.Run(life)
-	go t.followAgent(life)
-	go t.quotas.run(life)
-	if !from.NoEjection {
-		go t.outliers.run(life)
+	transport.Bounded(front, sendBufferBytes)
+	readiness, err := transport.Listen(ctx, t.settings.Readiness)
+	if err != nil {
+		return err
 	}
-	go from.Watch(life)
-	lnShow, err := transport.Listen(ctx, admin.ShowAddr(admin.Proxy, boot))
+	running, end := context.WithCancel(context.Background())
+	defer end()
+	stopExchange := make(chan struct{})
+	defer close(stopExchange)
+	go t.exchange.Run(t.upstream, stopExchange)
+	t.runInBackground(running, file)
+	show, err := transport.Listen(ctx, admin.ShowAddr(admin.Proxy, t.settings))
 	if err != nil {
 		return err
 	}
-	shown := http.NewServeMux()
-	admin.RegisterShow(shown, admin.Proxy, boot.Name, t.startedAt, t.tables)
-	admin.RegisterExplain(shown, admin.Proxy, boot.Name, t.startedAt, t.explain)
 	failed := make(chan error, 3)
-	go func() { failed <- rpc.Serve(life, lnShow, shown, 0) }()
-	go func() { failed <- rpc.Serve(life, lnReady, mux, 0) }()
+	go func() { failed <- rpc.Serve(running, show, t.showHandler(), 0) }()
+	go func() { failed <- rpc.Serve(running, readiness, t.readinessHandler(), 0) }()
 	go func() {
-		if err := f.Serve(ln); err != nil {
+		if err := t.downstream.Serve(front); err != nil {
 			failed <- err
 		}
 	}()
-	events.Started.Log("program", admin.Proxy, "name", boot.Name, "front", boot.Front, "clients", clients, "leaves", leaves)
-	tick := time.NewTicker(countersInterval)
-	defer tick.Stop()
-	look := time.NewTicker(budgetInterval)
-	defer look.Stop()
-	for running := true; running; {
+	events.Started.Log("program", admin.Proxy, "name", t.settings.Name, "front", t.settings.Front, "clients", t.maxClients, "leaves", t.maxUpstream)
+	if err := t.maintain(ctx, failed); err != nil {
+		return err
+	}
+	t.stopping.Store(true)
+	t.shutDown(front, file.Current().Bounds.Grace)
+	return nil
+}
+
+// runInBackground starts what runs beside the clients' connections until ctx ends.
+func (t *proxy) runInBackground(ctx context.Context, file *nodesettings.File) {
+	go t.upstream.Run(ctx)
+	go t.followAgent(ctx)
+	go t.quotas.run(ctx)
+	if !file.NoEjection {
+		go t.outliers.run(ctx)
+	}
+	go file.Watch(ctx)
+}
+
+func (t *proxy) readinessHandler() http.Handler {
+	mux := http.NewServeMux()
+	mux.HandleFunc("GET /readiness", t.handleReadiness)
+	return mux
+}
+
+func (t *proxy) showHandler() http.Handler {
+	mux := http.NewServeMux()
+	admin.RegisterShow(mux, admin.Proxy, t.settings.Name, t.startedAt, t.tables)
+	admin.RegisterExplain(mux, admin.Proxy, t.settings.Name, t.startedAt, t.explain)
+	return mux
+}
+
+// maintain does what is due periodically until ctx ends, or a listener fails.
+func (t *proxy) maintain(ctx context.Context, failed <-chan error) error {
+	counters := time.NewTicker(countersInterval)
+	defer counters.Stop()
+	budget := time.NewTicker(budgetInterval)
+	defer budget.Stop()
+	for {
 		select {
 		case <-ctx.Done():
-			running = false
+			return nil
 		case err := <-failed:
 			return err
-		case <-look.C:
+		case <-budget.C:
 			t.mu.Lock()
 			t.dropUnconfirmed()
 			t.updateBudget()
 			t.mu.Unlock()
-		case <-tick.C:
-			events.Count.Log("c", x.Counters.String(), "unrouted", t.routes.Unrouted.Load())
+		case <-counters.C:
+			events.Counters.Log("c", t.exchange.Counters.String(), "unrouted", t.routes.Unrouted.Load())
 		}
 	}
-	stopping.Store(true)
-	t.shutDown(ln, from.Current().Bounds.Grace)
-	return nil
 }
 
-// followAgent applies what the agent tells for as long as the proxy lives.
+// followAgent applies what the agent sends for as long as the proxy lives.
 func (t *proxy) followAgent(ctx context.Context) {
 	f, away := agentapi.FeedRequest{}, false
 	for ctx.Err() == nil {
 		ask, cancel := context.WithTimeout(ctx, agentapi.FeedWait+5*time.Second)
-		held, _ := t.store.Get(agentapi.ConfigurationKey)
-		f.ConfigVersion = held.Version
+		stored, _ := t.store.Get(agentapi.ConfigurationKey)
+		f.ConfigVersion = stored.Version
 		ans, err := agentapi.FeedCall.Ask(ask, t.client, t.settings.AgentAddr(), "", f)
 		cancel()
 		if err != nil && ctx.Err() == nil && !away {
@@ -218,7 +264,7 @@
 }
 
 // dropUnconfirmed removes what a restarted agent has not confirmed: that it was deleted may
-// have been gossiped while there was no agent. Mu must be held.
+// have been gossiped while there was no agent. mu must be locked.
 func (t *proxy) dropUnconfirmed() {
 	now := time.Since(t.startedAt).Microseconds()
 	t.store.PurgeTombstones(now)
@@ -227,21 +273,21 @@
 	}
 	var gone []gossip.Entry
 	for key, is := range t.unconfirmed {
-		if held, known := t.store.Get(key); known && is && !held.Deleted() {
-			gone = append(gone, gossip.Entry{Key: key, Version: held.Version + 1})
+		if stored, known := t.store.Get(key); known && is && !stored.Deleted() {
+			gone = append(gone, gossip.Entry{Key: key, Version: stored.Version + 1})
 		}
 	}
 	t.unconfirmed = nil
 	t.applyEntries(gone)
 	for _, i := range gone {
-		t.store.Remove(i.Key) // should it be told after all, it counts
+		t.store.Remove(i.Key) // if the agent sends it after all, it counts
 	}
 }
 
-// applyEntries puts entries in force. Mu must be held.
+// applyEntries puts entries in force. mu must be locked.
 func (t *proxy) applyEntries(items []gossip.Entry) {
 	list := choice.List{Form: choice.Delta}
-	var told []reach.Server
+	var servers []reach.Server
 	now := time.Since(t.startedAt).Microseconds()
 	for _, i := range items {
 		if !t.store.Put(now, i, 1, false) {
@@ -256,15 +302,15 @@
 			row, s, ok := t.serverRow(i)
 			if ok {
 				list.Servers = append(list.Servers, row)
-				told = append(told, s)
+				servers = append(servers, s)
 			}
 		}
 	}
 	t.store.TakePending() // nothing is passed on from here
 	t.updateBudget()
-	if len(told) > 0 {
-		events.ServerNews.Log("servers", len(told))
-		t.upstream.Told(told)
+	if len(servers) > 0 {
+		events.ServersChanged.Log("servers", len(servers))
+		t.upstream.UpdateServers(servers)
 		t.exchange.Listed(list)
 	}
 }
@@ -276,7 +322,7 @@
 		p, err = gate.NewPlan(c, &t.shardNumbers)
 	}
 	if err != nil {
-		events.Unusable.Log("rank", i.Version, "err", err)
+		events.ConfigUnusable.Log("rank", i.Version, "err", err)
 		return
 	}
 	for name, s := range c.Services {
@@ -286,7 +332,7 @@
 	t.exchange.Retune(p.Classes)
 	t.routes.Use(p)
 	t.downstream.SetPace(gate.Pace(c.Limits))
-	events.InForce.Log("version", c.Revision, "routes", len(c.Routes), "services", len(c.Services), "classes", len(p.Classes))
+	events.ConfigInForce.Log("revision", c.Revision, "routes", len(c.Routes), "services", len(c.Services), "classes", len(p.Classes))
 }
 
 func (t *proxy) serverRow(i gossip.Entry) (choice.Server, reach.Server, bool) {
@@ -331,7 +377,7 @@
 	return 2
 }
 
-// updateBudget tells the decisions how many proxies there are, and counts servers.
+// updateBudget sets how many proxies there are, and counts servers.
 func (t *proxy) updateBudget() {
 	routers, servers := 0, int64(0)
 	t.store.RangeSorted(func(i gossip.Entry) {
@@ -339,7 +385,7 @@
 		case i.Deleted():
 		case strings.HasPrefix(i.Key, registry.Prefix):
 			servers++
-		case strings.HasPrefix(i.Key, gossip.ProcessPrefix) && strings.Contains(string(i.Value), `"k":"echo"`):
+		case strings.HasPrefix(i.Key, gossip.ProcessPrefix) && strings.Contains(string(i.Value), agentKindJSON):
 			routers++
 		}
 	})
--- a/internal/node/proxy/quota.go
+++ b/internal/node/proxy/quota.go
@@ -57,7 +57,7 @@
 	defer k.mu.Unlock()
 	ok, after := k.holder.Admit(k.now(), name)
 	if !ok {
-		events.Withheld.Log("allowance", name, "after", time.Duration(after*1000).Round(time.Millisecond))
+		events.AllowanceUsedUp.Log("allowance", name, "after", time.Duration(after*1000).Round(time.Millisecond))
 	}
 	return ok, time.Duration(after) * time.Microsecond
 }
@@ -92,7 +92,7 @@
 	ask, cancel := context.WithTimeout(ctx, claimTimeout)
 	ans, err := agentapi.ClaimCall.Ask(ask, k.proxy.client, k.proxy.settings.AgentAddr(), "", agentapi.ClaimRequest{Claims: list})
 	cancel()
-	if err == nil { // else the part that is held runs out, and the floor's is left
+	if err == nil { // otherwise the lease runs out, and the unleased share is left
 		k.mu.Lock()
 		k.holder.HandleGrants(k.now(), sent, ans.Grants)
 		k.mu.Unlock()
--- a/internal/node/proxy/show.go
+++ b/internal/node/proxy/show.go
@@ -20,7 +20,7 @@
 func (k *quotaClient) table() admin.Table {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	t := admin.Table{Title: "allowance", Columns: []string{"allowance", "stated, a second", "burst", "held here, a second", "for", "at once", "admitted here", "refused here"}}
+	t := admin.Table{Title: "allowance", Columns: []string{"allowance", "stated, a second", "burst", "share here, a second", "for", "at once", "admitted here", "refused here"}}
 	for _, h := range k.holder.Status(k.now()) {
 		lease := "no lease: its part of the floor"
 		if h.Lease > 0 {
@@ -35,9 +35,9 @@
 func (t *proxy) tables(context.Context) ([]admin.Table, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	routes := admin.Table{Title: "routes: no configuration yet", Columns: []string{"host", "prefix", "kind", "aim ms", "timeout ms", "attempts", "to"}}
+	routes := admin.Table{Title: "routes: no configuration yet", Columns: []string{"host", "prefix", "kind", "target ms", "timeout ms", "attempts", "to"}}
 	if p := t.routes.Plan(); p != nil {
-		c := p.Charter
+		c := p.Config
 		routes.Title = fmt.Sprintf("routes of version %d (%d, of %d classes)", c.Revision, len(c.Routes), len(p.Classes))
 		for _, r := range c.Routes {
 			kind, to := "once", make([]string, 0, 1)
@@ -68,9 +68,9 @@
 
 func evidence(a outlier.EjectedHere) string {
 	if a.LocalOnly {
-		return "this mixer alone"
+		return "this proxy alone"
 	}
-	return fmt.Sprintf("%d mixers, %d samples", a.Reporters, a.Samples)
+	return fmt.Sprintf("%d proxies, %d samples", a.Reporters, a.Samples)
 }
 
 // table shows the ejected members.
@@ -78,18 +78,18 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.now()
-	t := admin.Table{Title: "groups: set apart", Columns: []string{"member", "shard", "times slow", "for", "on the evidence of"}}
+	t := admin.Table{Title: "ejections: members", Columns: []string{"member", "shard", "times slow", "for", "on the evidence of"}}
 	for _, a := range f.ejections.All() {
 		t.Rows = append(t.Rows, []string{a.Name, a.Shard, fmt.Sprintf("%.1f", a.Ratio), admin.FormatAge(now - a.Since), evidence(a)})
 	}
-	said, counts := f.ejections.Assignment(now)
-	council := "not heard of for over " + time.Duration(outlier.DefaultConfig.AssignmentLifetime*1000).String() + ": own evidence alone counts"
+	assignment, counts := f.ejections.Assignment(now)
+	publisher := "not heard of for over " + time.Duration(outlier.DefaultConfig.AssignmentLifetime*1000).String() + ": own evidence alone counts"
 	if counts {
-		council = said.By
+		publisher = assignment.By
 	}
 	lanes := f.proxy.downstream.Lanes
-	state := admin.Table{Title: "groups: state", Columns: []string{"council", "asked for", "doubted here", "moves", "evidence sent", "in the slow lane", "turned away there"},
-		Rows: [][]string{{council, fmt.Sprint(len(said.Requested)), fmt.Sprint(f.servers.Suspected() + f.callers.Suspected()), fmt.Sprint(f.changesApplied), fmt.Sprint(f.reportsSent),
+	state := admin.Table{Title: "ejections: state", Columns: []string{"published by", "requested", "suspected here", "changes", "reports sent", "in the slow lane", "rejected there"},
+		Rows: [][]string{{publisher, fmt.Sprint(len(assignment.Requested)), fmt.Sprint(f.servers.Suspected() + f.callers.Suspected()), fmt.Sprint(f.changesApplied), fmt.Sprint(f.reportsSent),
 			fmt.Sprintf("%d of %d", lanes.In(), lanes.Most), fmt.Sprint(lanes.Turned.Load())}}}
 	return []admin.Table{t, state}
 }
@@ -111,16 +111,16 @@
 	if !seen && !listed {
 		return nil, rpc.Fail(http.StatusNotFound, "%s: no server or caller that was heard of here", about)
 	}
-	is := "prompt"
+	is := "in use"
 	switch ratio := f.ejections.Ratio(name); {
 	case ratio > 0:
-		is = "laggard: set apart"
+		is = "outlier: ejected"
 	case own.SuspectedFor > 0:
-		is = "doubtful"
+		is = "suspected"
 	}
 	what := admin.Table{Title: name, Columns: []string{"is", "shard", "last samples", "times its peers' middle", "score", "doubted for"},
 		Rows: [][]string{{is, own.Shard, fmt.Sprint(own.Samples), fmt.Sprintf("%.1f", own.Middle), fmt.Sprintf("%.1f", own.Score), admin.FormatAge(own.SuspectedFor)}}}
-	rule := admin.Table{Title: "by which rule", Rows: [][]string{{fmt.Sprintf("doubtful here from score %g; set apart from %g of all mixers together, or alone from %g after %s",
+	rule := admin.Table{Title: "by which rule", Rows: [][]string{{fmt.Sprintf("suspected here from score %g; ejected from %g of all proxies together, or locally from %g after %s",
 		outlier.DefaultConfig.SuspectScore, outlier.DefaultConfig.EjectScore, outlier.DefaultConfig.EjectScore*outlier.DefaultConfig.LocalScoreFactor, admin.FormatAge(outlier.DefaultConfig.LocalEjectDelay))}}}
 	out := []admin.Table{what, rule}
 	for _, a := range f.ejections.All() {
--- a/internal/node/rpc/rpc.go
+++ b/internal/node/rpc/rpc.go
@@ -36,7 +36,7 @@
 	slots  chan struct{}
 }
 
-// AtOnce has no more than n calls be answered at once. One more is told to come again, before
+// AtOnce bounds the calls that are answered at once. One more is refused with Retry-After, before
 // its body is read: so many bodies fit into the memory.
 func (c Call[Req, Ans]) AtOnce(n int) Call[Req, Ans] {
 	c.slots = make(chan struct{}, n)
@@ -137,7 +137,7 @@
 			if errors.As(err, &large) {
 				reply(w, r, Fail(http.StatusRequestEntityTooLarge, "more than %d bytes", c.Most))
 			} else {
-				reply(w, r, Fail(http.StatusBadRequest, "the body did not come whole"))
+				reply(w, r, Fail(http.StatusBadRequest, "the body is incomplete"))
 			}
 			return
 		}
--- a/internal/node/storage/storage.go
+++ b/internal/node/storage/storage.go
@@ -46,10 +46,10 @@
 }
 
 // OpenOn opens the store on files of the caller's. One whose making was cut short never
-// held anything: it is made anew.
+// contained anything: it is created again.
 func OpenOn(files storage.Storage) (*Store, error) {
 	db, err := leveldb.Open(files, options)
-	if errors.IsCorrupted(err) && unmade(files) {
+	if errors.IsCorrupted(err) && neverCreated(files) {
 		db, err = leveldb.Open(files, options)
 	}
 	if err != nil {
@@ -59,14 +59,14 @@
 	return &Store{db: db, files: files}, nil
 }
 
-// unmade clears a store that has no entry point and never had a journal or a table: of
-// one that was made, and held something, there would be either.
-func unmade(files storage.Storage) bool {
+// neverCreated clears a store that has no entry point and never had a journal or a table: of
+// one that contained something there would be either.
+func neverCreated(files storage.Storage) bool {
 	if _, err := files.GetMeta(); !os.IsNotExist(err) {
 		return false
 	}
-	held, err := files.List(storage.TypeJournal | storage.TypeTable)
-	if err != nil || len(held) > 0 {
+	existing, err := files.List(storage.TypeJournal | storage.TypeTable)
+	if err != nil || len(existing) > 0 {
 		return false
 	}
 	rest, err := files.List(storage.TypeAll)
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -1,5 +1,5 @@
 // Package transport is TCP between the system's processes and to its servers: connections
-// whose peer may fall silent without a word. It owns their time-outs at the kernel. It
+// whose peer may fall silent without notice. It owns their time-outs at the kernel. It
 // must never wait for a peer without a bound.
 package transport
 
