--- a/cmd/saddlectl/main.go
+++ b/cmd/saddlectl/main.go
@@ -10,7 +10,7 @@
 	"saddleport/internal/lab/answers"
 	"saddleport/internal/lab/measure"
 	"saddleport/internal/lab/modelcheck"
-	"saddleport/internal/lab/yard"
+	"saddleport/internal/lab/testcluster"
 	"saddleport/internal/node/cli"
 )
 
@@ -20,8 +20,8 @@
 	}
 	toolbox := cli.Toolbox()
 	measure := measure.Command()
-	measure.AddCommand(yard.Command(), answers.Command())
-	toolbox.AddCommand(modelcheck.Command(), measure)
+	measure.AddCommand(testcluster.Command(), answers.Command())
+	toolbox.AddCommand(modelcheck.Command(), measure, testcluster.DemoCommand())
 	if err := toolbox.Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "saddlectl:", err)
 		os.Exit(1)
--- a/internal/lab/yard/load.go
+++ b/internal/lab/testcluster/load.go
@@ -1,4 +1,4 @@
-package yard
+package testcluster
 
 import (
 	"bufio"
@@ -38,7 +38,7 @@
 
 // Ask has prompt callers ask gathers for so long, each on a connection of its own, and
 // tells what they saw.
-func (y *Yard) Ask(ctx context.Context, path string, rate float64, callers int, aim, patience time.Duration, seed uint64) *Seen {
+func (y *Cluster) Ask(ctx context.Context, path string, rate float64, callers int, aim, patience time.Duration, seed uint64) *Seen {
 	out := newSeen()
 	var mu sync.Mutex
 	var wait sync.WaitGroup
@@ -51,7 +51,7 @@
 		case <-time.After(time.Duration(rng.ExpFloat64() / rate * float64(time.Second))):
 		}
 		wait.Add(1)
-		caller, mixer := rng.IntN(callers), rng.IntN(y.mixers)
+		caller, mixer := rng.IntN(callers), rng.IntN(y.proxies)
 		go func() {
 			defer wait.Done()
 			begin := time.Now()
@@ -78,7 +78,7 @@
 	}
 }
 
-func (y *Yard) once(ip, addr, path string, patience time.Duration) (code, missing int) {
+func (y *Cluster) once(ip, addr, path string, patience time.Duration) (code, missing int) {
 	c, err := from(ip).Dial("tcp4", addr)
 	if err != nil {
 		return 0, 0
@@ -100,7 +100,7 @@
 
 // Trickle has one caller hold connections and read each answer at so many bytes a second,
 // asking anew as soon as a connection ends, until ctx does.
-func (y *Yard) Trickle(ctx context.Context, ip, path string, conns, bytesPerSecond int) {
+func (y *Cluster) ReadSlowly(ctx context.Context, ip, path string, conns, bytesPerSecond int) {
 	var wait sync.WaitGroup
 	for n := range conns {
 		wait.Add(1)
@@ -108,7 +108,7 @@
 			defer wait.Done()
 			for ctx.Err() == nil {
 				pause := againTime
-				if !y.trickle(ctx, ip, y.Front(n%y.mixers), path, bytesPerSecond) {
+				if !y.trickle(ctx, ip, y.Front(n%y.proxies), path, bytesPerSecond) {
 					pause = turnedTime
 				}
 				select {
@@ -127,7 +127,7 @@
 )
 
 // trickle reads one answer slowly, and tells whether any of it came.
-func (y *Yard) trickle(ctx context.Context, ip, addr, path string, bytesPerSecond int) (came bool) {
+func (y *Cluster) trickle(ctx context.Context, ip, addr, path string, bytesPerSecond int) (came bool) {
 	d := from(ip)
 	d.Control = func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4<<10) })
--- a/internal/lab/yard/yard.go
+++ b/internal/lab/testcluster/testcluster.go
@@ -1,8 +1,8 @@
-// Package yard runs the system's programs as processes on loopback addresses, before
+// Package testcluster runs the system's programs as processes on loopback addresses, before
 // stand-in servers that can be slowed and clients that can read slowly, and measures what
 // the clients see. It owns the processes that it starts. It must never reach beyond
 // 127.0.0.0/8 or end a process that is not its own.
-package yard
+package testcluster
 
 import (
 	"bytes"
@@ -28,65 +28,66 @@
 )
 
 // Yard is one fleet: three core machines, mixers each with its agent, servers.
-type Yard struct {
-	dir, net string
-	port     int
-	mixers   int
-	files    int
-	alike    bool
-	programs string
-	procs    []*exec.Cmd
-	servers  []*leaf
-	stop     context.CancelFunc
-	beats    sync.WaitGroup
+type Cluster struct {
+	dir, net   string
+	port       int
+	proxies    int
+	files      int
+	noEjection bool
+	programs   string
+	procs      []*exec.Cmd
+	servers    []*server
+	stop       context.CancelFunc
+	heartbeats sync.WaitGroup
 }
 
 // leaf is a stand-in server with slots and a pace.
-type leaf struct {
+type server struct {
 	*standin.Server
-	service string
-	slots   chan struct{}
-	times   atomic.Int64 // so many times slow; 0: not
-	work    time.Duration
+	service    string
+	slots      chan struct{}
+	slowFactor atomic.Int64 // so many times slow; 0: not
+	work       time.Duration
 }
 
 const (
-	firstMixer = 11
-	frontPort  = 8 // beyond the first port of the range between processes
-	readyPort  = 7
-	controlAt  = 9
-	beatEvery  = time.Second
-	startTime  = 20 * time.Second
+	firstProxy        = 11
+	frontPort         = 8 // beyond the first port of the range between processes
+	readyPort         = 7
+	showPort          = 2 // of a proxy, as admin.ShowAddr says
+	controlPort       = 9
+	heartbeatInterval = time.Second
+	startTimeout      = 20 * time.Second
 )
 
-func (y *Yard) ip(machine int) string { return fmt.Sprintf("%s.%d", y.net, machine) }
-func (y *Yard) at(machine, port int) string {
+func (y *Cluster) ip(machine int) string { return fmt.Sprintf("%s.%d", y.net, machine) }
+func (y *Cluster) at(machine, port int) string {
 	return fmt.Sprintf("%s:%d", y.ip(machine), y.port+port)
 }
 
 // Front is where a mixer takes clients.
-func (y *Yard) Front(mixer int) string { return y.at(firstMixer+mixer, frontPort) }
+func (y *Cluster) Front(mixer int) string { return y.at(firstProxy+mixer, frontPort) }
 
-func (y *Yard) settings(machine int) (string, error) {
+func (y *Cluster) settings(machine int) (string, error) {
 	dir := filepath.Join(y.dir, fmt.Sprint("m", machine))
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return "", err
 	}
 	var seeds []string
 	for m := 1; m <= 3; m++ {
-		seeds = append(seeds, y.at(m, controlAt))
+		seeds = append(seeds, y.at(m, controlPort))
 	}
 	text := fmt.Sprintf("node_name=m%d\nip_address=%s\nloopback_ip=%s\nzone=z%d\nregion=g\nzones.z0=g\nzones.z1=g\nzones.z2=g\ninternal_port_range=%d,%d\nseed_addresses=%s\nbootstrap=true\n"+
 		"limits.memory_mb=200\nlimits.max_open_files=%d\ndata_directory=%s\nheartbeat_interval_ms=%d\nfault_tolerance.machines=1\n"+
 		"listen_addresses.control_plane=%s\nlisten_addresses.front=%s\nlisten_addresses.readiness=%s\n"+
 		"bounds.drain_ms=4000\nbounds.grace_s=1\nbounds.retry_window_s=10\nbounds.retry_budget_ratio=0.2\nbounds.retry_budget_slack=58\n",
-		machine, y.ip(machine), y.ip(machine), machine%3, y.port, y.port+6, strings.Join(seeds, ","), y.files, dir, beatEvery.Milliseconds(),
-		y.at(machine, controlAt), y.at(machine, frontPort), y.at(machine, readyPort))
+		machine, y.ip(machine), y.ip(machine), machine%3, y.port, y.port+6, strings.Join(seeds, ","), y.files, dir, heartbeatInterval.Milliseconds(),
+		y.at(machine, controlPort), y.at(machine, frontPort), y.at(machine, readyPort))
 	file := filepath.Join(dir, "boot.conf")
 	return file, os.WriteFile(file, []byte(text), 0o644)
 }
 
-func (y *Yard) run(program string, machine int, args ...string) error {
+func (y *Cluster) run(program string, machine int, args ...string) error {
 	file, err := y.settings(machine)
 	if err != nil {
 		return err
@@ -114,7 +115,7 @@
 }
 
 // Start starts a fleet; Close ends it.
-func Start(programs string, mixers, files int, alike bool, services []Service, config string, seed uint64) (*Yard, error) {
+func Start(programs string, proxies, maxOpenFiles int, noEjection bool, services []Service, config string, seed uint64) (*Cluster, error) {
 	dir, err := os.MkdirTemp("", "yard")
 	if err != nil {
 		return nil, err
@@ -126,8 +127,8 @@
 	}
 	port := min(ln.Addr().(*net.TCPAddr).Port, 65000)
 	ln.Close()
-	y := &Yard{dir: dir, net: fmt.Sprintf("127.%d.%d", 1+rand.IntN(250), rand.IntN(250)), port: port, mixers: mixers, files: files,
-		alike: alike, programs: programs}
+	y := &Cluster{dir: dir, net: fmt.Sprintf("127.%d.%d", 1+rand.IntN(250), rand.IntN(250)), port: port, proxies: proxies, files: maxOpenFiles,
+		noEjection: noEjection, programs: programs}
 	for m := 1; m <= 3; m++ {
 		if err := y.run(admin.ControlPlane, m); err != nil {
 			y.Close()
@@ -135,13 +136,13 @@
 		}
 	}
 	var flags []string
-	if alike {
+	if noEjection {
 		flags = []string{"--no-ejection"}
 	}
-	for m := range mixers {
-		err := y.run(admin.Agent, firstMixer+m)
+	for m := range proxies {
+		err := y.run(admin.Agent, firstProxy+m)
 		if err == nil {
-			err = y.run(admin.Proxy, firstMixer+m, flags...)
+			err = y.run(admin.Proxy, firstProxy+m, flags...)
 		}
 		if err != nil {
 			y.Close()
@@ -150,12 +151,12 @@
 	}
 	for _, s := range services {
 		for i := range s.Servers {
-			l := &leaf{service: s.Name, slots: make(chan struct{}, 3), work: s.Work}
+			l := &server{service: s.Name, slots: make(chan struct{}, 3), work: s.Work}
 			luck, body := rand.New(rand.NewPCG(rng.Uint64(), 1)), bytes.Repeat([]byte{'a' + byte(i)}, s.Body)
 			var mu sync.Mutex
 			l.Server, err = standin.NewServer(fmt.Sprintf("i-%s-%d", s.Name, i), func(int, standin.Seen) standin.Reply {
 				mu.Lock()
-				x := math.Exp(0.47*luck.NormFloat64()) * max(float64(l.times.Load()), 1)
+				x := math.Exp(0.47*luck.NormFloat64()) * max(float64(l.slowFactor.Load()), 1)
 				if luck.Float64() < 0.02 {
 					x *= 4
 				}
@@ -174,19 +175,19 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	y.stop = stop
-	if err := y.taken(config); err != nil {
+	if err := y.putConfiguration(config); err != nil {
 		y.Close()
 		return nil, err
 	}
 	for i, l := range y.servers {
-		y.beats.Add(1)
-		go y.beat(ctx, l, i)
+		y.heartbeats.Add(1)
+		go y.sendHeartbeats(ctx, l, i)
 	}
-	return y, y.ready()
+	return y, y.waitUntilReady()
 }
 
 // Close ends what Start started.
-func (y *Yard) Close() {
+func (y *Cluster) Close() {
 	if y.stop != nil {
 		y.stop()
 	}
@@ -199,7 +200,7 @@
 	for _, l := range y.servers {
 		l.Close()
 	}
-	y.beats.Wait()
+	y.heartbeats.Wait()
 	os.RemoveAll(y.dir)
 }
 
@@ -215,37 +216,37 @@
 	return p.StatusCode
 }
 
-func (y *Yard) taken(config string) error {
-	for end := time.Now().Add(startTime); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
-		switch code := post("http://"+y.at(1, controlAt)+"/Config.Replace", config); code {
+func (y *Cluster) putConfiguration(config string) error {
+	for end := time.Now().Add(startTimeout); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
+		switch code := post("http://"+y.at(1, controlPort)+"/Config.Replace", config); code {
 		case 200:
 			return nil
 		case 400:
 			return fmt.Errorf("the configuration is not valid")
 		}
 	}
-	return fmt.Errorf("no core machine took the configuration within %s", startTime)
+	return fmt.Errorf("no core machine took the configuration within %s", startTimeout)
 }
 
-func (y *Yard) beat(ctx context.Context, l *leaf, i int) {
-	defer y.beats.Done()
+func (y *Cluster) sendHeartbeats(ctx context.Context, l *server, i int) {
+	defer y.heartbeats.Done()
 	for seq := int64(1); ; seq++ {
 		b, _ := json.Marshal(registry.Heartbeat{Service: l.service, Addr: l.Addr, Zone: fmt.Sprint("z", i%3), Capacity: float64(cap(l.slots)), State: "available", Sequence: seq})
-		post("http://"+y.at(1+i%3, controlAt)+"/Instances.Heartbeat/"+l.ID, string(b))
+		post("http://"+y.at(1+i%3, controlPort)+"/Instances.Heartbeat/"+l.ID, string(b))
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(beatEvery):
+		case <-time.After(heartbeatInterval):
 		}
 	}
 }
 
 // ready waits until every mixer answers and has heard of all servers.
-func (y *Yard) ready() error {
-	for end := time.Now().Add(startTime); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
+func (y *Cluster) waitUntilReady() error {
+	for end := time.Now().Add(startTimeout); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		n := 0
-		for m := range y.mixers {
-			if p, err := client.Get("http://" + y.at(firstMixer+m, 2) + "/Show"); err == nil { // where role.ShowAt says
+		for m := range y.proxies {
+			if p, err := client.Get("http://" + y.at(firstProxy+m, showPort) + "/Show"); err == nil {
 				text, _ := io.ReadAll(p.Body)
 				p.Body.Close()
 				if bytes.Count(text, []byte(`"available"`)) >= len(y.servers) && bytes.Contains(text, []byte("routes of version")) {
@@ -253,19 +254,19 @@
 				}
 			}
 		}
-		if n == y.mixers {
+		if n == y.proxies {
 			return nil
 		}
 	}
-	return fmt.Errorf("not all mixers know all servers within %s", startTime)
+	return fmt.Errorf("not all mixers know all servers within %s", startTimeout)
 }
 
 // Slow makes one server of each of some services so many times slow; 0: as the others.
-func (y *Yard) Slow(times int64, services ...string) {
+func (y *Cluster) Slow(times int64, services ...string) {
 	for _, service := range services {
 		for _, l := range y.servers {
 			if l.service == service {
-				l.times.Store(times)
+				l.slowFactor.Store(times)
 				break
 			}
 		}
@@ -273,8 +274,8 @@
 }
 
 // Apart counts who is set apart at a mixer, as it shows.
-func (y *Yard) Apart(mixer int) (n int) {
-	p, err := client.Get("http://" + y.at(firstMixer+mixer, 2) + "/Show")
+func (y *Cluster) Ejected(mixer int) (n int) {
+	p, err := client.Get("http://" + y.at(firstProxy+mixer, showPort) + "/Show")
 	if err != nil {
 		return 0
 	}
