--- a/internal/cluster/outlier/sketch.go
+++ b/internal/cluster/outlier/sketch.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"math"
 
@@ -19,6 +20,9 @@
 	mostOfOne = 4096 // samples of one cell on their way
 )
 
+// ErrInvalidSketch is returned for a sketch that another process cannot have written.
+var ErrInvalidSketch = errors.New("invalid sketch")
+
 func newSketch() Sketch { return Sketch{hdrhistogram.New(1, fine*mostRatio, 1)} }
 
 func cell(ratio float64) int64 {
@@ -78,12 +82,12 @@
 		return err
 	}
 	if len(in)%2 != 0 || len(in) > 2*mostCells {
-		return fmt.Errorf("a sketch of %d numbers", len(in))
+		return fmt.Errorf("%d numbers: %w", len(in), ErrInvalidSketch)
 	}
 	*s = newSketch()
 	for i := 0; i < len(in); i += 2 {
 		if in[i] < 1 || in[i] > fine*mostRatio || in[i+1] < 1 || in[i+1] > mostOfOne {
-			return fmt.Errorf("a sketch's cell %d with %d samples", in[i], in[i+1])
+			return fmt.Errorf("cell %d with %d samples: %w", in[i], in[i+1], ErrInvalidSketch)
 		}
 		if err := s.h.RecordValues(in[i], in[i+1]); err != nil {
 			return err
--- a/internal/cluster/registry/registry.go
+++ b/internal/cluster/registry/registry.go
@@ -61,19 +61,30 @@
 	Sequence   int64   `json:"sequence"`
 }
 
+// FieldError is returned for a heartbeat that is not valid.
+type FieldError struct {
+	Field   string // as it is named on the wire
+	Problem string
+}
+
+func (e *FieldError) Error() string { return e.Field + ": " + e.Problem }
+
+// ErrFull is returned for a new server when the registry tracks as many as it may.
+var ErrFull = fmt.Errorf("%d servers are tracked here already", maxServers)
+
 // Validate returns what is wrong with a heartbeat.
 func (b Heartbeat) Validate(id string) error {
 	switch {
 	case id == "" || len(id) > 200:
-		return fmt.Errorf("the id is not of 1 to 200 bytes")
+		return &FieldError{"id", "not of 1 to 200 bytes"}
 	case b.Service == "" || len(b.Service) > 200:
-		return fmt.Errorf("target_service: not of 1 to 200 bytes")
+		return &FieldError{"target_service", "not of 1 to 200 bytes"}
 	case b.Addr == "" || len(b.Addr) > 100 || !strings.Contains(b.Addr, ":"):
-		return fmt.Errorf("address: %.100q is not host:port", b.Addr)
+		return &FieldError{"address", fmt.Sprintf("%.100q is not host:port", b.Addr)}
 	case b.Sequence < 0 || b.Sequence > 1<<50:
-		return fmt.Errorf("sequence: %d is out of bounds", b.Sequence)
+		return &FieldError{"sequence", fmt.Sprintf("%d is out of bounds", b.Sequence)}
 	case b.State != LifecycleAvailable && b.State != LifecycleDraining:
-		return fmt.Errorf("lifecycle_state: %.40q is neither available nor draining", b.State)
+		return &FieldError{"lifecycle_state", fmt.Sprintf("%.40q is neither available nor draining", b.State)}
 	}
 	return nil
 }
@@ -148,7 +159,7 @@
 	version := uint64(b.Sequence) << versionShift
 	if h == nil {
 		if len(r.tracked) >= maxServers {
-			return update, false, fmt.Errorf("%d servers are heard here already", maxServers)
+			return update, false, ErrFull
 		}
 		h = &trackedServer{}
 		r.tracked[id] = h
--- a/internal/cluster/replica/record.go
+++ b/internal/cluster/replica/record.go
@@ -50,6 +50,13 @@
 	return b
 }
 
+// UnknownFormatError is returned for a state that a later release has written.
+type UnknownFormatError struct{ Format int }
+
+func (e *UnknownFormatError) Error() string {
+	return fmt.Sprintf("the state is of format %d; this program reads up to %d", e.Format, StateFormat)
+}
+
 // DecodeState reads what EncodeState writes.
 func DecodeState(b []byte) (r Record, err error) {
 	var s stateJSON
@@ -57,7 +64,7 @@
 		return r, err
 	}
 	if s.Format > StateFormat {
-		return r, fmt.Errorf("the state is of format %d; this program reads up to %d", s.Format, StateFormat)
+		return r, &UnknownFormatError{s.Format}
 	}
 	return Record{State: s.State, StoredEpoch: s.StoredEpoch}, nil
 }
--- a/internal/cluster/views/views.go
+++ b/internal/cluster/views/views.go
@@ -5,10 +5,14 @@
 package views
 
 import (
+	"errors"
 	"fmt"
 	"slices"
 )
 
+// ErrUnsafe is returned for a view that must not be put in force.
+var ErrUnsafe = errors.New("unsafe view")
+
 // Member is one disk of the control plane, at an address. A machine that comes back with an
 // empty disk is another member.
 type Member struct {
@@ -60,19 +64,19 @@
 	seen := make(map[Member]bool)
 	for _, m := range v.Members {
 		if seen[m] {
-			return fmt.Errorf("epoch %d: %s is a member twice", v.Epoch, m)
+			return fmt.Errorf("epoch %d: %s is a member twice: %w", v.Epoch, m, ErrUnsafe)
 		}
 		seen[m] = true
 	}
 	in := make(map[Member]bool)
 	for _, m := range v.Chain {
 		if !seen[m] || in[m] {
-			return fmt.Errorf("epoch %d: %s is in the chain and no member, or twice", v.Epoch, m)
+			return fmt.Errorf("epoch %d: %s is in the chain and no member, or twice: %w", v.Epoch, m, ErrUnsafe)
 		}
 		in[m] = true
 	}
 	if len(v.Chain) < v.Majority() {
-		return fmt.Errorf("epoch %d: a chain of %d is not more than half of %d", v.Epoch, len(v.Chain), len(v.Members))
+		return fmt.Errorf("epoch %d: a chain of %d is not more than half of %d: %w", v.Epoch, len(v.Chain), len(v.Members), ErrUnsafe)
 	}
 	return nil
 }
--- a/internal/node/cli/commands.go
+++ b/internal/node/cli/commands.go
@@ -20,7 +20,14 @@
 	"saddleport/internal/node/rpc"
 )
 
-const showTime = 3 * time.Second
+// What may be missing on a command line.
+var (
+	ErrNoSettings = errors.New("no settings file: name one, or set " + nodesettings.PathVariable)
+	ErrNoAddress  = errors.New("where does it answer? Name --settings FILE or --addr HOST:PORT, or set " + nodesettings.PathVariable)
+	ErrNoTable    = errors.New("no table begins with")
+)
+
+const showTimeout = 3 * time.Second
 
 func checkSettings(file *string) *cobra.Command {
 	return &cobra.Command{Use: "check [FILE]", Short: "Check a settings file; errors name the line or path", Args: cobra.MaximumNArgs(1),
@@ -30,7 +37,7 @@
 				name = args[0]
 			}
 			if name == "" {
-				return errors.New("no settings file: name one, or set " + nodesettings.PathVariable)
+				return ErrNoSettings
 			}
 			b, err := nodesettings.Load(name)
 			if err != nil {
@@ -66,7 +73,7 @@
 // ask asks a running process, where its settings or a flag say, and prints the answer.
 func ask(c *cobra.Command, program, file, addr string, asJSON bool, what func(ctx context.Context, via *rpc.Client, addr string) (admin.Shown, error)) error {
 	if addr == "" && file == "" {
-		return errors.New("where does it answer? Name --settings FILE or --addr HOST:PORT, or set " + nodesettings.PathVariable)
+		return ErrNoAddress
 	}
 	if addr == "" {
 		b, err := nodesettings.Load(file)
@@ -75,7 +82,7 @@
 		}
 		addr = admin.ShowAddr(program, b)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), showTime)
+	ctx, cancel := context.WithTimeout(context.Background(), showTimeout)
 	defer cancel()
 	s, err := what(ctx, rpc.NewClient(time.Second), addr)
 	if err != nil {
@@ -111,7 +118,7 @@
 					titles = append(titles, t.Title)
 				}
 				if len(s.Tables) == 0 {
-					return s, fmt.Errorf("no table begins with %q; there are: %s", args[0], strings.Join(titles, "; "))
+					return s, fmt.Errorf("%w %q; there are: %s", ErrNoTable, args[0], strings.Join(titles, "; "))
 				}
 				return s, nil
 			})
--- a/internal/node/controlplane/replica.go
+++ b/internal/node/controlplane/replica.go
@@ -36,6 +36,17 @@
 	diskStallTime        = time.Second
 )
 
+// Outcomes of a call of the replicated state. None of them says that nothing was done.
+var (
+	ErrStopping = errors.New("the process ends")
+	ErrNoAnswer = errors.New("the chain has not answered in time")
+)
+
+// RefusedError is returned for a call that the chain refused for now.
+type RefusedError struct{ Reason string }
+
+func (e *RefusedError) Error() string { return e.Reason }
+
 // replicaRunner runs a replica.Machine. Its loop steps the machine; its disk goroutine writes
 // what a step wants written, and only then releases what the step wants sent and answered.
 type replicaRunner struct {
@@ -97,7 +108,7 @@
 	case <-ctx.Done():
 		return ctx.Err()
 	case <-c.done:
-		return errors.New("the process ends")
+		return ErrStopping
 	}
 }
 
@@ -256,10 +267,10 @@
 	select {
 	case r := <-ch:
 		if !r.OK() {
-			return r, errors.New(r.Reason)
+			return r, &RefusedError{r.Reason}
 		}
 		return r, nil
 	case <-ctx.Done():
-		return chain.Result{}, errors.New("the chain has not answered in time")
+		return chain.Result{}, ErrNoAnswer
 	}
 }
--- a/internal/node/controlplane/store.go
+++ b/internal/node/controlplane/store.go
@@ -20,6 +20,12 @@
 	"saddleport/internal/node/storage"
 )
 
+// Reasons not to trust what a disk holds.
+var (
+	ErrForeignState  = errors.New("the state belongs to another machine")
+	ErrOutdatedEntry = errors.New("the configuration is older than the view on disk requires")
+)
+
 // openStore reads the disk. One that is empty although the system is not new, that cannot be
 // read, or that belongs to another machine counts as another disk: what it once stored and
 // promised is not known, and the machine has no vote until the others give it one.
@@ -84,7 +90,7 @@
 		return s, r, err
 	}
 	if own := boot.PeerAddr(); r.State.Self.Addr != own {
-		return s, r, fmt.Errorf("the state is of the machine at %s, and this one is at %s", r.State.Self.Addr, own)
+		return s, r, fmt.Errorf("%w: its machine is at %s, and this one is at %s", ErrForeignState, r.State.Self.Addr, own)
 	}
 	raw, err := s.Get(keyEntry)
 	if err != nil {
@@ -97,7 +103,7 @@
 		}
 	}
 	if r.EntryBehindView() {
-		return s, r, errors.New("the configuration is older than the view says")
+		return s, r, ErrOutdatedEntry
 	}
 	return s, r, nil
 }
--- a/tools/readability/main.go
+++ b/tools/readability/main.go
@@ -2,10 +2,13 @@
 // the operators' pages or of earlier versions, long functions and files, errors made from
 // strings, and imports that point upwards.
 //
-//	go run ./tools/readability [FOLDER ...]
+//	go run ./tools/readability [--strict] [FOLDER ...]
+//
+// With --strict it fails unless all of these are 0.
 package main
 
 import (
+	"flag"
 	"fmt"
 	"go/ast"
 	"go/parser"
@@ -33,20 +36,27 @@
 }
 
 func main() {
-	folders := os.Args[1:]
+	strict := flag.Bool("strict", false, "fail unless all of these are 0")
+	flag.Parse()
+	folders := flag.Args()
 	if len(folders) == 0 {
 		folders = []string{"internal/cluster", "internal/node", "internal/transport", "internal/exchange", "internal/front",
 			"internal/back", "internal/core", "internal/lab", "internal/app", "internal/source", "internal/hook", "choice"}
 	}
 	fmt.Printf("%-22s %6s %7s %6s %15s %15s %11s %7s\n", "folder", "files", "lines", "words", "functions>60", "errors of text", "files>600", "upward")
+	failed := false
 	for _, folder := range folders {
 		c, err := count(folder)
 		if err != nil {
 			fmt.Fprintln(os.Stderr, "readability:", err)
 			os.Exit(1)
 		}
+		failed = failed || c.words+c.longFunctions+c.untypedErrors+c.longFiles+c.upward > 0
 		fmt.Printf("%-22s %6d %7d %6d %15d %15d %11d %7d\n", folder, c.files, c.lines, c.words, c.longFunctions, c.untypedErrors, c.longFiles, c.upward)
 	}
+	if *strict && failed {
+		os.Exit(1)
+	}
 }
 
 func count(folder string) (counts, error) {
@@ -75,13 +85,22 @@
 		if !wire.MatchString(line) {
 			c.words += len(words.FindAllString(line, -1))
 		}
-		if strings.Contains(line, "errors.New(") && !strings.HasPrefix(line, "var ") && !strings.HasPrefix(line, "\tErr") || strings.Contains(line, "fmt.Errorf(") && !strings.Contains(line, "%w") {
+		if untypedError(line) {
 			c.untypedErrors++
 		}
 	}
 	return c.addSyntax(path, text)
 }
 
+// untypedError reports whether a line makes an error of text alone. Sentinels at package
+// level and errors that wrap another one are not counted.
+func untypedError(line string) bool {
+	if strings.HasPrefix(line, "var ") || strings.HasPrefix(line, "\tErr") {
+		return false
+	}
+	return strings.Contains(line, "errors.New(") || strings.Contains(line, "fmt.Errorf(") && !strings.Contains(line, "%w")
+}
+
 func (c *counts) addSyntax(path string, text []byte) error {
 	files := token.NewFileSet()
 	file, err := parser.ParseFile(files, path, text, 0)
