--- a/internal/cluster/antientropy/antientropy.go
+++ b/internal/cluster/antientropy/antientropy.go
@@ -20,7 +20,7 @@
 // Repairer schedules the repairs of one process. It is not safe for concurrent use.
 type Repairer struct {
 	cfg         Config
-	repairedAt  map[string]int64 // when a copy was last mended
+	repairedAt  map[string]int64 // when a replica was last repaired
 	lastSwept   string           // the sweep's last copy
 	nextSweepAt int64            // its next look
 	stats       Stats
--- a/internal/cluster/chain/chain.go
+++ b/internal/cluster/chain/chain.go
@@ -29,13 +29,13 @@
 // Mutations leave out one rule each, so that the model checker can show that it finds the
 // consequences. In service all are false.
 type Mutations struct {
-	AckEarly    bool // the head acknowledges what it alone holds
+	AckEarly    bool // the head acknowledges what no other member stores
 	StaleRead   bool // the tail does not ask whether its view stands
 	NoSeal      bool // a member goes on in a view after it has promised another
 	ShortChain  bool // a chain may be less than half of the members
 	KeepDisk    bool // a disk that was lost votes on under its old name
 	Forget      bool // a proposer passes over what others have accepted
-	RankOnly    bool // entries are ordered by their rank alone, not first by their epoch
+	RankOnly    bool // entries are ordered by their version alone, not first by their epoch
 	SameNumber  bool // any content under a stored revision is acknowledged
 	VoteAtOnce  bool // a newcomer votes beside the one that it takes the place of
 	LeaveAtOnce bool // a member that is asked to stop ends before others have taken its place
--- a/internal/cluster/chain/entry.go
+++ b/internal/cluster/chain/entry.go
@@ -125,7 +125,7 @@
 	if form.Text != "" {
 		e.Content = []byte(form.Text)
 	}
-	if e.Digest == 0 && len(e.Content) > 0 { // kept by an older program
+	if e.Digest == 0 && len(e.Content) > 0 { // stored by an earlier release
 		e.Digest = NewEntry(0, e.Content).Digest
 	}
 	return nil
--- a/internal/cluster/chain/forward.go
+++ b/internal/cluster/chain/forward.go
@@ -71,7 +71,7 @@
 		return // an older one that comes late
 	}
 	switch {
-	case m.inFlight.active && m.inFlight.entry.Matches(p.Version, p.HistoryDigest): // on its way, and asked for again from here
+	case m.inFlight.active && m.inFlight.entry.Matches(p.Version, p.HistoryDigest): // in flight already, and retried from here
 	case p.Entry != nil:
 		e := *p.Entry
 		e.Epoch = m.epoch()
--- a/internal/cluster/consensus/consensus.go
+++ b/internal/cluster/consensus/consensus.go
@@ -77,7 +77,7 @@
 	ownBallot       *ballotState
 	highestBallot   uint64 // ballot number seen
 	lastHeartbeatAt int64
-	seeds           []string // addresses to ask to be taken in
+	seeds           []string // addresses to ask for a vote
 	outbox          []envelope.Message
 }
 
--- a/internal/cluster/consensus/suspicion.go
+++ b/internal/cluster/consensus/suspicion.go
@@ -30,7 +30,7 @@
 func (s *suspicions) evaluate(now int64, v views.View) {
 	s.expire(now, v)
 	for x, against := range s.reports {
-		if s.blockedByAnother(x, len(against)) { // also where it was judged before the other was complained of
+		if s.blockedByAnother(x, len(against)) { // even if it was suspected before the other one was
 			delete(s.suspectedUntil, x)
 		} else {
 			s.suspectedUntil[x] = now + s.cfg.SuspicionTimeout
--- a/internal/cluster/gossip/gossiper.go
+++ b/internal/cluster/gossip/gossiper.go
@@ -34,7 +34,7 @@
 // initialVersion is the version of a process that nothing is known of. An odd version, or no
 // value, means that the process is thought to be dead; a process that is alive answers with
 // the next even one.
-const initialVersion = 2 // the rank of a process that nothing is known of
+const initialVersion = 2 // of a process that nothing is known of
 
 // ExchangeRequest is what one process sends another.
 type ExchangeRequest struct {
--- a/internal/cluster/outlier/observer.go
+++ b/internal/cluster/outlier/observer.go
@@ -24,7 +24,7 @@
 // Config tunes the machines.
 type Config struct {
 	SampleLifetime       int64   // a sample counts for so long
-	SingleSampleLifetime int64   // one alone that speaks for slowness, for so long
+	SingleSampleLifetime int64   // of a single sample that speaks for slowness
 	RecentSpan           int64   // samples of so long are reported if nothing speaks for slowness,
 	FewSpan              int64   // or the last few of so long
 	ReportDelay          int64   // a suspicion is reported after so long: most are gone with the next answer
@@ -37,10 +37,10 @@
 	RequestScore         float64 // score of all proxies together from which evidence is requested of the others
 	EjectScore           float64 // score of all proxies together from which a member is ejected
 	MinEjectSamples      int     // samples for that
-	MaxEjectedShare      float64 // of a shard that may be set apart
-	EvidenceDelay        int64   // after the first doubt: for the others' evidence to come
+	MaxEjectedShare      float64 // of a shard that may be ejected
+	EvidenceDelay        int64   // after the first suspicion: time for the others' evidence to come
 	EvidenceLifetime     int64   // evidence that was reported longer ago does not count
-	MinEjectionTime      int64   // a member set apart stays so for so long
+	MinEjectionTime      int64   // a member stays ejected at least for so long
 	RestoreRatio         float64 // its middle, from which it is prompt again
 	MinRestoreSamples    int     // samples for that
 	NoEvidenceTimeout    int64   // without evidence of slowness for so long it is tried
@@ -293,7 +293,7 @@
 			report(m, few)
 		}
 	}
-	for _, a := range assignment.Ejected { // it is seldom met: all since it was set apart counts
+	for _, a := range assignment.Ejected { // it is seldom used: all samples since its ejection count
 		reportOnce(a.Name, w.cfg.SampleLifetime)
 	}
 	for _, name := range assignment.Requested {
--- a/internal/cluster/outlier/sketch.go
+++ b/internal/cluster/outlier/sketch.go
@@ -16,8 +16,8 @@
 const (
 	fine      = 16   // steps of a ratio of one
 	mostRatio = 256  // a ratio above counts as that
-	mostCells = 96   // of a sketch on its way
-	mostOfOne = 4096 // samples of one cell on their way
+	mostCells = 96   // of a sketch that is sent
+	mostOfOne = 4096 // samples of one cell that are sent
 )
 
 // ErrInvalidSketch is returned for a sketch that another process cannot have written.
--- a/internal/node/controlplane/outbox.go
+++ b/internal/node/controlplane/outbox.go
@@ -19,7 +19,7 @@
 	bulkTimeout       = 4 * time.Second        // for those that carry an entry: links may be thin
 	maxOutboxMessages = 128                    // messages that wait for one machine; the oldest go first
 	maxOutboxPeers    = 64                     // machines that are sent to at once, each by two outboxes
-	outboxIdleTimeout = time.Minute            // a machine that was sent nothing for so long is let go of
+	outboxIdleTimeout = time.Minute            // an outbox that was idle for so long is removed
 )
 
 // messagesCall carries messages between control-plane machines (codec.EncodeBatch). The answer
@@ -93,7 +93,7 @@
 func (c *replicaRunner) enqueueMessages(list []envelope.Message) {
 	for _, msg := range list {
 		if p := c.outboxFor(outboxKey{msg.To.Addr, chain.ContentOf(msg.Body) != nil}); p != nil && !p.put(msg) {
-			if p = c.outboxFor(p.key); p != nil { // it has just been let go of
+			if p = c.outboxFor(p.key); p != nil { // it has just been removed
 				p.put(msg)
 			}
 		}
--- a/internal/node/controlplane/replica.go
+++ b/internal/node/controlplane/replica.go
@@ -58,13 +58,13 @@
 	done             chan struct{}
 	replica          *replica.Machine             // owned by the loop
 	callers          map[string]chan chain.Result // the same
-	announcedVersion uint64                       // rank of the configuration announced; the same
+	announcedVersion uint64                       // of the configuration; owned by the loop
 	announcedEpoch   uint64                       // of the view announced; the same
 	hadQuorum        bool                         // when it was last looked at; the same
 
 	mu               sync.Mutex
 	queue            []replica.Output
-	servers          []byte       // to be kept, beside what promises rest on; nil: as they are
+	servers          []byte       // to be written beside what promises rest on; nil: unchanged
 	lastAcknowledged *chain.Entry // the same
 	diskWake         chan struct{}
 	writeStartedAt   time.Time // when the write at hand began; zero: none is
--- a/internal/node/controlplane/server.go
+++ b/internal/node/controlplane/server.go
@@ -231,7 +231,7 @@
 
 // recordHeartbeat takes a heartbeat.
 func (k *server) recordHeartbeat(who rpc.Named, b registry.Heartbeat) (HeartbeatResponse, error) {
-	near := k.heartbeatEndpoint(who.Name, b.Zone)
+	endpoint := k.heartbeatEndpoint(who.Name, b.Zone)
 	k.Mu.Lock()
 	defer k.Mu.Unlock()
 	stored, known := k.Store.Get(registry.Prefix + who.Name)
@@ -248,7 +248,7 @@
 		}
 		k.PutLocked(update)
 	}
-	return HeartbeatResponse{Endpoint: near}, nil
+	return HeartbeatResponse{Endpoint: endpoint}, nil
 }
 
 // heartbeatEndpoint names the machine that a server is to send its heartbeats to: one of its
@@ -256,22 +256,18 @@
 // Empty: this one will do.
 func (k *server) heartbeatEndpoint(server, zone string) string {
 	region := k.Settings.Current().Regions[zone]
-	far := func(p gossip.Process) int {
-		switch {
-		case p.Zone == zone:
-			return 0
-		case p.Region == region && region != "":
-			return 1
-		}
-		return 2
-	}
-	best, least, most := k.Self, far(k.Self), uint64(0)
-	if least == 0 {
+	distance := func(p gossip.Process) int { return nodesettings.Distance(p.Zone, p.Region, zone, region) }
+	best, shortest, highestHash := k.Self, distance(k.Self), uint64(0)
+	if shortest == nodesettings.SameZone {
 		return ""
 	}
 	for _, p := range k.controlPlanePeers() {
-		if d, h := far(p), xxhash.Sum64String(server+p.Addr); p.Control != "" && (d < least || d == least && best.Addr != k.Self.Addr && h > most) {
-			best, least, most = p, d, h
+		if p.Control == "" {
+			continue
+		}
+		d, hash := distance(p), xxhash.Sum64String(server+p.Addr)
+		if d < shortest || d == shortest && best.Addr != k.Self.Addr && hash > highestHash {
+			best, shortest, highestHash = p, d, hash
 		}
 	}
 	if best.Addr == k.Self.Addr {
--- a/internal/node/controlplane/store.go
+++ b/internal/node/controlplane/store.go
@@ -153,7 +153,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		if servers != nil { // nothing rests on it: should it fail, the next change is kept
+		if servers != nil { // no promise rests on it: if it fails, the next change is written
 			c.store.Put(storage.Entry{Key: keyRememberedServers, Value: servers})
 		}
 		for _, out := range batch {
--- a/internal/node/proxy/outliers.go
+++ b/internal/node/proxy/outliers.go
@@ -18,7 +18,7 @@
 )
 
 const (
-	trackerInterval = 300 * time.Millisecond // between looks while somebody is doubted or apart
+	trackerInterval = 300 * time.Millisecond // between steps while somebody is suspected or ejected
 	minCallerMedian = 20_000                 // microseconds: what callers take counts as this at least
 	slowLaneShare   = 8                      // one in so many of the clients' connections is for slow callers
 )
--- a/internal/node/proxy/proxy.go
+++ b/internal/node/proxy/proxy.go
@@ -365,16 +365,9 @@
 	return row, reach.Server{ID: s.ID, Addr: s.Addr, MaxConns: most}, true
 }
 
-// distance returns how expensive the way to a zone is: 0 within the own one, 1 to another of
-// the region, 2 beyond.
+// distance returns how expensive the way to a zone is, see nodesettings.Distance.
 func (t *proxy) distance(zone string) int {
-	switch {
-	case zone == t.settings.Zone:
-		return 0
-	case t.settings.Regions[zone] == t.settings.Region && t.settings.Region != "":
-		return 1
-	}
-	return 2
+	return nodesettings.Distance(zone, t.settings.Regions[zone], t.settings.Zone, t.settings.Region)
 }
 
 // updateBudget sets how many proxies there are, and counts servers.
--- a/internal/node/proxy/shutdown.go
+++ b/internal/node/proxy/shutdown.go
@@ -13,7 +13,7 @@
 	graceShare     = 2                       // both within one part in so many of the grace
 	graceEndMargin = 700 * time.Millisecond  // before the grace is over
 	answerMargin   = 200 * time.Millisecond  // for the last answers to be written
-	idleCloseDelay = 100 * time.Millisecond  // for a request that is on its way on a connection at rest
+	idleCloseDelay = 100 * time.Millisecond  // for a request that is under way on an idle connection
 	quietPeriod    = 300 * time.Millisecond  // without a request, after which nobody is taken to come
 	pollInterval   = 20 * time.Millisecond
 )
--- a/internal/node/rpc/rpc.go
+++ b/internal/node/rpc/rpc.go
@@ -57,7 +57,7 @@
 }
 
 // Packed has large bodies of the call go compressed. It is for calls between the system's
-// own processes: ways between them are thin, and one configuration has many equal lines.
+// own processes: links between them are slow, and a configuration has many equal lines.
 func (c Call[Req, Ans]) Packed() Call[Req, Ans] {
 	c.packed = true
 	return c
--- a/internal/node/storage/storage.go
+++ b/internal/node/storage/storage.go
@@ -1,5 +1,5 @@
-// Package storage keeps a core machine's state on disk, in goleveldb. Every write is synced
-// before it returns: all that is kept here is what a promise rests on. It must never tell
+// Package storage keeps the state of a control-plane machine on disk, in goleveldb. Every write is synced
+// before it returns: promises to other machines rest on what is stored. It never takes
 // a damaged store as an empty one, grow without a bound, or return before the disk has it.
 package storage
 
@@ -15,7 +15,7 @@
 	"github.com/zeebo/errs"
 )
 
-// Error is the class of complaints of the disk.
+// Error is the class of all errors of this package.
 var Error = errs.Class("store")
 
 // Store is one open store. It is safe for concurrent use.
@@ -78,7 +78,7 @@
 	return err == nil
 }
 
-// Get returns what is kept under a key, nil where nothing is.
+// Get returns the value of a key, nil if there is none.
 func (s *Store) Get(key string) ([]byte, error) {
 	v, err := s.db.Get([]byte(key), nil)
 	if err == leveldb.ErrNotFound {
@@ -93,7 +93,7 @@
 	Value []byte
 }
 
-// Put keeps entries, all or none, and returns once the disk has them.
+// Put writes entries, all or none, and returns once they are synced.
 func (s *Store) Put(entries ...Entry) error {
 	var b leveldb.Batch
 	for _, e := range entries {
@@ -106,7 +106,7 @@
 	return Error.Wrap(s.db.Write(&b, &opt.WriteOptions{Sync: true}))
 }
 
-// All returns all that is kept under keys that begin so.
+// All returns the values of all keys with a prefix.
 func (s *Store) All(prefix string) (map[string][]byte, error) {
 	it := s.db.NewIterator(util.BytesPrefix([]byte(prefix)), nil)
 	defer it.Release()
