--- a/internal/app/play_test.go
+++ b/internal/app/play_test.go
@@ -9,8 +9,10 @@
 	"bytes"
 	"encoding/binary"
 	"encoding/hex"
+	"errors"
 	"fmt"
 	"io"
+	"io/fs"
 	"net"
 	"os"
 	"path/filepath"
@@ -255,9 +257,14 @@
 		require.NoError(s.t, os.WriteFile(s.operator(), []byte(text), 0o600), at)
 		return
 	}
+	begun := time.Now()
 	for epoch := ""; epoch != rest; {
 		var r segments.Report
-		require.NoError(s.t, control.Ask(filepath.Join(filepath.Dir(s.set), "s"), &r, "segments", "show"), at)
+		err := control.Ask(filepath.Join(filepath.Dir(s.set), "s"), &r, "segments", "show")
+		if errors.Is(err, fs.ErrNotExist) && time.Since(begun) < 10*time.Second {
+			continue // the mixer does not listen yet
+		}
+		require.NoError(s.t, err, at)
 		epoch = fmt.Sprint(r.Epoch)
 	}
 }
