--- a/internal/compat/storage_test.go
+++ b/internal/compat/storage_test.go
@@ -6,8 +6,11 @@
 	"fmt"
 	"os"
 	"path/filepath"
+	"strings"
 	"testing"
 
+	"saddleport/internal/app"
+
 	"saddleport/internal/cluster/chain"
 	"saddleport/internal/cluster/gossip"
 	"saddleport/internal/cluster/replica"
@@ -116,3 +119,23 @@
 		t.Errorf("written as %s, %v; was %s", again, err, text)
 	}
 }
+
+// The operator file is shown as the release before showed it: every section, key and default.
+func TestOperatorFile(t *testing.T) {
+	operator, err := app.LoadOperator(filepath.Join("..", "..", "deploy", "operator.ini"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var shown bytes.Buffer
+	if err := operator.File.Print(&shown); err != nil {
+		t.Fatal(err)
+	}
+	want, err := os.ReadFile(filepath.Join("testdata", "operator.txt"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	_, got, _ := strings.Cut(shown.String(), "\n") // the first line is the path
+	if _, rest, _ := strings.Cut(string(want), "\n"); got != rest {
+		t.Errorf("shown as:\n%s\nwas:\n%s", got, rest)
+	}
+}
