--- a/internal/cluster/antientropy/antientropy.go
+++ b/internal/cluster/antientropy/antientropy.go
@@ -38,53 +38,53 @@
 
 // ShouldRepair takes the version that a read found at a replica beside the reader's own, and
 // reports whether the reader is to repair the replica now.
-func (m *Repairer) ShouldRepair(now int64, copy string, version, own uint64) bool {
+func (r *Repairer) ShouldRepair(now int64, copy string, version, own uint64) bool {
 	if version >= own {
-		delete(m.repairedAt, copy)
+		delete(r.repairedAt, copy)
 		return false
 	}
-	if at, known := m.repairedAt[copy]; known && now-at < m.cfg.RepairInterval {
+	if at, known := r.repairedAt[copy]; known && now-at < r.cfg.RepairInterval {
 		return false
 	}
-	if len(m.repairedAt) >= m.cfg.MaxTracked {
-		m.expire(now)
+	if len(r.repairedAt) >= r.cfg.MaxTracked {
+		r.expire(now)
 	}
-	if len(m.repairedAt) < m.cfg.MaxTracked {
-		m.repairedAt[copy] = now
+	if len(r.repairedAt) < r.cfg.MaxTracked {
+		r.repairedAt[copy] = now
 	}
-	m.stats.Repairs++
+	r.stats.Repairs++
 	return true
 }
 
-func (m *Repairer) expire(now int64) {
-	for c, at := range m.repairedAt {
-		if now-at >= m.cfg.RepairInterval {
-			delete(m.repairedAt, c)
+func (r *Repairer) expire(now int64) {
+	for c, at := range r.repairedAt {
+		if now-at >= r.cfg.RepairInterval {
+			delete(r.repairedAt, c)
 		}
 	}
 }
 
 // Sweep returns the replica that the sweep checks now, one after another in their order; due
 // is false if it is not yet time. Replicas that come or go meanwhile make it skip none.
-func (m *Repairer) Sweep(now int64, copies []string) (copy string, due bool) {
-	if now < m.nextSweepAt || len(copies) == 0 {
+func (r *Repairer) Sweep(now int64, copies []string) (copy string, due bool) {
+	if now < r.nextSweepAt || len(copies) == 0 {
 		return "", false
 	}
 	sorted := slices.Clone(copies)
 	slices.Sort(sorted)
-	m.nextSweepAt = now + m.cfg.SweepInterval
-	i, found := slices.BinarySearch(sorted, m.lastSwept)
+	r.nextSweepAt = now + r.cfg.SweepInterval
+	i, found := slices.BinarySearch(sorted, r.lastSwept)
 	if found {
 		i++
 	}
 	if i >= len(sorted) {
 		i = 0
-		m.stats.Rounds++
+		r.stats.Rounds++
 	}
-	m.lastSwept = sorted[i]
-	m.stats.Swept++
-	return m.lastSwept, true
+	r.lastSwept = sorted[i]
+	r.stats.Swept++
+	return r.lastSwept, true
 }
 
 // Stats returns the counts so far.
-func (m *Repairer) Stats() Stats { return m.stats }
+func (r *Repairer) Stats() Stats { return r.stats }
--- a/internal/cluster/failuredetector/failuredetector.go
+++ b/internal/cluster/failuredetector/failuredetector.go
@@ -80,44 +80,44 @@
 func ringPosition(addr string) uint64 { return xxhash.Sum64String(addr) }
 
 // SetPeers sets the other processes that are thought to be alive.
-func (m *Detector) SetPeers(now int64, peers []Peer) {
-	m.ring = append(m.ring[:0], ringMember{m.self, ringPosition(m.self.Addr)})
+func (d *Detector) SetPeers(now int64, peers []Peer) {
+	d.ring = append(d.ring[:0], ringMember{d.self, ringPosition(d.self.Addr)})
 	for _, p := range peers {
-		if p.Addr != m.self.Addr {
-			m.ring = append(m.ring, ringMember{p, ringPosition(p.Addr)})
+		if p.Addr != d.self.Addr {
+			d.ring = append(d.ring, ringMember{p, ringPosition(p.Addr)})
 		}
 	}
-	slices.SortFunc(m.ring, func(a, b ringMember) int {
+	slices.SortFunc(d.ring, func(a, b ringMember) int {
 		return cmp.Or(cmp.Compare(a.position, b.position), strings.Compare(a.Addr, b.Addr))
 	})
-	m.ownWatchers = m.watchersOf(m.self)
+	d.ownWatchers = d.watchersOf(d.self)
 	keep := make(map[string]bool)
-	for _, p := range m.ring {
-		if p.Addr != m.self.Addr && slices.Contains(m.watchersOf(p.Peer), m.self.Addr) {
+	for _, p := range d.ring {
+		if p.Addr != d.self.Addr && slices.Contains(d.watchersOf(p.Peer), d.self.Addr) {
 			keep[p.Addr] = true
-			if m.watched[p.Addr] == nil {
-				m.watched[p.Addr] = &watchedPeer{lastHeardAt: now}
+			if d.watched[p.Addr] == nil {
+				d.watched[p.Addr] = &watchedPeer{lastHeardAt: now}
 			}
 		}
 	}
-	for addr := range m.watched {
+	for addr := range d.watched {
 		if !keep[addr] {
-			delete(m.watched, addr)
+			delete(d.watched, addr)
 		}
 	}
 }
 
 // watchersOf returns the watchers of a process: the next ones on the ring, all but one of its
 // own zone and one beyond it, since a zone may be lost at once; any others if these are too few.
-func (m *Detector) watchersOf(of Peer) (out []string) {
-	at := slices.IndexFunc(m.ring, func(p ringMember) bool { return p.Addr == of.Addr })
+func (d *Detector) watchersOf(of Peer) (out []string) {
+	at := slices.IndexFunc(d.ring, func(p ringMember) bool { return p.Addr == of.Addr })
 	if at < 0 {
 		return nil
 	}
 	var rest []string
-	near, far := m.cfg.Watchers-1, 1
-	for i := 1; i < len(m.ring) && near+far > 0; i++ {
-		p := m.ring[(at+i)%len(m.ring)]
+	near, far := d.cfg.Watchers-1, 1
+	for i := 1; i < len(d.ring) && near+far > 0; i++ {
+		p := d.ring[(at+i)%len(d.ring)]
 		switch {
 		case p.Zone == of.Zone && near > 0:
 			near--
@@ -129,15 +129,15 @@
 			rest = append(rest, p.Addr)
 		}
 	}
-	return append(out, rest[:min(len(rest), m.cfg.Watchers-len(out))]...)
+	return append(out, rest[:min(len(rest), d.cfg.Watchers-len(out))]...)
 }
 
 // Watchers returns the addresses that this process sends heartbeats to.
-func (m *Detector) Watchers() []string { return slices.Clone(m.ownWatchers) }
+func (d *Detector) Watchers() []string { return slices.Clone(d.ownWatchers) }
 
 // Watched returns the addresses that send their heartbeats here.
-func (m *Detector) Watched() (out []string) {
-	for addr := range m.watched {
+func (d *Detector) Watched() (out []string) {
+	for addr := range d.watched {
 		out = append(out, addr)
 	}
 	slices.Sort(out)
@@ -145,34 +145,34 @@
 }
 
 // Observe takes any sign of life of a process.
-func (m *Detector) Observe(now int64, addr string) {
-	if w := m.watched[addr]; w != nil {
+func (d *Detector) Observe(now int64, addr string) {
+	if w := d.watched[addr]; w != nil {
 		*w = watchedPeer{lastHeardAt: now}
 	}
 }
 
 // suspectTimeout is how long a watched process may be silent before it is probed.
-func (m *Detector) suspectTimeout() int64 {
-	return (m.cfg.MissedHeartbeats*int64(max(m.cfg.Watchers, 1)) + 1) * m.cfg.HeartbeatInterval
+func (d *Detector) suspectTimeout() int64 {
+	return (d.cfg.MissedHeartbeats*int64(max(d.cfg.Watchers, 1)) + 1) * d.cfg.HeartbeatInterval
 }
 
 // HandleProbe answers a probe of another watcher: whether this process has heard of one within
 // the time that it would itself wait. A process that does not watch it does not know, and is
 // to try it.
-func (m *Detector) HandleProbe(now int64, about string) (alive, knows bool) {
-	if about == m.self.Addr {
+func (d *Detector) HandleProbe(now int64, about string) (alive, knows bool) {
+	if about == d.self.Addr {
 		return true, true
 	}
-	w := m.watched[about]
+	w := d.watched[about]
 	if w == nil {
 		return false, false
 	}
-	return now-w.lastHeardAt <= m.suspectTimeout(), true
+	return now-w.lastHeardAt <= d.suspectTimeout(), true
 }
 
 // HandleProbeResult takes the answer to a probe; answered is false if none came.
-func (m *Detector) HandleProbeResult(now int64, q Probe, alive, answered bool) {
-	w := m.watched[q.About]
+func (d *Detector) HandleProbeResult(now int64, q Probe, alive, answered bool) {
+	w := d.watched[q.About]
 	if w == nil || w.probedAt == 0 {
 		return
 	}
@@ -188,39 +188,39 @@
 }
 
 // Tick sends heartbeats, probes silent processes, and reports dead ones.
-func (m *Detector) Tick(now int64) (out Output) {
-	if len(m.ownWatchers) > 0 && now-m.lastHeartbeatAt >= m.cfg.HeartbeatInterval {
-		m.lastHeartbeatAt = now
-		m.nextWatcher++
-		out.Heartbeats = append(out.Heartbeats, m.ownWatchers[m.nextWatcher%len(m.ownWatchers)])
-	}
-	for _, addr := range m.Watched() {
-		w := m.watched[addr]
+func (d *Detector) Tick(now int64) (out Output) {
+	if len(d.ownWatchers) > 0 && now-d.lastHeartbeatAt >= d.cfg.HeartbeatInterval {
+		d.lastHeartbeatAt = now
+		d.nextWatcher++
+		out.Heartbeats = append(out.Heartbeats, d.ownWatchers[d.nextWatcher%len(d.ownWatchers)])
+	}
+	for _, addr := range d.Watched() {
+		w := d.watched[addr]
 		if w.probedAt == 0 {
-			if now-w.lastHeardAt > m.suspectTimeout() && now >= w.nextProbeAt {
+			if now-w.lastHeardAt > d.suspectTimeout() && now >= w.nextProbeAt {
 				w.probedAt, w.aliveElsewhere, w.answeredItself, w.confirmations, w.pendingAnswers = now, false, false, 0, 1
 				out.Probes = append(out.Probes, Probe{To: addr, About: addr})
-				for _, other := range m.proberCandidates(addr, w.round) {
+				for _, other := range d.proberCandidates(addr, w.round) {
 					w.pendingAnswers++
 					out.Probes = append(out.Probes, Probe{To: other, About: addr})
 				}
 			}
 			continue
 		}
-		if w.pendingAnswers > 0 && now-w.probedAt < m.cfg.ConfirmTimeout {
+		if w.pendingAnswers > 0 && now-w.probedAt < d.cfg.ConfirmTimeout {
 			continue
 		}
-		noOtherWitness := w.pendingAnswers <= 1 && w.confirmations == 0 && len(m.proberCandidates(addr, 0))+len(m.proberCandidates(addr, 1)) == 0
+		noOtherWitness := w.pendingAnswers <= 1 && w.confirmations == 0 && len(d.proberCandidates(addr, 0))+len(d.proberCandidates(addr, 1)) == 0
 		switch {
 		case w.answeredItself: // it is alive, though its heartbeats do not arrive here
 			*w = watchedPeer{lastHeardAt: now}
 		case w.aliveElsewhere:
-			w.probedAt, w.nextProbeAt = 0, now+2*m.cfg.HeartbeatInterval
-		case w.confirmations > 0, noOtherWitness && now-w.lastHeardAt > 2*m.suspectTimeout():
-			delete(m.watched, addr)
+			w.probedAt, w.nextProbeAt = 0, now+2*d.cfg.HeartbeatInterval
+		case w.confirmations > 0, noOtherWitness && now-w.lastHeardAt > 2*d.suspectTimeout():
+			delete(d.watched, addr)
 			out.Dead = append(out.Dead, addr)
 		default: // nobody else has said anything: this one may be what is cut off
-			w.probedAt, w.nextProbeAt, w.round = 0, now+m.cfg.HeartbeatInterval, 1-w.round
+			w.probedAt, w.nextProbeAt, w.round = 0, now+d.cfg.HeartbeatInterval, 1-w.round
 		}
 	}
 	return out
@@ -228,17 +228,17 @@
 
 // proberCandidates returns the processes that are asked about a silent one: its other watchers
 // or, since these may be lost with it, processes of other zones.
-func (m *Detector) proberCandidates(addr string, round int) (out []string) {
-	at := slices.IndexFunc(m.ring, func(p ringMember) bool { return p.Addr == addr })
+func (d *Detector) proberCandidates(addr string, round int) (out []string) {
+	at := slices.IndexFunc(d.ring, func(p ringMember) bool { return p.Addr == addr })
 	if at < 0 {
 		return nil
 	}
-	of := m.ring[at]
+	of := d.ring[at]
 	if round == 0 {
-		return slices.DeleteFunc(m.watchersOf(of.Peer), func(o string) bool { return o == m.self.Addr })
+		return slices.DeleteFunc(d.watchersOf(of.Peer), func(o string) bool { return o == d.self.Addr })
 	}
-	for i := 1; i < len(m.ring) && len(out) < m.cfg.Watchers; i++ {
-		if p := m.ring[(at+i)%len(m.ring)]; p.Zone != of.Zone && p.Addr != m.self.Addr {
+	for i := 1; i < len(d.ring) && len(out) < d.cfg.Watchers; i++ {
+		if p := d.ring[(at+i)%len(d.ring)]; p.Zone != of.Zone && p.Addr != d.self.Addr {
 			out = append(out, p.Addr)
 		}
 	}
--- a/internal/cluster/gossip/gossiper.go
+++ b/internal/cluster/gossip/gossiper.go
@@ -128,60 +128,60 @@
 	return t
 }
 
-func (t *Gossiper) selfEntry(version uint64) Entry {
-	body, err := json.Marshal(t.self)
+func (g *Gossiper) selfEntry(version uint64) Entry {
+	body, err := json.Marshal(g.self)
 	if err != nil {
 		panic(err) // a struct of texts always has a form
 	}
-	return Entry{Key: ProcessPrefix + t.self.Addr, Version: version, Value: body}
+	return Entry{Key: ProcessPrefix + g.self.Addr, Version: version, Value: body}
 }
 
 // AnnounceLeave informs the others that this process ends.
-func (t *Gossiper) AnnounceLeave(now int64) { t.MarkDead(now, t.self.Addr) }
+func (g *Gossiper) AnnounceLeave(now int64) { g.MarkDead(now, g.self.Addr) }
 
 // MarkDead announces that a process is gone. One that is alive refutes it.
-func (t *Gossiper) MarkDead(now int64, addr string) {
+func (g *Gossiper) MarkDead(now int64, addr string) {
 	key := ProcessPrefix + addr
-	if stored, known := t.Store.Get(key); known && !stored.Deleted() {
-		t.apply(now, Entry{Key: key, Version: stored.Version | 1}, true)
+	if stored, known := g.Store.Get(key); known && !stored.Deleted() {
+		g.apply(now, Entry{Key: key, Version: stored.Version | 1}, true)
 	}
 }
 
 // Put stores an entry of this process or of another, to be passed on, and reports whether it
 // was newer.
-func (t *Gossiper) Put(now int64, i Entry, allZones bool) bool {
-	if i.Key == ProcessPrefix+t.self.Addr && i.Deleted() { // we live
-		i = t.selfEntry((i.Version/2 + 1) * 2)
+func (g *Gossiper) Put(now int64, i Entry, allZones bool) bool {
+	if i.Key == ProcessPrefix+g.self.Addr && i.Deleted() { // we live
+		i = g.selfEntry((i.Version/2 + 1) * 2)
 		allZones = true
 	}
-	return t.apply(now, i, allZones)
+	return g.apply(now, i, allZones)
 }
 
-func (t *Gossiper) apply(now int64, i Entry, allZones bool) bool {
-	if !t.Store.Put(now, i, t.cfg.MaxTransmits, allZones) {
+func (g *Gossiper) apply(now int64, i Entry, allZones bool) bool {
+	if !g.Store.Put(now, i, g.cfg.MaxTransmits, allZones) {
 		return false
 	}
-	if addr, is := strings.CutPrefix(i.Key, ProcessPrefix); is && addr != t.self.Addr {
+	if addr, is := strings.CutPrefix(i.Key, ProcessPrefix); is && addr != g.self.Addr {
 		p := Process{Addr: addr}
 		if i.Deleted() || json.Unmarshal(i.Value, &p) != nil {
-			delete(t.peers, addr)
+			delete(g.peers, addr)
 		} else {
-			t.peers[addr] = p
+			g.peers[addr] = p
 		}
 	}
-	if t.OnUpdate != nil {
-		t.OnUpdate(i)
+	if g.OnUpdate != nil {
+		g.OnUpdate(i)
 	}
 	return true
 }
 
 // SetSeeds sets the addresses to ask while no other process is known.
-func (t *Gossiper) SetSeeds(addrs []string) { t.seeds = addrs }
+func (g *Gossiper) SetSeeds(addrs []string) { g.seeds = addrs }
 
 // Peers returns the other processes, of one kind or of any, ordered by address.
-func (t *Gossiper) Peers(kind string) []Process {
-	out := make([]Process, 0, len(t.peers))
-	for _, p := range t.peers {
+func (g *Gossiper) Peers(kind string) []Process {
+	out := make([]Process, 0, len(g.peers))
+	for _, p := range g.peers {
 		if kind == "" || p.Kind == kind {
 			out = append(out, p)
 		}
@@ -191,134 +191,134 @@
 }
 
 // Reachable reports whether a peer answered its last call, or its backoff is over.
-func (t *Gossiper) Reachable(now int64, addr string) bool { return now >= t.backoffs[addr].until }
+func (g *Gossiper) Reachable(now int64, addr string) bool { return now >= g.backoffs[addr].until }
 
 // DifferencesFound counts the differences that comparisons have found.
-func (t *Gossiper) DifferencesFound() int { return t.differencesFound }
+func (g *Gossiper) DifferencesFound() int { return g.differencesFound }
 
 // checksum summarizes the store; it is never 0.
-func (t *Gossiper) checksum() uint64 {
+func (g *Gossiper) checksum() uint64 {
 	s := uint64(0)
-	for _, x := range t.Store.Digest() {
+	for _, x := range g.Store.Digest() {
 		s = s*0x9E3779B97F4A7C15 + x
 	}
 	return s | 1
 }
 
 // HandleRequest answers another process.
-func (t *Gossiper) HandleRequest(now int64, p ExchangeRequest) ExchangeResponse {
-	delete(t.backoffs, p.From)
+func (g *Gossiper) HandleRequest(now int64, p ExchangeRequest) ExchangeResponse {
+	delete(g.backoffs, p.From)
 	for _, i := range p.Entries {
-		t.Put(now, i, false)
+		g.Put(now, i, false)
 	}
-	ans := ExchangeResponse{Want: t.Store.Missing(p.Versions), Entries: t.Store.GetAll(p.Want)}
+	ans := ExchangeResponse{Want: g.Store.Missing(p.Versions), Entries: g.Store.GetAll(p.Want)}
 	if p.Checksum != 0 && p.Digest == nil {
-		ans.Differs = p.Checksum != t.checksum()
+		ans.Differs = p.Checksum != g.checksum()
 	}
 	if p.Digest != nil {
-		ans.Versions, ans.Buckets = t.Store.VersionsWhereDifferent(*p.Digest)
+		ans.Versions, ans.Buckets = g.Store.VersionsWhereDifferent(*p.Digest)
 	}
 	return ans
 }
 
-func (t *Gossiper) startCall(k callState, p ExchangeRequest) {
-	if len(t.inFlight) >= t.cfg.MaxCallsInFlight {
+func (g *Gossiper) startCall(k callState, p ExchangeRequest) {
+	if len(g.inFlight) >= g.cfg.MaxCallsInFlight {
 		return // what is not said now is found by the next comparison
 	}
-	t.lastID++
-	p.From = t.self.Addr
-	t.inFlight[t.lastID] = k
-	t.outbox = append(t.outbox, OutboundCall{ID: t.lastID, To: k.to, Request: p})
+	g.lastID++
+	p.From = g.self.Addr
+	g.inFlight[g.lastID] = k
+	g.outbox = append(g.outbox, OutboundCall{ID: g.lastID, To: k.to, Request: p})
 }
 
 // TakeCalls returns the calls to make.
-func (t *Gossiper) TakeCalls() []OutboundCall {
-	out := t.outbox
-	t.outbox = nil
+func (g *Gossiper) TakeCalls() []OutboundCall {
+	out := g.outbox
+	g.outbox = nil
 	return out
 }
 
 // HandleResponse takes the outcome of a call.
-func (t *Gossiper) HandleResponse(now int64, id uint64, ans ExchangeResponse, ok bool) {
-	k, known := t.inFlight[id]
+func (g *Gossiper) HandleResponse(now int64, id uint64, ans ExchangeResponse, ok bool) {
+	k, known := g.inFlight[id]
 	if !known {
 		return
 	}
-	delete(t.inFlight, id)
+	delete(g.inFlight, id)
 	if !ok {
-		r := t.backoffs[k.to]
+		r := g.backoffs[k.to]
 		r.failures++
-		r.until = now + min(r.failures*t.cfg.PeerBackoff, t.cfg.PeerBackoffMax)
-		t.backoffs[k.to] = r
+		r.until = now + min(r.failures*g.cfg.PeerBackoff, g.cfg.PeerBackoffMax)
+		g.backoffs[k.to] = r
 		if k.purpose == pushUpdate && len(k.alternates) > 0 {
 			k.to, k.alternates = k.alternates[0], k.alternates[1:]
-			t.startCall(k, ExchangeRequest{Entries: k.update.Inline, Versions: k.update.Advertised})
+			g.startCall(k, ExchangeRequest{Entries: k.update.Inline, Versions: k.update.Advertised})
 		}
 		return
 	}
-	delete(t.backoffs, k.to)
+	delete(g.backoffs, k.to)
 	for _, i := range ans.Entries {
-		t.Put(now, i, false)
+		g.Put(now, i, false)
 	}
 	switch k.purpose {
 	case pushUpdate:
 		if len(ans.Want) > 0 {
-			t.startCall(callState{purpose: pushWanted, to: k.to}, ExchangeRequest{Entries: t.Store.GetAll(ans.Want)})
+			g.startCall(callState{purpose: pushWanted, to: k.to}, ExchangeRequest{Entries: g.Store.GetAll(ans.Want)})
 		}
 	case compareChecksum:
 		if ans.Differs {
-			t.differencesFound++
-			t.CompareDigests(k.to)
+			g.differencesFound++
+			g.CompareDigests(k.to)
 		}
 	case compareDigest:
 		if len(ans.Buckets) == 0 {
 			return
 		}
-		if newer, want := t.Store.Diff(ans.Versions, ans.Buckets); len(newer)+len(want) > 0 {
-			t.startCall(callState{purpose: exchangeEntries, to: k.to}, ExchangeRequest{Entries: newer, Want: want})
+		if newer, want := g.Store.Diff(ans.Versions, ans.Buckets); len(newer)+len(want) > 0 {
+			g.startCall(callState{purpose: exchangeEntries, to: k.to}, ExchangeRequest{Entries: newer, Want: want})
 		}
 	}
 }
 
 // CompareChecksums finds out with one checksum whether a peer holds the same entries, and if
 // not, which entries either side lacks.
-func (t *Gossiper) CompareChecksums(addr string) {
-	t.startCall(callState{purpose: compareChecksum, to: addr}, ExchangeRequest{Checksum: t.checksum()})
+func (g *Gossiper) CompareChecksums(addr string) {
+	g.startCall(callState{purpose: compareChecksum, to: addr}, ExchangeRequest{Checksum: g.checksum()})
 }
 
 // CompareDigests brings two processes to the same entries.
-func (t *Gossiper) CompareDigests(addr string) {
-	sums := t.Store.Digest()
-	t.startCall(callState{purpose: compareDigest, to: addr}, ExchangeRequest{Digest: &sums})
+func (g *Gossiper) CompareDigests(addr string) {
+	sums := g.Store.Digest()
+	g.startCall(callState{purpose: compareDigest, to: addr}, ExchangeRequest{Digest: &sums})
 }
 
 // Tick asks the seeds while no other process is known, and passes entries on.
-func (t *Gossiper) Tick(now int64) {
-	if len(t.peers) == 0 && now >= t.nextJoinAt {
-		t.nextJoinAt, t.joinInterval = now+t.joinInterval, min(t.joinInterval*3/2, t.cfg.JoinRetryMax)
-		for _, addr := range t.seeds {
-			if addr != t.self.Addr {
-				t.CompareDigests(addr)
+func (g *Gossiper) Tick(now int64) {
+	if len(g.peers) == 0 && now >= g.nextJoinAt {
+		g.nextJoinAt, g.joinInterval = now+g.joinInterval, min(g.joinInterval*3/2, g.cfg.JoinRetryMax)
+		for _, addr := range g.seeds {
+			if addr != g.self.Addr {
+				g.CompareDigests(addr)
 			}
 		}
 	}
-	if len(t.peers) > 0 {
-		t.joinInterval = t.cfg.JoinRetryMin
+	if len(g.peers) > 0 {
+		g.joinInterval = g.cfg.JoinRetryMin
 	}
-	if t.Store.NothingPending() || now < t.nextGossipAt {
+	if g.Store.NothingPending() || now < g.nextGossipAt {
 		return
 	}
-	t.nextGossipAt = now + t.cfg.GossipInterval
-	t.sendPending(now)
+	g.nextGossipAt = now + g.cfg.GossipInterval
+	g.sendPending(now)
 }
 
 // NextTick returns when Tick has something to do; 0: when something comes in.
-func (t *Gossiper) NextTick() int64 {
+func (g *Gossiper) NextTick() int64 {
 	switch {
-	case len(t.peers) == 0:
-		return max(t.nextJoinAt, 1)
-	case !t.Store.NothingPending():
-		return max(t.nextGossipAt, 1)
+	case len(g.peers) == 0:
+		return max(g.nextJoinAt, 1)
+	case !g.Store.NothingPending():
+		return max(g.nextGossipAt, 1)
 	}
 	return 0
 }
@@ -326,11 +326,11 @@
 // sendPending passes pending entries on: to some processes of this zone, and what began here
 // to one process of every other zone, where it is passed on in turn. Traffic between zones is
 // expensive.
-func (t *Gossiper) sendPending(now int64) {
-	sameZone, otherZones := t.Store.TakePending()
+func (g *Gossiper) sendPending(now int64) {
+	sameZone, otherZones := g.Store.TakePending()
 	zones := make(map[string][]string)
-	for _, p := range t.Peers("") {
-		if t.Reachable(now, p.Addr) {
+	for _, p := range g.Peers("") {
+		if g.Reachable(now, p.Addr) {
 			zones[p.Zone] = append(zones[p.Zone], p.Addr)
 		}
 	}
@@ -342,30 +342,30 @@
 	slices.Sort(names)
 	for _, zone := range names {
 		addrs := zones[zone]
-		t.rng.Shuffle(len(addrs), func(i, j int) { addrs[i], addrs[j] = addrs[j], addrs[i] })
-		if zone != t.self.Zone {
-			t.push(otherZones, addrs[:min(len(addrs), 3)])
+		g.rng.Shuffle(len(addrs), func(i, j int) { addrs[i], addrs[j] = addrs[j], addrs[i] })
+		if zone != g.self.Zone {
+			g.push(otherZones, addrs[:min(len(addrs), 3)])
 			continue
 		}
-		for i := range min(t.cfg.Fanout, len(addrs)) {
-			t.push(sameZone, addrs[i:i+1])
+		for i := range min(g.cfg.Fanout, len(addrs)) {
+			g.push(sameZone, addrs[i:i+1])
 		}
 	}
 }
 
 // push sends an update to the first of some processes that answers.
-func (t *Gossiper) push(m Update, to []string) {
+func (g *Gossiper) push(m Update, to []string) {
 	if !m.Empty() {
-		t.startCall(callState{purpose: pushUpdate, to: to[0], alternates: to[1:], update: m}, ExchangeRequest{Entries: m.Inline, Versions: m.Advertised})
+		g.startCall(callState{purpose: pushUpdate, to: to[0], alternates: to[1:], update: m}, ExchangeRequest{Entries: m.Inline, Versions: m.Advertised})
 	}
 }
 
 // Purge removes old tombstones, and backoffs that are over.
-func (t *Gossiper) Purge(now int64) {
-	t.Store.PurgeTombstones(now)
-	for addr, r := range t.backoffs {
-		if now > r.until+t.cfg.PeerBackoffMax {
-			delete(t.backoffs, addr)
+func (g *Gossiper) Purge(now int64) {
+	g.Store.PurgeTombstones(now)
+	for addr, r := range g.backoffs {
+		if now > r.until+g.cfg.PeerBackoffMax {
+			delete(g.backoffs, addr)
 		}
 	}
 }
--- a/internal/cluster/gossip/store.go
+++ b/internal/cluster/gossip/store.go
@@ -75,61 +75,61 @@
 // Put stores an entry and reports whether it was newer than the stored one. transmits is
 // how many times it is passed on from here; allZones, whether to every zone or only to this
 // process's own.
-func (b *Store) Put(now int64, i Entry, transmits int, allZones bool) bool {
-	h := b.entries[i.Key]
+func (s *Store) Put(now int64, i Entry, transmits int, allZones bool) bool {
+	h := s.entries[i.Key]
 	if h != nil && i.Version <= h.Version {
 		return false
 	}
 	if h == nil {
-		if i.Deleted() && transmits == 0 || len(b.entries) >= maxEntries {
+		if i.Deleted() && transmits == 0 || len(s.entries) >= maxEntries {
 			return false
 		}
 		h = &storedEntry{}
-		b.entries[i.Key] = h
+		s.entries[i.Key] = h
 	} else {
-		b.digest[bucket(i.Key)] ^= entryHash(h.Entry)
+		s.digest[bucket(i.Key)] ^= entryHash(h.Entry)
 	}
 	if h.transmitsLeft == 0 && transmits > 0 {
-		b.pending = append(b.pending, i.Key)
+		s.pending = append(s.pending, i.Key)
 	}
-	b.seq++
-	h.Entry, h.seq, h.changedAt, h.transmitsLeft, h.allZones = i, b.seq, now, transmits, allZones
-	b.digest[bucket(i.Key)] ^= entryHash(i)
-	b.changeLog, b.changeSeqs = append(b.changeLog, i.Key), append(b.changeSeqs, b.seq)
-	if len(b.changeLog) > 2*len(b.entries)+64 {
-		b.compact()
+	s.seq++
+	h.Entry, h.seq, h.changedAt, h.transmitsLeft, h.allZones = i, s.seq, now, transmits, allZones
+	s.digest[bucket(i.Key)] ^= entryHash(i)
+	s.changeLog, s.changeSeqs = append(s.changeLog, i.Key), append(s.changeSeqs, s.seq)
+	if len(s.changeLog) > 2*len(s.entries)+64 {
+		s.compact()
 	}
 	return true
 }
 
-func (b *Store) compact() {
+func (s *Store) compact() {
 	at := 0
-	for i, key := range b.changeLog {
-		if h := b.entries[key]; h != nil && h.seq == b.changeSeqs[i] {
-			b.changeLog[at], b.changeSeqs[at] = key, b.changeSeqs[i]
+	for i, key := range s.changeLog {
+		if h := s.entries[key]; h != nil && h.seq == s.changeSeqs[i] {
+			s.changeLog[at], s.changeSeqs[at] = key, s.changeSeqs[i]
 			at++
 		}
 	}
-	b.changeLog, b.changeSeqs = b.changeLog[:at], b.changeSeqs[:at]
+	s.changeLog, s.changeSeqs = s.changeLog[:at], s.changeSeqs[:at]
 }
 
 // Get returns the entry of a key.
-func (b *Store) Get(key string) (Entry, bool) {
-	if h := b.entries[key]; h != nil {
+func (s *Store) Get(key string) (Entry, bool) {
+	if h := s.entries[key]; h != nil {
 		return h.Entry, true
 	}
 	return Entry{}, false
 }
 
 // Seq counts the changes of the store.
-func (b *Store) Seq() uint64 { return b.seq }
+func (s *Store) Seq() uint64 { return s.seq }
 
 // ChangedSince returns the entries that changed after a count of changes, oldest first.
-func (b *Store) ChangedSince(seq uint64) []Entry {
-	from, _ := slices.BinarySearch(b.changeSeqs, seq+1)
+func (s *Store) ChangedSince(seq uint64) []Entry {
+	from, _ := slices.BinarySearch(s.changeSeqs, seq+1)
 	var out []Entry
-	for i := from; i < len(b.changeLog); i++ {
-		if h := b.entries[b.changeLog[i]]; h != nil && h.seq == b.changeSeqs[i] {
+	for i := from; i < len(s.changeLog); i++ {
+		if h := s.entries[s.changeLog[i]]; h != nil && h.seq == s.changeSeqs[i] {
 			out = append(out, h.Entry)
 		}
 	}
@@ -138,35 +138,35 @@
 
 // RangeSorted calls f with all entries in the order of their keys. f must not change the
 // store.
-func (b *Store) RangeSorted(f func(Entry)) {
-	keys := make([]string, 0, len(b.entries))
-	for key := range b.entries {
+func (s *Store) RangeSorted(f func(Entry)) {
+	keys := make([]string, 0, len(s.entries))
+	for key := range s.entries {
 		keys = append(keys, key)
 	}
 	slices.Sort(keys)
 	for _, key := range keys {
-		f(b.entries[key].Entry)
+		f(s.entries[key].Entry)
 	}
 }
 
 // Range calls f with all entries in any order, and when each changed. f must not change the
 // store.
-func (b *Store) Range(f func(i Entry, at int64)) {
-	for _, h := range b.entries {
+func (s *Store) Range(f func(i Entry, at int64)) {
+	for _, h := range s.entries {
 		f(h.Entry, h.changedAt)
 	}
 }
 
 // Remove drops a key as if it had never been stored.
-func (b *Store) Remove(key string) {
-	if h := b.entries[key]; h != nil {
-		b.digest[bucket(key)] ^= entryHash(h.Entry)
-		delete(b.entries, key)
+func (s *Store) Remove(key string) {
+	if h := s.entries[key]; h != nil {
+		s.digest[bucket(key)] ^= entryHash(h.Entry)
+		delete(s.entries, key)
 	}
 }
 
 // Len counts the keys, tombstones included.
-func (b *Store) Len() int { return len(b.entries) }
+func (s *Store) Len() int { return len(s.entries) }
 
 // Update holds the entries for one message. Large values are advertised by their versions, and
 // the receiver asks for them.
@@ -189,11 +189,11 @@
 // TakePending returns the entries to pass on and counts them as passed on once: all of them
 // for this process's own zone, and those for all zones for one process of every other zone. An
 // entry goes to the other zones once.
-func (b *Store) TakePending() (sameZone, otherZones Update) {
-	rest := b.pending[:0]
+func (s *Store) TakePending() (sameZone, otherZones Update) {
+	rest := s.pending[:0]
 	n := 0
-	for _, key := range b.pending {
-		h := b.entries[key]
+	for _, key := range s.pending {
+		h := s.entries[key]
 		if h == nil || h.transmitsLeft <= 0 {
 			continue
 		}
@@ -210,12 +210,12 @@
 			rest = append(rest, key)
 		}
 	}
-	b.pending = rest
+	s.pending = rest
 	return sameZone, otherZones
 }
 
 // NothingPending reports whether there is nothing to pass on.
-func (b *Store) NothingPending() bool { return len(b.pending) == 0 }
+func (s *Store) NothingPending() bool { return len(s.pending) == 0 }
 
 // EntryVersion is a key with its version.
 type EntryVersion struct {
@@ -224,9 +224,9 @@
 }
 
 // Missing returns the keys of which newer versions are named than the store holds.
-func (b *Store) Missing(versions []EntryVersion) (want []string) {
+func (s *Store) Missing(versions []EntryVersion) (want []string) {
 	for _, m := range versions {
-		if h := b.entries[m.Key]; h == nil || h.Version < m.Version {
+		if h := s.entries[m.Key]; h == nil || h.Version < m.Version {
 			want = append(want, m.Key)
 		}
 	}
@@ -234,9 +234,9 @@
 }
 
 // GetAll returns the entries of keys.
-func (b *Store) GetAll(keys []string) (out []Entry) {
+func (s *Store) GetAll(keys []string) (out []Entry) {
 	for _, key := range keys {
-		if h := b.entries[key]; h != nil {
+		if h := s.entries[key]; h != nil {
 			out = append(out, h.Entry)
 		}
 	}
@@ -244,32 +244,32 @@
 }
 
 // Digest returns the digest of the store.
-func (b *Store) Digest() Digest { return b.digest }
+func (s *Store) Digest() Digest { return s.digest }
 
 // VersionsWhereDifferent lists the entries in the buckets in which two digests differ.
-func (b *Store) VersionsWhereDifferent(theirs Digest) (versions []EntryVersion, buckets []int) {
+func (s *Store) VersionsWhereDifferent(theirs Digest) (versions []EntryVersion, buckets []int) {
 	differs := [Buckets]bool{}
 	for i := range theirs {
-		if differs[i] = theirs[i] != b.digest[i]; differs[i] {
+		if differs[i] = theirs[i] != s.digest[i]; differs[i] {
 			buckets = append(buckets, i)
 		}
 	}
 	if len(buckets) == 0 {
 		return nil, nil
 	}
-	for key, h := range b.entries {
+	for key, h := range s.entries {
 		if differs[bucket(key)] {
 			versions = append(versions, EntryVersion{key, h.Version})
 		}
 	}
-	slices.SortFunc(versions, func(a, b EntryVersion) int { return cmp.Compare(a.Key, b.Key) })
+	slices.SortFunc(versions, func(a, s EntryVersion) int { return cmp.Compare(a.Key, s.Key) })
 	return versions, buckets
 }
 
 // Diff compares the store with the versions that another process holds in some buckets. It
 // returns the entries of which the store holds the newer version, and the keys of which the
 // other process does.
-func (b *Store) Diff(versions []EntryVersion, buckets []int) (newer []Entry, want []string) {
+func (s *Store) Diff(versions []EntryVersion, buckets []int) (newer []Entry, want []string) {
 	remote := make(map[string]uint64, len(versions))
 	for _, m := range versions {
 		remote[m.Key] = m.Version
@@ -280,7 +280,7 @@
 			selected[i] = true
 		}
 	}
-	for key, h := range b.entries {
+	for key, h := range s.entries {
 		if !selected[bucket(key)] {
 			continue
 		}
@@ -297,16 +297,16 @@
 	for key := range remote {
 		want = append(want, key)
 	}
-	slices.SortFunc(newer, func(a, b Entry) int { return cmp.Compare(a.Key, b.Key) })
+	slices.SortFunc(newer, func(a, s Entry) int { return cmp.Compare(a.Key, s.Key) })
 	slices.Sort(want)
 	return newer, want
 }
 
 // PurgeTombstones removes keys that were deleted long ago.
-func (b *Store) PurgeTombstones(now int64) {
-	for key, h := range b.entries {
+func (s *Store) PurgeTombstones(now int64) {
+	for key, h := range s.entries {
 		if h.Deleted() && now-h.changedAt > tombstoneLifetime {
-			delete(b.entries, key)
+			delete(s.entries, key)
 		}
 	}
 }
--- a/internal/cluster/lease/lease.go
+++ b/internal/cluster/lease/lease.go
@@ -56,51 +56,51 @@
 }
 
 // Observe takes a claim, its own or another's, and reports whether it is the highest known.
-func (m *Table) Observe(c Claim) bool {
-	was, known := m.claims[c.Role]
-	if known && c.Epoch <= was.Epoch || !slices.Contains(m.roles, c.Role) {
+func (t *Table) Observe(c Claim) bool {
+	was, known := t.claims[c.Role]
+	if known && c.Epoch <= was.Epoch || !slices.Contains(t.roles, c.Role) {
 		return false
 	}
-	m.claims[c.Role] = c
+	t.claims[c.Role] = c
 	return true
 }
 
 // Holds reports whether this process holds a role, and under which epoch.
-func (m *Table) Holds(role string) (epoch uint64, holds bool) {
-	c := m.claims[role]
-	return c.Epoch, c.Holder == m.self
+func (t *Table) Holds(role string) (epoch uint64, holds bool) {
+	c := t.claims[role]
+	return c.Epoch, c.Holder == t.self
 }
 
 // Holder returns the highest claim that is known for a role.
-func (m *Table) Holder(role string) (Claim, bool) {
-	c, known := m.claims[role]
+func (t *Table) Holder(role string) (Claim, bool) {
+	c, known := t.claims[role]
 	return c, known
 }
 
 // IsStale reports whether work under an epoch comes too late: a higher one is known.
-func (m *Table) IsStale(role string, epoch uint64) bool { return epoch < m.claims[role].Epoch }
+func (t *Table) IsStale(role string, epoch uint64) bool { return epoch < t.claims[role].Epoch }
 
 // Tick returns the claims that this process makes now. candidates returns the live processes
 // that may hold a role, this one included.
-func (m *Table) Tick(now int64, candidates func(role string) []string) (claims []Claim) {
-	for _, role := range m.roles {
-		if order := PreferenceOrder(role, candidates(role)); len(order) == 0 || order[0] != m.self {
-			delete(m.firstSince, role)
+func (t *Table) Tick(now int64, candidates func(role string) []string) (claims []Claim) {
+	for _, role := range t.roles {
+		if order := PreferenceOrder(role, candidates(role)); len(order) == 0 || order[0] != t.self {
+			delete(t.firstSince, role)
 			continue
 		}
-		if _, holds := m.Holds(role); holds {
+		if _, holds := t.Holds(role); holds {
 			continue
 		}
-		since, known := m.firstSince[role]
+		since, known := t.firstSince[role]
 		if !known {
-			m.firstSince[role] = now
+			t.firstSince[role] = now
 			since = now
 		}
-		if now-since < m.claimDelay {
+		if now-since < t.claimDelay {
 			continue
 		}
-		c := Claim{Role: role, Epoch: newEpoch(m.claims[role].Epoch>>holderHashBits+1, role, m.self), Holder: m.self}
-		m.Observe(c)
+		c := Claim{Role: role, Epoch: newEpoch(t.claims[role].Epoch>>holderHashBits+1, role, t.self), Holder: t.self}
+		t.Observe(c)
 		claims = append(claims, c)
 	}
 	return claims
--- a/internal/cluster/outlier/ejections.go
+++ b/internal/cluster/outlier/ejections.go
@@ -38,53 +38,53 @@
 }
 
 // Observe takes a published assignment under its version, and reports whether it is new.
-func (g *Ejections) Observe(now int64, version uint64, a Assignment) bool {
-	if version <= g.version {
+func (e *Ejections) Observe(now int64, version uint64, a Assignment) bool {
+	if version <= e.version {
 		return false
 	}
-	g.version, g.assignment, g.assignedAt = version, a, now
+	e.version, e.assignment, e.assignedAt = version, a, now
 	return true
 }
 
 // Assignment returns what was last published, if that is still valid.
-func (g *Ejections) Assignment(now int64) (Assignment, bool) {
-	if g.assignedAt == 0 || now-g.assignedAt > g.cfg.AssignmentLifetime {
+func (e *Ejections) Assignment(now int64) (Assignment, bool) {
+	if e.assignedAt == 0 || now-e.assignedAt > e.cfg.AssignmentLifetime {
 		return Assignment{}, false
 	}
-	return g.assignment, true
+	return e.assignment, true
 }
 
 // Quiet reports that there is nothing to do until something comes in.
-func (g *Ejections) Quiet(now int64) bool {
-	said, counts := g.Assignment(now)
-	return len(g.ejected) == 0 && (!counts || said.Empty())
+func (e *Ejections) Quiet(now int64) bool {
+	said, counts := e.Assignment(now)
+	return len(e.ejected) == 0 && (!counts || said.Empty())
 }
 
 // Step brings the ejections in line with what was last published or, if nothing has been for
 // long, with the proxy's own evidence. members returns how many members a shard has.
-func (g *Ejections) Step(now int64, members func(shard string) int, own ...*Observer) (out []Change) {
+func (e *Ejections) Step(now int64, members func(shard string) int, own ...*Observer) (out []Change) {
 	want := make(map[string]EjectedHere)
-	said, counts := g.Assignment(now)
+	said, counts := e.Assignment(now)
 	if counts {
 		for _, m := range said.Ejected {
-			want[m.Name] = EjectedHere{Ejected: m, Since: g.assignedAt - m.Age}
+			want[m.Name] = EjectedHere{Ejected: m, Since: e.assignedAt - m.Age}
 		}
 	}
-	g.addLocal(now, members, own, want)
-	for name, a := range g.ejected {
+	e.addLocal(now, members, own, want)
+	for name, a := range e.ejected {
 		if _, stays := want[name]; !stays {
-			delete(g.ejected, name)
+			delete(e.ejected, name)
 			out = append(out, Change{EjectedHere: a, Restored: true})
 		}
 	}
 	for name, a := range want {
-		was, known := g.ejected[name]
+		was, known := e.ejected[name]
 		if known {
 			if a.Since = was.Since; a.Ratio < was.Ratio*sameRatio && was.Ratio < a.Ratio*sameRatio {
 				a.Ratio = was.Ratio // it is as it was
 			}
 		}
-		if g.ejected[name] = a; !known || a.Ratio != was.Ratio {
+		if e.ejected[name] = a; !known || a.Ratio != was.Ratio {
 			out = append(out, Change{EjectedHere: a, Known: known})
 		}
 	}
@@ -96,13 +96,13 @@
 // member of a shard of which most are not suspected, suspected for long, with a higher score
 // than the aggregator would need. It stays for an assignment's lifetime, since its evidence
 // dries up.
-func (g *Ejections) addLocal(now int64, members func(string) int, own []*Observer, want map[string]EjectedHere) {
+func (e *Ejections) addLocal(now int64, members func(string) int, own []*Observer, want map[string]EjectedHere) {
 	taken, doubted := make(map[string]bool), make(map[string]int)
 	for _, a := range want {
 		taken[a.Shard] = true
 	}
-	for name, a := range g.ejected {
-		if a.LocalOnly && !taken[a.Shard] && now-a.Since < g.cfg.AssignmentLifetime {
+	for name, a := range e.ejected {
+		if a.LocalOnly && !taken[a.Shard] && now-a.Since < e.cfg.AssignmentLifetime {
 			want[name], taken[a.Shard] = a, true
 		}
 	}
@@ -115,7 +115,7 @@
 	}
 	for _, o := range doubts {
 		n := members(o.Shard)
-		if taken[o.Shard] || n < 3 || 2*doubted[o.Shard] > n || o.SuspectedFor < g.cfg.LocalEjectDelay || o.Score < g.cfg.EjectScore*g.cfg.LocalScoreFactor {
+		if taken[o.Shard] || n < 3 || 2*doubted[o.Shard] > n || o.SuspectedFor < e.cfg.LocalEjectDelay || o.Score < e.cfg.EjectScore*e.cfg.LocalScoreFactor {
 			continue
 		}
 		taken[o.Shard] = true
@@ -125,12 +125,12 @@
 
 // Ratio returns the latency of an ejected member as a multiple of its peers' median; 0: it is
 // not ejected.
-func (g *Ejections) Ratio(name string) float64 { return g.ejected[name].Ratio }
+func (e *Ejections) Ratio(name string) float64 { return e.ejected[name].Ratio }
 
 // All returns the ejected members in the order of their shards and names.
-func (g *Ejections) All() []EjectedHere {
-	out := make([]EjectedHere, 0, len(g.ejected))
-	for _, a := range g.ejected {
+func (e *Ejections) All() []EjectedHere {
+	out := make([]EjectedHere, 0, len(e.ejected))
+	for _, a := range e.ejected {
 		out = append(out, a)
 	}
 	slices.SortFunc(out, func(a, b EjectedHere) int { return cmp.Or(cmp.Compare(a.Shard, b.Shard), cmp.Compare(a.Name, b.Name)) })
--- a/internal/cluster/quota/allowance.go
+++ b/internal/cluster/quota/allowance.go
@@ -230,9 +230,9 @@
 
 // SetAllowances sets the allowances of a configuration; levels and leases of those that stay are
 // kept.
-func (t *Holder) SetAllowances(now int64, list []Allowance) {
-	old := t.buckets
-	t.buckets = make(map[string]*bucket, len(list))
+func (h *Holder) SetAllowances(now int64, list []Allowance) {
+	old := h.buckets
+	h.buckets = make(map[string]*bucket, len(list))
 	for _, s := range list[:min(len(list), maxAllowances)] {
 		x := old[s.Name]
 		if x == nil {
@@ -241,16 +241,16 @@
 			x.rate *= s.Rate / x.Rate
 		}
 		x.Allowance = s
-		t.buckets[s.Name] = x
+		h.buckets[s.Name] = x
 	}
 }
 
 // SetProxies sets how many proxies there are, this one included.
-func (t *Holder) SetProxies(n int) { t.proxies = max(n, t.cfg.MinProxies) }
+func (h *Holder) SetProxies(n int) { h.proxies = max(n, h.cfg.MinProxies) }
 
 // rateOf returns a proxy's rate now: its part of the unleased share and its lease.
-func (t *Holder) rateOf(now int64, x *bucket) float64 {
-	r := x.Rate * t.cfg.UnleasedShare / float64(t.proxies)
+func (h *Holder) rateOf(now int64, x *bucket) float64 {
+	r := x.Rate * h.cfg.UnleasedShare / float64(h.proxies)
 	if now <= x.until {
 		r += x.rate
 	}
@@ -258,32 +258,32 @@
 }
 
 // maxLevel returns what may be saved up: the rate's share of the burst, one request at least.
-func (t *Holder) maxLevel(now int64, x *bucket) float64 {
-	return max(x.Burst*t.rateOf(now, x)/x.Rate, 1)
+func (h *Holder) maxLevel(now int64, x *bucket) float64 {
+	return max(x.Burst*h.rateOf(now, x)/x.Rate, 1)
 }
 
-func (t *Holder) refill(now int64, x *bucket) {
+func (h *Holder) refill(now int64, x *bucket) {
 	from := x.at
 	if x.at = now; now <= from {
 		return
 	}
 	if from < x.until && x.until < now { // the lease ran out on the way
 		x.level += x.rate * float64(x.until-from) / 1e6
-		x.level += x.Rate * t.cfg.UnleasedShare / float64(t.proxies) * float64(now-from) / 1e6
+		x.level += x.Rate * h.cfg.UnleasedShare / float64(h.proxies) * float64(now-from) / 1e6
 	} else {
-		x.level += t.rateOf(now, x) * float64(now-from) / 1e6
+		x.level += h.rateOf(now, x) * float64(now-from) / 1e6
 	}
-	x.level = min(x.level, t.maxLevel(now, x))
+	x.level = min(x.level, h.maxLevel(now, x))
 }
 
 // Admit takes a request off an allowance, or returns after how many microseconds one may be
 // admitted.
-func (t *Holder) Admit(now int64, name string) (ok bool, after int64) {
-	x := t.buckets[name]
+func (h *Holder) Admit(now int64, name string) (ok bool, after int64) {
+	x := h.buckets[name]
 	if x == nil {
 		return true, 0
 	}
-	t.refill(now, x)
+	h.refill(now, x)
 	x.asked++
 	x.lastAt = now
 	if x.level >= 1 {
@@ -293,33 +293,33 @@
 		return true, 0
 	}
 	x.counts.Refused++
-	return false, int64(math.Ceil((1-x.level)/t.rateOf(now, x)*1e6)) + 1
+	return false, int64(math.Ceil((1-x.level)/h.rateOf(now, x)*1e6)) + 1
 }
 
 // Due reports whether there is something to claim.
-func (t *Holder) Due(now int64) bool {
-	for _, x := range t.buckets {
-		if t.due(now, x) {
+func (h *Holder) Due(now int64) bool {
+	for _, x := range h.buckets {
+		if h.due(now, x) {
 			return true
 		}
 	}
 	return false
 }
 
-func (t *Holder) recentlyAsked(now int64, x *bucket) bool {
-	return x.lastAt != 0 && now-x.lastAt <= t.cfg.Duration
+func (h *Holder) recentlyAsked(now int64, x *bucket) bool {
+	return x.lastAt != 0 && now-x.lastAt <= h.cfg.Duration
 }
 
 // due reports whether a lease is to be renewed. One that is asked for the first time is
 // claimed soon, but not in a call of its own.
-func (t *Holder) due(now int64, x *bucket) bool {
+func (h *Holder) due(now int64, x *bucket) bool {
 	switch {
-	case !t.recentlyAsked(now, x):
+	case !h.recentlyAsked(now, x):
 		return false
 	case x.claimAt == 0:
-		return t.lastClaimAt == 0 || now-t.lastClaimAt >= t.cfg.RenewInterval/maxEarlyClaims
+		return h.lastClaimAt == 0 || now-h.lastClaimAt >= h.cfg.RenewInterval/maxEarlyClaims
 	}
-	return now-x.claimAt >= t.cfg.RenewInterval
+	return now-x.claimAt >= h.cfg.RenewInterval
 }
 
 // maxEarlyClaims bounds the calls for newly asked allowances within a renewal interval.
@@ -327,18 +327,18 @@
 
 // TakeClaims returns the claims to send, for the allowances that were asked for recently. If
 // one is renewed all are: many allowances cost no more calls than one.
-func (t *Holder) TakeClaims(now int64) (out []Claim) {
+func (h *Holder) TakeClaims(now int64) (out []Claim) {
 	renewed := false
-	for _, x := range t.buckets {
-		renewed = renewed || x.claimAt != 0 && t.due(now, x)
+	for _, x := range h.buckets {
+		renewed = renewed || x.claimAt != 0 && h.due(now, x)
 	}
-	for name, x := range t.buckets {
-		if !t.due(now, x) && !(renewed && t.recentlyAsked(now, x)) {
+	for name, x := range h.buckets {
+		if !h.due(now, x) && !(renewed && h.recentlyAsked(now, x)) {
 			continue
 		}
-		span := float64(max(now-x.claimAt, t.cfg.RenewInterval/maxEarlyClaims)) / 1e6
+		span := float64(max(now-x.claimAt, h.cfg.RenewInterval/maxEarlyClaims)) / 1e6
 		if x.claimAt == 0 {
-			span = float64(t.cfg.RenewInterval) / 1e6
+			span = float64(h.cfg.RenewInterval) / 1e6
 		}
 		if x.asking += (float64(x.asked)/span - x.asking) / 2; x.asked == 0 {
 			x.asking = 0 // who asked has gone elsewhere, and what is leased here is wanted there
@@ -348,22 +348,22 @@
 			c.Current = x.rate
 		}
 		out = append(out, c)
-		x.asked, x.spent, x.claimAt, t.lastClaimAt = 0, 0, now, now
+		x.asked, x.spent, x.claimAt, h.lastClaimAt = 0, 0, now, now
 	}
 	slices.SortFunc(out, func(a, b Claim) int { return cmp.Compare(a.Name, b.Name) })
 	return out
 }
 
 // HandleGrants takes the answer to claims that were sent at a time.
-func (t *Holder) HandleGrants(now, sent int64, list []Grant) {
+func (h *Holder) HandleGrants(now, sent int64, list []Grant) {
 	for _, g := range list {
-		x := t.buckets[g.Name]
+		x := h.buckets[g.Name]
 		if x == nil || g.Rate < 0 || math.IsNaN(g.Rate) || sent < x.claimAt { // it has claimed anew since
 			continue
 		}
-		t.refill(now, x)
-		x.rate, x.until = min(g.Rate, x.Rate), sent+t.cfg.Duration
-		x.level = min(x.level, t.maxLevel(now, x))
+		h.refill(now, x)
+		x.rate, x.until = min(g.Rate, x.Rate), sent+h.cfg.Duration
+		x.level = min(x.level, h.maxLevel(now, x))
 	}
 }
 
@@ -377,10 +377,10 @@
 }
 
 // Status returns all allowances, by name.
-func (t *Holder) Status(now int64) (out []AllowanceStatus) {
-	for _, x := range t.buckets {
-		t.refill(now, x)
-		out = append(out, AllowanceStatus{Allowance: x.Allowance, Counts: x.counts, Rate: t.rateOf(now, x), Level: x.level, Lease: max(x.until-now, 0)})
+func (h *Holder) Status(now int64) (out []AllowanceStatus) {
+	for _, x := range h.buckets {
+		h.refill(now, x)
+		out = append(out, AllowanceStatus{Allowance: x.Allowance, Counts: x.counts, Rate: h.rateOf(now, x), Level: x.level, Lease: max(x.until-now, 0)})
 	}
 	slices.SortFunc(out, func(a, b AllowanceStatus) int { return cmp.Compare(a.Name, b.Name) })
 	return out
--- a/internal/cluster/quota/retrybudget.go
+++ b/internal/cluster/quota/retrybudget.go
@@ -36,19 +36,19 @@
 // Share returns what this proxy may spend in any window, in full units, if so many proxies
 // are known, this one included. If they become fewer the share grows only after a window:
 // those that are gone may have spent theirs.
-func (p *RetryBudget) Share(now int64, known int) float64 {
-	for len(p.counts) > 0 && p.counts[len(p.counts)-1].n <= known {
-		p.counts = p.counts[:len(p.counts)-1]
+func (b *RetryBudget) Share(now int64, known int) float64 {
+	for len(b.counts) > 0 && b.counts[len(b.counts)-1].n <= known {
+		b.counts = b.counts[:len(b.counts)-1]
 	}
-	p.counts = append(p.counts, proxyCount{known, now})
-	for len(p.counts) > 1 && now-p.counts[0].at > p.cfg.Window {
-		p.counts = p.counts[1:]
+	b.counts = append(b.counts, proxyCount{known, now})
+	for len(b.counts) > 1 && now-b.counts[0].at > b.cfg.Window {
+		b.counts = b.counts[1:]
 	}
-	if len(p.counts) > 1 && p.counts[0].at > p.counts[1].at {
+	if len(b.counts) > 1 && b.counts[0].at > b.counts[1].at {
 		panic("invariant: counts out of order")
 	}
-	if !p.cfg.FirstStart && now-p.started < p.cfg.Window {
+	if !b.cfg.FirstStart && now-b.started < b.cfg.Window {
 		return 0
 	}
-	return math.Floor(p.cfg.Total / hiddenProxyFactor / float64(max(p.counts[0].n, p.cfg.MinProxies, 1)))
+	return math.Floor(b.cfg.Total / hiddenProxyFactor / float64(max(b.counts[0].n, b.cfg.MinProxies, 1)))
 }
--- a/internal/node/controlplane/outbox.go
+++ b/internal/node/controlplane/outbox.go
@@ -49,44 +49,44 @@
 	ready  chan struct{}
 }
 
-func (p *outbox) put(msg envelope.Message) (taken bool) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.closed {
+func (o *outbox) put(msg envelope.Message) (taken bool) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	if o.closed {
 		return false
 	}
-	if p.queue = append(p.queue, msg); len(p.queue) > maxOutboxMessages {
-		p.queue = p.queue[1:]
+	if o.queue = append(o.queue, msg); len(o.queue) > maxOutboxMessages {
+		o.queue = o.queue[1:]
 	}
 	select {
-	case p.ready <- struct{}{}:
+	case o.ready <- struct{}{}:
 	default:
 	}
 	return true
 }
 
 // take returns what may go in one call.
-func (p *outbox) take() (batch []envelope.Message, more bool) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+func (o *outbox) take() (batch []envelope.Message, more bool) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
 	n, size := 0, 0
-	for n < len(p.queue) {
-		size += len(chain.ContentOf(p.queue[n].Body))
+	for n < len(o.queue) {
+		size += len(chain.ContentOf(o.queue[n].Body))
 		if n > 0 && size > agentapi.MaxCallBytes {
 			break
 		}
 		n++
 	}
-	batch, p.queue = p.queue[:n:n], p.queue[n:]
-	return batch, len(p.queue) > 0
+	batch, o.queue = o.queue[:n:n], o.queue[n:]
+	return batch, len(o.queue) > 0
 }
 
 // closeIfEmpty ends the outbox if nothing waits.
-func (p *outbox) closeIfEmpty() bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.closed = len(p.queue) == 0
-	return p.closed
+func (o *outbox) closeIfEmpty() bool {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.closed = len(o.queue) == 0
+	return o.closed
 }
 
 // enqueueMessages puts messages into the outboxes of their receivers.
