--- a/internal/compat/wire_test.go
+++ b/internal/compat/wire_test.go
@@ -136,10 +136,10 @@
 	from, to := views.Member{Addr: "10.0.0.1:7080", DiskID: "0"}, views.Member{Addr: "10.0.0.2:7080", DiskID: "d2"}
 	var list []envelope.Message
 	for _, name := range names() {
-		if body, is := reflect.ValueOf(sent[name]).Elem().Interface().(envelope.Body); is {
-			value := reflect.ValueOf(sent[name]).Elem()
+		value := reflect.ValueOf(sent[name]).Elem()
+		if _, is := value.Interface().(envelope.Body); is {
 			fill(t, value, name)
-			body = value.Interface().(envelope.Body)
+			body := value.Interface().(envelope.Body)
 			list = append(list, envelope.Message{From: from, To: to, Epoch: 7, Body: body})
 		}
 	}
