--- a/internal/node/fleettest/fleet_test.go
+++ b/internal/node/fleettest/fleet_test.go
@@ -308,7 +308,7 @@
 		Until("a beat taken", func() bool { return f.beat(2, a, "s", "available", 1) == 200 })
 		Until("it remembered", func() bool {
 			f.beat(2, a, "s", "available", 2)
-			return f.shows(admin.ControlPlane, 2, "\n  1          1\n")
+			return f.shows(admin.ControlPlane, 2, "\n  1             1\n")
 		})
 		for m := 1; m <= 3; m++ {
 			f.stop(admin.ControlPlane, m)
