--- a/internal/cluster/quota/allowance.go
+++ b/internal/cluster/quota/allowance.go
@@ -74,7 +74,7 @@
 	since       int64
 	allowances  map[string]Allowance
 	leases      map[string]map[string]*leaseState // by allowance and proxy
-	proxyCounts []proxyCount                      // as in RetryBudget
+	proxyCounts recentMax                         // of proxies known
 	Spent       map[string]float64                // over all proxies, since this process holds the role
 	Asked       map[string]float64                // a second, over all proxies, recently
 }
@@ -89,7 +89,7 @@
 // known so many proxies, itself included. Its predecessor may have leased everything a moment
 // ago: nothing is granted for the duration of a lease.
 func NewLessor(now int64, cfg LeaseConfig, proxies int) *Lessor {
-	return &Lessor{cfg: cfg, since: now, proxyCounts: []proxyCount{{proxies, now}}, allowances: make(map[string]Allowance), leases: make(map[string]map[string]*leaseState),
+	return &Lessor{cfg: cfg, since: now, proxyCounts: recentMax{{proxies, now}}, allowances: make(map[string]Allowance), leases: make(map[string]map[string]*leaseState),
 		Spent: make(map[string]float64), Asked: make(map[string]float64)}
 }
 
@@ -111,14 +111,7 @@
 // hasMajority reports whether this side has most of the proxies that were known recently;
 // otherwise another side may have a lessor of its own.
 func (b *Lessor) hasMajority(now int64, proxies int) bool {
-	for len(b.proxyCounts) > 0 && b.proxyCounts[len(b.proxyCounts)-1].n <= proxies {
-		b.proxyCounts = b.proxyCounts[:len(b.proxyCounts)-1]
-	}
-	b.proxyCounts = append(b.proxyCounts, proxyCount{proxies, now})
-	for len(b.proxyCounts) > 1 && now-b.proxyCounts[0].at > b.cfg.ProxyMemory {
-		b.proxyCounts = b.proxyCounts[1:]
-	}
-	return 2*proxies > b.proxyCounts[0].n
+	return 2*proxies > b.proxyCounts.observe(now, b.cfg.ProxyMemory, proxies)
 }
 
 // ObserveProxies is to be called periodically and when proxies come or go, with the number
--- a/internal/cluster/quota/retrybudget.go
+++ b/internal/cluster/quota/retrybudget.go
@@ -21,12 +21,7 @@
 type RetryBudget struct {
 	cfg     Config
 	started int64
-	counts  []proxyCount // falling from the first on, newest last
-}
-
-type proxyCount struct {
-	n  int
-	at int64 // when it was last so many
+	counts  recentMax // of proxies known
 }
 
 // NewRetryBudget returns the budget of a process that starts now. Before a restart it may have
@@ -37,18 +32,9 @@
 // are known, this one included. If they become fewer the share grows only after a window:
 // those that are gone may have spent theirs.
 func (b *RetryBudget) Share(now int64, known int) float64 {
-	for len(b.counts) > 0 && b.counts[len(b.counts)-1].n <= known {
-		b.counts = b.counts[:len(b.counts)-1]
-	}
-	b.counts = append(b.counts, proxyCount{known, now})
-	for len(b.counts) > 1 && now-b.counts[0].at > b.cfg.Window {
-		b.counts = b.counts[1:]
-	}
-	if len(b.counts) > 1 && b.counts[0].at > b.counts[1].at {
-		panic("invariant: counts out of order")
-	}
+	proxies := b.counts.observe(now, b.cfg.Window, known)
 	if !b.cfg.FirstStart && now-b.started < b.cfg.Window {
 		return 0
 	}
-	return math.Floor(b.cfg.Total / hiddenProxyFactor / float64(max(b.counts[0].n, b.cfg.MinProxies, 1)))
+	return math.Floor(b.cfg.Total / hiddenProxyFactor / float64(max(proxies, b.cfg.MinProxies, 1)))
 }
--- a/internal/lab/measure/capacity.go
+++ b/internal/lab/measure/capacity.go
@@ -105,11 +105,11 @@
 	for i := range servers {
 		item := serverItem(i, p.Zones, w.procs[i%p.Cores].addr, 1, registry.Available)
 		for _, x := range w.procs {
-			x.kin.Store().Put(w.now, item, 0, false)
+			x.members.Store().Put(w.now, item, 0, false)
 		}
 	}
 	for _, x := range w.procs {
-		x.kin.Store().TakePending()
+		x.members.Store().TakePending()
 	}
 }
 
@@ -150,7 +150,7 @@
 	const rounds = 20
 	r := registry.New(w.procs[0].addr, 1<<40)
 	share := max(servers/p.Cores, 1)
-	book := w.procs[0].kin.Store()
+	book := w.procs[0].members.Store()
 	began := time.Now()
 	for round := range rounds {
 		for i := range share {
@@ -206,7 +206,7 @@
 		}
 	}
 	x := w.procs[0]
-	x.kin.Put(w.now, item)
+	x.members.Put(w.now, item)
 	x.soon()
 	r, _ := w.weigh(capacityNews)
 	w.watch = nil
--- a/internal/lab/measure/laggards.go
+++ b/internal/lab/measure/laggards.go
@@ -197,7 +197,7 @@
 	if len(list) == 0 || w.alone {
 		return
 	}
-	c, known := f.p.kin.Holder(outlier.Role)
+	c, known := f.p.members.Holder(outlier.Role)
 	if !known || c.Holder == f.p.addr {
 		w.given(f, f.p.addr, list)
 		return
@@ -213,7 +213,7 @@
 }
 
 func (w *laggardWorld) given(f *flock, from string, list []outlier.Evidence) {
-	epoch, holds := f.p.kin.Holds(outlier.Role)
+	epoch, holds := f.p.members.Holds(outlier.Role)
 	f.seat.SetHolder(w.now, epoch, holds)
 	if f.seat.AddEvidence(w.now, from, list) {
 		w.sit(f)
@@ -225,7 +225,7 @@
 	if f.steps || !f.p.up {
 		return
 	}
-	epoch, holds := f.p.kin.Holds(outlier.Role)
+	epoch, holds := f.p.members.Holds(outlier.Role)
 	f.seat.SetHolder(w.now, epoch, holds)
 	a, rank, say := f.seat.Step(w.now, len(w.flocks), w.members)
 	if say {
@@ -234,7 +234,7 @@
 			panic(err)
 		}
 		w.sent += len(body) * len(w.procs)
-		f.p.kin.Put(w.now, gossip.Entry{Key: groupsKey, Version: rank, Value: body})
+		f.p.members.Put(w.now, gossip.Entry{Key: groupsKey, Version: rank, Value: body})
 		f.p.soon()
 	}
 	if f.seat.Busy() {
@@ -246,7 +246,7 @@
 // holder is the mixer that holds the council.
 func (w *laggardWorld) holder() *flock {
 	for _, f := range w.flocks {
-		if _, holds := f.p.kin.Holds(outlier.Role); holds && f.p.up {
+		if _, holds := f.p.members.Holds(outlier.Role); holds && f.p.up {
 			return f
 		}
 	}
--- a/internal/lab/measure/news.go
+++ b/internal/lab/measure/news.go
@@ -48,7 +48,7 @@
 	i            int
 	addr         string
 	zone, region int
-	kin          *member.Machine
+	members      *member.Machine
 	up           bool
 	life         int
 	timer        int // the number of the timer that counts
@@ -86,8 +86,8 @@
 	}
 	p.up, p.life = true, p.life+1
 	self := gossip.Process{Addr: p.addr, Name: fmt.Sprint("m", p.i), Kind: kind, Zone: fmt.Sprint("z", p.zone), Region: fmt.Sprint("g", p.region)}
-	p.kin = member.New(p.w.now, member.DefaultConfig(p.w.duties...), self, p.w.seeds, p.w.rng)
-	p.kin.OnUpdate = func(i gossip.Entry) {
+	p.members = member.New(p.w.now, member.DefaultConfig(p.w.duties...), self, p.w.seeds, p.w.rng)
+	p.members.OnUpdate = func(i gossip.Entry) {
 		if p.w.watch != nil {
 			p.w.watch(p, i)
 		}
@@ -107,11 +107,11 @@
 	if !p.up {
 		return
 	}
-	p.kin.Tick(p.w.now)
+	p.members.Tick(p.w.now)
 	p.flush()
 	p.timer++
 	mine, life := p.timer, p.life
-	p.w.after(max(p.kin.NextTick()-p.w.now, ms), func() {
+	p.w.after(max(p.members.NextTick()-p.w.now, ms), func() {
 		if p.timer == mine && p.life == life {
 			p.step()
 		}
@@ -120,7 +120,7 @@
 
 func (p *proc) flush() {
 	w := p.w
-	out := p.kin.TakeOutput()
+	out := p.members.TakeOutput()
 	for _, n := range out.Events {
 		if n.Kind == member.ProcessDead && !w.killed[n.Process] {
 			w.false_++
@@ -129,7 +129,7 @@
 	life := p.life
 	for _, o := range out.Calls {
 		w.call(p, o.To, size(o.Request), func(q *proc) (any, int) {
-			ans := q.kin.HandleExchange(w.now, o.Request)
+			ans := q.members.HandleExchange(w.now, o.Request)
 			q.soon()
 			return ans, size(ans)
 		}, func(ans any, ok bool) {
@@ -137,7 +137,7 @@
 				return
 			}
 			a, _ := ans.(gossip.ExchangeResponse)
-			p.kin.HandleExchangeResult(w.now, o, a, ok)
+			p.members.HandleExchangeResult(w.now, o, a, ok)
 			p.flush()
 			p.soon()
 		})
@@ -151,12 +151,12 @@
 func (w *newsWorld) ask(p *proc, q failuredetector.Probe, life int) {
 	answer := func(hears, came bool) {
 		if p.life == life {
-			p.kin.HandleProbeResult(w.now, q, hears, came)
+			p.members.HandleProbeResult(w.now, q, hears, came)
 		}
 	}
 	var hears, try bool
 	w.call(p, q.To, 40, func(x *proc) (any, int) {
-		hears, try = x.kin.HandleProbe(w.now, q.About)
+		hears, try = x.members.HandleProbe(w.now, q.About)
 		return nil, 12
 	}, func(_ any, ok bool) {
 		if !ok || !try {
@@ -265,7 +265,7 @@
 	if err != nil {
 		panic(err)
 	}
-	p.kin.Put(p.w.now, gossip.Entry{Key: registry.Prefix + s.ID, Version: seq << 2, Value: body})
+	p.members.Put(p.w.now, gossip.Entry{Key: registry.Prefix + s.ID, Version: seq << 2, Value: body})
 	p.soon()
 }
 
@@ -311,7 +311,7 @@
 	seq := uint64(run + 2)
 	w.procs[w.rng.IntN(w.plan.cores())].told(server, seq, registry.Draining)
 	key := registry.Prefix + fmt.Sprint("i-", server)
-	w.spread(func(p *proc) bool { i, _ := p.kin.Store().Get(key); return i.Version >= seq<<2 }, &out.Half, &out.Reached)
+	w.spread(func(p *proc) bool { i, _ := p.members.Store().Get(key); return i.Version >= seq<<2 }, &out.Half, &out.Reached)
 }
 
 // kill ends a process without a word, and starts it anew once all know.
@@ -320,16 +320,16 @@
 	x.up, w.killed[x.addr] = false, true
 	x.life++
 	key := gossip.ProcessPrefix + x.addr
-	w.spread(func(p *proc) bool { i, known := p.kin.Store().Get(key); return known && i.Deleted() }, nil, &out.Noticed)
+	w.spread(func(p *proc) bool { i, known := p.members.Store().Get(key); return known && i.Deleted() }, nil, &out.Noticed)
 	want := 0
 	for _, p := range w.procs {
 		if p.up {
-			want = max(want, p.kin.Store().Len())
+			want = max(want, p.members.Store().Len())
 		}
 	}
 	x.start()
 	begin := w.now
-	w.until(begin+60_000*ms, func() bool { return x.kin.Store().Len() < want })
+	w.until(begin+60_000*ms, func() bool { return x.members.Store().Len() < want })
 	out.Joined = append(out.Joined, time.Duration((w.now-begin)*micro))
 	w.until(w.now+5000*ms, nil)
 	w.killed[x.addr] = false
--- a/internal/lab/testcluster/dispatch.go
+++ b/internal/lab/testcluster/dispatch.go
@@ -44,7 +44,7 @@
 const (
 	dispatchAim = 100 * time.Millisecond
 	dispatchMax = time.Second
-	settleDelay = 10 * time.Second // from a trouble on: who lags is found, what was in hand ends, and what follows is measured
+	settleDelay = 10 * time.Second // after a fault begins: outliers are found and earlier requests end before anything is measured
 )
 
 var shards = []string{"a", "b", "c", "d"}
--- a/internal/node/agentapi/feed.go
+++ b/internal/node/agentapi/feed.go
@@ -13,7 +13,7 @@
 // FeedRequest asks the agent for what changed since a count of its changes. The agent answers
 // at once if anything has, otherwise after a while (long poll).
 type FeedRequest struct {
-	Incarnation   string         `json:"life"` // of the agent, as its last answer told it
+	Incarnation   string         `json:"life"` // of the agent, from its last answer
 	Since         uint64         `json:"since"`
 	ConfigVersion uint64         `json:"rank"`           // of the configuration that the proxy holds
 	Entries       []gossip.Entry `json:"news,omitempty"` // that an agent lacks and has asked for
--- a/internal/node/cli/cli.go
+++ b/internal/node/cli/cli.go
@@ -65,7 +65,7 @@
 	Main(p)
 }
 
-// WarnOldName tells on standard error that a program has another name now.
+// WarnOldName says on standard error that a program has another name now.
 func WarnOldName(old, name string) {
 	fmt.Fprintf(os.Stderr, "%s: this program is called %s now; the old name goes with the next version\n", old, name)
 }
--- a/internal/node/controlplane/machines_test.go
+++ b/internal/node/controlplane/machines_test.go
@@ -10,7 +10,7 @@
 	"saddleport/internal/node/nodesettings"
 )
 
-// testMachines are control-plane machines that are told their settings and not run.
+// testMachines are control-plane machines that have settings and are not run.
 type testMachines struct {
 	t    *testing.T
 	dirs map[int]string // data directories
--- a/internal/node/controlplane/store_test.go
+++ b/internal/node/controlplane/store_test.go
@@ -141,7 +141,7 @@
 			return c
 		}
 		c := start(true)
-		told, known := c.node.Store.Get(agentapi.ConfigurationKey)
+		announced, known := c.node.Store.Get(agentapi.ConfigurationKey)
 		So(known, ShouldBeFalse)
 		ctx, cancel := context.WithCancel(context.Background())
 		over := make(chan struct{})
@@ -163,10 +163,10 @@
 		c = start(false)
 		defer c.store.Close()
 		So(c.replica.Chain.Stored().Version, ShouldEqual, held.Version)
-		told, known = c.node.Store.Get(agentapi.ConfigurationKey)
+		announced, known = c.node.Store.Get(agentapi.ConfigurationKey)
 		So(known, ShouldBeTrue)
-		So(told.Version, ShouldEqual, seen.Version)
-		So(string(told.Value), ShouldEqual, string(seen.Content))
+		So(announced.Version, ShouldEqual, seen.Version)
+		So(string(announced.Value), ShouldEqual, string(seen.Content))
 	})
 }
 
