--- a/internal/cluster/chain/chain.go
+++ b/internal/cluster/chain/chain.go
@@ -29,17 +29,17 @@
 // Mutations leave out one rule each, so that the model checker can show that it finds the
 // consequences. In service all are false.
 type Mutations struct {
-	AckEarly    bool // the head acknowledges what no other member stores
-	StaleRead   bool // the tail does not ask whether its view stands
-	NoSeal      bool // a member goes on in a view after it has promised another
-	ShortChain  bool // a chain may be less than half of the members
-	KeepDisk    bool // a disk that was lost votes on under its old name
-	Forget      bool // a proposer passes over what others have accepted
-	RankOnly    bool // entries are ordered by their version alone, not first by their epoch
-	SameNumber  bool // any content under a stored revision is acknowledged
-	VoteAtOnce  bool // a newcomer votes beside the one that it takes the place of
-	LeaveAtOnce bool // a member that is asked to stop ends before others have taken its place
-	JoinBehind  bool // a view is taken over without the entry that goes with it
+	AckEarly           bool // the head acknowledges what no other member stores
+	StaleRead          bool // the tail does not ask whether its view stands
+	NoSeal             bool // a member goes on in a view after it has promised another
+	ShortChain         bool // a chain may be less than half of the members
+	LostDiskVotes      bool // a disk that was lost votes on under its old name
+	IgnoreAccepted     bool // a proposer passes over what others have accepted
+	OrderByVersionOnly bool // entries are ordered by their version alone, not first by their epoch
+	IgnoreDigest       bool // any content under a stored revision is acknowledged
+	VoteAtOnce         bool // a newcomer votes beside the one that it takes the place of
+	LeaveAtOnce        bool // a member that is asked to stop ends before others have taken its place
+	AdoptWithoutEntry  bool // a view is taken over without the entry that goes with it
 }
 
 // Result is the outcome of Put or Get.
@@ -135,7 +135,7 @@
 
 // AdoptView puts a view in force. The entry that the view rests on must be stored already.
 func (m *Machine) AdoptView(now int64, v views.View) {
-	if !m.mutations.JoinBehind && m.stored.Viewstamp().Less(v.BaseViewstamp()) {
+	if !m.mutations.AdoptWithoutEntry && m.stored.Viewstamp().Less(v.BaseViewstamp()) {
 		panic(fmt.Sprintf("invariant: %s is in epoch %d and holds %+v below its base %+v", m.self, v.Epoch, m.stored.Viewstamp(), v.BaseViewstamp()))
 	}
 	m.view, m.sealed, m.inFlight = v, false, inFlightEntry{}
@@ -151,7 +151,7 @@
 
 // epoch returns the epoch under which entries are stored.
 func (m *Machine) epoch() uint64 {
-	if m.mutations.RankOnly {
+	if m.mutations.OrderByVersionOnly {
 		return 0
 	}
 	return m.view.Epoch
--- a/internal/cluster/chain/forward.go
+++ b/internal/cluster/chain/forward.go
@@ -67,7 +67,7 @@
 
 // handleForward takes an entry from the predecessor.
 func (m *Machine) handleForward(now int64, from views.Member, p Forward) {
-	if m.epochIsCurrent() && p.Version < m.stored.Version && !m.mutations.RankOnly {
+	if m.epochIsCurrent() && p.Version < m.stored.Version && !m.mutations.OrderByVersionOnly {
 		return // an older one that comes late
 	}
 	switch {
--- a/internal/cluster/chain/updates.go
+++ b/internal/cluster/chain/updates.go
@@ -65,7 +65,7 @@
 }
 
 func (m *Machine) compareDigests(sent, taken uint64) Verdict {
-	if sent == taken || m.mutations.SameNumber {
+	if sent == taken || m.mutations.IgnoreDigest {
 		return UpdateAccepted
 	}
 	return UpdateConflict
--- a/internal/cluster/consensus/decide.go
+++ b/internal/cluster/consensus/decide.go
@@ -33,7 +33,7 @@
 // entryFor returns the entry that a process lacks which stores one viewstamp and needs
 // another; nil if it lacks nothing.
 func (m *Machine) entryFor(stored, needed views.Viewstamp) *chain.Entry {
-	if !stored.Less(needed) || m.mutations.JoinBehind {
+	if !stored.Less(needed) || m.mutations.AdoptWithoutEntry {
 		return nil
 	}
 	e := m.store.Stored().WithoutKnownContent(stored)
@@ -56,7 +56,7 @@
 
 // missesEntryOf reports whether the entry that a view rests on is not stored here.
 func (m *Machine) missesEntryOf(v views.View) bool {
-	return m.store.Stored().Viewstamp().Less(v.BaseViewstamp()) && !m.mutations.JoinBehind
+	return m.store.Stored().Viewstamp().Less(v.BaseViewstamp()) && !m.mutations.AdoptWithoutEntry
 }
 
 // adopt puts a view in force here.
--- a/internal/cluster/consensus/proposer.go
+++ b/internal/cluster/consensus/proposer.go
@@ -166,7 +166,7 @@
 func (m *Machine) mostRecentAccepted() (v views.View, found bool) {
 	var best *Proposal
 	for _, p := range m.ownBallot.promises {
-		if p.Accepted != nil && !m.mutations.Forget && (best == nil || best.Ballot.Less(p.Accepted.Ballot)) {
+		if p.Accepted != nil && !m.mutations.IgnoreAccepted && (best == nil || best.Ballot.Less(p.Accepted.Ballot)) {
 			best = p.Accepted
 		}
 	}
--- a/internal/cluster/consensus/reconfigure.go
+++ b/internal/cluster/consensus/reconfigure.go
@@ -28,7 +28,7 @@
 			return false
 		}
 		stamp, joined := m.ownBallot.joinedLearners[x]
-		return !joined || stamp.Less(m.ownBallot.storedAtStart) && !m.mutations.JoinBehind
+		return !joined || stamp.Less(m.ownBallot.storedAtStart) && !m.mutations.AdoptWithoutEntry
 	})
 }
 
--- a/internal/cluster/registry/registry.go
+++ b/internal/cluster/registry/registry.go
@@ -39,11 +39,11 @@
 const (
 	Available State = iota
 	Draining
-	Silent
+	Unresponsive
 )
 
 func (s State) String() string {
-	return [...]string{"available", "draining", "silent"}[min(max(s, 0), Silent)]
+	return [...]string{"available", "draining", "silent"}[min(max(s, 0), Unresponsive)]
 }
 
 // Prefix begins the keys of servers in the gossip store.
@@ -184,7 +184,7 @@
 // before a restart: it is silent unless it sends heartbeats here or is heard elsewhere.
 func (r *Registry) Adopt(now int64, i gossip.Entry) {
 	s, err := Parse(i)
-	if err != nil || i.Deleted() || s.State == Silent || r.tracked[s.ID] != nil || len(r.tracked) >= maxServers {
+	if err != nil || i.Deleted() || s.State == Unresponsive || r.tracked[s.ID] != nil || len(r.tracked) >= maxServers {
 		return
 	}
 	r.tracked[s.ID] = &trackedServer{server: s, sequence: int64(i.Version >> versionShift), lastHeardAt: now}
@@ -217,7 +217,7 @@
 	case h == nil:
 	case i.Deleted() && i.Version >= deregisteredVersion:
 		delete(r.tracked, s.ID)
-	case (s.State == Silent || i.Deleted()) && uint64(h.sequence)<<versionShift > i.Version && now-h.lastHeardAt < r.silenceTimeout:
+	case (s.State == Unresponsive || i.Deleted()) && uint64(h.sequence)<<versionShift > i.Version && now-h.lastHeardAt < r.silenceTimeout:
 		return entryOf(h.server, uint64(h.sequence)<<versionShift), true // it is heard here
 	case s.Owner != r.self && i.Version > uint64(h.sequence)<<versionShift:
 		delete(r.tracked, s.ID) // its heartbeats go elsewhere now
@@ -230,7 +230,7 @@
 	for id, h := range r.tracked {
 		if now-h.lastHeardAt > r.silenceTimeout {
 			s := h.server
-			s.State, s.Owner = Silent, r.self
+			s.State, s.Owner = Unresponsive, r.self
 			updates = append(updates, entryOf(s, uint64(h.sequence)<<versionShift|silentBit))
 			delete(r.tracked, id)
 		}
--- a/internal/lab/modelcheck/modelcheck_test.go
+++ b/internal/lab/modelcheck/modelcheck_test.go
@@ -45,7 +45,7 @@
 	for name, breaks := range Mutants {
 		Convey("Left out: "+name, t, func() {
 			p := Plan{Machines: 3, Spare: 2, Faults: 1, Wipes: 3, Steps: 600, Breaks: breaks}
-			if breaks.RankOnly { // shown by operators and crashes alone
+			if breaks.OrderByVersionOnly { // shown by operators and crashes alone
 				p.Spare, p.Wipes = 0, 0
 			}
 			found, _, played := Search(p, max(begin[name], 1), 4000, nil)
--- a/internal/lab/modelcheck/search.go
+++ b/internal/lab/modelcheck/search.go
@@ -81,13 +81,13 @@
 	"read-without-view": {StaleRead: true},
 	"promise-unsealed":  {NoSeal: true},
 	"chain-of-a-few":    {ShortChain: true},
-	"lost-disk-votes":   {KeepDisk: true},
-	"accepted-forgot":   {Forget: true},
-	"rank-alone":        {RankOnly: true},
-	"number-alone":      {SameNumber: true},
+	"lost-disk-votes":   {LostDiskVotes: true},
+	"accepted-forgot":   {IgnoreAccepted: true},
+	"rank-alone":        {OrderByVersionOnly: true},
+	"number-alone":      {IgnoreDigest: true},
 	"vote-at-once":      {VoteAtOnce: true},
 	"leave-at-once":     {LeaveAtOnce: true},
-	"join-behind":       {JoinBehind: true},
+	"join-behind":       {AdoptWithoutEntry: true},
 }
 
 // Command is the search's command line.
--- a/internal/lab/modelcheck/world.go
+++ b/internal/lab/modelcheck/world.go
@@ -121,7 +121,7 @@
 		if n.disks == 0 && i < w.plan.Machines {
 			r.State.View = consensus.InitialView(w.first())
 		}
-		if w.plan.Breaks.KeepDisk && n.disks > 0 { // it takes itself for what it was
+		if w.plan.Breaks.LostDiskVotes && n.disks > 0 { // it takes itself for what it was
 			r.State.Self.DiskID = consensus.FirstDiskID
 			r.State.View = consensus.InitialView(w.first())
 		}
--- a/internal/node/controlplane/server.go
+++ b/internal/node/controlplane/server.go
@@ -187,7 +187,7 @@
 		s, err := registry.Parse(i)
 		switch {
 		case err != nil:
-		case s.State == registry.Silent:
+		case s.State == registry.Unresponsive:
 			if duty && now-at > removeSilentAfter.Microseconds() {
 				long = append(long, i)
 			}
--- a/internal/node/proxy/proxy.go
+++ b/internal/node/proxy/proxy.go
@@ -138,7 +138,7 @@
 	if err != nil {
 		return err
 	}
-	transport.Bounded(front, sendBufferBytes)
+	transport.LimitSendBuffer(front, sendBufferBytes)
 	readiness, err := transport.Listen(ctx, t.settings.Readiness)
 	if err != nil {
 		return err
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -34,9 +34,9 @@
 	return &net.Dialer{Timeout: within, Control: control(silence), KeepAliveConfig: keep}
 }
 
-// Bounded has a listener's connections keep at most so many bytes that their peers have not
+// LimitSendBuffer has a listener's connections keep at most so many bytes that their peers have not
 // taken: a peer that reads slowly then holds up the writer, who sees it, and not memory.
-func Bounded(ln net.Listener, bytes int) {
+func LimitSendBuffer(ln net.Listener, bytes int) {
 	if tcp, is := ln.(*net.TCPListener); is {
 		if raw, err := tcp.SyscallConn(); err == nil {
 			raw.Control(func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_SNDBUF, bytes) })
