--- a/internal/cluster/chain/chain_test.go
+++ b/internal/cluster/chain/chain_test.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	enter = envelope.Kind("enter")
-	pass  = envelope.Kind("pass")
-	lacks = envelope.Kind("lacks")
+	updateRequestKind = envelope.Kind("enter")
+	forwardKind       = envelope.Kind("pass")
+	entryMissingKind  = envelope.Kind("lacks")
 )
 
-func kind(m envelope.Message) envelope.Kind { return m.Body.Kind() }
+func kindOf(m envelope.Message) envelope.Kind { return m.Body.Kind() }
 
-// carries tells whether a message has an entry with it.
-func carries(body envelope.Body) bool {
+// carriesEntry reports whether a body carries an entry.
+func carriesEntry(body envelope.Body) bool {
 	switch b := body.(type) {
 	case UpdateRequest:
 		return b.Entry != nil
@@ -29,92 +29,94 @@
 	return false
 }
 
-// An entry goes whole to each member once, however slow the chain is, and again only to one
-// that says that it lacks it.
-func TestSentOnce(t *testing.T) {
-	Convey("Of a chain of four whose tail is silent for a while", t, func() {
+// Guards against sending large entries repeatedly over a slow chain: each member is sent the
+// complete entry once, and again only if it reports that it does not store it.
+func TestEntrySentOnce(t *testing.T) {
+	Convey("In a chain of four members", t, func() {
 		var view views.View
 		machines := make(map[views.Member]*Machine)
 		for i := range 4 {
-			x := views.Member{Addr: fmt.Sprint("m", i), DiskID: "d"}
-			view.Members = append(view.Members, x)
-			machines[x] = New(Config{RetryInterval: 500, SuspectTimeout: 1200, CallTimeout: 5000}, x, Entry{}, "n", Mutations{})
+			member := views.Member{Addr: fmt.Sprint("m", i), DiskID: "d"}
+			view.Members = append(view.Members, member)
+			machines[member] = New(Config{RetryInterval: 500, SuspectTimeout: 1200, CallTimeout: 5000}, member, Entry{}, "n", Mutations{})
 		}
 		view.Epoch, view.Chain = 1, view.Members
-		now, whole := int64(1000), make(map[envelope.Kind]int)
+		now, fullSends := int64(1000), make(map[envelope.Kind]int)
 		var results []Result
-		lost := func(envelope.Message) bool { return false }
+		isLost := func(envelope.Message) bool { return false }
 		run := func(until int64) {
 			for ; now < until; now += 50 {
 				for more := true; more; {
 					more = false
-					for _, x := range view.Members {
-						msgs, told := machines[x].TakeOutput()
-						results = append(results, told...)
+					for _, member := range view.Members {
+						msgs, answered := machines[member].TakeOutput()
+						results = append(results, answered...)
 						for _, msg := range msgs {
-							if carries(msg.Body) && msg.From != msg.To {
-								whole[msg.Body.Kind()]++
+							if carriesEntry(msg.Body) && msg.From != msg.To {
+								fullSends[msg.Body.Kind()]++
 							}
-							if more = true; !lost(msg) {
+							if more = true; !isLost(msg) {
 								machines[msg.To].Step(now, msg)
 							}
 						}
 					}
 				}
-				for _, x := range view.Members {
-					machines[x].Tick(now)
+				for _, member := range view.Members {
+					machines[member].Tick(now)
 				}
 			}
 		}
-		for _, x := range view.Members {
-			machines[x].AdoptView(now, view)
+		for _, member := range view.Members {
+			machines[member].AdoptView(now, view)
 		}
 		entry := NewEntry(3, []byte("three"))
 		caller := machines[view.Members[2]]
-		Convey("each is sent it once, and the caller is answered", func() {
-			lost = func(m envelope.Message) bool { return now < 2500 && m.From == view.Tail() }
+		Convey("each member is sent the entry once and the caller is answered, although the messages of the tail are lost for a while", func() {
+			isLost = func(m envelope.Message) bool { return now < 2500 && m.From == view.Tail() }
 			caller.Put(now, entry)
 			run(2500)
 			So(results, ShouldBeEmpty)
 			run(4000)
 			So(results, ShouldHaveLength, 1)
 			So(results[0].OK(), ShouldBeTrue)
-			So(whole, ShouldResemble, map[envelope.Kind]int{enter: 1, pass: 3})
+			So(fullSends, ShouldResemble, map[envelope.Kind]int{updateRequestKind: 1, forwardKind: 3})
 			So(machines[view.Tail()].Stored().Digest, ShouldEqual, entry.Digest)
 		})
-		Convey("one that answers no rank is sent it whole now and then", func() {
-			lost = func(m envelope.Message) bool {
-				return kind(m) == pass && m.To == view.Tail() && (!carries(m.Body) || now < 2000) || kind(m) == lacks
+		Convey("a member that does not answer sends of the version alone is sent the complete entry occasionally", func() {
+			isLost = func(m envelope.Message) bool {
+				return kindOf(m) == forwardKind && m.To == view.Tail() && (!carriesEntry(m.Body) || now < 2000) || kindOf(m) == entryMissingKind
 			}
 			caller.Put(now, entry)
 			run(5000)
 			So(results, ShouldHaveLength, 1)
 			So(results[0].OK(), ShouldBeTrue)
-			So(whole[pass], ShouldBeBetweenOrEqual, 4, 9) // a round of three each two seconds
+			So(fullSends[forwardKind], ShouldBeBetweenOrEqual, 4, 9) // three complete sends, one per hop, every two seconds
 		})
-		Convey("what was lost on its way is asked for", func() {
-			lost = func(m envelope.Message) bool { return now < 1400 && (kind(m) == pass || kind(m) == enter) }
+		Convey("an entry that was lost is requested again", func() {
+			isLost = func(m envelope.Message) bool {
+				return now < 1400 && (kindOf(m) == forwardKind || kindOf(m) == updateRequestKind)
+			}
 			caller.Put(now, entry)
 			run(4000)
 			So(results, ShouldHaveLength, 1)
 			So(results[0].OK(), ShouldBeTrue)
-			So(whole[enter], ShouldEqual, 2)
-			So(whole[pass], ShouldEqual, 3)
+			So(fullSends[updateRequestKind], ShouldEqual, 2)
+			So(fullSends[forwardKind], ShouldEqual, 3)
 		})
-		Convey("a member that held it alone in an earlier view passes on what its head asks for", func() {
+		Convey("a member that stored the entry in an earlier view forwards it when the head confirms it in the new one", func() {
 			machines[view.Members[0]].Store(entry)
 			machines[view.Members[2]].Store(entry)
 			view.Epoch = 2
-			for _, x := range view.Members {
-				machines[x].AdoptView(now, view)
+			for _, member := range view.Members {
+				machines[member].AdoptView(now, view)
 			}
 			caller.Put(now, entry)
 			run(4000)
 			So(results, ShouldHaveLength, 1)
 			So(results[0].OK(), ShouldBeTrue)
-			for _, x := range view.Members {
-				So(machines[x].Stored().Digest, ShouldEqual, entry.Digest)
-				So(machines[x].Stored().Epoch, ShouldEqual, uint64(2))
+			for _, member := range view.Members {
+				So(machines[member].Stored().Digest, ShouldEqual, entry.Digest)
+				So(machines[member].Stored().Epoch, ShouldEqual, uint64(2))
 			}
 		})
 	})
--- a/internal/cluster/chain/entry.go
+++ b/internal/cluster/chain/entry.go
@@ -10,20 +10,21 @@
 	"saddleport/internal/cluster/views"
 )
 
-// DigestBits is the number of bits of a version below its revision.
+// DigestBits is the number of low bits of a version that are taken from the digest of the content.
+// The revision is in the bits above.
 const DigestBits = 16
 
-// MaxPrevious is how many earlier revisions an entry names.
+// MaxPrevious is the maximum number of earlier revisions that an entry lists.
 const MaxPrevious = 64
 
-// MaxRevision is the highest revision that a version has room for.
+// MaxRevision is the highest revision that fits into a version.
 const MaxRevision = 1<<47 - 1
 
 // RevisionOf returns the operator's revision number in a version.
 func RevisionOf(version uint64) uint64 { return version >> DigestBits }
 
-// PastRevision is what is remembered of a configuration that was replaced: its revision, and a
-// digest of its content.
+// PastRevision records a configuration that was replaced: its revision and the digest of its
+// content.
 type PastRevision struct {
 	Revision uint64 `json:"v"`
 	Digest   uint64 `json:"d"`
@@ -33,27 +34,27 @@
 type Entry struct {
 	Epoch          uint64         // of the view whose head last confirmed it
 	Version        uint64         // the revision in the high bits, bits of the digest in the low ones
-	Digest         uint64         // of the content
+	Digest         uint64         // of Content
 	Content        []byte         // as the operator sent it
-	Previous       []PastRevision // the entries before it, the newest last, at most MaxPrevious
-	HistoryDigest  uint64         // of its content and of all entries before it
-	ContentOmitted bool           // the receiver stores the content already
+	Previous       []PastRevision // the entries that it replaced, the newest last, at most MaxPrevious
+	HistoryDigest  uint64         // of its content and of all entries that it replaced
+	ContentOmitted bool           // Content was left out: the receiver stores it already
 }
 
-// NewEntry makes an entry of a configuration that an operator has sent.
+// NewEntry returns the entry of a configuration that an operator has sent.
 func NewEntry(revision uint64, content []byte) Entry {
 	sum := sha256.Sum256(content)
 	digest := binary.BigEndian.Uint64(sum[:])
 	return Entry{Version: revision<<DigestBits | digest>>(64-DigestBits), Digest: digest, Content: content}
 }
 
-// Viewstamp returns the entry's place in the order of entries.
+// Viewstamp returns the viewstamp that orders the entry among others.
 func (e Entry) Viewstamp() views.Viewstamp {
 	return views.Viewstamp{Epoch: e.Epoch, Version: e.Version, HistoryDigest: e.HistoryDigest}
 }
 
-// WithoutKnownContent returns the entry as it is sent to a process that stores something of a
-// viewstamp: without its content if that is the same.
+// WithoutKnownContent returns the entry as it is sent to a process whose stored entry has the given
+// viewstamp: without its content if that process stores the same entry.
 func (e Entry) WithoutKnownContent(stored views.Viewstamp) Entry {
 	if e.Matches(stored.Version, stored.HistoryDigest) {
 		return Entry{Epoch: e.Epoch, Version: e.Version, HistoryDigest: e.HistoryDigest, ContentOmitted: true}
@@ -61,13 +62,13 @@
 	return e
 }
 
-// Matches reports whether an entry has a version and a history. One content may be accepted
-// twice, by the heads of two views, after different entries: then it is not the same entry.
+// Matches reports whether the entry has the given version and history digest. The heads of two
+// views may accept the same content after different entries; these are then different entries.
 func (e Entry) Matches(version, historyDigest uint64) bool {
 	return e.Version == version && e.HistoryDigest == historyDigest
 }
 
-// Following returns the entry as the successor of another one, in an epoch.
+// Following returns the entry as the one that replaces previous in an epoch.
 func (e Entry) Following(previous Entry, epoch uint64) Entry {
 	e.Epoch = epoch
 	e.HistoryDigest = digestHistory(previous.HistoryDigest, e.Version, e.Digest)
@@ -81,18 +82,20 @@
 	return e
 }
 
-func digestHistory(before, version, digest uint64) uint64 {
+// digestHistory returns the history digest of an entry that follows one whose history digest is
+// previous.
+func digestHistory(previous, version, digest uint64) uint64 {
 	var b [24]byte
-	binary.BigEndian.PutUint64(b[:], before)
+	binary.BigEndian.PutUint64(b[:], previous)
 	binary.BigEndian.PutUint64(b[8:], version)
 	binary.BigEndian.PutUint64(b[16:], digest)
 	sum := sha256.Sum256(b[:])
 	return binary.BigEndian.Uint64(sum[:])
 }
 
-// entryJSON is the stored and sent form of an entry. Content that is text stands as text, so
-// that a compressor sees its repetitions; other content, and what earlier releases stored,
-// as base64.
+// entryJSON is the form of an entry on disk and on the wire. Content that is valid UTF-8 is written
+// as text, so that a compressor can find its repetitions. Other content, and all content that
+// earlier releases have stored, is in base64.
 type entryJSON struct {
 	Epoch          uint64         `json:"e,omitempty"`
 	Version        uint64         `json:"r"`
@@ -104,7 +107,7 @@
 	ContentOmitted bool           `json:"h,omitempty"`
 }
 
-// MarshalJSON keeps every byte of the content.
+// MarshalJSON implements json.Marshaler. It preserves every byte of the content.
 func (e Entry) MarshalJSON() ([]byte, error) {
 	form := entryJSON{Epoch: e.Epoch, Version: e.Version, Digest: e.Digest, Previous: e.Previous, HistoryDigest: e.HistoryDigest, ContentOmitted: e.ContentOmitted}
 	if utf8.Valid(e.Content) {
@@ -115,7 +118,7 @@
 	return json.Marshal(form)
 }
 
-// UnmarshalJSON reads both forms of the content.
+// UnmarshalJSON implements json.Unmarshaler. It reads both forms of the content.
 func (e *Entry) UnmarshalJSON(text []byte) error {
 	var form entryJSON
 	if err := json.Unmarshal(text, &form); err != nil {
--- a/internal/cluster/chain/forward.go
+++ b/internal/cluster/chain/forward.go
@@ -6,16 +6,17 @@
 	"saddleport/internal/cluster/views"
 )
 
-// inFlightEntry is the entry that was forwarded to the successor and is not acknowledged.
+// inFlightEntry is the entry that was forwarded to the successor and is not yet acknowledged.
 type inFlightEntry struct {
 	active           bool
 	entry            Entry
-	firstVersion     uint64 // the version that was in flight when progress was last made
+	firstVersion     uint64 // the version that was in flight when the successor last made progress
 	progressAt       int64
 	sentAt           int64
-	versionOnlySends int // sends of the version alone since the complete entry was sent
+	versionOnlySends int // sends since the complete entry was last sent
 }
 
+// chainIndex returns the index of this member in the chain; -1 if it is not in it.
 func (m *Machine) chainIndex() int { return slices.Index(m.view.Chain, m.self) }
 
 // successor returns the next member of the chain, if there is one.
@@ -27,8 +28,8 @@
 }
 
 func (m *Machine) isSuccessor(x views.Member) bool {
-	n, ok := m.successor()
-	return ok && n == x
+	next, ok := m.successor()
+	return ok && next == x
 }
 
 func (m *Machine) isPredecessor(x views.Member) bool {
@@ -36,9 +37,9 @@
 	return i > 0 && m.view.Chain[i-1] == x
 }
 
-// forwardEntry sends the stored entry on along the chain; the tail acknowledges it. If the
-// successor likely stores it, only its version is sent, and a successor that lacks it says so:
-// entries are large, and links and machines may be slow.
+// forwardEntry forwards the stored entry to the successor; the tail acknowledges it instead. If the
+// successor likely stores the entry, only its version is sent, and a successor that does not store
+// it answers with EntryMissing: entries are large, and links and machines may be slow.
 func (m *Machine) forwardEntry(now int64, likelyStored bool) {
 	if _, ok := m.successor(); !ok {
 		m.markAcknowledged(now, m.stored.Version)
@@ -54,47 +55,50 @@
 	}
 }
 
+// sendInFlight sends the entry in flight to the successor, or only its version if the successor
+// likely stores it. Every maxVersionOnlySends sends, the complete entry is sent in any case.
 func (m *Machine) sendInFlight(now int64, likelyStored bool) {
-	n, _ := m.successor()
+	next, _ := m.successor()
 	e := m.inFlight.entry
 	m.inFlight.sentAt = now
 	body := Forward{Version: e.Version, HistoryDigest: e.HistoryDigest}
 	if m.inFlight.versionOnlySends++; !likelyStored || m.inFlight.versionOnlySends >= maxVersionOnlySends {
 		body.Entry, m.inFlight.versionOnlySends = &e, 0
 	}
-	m.send(n, body)
+	m.send(next, body)
 }
 
-// handleForward takes an entry from the predecessor.
-func (m *Machine) handleForward(now int64, from views.Member, p Forward) {
-	if m.epochIsCurrent() && p.Version < m.stored.Version && !m.mutations.OrderByVersionOnly {
-		return // an older one that comes late
+// handleForward handles an entry that the predecessor has forwarded.
+func (m *Machine) handleForward(now int64, from views.Member, forward Forward) {
+	if m.epochIsCurrent() && forward.Version < m.stored.Version && !m.mutations.OrderByVersionOnly {
+		return // a delayed message with an older entry
 	}
 	switch {
-	case m.inFlight.active && m.inFlight.entry.Matches(p.Version, p.HistoryDigest): // in flight already, and retried from here
-	case p.Entry != nil:
-		e := *p.Entry
+	case m.inFlight.active && m.inFlight.entry.Matches(forward.Version, forward.HistoryDigest): // already in flight; this member repeats it itself
+	case forward.Entry != nil:
+		e := *forward.Entry
 		e.Epoch = m.epoch()
 		m.Store(e)
 		m.acceptForward(now, false)
-	case m.stored.Matches(p.Version, p.HistoryDigest):
+	case m.stored.Matches(forward.Version, forward.HistoryDigest):
 		m.acceptForward(now, true)
 	default:
-		m.send(from, EntryMissing{Version: p.Version})
+		m.send(from, EntryMissing{Version: forward.Version})
 	}
 }
 
+// acceptForward confirms the stored entry under the current epoch and forwards it.
 func (m *Machine) acceptForward(now int64, likelyStored bool) {
 	m.stampEpoch()
 	m.forwardEntry(now, likelyStored)
 	m.answerQueries()
 }
 
-// markAcknowledged notes that every member from here to the tail stores a version, and informs
-// the predecessor.
+// markAcknowledged records that every member from this one to the tail stores a version. It informs
+// the predecessor or, at the head, answers the updates that wait for the version.
 func (m *Machine) markAcknowledged(now int64, version uint64) {
 	if !m.epochIsCurrent() || version > m.stored.Version {
-		return // nothing may be acknowledged that this member does not store
+		return // a member may acknowledge only an entry that it stores itself
 	}
 	if version >= m.inFlight.entry.Version {
 		m.inFlight = inFlightEntry{versionOnlySends: m.inFlight.versionOnlySends}
@@ -109,10 +113,10 @@
 	m.answerUpdates()
 }
 
-// retryForward sends the entry in flight again, and suspects a successor that makes no
-// progress.
+// retryForward sends the entry in flight again after a retry interval, and suspects a successor
+// that makes no progress.
 func (m *Machine) retryForward(now int64) {
-	n, ok := m.successor()
+	next, ok := m.successor()
 	if !ok || !m.inFlight.active || m.sealed {
 		return
 	}
@@ -120,6 +124,6 @@
 		m.sendInFlight(now, true)
 	}
 	if now-m.inFlight.progressAt >= m.cfg.SuspectTimeout {
-		m.suspect = Suspect{Member: n, MissingVersion: m.inFlight.firstVersion}
+		m.suspect = Suspect{Member: next, MissingVersion: m.inFlight.firstVersion}
 	}
 }
--- a/internal/cluster/chain/messages.go
+++ b/internal/cluster/chain/messages.go
@@ -10,16 +10,16 @@
 
 // The verdicts.
 const (
-	Undecided        Verdict = iota // the outcome is not known
-	UpdateAccepted                  // in force as sent, or was in force until a newer revision came
-	UpdateSuperseded                // a newer revision is in force; the content of its own revision is no longer known
-	UpdateConflict                  // other content was accepted under the same revision
+	Undecided        Verdict = iota // the outcome is unknown
+	UpdateAccepted                  // the content is in force, or was until a newer revision replaced it
+	UpdateSuperseded                // a newer revision is in force; what was accepted under this one is no longer known
+	UpdateConflict                  // different content was accepted under the same revision
 )
 
 // The messages of chain replication.
 type (
-	// UpdateRequest asks the head to accept an entry. Without the entry it asks again about
-	// one that the head was sent before.
+	// UpdateRequest asks the head to accept an entry. Without the entry it repeats a request
+	// whose entry was sent to the head before.
 	UpdateRequest struct {
 		ID      string `json:"i"`
 		Version uint64 `json:"r"`
@@ -32,8 +32,8 @@
 		Verdict Verdict `json:"v"`
 		Reason  string  `json:"y,omitempty"` // why the verdict is Undecided
 	}
-	// Forward passes an entry to the successor in the chain. Without the entry the successor
-	// most likely stores it already.
+	// Forward sends an entry to the successor in the chain. The entry itself is left out if the
+	// successor most likely stores it already.
 	Forward struct {
 		Version       uint64 `json:"r"`
 		HistoryDigest uint64 `json:"l"`
@@ -44,8 +44,8 @@
 	Acknowledge struct {
 		Version uint64 `json:"r"`
 	}
-	// EntryMissing informs the predecessor that the sender does not store the entry that was
-	// forwarded by its version alone.
+	// EntryMissing informs the predecessor that the sender does not store the entry of which
+	// only the version was forwarded.
 	EntryMissing struct {
 		Version uint64 `json:"r"`
 	}
@@ -59,7 +59,7 @@
 		Entry  *Entry `json:"n,omitempty"`
 		Reason string `json:"y,omitempty"` // why there is no entry
 	}
-	// ConfirmView asks a member whether it still is in the sender's view.
+	// ConfirmView asks a member whether the sender's view is still its current one.
 	ConfirmView struct {
 		ID string `json:"i"`
 	}
@@ -91,15 +91,15 @@
 func (Repair) Kind() envelope.Kind         { return "repair" }
 func (RequestPending) Kind() envelope.Kind { return "waiting" }
 
-// EntryCarrier is a body that may bring an entry. The codec sends the entry's content
-// apart from the rest of the message.
+// EntryCarrier is a body that may carry an entry. The codec writes the entry's content
+// separately from the rest of the message.
 type EntryCarrier interface {
 	envelope.Body
 	AttachedEntry() *Entry                // nil: none
 	WithEntry(entry *Entry) envelope.Body // a copy of the body with another entry
 }
 
-// ContentOf returns the configuration that a message brings with it, nil if it brings none.
+// ContentOf returns the content of the entry that a body carries; nil if it carries none.
 func ContentOf(body envelope.Body) []byte {
 	carrier, ok := body.(EntryCarrier)
 	if !ok || carrier.AttachedEntry() == nil {
