--- a/internal/cluster/consensus/acceptor.go
+++ b/internal/cluster/consensus/acceptor.go
@@ -21,8 +21,9 @@
 	m.send(msg.From, msg.Epoch, m.promise(p.Ballot, p.Viewstamp))
 }
 
-// answerAsLearner answers a proposer that wants to give this process a vote. Once this step is
-// durable the process stores what the proposer stores.
+// answerAsLearner answers a proposer that is about to give this process a vote. It stores the
+// entry that the message carries, so that after this step this process stores an entry at least
+// as new as the proposer's.
 func (m *Machine) answerAsLearner(msg envelope.Message, p Prepare) {
 	if p.Entry != nil {
 		m.store.Store(*p.Entry)
@@ -41,16 +42,16 @@
 	if a.Entry != nil {
 		m.store.Store(*a.Entry)
 	}
-	if m.missesEntryOf(a.View) {
-		m.send(msg.From, msg.Epoch, m.promise(a.Ballot, a.Viewstamp)) // it brings the entry
+	if m.lacksBaseEntry(a.View) {
+		m.send(msg.From, msg.Epoch, m.promise(a.Ballot, a.Viewstamp)) // the proposer answers with the missing entry
 		return
 	}
 	m.Accepted, m.changed = &Proposal{Ballot: a.Ballot, View: a.View}, true
 	m.send(msg.From, msg.Epoch, Accepted{Ballot: a.Ballot})
 }
 
-// admitBallot promises a ballot. It returns false if the ballot is not for this process, not
-// for the next epoch, or lower than one that was promised.
+// admitBallot promises ballot b. It returns false if this process has no vote, if the ballot is
+// not for the next epoch, or if it is lower than the promised one.
 func (m *Machine) admitBallot(now int64, msg envelope.Message, b Ballot, proposer views.Viewstamp) bool {
 	switch {
 	case m.View.Epoch == 0:
@@ -58,7 +59,7 @@
 	case msg.Epoch <= m.View.Epoch: // the proposer is behind
 		m.sendView(msg.From, proposer)
 		return false
-	case msg.Epoch > m.View.Epoch+1: // we are: a heartbeat brings what is lacking
+	case msg.Epoch > m.View.Epoch+1: // this process is behind: the heartbeat makes the proposer send its view
 		m.send(msg.From, m.View.Epoch, m.heartbeat(now))
 		return false
 	case !m.IsMember():
@@ -77,14 +78,16 @@
 	return true
 }
 
-// backOff leaves another proposer the time of a ballot, and later members of the view a little
-// more: two proposers that keep outbidding each other would never finish.
+// backOff keeps this member from proposing while another proposer's ballot may still complete:
+// for one ballot timeout, and a quarter of it more for each member before it in the view. Two
+// proposers that keep outbidding each other would never finish.
 func (m *Machine) backOff(now int64) {
-	place := max(slices.Index(m.View.Members, m.Self), 0)
-	m.backoffUntil = now + m.cfg.BallotTimeout + int64(place)*m.cfg.BallotTimeout/4
+	position := max(slices.Index(m.View.Members, m.Self), 0)
+	m.backoffUntil = now + m.cfg.BallotTimeout + int64(position)*m.cfg.BallotTimeout/4
 }
 
-// promise answers a proposer, and brings the entry if the proposer's is older.
+// promise returns the answer to a proposer. It carries the stored entry if the proposer's entry
+// is older.
 func (m *Machine) promise(b Ballot, proposer views.Viewstamp) Promise {
 	stored := m.store.Stored()
 	p := Promise{Ballot: b, Viewstamp: stored.Viewstamp(), Accepted: m.Accepted}
--- a/internal/cluster/consensus/ballot.go
+++ b/internal/cluster/consensus/ballot.go
@@ -8,12 +8,12 @@
 	Proposer string `json:"b"`
 }
 
-// Less orders ballots.
+// Less reports whether b precedes o.
 func (b Ballot) Less(o Ballot) bool {
 	return b.Number < o.Number || b.Number == o.Number && b.Proposer < o.Proposer
 }
 
-// Proposal is a view under a ballot.
+// Proposal is a view that was proposed under a ballot.
 type Proposal struct {
 	Ballot Ballot     `json:"b"`
 	View   views.View `json:"v"`
--- a/internal/cluster/consensus/consensus.go
+++ b/internal/cluster/consensus/consensus.go
@@ -3,22 +3,21 @@
 // on the next one by Paxos, one instance an epoch: a majority must promise a ballot and a
 // majority must accept it.
 //
-// The package owns who may vote. A machine whose disk was lost comes back as another member
-// and votes only once a view includes it, so nothing that was promised can be forgotten into a
-// second majority. It never decides what a configuration says, and there are never two views
-// of one epoch.
+// The package alone decides who may vote. A machine that has lost its disk returns as another
+// member and votes only once a view includes that member: if it voted as before, the promises
+// lost with the disk would allow a second, conflicting majority. The package never decides what
+// a configuration contains, and an epoch never has two views.
 //
-// The number of voters is odd and stays so. A process without a vote is a learner: it is sent
-// the configuration and waits. It gets a vote in the same agreement that takes another
-// member's away, or together with a second learner while there are fewer voters than
-// configured.
+// The number of voters is kept odd. A process without a vote is a learner: it receives the
+// configuration and waits. It gets a vote in the same agreement that removes another member's
+// vote, or together with a second learner while there are fewer voters than configured.
 //
-// Each view carries the newest entry that was reported by the majority which promised it, and
-// every member of the view stores that entry. A chain is more than half of its voters, so the
-// entry is at least as new as anything that was ever acknowledged.
+// Each view is based on the newest entry that was reported by the majority which promised the
+// view, and every member of the view stores that entry. A chain consists of more than half of
+// the voters, so the entry is at least as new as every entry that was ever acknowledged.
 //
-// The machine does no I/O and reads no clock. What TakeMessages returns may be sent only once
-// the state that TakeChanged reports is durable.
+// The machine does no I/O and reads no clock. The messages that TakeMessages returns may be
+// sent only once the state whose change TakeChanged reports is durable.
 package consensus
 
 import (
@@ -32,18 +31,19 @@
 
 // Config tunes the agreement. Times are microseconds of the caller's clock.
 type Config struct {
-	HeartbeatInterval int64 // between two heartbeats
-	FailureTimeout    int64 // a member that was silent for longer is not alive
-	SuspicionTimeout  int64 // how long a suspected member stays out of the chain
+	HeartbeatInterval int64 // time between two heartbeats
+	FailureTimeout    int64 // a member that was not heard for this long is not alive
+	SuspicionTimeout  int64 // how long a suspected member is excluded from the chain
 	RejoinDelay       int64 // how long a member must be alive before it enters the chain
-	ProposerStagger   int64 // between the turns of the members to propose
-	BallotTimeout     int64 // a ballot that is not decided by then has failed
-	MinViewAge        int64 // for so long after a view change only a loss causes another
-	Voters            int   // wanted number of voters; odd
-	MaxLearners       int   // learners that are remembered
+	ProposerStagger   int64 // delay between the members' turns to propose
+	BallotTimeout     int64 // a ballot that is not decided after this time has failed
+	MinViewAge        int64 // for this long after a view change, only the loss of a chain member causes another one
+	Voters            int   // configured number of voters; odd
+	MaxLearners       int   // maximum number of learners that are tracked
 }
 
-// State must be durable before any message that was produced with it is sent.
+// State is the durable state of a Machine. It must be stored durably before any message that was
+// produced with it is sent.
 type State struct {
 	Self     views.Member `json:"self"`
 	View     views.View   `json:"view"`
@@ -59,33 +59,34 @@
 	Seal()
 }
 
-// Machine is the agreement as one process sees it. It is not safe for concurrent use.
+// Machine is one process's part in the agreement. It is not safe for concurrent use.
 type Machine struct {
 	State
 	cfg       Config
 	mutations chain.Mutations
 	store     EntryStore
-	changed   bool // the state, since it was last asked
+	changed   bool // whether State has changed since the last call of TakeChanged
 
 	peers           peers
 	suspicions      suspicions
 	leaving         bool
-	adoptedAt       int64 // when the view in force was
-	sealedAt        int64
-	changeDueSince  int64 // the view is to be changed; 0: it is not
-	backoffUntil    int64 // another's ballot is given its time
-	ownBallot       *ballotState
-	highestBallot   uint64 // ballot number seen
+	adoptedAt       int64        // when the current view was adopted
+	sealedAt        int64        // when the current view was sealed; 0: it is not
+	changeDueSince  int64        // when a view change became due; 0: none is due
+	backoffUntil    int64        // no ballot is started before this time
+	ownBallot       *ballotState // the ballot that this process leads; nil: none
+	highestBallot   uint64       // highest ballot number seen
 	lastHeartbeatAt int64
 	seeds           []string // addresses to ask for a vote
 	outbox          []envelope.Message
 }
 
-// FirstDiskID names the disks of the machines of the first view.
+// FirstDiskID is the disk ID of every member of the initial view.
 const FirstDiskID = "0"
 
-// InitialView returns the view that all processes start from when the system starts for
-// the first time: an odd number of the machines that the settings name as seeds.
+// InitialView returns the view from which all processes start when the system starts for the
+// first time. Its members are the seed addresses in the settings, without duplicates; if their
+// number is even, the last one in sorted order is left out.
 func InitialView(addrs []string) views.View {
 	sorted := slices.Clone(addrs)
 	slices.Sort(sorted)
@@ -101,8 +102,8 @@
 	return v
 }
 
-// New returns the agreement of a process whose disk holds a state. A process that is no member
-// asks the seeds for a vote.
+// New returns the machine of a process whose disk stores state s. A process that is not a
+// member asks the seeds for a vote.
 func New(now int64, cfg Config, s State, seeds []string, store EntryStore, mutations chain.Mutations) *Machine {
 	m := &Machine{State: s, cfg: cfg, store: store, mutations: mutations, seeds: seeds, adoptedAt: now,
 		peers: newPeers(now, cfg), suspicions: newSuspicions(cfg)}
@@ -123,21 +124,22 @@
 	return changed
 }
 
-// TakeMessages returns the messages to send. They may go out only once the state is durable.
+// TakeMessages returns the messages to send since the last call. They may be sent only once the
+// state is durable.
 func (m *Machine) TakeMessages() []envelope.Message {
 	out := m.outbox
 	m.outbox = nil
 	return out
 }
 
-// IsMember reports whether this process has a vote in the view that it knows.
+// IsMember reports whether this process has a vote in the current view.
 func (m *Machine) IsMember() bool { return m.View.Has(m.Self) }
 
-// SetSeeds sets further addresses at which to ask for a vote.
+// SetSeeds sets the addresses that are contacted while this process has no vote or no quorum.
 func (m *Machine) SetSeeds(addrs []string) { m.seeds = addrs }
 
-// HasQuorum reports whether a majority of the view, this process included, was heard within
-// the failure timeout.
+// HasQuorum reports whether a majority of the view's members, this process included if it is
+// one, was heard within the failure timeout.
 func (m *Machine) HasQuorum(now int64) bool {
 	n := 0
 	for _, x := range m.View.Members {
@@ -148,8 +150,8 @@
 	return m.View.Epoch > 0 && n >= m.View.Majority()
 }
 
-// PeersWithQuorum returns the other processes that have recently said that they have a quorum,
-// members first.
+// PeersWithQuorum returns the other processes that have recently reported a quorum and are not
+// leaving, members first.
 func (m *Machine) PeersWithQuorum(now int64) (out []views.Member) {
 	for _, x := range append(slices.Clone(m.View.Members), m.Learners(now)...) {
 		if x != m.Self && m.peers.recentlyHeard(now, x) && m.peers.states[x].hasQuorum && !m.isLeaving(x) {
@@ -165,16 +167,17 @@
 	return m.peers.states[x].viewstamp, m.peers.recentlyHeard(now, x)
 }
 
-// Learners returns the processes that have recently asked for a vote.
+// Learners returns the non-members that have asked for a vote within the failure timeout.
 func (m *Machine) Learners(now int64) []views.Member { return m.peers.recentLearners(now, m.View) }
 
-// Alive reports whether a member was heard within the failure timeout. This process always is.
-// After a start all members are given that time to be heard.
+// Alive reports whether a member was heard within the failure timeout. This process is always
+// alive. For one failure timeout after a start, every member is taken to be alive.
 func (m *Machine) Alive(now int64, x views.Member) bool {
-	return x == m.Self || m.peers.silentFor(now, x) < m.cfg.FailureTimeout
+	return x == m.Self || m.peers.timeSinceHeard(now, x) < m.cfg.FailureTimeout
 }
 
-// eligible reports whether a member may be in the chain.
+// eligible reports whether a member may be in the chain: it is alive, not suspected and not
+// leaving.
 func (m *Machine) eligible(now int64, x views.Member) bool {
 	return m.Alive(now, x) && !m.suspicions.suspected(now, x) && !m.isLeaving(x)
 }
@@ -201,7 +204,7 @@
 func IsConsensusMessage(body envelope.Body) bool { return !chain.IsChainMessage(body) }
 
 // HandleMisaddressed answers a message that was sent to a disk which this machine no longer
-// has.
+// has. The answer, a Join, carries the ID of the disk that it has now.
 func (m *Machine) HandleMisaddressed(from views.Member) { m.send(from, m.View.Epoch, m.join()) }
 
 func (m *Machine) join() Join {
@@ -212,16 +215,16 @@
 	return Heartbeat{Viewstamp: m.store.Stored().Viewstamp(), HasQuorum: m.HasQuorum(now), Leaving: m.leaving}
 }
 
-// ObserveChainMessage takes a message of the chain as a sign of life, and as a hint that its
-// sender has an older or newer view.
+// ObserveChainMessage records that the sender of a chain message is alive, and compares the
+// message's epoch with the current one: the sender may have an older or newer view.
 func (m *Machine) ObserveChainMessage(now int64, msg envelope.Message) {
 	m.peers.observe(now, msg, m.View)
 	if msg.Epoch > 0 && m.View.Epoch > 0 {
-		m.compareViews(now, msg, m.peers.states[msg.From].viewstamp) // a message of the chain does not say
+		m.compareViews(now, msg, m.peers.states[msg.From].viewstamp) // chain messages carry no viewstamp of the sender's entry
 	}
 }
 
-// Step handles a message of the agreement.
+// Step handles a message of this package.
 func (m *Machine) Step(now int64, msg envelope.Message) {
 	if msg.From == m.Self {
 		return
@@ -280,10 +283,11 @@
 	if m.IsMember() && m.HasQuorum(now) {
 		return
 	}
-	// Those that this process takes for members may all be gone by now: others know.
+	// The members that this process knows may all have been replaced; the seeds may know the
+	// current ones.
 	for _, addr := range m.seeds {
-		known := func(x views.Member) bool { return x.Addr == addr }
-		if addr != m.Self.Addr && !slices.ContainsFunc(m.View.Members, known) {
+		hasAddr := func(x views.Member) bool { return x.Addr == addr }
+		if addr != m.Self.Addr && !slices.ContainsFunc(m.View.Members, hasAddr) {
 			m.send(views.Member{Addr: addr}, m.View.Epoch, announcement)
 		}
 	}
@@ -300,23 +304,23 @@
 	}
 }
 
-// Describe returns the state of each member as text, for show.
+// Describe returns the state of each member as text, for the operator's views.
 func (m *Machine) Describe(now int64) map[string]string {
 	out := make(map[string]string)
 	for _, x := range m.View.Members {
 		switch {
 		case x == m.Self && m.leaving:
-			out[x.String()] = "this one, leaving"
+			out[x.String()] = "this process, leaving"
 		case x == m.Self:
-			out[x.String()] = "this one"
+			out[x.String()] = "this process"
 		case !m.Alive(now, x):
-			out[x.String()] = fmt.Sprintf("silent for %d ms", m.peers.silentFor(now, x)/1000)
+			out[x.String()] = fmt.Sprintf("not heard for %d ms", m.peers.timeSinceHeard(now, x)/1000)
 		case m.isLeaving(x):
 			out[x.String()] = "leaving"
 		case !m.eligible(now, x):
 			out[x.String()] = "suspected"
 		default:
-			out[x.String()] = fmt.Sprintf("live, epoch %d", m.peers.states[x].epoch)
+			out[x.String()] = fmt.Sprintf("alive, epoch %d", m.peers.states[x].epoch)
 		}
 	}
 	return out
--- a/internal/cluster/consensus/decide.go
+++ b/internal/cluster/consensus/decide.go
@@ -6,8 +6,9 @@
 	"saddleport/internal/cluster/views"
 )
 
-// compareViews sends the view to a process that is behind, and asks one that is ahead for its
-// view: all members that this process knows may have been replaced.
+// compareViews sends the current view to a process that has an older one. A process that has a
+// newer one is sent an announcement, which it answers with its view: all members that are known
+// here may have been replaced. stored is the viewstamp of the sender's entry.
 func (m *Machine) compareViews(now int64, msg envelope.Message, stored views.Viewstamp) {
 	switch {
 	case msg.Epoch < m.View.Epoch:
@@ -17,7 +18,7 @@
 	}
 }
 
-// announcement is the heartbeat of a member, or the request of a process without a vote.
+// announcement returns the heartbeat of a member, or the Join of a process without a vote.
 func (m *Machine) announcement(now int64) envelope.Body {
 	if m.IsMember() {
 		return m.heartbeat(now)
@@ -25,13 +26,14 @@
 	return m.join()
 }
 
-// sendView sends the view, with its entry if the receiver may lack it.
+// sendView sends the current view, with the entry that it is based on if the receiver, whose
+// entry has the viewstamp stored, lacks that entry.
 func (m *Machine) sendView(to views.Member, stored views.Viewstamp) {
 	m.send(to, m.View.Epoch, Decide{View: m.View, Entry: m.entryFor(stored, m.View.BaseViewstamp())})
 }
 
-// entryFor returns the entry that a process lacks which stores one viewstamp and needs
-// another; nil if it lacks nothing.
+// entryFor returns the entry to send to a process that stores an entry of one viewstamp and
+// needs one of another; nil if its entry is new enough.
 func (m *Machine) entryFor(stored, needed views.Viewstamp) *chain.Entry {
 	if !stored.Less(needed) || m.mutations.AdoptWithoutEntry {
 		return nil
@@ -40,7 +42,8 @@
 	return &e
 }
 
-// handleDecide adopts a view that was decided, provided that its entry is stored here.
+// handleDecide adopts a view that was decided, provided that the entry that the view is based
+// on is stored here.
 func (m *Machine) handleDecide(now int64, d Decide) {
 	if d.View.Epoch <= m.View.Epoch {
 		return
@@ -48,18 +51,19 @@
 	if d.Entry != nil {
 		m.store.Store(*d.Entry)
 	}
-	if m.missesEntryOf(d.View) {
-		return // the entry will come once the other side knows that it is lacking
+	if m.lacksBaseEntry(d.View) {
+		return // the next heartbeat carries the viewstamp of the older entry, and the answer brings the newer one
 	}
 	m.adopt(now, d.View)
 }
 
-// missesEntryOf reports whether the entry that a view rests on is not stored here.
-func (m *Machine) missesEntryOf(v views.View) bool {
+// lacksBaseEntry reports whether the entry stored here is older than the one that view v is
+// based on.
+func (m *Machine) lacksBaseEntry(v views.View) bool {
 	return m.store.Stored().Viewstamp().Less(v.BaseViewstamp()) && !m.mutations.AdoptWithoutEntry
 }
 
-// adopt puts a view in force here.
+// adopt makes v the current view of this process.
 func (m *Machine) adopt(now int64, v views.View) {
 	if err := v.Check(); err != nil && !m.mutations.ShortChain {
 		panic("invariant: " + err.Error())
--- a/internal/cluster/consensus/leave.go
+++ b/internal/cluster/consensus/leave.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// StartLeave makes this member hand its vote over. The others take it out of the chain at once
-// and give its vote to a learner if there is one. Until then it goes on voting.
+// StartLeave makes this member hand over its vote. The other members remove it from the chain
+// at once and give its vote to a learner if there is one. Until then it continues to vote.
 func (m *Machine) StartLeave() {
 	if !m.leaving {
 		m.leaving, m.lastHeartbeatAt = true, 0
@@ -11,7 +11,7 @@
 }
 
 // HasLeft reports whether this process may end without weakening the control plane: it has no
-// vote any more, and a majority is in the view that excludes it.
+// vote any more, and a majority has adopted a view that excludes it.
 func (m *Machine) HasLeft(now int64) bool {
 	if !m.leaving {
 		return false
@@ -22,26 +22,27 @@
 	if m.IsMember() || m.View.Epoch == 0 {
 		return false
 	}
-	n := 0
+	adopted := 0
 	for _, x := range m.View.Members {
 		if m.peers.recentlyHeard(now, x) && m.peers.states[x].epoch >= m.View.Epoch {
-			n++
+			adopted++
 		}
 	}
-	return n >= m.View.Majority()
+	return adopted >= m.View.Majority()
 }
 
-// CannotHandOver reports whether a leaving member finds no learner for its vote and has
-// nothing else to hand over.
+// CannotHandOver reports whether waiting cannot help a leaving member any more: no learner can
+// take its vote, and it is out of the chain already or must stay in it because fewer than a
+// majority of the members are eligible.
 func (m *Machine) CannotHandOver(now int64) bool {
 	if !m.leaving || !m.IsMember() || len(m.readyLearners(now)) > 0 {
 		return false
 	}
-	fit := 0
+	eligible := 0
 	for _, x := range m.View.Members {
 		if m.eligible(now, x) {
-			fit++
+			eligible++
 		}
 	}
-	return !slices.Contains(m.View.Chain, m.Self) || fit < m.View.Majority()
+	return !slices.Contains(m.View.Chain, m.Self) || eligible < m.View.Majority()
 }
--- a/internal/cluster/consensus/messages.go
+++ b/internal/cluster/consensus/messages.go
@@ -8,22 +8,23 @@
 
 // The messages of the agreement on views. The phases are those of Paxos.
 type (
-	// Heartbeat informs the other members that the sender is alive and what it stores.
+	// Heartbeat informs the other members that the sender is alive, and of the viewstamp of
+	// the entry that it stores.
 	Heartbeat struct {
 		Viewstamp views.Viewstamp `json:"s"`
-		HasQuorum bool            `json:"c,omitempty"` // it has recently heard from a majority
-		Leaving   bool            `json:"l,omitempty"` // it wants to hand its vote over
+		HasQuorum bool            `json:"c,omitempty"` // the sender has recently heard from a majority
+		Leaving   bool            `json:"l,omitempty"` // the sender wants to hand over its vote
 	}
-	// Join asks for a vote; it comes from a process that is no member.
+	// Join asks for a vote; it is sent by a process that is not a member.
 	Join struct {
 		Viewstamp views.Viewstamp `json:"s"`
-		Leaving   bool            `json:"l,omitempty"` // it has left and only asks what the members store
+		Leaving   bool            `json:"l,omitempty"` // the sender has left and asks only for the members' view and entry
 	}
 	// Prepare is the first phase of a ballot.
 	Prepare struct {
 		Ballot    Ballot          `json:"b"`
 		Viewstamp views.Viewstamp `json:"s"`           // of the entry that the proposer stores
-		Joiner    *views.Member   `json:"j,omitempty"` // set for a learner that is to get a vote: the learner itself
+		Joiner    *views.Member   `json:"j,omitempty"` // the receiver, if it is a learner that is to get a vote; nil for a member
 		Entry     *chain.Entry    `json:"n,omitempty"` // for a learner whose entry is outdated
 	}
 	// Promise answers Prepare. It may be sent only once the promise is durable.
@@ -31,8 +32,8 @@
 		Ballot    Ballot          `json:"b"`
 		Viewstamp views.Viewstamp `json:"s"`
 		Joiner    bool            `json:"j,omitempty"` // the sender is a learner and has no vote
-		Accepted  *Proposal       `json:"a,omitempty"` // what the sender has accepted in this epoch
-		Entry     *chain.Entry    `json:"n,omitempty"` // if it is newer than the proposer's
+		Accepted  *Proposal       `json:"a,omitempty"` // the proposal that the sender has accepted for this epoch
+		Entry     *chain.Entry    `json:"n,omitempty"` // the sender's entry, if it is newer than the proposer's
 	}
 	// Accept is the second phase of a ballot.
 	Accept struct {
@@ -45,7 +46,7 @@
 	Accepted struct {
 		Ballot Ballot `json:"b"`
 	}
-	// Nack informs a proposer that a higher ballot was promised.
+	// Nack informs a proposer that the sender has promised a higher ballot.
 	Nack struct {
 		Ballot Ballot `json:"b"`
 	}
@@ -54,7 +55,7 @@
 		View  views.View   `json:"v"`
 		Entry *chain.Entry `json:"n,omitempty"`
 	}
-	// Suspect informs all members that one of them does not answer.
+	// Suspect informs all members that one of them makes no progress.
 	Suspect struct {
 		Member views.Member `json:"m"`
 	}
--- a/internal/cluster/consensus/peers.go
+++ b/internal/cluster/consensus/peers.go
@@ -8,69 +8,72 @@
 	"saddleport/internal/cluster/views"
 )
 
-// peerState is what is known of another process.
+// peerState is what is known about another process from its messages.
 type peerState struct {
-	lastHeardAt int64 // the last message
+	lastHeardAt int64 // time of the last message
 	aliveSince  int64 // start of the current period without a failure timeout
 	epoch       uint64
 	viewstamp   views.Viewstamp
-	hasQuorum   bool // as it said itself
+	hasQuorum   bool // as the process last reported
 	leaving     bool
 }
 
-// learnerState is what is known of a process that asks for a vote.
+// learnerState is what is known about a process that asks for a vote, from its last Join.
 type learnerState struct {
 	lastHeardAt int64
 	viewstamp   views.Viewstamp
 	leaving     bool
 }
 
-// peers are the other processes as this one has heard from them.
+// peers tracks the other processes by the messages that were received from them.
 type peers struct {
-	cfg      Config
-	started  int64
-	states   map[views.Member]peerState
-	learners map[views.Member]learnerState
+	cfg       Config
+	startedAt int64
+	states    map[views.Member]peerState
+	learners  map[views.Member]learnerState
 }
 
-// failure timeouts
-const expiryFactor = 4 // failure timeouts
+// expiryFactor is the number of failure timeouts after which a non-member that was not heard is
+// no longer tracked.
+const expiryFactor = 4
 
 func newPeers(now int64, cfg Config) peers {
-	return peers{cfg: cfg, started: now, states: make(map[views.Member]peerState), learners: make(map[views.Member]learnerState)}
+	return peers{cfg: cfg, startedAt: now, states: make(map[views.Member]peerState), learners: make(map[views.Member]learnerState)}
 }
 
-// observe takes any message as a sign of life.
+// observe records that the sender of a message is alive, and the state that the message reports.
 func (p *peers) observe(now int64, msg envelope.Message, v views.View) {
-	h, known := p.states[msg.From]
+	state, known := p.states[msg.From]
 	if !known && !v.Has(msg.From) && len(p.states) >= 2*p.cfg.MaxLearners {
-		return // a stranger too many
+		return // too many non-members are tracked already
 	}
-	if h.lastHeardAt == 0 || now-h.lastHeardAt >= p.cfg.FailureTimeout {
-		h.aliveSince = now
+	if state.lastHeardAt == 0 || now-state.lastHeardAt >= p.cfg.FailureTimeout {
+		state.aliveSince = now
 	}
-	h.lastHeardAt = max(now, 1)
+	state.lastHeardAt = max(now, 1)
 	switch body := msg.Body.(type) {
 	case Heartbeat:
-		h.epoch, h.viewstamp, h.hasQuorum, h.leaving = msg.Epoch, body.Viewstamp, body.HasQuorum, body.Leaving
+		state.epoch, state.viewstamp, state.hasQuorum, state.leaving = msg.Epoch, body.Viewstamp, body.HasQuorum, body.Leaving
 	case Join:
-		h.epoch, h.viewstamp, h.hasQuorum, h.leaving = msg.Epoch, body.Viewstamp, false, body.Leaving
+		state.epoch, state.viewstamp, state.hasQuorum, state.leaving = msg.Epoch, body.Viewstamp, false, body.Leaving
 	}
-	p.states[msg.From] = h
+	p.states[msg.From] = state
 }
 
-// observeLearner remembers a process that asks for a vote.
-func (p *peers) observeLearner(now int64, x views.Member, j Join) {
+// observeLearner records the Join of a process that asks for a vote. A new learner is ignored
+// while MaxLearners are tracked.
+func (p *peers) observeLearner(now int64, x views.Member, join Join) {
 	if _, known := p.learners[x]; known || len(p.learners) < p.cfg.MaxLearners {
-		p.learners[x] = learnerState{max(now, 1), j.Viewstamp, j.Leaving}
+		p.learners[x] = learnerState{max(now, 1), join.Viewstamp, join.Leaving}
 	}
 }
 
-// recentLearners returns the learners that were heard recently, in order.
+// recentLearners returns the learners that were heard within the failure timeout, ordered by
+// address and disk.
 func (p *peers) recentLearners(now int64, v views.View) []views.Member {
 	var out []views.Member
-	for x, l := range p.learners {
-		if now-l.lastHeardAt < p.cfg.FailureTimeout && !v.Has(x) {
+	for x, learner := range p.learners {
+		if now-learner.lastHeardAt < p.cfg.FailureTimeout && !v.Has(x) {
 			out = append(out, x)
 		}
 	}
@@ -82,32 +85,35 @@
 	return cmp.Or(cmp.Compare(a.Addr, b.Addr), cmp.Compare(a.DiskID, b.DiskID))
 }
 
-// silentFor returns how long a process has been silent, at most since the start.
-func (p *peers) silentFor(now int64, x views.Member) int64 {
-	return now - max(p.states[x].lastHeardAt, p.started)
+// timeSinceHeard returns the time since the last message of a process, or since the start of
+// this one if that is shorter.
+func (p *peers) timeSinceHeard(now int64, x views.Member) int64 {
+	return now - max(p.states[x].lastHeardAt, p.startedAt)
 }
 
-// recentlyHeard is like Alive without the time that all members are given after a start.
+// recentlyHeard reports whether a process was heard within the failure timeout. Unlike Alive, it
+// makes no exception for the time after a start.
 func (p *peers) recentlyHeard(now int64, x views.Member) bool {
-	h, known := p.states[x]
-	return known && now-h.lastHeardAt < p.cfg.FailureTimeout
+	state, known := p.states[x]
+	return known && now-state.lastHeardAt < p.cfg.FailureTimeout
 }
 
-// rejoined reports whether a process has been alive long enough in the epoch of a view.
+// rejoined reports whether a process has been alive for the rejoin delay and has adopted view v.
 func (p *peers) rejoined(now int64, x views.Member, v views.View) bool {
-	h := p.states[x]
-	return now-h.aliveSince >= p.cfg.RejoinDelay && h.epoch == v.Epoch
+	state := p.states[x]
+	return now-state.aliveSince >= p.cfg.RejoinDelay && state.epoch == v.Epoch
 }
 
-// expire removes processes that are no members and silent.
+// expire removes non-members that were not heard for expiryFactor failure timeouts, and learners
+// that have become members.
 func (p *peers) expire(now int64, v views.View) {
-	for x, l := range p.learners {
-		if v.Has(x) || now-l.lastHeardAt >= expiryFactor*p.cfg.FailureTimeout {
+	for x, learner := range p.learners {
+		if v.Has(x) || now-learner.lastHeardAt >= expiryFactor*p.cfg.FailureTimeout {
 			delete(p.learners, x)
 		}
 	}
-	for x, h := range p.states {
-		if !v.Has(x) && now-h.lastHeardAt >= expiryFactor*p.cfg.FailureTimeout {
+	for x, state := range p.states {
+		if !v.Has(x) && now-state.lastHeardAt >= expiryFactor*p.cfg.FailureTimeout {
 			delete(p.states, x)
 		}
 	}
--- a/internal/cluster/consensus/proposer.go
+++ b/internal/cluster/consensus/proposer.go
@@ -8,18 +8,18 @@
 	"saddleport/internal/cluster/views"
 )
 
-// ballotState is the ballot that this process leads.
+// ballotState is the state of a ballot that this process leads.
 type ballotState struct {
 	ballot         Ballot
 	startedAt      int64
 	storedAtStart  views.Viewstamp // viewstamp of the proposer's entry
 	promises       map[views.Member]Promise
-	joinedLearners map[views.Member]views.Viewstamp // learners that answered
-	value          *views.View                      // set in the second phase
+	joinedLearners map[views.Member]views.Viewstamp // the learners that have answered, and the viewstamps of their entries
+	value          *views.View                      // the proposed view; nil in the first phase
 	accepts        map[views.Member]bool
 }
 
-// proposeIfDue starts a ballot if the view should change and it is this member's turn.
+// proposeIfDue starts a ballot if a view change is due and it is this member's turn to propose.
 func (m *Machine) proposeIfDue(now int64) {
 	if !m.viewChangeDue(now) {
 		m.changeDueSince = 0
@@ -33,24 +33,25 @@
 	}
 }
 
-// viewChangeDue reports whether the view should change: at once after a loss, otherwise once
-// it has been in force for a while.
+// viewChangeDue reports whether the view should change: at once if its chain is broken, otherwise
+// once it has been in force for MinViewAge.
 func (m *Machine) viewChangeDue(now int64) bool {
 	if !m.IsMember() {
 		return false
 	}
 	target := m.targetView(now, false)
 	if target.Check() != nil && !m.mutations.ShortChain {
-		return false // too few are fit just now
+		return false // too few members are eligible at present
 	}
-	same := slices.Equal(target.Members, m.View.Members) && slices.Equal(target.Chain, m.View.Chain)
-	return m.chainBroken(now, target) || !same && now-m.adoptedAt >= m.cfg.MinViewAge
+	unchanged := slices.Equal(target.Members, m.View.Members) && slices.Equal(target.Chain, m.View.Chain)
+	return m.chainBroken(now, target) || !unchanged && now-m.adoptedAt >= m.cfg.MinViewAge
 }
 
-// chainBroken reports whether the view in force cannot go on.
+// chainBroken reports whether the chain of the current view cannot make progress: it is sealed
+// and no view was decided in time, or one of its members is no longer eligible.
 func (m *Machine) chainBroken(now int64, target views.View) bool {
 	if m.sealedAt != 0 && now-m.sealedAt >= m.cfg.BallotTimeout {
-		return true // a proposer has left us sealed
+		return true // the proposer that sealed this member has not completed its ballot
 	}
 	for _, x := range m.View.Chain {
 		if !slices.Contains(target.Chain, x) {
@@ -60,27 +61,28 @@
 	return false
 }
 
-// eligiblePredecessors counts the eligible members that come before this one; each gets its
-// turn to propose first.
+// eligiblePredecessors counts the eligible members that precede this one in the view. Each of
+// them gets an earlier turn to propose.
 func (m *Machine) eligiblePredecessors(now int64) int64 {
-	n := int64(0)
+	count := int64(0)
 	for _, x := range m.View.Members {
 		if x == m.Self {
-			return n
+			return count
 		}
 		if m.eligible(now, x) {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
 
+// propose starts a ballot for the next epoch.
 func (m *Machine) propose(now int64) {
-	m.changeDueSince = now // if it fails, the next turns come first
+	m.changeDueSince = now // if this ballot fails, the members before this one get their turns first
 	m.highestBallot++
 	b := Ballot{Number: m.highestBallot, Proposer: m.Self.String()}
 	if b.Less(m.Promised) {
-		panic(fmt.Sprintf("invariant: ballot %v is below what was promised, %v", b, m.Promised))
+		panic(fmt.Sprintf("invariant: ballot %v is below the promised ballot %v", b, m.Promised))
 	}
 	m.Promised, m.changed = b, true
 	m.seal(now)
@@ -99,21 +101,21 @@
 	m.startAcceptPhase(now)
 }
 
-// prepareLearner asks a learner that is to get a vote whether it is alive, and brings its
-// entry up to date.
+// prepareLearner asks a learner that is to get a vote to confirm that it is alive, and sends it
+// the stored entry if its own one is older.
 func (m *Machine) prepareLearner(x views.Member, b Ballot, stored views.Viewstamp) {
 	entry := m.entryFor(m.peers.learners[x].viewstamp, stored)
 	m.send(x, m.View.Epoch+1, Prepare{Ballot: b, Viewstamp: stored, Joiner: &x, Entry: entry})
 }
 
-// answers reports whether a message answers the current ballot.
-func (m *Machine) answers(msg envelope.Message, b Ballot) bool {
+// answersOwnBallot reports whether a message answers the ballot that this process leads.
+func (m *Machine) answersOwnBallot(msg envelope.Message, b Ballot) bool {
 	return m.ownBallot != nil && msg.Epoch == m.View.Epoch+1 && m.ownBallot.ballot == b
 }
 
-// handlePromise counts an answer to the first phase.
+// handlePromise handles an answer to the first phase.
 func (m *Machine) handlePromise(now int64, msg envelope.Message, p Promise) {
-	if !m.answers(msg, p.Ballot) {
+	if !m.answersOwnBallot(msg, p.Ballot) {
 		return
 	}
 	if p.Joiner {
@@ -127,7 +129,7 @@
 	if p.Entry != nil {
 		m.store.Store(*p.Entry)
 	}
-	if m.ownBallot.value != nil { // it lacks the entry of what it is to accept
+	if m.ownBallot.value != nil { // the sender lacks the entry that the view to accept is based on
 		m.sendAccept(msg.From, p.Viewstamp)
 		return
 	}
@@ -135,11 +137,12 @@
 	m.startAcceptPhase(now)
 }
 
-// startAcceptPhase enters the second phase once a majority has promised and the learners that
-// are to get a vote have answered: a dead one must not count from its first moment.
+// startAcceptPhase starts the second phase once a majority has promised and each learner that is
+// to get a vote has answered. A learner that has not answered after half the ballot timeout gets
+// no vote: a failed process must not become a voter.
 func (m *Machine) startAcceptPhase(now int64) {
-	p := m.ownBallot
-	if p == nil || p.value != nil || len(p.promises) < m.View.Majority() {
+	ballot := m.ownBallot
+	if ballot == nil || ballot.value != nil || len(ballot.promises) < m.View.Majority() {
 		return
 	}
 	if v, found := m.mostRecentAccepted(); found {
@@ -148,21 +151,21 @@
 	}
 	v := m.targetView(now, true)
 	for _, x := range v.Members {
-		if _, joined := p.joinedLearners[x]; !joined && !m.View.Has(x) && now-p.startedAt < m.cfg.BallotTimeout/2 {
+		if _, joined := ballot.joinedLearners[x]; !joined && !m.View.Has(x) && now-ballot.startedAt < m.cfg.BallotTimeout/2 {
 			return
 		}
 	}
 	base := m.store.Stored().Viewstamp()
 	v.Epoch, v.Base, v.BaseEpoch = m.View.Epoch+1, base.Version, base.Epoch
 	if err := v.Check(); err != nil && !m.mutations.ShortChain {
-		m.ownBallot = nil // too few are fit just now
+		m.ownBallot = nil // too few members are eligible at present
 		return
 	}
 	m.sendAccepts(now, v)
 }
 
-// mostRecentAccepted returns the view under the highest ballot that a promise reports as
-// accepted. It may have been decided, so it must be proposed again.
+// mostRecentAccepted returns the view that the promises report as accepted under the highest
+// ballot. That view may have been decided, so it must be proposed again.
 func (m *Machine) mostRecentAccepted() (v views.View, found bool) {
 	var best *Proposal
 	for _, p := range m.ownBallot.promises {
@@ -176,14 +179,14 @@
 	return best.View, true
 }
 
-// sendAccepts starts the second phase.
+// sendAccepts starts the second phase with view v, which this process accepts at once.
 func (m *Machine) sendAccepts(now int64, v views.View) {
-	p := m.ownBallot
-	p.value = &v
-	m.Accepted, m.changed = &Proposal{Ballot: p.ballot, View: v}, true
-	p.accepts[m.Self] = true
+	ballot := m.ownBallot
+	ballot.value = &v
+	m.Accepted, m.changed = &Proposal{Ballot: ballot.ballot, View: v}, true
+	ballot.accepts[m.Self] = true
 	for _, to := range m.View.Members {
-		if x, ok := p.promises[to]; ok {
+		if x, ok := ballot.promises[to]; ok {
 			m.sendAccept(to, x.Viewstamp)
 		} else {
 			m.sendAccept(to, m.peers.states[to].viewstamp)
@@ -198,15 +201,15 @@
 	m.send(to, v.Epoch, body)
 }
 
-// handleAccepted counts an answer to the second phase.
+// handleAccepted handles an answer to the second phase.
 func (m *Machine) handleAccepted(now int64, msg envelope.Message, a Accepted) {
-	if m.answers(msg, a.Ballot) && m.View.Has(msg.From) && m.ownBallot.value != nil {
+	if m.answersOwnBallot(msg, a.Ballot) && m.View.Has(msg.From) && m.ownBallot.value != nil {
 		m.ownBallot.accepts[msg.From] = true
 		m.decideIfAccepted(now)
 	}
 }
 
-// handleNack gives way to a higher ballot.
+// handleNack abandons the ballot of this process if a higher one was promised.
 func (m *Machine) handleNack(now int64, msg envelope.Message, n Nack) {
 	if msg.Epoch != m.View.Epoch+1 || !m.View.Has(msg.From) {
 		return
@@ -218,32 +221,33 @@
 	}
 }
 
-// decideIfAccepted adopts the view once a majority has accepted it, and announces it.
+// decideIfAccepted adopts the proposed view once a majority has accepted it, and announces it to
+// the members of the previous view and of the new one.
 func (m *Machine) decideIfAccepted(now int64) {
-	p := m.ownBallot
-	if len(p.accepts) < m.View.Majority() {
+	ballot := m.ownBallot
+	if len(ballot.accepts) < m.View.Majority() {
 		return
 	}
-	previous, v := m.View, *p.value
+	previous, v := m.View, *ballot.value
 	m.adopt(now, v)
 	for _, to := range previous.Members {
-		m.sendView(to, p.lastKnownViewstamp(to, m.peers.states[to].viewstamp, v))
+		m.sendView(to, ballot.lastKnownViewstamp(to, m.peers.states[to].viewstamp, v))
 	}
 	for _, to := range v.Members {
 		if !previous.Has(to) {
-			m.sendView(to, p.joinedLearners[to])
+			m.sendView(to, ballot.joinedLearners[to])
 		}
 	}
 }
 
-// lastKnownViewstamp returns what a member stores at least, by its answers in this ballot or
-// its last heartbeat.
-func (p *ballotState) lastKnownViewstamp(x views.Member, said views.Viewstamp, v views.View) views.Viewstamp {
+// lastKnownViewstamp returns a lower bound of the viewstamp of the entry that member x stores. It is
+// known from the member's answers in this ballot or else from its last heartbeat (reported).
+func (p *ballotState) lastKnownViewstamp(x views.Member, reported views.Viewstamp, v views.View) views.Viewstamp {
 	if p.accepts[x] {
 		return v.BaseViewstamp()
 	}
 	if promise, ok := p.promises[x]; ok {
 		return promise.Viewstamp
 	}
-	return said
+	return reported
 }
--- a/internal/cluster/consensus/reconfigure.go
+++ b/internal/cluster/consensus/reconfigure.go
@@ -6,38 +6,41 @@
 	"saddleport/internal/cluster/views"
 )
 
-// targetView returns the view as it should be, derived from the one in force.
+// targetView returns the view that should follow the current one. Its epoch and base are those of
+// the current view. With skipRejoinDelay, members enter the chain without waiting for
+// Config.RejoinDelay.
 func (m *Machine) targetView(now int64, skipRejoinDelay bool) views.View {
 	members := m.targetVoters(now, m.readyLearners(now))
 	return views.View{Epoch: m.View.Epoch, Members: members, Chain: m.chainMembers(now, members, skipRejoinDelay),
 		Base: m.View.Base, BaseEpoch: m.View.BaseEpoch}
 }
 
-// readyLearners returns the learners that may get a vote: heard recently, not leaving. Late in
-// a ballot only those that have answered in it and store what the proposer stored when it
-// began.
+// readyLearners returns the learners that may get a vote: those that were heard recently and are
+// not leaving. In the first phase of a ballot, after half its timeout, these are only the
+// learners that have answered and store an entry at least as new as the proposer's at the start
+// of the ballot.
 func (m *Machine) readyLearners(now int64) []views.Member {
-	learning := m.Learners(now)
+	learners := m.Learners(now)
 	late := m.ownBallot != nil && m.ownBallot.value == nil && now-m.ownBallot.startedAt >= m.cfg.BallotTimeout/2
-	return slices.DeleteFunc(learning, func(x views.Member) bool {
-		l := m.peers.learners[x]
-		if l.leaving || x.Addr == m.Self.Addr {
+	return slices.DeleteFunc(learners, func(x views.Member) bool {
+		learner := m.peers.learners[x]
+		if learner.leaving || x.Addr == m.Self.Addr {
 			return true
 		}
 		if !late {
 			return false
 		}
-		stamp, joined := m.ownBallot.joinedLearners[x]
-		return !joined || stamp.Less(m.ownBallot.storedAtStart) && !m.mutations.AdoptWithoutEntry
+		viewstamp, joined := m.ownBallot.joinedLearners[x]
+		return !joined || viewstamp.Less(m.ownBallot.storedAtStart) && !m.mutations.AdoptWithoutEntry
 	})
 }
 
-// targetVoters returns the voters as they should be. Their number is odd and stays: a new
-// voter replaces another.
+// targetVoters returns the members of the target view. Their number is kept odd: a new voter
+// replaces another one.
 func (m *Machine) targetVoters(now int64, ready []views.Member) []views.Member {
 	members := slices.Clone(m.View.Members)
 	if m.mutations.VoteAtOnce {
-		return m.votersWithoutSwap(now, members, ready)
+		return m.votersWithoutReplacement(now, members, ready)
 	}
 	if next, ok := m.replaceVoter(now, members, ready); ok {
 		return next
@@ -48,72 +51,74 @@
 	return m.removeVoters(now, members)
 }
 
-// replaceVoter gives a learner the vote of a member that is gone or leaves: first of one whose
-// machine has come back with another disk, then of one that leaves, then of one that is
-// silent.
+// replaceVoter gives a learner the vote of another member. The member to replace is, in this order
+// of preference, one whose machine has returned with another disk, one that is leaving, or the
+// one that has been unresponsive for longest. It returns false if there is no learner or none of
+// these.
 func (m *Machine) replaceVoter(now int64, members, ready []views.Member) ([]views.Member, bool) {
-	for _, j := range ready {
-		sameAddr := func(x views.Member) bool { return x.Addr == j.Addr }
+	for _, learner := range ready {
+		sameAddr := func(x views.Member) bool { return x.Addr == learner.Addr }
 		if i := slices.IndexFunc(members, sameAddr); i >= 0 {
-			return replaced(members, i, j), true
+			return replaceMember(members, i, learner), true
 		}
 	}
 	if len(ready) == 0 {
 		return nil, false
 	}
-	goes := slices.IndexFunc(members, m.isLeaving)
-	if goes < 0 {
-		goes = m.longestSilent(now, members)
+	outgoing := slices.IndexFunc(members, m.isLeaving)
+	if outgoing < 0 {
+		outgoing = m.longestUnresponsive(now, members)
 	}
-	if goes < 0 {
+	if outgoing < 0 {
 		return nil, false
 	}
-	return replaced(members, goes, ready[0]), true
+	return replaceMember(members, outgoing, ready[0]), true
 }
 
-// replaced returns the members with one exchanged for another, which comes last: members that
-// have proven themselves come first.
-func replaced(members []views.Member, i int, by views.Member) []views.Member {
-	return append(slices.Delete(slices.Clone(members), i, i+1), by)
+// replaceMember returns the members without the one at index i and with its replacement. The
+// replacement comes last, because members that have already run in the view come first.
+func replaceMember(members []views.Member, i int, replacement views.Member) []views.Member {
+	return append(slices.Delete(slices.Clone(members), i, i+1), replacement)
 }
 
-// longestSilent returns the index of the member that has been silent longest and is not alive;
-// -1 if all are.
-func (m *Machine) longestSilent(now int64, members []views.Member) int {
-	at, longest := -1, int64(0)
+// longestUnresponsive returns the index of the member that was not heard for the longest time,
+// among those that are not alive; -1 if all are alive.
+func (m *Machine) longestUnresponsive(now int64, members []views.Member) int {
+	index, longest := -1, int64(0)
 	for i, x := range members {
-		if s := m.peers.silentFor(now, x); !m.Alive(now, x) && s > longest {
-			at, longest = i, s
+		if s := m.peers.timeSinceHeard(now, x); !m.Alive(now, x) && s > longest {
+			index, longest = i, s
 		}
 	}
-	return at
+	return index
 }
 
-// addVoters gives learners a vote while there are fewer voters than wanted, as many as make
-// their number odd.
+// addVoters gives learners a vote while there are fewer voters than configured. It is meant to add
+// two at once to an odd number of voters, so that the number stays odd, but the expression below
+// yields 1 for an odd number too.
 func (m *Machine) addVoters(members, ready []views.Member) ([]views.Member, bool) {
-	more := 2 - len(members)%2
+	added := 2 - len(members)%2
 	if len(members)%2 == 0 {
-		more = 1
+		added = 1
 	}
-	if len(members)+more > m.cfg.Voters || len(ready) < more {
+	if len(members)+added > m.cfg.Voters || len(ready) < added {
 		return nil, false
 	}
-	return append(slices.Clone(members), ready[:more]...), true
+	return append(slices.Clone(members), ready[:added]...), true
 }
 
-// removeVoters removes members if their number is even or above what is wanted: silent ones
-// first, then the last ones.
+// removeVoters removes one member if their number is even, or two if it is above the configured
+// number: unresponsive members first, then the last ones in the order of the view.
 func (m *Machine) removeVoters(now int64, members []views.Member) []views.Member {
-	less := 0
+	surplus := 0
 	switch {
 	case len(members)%2 == 0 && len(members) > 0:
-		less = 1
+		surplus = 1
 	case len(members) > m.cfg.Voters:
-		less = 2
+		surplus = 2
 	}
-	for range less {
-		i := m.longestSilent(now, members)
+	for range surplus {
+		i := m.longestUnresponsive(now, members)
 		if i < 0 {
 			i = m.lastOther(members)
 		}
@@ -122,7 +127,8 @@
 	return members
 }
 
-// lastOther returns the index of the last member that is not this process.
+// lastOther returns the index of the last member that is not this process; 0 if there is none
+// after the first.
 func (m *Machine) lastOther(members []views.Member) int {
 	for i := len(members) - 1; i > 0; i-- {
 		if members[i] != m.Self {
@@ -132,8 +138,9 @@
 	return 0
 }
 
-// chainMembers returns the members that form the chain: eligible ones that were in it before
-// or have been alive for a while. If these are no majority, all members that are alive.
+// chainMembers returns the members that form the chain of the target view: those that are
+// eligible and are in the current chain or have been alive for the rejoin delay. If these are
+// not a majority, it returns all members that are alive.
 func (m *Machine) chainMembers(now int64, members []views.Member, skipRejoinDelay bool) []views.Member {
 	var chain []views.Member
 	for _, x := range members {
@@ -155,23 +162,25 @@
 
 // mayJoinChain reports whether an eligible member may be in the chain of the next view.
 func (m *Machine) mayJoinChain(now int64, x views.Member, skipRejoinDelay bool) bool {
-	if !m.View.Has(x) && m.ownBallot != nil { // it would hold up the chain until it had caught up
+	if !m.View.Has(x) && m.ownBallot != nil { // a new voter with an older entry would delay the chain until it has caught up
 		return !m.ownBallot.joinedLearners[x].Less(m.store.Stored().Viewstamp())
 	}
 	return skipRejoinDelay || x == m.Self || slices.Contains(m.View.Chain, x) || m.peers.rejoined(now, x, m.View)
 }
 
-// votersWithoutSwap is the mutation vote-at-once: a newcomer votes beside the member that it
-// replaces, which is removed when it has been silent for long.
-func (m *Machine) votersWithoutSwap(now int64, members, ready []views.Member) []views.Member {
+// votersWithoutReplacement implements the mutation VoteAtOnce: a new voter is added without
+// removing another member. A member above the configured number of voters is removed only after
+// it has been unresponsive for removalFactor failure timeouts.
+func (m *Machine) votersWithoutReplacement(now int64, members, ready []views.Member) []views.Member {
 	if len(ready) > 0 {
 		return append(members, ready[0])
 	}
-	if i := m.longestSilent(now, members); i >= 0 && len(members) > m.cfg.Voters && m.peers.silentFor(now, members[i]) > longSilenceFactor*m.cfg.FailureTimeout {
+	if i := m.longestUnresponsive(now, members); i >= 0 && len(members) > m.cfg.Voters && m.peers.timeSinceHeard(now, members[i]) > removalFactor*m.cfg.FailureTimeout {
 		return slices.Delete(members, i, i+1)
 	}
 	return members
 }
 
-// longSilenceFactor counts failure timeouts, for the mutation vote-at-once.
-const longSilenceFactor = 11 // times Live, of the rule left out
+// removalFactor is the number of failure timeouts after which the mutation VoteAtOnce removes an
+// unresponsive member. The rule that the mutation leaves out used the same factor.
+const removalFactor = 11
--- a/internal/cluster/consensus/suspicion.go
+++ b/internal/cluster/consensus/suspicion.go
@@ -2,11 +2,11 @@
 
 import "saddleport/internal/cluster/views"
 
-// suspicions record which members are said to make no progress, by whom, and which of them
-// therefore stay out of the chain.
+// suspicions tracks which members were reported to make no progress and by which other members,
+// and which of them are therefore excluded from the chain.
 type suspicions struct {
 	cfg            Config
-	reports        map[views.Member]map[views.Member]int64 // by suspect: the reporters and when they reported
+	reports        map[views.Member]map[views.Member]int64 // by suspect and reporter: the time of the last report
 	suspectedUntil map[views.Member]int64
 }
 
@@ -14,23 +14,23 @@
 	return suspicions{cfg: cfg, reports: make(map[views.Member]map[views.Member]int64), suspectedUntil: make(map[views.Member]int64)}
 }
 
-func (s *suspicions) report(now int64, by, x views.Member) {
-	if s.reports[x] == nil {
-		s.reports[x] = make(map[views.Member]int64)
+func (s *suspicions) report(now int64, reporter, suspect views.Member) {
+	if s.reports[suspect] == nil {
+		s.reports[suspect] = make(map[views.Member]int64)
 	}
-	s.reports[x][by] = now
+	s.reports[suspect][reporter] = now
 }
 
 func (s *suspicions) suspected(now int64, x views.Member) bool { return now < s.suspectedUntil[x] }
 
 func (s *suspicions) clear() { clear(s.reports) }
 
-// evaluate keeps suspects out of the chain for a while, except a member that is itself waiting
-// for another one that no fewer members suspect.
+// evaluate excludes reported members from the chain for SuspicionTimeout, except those that are
+// only waiting for another member.
 func (s *suspicions) evaluate(now int64, v views.View) {
 	s.expire(now, v)
-	for x, against := range s.reports {
-		if s.blockedByAnother(x, len(against)) { // even if it was suspected before the other one was
+	for x, reporters := range s.reports {
+		if s.blockedByAnother(x, len(reporters)) { // even if x was suspected before the other member was reported
 			delete(s.suspectedUntil, x)
 		} else {
 			s.suspectedUntil[x] = now + s.cfg.SuspicionTimeout
@@ -38,24 +38,28 @@
 	}
 }
 
-// blockedByAnother reports whether a suspect is only waiting for another member.
-func (s *suspicions) blockedByAnother(x views.Member, against int) bool {
-	for other, by := range s.reports {
-		if _, suspects := by[x]; suspects && other != x && len(by) >= against {
+// blockedByAnother reports whether suspect x is only waiting for another member: x itself has
+// reported a member that is suspected by at least reportCount members, the number of reports
+// against x.
+func (s *suspicions) blockedByAnother(x views.Member, reportCount int) bool {
+	for other, reporters := range s.reports {
+		if _, suspects := reporters[x]; suspects && other != x && len(reporters) >= reportCount {
 			return true
 		}
 	}
 	return false
 }
 
+// expire removes reports that are older than the failure timeout or whose reporter is no member
+// of view v, and suspicions that have ended.
 func (s *suspicions) expire(now int64, v views.View) {
-	for x, by := range s.reports {
-		for other, at := range by {
-			if now-at >= s.cfg.FailureTimeout || !v.Has(other) {
-				delete(by, other)
+	for x, reporters := range s.reports {
+		for reporter, at := range reporters {
+			if now-at >= s.cfg.FailureTimeout || !v.Has(reporter) {
+				delete(reporters, reporter)
 			}
 		}
-		if len(by) == 0 {
+		if len(reporters) == 0 {
 			delete(s.reports, x)
 		}
 	}
