--- a/internal/cluster/codec/codec.go
+++ b/internal/cluster/codec/codec.go
@@ -1,5 +1,5 @@
-// Package codec writes and reads the messages between control-plane machines: JSON for
-// each message, and batches of messages for one call. It owns the list of message types.
+// Package codec encodes and decodes the messages between control-plane machines: each message as
+// JSON, and the messages of one call as a batch. It defines the list of message types.
 package codec
 
 import (
@@ -14,8 +14,8 @@
 	"saddleport/internal/cluster/views"
 )
 
-// ErrTruncated is returned for a batch that does not hold all that its header announces.
-var ErrTruncated = errors.New("the batch of messages is truncated")
+// ErrTruncated is returned for a batch that is shorter than its header announces.
+var ErrTruncated = errors.New("batch of messages is truncated")
 
 // UnknownKindError is returned for a message whose kind this release does not know.
 type UnknownKindError struct {
@@ -24,10 +24,10 @@
 }
 
 func (e *UnknownKindError) Error() string {
-	return fmt.Sprintf("a message of unknown kind %.40q from %s", string(e.Kind), e.From)
+	return fmt.Sprintf("message of unknown kind %.40q from %s", string(e.Kind), e.From)
 }
 
-// messageJSON is the written form of a message; B is the form of its body.
+// messageJSON is the JSON form of a message; B is the form of its body.
 type messageJSON[B any] struct {
 	Kind  envelope.Kind `json:"k"`
 	From  views.Member  `json:"f"`
@@ -36,9 +36,10 @@
 	Body  B             `json:"b"`
 }
 
+// decoder decodes the body of a message of one kind.
 type decoder func(text []byte) (envelope.Body, error)
 
-// decoders holds a decoder for each kind of message.
+// decoders maps each kind of message to its decoder.
 var decoders = decodersOf(
 	decoderOf[chain.UpdateRequest], decoderOf[chain.UpdateResponse], decoderOf[chain.Forward],
 	decoderOf[chain.Acknowledge], decoderOf[chain.EntryMissing], decoderOf[chain.QueryRequest],
@@ -49,9 +50,9 @@
 	decoderOf[consensus.Nack], decoderOf[consensus.Decide], decoderOf[consensus.Suspect],
 )
 
-func decodersOf(list ...func() (envelope.Kind, decoder)) map[envelope.Kind]decoder {
-	byKind := make(map[envelope.Kind]decoder, len(list))
-	for _, make := range list {
+func decodersOf(constructors ...func() (envelope.Kind, decoder)) map[envelope.Kind]decoder {
+	byKind := make(map[envelope.Kind]decoder, len(constructors))
+	for _, make := range constructors {
 		kind, decode := make()
 		byKind[kind] = decode
 	}
@@ -67,13 +68,13 @@
 	}
 }
 
-// EncodeMessage writes a message with its kind, and with the content of its entry.
+// EncodeMessage encodes a message, with the content of its entry if it has one.
 func EncodeMessage(m envelope.Message) ([]byte, error) {
 	return json.Marshal(messageJSON[envelope.Body]{Kind: m.Body.Kind(), From: m.From, To: m.To, Epoch: m.Epoch, Body: m.Body})
 }
 
-// DecodeMessage reads what EncodeMessage writes. The error for a kind that is not known
-// here is an *UnknownKindError.
+// DecodeMessage decodes what EncodeMessage has written. The error for a kind that this release does
+// not know is an *UnknownKindError.
 func DecodeMessage(text []byte) (envelope.Message, error) {
 	var raw messageJSON[json.RawMessage]
 	if err := json.Unmarshal(text, &raw); err != nil {
@@ -85,19 +86,19 @@
 	}
 	body, err := decode(raw.Body)
 	if err != nil {
-		return envelope.Message{}, fmt.Errorf("a message %q from %s: %w", raw.Kind, raw.From, err)
+		return envelope.Message{}, fmt.Errorf("message %q from %s: %w", raw.Kind, raw.From, err)
 	}
 	return envelope.Message{From: raw.From, To: raw.To, Epoch: raw.Epoch, Body: body}, nil
 }
 
-// batchHeader is the first line of a batch. The contents of entries follow it as they are:
-// as JSON strings they would be scanned at every layer, and they are large.
+// batchHeader is the first line of a batch. The contents of the messages' entries follow it as raw
+// bytes: they are large, and as JSON strings they would be scanned at every layer.
 type batchHeader struct {
 	Messages     []json.RawMessage `json:"m"`
-	ContentSizes []int             `json:"s"` // bytes, by message; 0: it brings no content
+	ContentSizes []int             `json:"s"` // bytes of content of each message; 0: none
 }
 
-// EncodeBatch writes messages as the body of one call.
+// EncodeBatch encodes messages as the body of one call.
 func EncodeBatch(messages []envelope.Message) ([]byte, error) {
 	var header batchHeader
 	var contents []byte
@@ -121,9 +122,10 @@
 	return append(append(line, '\n'), contents...), nil
 }
 
-// DecodeBatch reads what EncodeBatch writes. A single message that is damaged or of an unknown
-// kind is left out and its error is returned in unread; the others are returned.
-func DecodeBatch(batch []byte) (messages []envelope.Message, unread []error, err error) {
+// DecodeBatch decodes what EncodeBatch has written. A message that is malformed or of an unknown
+// kind is left out, and its error is returned in undecodable; the other messages are returned.
+// The error for an incomplete batch wraps ErrTruncated.
+func DecodeBatch(batch []byte) (messages []envelope.Message, undecodable []error, err error) {
 	line, contents, complete := bytes.Cut(batch, []byte{'\n'})
 	var header batchHeader
 	if err := json.Unmarshal(line, &header); err != nil {
@@ -135,24 +137,24 @@
 	for i, text := range header.Messages {
 		size := header.ContentSizes[i]
 		if size < 0 || size > len(contents) {
-			return messages, unread, fmt.Errorf("message %d has %d bytes of content, and %d are left: %w", i, size, len(contents), ErrTruncated)
+			return messages, undecodable, fmt.Errorf("message %d has %d bytes of content, but only %d are left: %w", i, size, len(contents), ErrTruncated)
 		}
 		m, err := DecodeMessage(text)
 		if err != nil {
-			unread = append(unread, err)
+			undecodable = append(undecodable, err)
 		} else {
 			if size > 0 {
-				m.Body = replaceContent(m.Body, bytes.Clone(contents[:size])) // it outlives the batch
+				m.Body = replaceContent(m.Body, bytes.Clone(contents[:size])) // the content outlives the batch
 			}
 			messages = append(messages, m)
 		}
 		contents = contents[size:]
 	}
-	return messages, unread, nil
+	return messages, undecodable, nil
 }
 
-// replaceContent returns a body whose entry has another content. A body without an entry is
-// returned as it is.
+// replaceContent returns a copy of a body whose entry has the given content. A body without an entry
+// is returned unchanged.
 func replaceContent(body envelope.Body, content []byte) envelope.Body {
 	carrier, ok := body.(chain.EntryCarrier)
 	if !ok || carrier.AttachedEntry() == nil {
--- a/internal/cluster/codec/codec_test.go
+++ b/internal/cluster/codec/codec_test.go
@@ -14,18 +14,18 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// An operator's bytes come back as they were, whatever they are; and what an older
-// program kept on its disk is read.
-func TestEntryForm(t *testing.T) {
-	Convey("An entry keeps its bytes", t, func() {
+// The content of an entry survives encoding byte for byte, including invalid UTF-8, and entries
+// that an earlier release has stored are still read.
+func TestEntryEncoding(t *testing.T) {
+	Convey("An entry keeps the bytes of its content", t, func() {
 		for _, raw := range []string{"", "{\"a\":\"<\\u00e9>&\u2028\"}\r\n\t", "\xff\xfe not text", "a\x00b", "\ufffd"} {
 			text, err := json.Marshal(chain.Entry{Epoch: 3, Version: 7, Content: []byte(raw), Previous: []chain.PastRevision{{Revision: 6, Digest: 1}}})
 			So(err, ShouldBeNil)
-			var back chain.Entry
-			So(json.Unmarshal(text, &back), ShouldBeNil)
-			So(back.Viewstamp(), ShouldResemble, views.Viewstamp{Epoch: 3, Version: 7})
-			So(back.Previous, ShouldResemble, []chain.PastRevision{{Revision: 6, Digest: 1}})
-			So(string(back.Content), ShouldEqual, raw)
+			var decoded chain.Entry
+			So(json.Unmarshal(text, &decoded), ShouldBeNil)
+			So(decoded.Viewstamp(), ShouldResemble, views.Viewstamp{Epoch: 3, Version: 7})
+			So(decoded.Previous, ShouldResemble, []chain.PastRevision{{Revision: 6, Digest: 1}})
+			So(string(decoded.Content), ShouldEqual, raw)
 		}
 		var old chain.Entry
 		So(json.Unmarshal([]byte(`{"r":9,"w":"eyJhIjoxfQ=="}`), &old), ShouldBeNil)
@@ -34,15 +34,16 @@
 	})
 }
 
-// A message of a kind that is not spoken here, or cut short, is an error that names it.
-func TestMessageForm(t *testing.T) {
-	Convey("A message is read as it was written", t, func() {
+// A message survives encoding. A message of an unknown kind fails with an error that names the
+// kind, and a truncated one fails too.
+func TestMessageEncoding(t *testing.T) {
+	Convey("A message is decoded as it was encoded", t, func() {
 		sent := envelope.Message{From: views.Member{Addr: "a", DiskID: "1"}, To: views.Member{Addr: "b", DiskID: "2"}, Epoch: 4, Body: chain.Forward{Version: 9, HistoryDigest: 3}}
 		text, err := EncodeMessage(sent)
 		So(err, ShouldBeNil)
-		back, err := DecodeMessage(text)
+		decoded, err := DecodeMessage(text)
 		So(err, ShouldBeNil)
-		So(back, ShouldResemble, sent)
+		So(decoded, ShouldResemble, sent)
 		for kind := range decoders {
 			_, err := DecodeMessage([]byte(`{"k":"` + string(kind) + `","b":7}`))
 			So(err, ShouldNotBeNil)
@@ -56,22 +57,22 @@
 	})
 }
 
-// An entry names the orders before it, a bounded number.
+// An entry lists the revisions that it replaced, up to MaxPrevious of them.
 func TestPrevious(t *testing.T) {
-	Convey("Of a thousand orders the last ones are named", t, func() {
-		held := chain.Entry{}
+	Convey("Of a thousand revisions, an entry lists the last ones", t, func() {
+		stored := chain.Entry{}
 		for version := uint64(1); version <= 1000; version++ {
-			held = chain.NewEntry(version, []byte("x")).Following(held, 2)
+			stored = chain.NewEntry(version, []byte("x")).Following(stored, 2)
 		}
-		So(held.Previous, ShouldHaveLength, chain.MaxPrevious)
-		So(held.Previous[chain.MaxPrevious-1].Revision, ShouldEqual, uint64(999))
+		So(stored.Previous, ShouldHaveLength, chain.MaxPrevious)
+		So(stored.Previous[chain.MaxPrevious-1].Revision, ShouldEqual, uint64(999))
 	})
 }
 
-// Mail comes as it was sent, contents and all; one message that can't be read takes no other
-// with it, and mail that is cut short is an error.
-func TestMail(t *testing.T) {
-	Convey("Mail with contents, some of them no text", t, func() {
+// A batch of messages survives encoding, with the contents of their entries. A message of an
+// unknown kind doesn't affect the others in its batch, and a truncated batch is an error.
+func TestBatch(t *testing.T) {
+	Convey("A batch with contents, some of which are not text", t, func() {
 		a, b := chain.NewEntry(3, []byte("\xff\x00 no text\n")), chain.NewEntry(4, []byte(`{"revision":4}`))
 		a.Previous = []chain.PastRevision{{Revision: 2, Digest: 9}}
 		sent := []envelope.Message{
@@ -80,21 +81,21 @@
 			{From: views.Member{Addr: "a", DiskID: "1"}, Body: chain.Repair{Entry: b}},
 			{From: views.Member{Addr: "a", DiskID: "1"}, Body: consensus.Decide{View: views.View{Epoch: 5}, Entry: &chain.Entry{Version: 3, ContentOmitted: true}}},
 		}
-		mail, err := EncodeBatch(sent)
+		batch, err := EncodeBatch(sent)
 		So(err, ShouldBeNil)
-		list, unread, err := DecodeBatch(mail)
+		messages, undecodable, err := DecodeBatch(batch)
 		So(err, ShouldBeNil)
-		So(unread, ShouldBeEmpty)
-		So(list, ShouldResemble, sent)
-		for n := range len(mail) {
-			_, _, err := DecodeBatch(mail[:n])
+		So(undecodable, ShouldBeEmpty)
+		So(messages, ShouldResemble, sent)
+		for n := range len(batch) {
+			_, _, err := DecodeBatch(batch[:n])
 			So(err, ShouldNotBeNil)
 		}
-		strange := bytes.Replace(mail, []byte(`"k":"heartbeat"`), []byte(`"k":"elect"`), 1)
-		list, unread, err = DecodeBatch(strange)
+		withUnknownKind := bytes.Replace(batch, []byte(`"k":"heartbeat"`), []byte(`"k":"elect"`), 1)
+		messages, undecodable, err = DecodeBatch(withUnknownKind)
 		So(err, ShouldBeNil)
-		So(list, ShouldHaveLength, 3)
-		So(unread, ShouldHaveLength, 1)
-		So(unread[0].Error(), ShouldContainSubstring, "elect")
+		So(messages, ShouldHaveLength, 3)
+		So(undecodable, ShouldHaveLength, 1)
+		So(undecodable[0].Error(), ShouldContainSubstring, "elect")
 	})
 }
--- a/internal/cluster/envelope/envelope.go
+++ b/internal/cluster/envelope/envelope.go
@@ -1,13 +1,13 @@
-// Package envelope holds the form in which control-plane machines address messages to one
-// another. The bodies stand beside the state machine that owns them: those of chain
-// replication in package chain, those of the agreement on views in package consensus.
-// Package codec writes and reads them.
+// Package envelope defines the messages between control-plane machines, apart from their bodies.
+// Each body is defined beside the state machine that it belongs to: those of chain replication
+// in package chain, those of the agreement on views in package consensus. Package codec encodes
+// and decodes messages.
 package envelope
 
 import "saddleport/internal/cluster/views"
 
-// Kind names the type of a body on the wire. Kinds never change: processes of two releases
-// talk to each other while a release is rolled out.
+// Kind identifies the type of a body on the wire. Kinds must never change: while a release is rolled
+// out, processes of two releases exchange messages.
 type Kind string
 
 // Body is the content of a message: one of the message types of chain or consensus.
