--- a/internal/cluster/lease/lease.go
+++ b/internal/cluster/lease/lease.go
@@ -1,8 +1,8 @@
 // Package lease decides which process holds each singleton role. Every process computes the
-// same order of all processes for a role; the first one that is alive claims it under an epoch
-// above all that it has heard of, and whoever works for a role rejects lower epochs. There are
-// never two holders under one epoch, and a process does not hold a role of which it knows a
-// higher epoch. The package only reports; it does not act.
+// same order of all processes for a role. The first process in it that is alive claims the role
+// under an epoch above every epoch that it knows, and processes that are asked to act for a role
+// reject lower epochs. An epoch never has two holders, and a process does not hold a role for
+// which it knows a higher epoch. The package only returns claims; it does not act on them.
 package lease
 
 import (
@@ -13,26 +13,28 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Claim says that a process holds a role from an epoch on. The low bits of the epoch are a
-// hash of the holder, which distinguishes two claims that were made at the same time.
+// Claim states that a process holds a role from an epoch on. The low bits of the epoch are a
+// hash of role and holder, which distinguishes two claims that were made at the same time.
 type Claim struct {
 	Role   string
 	Epoch  uint64
 	Holder string
 }
 
-// holderHashBits is the part of an epoch that is a hash of its holder.
+// holderHashBits is the number of low bits of an epoch that are a hash of its role and holder.
 const holderHashBits = 32
 
+// newEpoch returns the epoch of a claim: the term in the high bits, the hash in the low ones.
 func newEpoch(term uint64, role, holder string) uint64 {
 	return term<<holderHashBits | xxhash.Sum64String(role+"\x00"+holder)&(1<<holderHashBits-1)
 }
 
-// TermOf returns the term of an epoch: how often the role has been taken over.
+// TermOf returns the term of an epoch: the number of times the role has been claimed.
 func TermOf(epoch uint64) uint64 { return epoch >> holderHashBits }
 
-// PreferenceOrder returns the agreed order of processes for a role: by a hash of both, so that
-// roles are spread over processes.
+// PreferenceOrder returns the order in which processes are preferred for a role. It is that of a
+// hash of role and process, so that all processes compute the same order and roles are spread
+// over processes.
 func PreferenceOrder(role string, processes []string) []string {
 	out := slices.Clone(processes)
 	position := func(p string) uint64 { return xxhash.Sum64String(role + "\x00" + p) }
@@ -40,13 +42,13 @@
 	return out
 }
 
-// Table is the roles as one process sees them. It is not safe for concurrent use.
+// Table tracks the holders of roles as one process knows them. It is not safe for concurrent use.
 type Table struct {
 	self       string
-	claimDelay int64 // microseconds that this one is the first before it claims
+	claimDelay int64 // how long this process must be the first of a role's order before it claims the role, in microseconds
 	roles      []string
-	claims     map[string]Claim
-	firstSince map[string]int64 // since when this one is the first of a duty's order
+	claims     map[string]Claim // the highest known claim of each role
+	firstSince map[string]int64 // by role: since when this process is the first of its order
 }
 
 // New returns the table of a process that claims a role once it has been the first of the
@@ -55,10 +57,11 @@
 	return &Table{self: self, claimDelay: claimDelay, roles: roles, claims: make(map[string]Claim), firstSince: make(map[string]int64)}
 }
 
-// Observe takes a claim, its own or another's, and reports whether it is the highest known.
+// Observe records a claim of this or another process, and reports whether it is now the highest known
+// one. Claims of roles that the table does not know are ignored.
 func (t *Table) Observe(c Claim) bool {
-	was, known := t.claims[c.Role]
-	if known && c.Epoch <= was.Epoch || !slices.Contains(t.roles, c.Role) {
+	previous, known := t.claims[c.Role]
+	if known && c.Epoch <= previous.Epoch || !slices.Contains(t.roles, c.Role) {
 		return false
 	}
 	t.claims[c.Role] = c
@@ -71,17 +74,17 @@
 	return c.Epoch, c.Holder == t.self
 }
 
-// Holder returns the highest claim that is known for a role.
+// Holder returns the highest known claim of a role.
 func (t *Table) Holder(role string) (Claim, bool) {
 	c, known := t.claims[role]
 	return c, known
 }
 
-// IsStale reports whether work under an epoch comes too late: a higher one is known.
+// IsStale reports whether an epoch of a role is outdated because a higher one is known.
 func (t *Table) IsStale(role string, epoch uint64) bool { return epoch < t.claims[role].Epoch }
 
-// Tick returns the claims that this process makes now. candidates returns the live processes
-// that may hold a role, this one included.
+// Tick returns the claims that this process makes now. candidates returns the processes that are
+// alive and may hold a role, this one included.
 func (t *Table) Tick(now int64, candidates func(role string) []string) (claims []Claim) {
 	for _, role := range t.roles {
 		if order := PreferenceOrder(role, candidates(role)); len(order) == 0 || order[0] != t.self {
--- a/internal/cluster/lease/lease_test.go
+++ b/internal/cluster/lease/lease_test.go
@@ -11,11 +11,11 @@
 
 const second = int64(1_000_000)
 
-// Processes live, die and are cut apart; claims travel late, twice and out of order. No
-// epoch ever has two holders, nobody holds a duty of which it knows a higher epoch, work
-// under an epoch is done by its holder alone, and once all is calm there is one holder.
-func TestDuties(t *testing.T) {
-	Convey("One holder an epoch, under random lives", t, func() {
+// Random schedules in which processes fail and restart, wrongly take others for dead, and receive
+// claims late, repeatedly and out of order. An epoch never has two holders, no process holds a role
+// for which it knows a higher epoch, and once the processes are stable each role has one holder.
+func TestRoles(t *testing.T) {
+	Convey("An epoch has one holder, under random failures", t, func() {
 		takeovers := 0
 		for seed := range uint64(300) {
 			rng := rand.New(rand.NewPCG(seed, 5))
@@ -23,47 +23,47 @@
 			for i := range 2 + rng.IntN(9) {
 				names = append(names, fmt.Sprintf("10.0.0.%d:7080", i))
 			}
-			ms := make(map[string]*Table)
-			up := make(map[string]bool)
+			tables := make(map[string]*Table)
+			alive := make(map[string]bool)
 			for _, name := range names {
-				ms[name], up[name] = New(name, 2*second, "sweep", "other"), true
+				tables[name], alive[name] = New(name, 2*second, "sweep", "other"), true
 			}
-			holders := make(map[string]string) // by duty and epoch
-			var mail []Claim
-			sees := func(name string) []string { // what one thinks lives: mostly true
-				return slices.DeleteFunc(slices.Clone(names), func(o string) bool { return o != name && (!up[o] || rng.IntN(20) == 0) })
+			holders := make(map[string]string) // by role and epoch
+			var claims []Claim
+			believedAlive := func(name string) []string { // the processes that one takes to be alive: wrong for 1 in 20
+				return slices.DeleteFunc(slices.Clone(names), func(o string) bool { return o != name && (!alive[o] || rng.IntN(20) == 0) })
 			}
-			step := func(now int64, calm bool) {
+			step := func(now int64, stable bool) {
 				for _, name := range names {
-					if !up[name] {
+					if !alive[name] {
 						continue
 					}
-					list := sees(name)
-					if calm {
-						list = slices.DeleteFunc(slices.Clone(names), func(o string) bool { return !up[o] })
+					candidates := believedAlive(name)
+					if stable {
+						candidates = slices.DeleteFunc(slices.Clone(names), func(o string) bool { return !alive[o] })
 					}
-					for _, c := range ms[name].Tick(now, func(string) []string { return list }) {
+					for _, c := range tables[name].Tick(now, func(string) []string { return candidates }) {
 						key := fmt.Sprint(c.Role, c.Epoch)
-						if was := holders[key]; was != "" && was != c.Holder {
-							t.Fatalf("seed %d: %s and %s hold %s", seed, was, c.Holder, key)
+						if previous := holders[key]; previous != "" && previous != c.Holder {
+							t.Fatalf("seed %d: %s and %s both hold %s", seed, previous, c.Holder, key)
 						}
 						holders[key] = c.Holder
 						takeovers++
 						for range names {
-							mail = append(mail, c)
+							claims = append(claims, c)
 						}
 					}
 					for range rng.IntN(4) {
-						if len(mail) > 0 {
-							c := mail[rng.IntN(len(mail))]
-							before, _ := ms[name].Holder(c.Role)
-							ms[name].Observe(c)
-							after, _ := ms[name].Holder(c.Role)
+						if len(claims) > 0 {
+							c := claims[rng.IntN(len(claims))]
+							before, _ := tables[name].Holder(c.Role)
+							tables[name].Observe(c)
+							after, _ := tables[name].Holder(c.Role)
 							if after.Epoch < before.Epoch {
-								t.Fatal("an epoch went back")
+								t.Fatal("an epoch decreased")
 							}
-							if e, holds := ms[name].Holds(c.Role); holds && ms[name].IsStale(c.Role, e) {
-								t.Fatal("it does work that it refuses")
+							if e, holds := tables[name].Holds(c.Role); holds && tables[name].IsStale(c.Role, e) {
+								t.Fatal("a process holds a role under an epoch that it rejects as stale")
 							}
 						}
 					}
@@ -72,29 +72,29 @@
 			now := int64(0)
 			for ; now < 40*second; now += second / 2 {
 				if i := rng.IntN(len(names)); rng.IntN(8) == 0 {
-					if up[names[i]] = !up[names[i]]; up[names[i]] {
-						ms[names[i]] = New(names[i], 2*second, "sweep", "other") // it has forgotten all
+					if alive[names[i]] = !alive[names[i]]; alive[names[i]] {
+						tables[names[i]] = New(names[i], 2*second, "sweep", "other") // restarted without state
 					}
 				}
 				step(now, false)
 			}
 			for _, name := range names {
-				up[name] = true
+				alive[name] = true
 			}
 			for end := now + 20*second; now < end; now += second / 2 {
 				step(now, true)
 				for _, name := range names {
-					for _, c := range mail {
-						ms[name].Observe(c)
+					for _, c := range claims {
+						tables[name].Observe(c)
 					}
 				}
 			}
-			for _, duty := range []string{"sweep", "other"} {
-				first := PreferenceOrder(duty, names)[0]
+			for _, role := range []string{"sweep", "other"} {
+				first := PreferenceOrder(role, names)[0]
 				for _, name := range names {
-					c, _ := ms[name].Holder(duty)
+					c, _ := tables[name].Holder(role)
 					if c.Holder != first {
-						t.Fatalf("seed %d: %s takes %s for the holder of %s, not %s", seed, name, c.Holder, duty, first)
+						t.Fatalf("seed %d: %s takes %s for the holder of %s instead of %s", seed, name, c.Holder, role, first)
 					}
 				}
 			}
--- a/internal/cluster/member/member.go
+++ b/internal/cluster/member/member.go
@@ -1,8 +1,8 @@
-// Package member joins the state machines that an agent and a control-plane process have in
-// common: gossip, the failure detector, singleton roles and the anti-entropy sweep. It owns
-// how they feed one another: gossiped entries of processes make the ring and the order of
-// roles, heartbeats of the ring carry the checksum by which stores are compared. It does not
-// know what an entry means beyond that, does no I/O and reads no clock.
+// Package member combines the state machines that agents and control-plane processes have in
+// common: gossip, the failure detector, singleton roles and the anti-entropy sweep. It connects
+// them: the gossiped entries of processes determine the failure detector's ring and the order of
+// candidates for roles, and the heartbeats of the ring carry the checksum by which stores are
+// compared. The package does not interpret entries beyond that, does no I/O and reads no clock.
 package member
 
 import (
@@ -16,70 +16,71 @@
 	"saddleport/internal/cluster/lease"
 )
 
-// SingletonRole is a role that one process of a kind holds at a time.
+// SingletonRole is a role that one process at a time holds, among the processes of one kind.
 type SingletonRole struct {
 	Name, ProcessKind string
 }
 
-// SweepRole is the role of the agent that compares its store with every process's in turn.
+// SweepRole is the role of the agent that compares its store with that of each other process in turn.
 var SweepRole = SingletonRole{"sweep", gossip.KindAgent}
 
-// Config tunes the machines. Times are microseconds of the caller's clock.
+// Config tunes the state machines. Times are microseconds of the caller's clock.
 type Config struct {
 	Gossip              gossip.Config
 	FailureDetector     failuredetector.Config
 	AntiEntropy         antientropy.Config
 	ClaimDelay          int64 // how long a process must be the first of a role's order before it claims the role
-	MaintenanceInterval int64 // between two runs of what is done periodically
+	MaintenanceInterval int64 // time between two runs of periodic work
 	Roles               []SingletonRole
 }
 
-// DefaultConfig returns the configuration for service, with these roles beside the sweep.
-func DefaultConfig(more ...SingletonRole) Config {
-	return Config{Gossip: gossip.DefaultConfig, FailureDetector: failuredetector.DefaultConfig, AntiEntropy: antientropy.DefaultConfig, ClaimDelay: 2_000_000, MaintenanceInterval: 1_000_000, Roles: append([]SingletonRole{SweepRole}, more...)}
+// DefaultConfig returns the production configuration, with the given roles in addition to SweepRole.
+func DefaultConfig(roles ...SingletonRole) Config {
+	return Config{Gossip: gossip.DefaultConfig, FailureDetector: failuredetector.DefaultConfig, AntiEntropy: antientropy.DefaultConfig, ClaimDelay: 2_000_000, MaintenanceInterval: 1_000_000, Roles: append([]SingletonRole{SweepRole}, roles...)}
 }
 
-// Event is something that is worth a line in the log.
+// Event is a change that is to be logged.
 type Event struct {
 	Kind    EventKind
-	Process string
-	Role    string
-	Epoch   uint64
+	Process string // address of the process concerned
+	Role    string // of RoleTaken and RoleLost
+	Epoch   uint64 // of RoleTaken and RoleLost
 
 	ProcessKind string // of KindAbsent and KindPresent
-	Count       int    // of KindPresent: how many are known
+	Count       int    // of KindPresent: how many processes are known
 }
 
 // EventKind is the kind of an event.
 type EventKind int
 
-// The kinds of it.
+// The kinds of events.
 const (
-	Joined      EventKind = iota // the first other process was met
+	Joined      EventKind = iota // the first other process became known
 	ProcessDead                  // the failure detector found a process dead
 	ProcessGone                  // a process is known to have ended
-	RoleTaken                    // by this process
-	RoleLost                     // to another process
+	RoleTaken                    // this process has claimed a role
+	RoleLost                     // another process has claimed a role that this process held
 	KindAbsent                   // no other process of a kind is known to be alive
-	KindPresent                  // processes of a kind are known, and none was before
+	KindPresent                  // processes of a kind are known to be alive, and none was before
 )
 
-// Output is what is to be done. The outcomes of calls come back by HandleExchangeResult and
-// HandleProbeResult.
+// Output is what the caller is to do. It passes the outcomes of Calls to HandleExchangeResult and
+// those of Probes to HandleProbeResult.
 type Output struct {
 	Calls  []gossip.OutboundCall
 	Probes []failuredetector.Probe
 	Events []Event
 }
 
-// ClaimPrefix begins the keys of claims of roles in the gossip store.
+// ClaimPrefix is the prefix of the keys of role claims in the gossip store.
 const ClaimPrefix = "d/"
 
+// claimJSON is the value of the gossiped entry of a claim. The entry's version is the epoch.
 type claimJSON struct {
 	Holder string `json:"h"`
 }
 
-// Machine is one process among the others. It is not safe for concurrent use.
+// Machine is the membership state of one process. It is not safe for concurrent use.
 type Machine struct {
 	OnUpdate func(gossip.Entry) // called after an entry was stored; may be nil
 
@@ -89,18 +90,18 @@
 	detector          *failuredetector.Detector
 	leases            *lease.Table
 	antiEntropy       *antientropy.Repairer
-	membersChanged    bool // the processes known have changed
-	joined            bool
+	membersChanged    bool // whether the set of known processes has changed since the last maintenance
+	joined            bool // whether another process has become known
 	presence          presence
 	nextMaintenanceAt int64
 	out               Output
 }
 
-// New returns a process that knows itself and some addresses to ask.
+// New returns the machine of a process that knows only itself and the addresses of seeds.
 func New(now int64, cfg Config, self gossip.Process, seeds []string, rng *rand.Rand) *Machine {
 	names := make([]string, len(cfg.Roles))
-	for i, d := range cfg.Roles {
-		names[i] = d.Name
+	for i, role := range cfg.Roles {
+		names[i] = role.Name
 	}
 	m := &Machine{cfg: cfg, self: self, gossiper: gossip.New(now, cfg.Gossip, self, seeds, rng), antiEntropy: antientropy.New(cfg.AntiEntropy), presence: newPresence(now),
 		detector: failuredetector.New(now, cfg.FailureDetector, failuredetector.Peer{Addr: self.Addr, Zone: self.Zone}), leases: lease.New(self.Addr, cfg.ClaimDelay, names...)}
@@ -111,99 +112,100 @@
 // Store returns the gossip store.
 func (m *Machine) Store() *gossip.Store { return m.gossiper.Store }
 
-// Peers returns the other processes that are alive, of one kind or of any.
+// Peers returns the other processes of one kind that are alive; of all kinds if kind is empty.
 func (m *Machine) Peers(kind string) []gossip.Process { return m.gossiper.Peers(kind) }
 
-// Reachable reports whether a peer answered when it was last called.
+// Reachable reports whether a peer answered the last call to it.
 func (m *Machine) Reachable(now int64, addr string) bool { return m.gossiper.Reachable(now, addr) }
 
 // Holds reports whether this process holds a role, and under which epoch.
-func (m *Machine) Holds(duty string) (epoch uint64, holds bool) { return m.leases.Holds(duty) }
+func (m *Machine) Holds(role string) (epoch uint64, holds bool) { return m.leases.Holds(role) }
 
-// Holder returns the highest claim that is known for a role.
-func (m *Machine) Holder(duty string) (lease.Claim, bool) { return m.leases.Holder(duty) }
+// Holder returns the highest known claim of a role.
+func (m *Machine) Holder(role string) (lease.Claim, bool) { return m.leases.Holder(role) }
 
-// IsStale reports whether work under an epoch of a role comes too late.
-func (m *Machine) IsStale(duty string, epoch uint64) bool { return m.leases.IsStale(duty, epoch) }
+// IsStale reports whether an epoch of a role is outdated because a higher one is known.
+func (m *Machine) IsStale(role string, epoch uint64) bool { return m.leases.IsStale(role, epoch) }
 
-// Roles returns all singleton roles.
+// Roles returns all configured singleton roles.
 func (m *Machine) Roles() []SingletonRole { return m.cfg.Roles }
 
 // Watchers returns the addresses that this process sends heartbeats to.
 func (m *Machine) Watchers() []string { return m.detector.Watchers() }
 
-// Watched returns the addresses that send their heartbeats here.
+// Watched returns the addresses that send heartbeats to this process.
 func (m *Machine) Watched() []string { return m.detector.Watched() }
 
-// DifferencesFound counts the differences that comparisons of stores have found.
+// DifferencesFound returns the number of differences that comparisons of stores have found.
 func (m *Machine) DifferencesFound() int { return m.gossiper.DifferencesFound() }
 
-// SweepStats counts the sweep's work.
+// SweepStats returns the counters of the anti-entropy sweep.
 func (m *Machine) SweepStats() antientropy.Stats { return m.antiEntropy.Stats() }
 
-func (m *Machine) emit(n Event) { m.out.Events = append(m.out.Events, n) }
+func (m *Machine) emit(event Event) { m.out.Events = append(m.out.Events, event) }
 
 // onUpdate is called for every entry that was stored.
-func (m *Machine) onUpdate(i gossip.Entry) {
-	if addr, found := strings.CutPrefix(i.Key, gossip.ProcessPrefix); found {
+func (m *Machine) onUpdate(entry gossip.Entry) {
+	if addr, found := strings.CutPrefix(entry.Key, gossip.ProcessPrefix); found {
 		m.membersChanged = true
-		if i.Deleted() {
+		if entry.Deleted() {
 			m.emit(Event{Kind: ProcessGone, Process: addr})
 		}
-	} else if role, found := strings.CutPrefix(i.Key, ClaimPrefix); found {
+	} else if role, found := strings.CutPrefix(entry.Key, ClaimPrefix); found {
 		var c claimJSON
-		if json.Unmarshal(i.Value, &c) == nil {
+		if json.Unmarshal(entry.Value, &c) == nil {
 			_, holds := m.leases.Holds(role)
-			if m.leases.Observe(lease.Claim{Role: role, Epoch: i.Version, Holder: c.Holder}) && holds && c.Holder != m.self.Addr {
-				m.emit(Event{Kind: RoleLost, Process: c.Holder, Role: role, Epoch: i.Version})
+			if m.leases.Observe(lease.Claim{Role: role, Epoch: entry.Version, Holder: c.Holder}) && holds && c.Holder != m.self.Addr {
+				m.emit(Event{Kind: RoleLost, Process: c.Holder, Role: role, Epoch: entry.Version})
 			}
 		}
 	}
 	if m.OnUpdate != nil {
-		m.OnUpdate(i)
+		m.OnUpdate(entry)
 	}
 }
 
-// Put stores an entry of this process, for all others.
-func (m *Machine) Put(now int64, i gossip.Entry) { m.gossiper.Put(now, i, true) }
+// Put stores an entry and gossips it to all other processes.
+func (m *Machine) Put(now int64, entry gossip.Entry) { m.gossiper.Put(now, entry, true) }
 
-// HandleExchange answers another process's gossip.
-func (m *Machine) HandleExchange(now int64, p gossip.ExchangeRequest) gossip.ExchangeResponse {
-	m.detector.Observe(now, p.From)
-	return m.gossiper.HandleRequest(now, p)
+// HandleExchange answers a gossip exchange of another process.
+func (m *Machine) HandleExchange(now int64, request gossip.ExchangeRequest) gossip.ExchangeResponse {
+	m.detector.Observe(now, request.From)
+	return m.gossiper.HandleRequest(now, request)
 }
 
-// HandleExchangeResult takes the outcome of a gossip call.
-func (m *Machine) HandleExchangeResult(now int64, o gossip.OutboundCall, ans gossip.ExchangeResponse, ok bool) {
+// HandleExchangeResult handles the outcome of a gossip call; ok is false if it failed.
+func (m *Machine) HandleExchangeResult(now int64, call gossip.OutboundCall, response gossip.ExchangeResponse, ok bool) {
 	if ok {
-		m.detector.Observe(now, o.To)
+		m.detector.Observe(now, call.To)
 	}
-	m.gossiper.HandleResponse(now, o.ID, ans, ok)
+	m.gossiper.HandleResponse(now, call.ID, response, ok)
 }
 
-// HandleProbe answers a probe of the failure detector. If this process does not know, try
-// reports whether it is to try the process in question.
-func (m *Machine) HandleProbe(now int64, about string) (alive, try bool) {
-	alive, knows := m.detector.HandleProbe(now, about)
-	_, known := m.gossiper.Store.Get(gossip.ProcessPrefix + about)
-	return alive, !knows && known
+// HandleProbe answers a probe of the failure detector, which asks whether the process at target is
+// alive. If the detector cannot answer, callTarget reports whether this process should call the
+// target itself: it does so only for a process that the gossip store contains.
+func (m *Machine) HandleProbe(now int64, target string) (alive, callTarget bool) {
+	alive, decided := m.detector.HandleProbe(now, target)
+	_, known := m.gossiper.Store.Get(gossip.ProcessPrefix + target)
+	return alive, !decided && known
 }
 
-// HandleProbeResult takes the answer to a probe; answered is false if none came.
-func (m *Machine) HandleProbeResult(now int64, q failuredetector.Probe, alive, answered bool) {
-	m.detector.HandleProbeResult(now, q, alive, answered)
+// HandleProbeResult handles the answer to a probe; answered is false if there was none.
+func (m *Machine) HandleProbeResult(now int64, probe failuredetector.Probe, alive, answered bool) {
+	m.detector.HandleProbeResult(now, probe, alive, answered)
 }
 
-// SetSeeds sets the addresses to ask while no other process is known.
+// SetSeeds sets the addresses to contact while no other process is known.
 func (m *Machine) SetSeeds(addrs []string) { m.gossiper.SetSeeds(addrs) }
 
-// AnnounceLeave informs some other processes that this one ends.
+// AnnounceLeave informs some other processes that this one is shutting down.
 func (m *Machine) AnnounceLeave(now int64) {
 	m.gossiper.AnnounceLeave(now)
 	m.gossiper.Tick(now + m.cfg.Gossip.GossipInterval)
 }
 
-// TakeOutput returns what is to be done.
+// TakeOutput returns the output since the last call.
 func (m *Machine) TakeOutput() Output {
 	out := m.out
 	m.out = Output{}
@@ -211,7 +213,7 @@
 	return out
 }
 
-// NextTick returns when Tick has something to do.
+// NextTick returns the time at which Tick next has work to do.
 func (m *Machine) NextTick() int64 {
 	if at := m.gossiper.NextTick(); at != 0 {
 		return min(at, m.nextMaintenanceAt)
@@ -219,8 +221,8 @@
 	return m.nextMaintenanceAt
 }
 
-// Tick passes entries on, sends heartbeats, probes silent processes, and does this process's
-// roles.
+// Tick gossips entries, sends heartbeats, probes unresponsive processes, claims roles, and does the
+// work of the sweep role while this process holds it.
 func (m *Machine) Tick(now int64) {
 	if !m.joined && len(m.gossiper.Peers("")) > 0 {
 		m.joined = true
@@ -233,6 +235,7 @@
 	m.gossiper.Tick(now)
 }
 
+// maintain does the periodic work of Tick.
 func (m *Machine) maintain(now int64) {
 	m.gossiper.Purge(now)
 	if m.membersChanged {
@@ -257,31 +260,31 @@
 		m.emit(Event{Kind: RoleTaken, Role: c.Role, Epoch: c.Epoch, Process: m.self.Addr})
 		body, err := json.Marshal(claimJSON{c.Holder})
 		if err != nil {
-			panic(err) // a struct of one text always has a form
+			panic(err) // a struct with one string can always be encoded
 		}
 		m.Put(now, gossip.Entry{Key: ClaimPrefix + c.Role, Version: c.Epoch, Value: body})
 	}
-	if _, mine := m.leases.Holds(SweepRole.Name); mine {
-		var all []string
+	if _, holds := m.leases.Holds(SweepRole.Name); holds {
+		var addrs []string
 		for _, p := range m.gossiper.Peers("") {
-			all = append(all, p.Addr)
+			addrs = append(addrs, p.Addr)
 		}
-		if addr, due := m.antiEntropy.Sweep(now, all); due {
+		if addr, due := m.antiEntropy.Sweep(now, addrs); due {
 			m.gossiper.CompareChecksums(addr)
 		}
 	}
 }
 
 // candidates returns the processes that are alive and may hold a role.
-func (m *Machine) candidates(duty string) (out []string) {
-	for _, d := range m.cfg.Roles {
-		if d.Name != duty {
+func (m *Machine) candidates(name string) (out []string) {
+	for _, role := range m.cfg.Roles {
+		if role.Name != name {
 			continue
 		}
-		if m.self.Kind == d.ProcessKind {
+		if m.self.Kind == role.ProcessKind {
 			out = append(out, m.self.Addr)
 		}
-		for _, p := range m.gossiper.Peers(d.ProcessKind) {
+		for _, p := range m.gossiper.Peers(role.ProcessKind) {
 			out = append(out, p.Addr)
 		}
 	}
--- a/internal/cluster/member/presence.go
+++ b/internal/cluster/member/presence.go
@@ -2,13 +2,13 @@
 
 import "saddleport/internal/cluster/gossip"
 
-// absenceDelay is how long after its start a process may know none of a kind before that is
-// reported, in microseconds.
+// absenceDelay is the time in microseconds after its start during which a process may know no other
+// process of a kind before that is reported.
 const absenceDelay = 3_000_000
 
-// presence notes of which kinds other processes are known to be alive. What a process cannot
-// say by itself is that those which it does not know exist: so the absence of all of a kind is
-// reported, and the return of one.
+// presence tracks of which kinds other processes are known to be alive. A process cannot report the
+// existence of processes that it does not know, so it reports that it knows none of a kind, and when
+// it knows one again.
 type presence struct {
 	startedAt int64
 	states    map[string]presenceState
@@ -17,7 +17,7 @@
 type presenceState int
 
 const (
-	presenceUnknown presenceState = iota // none was known yet
+	presenceUnknown presenceState = iota // none has been known so far
 	kindPresent
 	kindAbsent
 )
@@ -26,8 +26,8 @@
 	return presence{startedAt: now, states: make(map[string]presenceState)}
 }
 
-// update takes how many processes of a kind are known and reports whether that changes anything: the
-// first of them, or that there is none any more.
+// update records how many processes of a kind are known to be alive. It reports a change if they are
+// the first of that kind, or if there is none any more or was none for absenceDelay after the start.
 func (p *presence) update(now int64, kind string, count int) (event EventKind, changed bool) {
 	state := p.states[kind]
 	switch {
@@ -41,7 +41,8 @@
 	return 0, false
 }
 
-// reportPresence emits an event for each kind that was first met, or of which none is left.
+// reportPresence emits an event for each kind of which the first process became known, or of which
+// none is known to be alive.
 func (m *Machine) reportPresence(now int64) {
 	for _, kind := range []string{gossip.KindAgent, gossip.KindControlPlane} {
 		count := len(m.gossiper.Peers(kind))
