--- a/internal/cluster/registry/registry.go
+++ b/internal/cluster/registry/registry.go
@@ -1,8 +1,9 @@
-// Package registry tracks the servers: which incarnations exist, where, for which service, and
-// whether each is available, draining or silent. Every control-plane machine runs one, fed by
-// the heartbeats that it receives itself and by gossip from the others. It never trusts a
-// heartbeat with a lower sequence than one it has seen, brings back an incarnation that has
-// deregistered, or takes silence here for silence everywhere.
+// Package registry tracks the servers: which incarnations exist, at which address and zone, for
+// which service, and whether each is available, draining or unresponsive. Every control-plane
+// machine has a registry, updated by the heartbeats that the machine receives itself and by
+// gossip from the others. The registry never accepts a heartbeat with a lower sequence than one
+// that it has seen, and never restores an incarnation that has deregistered. A server whose
+// heartbeats are missing here is not taken to be unresponsive if another machine receives them.
 package registry
 
 import (
@@ -13,7 +14,7 @@
 	"saddleport/internal/cluster/gossip"
 )
 
-// Server is one incarnation of a server as it is gossiped.
+// Server is one incarnation of a server, in the form in which it is gossiped.
 type Server struct {
 	ID         string  `json:"-"`
 	Service    string  `json:"s"`
@@ -22,20 +23,20 @@
 	Revision   string  `json:"v,omitempty"`
 	Capacity   float64 `json:"c"`
 	State      State   `json:"t"`
-	WarmupLeft int64   `json:"w,omitempty"` // milliseconds that it is still slow, when this was gossiped
+	WarmupLeft int64   `json:"w,omitempty"` // remaining slow-start time in milliseconds when the entry was gossiped
 	Owner      string  `json:"b"`           // the control-plane machine that receives its heartbeats
 }
 
-// What a server says of itself in a heartbeat.
+// The lifecycle states that a server reports in a heartbeat.
 const (
 	LifecycleAvailable = "available"
 	LifecycleDraining  = "draining"
 )
 
-// State is the state of a server.
+// State is the state of a server as the registry knows it.
 type State int
 
-// The states. A server that deregistered has an entry without a value.
+// The states. The entry of a server that has deregistered has no value.
 const (
 	Available State = iota
 	Draining
@@ -46,10 +47,11 @@
 	return [...]string{"available", "draining", "silent"}[min(max(s, 0), Unresponsive)]
 }
 
-// Prefix begins the keys of servers in the gossip store.
+// Prefix is the prefix of the keys of servers in the gossip store.
 const Prefix = "s/"
 
-// Heartbeat is the body of a server's heartbeat; the names on the wire are the operators'.
+// Heartbeat is the body of a server's heartbeat. The names of its fields are part of the servers'
+// interface.
 type Heartbeat struct {
 	Service    string  `json:"target_service"`
 	Addr       string  `json:"address"`
@@ -61,182 +63,189 @@
 	Sequence   int64   `json:"sequence"`
 }
 
-// FieldError is returned for a heartbeat that is not valid.
+// FieldError is returned for a heartbeat with an invalid field.
 type FieldError struct {
-	Field   string // as it is named on the wire
+	Field   string // its name on the wire
 	Problem string
 }
 
 func (e *FieldError) Error() string { return e.Field + ": " + e.Problem }
 
-// ErrFull is returned for a new server when the registry tracks as many as it may.
-var ErrFull = fmt.Errorf("%d servers are tracked here already", maxServers)
+// ErrFull is returned for a new server while the registry tracks maxServers servers.
+var ErrFull = fmt.Errorf("this machine already tracks %d servers, the maximum", maxServers)
 
-// Validate returns what is wrong with a heartbeat.
-func (b Heartbeat) Validate(id string) error {
+// Validate returns a *FieldError if a field of the heartbeat, or the id of its sender, is invalid.
+func (h Heartbeat) Validate(id string) error {
 	switch {
 	case id == "" || len(id) > 200:
-		return &FieldError{"id", "not of 1 to 200 bytes"}
-	case b.Service == "" || len(b.Service) > 200:
-		return &FieldError{"target_service", "not of 1 to 200 bytes"}
-	case b.Addr == "" || len(b.Addr) > 100 || !strings.Contains(b.Addr, ":"):
-		return &FieldError{"address", fmt.Sprintf("%.100q is not host:port", b.Addr)}
-	case b.Sequence < 0 || b.Sequence > 1<<50:
-		return &FieldError{"sequence", fmt.Sprintf("%d is out of bounds", b.Sequence)}
-	case b.State != LifecycleAvailable && b.State != LifecycleDraining:
-		return &FieldError{"lifecycle_state", fmt.Sprintf("%.40q is neither available nor draining", b.State)}
+		return &FieldError{"id", "must have 1 to 200 bytes"}
+	case h.Service == "" || len(h.Service) > 200:
+		return &FieldError{"target_service", "must have 1 to 200 bytes"}
+	case h.Addr == "" || len(h.Addr) > 100 || !strings.Contains(h.Addr, ":"):
+		return &FieldError{"address", fmt.Sprintf("%.100q is not host:port", h.Addr)}
+	case h.Sequence < 0 || h.Sequence > 1<<50:
+		return &FieldError{"sequence", fmt.Sprintf("%d is out of range", h.Sequence)}
+	case h.State != LifecycleAvailable && h.State != LifecycleDraining:
+		return &FieldError{"lifecycle_state", fmt.Sprintf("%.40q is neither available nor draining", h.State)}
 	}
 	return nil
 }
 
-// The version of a server's entry is the sequence of its heartbeat, shifted. Silence after that
-// heartbeat, and removal after long silence, come above it and below the next heartbeat.
+// The version of a server's entry is the sequence of its heartbeat, shifted by versionShift bits. The
+// low bits make the versions for a server that has become unresponsive after that heartbeat, and for
+// one that was removed after being unresponsive for long, higher than it and lower than that of the
+// next heartbeat.
 const (
 	versionShift        = 2
-	silentBit           = 1
+	unresponsiveBit     = 1
 	removedBit          = 2
 	deregisteredVersion = uint64(1) << 62
 )
 
-// maxServers is how many servers one machine tracks.
-const maxServers = 10_000 // servers heard by one machine
+// maxServers is the maximum number of servers whose heartbeats one machine tracks.
+const maxServers = 10_000
 
+// trackedServer is a server that sends its heartbeats to this machine or was adopted by it.
 type trackedServer struct {
 	server      Server
-	sequence    int64
+	sequence    int64 // of the last heartbeat
 	lastHeardAt int64 // microseconds of the caller's clock
 }
 
-// Registry is the servers as one control-plane machine sees them. It is not safe for
+// Registry tracks the servers whose heartbeats one control-plane machine receives. It is not safe for
 // concurrent use.
 type Registry struct {
-	self           string
-	silenceTimeout int64 // microseconds without a heartbeat after which a server is silent
-	tracked        map[string]*trackedServer
+	self             string
+	heartbeatTimeout int64 // microseconds without a heartbeat after which a server is unresponsive
+	tracked          map[string]*trackedServer
 }
 
-// New returns the registry of a machine, to which a server that sends nothing for
-// silenceTimeout microseconds is silent.
-func New(self string, silenceTimeout int64) *Registry {
-	return &Registry{self: self, silenceTimeout: silenceTimeout, tracked: make(map[string]*trackedServer)}
+// New returns the registry of a machine. A server that sends no heartbeat for heartbeatTimeout
+// microseconds is unresponsive.
+func New(self string, heartbeatTimeout int64) *Registry {
+	return &Registry{self: self, heartbeatTimeout: heartbeatTimeout, tracked: make(map[string]*trackedServer)}
 }
 
+// entryOf returns the gossip entry of a server.
 func entryOf(s Server, version uint64) gossip.Entry {
 	body, err := json.Marshal(s)
 	if err != nil {
-		panic(err) // a struct of texts and numbers always has a form
+		panic(err) // a struct of strings and numbers can always be encoded
 	}
 	return gossip.Entry{Key: Prefix + s.ID, Version: version, Value: body}
 }
 
-// Parse reads the gossiped entry of a server. Of a deleted one only the id is known.
-func Parse(i gossip.Entry) (s Server, err error) {
-	if !i.Deleted() {
-		err = json.Unmarshal(i.Value, &s)
+// Parse decodes the gossiped entry of a server. That of a deleted entry has only its ID.
+func Parse(entry gossip.Entry) (s Server, err error) {
+	if !entry.Deleted() {
+		err = json.Unmarshal(entry.Value, &s)
 	}
-	s.ID = strings.TrimPrefix(i.Key, Prefix)
+	s.ID = strings.TrimPrefix(entry.Key, Prefix)
 	return s, err
 }
 
-// HandleHeartbeat takes a heartbeat and returns the entry to gossip, if anything changed.
-// stored is the entry that is known of the server so far.
-func (r *Registry) HandleHeartbeat(now int64, id string, b Heartbeat, stored gossip.Entry, known bool) (update gossip.Entry, changed bool, err error) {
-	if err := b.Validate(id); err != nil {
+// HandleHeartbeat handles a heartbeat and returns the entry to gossip, if anything changed. stored is
+// the entry of the server in the gossip store, if known. The error is a *FieldError or ErrFull.
+func (r *Registry) HandleHeartbeat(now int64, id string, heartbeat Heartbeat, stored gossip.Entry, known bool) (update gossip.Entry, changed bool, err error) {
+	if err := heartbeat.Validate(id); err != nil {
 		return update, false, err
 	}
 	if known && stored.Version >= deregisteredVersion {
-		return update, false, nil // deregistered: a late heartbeat brings nothing back
+		return update, false, nil // a delayed heartbeat must not restore a deregistered server
 	}
-	h := r.tracked[id]
-	if h != nil && b.Sequence < h.sequence {
+	tracked := r.tracked[id]
+	if tracked != nil && heartbeat.Sequence < tracked.sequence {
 		return update, false, nil
 	}
-	s := Server{ID: id, Service: b.Service, Addr: b.Addr, Zone: b.Zone, Revision: b.Revision, Capacity: b.Capacity,
-		WarmupLeft: int64(b.WarmupLeft), Owner: r.self}
-	if b.State == LifecycleDraining {
-		s.State = Draining
+	server := Server{ID: id, Service: heartbeat.Service, Addr: heartbeat.Addr, Zone: heartbeat.Zone, Revision: heartbeat.Revision, Capacity: heartbeat.Capacity,
+		WarmupLeft: int64(heartbeat.WarmupLeft), Owner: r.self}
+	if heartbeat.State == LifecycleDraining {
+		server.State = Draining
 	}
-	version := uint64(b.Sequence) << versionShift
-	if h == nil {
+	version := uint64(heartbeat.Sequence) << versionShift
+	if tracked == nil {
 		if len(r.tracked) >= maxServers {
 			return update, false, ErrFull
 		}
-		h = &trackedServer{}
-		r.tracked[id] = h
+		tracked = &trackedServer{}
+		r.tracked[id] = tracked
 	}
-	h.server, h.sequence, h.lastHeardAt = s, b.Sequence, now
+	tracked.server, tracked.sequence, tracked.lastHeardAt = server, heartbeat.Sequence, now
 	if known {
 		if version < stored.Version {
-			return update, false, nil // others have heard a later one
+			return update, false, nil // another machine has received a later heartbeat
 		}
 		previous, err := Parse(stored)
-		if previous.WarmupLeft = s.WarmupLeft; err == nil && previous == s && !stored.Deleted() {
+		if previous.WarmupLeft = server.WarmupLeft; err == nil && previous == server && !stored.Deleted() {
 			return update, false, nil
 		}
-		if version == stored.Version { // the same heartbeat again
+		if version == stored.Version { // a repetition of the same heartbeat
 			return update, false, nil
 		}
 	}
-	return entryOf(s, version), true, nil
+	return entryOf(server, version), true, nil
 }
 
-// Adopt makes this machine track a server that another machine owned, or that it owned itself
-// before a restart: it is silent unless it sends heartbeats here or is heard elsewhere.
-func (r *Registry) Adopt(now int64, i gossip.Entry) {
-	s, err := Parse(i)
-	if err != nil || i.Deleted() || s.State == Unresponsive || r.tracked[s.ID] != nil || len(r.tracked) >= maxServers {
+// Adopt makes this machine track a server that was owned by another machine, or by this one before
+// a restart. The server becomes unresponsive unless it sends heartbeats to this machine or another.
+func (r *Registry) Adopt(now int64, entry gossip.Entry) {
+	s, err := Parse(entry)
+	if err != nil || entry.Deleted() || s.State == Unresponsive || r.tracked[s.ID] != nil || len(r.tracked) >= maxServers {
 		return
 	}
-	r.tracked[s.ID] = &trackedServer{server: s, sequence: int64(i.Version >> versionShift), lastHeardAt: now}
+	r.tracked[s.ID] = &trackedServer{server: s, sequence: int64(entry.Version >> versionShift), lastHeardAt: now}
 }
 
-// Tracks reports whether a server sends its heartbeats here or was adopted.
+// Tracks reports whether a server sends its heartbeats to this machine or was adopted by it.
 func (r *Registry) Tracks(id string) bool { return r.tracked[id] != nil }
 
-// RemovedEntry is the entry of a server that is removed after long silence. A later heartbeat
-// brings it back.
-func RemovedEntry(i gossip.Entry) gossip.Entry {
-	return gossip.Entry{Key: i.Key, Version: i.Version>>versionShift<<versionShift | removedBit}
+// RemovedEntry returns the entry that removes a server which was unresponsive for long. A later
+// heartbeat restores the server.
+func RemovedEntry(entry gossip.Entry) gossip.Entry {
+	return gossip.Entry{Key: entry.Key, Version: entry.Version>>versionShift<<versionShift | removedBit}
 }
 
-// HandleDeregister takes a server's last call and returns the entry to gossip.
+// HandleDeregister handles the deregistration of a server and returns the entry to gossip. The
+// incarnation cannot be restored afterwards.
 func (r *Registry) HandleDeregister(id string) gossip.Entry {
 	delete(r.tracked, id)
 	return gossip.Entry{Key: Prefix + id, Version: deregisteredVersion}
 }
 
-// HandleUpdate takes an entry that another machine gossiped. If it is older than what was
-// heard here, the entry that corrects it is returned.
-func (r *Registry) HandleUpdate(now int64, i gossip.Entry) (update gossip.Entry, changed bool) {
-	s, err := Parse(i)
+// HandleUpdate handles an entry that another machine has gossiped. If the entry makes a server
+// unresponsive or removes it although a later heartbeat was received here, HandleUpdate returns the
+// entry that corrects it.
+func (r *Registry) HandleUpdate(now int64, entry gossip.Entry) (update gossip.Entry, changed bool) {
+	s, err := Parse(entry)
 	if err != nil {
 		return update, false
 	}
-	h := r.tracked[s.ID]
+	tracked := r.tracked[s.ID]
 	switch {
-	case h == nil:
-	case i.Deleted() && i.Version >= deregisteredVersion:
+	case tracked == nil:
+	case entry.Deleted() && entry.Version >= deregisteredVersion:
 		delete(r.tracked, s.ID)
-	case (s.State == Unresponsive || i.Deleted()) && uint64(h.sequence)<<versionShift > i.Version && now-h.lastHeardAt < r.silenceTimeout:
-		return entryOf(h.server, uint64(h.sequence)<<versionShift), true // it is heard here
-	case s.Owner != r.self && i.Version > uint64(h.sequence)<<versionShift:
-		delete(r.tracked, s.ID) // its heartbeats go elsewhere now
+	case (s.State == Unresponsive || entry.Deleted()) && uint64(tracked.sequence)<<versionShift > entry.Version && now-tracked.lastHeardAt < r.heartbeatTimeout:
+		return entryOf(tracked.server, uint64(tracked.sequence)<<versionShift), true // this machine receives its heartbeats
+	case s.Owner != r.self && entry.Version > uint64(tracked.sequence)<<versionShift:
+		delete(r.tracked, s.ID) // another machine receives its heartbeats now
 	}
 	return update, false
 }
 
-// Tick returns the entries of servers that have become silent here.
+// Tick returns the entries of servers that have become unresponsive to this machine, and stops
+// tracking them.
 func (r *Registry) Tick(now int64) (updates []gossip.Entry) {
-	for id, h := range r.tracked {
-		if now-h.lastHeardAt > r.silenceTimeout {
-			s := h.server
+	for id, tracked := range r.tracked {
+		if now-tracked.lastHeardAt > r.heartbeatTimeout {
+			s := tracked.server
 			s.State, s.Owner = Unresponsive, r.self
-			updates = append(updates, entryOf(s, uint64(h.sequence)<<versionShift|silentBit))
+			updates = append(updates, entryOf(s, uint64(tracked.sequence)<<versionShift|unresponsiveBit))
 			delete(r.tracked, id)
 		}
 	}
 	return updates
 }
 
-// Len counts the servers that send their heartbeats here.
+// Len returns the number of tracked servers.
 func (r *Registry) Len() int { return len(r.tracked) }
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -1,6 +1,6 @@
-// Package transport is TCP between the system's processes and to its servers: connections
-// whose peer may fall silent without notice. It owns their time-outs at the kernel. It
-// must never wait for a peer without a bound.
+// Package transport opens the TCP connections between the system's processes and to its servers.
+// A peer may become unresponsive without closing its connection, so the package sets the kernel's
+// timeouts on each connection: no process may wait for a peer without a bound.
 package transport
 
 import (
@@ -11,46 +11,52 @@
 )
 
 const (
-	userTimeout  = 0x12 // TCP_USER_TIMEOUT
-	silence      = 2 * time.Second
+	userTimeout  = 0x12            // TCP_USER_TIMEOUT
+	ackTimeout   = 2 * time.Second // sent bytes that the peer has not acknowledged after this time end the connection
 	keepIdle     = 5 * time.Second
 	keepInterval = time.Second
 	keepCount    = 3
 )
 
-// control has the kernel end a connection whose bytes nobody acknowledges.
-func control(span time.Duration) func(network, address string, c syscall.RawConn) error {
+// control returns a function that makes the kernel end a connection whose sent bytes the peer has not
+// acknowledged within a timeout.
+func control(timeout time.Duration) func(network, address string, c syscall.RawConn) error {
 	return func(_, _ string, c syscall.RawConn) error {
 		return c.Control(func(fd uintptr) {
-			syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, userTimeout, int(span.Milliseconds()))
+			syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, userTimeout, int(timeout.Milliseconds()))
 		})
 	}
 }
 
-var keep = net.KeepAliveConfig{Enable: true, Idle: keepIdle, Interval: keepInterval, Count: keepCount}
+// keepAlive is the configuration of keep-alive probes: an idle connection whose peer answers none of
+// them is closed.
+var keepAlive = net.KeepAliveConfig{Enable: true, Idle: keepIdle, Interval: keepInterval, Count: keepCount}
 
-// Dialer opens connections that come up within a time and notice a silent peer.
-func Dialer(within time.Duration) *net.Dialer {
-	return &net.Dialer{Timeout: within, Control: control(silence), KeepAliveConfig: keep}
+// Dialer returns a dialer whose attempts fail after a timeout and whose connections detect an
+// unresponsive peer.
+func Dialer(timeout time.Duration) *net.Dialer {
+	return &net.Dialer{Timeout: timeout, Control: control(ackTimeout), KeepAliveConfig: keepAlive}
 }
 
-// LimitSendBuffer has a listener's connections keep at most so many bytes that their peers have not
-// taken: a peer that reads slowly then holds up the writer, who sees it, and not memory.
+// LimitSendBuffer limits the kernel's send buffer of each connection that a listener accepts. If the
+// peer reads slowly, the writer is then blocked and can notice it, instead of unread bytes filling
+// memory. Listeners other than TCP listeners are left unchanged.
 func LimitSendBuffer(ln net.Listener, bytes int) {
-	if tcp, is := ln.(*net.TCPListener); is {
+	if tcp, ok := ln.(*net.TCPListener); ok {
 		if raw, err := tcp.SyscallConn(); err == nil {
 			raw.Control(func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_SNDBUF, bytes) })
 		}
 	}
 }
 
-// Listen takes an address for connections that notice a silent peer. After a restart the
-// process before may hold it for a moment yet: it is tried for a while.
+// Listen listens on a TCP address (IPv4) for connections that detect an unresponsive peer. After a
+// restart the previous process may still occupy the address for a moment, so Listen tries for 5 s
+// before it returns the error.
 func Listen(ctx context.Context, addr string) (net.Listener, error) {
-	cfg := net.ListenConfig{Control: control(silence), KeepAliveConfig: keep}
-	for until := time.Now().Add(5 * time.Second); ; {
+	cfg := net.ListenConfig{Control: control(ackTimeout), KeepAliveConfig: keepAlive}
+	for deadline := time.Now().Add(5 * time.Second); ; {
 		ln, err := cfg.Listen(ctx, "tcp4", addr)
-		if err == nil || time.Now().After(until) || ctx.Err() != nil {
+		if err == nil || time.Now().After(deadline) || ctx.Err() != nil {
 			return ln, err
 		}
 		select {
