--- a/internal/cluster/member/member.go
+++ b/internal/cluster/member/member.go
@@ -59,7 +59,7 @@
 	ProcessDead                  // the failure detector found a process dead
 	ProcessGone                  // a process is known to have ended
 	RoleTaken                    // this process has claimed a role
-	RoleLost                     // another process has claimed a role that this process held
+	RoleLost                     // another process has claimed a role of this process
 	KindAbsent                   // no other process of a kind is known to be alive
 	KindPresent                  // processes of a kind are known to be alive, and none was before
 )
