--- a/internal/app/config.go
+++ b/internal/app/config.go
@@ -14,8 +14,8 @@
 	"github.com/tidwall/gjson"
 
 	"saddleport/choice"
+	"saddleport/internal/downstream"
 	"saddleport/internal/exchange"
-	"saddleport/internal/front"
 	"saddleport/internal/settings"
 	"saddleport/internal/source/targets"
 )
@@ -31,7 +31,7 @@
 	settings                settings.Settings
 	known                   choice.List
 	addrs                   targets.Addrs
-	pace                    front.Pace
+	pace                    downstream.Pace
 	stay                    time.Duration
 	look                    time.Duration // tests: where lists are pushed, how long an answer may take
 	operator                string        // the operator file; empty: none
@@ -65,7 +65,7 @@
 		}
 		return env(variable)
 	}
-	c := &Config{pace: front.Usual, stay: stayTime, name: told("name", "BALANCER_NAME"), listen: told("listen", "BALANCER_LISTEN"),
+	c := &Config{pace: downstream.Usual, stay: stayTime, name: told("name", "BALANCER_NAME"), listen: told("listen", "BALANCER_LISTEN"),
 		discovery: told("discovery", "BALANCER_DISCOVERY")}
 	for field, addr := range map[string]string{"listen": c.listen, "discovery": c.discovery} {
 		if _, _, err := net.SplitHostPort(addr); err != nil {
--- a/internal/app/members.go
+++ b/internal/app/members.go
@@ -18,7 +18,6 @@
 	"time"
 
 	"saddleport/choice"
-	"saddleport/internal/back"
 	"saddleport/internal/control"
 	"saddleport/internal/core/membership"
 	"saddleport/internal/operator"
@@ -26,6 +25,7 @@
 	"saddleport/internal/source/dnssrv"
 	"saddleport/internal/source/members"
 	"saddleport/internal/source/targets"
+	"saddleport/internal/upstream"
 )
 
 // keyed names the key that a settings' check found fault with.
@@ -86,7 +86,7 @@
 }
 
 // newMembers makes the merge; nothing is asked before start.
-func newMembers(cfg *Config, op *Operator, b *back.Back) (*memberships, error) {
+func newMembers(cfg *Config, op *Operator, b *upstream.Back) (*memberships, error) {
 	s, err := members.New(op.Members.Merge(op.ranked()), cfg.settings.Router.Cells, b)
 	if err != nil {
 		return nil, err
--- a/internal/app/serve.go
+++ b/internal/app/serve.go
@@ -20,16 +20,16 @@
 	"syscall"
 	"time"
 
-	"saddleport/internal/back"
 	"saddleport/internal/control"
+	"saddleport/internal/downstream"
+	"saddleport/internal/downstream/platform"
 	"saddleport/internal/exchange"
-	"saddleport/internal/front"
-	"saddleport/internal/front/platform"
 	"saddleport/internal/hook"
 	"saddleport/internal/logs"
 	"saddleport/internal/source/consul"
 	"saddleport/internal/source/segments"
 	"saddleport/internal/source/targets"
+	"saddleport/internal/upstream"
 )
 
 const (
@@ -164,7 +164,7 @@
 		return err
 	}
 	leaves := (cfg.sockets - spareFiles) / leafShare
-	b := back.New(back.Config{Exchange: x, Settings: cfg.settings, MaxConns: leaves})
+	b := upstream.New(upstream.Config{Exchange: x, Settings: cfg.settings, MaxConns: leaves})
 	m := &mixer{cfg: cfg, x: x}
 	if len(op.Members.Sources) == 0 {
 		m.list = targets.New(targets.Config{Addr: cfg.discovery, Cells: cfg.settings.Router.Cells, Index: cfg.known.Version,
@@ -230,7 +230,7 @@
 		classes[c.Name] = true
 	}
 	p := &platform.Protocol{Exchange: x, Shards: cfg.settings.Router.Shards, Classes: classes, Segments: m.feed != nil}
-	f := front.New(front.Config{Exchange: x, Protocol: p, MaxClients: cfg.sockets - spareFiles - leaves,
+	f := downstream.New(downstream.Config{Exchange: x, Protocol: p, MaxClients: cfg.sockets - spareFiles - leaves,
 		Keep: cfg.sockets / keepShare, Pace: cfg.pace})
 	if m.feed != nil { // segments are numbered as the map says
 		p.Shards, p.Ready = 0, m.feed.Held
--- a/internal/front/front.go
+++ b/internal/downstream/downstream.go
@@ -1,8 +1,8 @@
-// Package front is the server side whatever the protocol: it owns the listener and
+// Package downstream is the server side whatever the protocol: it owns the listener and
 // the client connections, their pace and their ends. What a request means is its
 // Protocol's, one folder each (platform, gate). It must never decide what becomes of
 // a query, end a connection that is owed an answer, or let one client hold up another.
-package front
+package downstream
 
 import (
 	"errors"
--- a/internal/front/gate/allow_test.go
+++ b/internal/downstream/httpserver/allow_test.go
@@ -1,4 +1,4 @@
-package gate_test
+package httpserver_test
 
 import (
 	"bufio"
--- a/internal/front/gate/gate.go
+++ b/internal/downstream/httpserver/httpserver.go
@@ -1,9 +1,9 @@
-// Package gate is the server side's protocol in the system: HTTP/1.1 requests on routes
+// Package httpserver is the server side's protocol in the system: HTTP/1.1 requests on routes
 // of the configuration in force. It owns how a request becomes a query of the exchange,
 // how parts are merged into one answer, and what the client is told. It must never answer
 // 429 or 503 for a request that may have run, put parts of two versions of the
 // configuration into one answer, or hold back an answer that is due.
-package gate
+package httpserver
 
 import (
 	"cmp"
@@ -15,8 +15,8 @@
 	"sync/atomic"
 	"time"
 
+	"saddleport/internal/downstream"
 	"saddleport/internal/exchange"
-	"saddleport/internal/front"
 	"saddleport/internal/httpwire"
 )
 
@@ -36,7 +36,7 @@
 	shareOfTime  = 0.02                   // of a client's patience, set aside for the way back
 )
 
-// Gate implements front.Protocol.
+// Gate implements downstream.Protocol.
 type Gate struct {
 	Exchange *exchange.Exchange
 	Unrouted atomic.Int64 // requests that no route is for
@@ -54,8 +54,8 @@
 // Plan returns the plan in force; nil: there is none yet.
 func (g *Gate) Plan() *Plan { return g.plan.Load() }
 
-// Serve implements front.Protocol.
-func (g *Gate) Serve(c *front.Conn, r *httpwire.Request, at time.Time) bool {
+// Serve implements downstream.Protocol.
+func (g *Gate) Serve(c *downstream.Conn, r *httpwire.Request, at time.Time) bool {
 	keep := r.KeepAlive && !c.Closing()
 	c.Active(at)
 	if c.Refusing() {
@@ -120,7 +120,7 @@
 
 // fail answers a request that has no answer: with 503 and a time to come back where it
 // has not run and never will, else with what its server said, or 502 or 504.
-func (g *Gate) fail(c *front.Conn, f exchange.Final, keep bool) bool {
+func (g *Gate) fail(c *downstream.Conn, f exchange.Final, keep bool) bool {
 	switch {
 	case !f.Ran && f.Ending != exchange.Gone:
 		return c.Write(503, "refused\n", keep, retry(cmp.Or(f.RetryAfter, lateRetry)))
--- a/internal/front/gate/gate_test.go
+++ b/internal/downstream/httpserver/httpserver_test.go
@@ -1,4 +1,4 @@
-package gate_test
+package httpserver_test
 
 import (
 	"bufio"
@@ -14,13 +14,13 @@
 	"github.com/stretchr/testify/require"
 
 	"saddleport/choice"
-	"saddleport/internal/back/reach"
 	"saddleport/internal/cluster/routeconfig"
+	"saddleport/internal/downstream"
+	"saddleport/internal/downstream/httpserver"
 	"saddleport/internal/exchange"
-	"saddleport/internal/front"
-	"saddleport/internal/front/gate"
 	"saddleport/internal/lab/standin"
 	"saddleport/internal/settings"
+	"saddleport/internal/upstream/httpclient"
 )
 
 // proxy is a proxy on loopback: the front, the exchange and the back, without an agent.
@@ -28,15 +28,15 @@
 	t       testing.TB
 	addr    string
 	x       *exchange.Exchange
-	back    *reach.Back
-	gate    *gate.Gate
-	front   *front.Front
-	numbers gate.Shards
+	back    *httpclient.Back
+	gate    *httpserver.Gate
+	front   *downstream.Front
+	numbers httpserver.Shards
 	servers map[string]*standin.Server // by service: the last that was added
 }
 
 func newProxy(t testing.TB, change func(*choice.Settings)) *proxy {
-	set := settings.Settings{MostHeld: 10_000, Router: choice.Settings{ClassesLater: true, Cells: gate.MostShards, Width: 1,
+	set := settings.Settings{MostHeld: 10_000, Router: choice.Settings{ClassesLater: true, Cells: httpserver.MostShards, Width: 1,
 		BundleMax: 1, Resolution: 1000, Cancel: true, ParallelTries: true, MaxRetryAfter: 1_000_000, AttemptCap: 8,
 		Keepalive: 30_000_000, Routers: 1, ExtraBudget: true, ExtraByShard: true, ExtraRatio: 0.2, ExtraSpare: 20,
 		ExtraWindow: 10_000_000}}
@@ -45,10 +45,10 @@
 	}
 	x, err := exchange.New(1, set)
 	require.NoError(t, err)
-	p := &proxy{t: t, x: x, gate: &gate.Gate{Exchange: x}, back: reach.New(reach.Config{Exchange: x, MaxConns: 500}),
+	p := &proxy{t: t, x: x, gate: &httpserver.Gate{Exchange: x}, back: httpclient.New(httpclient.Config{Exchange: x, MaxConns: 500}),
 		servers: make(map[string]*standin.Server)}
-	p.front = front.New(front.Config{Exchange: x, Protocol: p.gate, MaxClients: 500,
-		Pace: front.Pace{First: time.Minute, Request: time.Minute, Idle: time.Minute}})
+	p.front = downstream.New(downstream.Config{Exchange: x, Protocol: p.gate, MaxClients: 500,
+		Pace: downstream.Pace{First: time.Minute, Request: time.Minute, Idle: time.Minute}})
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	p.addr = ln.Addr().String()
@@ -64,18 +64,18 @@
 func (p *proxy) charter(text string) {
 	c, err := routeconfig.Parse([]byte(text))
 	require.NoError(p.t, err)
-	plan, err := gate.NewPlan(c, &p.numbers)
+	plan, err := httpserver.NewPlan(c, &p.numbers)
 	require.NoError(p.t, err)
 	p.x.Retune(plan.Classes)
 	p.gate.Use(plan)
-	p.front.SetPace(gate.Pace(c.Limits))
+	p.front.SetPace(httpserver.Pace(c.Limits))
 }
 
 func (p *proxy) server(service string, s *standin.Server) {
 	p.servers[service] = s
 	n, err := p.numbers.Of(service)
 	require.NoError(p.t, err)
-	p.back.UpdateServers([]reach.Server{{ID: s.ID, Addr: s.Addr}})
+	p.back.UpdateServers([]httpclient.Server{{ID: s.ID, Addr: s.Addr}})
 	p.x.Listed(choice.List{Servers: []choice.Server{{ID: s.ID, Zone: "z", Cell: n, State: choice.Ready, Scale: 3}}})
 }
 
--- a/internal/front/gate/plan.go
+++ b/internal/downstream/httpserver/plan.go
@@ -1,4 +1,4 @@
-package gate
+package httpserver
 
 // What a configuration means to the exchange: classes, and the numbers of services.
 
@@ -10,7 +10,7 @@
 
 	"saddleport/choice"
 	"saddleport/internal/cluster/routeconfig"
-	"saddleport/internal/front"
+	"saddleport/internal/downstream"
 )
 
 // Plan is a configuration made ready for requests. It does not change.
@@ -145,6 +145,6 @@
 
 // Pace is what a configuration's limits mean to the front: a client has the time of a head
 // for its head, and as long as it may rest for its body.
-func Pace(l routeconfig.Limits) front.Pace {
-	return front.Pace{First: l.IdleTimeout, Request: l.HeaderTimeout, Idle: l.IdleTimeout, Body: l.IdleTimeout, MaxHead: l.MaxHeaderBytes, MaxBody: l.MaxBodyBytes}
+func Pace(l routeconfig.Limits) downstream.Pace {
+	return downstream.Pace{First: l.IdleTimeout, Request: l.HeaderTimeout, Idle: l.IdleTimeout, Body: l.IdleTimeout, MaxHead: l.MaxHeaderBytes, MaxBody: l.MaxBodyBytes}
 }
--- a/internal/front/lanes.go
+++ b/internal/downstream/lanes.go
@@ -1,4 +1,4 @@
-package front
+package downstream
 
 import (
 	"net"
--- a/internal/front/platform/platform.go
+++ b/internal/downstream/platform/platform.go
@@ -14,8 +14,8 @@
 
 	"saddleport/choice"
 	"saddleport/internal/core/placement"
+	"saddleport/internal/downstream"
 	"saddleport/internal/exchange"
-	"saddleport/internal/front"
 	"saddleport/internal/httpwire"
 	"saddleport/internal/logs"
 )
@@ -34,7 +34,7 @@
 
 var log = logs.For("front")
 
-// Protocol implements front.Protocol.
+// Protocol implements downstream.Protocol.
 type Protocol struct {
 	Exchange *exchange.Exchange
 	Shards   int  // 0: not told
@@ -45,7 +45,7 @@
 }
 
 // Serve answers one request and tells whether the connection goes on.
-func (f *Protocol) Serve(c *front.Conn, q *httpwire.Request, at time.Time) bool {
+func (f *Protocol) Serve(c *downstream.Conn, q *httpwire.Request, at time.Time) bool {
 	keep := q.KeepAlive && !c.Closing()
 	method := "GET"
 	if q.Path == "/api" {
@@ -96,7 +96,7 @@
 
 // answer writes a query's final answer. 429 and 503 promise that asking again
 // does no harm, so nothing but a refusal may use them.
-func answer(c *front.Conn, f exchange.Final, keep bool) bool {
+func answer(c *downstream.Conn, f exchange.Final, keep bool) bool {
 	var fields []httpwire.Field
 	for _, n := range f.Notes {
 		fields = append(fields, httpwire.Field{Name: "X-Note-" + n.Name, Value: n.Value})
--- a/internal/lab/answers/answers.go
+++ b/internal/lab/answers/answers.go
@@ -12,13 +12,13 @@
 	"time"
 
 	"saddleport/choice"
-	"saddleport/internal/back/reach"
 	"saddleport/internal/cluster/routeconfig"
+	"saddleport/internal/downstream"
+	"saddleport/internal/downstream/httpserver"
 	"saddleport/internal/exchange"
-	"saddleport/internal/front"
-	"saddleport/internal/front/gate"
 	"saddleport/internal/lab/standin"
 	"saddleport/internal/settings"
+	"saddleport/internal/upstream/httpclient"
 )
 
 // Plan says what is played.
@@ -28,7 +28,7 @@
 	Servers  int     // of each service
 	Spoilt   float64 // the share of requests that a server does not answer in order
 	Seed     uint64
-	Breaks   reach.Breaks
+	Breaks   httpclient.Breaks
 }
 
 // Usual is the plan of a run by hand.
@@ -83,7 +83,7 @@
 
 // startProxy starts the data plane of a proxy, and the servers that it knows.
 func startProxy(ctx context.Context, p Plan, l *ledger) (addr string, err error) {
-	set := settings.Settings{MostHeld: 10_000, Router: choice.Settings{ClassesLater: true, Cells: gate.MostShards, Width: 1,
+	set := settings.Settings{MostHeld: 10_000, Router: choice.Settings{ClassesLater: true, Cells: httpserver.MostShards, Width: 1,
 		BundleMax: 1, Resolution: resolution, Cancel: true, ParallelTries: true, RetryAdvice: true, MaxRetryAfter: 1_000_000,
 		AttemptCap: 8, Keepalive: 30_000_000, Routers: 1, ExtraBudget: true, ExtraByShard: true, ExtraRatio: 1, ExtraSpare: 1000,
 		ExtraWindow: 10_000_000}}
@@ -91,10 +91,10 @@
 	if err != nil {
 		return "", err
 	}
-	g := &gate.Gate{Exchange: x}
-	back := reach.New(reach.Config{Exchange: x, MaxConns: mostConns, Breaks: p.Breaks})
-	f := front.New(front.Config{Exchange: x, Protocol: g, MaxClients: 4 * p.Clients,
-		Pace: front.Pace{First: time.Minute, Request: time.Minute, Idle: time.Minute}})
+	g := &httpserver.Gate{Exchange: x}
+	back := httpclient.New(httpclient.Config{Exchange: x, MaxConns: mostConns, Breaks: p.Breaks})
+	f := downstream.New(downstream.Config{Exchange: x, Protocol: g, MaxClients: 4 * p.Clients,
+		Pace: downstream.Pace{First: time.Minute, Request: time.Minute, Idle: time.Minute}})
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return "", err
@@ -104,18 +104,18 @@
 	go x.Run(back, stop)
 	go back.Run(ctx)
 	go f.Serve(ln)
-	var numbers gate.Shards
+	var numbers httpserver.Shards
 	c, err := routeconfig.Parse([]byte(routeConfig))
 	if err != nil {
 		return "", err
 	}
-	plan, err := gate.NewPlan(c, &numbers)
+	plan, err := httpserver.NewPlan(c, &numbers)
 	if err != nil {
 		return "", err
 	}
 	x.Retune(plan.Classes)
 	g.Use(plan)
-	f.SetPace(gate.Pace(c.Limits))
+	f.SetPace(httpserver.Pace(c.Limits))
 	for service := range c.Services {
 		number, err := numbers.Of(service)
 		if err != nil {
@@ -127,7 +127,7 @@
 				return "", err
 			}
 			l.serve(s)
-			back.UpdateServers([]reach.Server{{ID: s.ID, Addr: s.Addr}})
+			back.UpdateServers([]httpclient.Server{{ID: s.ID, Addr: s.Addr}})
 			x.Listed(choice.List{Servers: []choice.Server{{ID: s.ID, Zone: "z", Cell: number, State: choice.Ready, Scale: 64}}})
 		}
 	}
--- a/internal/lab/answers/command.go
+++ b/internal/lab/answers/command.go
@@ -9,11 +9,11 @@
 
 	"github.com/spf13/cobra"
 
-	"saddleport/internal/back/reach"
+	"saddleport/internal/upstream/httpclient"
 )
 
 // Mutants are the rules that can be left out on purpose, by name.
-var Mutants = map[string]reach.Breaks{
+var Mutants = map[string]httpclient.Breaks{
 	"any-id":         {AnyID: true},
 	"lost-is-unsent": {LostIsUnsent: true},
 }
--- a/internal/lab/virtual/link.go
+++ b/internal/lab/virtual/link.go
@@ -1,6 +1,6 @@
 package virtual
 
-// The connections of a mixer to a server, as internal/back keeps them.
+// The connections of a mixer to a server, as internal/upstream keeps them.
 
 import (
 	"fmt"
--- a/internal/lab/virtual/virtual.go
+++ b/internal/lab/virtual/virtual.go
@@ -4,8 +4,8 @@
 // the machine's clock for anything that a result shows, walk a map where the order
 // could be seen, or decide anything for a mixer.
 //
-// What stands in for the mixer's sockets (link.go) follows internal/front and
-// internal/back: where it does less, docs/design/emulator.md says so.
+// What stands in for the mixer's sockets (link.go) follows internal/downstream and
+// internal/upstream: where it does less, docs/design/emulator.md says so.
 package virtual
 
 import (
@@ -28,8 +28,8 @@
 	"saddleport/internal/settings"
 )
 
-// What the mixer's own sides do with time: the figures of internal/front and
-// internal/back.
+// What the mixer's own sides do with time: the figures of internal/downstream and
+// internal/upstream.
 const (
 	unseen      = 30 * time.Millisecond
 	unseenShare = 10
--- a/internal/layout/layout_test.go
+++ b/internal/layout/layout_test.go
@@ -23,7 +23,7 @@
 	{
 		name: "the state machines do no I/O", below: "internal/cluster",
 		forbidden: []string{"os", "net", "syscall", "log", "sync", "io", "bufio", "crypto/rand", "saddleport/internal/node",
-			"saddleport/internal/lab", "saddleport/internal/front", "saddleport/internal/back", "saddleport/internal/exchange",
+			"saddleport/internal/lab", "saddleport/internal/downstream", "saddleport/internal/upstream", "saddleport/internal/exchange",
 			"saddleport/internal/transport", "saddleport/choice"},
 	},
 	{
@@ -31,16 +31,16 @@
 		forbidden: []string{"os", "net", "syscall", "log", "crypto/rand", "saddleport/internal"},
 	},
 	{
-		name: "connections do not know the programs", below: "internal/back",
-		forbidden: []string{"saddleport/internal/node", "saddleport/internal/lab", "saddleport/internal/app", "saddleport/internal/front"},
+		name: "connections do not know the programs", below: "internal/upstream",
+		forbidden: []string{"saddleport/internal/node", "saddleport/internal/lab", "saddleport/internal/app", "saddleport/internal/downstream"},
 	},
 	{
-		name: "connections do not know the programs", below: "internal/front",
-		forbidden: []string{"saddleport/internal/node", "saddleport/internal/lab", "saddleport/internal/app", "saddleport/internal/back"},
+		name: "connections do not know the programs", below: "internal/downstream",
+		forbidden: []string{"saddleport/internal/node", "saddleport/internal/lab", "saddleport/internal/app", "saddleport/internal/upstream"},
 	},
 	{
 		name: "the exchange knows neither side", below: "internal/exchange",
-		forbidden: []string{"saddleport/internal/node", "saddleport/internal/lab", "saddleport/internal/app", "saddleport/internal/front", "saddleport/internal/back"},
+		forbidden: []string{"saddleport/internal/node", "saddleport/internal/lab", "saddleport/internal/app", "saddleport/internal/downstream", "saddleport/internal/upstream"},
 	},
 	{
 		name: "the programs do not know the rig", below: "internal/node",
--- a/internal/node/proxy/proxy.go
+++ b/internal/node/proxy/proxy.go
@@ -15,14 +15,13 @@
 	"time"
 
 	"saddleport/choice"
-	"saddleport/internal/back/reach"
 	"saddleport/internal/cluster/gossip"
 	"saddleport/internal/cluster/quota"
 	"saddleport/internal/cluster/registry"
 	"saddleport/internal/cluster/routeconfig"
+	"saddleport/internal/downstream"
+	"saddleport/internal/downstream/httpserver"
 	"saddleport/internal/exchange"
-	"saddleport/internal/front"
-	"saddleport/internal/front/gate"
 	"saddleport/internal/node/admin"
 	"saddleport/internal/node/agentapi"
 	"saddleport/internal/node/events"
@@ -30,6 +29,7 @@
 	"saddleport/internal/node/rpc"
 	"saddleport/internal/settings"
 	"saddleport/internal/transport"
+	"saddleport/internal/upstream/httpclient"
 )
 
 const (
@@ -56,11 +56,11 @@
 type proxy struct {
 	settings     *nodesettings.Settings
 	exchange     *exchange.Exchange
-	upstream     *reach.Back
-	routes       *gate.Gate
-	downstream   *front.Front
+	upstream     *httpclient.Back
+	routes       *httpserver.Gate
+	downstream   *downstream.Front
 	client       *rpc.Client
-	shardNumbers gate.Shards
+	shardNumbers httpserver.Shards
 	startedAt    time.Time
 	serverCount  atomic.Int64
 
@@ -84,7 +84,7 @@
 // exchangeSettings returns the settings of the exchange and of the decisions.
 func exchangeSettings(bounds nodesettings.Bounds) settings.Settings {
 	return settings.Settings{MostHeld: maxRequests, Router: choice.Settings{
-		ClassesLater: true, Cells: gate.MostShards, Width: 1, BundleMax: 1, Resolution: tickMicroseconds, Cancel: true,
+		ClassesLater: true, Cells: httpserver.MostShards, Width: 1, BundleMax: 1, Resolution: tickMicroseconds, Cancel: true,
 		ParallelTries: true, RetryAdvice: true, MaxRetryAfter: time.Second.Microseconds(), AttemptCap: maxAttempts,
 		Keepalive: (30 * time.Second).Microseconds(), DrainGrace: bounds.Drain.Microseconds() / 4,
 		Routers: minProxies, ExtraBudget: true, ExtraByShard: true, ExtraRatio: bounds.RetryRatio,
@@ -101,19 +101,19 @@
 	}
 	upstreamConnections := (boot.MaxOpenFiles - reservedDescriptors) / upstreamShare
 	t := &proxy{settings: boot, exchange: x, client: rpc.NewClient(time.Second), store: gossip.NewStore(), startedAt: time.Now(),
-		routes: &gate.Gate{Exchange: x}, upstream: reach.New(reach.Config{Exchange: x, MaxConns: upstreamConnections}),
+		routes: &httpserver.Gate{Exchange: x}, upstream: httpclient.New(httpclient.Config{Exchange: x, MaxConns: upstreamConnections}),
 		maxConnections: make(map[string]int), maxClients: boot.MaxOpenFiles - reservedDescriptors - upstreamConnections,
 		maxUpstream: upstreamConnections}
 	t.retryBudget = quota.NewRetryBudget(0, quota.Config{Total: boot.Bounds.RetrySlack, Window: boot.Bounds.RetryWindow.Microseconds(),
 		MinProxies: minProxies, FirstStart: boot.Bootstrap})
 	t.outliers, t.quotas = newOutlierTracker(t), newQuotaClient(t)
 	t.routes.Allow = t.quotas.admit
-	lanes := &front.Lanes{Most: max(t.maxClients/slowLaneShare, 1)}
+	lanes := &downstream.Lanes{Most: max(t.maxClients/slowLaneShare, 1)}
 	if !file.NoEjection {
 		x.Heard, lanes.Saw = t.outliers.recordAnswer, t.outliers.recordCaller
 	}
-	t.downstream = front.New(front.Config{Exchange: x, Protocol: t.routes, MaxClients: t.maxClients,
-		Pace: gate.Pace(routeconfig.DefaultLimits), Lanes: lanes})
+	t.downstream = downstream.New(downstream.Config{Exchange: x, Protocol: t.routes, MaxClients: t.maxClients,
+		Pace: httpserver.Pace(routeconfig.DefaultLimits), Lanes: lanes})
 	return t, nil
 }
 
@@ -287,7 +287,7 @@
 // applyEntries puts entries in force. mu must be locked.
 func (t *proxy) applyEntries(items []gossip.Entry) {
 	list := choice.List{Form: choice.Delta}
-	var servers []reach.Server
+	var servers []httpclient.Server
 	now := time.Since(t.startedAt).Microseconds()
 	for _, i := range items {
 		if !t.store.Put(now, i, 1, false) {
@@ -317,9 +317,9 @@
 
 func (t *proxy) applyConfiguration(i gossip.Entry) {
 	c, err := routeconfig.Parse(i.Value)
-	var p *gate.Plan
+	var p *httpserver.Plan
 	if err == nil {
-		p, err = gate.NewPlan(c, &t.shardNumbers)
+		p, err = httpserver.NewPlan(c, &t.shardNumbers)
 	}
 	if err != nil {
 		events.ConfigUnusable.Log("rank", i.Version, "err", err)
@@ -331,23 +331,23 @@
 	t.quotas.setAllowances(c)
 	t.exchange.Retune(p.Classes)
 	t.routes.Use(p)
-	t.downstream.SetPace(gate.Pace(c.Limits))
+	t.downstream.SetPace(httpserver.Pace(c.Limits))
 	events.ConfigInForce.Log("revision", c.Revision, "routes", len(c.Routes), "services", len(c.Services), "classes", len(p.Classes))
 }
 
-func (t *proxy) serverRow(i gossip.Entry) (choice.Server, reach.Server, bool) {
+func (t *proxy) serverRow(i gossip.Entry) (choice.Server, httpclient.Server, bool) {
 	s, err := registry.Parse(i)
 	if err != nil {
-		return choice.Server{}, reach.Server{}, false
+		return choice.Server{}, httpclient.Server{}, false
 	}
 	row := choice.Server{ID: s.ID, Zone: s.Zone, Kind: s.Revision, Scale: max(s.Capacity, 1), State: choice.Gone}
 	if i.Deleted() {
 		t.outliers.setPlacement(s.ID, "", 0, true)
-		return row, reach.Server{ID: s.ID, Gone: true}, true
+		return row, httpclient.Server{ID: s.ID, Gone: true}, true
 	}
 	n, err := t.shardNumbers.Of(s.Service)
 	if err != nil {
-		return row, reach.Server{}, false
+		return row, httpclient.Server{}, false
 	}
 	row.Cell, row.Far = n, t.distance(s.Zone)
 	t.outliers.setPlacement(s.ID, s.Service, row.Far, false)
@@ -362,7 +362,7 @@
 	if m := t.maxConnections[s.Service]; m > 0 {
 		most = max(m/max(t.proxyCount, minProxies), 2)
 	}
-	return row, reach.Server{ID: s.ID, Addr: s.Addr, MaxConns: most}, true
+	return row, httpclient.Server{ID: s.ID, Addr: s.Addr, MaxConns: most}, true
 }
 
 // distance returns how expensive the way to a zone is, see nodesettings.Distance.
--- a/internal/source/members/members.go
+++ b/internal/source/members/members.go
@@ -225,7 +225,7 @@
 	}
 }
 
-// Watch implements back.Lister: the decisions get the whole list at once, or as soon
+// Watch implements upstream.Lister: the decisions get the whole list at once, or as soon
 // as any source has answered.
 func (s *Service) Watch(on bool) {
 	s.mu.Lock()
@@ -235,10 +235,10 @@
 	}
 }
 
-// Fetch implements back.Lister.
+// Fetch implements upstream.Lister.
 func (s *Service) Fetch() { s.Watch(true) }
 
-// Run implements back.Lister.
+// Run implements upstream.Lister.
 func (s *Service) Run(stop <-chan struct{}) {
 	<-stop
 	s.mu.Lock()
--- a/internal/back/fuzz_test.go
+++ b/internal/upstream/fuzz_test.go
@@ -1,4 +1,4 @@
-package back
+package upstream
 
 // This file plays odd bytes of leaf servers and discovery, those recorded in
 // testdata/fuzz/ and any others. It must never open a socket.
--- a/internal/back/hold_test.go
+++ b/internal/upstream/hold_test.go
@@ -1,4 +1,4 @@
-package back
+package upstream
 
 // A server whose dial failed is not dialed again at once: what comes for it meanwhile
 // is told at once that there is no connection. Loopback sockets; a dead address is one
--- a/internal/back/reach/answer.go
+++ b/internal/upstream/httpclient/answer.go
@@ -1,4 +1,4 @@
-package reach
+package httpclient
 
 // What an answer says.
 
--- a/internal/back/reach/reach.go
+++ b/internal/upstream/httpclient/httpclient.go
@@ -1,9 +1,9 @@
-// Package reach is the client side for servers that speak HTTP/1.1: it owns the
+// Package httpclient is the client side for servers that speak HTTP/1.1: it owns the
 // connections to them, one request at a time on each. It does what the exchange asks and
 // reports how it ended. It must never decide where a part goes, send one twice, take
 // bytes for an answer that were not meant for the request that waits, or let one silent
 // server hold up another.
-package reach
+package httpclient
 
 import (
 	"bytes"
--- a/internal/back/leaf.go
+++ b/internal/upstream/leaf.go
@@ -1,4 +1,4 @@
-// Package back is the client side: it owns the connections to leaf servers, the
+// Package upstream is the client side: it owns the connections to leaf servers, the
 // frames on them, and where those servers are. It does
 // what the exchange asks and reports how it ended. It must never decide where a
 // part goes, send one twice, start anything on a server that has long been said
@@ -6,7 +6,7 @@
 //
 // This file holds the leaf connections; race.go opens those to a server that has
 // several addresses.
-package back
+package upstream
 
 import (
 	"bufio"
--- a/internal/back/race.go
+++ b/internal/upstream/race.go
@@ -1,4 +1,4 @@
-package back
+package upstream
 
 // This file opens connections to a server that has several addresses, or a Unix
 // socket. It owns the tries; core/eyeballs has their order. It must never put a part
--- a/internal/back/race_test.go
+++ b/internal/upstream/race_test.go
@@ -1,4 +1,4 @@
-package back
+package upstream
 
 // Servers with several addresses, on loopback sockets: what arrives is counted for
 // every part.
--- a/tools/readability/main.go
+++ b/tools/readability/main.go
@@ -40,8 +40,8 @@
 	flag.Parse()
 	folders := flag.Args()
 	if len(folders) == 0 {
-		folders = []string{"internal/cluster", "internal/node", "internal/transport", "internal/exchange", "internal/front",
-			"internal/back", "internal/core", "internal/lab", "internal/app", "internal/source", "internal/hook", "choice"}
+		folders = []string{"internal/cluster", "internal/node", "internal/transport", "internal/exchange", "internal/downstream",
+			"internal/upstream", "internal/core", "internal/lab", "internal/app", "internal/source", "internal/hook", "choice"}
 	}
 	fmt.Printf("%-22s %6s %7s %6s %15s %15s %11s %7s\n", "folder", "files", "lines", "words", "functions>60", "errors of text", "files>600", "upward")
 	failed := false
@@ -122,7 +122,7 @@
 
 // pointsUp reports whether a package of the machines or of connections imports one above it.
 func pointsUp(path, imported string) bool {
-	for _, low := range []string{"internal/cluster", "internal/core", "internal/transport", "internal/back", "internal/front", "internal/exchange", "choice"} {
+	for _, low := range []string{"internal/cluster", "internal/core", "internal/transport", "internal/upstream", "internal/downstream", "internal/exchange", "choice"} {
 		if strings.HasPrefix(path, low) && (strings.HasPrefix(imported, "saddleport/internal/node") || strings.HasPrefix(imported, "saddleport/internal/lab") || strings.HasPrefix(imported, "saddleport/internal/app")) {
 			return true
 		}
--- a/tools/soakmutants/main.go
+++ b/tools/soakmutants/main.go
@@ -33,17 +33,17 @@
 	{"older-change", "now and then the configuration before is put in force again",
 		"internal/node/proxy/proxy.go", "\tt.routes.Use(p)\n", "\tif before := t.routes.Plan(); before != nil && c.Revision%8 == 0 {\n\t\ttime.AfterFunc(time.Second, func() { t.routes.Use(before) })\n\t}\n\tt.routes.Use(p)\n"},
 	{"withdrawn-route", "a withdrawn route is served on",
-		"internal/front/gate/gate.go", "\tif route == nil {\n", "\tif route != nil {\n\t\tkept.Store(r.Path, p)\n\t} else if before, is := kept.Load(r.Path); is {\n\t\tp = before.(*Plan)\n\t\troute = p.Config.MatchRoute(r.Header.Get(\"Host\"), r.Path)\n\t}\n\tif route == nil {\n"},
+		"internal/downstream/httpserver/httpserver.go", "\tif route == nil {\n", "\tif route != nil {\n\t\tkept.Store(r.Path, p)\n\t} else if before, is := kept.Load(r.Path); is {\n\t\tp = before.(*Plan)\n\t\troute = p.Config.MatchRoute(r.Header.Get(\"Host\"), r.Path)\n\t}\n\tif route == nil {\n"},
 	{"invalid-taken", "weights that sum to 0 are valid",
 		"internal/cluster/routeconfig/routeconfig.go", "if sum <= 0 {", "if sum < 0 {"},
 	{"sent-twice", "a write is handled as if it were idempotent",
-		"internal/front/gate/plan.go", "if r.Idempotent {\n", "if r.Idempotent || r.MaxAttempts > 0 {\n"},
+		"internal/downstream/httpserver/plan.go", "if r.Idempotent {\n", "if r.Idempotent || r.MaxAttempts > 0 {\n"},
 	{"answer-swapped", "one in a hundred answers is that of the request before",
-		"internal/front/gate/gate.go", "\t\t\treturn c.Put(closing(f.Hits[0].Value, keep))\n", "\t\t\tanswer := f.Hits[0].Value\n\t\t\tif before, is := last.Swap(answer).(string); is && g.number.Add(1)%100 == 0 {\n\t\t\t\tanswer = before\n\t\t\t}\n\t\t\treturn c.Put(closing(answer, keep))\n"},
+		"internal/downstream/httpserver/httpserver.go", "\t\t\treturn c.Put(closing(f.Hits[0].Value, keep))\n", "\t\t\tanswer := f.Hits[0].Value\n\t\t\tif before, is := last.Swap(answer).(string); is && g.number.Add(1)%100 == 0 {\n\t\t\t\tanswer = before\n\t\t\t}\n\t\t\treturn c.Put(closing(answer, keep))\n"},
 	{"records-unordered", "the records of a gathered answer are not merged by their order",
-		"internal/front/gate/gate.go", "return cmp.Compare(b, a) })", "return 0 })"},
+		"internal/downstream/httpserver/httpserver.go", "return cmp.Compare(b, a) })", "return 0 })"},
 	{"connection-closed", "one in two hundred connections is closed while its request is at a server",
-		"internal/front/gate/gate.go", "\t\tif f.Ending == exchange.Answered {\n", "\t\tif g.number.Add(1)%200 == 0 {\n\t\t\treturn false\n\t\t}\n\t\tif f.Ending == exchange.Answered {\n"},
+		"internal/downstream/httpserver/httpserver.go", "\t\tif f.Ending == exchange.Answered {\n", "\t\tif g.number.Add(1)%200 == 0 {\n\t\t\treturn false\n\t\t}\n\t\tif f.Ending == exchange.Answered {\n"},
 	{"drain-ignored", "a server that is draining is asked as before",
 		"internal/node/proxy/proxy.go", "\t\trow.State = choice.Draining\n", "\t\trow.State = choice.Ready\n"},
 	{"stale-read", "the tail does not ask whether its view stands, nor a machine whether it has a quorum",
@@ -52,14 +52,14 @@
 
 // support is code that some mutants need beside their change.
 var support = map[string]string{
-	"withdrawn-route": "package gate\n\nimport \"sync\"\n\nvar kept sync.Map\n",
-	"answer-swapped":  "package gate\n\nimport \"sync/atomic\"\n\nvar last atomic.Value\n",
+	"withdrawn-route": "package httpserver\n\nimport \"sync\"\n\nvar kept sync.Map\n",
+	"answer-swapped":  "package httpserver\n\nimport \"sync/atomic\"\n\nvar last atomic.Value\n",
 }
 
 // second is the other change of mutants that take two.
 var second = map[string]mutant{
 	"stale-read": {file: "internal/node/controlplane/replica.go", old: "chain.Mutations{}", replaced: "chain.Mutations{StaleRead: true}"},
-	"sent-twice": {file: "internal/front/gate/gate.go", old: "Once: !route.Idempotent,", replaced: "Once: false,"},
+	"sent-twice": {file: "internal/downstream/httpserver/httpserver.go", old: "Once: !route.Idempotent,", replaced: "Once: false,"},
 }
 
 var errText = errors.New("the text to replace is not there once: the mutant is out of date")
