--- a/internal/app/levels.go
+++ b/internal/app/levels.go
@@ -91,7 +91,7 @@
 	}
 	g := r.Signals
 	fmt.Fprintf(w, "; stays at least %.0f s; %d changes\nin the last second: %.0f queries, refused %.1f%%, failed or late %.1f%%, cold %.1f%%, unsound %.1f%%, queue %.1f ms\n\n",
-		r.StayS, len(r.Past), g.Asked, 100*g.Refused, 100*g.Failed, 100*g.Cold, 100*g.Unsound, g.Queue)
+		r.StayS, len(r.Past), g.QueryRate, 100*g.Refused, 100*g.Failed, 100*g.SlowStart, 100*g.CellsDown, g.Queue)
 	fmt.Fprintln(t, "level\tseconds\tqueries\tturned away by it\tasked for in part\tvalue answered in time\t")
 	for _, c := range r.Cost {
 		fmt.Fprintf(t, "%s\t%.0f\t%d\t%d\t%d\t%.1f%%\t\n", c.Level, c.Seconds, c.Asked, c.Refused, c.Short, 100*c.Answered)
--- a/internal/app/members.go
+++ b/internal/app/members.go
@@ -226,7 +226,7 @@
 	if err := showMembers(w, r, name, asJSON); err != nil || !watch {
 		return err
 	}
-	was := make(map[string]membership.Belief)
+	was := make(map[string]membership.Explanation)
 	for _, b := range r.Members {
 		was[b.Name] = b
 	}
@@ -246,7 +246,7 @@
 			floor = r.Floor
 			fmt.Fprintf(w, "%s  floor in force: %v\n", at, floor)
 		}
-		now := make(map[string]membership.Belief)
+		now := make(map[string]membership.Explanation)
 		for _, b := range r.Members {
 			now[b.Name] = b
 			if o, had := was[b.Name]; !had || o.State != b.State || o.Reason != b.Reason || o.Cell != b.Cell || !slices.Equal(o.Addresses, b.Addresses) {
@@ -288,7 +288,7 @@
 		fmt.Fprintln(t, "source\theard\tlast answer\tindex\tservers\tcalls\tfailed\tolder news\t")
 		for _, s := range r.Sources {
 			heard, age := "yes", "never"
-			if !s.Heard {
+			if !s.Responsive {
 				heard = "SILENT"
 			}
 			if s.Age >= 0 {
@@ -305,7 +305,7 @@
 	fmt.Fprintln(t, "server\tstate\tcell\taddresses\twhy\tsources\t")
 	for _, b := range r.Members {
 		var says []string
-		for _, x := range b.Words {
+		for _, x := range b.Reports {
 			word := "names it"
 			switch {
 			case x.Dropped:
@@ -317,7 +317,7 @@
 			case x.Health == membership.Warning:
 				word = "warning"
 			}
-			if !x.Heard {
+			if !x.Responsive {
 				word += " (silent)"
 			}
 			says = append(says, x.Source+": "+word)
@@ -331,7 +331,7 @@
 		fmt.Fprintln(w)
 		t = tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 		fmt.Fprintln(t, "source\theard\tage\tsays\tcell\tchecks\taddresses\t")
-		for _, x := range r.Members[0].Words {
+		for _, x := range r.Members[0].Reports {
 			cell, word := "-", "named"
 			if x.HasCell {
 				cell = fmt.Sprint(x.Cell)
@@ -341,7 +341,7 @@
 			} else if x.Drain {
 				word = "draining"
 			}
-			fmt.Fprintf(t, "%s\t%v\t%s\t%s\t%s\t%s\t%s\t\n", x.Source, x.Heard, span(x.Age), word, cell, []string{"-", "passing", "warning", "critical"}[x.Health], strings.Join(x.Addresses, " "))
+			fmt.Fprintf(t, "%s\t%v\t%s\t%s\t%s\t%s\t%s\t\n", x.Source, x.Responsive, span(x.Age), word, cell, []string{"-", "passing", "warning", "critical"}[x.Health], strings.Join(x.Addresses, " "))
 		}
 		return t.Flush()
 	}
--- a/internal/back/leaf.go
+++ b/internal/back/leaf.go
@@ -84,7 +84,7 @@
 	conns   []*conn
 	waiting []*call // for a connection
 	dialing bool
-	seen    eyeballs.Memory // of its addresses, where it has several
+	seen    eyeballs.History // of its addresses, where it has several
 	// After a dial failed: no new dial before heldTill; misses in a row set how long.
 	heldTill time.Time
 	misses   int
@@ -532,7 +532,7 @@
 		if !c.silent && (late || lasting) {
 			c.silent = true
 			if len(c.s.addrs) > 1 { // the next connection is tried elsewhere first
-				c.s.seen.Bad(c.addr, clock())
+				c.s.seen.RecordFailure(c.addr, clock())
 			}
 			c.b.Exchange.Counters.Silent.Add(1)
 			log.Warn("leaf-silent", "server", c.s.name, "addr", c.addr, "parts", len(c.calls))
--- a/internal/back/race.go
+++ b/internal/back/race.go
@@ -18,7 +18,7 @@
 )
 
 const (
-	unixPrefix     = eyeballs.Unix
+	unixPrefix     = eyeballs.UnixPrefix
 	defaultStagger = 250 * time.Millisecond // RFC 8305, section 8
 )
 
@@ -72,7 +72,7 @@
 			r.step()
 		})
 	}
-	if r.Over && r.s.dialing && r.Winner == "" {
+	if r.Finished && r.s.dialing && r.Winner == "" {
 		r.s.dialing = false
 		b.failWaiting(r.s, r.err)
 	}
@@ -86,8 +86,8 @@
 	defer b.mu.Unlock()
 	if err != nil {
 		b.conns--
-		if !r.Over { // else it may have been cut short
-			r.s.seen.Bad(addr, clock())
+		if !r.Finished { // else it may have been cut short
+			r.s.seen.RecordFailure(addr, clock())
 			log.Warn("address-failed", "server", r.s.name, "addr", addr, "err", err)
 		}
 		r.err = err
@@ -95,8 +95,8 @@
 		r.step()
 		return
 	}
-	r.s.seen.Good(addr, clock())
-	if !r.Ready(addr) {
+	r.s.seen.RecordSuccess(addr, clock())
+	if !r.Connected(addr) {
 		b.conns--
 		nc.Close()
 		return
--- a/internal/core/breaker/breaker.go
+++ b/internal/core/breaker/breaker.go
@@ -19,9 +19,9 @@
 
 // The states.
 const (
-	Closed State = iota // all calls
-	Open                // none
-	Trial               // one at a time
+	Closed   State = iota // all calls
+	Open                  // none
+	HalfOpen              // one at a time
 )
 
 func (s State) String() string { return [...]string{"closed", "open", "trial"}[s] }
@@ -29,18 +29,18 @@
 // Config is when a breaker opens and how long it stays so. Spans are in
 // microseconds.
 type Config struct {
-	Streak     int     // so many failures in a row open it
-	Share      float64 // so does this share of failures in the window,
-	Least      int     // of so many calls at least
-	Window     int64
-	FirstPause int64
-	MostPause  int64
-	Trials     int   // successes in a row that close it
-	Calm       int64 // spent closed, halves the next pause
+	MaxFailureStreak int     // so many failures in a row open it
+	FailureRatio     float64 // so does this share of failures in the window,
+	MinCalls         int     // of so many calls at least
+	Window           int64
+	MinBackoff       int64
+	MaxBackoff       int64
+	TrialSuccesses   int   // successes in a row that close it
+	CalmPeriod       int64 // spent closed, halves the next pause
 }
 
 // Usual is for what is called many times a second.
-var Usual = Config{Streak: 5, Share: 0.2, Least: 20, Window: 10e6, FirstPause: 1e6, MostPause: 60e6, Trials: 5, Calm: 30e6}
+var Default = Config{MaxFailureStreak: 5, FailureRatio: 0.2, MinCalls: 20, Window: 10e6, MinBackoff: 1e6, MaxBackoff: 60e6, TrialSuccesses: 5, CalmPeriod: 30e6}
 
 const buckets = 10
 
@@ -48,15 +48,15 @@
 // All its fields can be printed.
 type Breaker struct {
 	Config
-	State  State
-	Reason string // why it last left Closed
-	Since  int64  // of the state
-	Until  int64  // Open: when trials begin
-	Pause  int64  // the last one; 0: none yet
-	Row    int    // failures in a row
-	Good   int    // Trial: successes in a row
-	Trying bool   // Trial: a call is out
-	Opened int    // times
+	State         State
+	Reason        string // why it last left Closed
+	Since         int64  // of the state
+	Until         int64  // Open: when trials begin
+	Backoff       int64  // the last one; 0: none yet
+	FailureStreak int    // failures in a row
+	SuccessStreak int    // Trial: successes in a row
+	TrialInFlight bool   // Trial: a call is out
+	OpenCount     int    // times
 
 	calls, fails [buckets]int
 	slot         int64 // the newest bucket's number
@@ -82,19 +82,19 @@
 		if now < b.Until {
 			return false, false
 		}
-		b.State, b.Since, b.Good, b.Trying = Trial, now, 0, false
+		b.State, b.Since, b.SuccessStreak, b.TrialInFlight = HalfOpen, now, 0, false
 	}
-	if b.Trying {
+	if b.TrialInFlight {
 		return false, false
 	}
-	b.Trying = true
+	b.TrialInFlight = true
 	return true, true
 }
 
 // Skip takes back an Allow whose call was not made.
 func (b *Breaker) Skip(trial bool) {
 	if trial {
-		b.Trying = false
+		b.TrialInFlight = false
 	}
 }
 
@@ -103,19 +103,19 @@
 // nothing.
 func (b *Breaker) Record(now int64, trial, failed bool, what string) (Change, bool) {
 	if trial {
-		b.Trying = false
-		if b.State != Trial {
+		b.TrialInFlight = false
+		if b.State != HalfOpen {
 			return Change{}, false
 		}
 		if failed {
 			return b.open(now, "a trial failed: "+what), true
 		}
-		if b.Good++; b.Good < b.Trials {
+		if b.SuccessStreak++; b.SuccessStreak < b.TrialSuccesses {
 			return Change{}, false
 		}
-		b.State, b.Since, b.Row = Closed, now, 0
+		b.State, b.Since, b.FailureStreak = Closed, now, 0
 		b.calls, b.fails = [buckets]int{}, [buckets]int{}
-		return Change{Trial, Closed, fmt.Sprintf("%d trials in a row succeeded", b.Good)}, true
+		return Change{HalfOpen, Closed, fmt.Sprintf("%d trials in a row succeeded", b.SuccessStreak)}, true
 	}
 	if b.State != Closed {
 		return Change{}, false
@@ -123,16 +123,16 @@
 	i := b.advance(now)
 	b.calls[i]++
 	if !failed {
-		b.Row = 0
+		b.FailureStreak = 0
 		return Change{}, false
 	}
 	b.fails[i]++
-	b.Row++
+	b.FailureStreak++
 	calls, fails := b.Counts()
 	switch {
-	case b.Row >= b.Streak:
-		return b.open(now, fmt.Sprintf("%d failures in a row: %s", b.Row, what)), true
-	case calls >= b.Least && float64(fails) >= b.Share*float64(calls):
+	case b.FailureStreak >= b.MaxFailureStreak:
+		return b.open(now, fmt.Sprintf("%d failures in a row: %s", b.FailureStreak, what)), true
+	case calls >= b.MinCalls && float64(fails) >= b.FailureRatio*float64(calls):
 		return b.open(now, fmt.Sprintf("%d of %d calls failed: %s", fails, calls, what)), true
 	}
 	return Change{}, false
@@ -150,16 +150,16 @@
 // open leaves Closed or Trial for a pause.
 func (b *Breaker) open(now int64, reason string) Change {
 	from := b.State
-	pause := 2 * b.Pause
-	if from == Closed && b.Calm > 0 {
-		for calm := now - b.Since; calm >= b.Calm && pause > 0; calm -= b.Calm {
+	pause := 2 * b.Backoff
+	if from == Closed && b.CalmPeriod > 0 {
+		for calm := now - b.Since; calm >= b.CalmPeriod && pause > 0; calm -= b.CalmPeriod {
 			pause /= 2
 		}
 	}
-	b.Pause = min(max(pause, b.FirstPause), b.MostPause)
-	b.State, b.Since, b.Until, b.Reason = Open, now, now+b.Pause, reason
-	b.Row, b.Good, b.Trying = 0, 0, false
-	b.Opened++
+	b.Backoff = min(max(pause, b.MinBackoff), b.MaxBackoff)
+	b.State, b.Since, b.Until, b.Reason = Open, now, now+b.Backoff, reason
+	b.FailureStreak, b.SuccessStreak, b.TrialInFlight = 0, 0, false
+	b.OpenCount++
 	b.calls, b.fails = [buckets]int{}, [buckets]int{}
 	return Change{from, Open, reason}
 }
--- a/internal/core/breaker/breaker_test.go
+++ b/internal/core/breaker/breaker_test.go
@@ -18,7 +18,7 @@
 }
 
 func TestStreakAndShare(t *testing.T) {
-	b := New(Usual, 0)
+	b := New(Default, 0)
 	for i := range 5 {
 		require.True(t, call(b, int64(i), true))
 	}
@@ -26,7 +26,7 @@
 	require.Equal(t, "5 failures in a row: x", b.Reason)
 	require.False(t, call(b, second/2, false))
 
-	b = New(Usual, 0)
+	b = New(Default, 0)
 	for i := range 25 { // each third fails: never five in a row
 		call(b, int64(i)*1000, i%3 == 0)
 	}
@@ -36,7 +36,7 @@
 
 // Failures that have left the window do not count.
 func TestWindow(t *testing.T) {
-	b := New(Usual, 0)
+	b := New(Default, 0)
 	for i := range 200 { // one in eight, over 200 s
 		require.True(t, call(b, int64(i)*second, i%8 == 0))
 	}
@@ -46,7 +46,7 @@
 }
 
 func TestTrials(t *testing.T) {
-	b := New(Usual, 0)
+	b := New(Default, 0)
 	for i := range 5 {
 		call(b, int64(i), true)
 	}
@@ -56,8 +56,8 @@
 	other, _ := b.Allow(now)
 	require.False(t, other, "one at a time")
 	b.Skip(trial)
-	for range Usual.Trials {
-		require.Equal(t, Trial, b.State)
+	for range Default.TrialSuccesses {
+		require.Equal(t, HalfOpen, b.State)
 		require.True(t, call(b, now, false))
 	}
 	require.Equal(t, Closed, b.State)
@@ -69,17 +69,17 @@
 // A hook that works for 3 s and fails for 3 s, called 100 times a second for ten
 // minutes, must not swing the breaker: each opening waits longer.
 func TestFlapping(t *testing.T) {
-	b := New(Usual, 0)
+	b := New(Default, 0)
 	for now := int64(0); now < 600*second; now += second / 100 {
 		call(b, now, now/(3*second)%2 == 1)
 	}
-	require.LessOrEqual(t, b.Opened, 24)
-	require.GreaterOrEqual(t, b.Pause, 30*second)
+	require.LessOrEqual(t, b.OpenCount, 24)
+	require.GreaterOrEqual(t, b.Backoff, 30*second)
 }
 
 // After calm time the memory of old failures fades.
 func TestCalm(t *testing.T) {
-	b := New(Usual, 0)
+	b := New(Default, 0)
 	fail := func(now int64) {
 		for call(b, now, true); b.State != Open; {
 			call(b, now, true)
@@ -89,20 +89,20 @@
 	for range 4 {
 		fail(b.Until)
 	}
-	require.Equal(t, 16*second, b.Pause)
+	require.Equal(t, 16*second, b.Backoff)
 	now := b.Until
 	for b.State != Closed {
 		call(b, now, false)
 	}
-	fail(now + 10*Usual.Calm)
-	require.Equal(t, Usual.FirstPause, b.Pause)
+	fail(now + 10*Default.CalmPeriod)
+	require.Equal(t, Default.MinBackoff, b.Backoff)
 }
 
 // Whatever happens: open lets nothing through before its time, trial one at a
 // time, a pause keeps its bounds, and no thing that works again is shut out.
 func TestRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := New(Usual, 0)
+		b := New(Default, 0)
 		now, out := int64(0), 0
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
 			now += rapid.Int64Range(0, 3*second).Draw(t, "gap")
@@ -127,12 +127,12 @@
 			if trial {
 				out--
 			}
-			if b.Pause != 0 && (b.Pause < Usual.FirstPause || b.Pause > Usual.MostPause) {
-				t.Fatalf("pause %d", b.Pause)
+			if b.Backoff != 0 && (b.Backoff < Default.MinBackoff || b.Backoff > Default.MaxBackoff) {
+				t.Fatalf("pause %d", b.Backoff)
 			}
 		}
-		now += Usual.MostPause
-		for range Usual.Trials {
+		now += Default.MaxBackoff
+		for range Default.TrialSuccesses {
 			call(b, now, false)
 		}
 		if b.State != Closed {
--- a/internal/core/eyeballs/eyeballs.go
+++ b/internal/core/eyeballs/eyeballs.go
@@ -14,7 +14,7 @@
 type Micros = int64
 
 // Unix is what the address of a Unix socket begins with.
-const Unix = "unix:"
+const UnixPrefix = "unix:"
 
 // Family of an address.
 type Family int
@@ -25,13 +25,13 @@
 	Local Family = iota
 	IPv6
 	IPv4
-	Named
+	Hostname
 )
 
 // FamilyOf tells the family of an address: unix:PATH, [IPv6]:PORT, IPv4:PORT or
 // NAME:PORT.
 func FamilyOf(addr string) Family {
-	if strings.HasPrefix(addr, Unix) {
+	if strings.HasPrefix(addr, UnixPrefix) {
 		return Local
 	}
 	if strings.HasPrefix(addr, "[") {
@@ -39,7 +39,7 @@
 	}
 	host, _, _ := strings.Cut(addr, ":")
 	if host == "" || strings.Trim(host, "0123456789.") != "" {
-		return Named
+		return Hostname
 	}
 	return IPv4
 }
@@ -61,9 +61,9 @@
 
 // Memory is what has been learnt of a server's addresses. Its zero value knows
 // nothing. It keeps a bounded number, those of late.
-type Memory struct{ all []standing }
+type History struct{ all []standing }
 
-func (m *Memory) of(addr string) *standing {
+func (m *History) of(addr string) *standing {
 	i := slices.IndexFunc(m.all, func(s standing) bool { return s.addr == addr })
 	if i >= 0 {
 		return &m.all[i]
@@ -76,21 +76,21 @@
 }
 
 // Good notes that an address works.
-func (m *Memory) Good(addr string, now Micros) {
+func (m *History) RecordSuccess(addr string, now Micros) {
 	s := m.of(addr)
 	s.bad, s.until, s.good = 0, 0, now
 }
 
 // Bad notes that an address did not come up, did not answer, or fell silent: it goes
 // last for a while, which doubles each time.
-func (m *Memory) Bad(addr string, now Micros) {
+func (m *History) RecordFailure(addr string, now Micros) {
 	s := m.of(addr)
 	s.until = now + min(firstRest<<min(s.bad, 10), mostRest)
 	s.bad++
 }
 
 // Resting tells whether an address goes last now.
-func (m *Memory) Resting(addr string, now Micros) bool {
+func (m *History) InBackoff(addr string, now Micros) bool {
 	i := slices.IndexFunc(m.all, func(s standing) bool { return s.addr == addr })
 	return i >= 0 && now < m.all[i].until
 }
@@ -98,12 +98,12 @@
 // Order sorts addresses as they are to be tried: families in turn, the preferred one
 // first and one address of each at a time (RFC 8305, section 4); before all the one
 // that worked last, after all those that rest, the one whose rest ends first ahead.
-func (m *Memory) Order(addrs []string, now Micros) []string {
+func (m *History) Order(addrs []string, now Micros) []string {
 	by := make(map[Family][]string)
 	var resting []string
 	last, lastGood := "", Micros(0)
 	for _, a := range addrs {
-		if m.Resting(a, now) {
+		if m.InBackoff(a, now) {
 			resting = append(resting, a)
 			continue
 		}
@@ -118,7 +118,7 @@
 	}
 	for left := true; left; {
 		left = false
-		for f := Local; f <= Named; f++ {
+		for f := Local; f <= Hostname; f++ {
 			if len(by[f]) > 0 {
 				if by[f][0] != last {
 					out = append(out, by[f][0])
@@ -131,7 +131,7 @@
 	return append(out, resting...)
 }
 
-func (m *Memory) find(addr string) *standing {
+func (m *History) find(addr string) *standing {
 	if i := slices.IndexFunc(m.all, func(s standing) bool { return s.addr == addr }); i >= 0 {
 		return &m.all[i]
 	}
@@ -140,12 +140,12 @@
 
 // Race is one try to reach a server by its addresses.
 type Race struct {
-	stagger Micros
-	left    []string
-	out     map[string]bool // begun, and not over
-	dueAt   Micros          // when the next is begun at the latest; 0: none is left
-	Winner  string          // the first that was ready
-	Over    bool            // there is a winner, or none is left
+	stagger  Micros
+	left     []string
+	out      map[string]bool // begun, and not over
+	dueAt    Micros          // when the next is begun at the latest; 0: none is left
+	Winner   string          // the first that was ready
+	Finished bool            // there is a winner, or none is left
 }
 
 // New returns a race over addresses in that order. RFC 8305 proposes a stagger of 250
@@ -156,7 +156,7 @@
 
 // Step is what is to be begun at a time: at the start, and when Due is reached.
 func (r *Race) Step(now Micros) (begin string, ok bool) {
-	if r.Over || len(r.left) == 0 || r.dueAt > now {
+	if r.Finished || len(r.left) == 0 || r.dueAt > now {
 		return "", false
 	}
 	begin, r.left = r.left[0], r.left[1:]
@@ -169,7 +169,7 @@
 
 // Due is when Step is to be called next though nothing comes in; 0: never.
 func (r *Race) Due() Micros {
-	if r.Over || len(r.left) == 0 {
+	if r.Finished || len(r.left) == 0 {
 		return 0
 	}
 	return r.dueAt
@@ -183,23 +183,23 @@
 	delete(r.out, addr)
 	r.dueAt = 0
 	if len(r.left) == 0 && len(r.out) == 0 {
-		r.Over = true
+		r.Finished = true
 	}
 }
 
 // Ready ends a try that came up, and tells whether it is the winner. One that is not
 // is to be closed: nothing was ever sent on it.
-func (r *Race) Ready(addr string) (wins bool) {
+func (r *Race) Connected(addr string) (wins bool) {
 	if !r.out[addr] {
 		return false
 	}
 	delete(r.out, addr)
-	if r.Over {
+	if r.Finished {
 		return false
 	}
-	r.Over, r.Winner = true, addr
+	r.Finished, r.Winner = true, addr
 	return true
 }
 
 // Out counts the tries that are begun and not over.
-func (r *Race) Out() int { return len(r.out) }
+func (r *Race) InFlight() int { return len(r.out) }
--- a/internal/core/eyeballs/eyeballs_test.go
+++ b/internal/core/eyeballs/eyeballs_test.go
@@ -10,21 +10,21 @@
 const sec = Micros(1_000_000)
 
 func TestOrder(t *testing.T) {
-	var m Memory
+	var m History
 	all := []string{"10.0.0.1:80", "10.0.0.2:80", "[2001:db8::1]:80", "[2001:db8::2]:80", "unix:/run/t.sock", "trip7.example.org:80"}
 	require.Equal(t, []string{"unix:/run/t.sock", "[2001:db8::1]:80", "10.0.0.1:80", "trip7.example.org:80", "[2001:db8::2]:80", "10.0.0.2:80"}, m.Order(all, 0))
-	m.Good("10.0.0.2:80", sec)
-	m.Bad("unix:/run/t.sock", sec)
-	m.Bad("[2001:db8::1]:80", sec)
-	m.Bad("[2001:db8::1]:80", sec) // its rest is longer
+	m.RecordSuccess("10.0.0.2:80", sec)
+	m.RecordFailure("unix:/run/t.sock", sec)
+	m.RecordFailure("[2001:db8::1]:80", sec)
+	m.RecordFailure("[2001:db8::1]:80", sec) // its rest is longer
 	require.Equal(t, []string{"10.0.0.2:80", "[2001:db8::2]:80", "10.0.0.1:80", "trip7.example.org:80", "unix:/run/t.sock", "[2001:db8::1]:80"}, m.Order(all, sec+1))
 	require.Equal(t, "unix:/run/t.sock", m.Order(all, 3*sec)[1], "its rest is over")
 	for i := range 100 { // an address's rest does not grow without end, nor does the memory
-		m.Bad("[2001:db8::1]:80", sec)
-		m.Bad(string(rune('a'+i%26))+string(rune('a'+i/26))+":1", sec)
+		m.RecordFailure("[2001:db8::1]:80", sec)
+		m.RecordFailure(string(rune('a'+i%26))+string(rune('a'+i/26))+":1", sec)
 	}
 	require.LessOrEqual(t, len(m.all), mostKept)
-	require.False(t, m.Resting("[2001:db8::1]:80", sec+mostRest+1))
+	require.False(t, m.InBackoff("[2001:db8::1]:80", sec+mostRest+1))
 }
 
 // The hard cases: an address that hangs holds the next one up for the stagger alone;
@@ -42,16 +42,16 @@
 	r.Failed("b")
 	c, _ := r.Step(sec/4 + 1)
 	require.Equal(t, "c", c)
-	require.True(t, r.Ready("a"))
-	require.False(t, r.Ready("c"))
-	require.False(t, r.Ready("a"))
-	require.Zero(t, r.Out())
+	require.True(t, r.Connected("a"))
+	require.False(t, r.Connected("c"))
+	require.False(t, r.Connected("a"))
+	require.Zero(t, r.InFlight())
 	require.Zero(t, r.Due())
 
 	r = New([]string{"a"}, sec)
 	r.Step(0)
 	r.Failed("a")
-	require.True(t, r.Over)
+	require.True(t, r.Finished)
 	require.Empty(t, r.Winner)
 }
 
@@ -75,7 +75,7 @@
 			if len(out) > 0 && rapid.Bool().Draw(t, "ends") {
 				i := rapid.IntRange(0, len(out)-1).Draw(t, "which")
 				if rapid.Bool().Draw(t, "ready") {
-					if r.Ready(out[i]) {
+					if r.Connected(out[i]) {
 						wins++
 					}
 				} else {
@@ -83,8 +83,8 @@
 				}
 				out = append(out[:i:i], out[i+1:]...)
 			}
-			if r.Out() != len(out) {
-				t.Fatalf("%d out, want %d", r.Out(), len(out))
+			if r.InFlight() != len(out) {
+				t.Fatalf("%d out, want %d", r.InFlight(), len(out))
 			}
 		}
 		for _, a := range out {
@@ -95,8 +95,8 @@
 				t.Fatalf("%s begun %d times", a, k)
 			}
 		}
-		if wins > 1 || (wins == 1) != (r.Winner != "") || len(begun) == n && !r.Over {
-			t.Fatalf("%d winners, %q, over %v", wins, r.Winner, r.Over)
+		if wins > 1 || (wins == 1) != (r.Winner != "") || len(begun) == n && !r.Finished {
+			t.Fatalf("%d winners, %q, over %v", wins, r.Winner, r.Finished)
 		}
 	})
 }
--- a/internal/core/hookrule/hookrule.go
+++ b/internal/core/hookrule/hookrule.go
@@ -13,20 +13,20 @@
 )
 
 // Slack is how far shares may miss by rounding.
-const Slack = 1e-6
+const ShareTolerance = 1e-6
 
 // LeastLeft is the least time that a hook may leave a query, in microseconds.
-const LeastLeft = 1000
+const MinTimeLeft = 1000
 
 // MaxTags bounds the tags, and the notes, of one query over all its hooks.
 const MaxTags = 32
 
 // Refused is an answer that is not granted.
-type Refused struct{ Problem string }
+type RejectedError struct{ Problem string }
 
-func (r *Refused) Error() string { return r.Problem }
+func (r *RejectedError) Error() string { return r.Problem }
 
-func no(format string, args ...any) error { return &Refused{fmt.Sprintf(format, args...)} }
+func no(format string, args ...any) error { return &RejectedError{fmt.Sprintf(format, args...)} }
 
 // claims say why each may not be had.
 var claims = map[string]string{
@@ -92,8 +92,8 @@
 			return nil, no("time left: too late for that")
 		case a.Left > v.Left:
 			return nil, no("time left: %d us is more than there is (%d us)", a.Left, v.Left)
-		case a.Left < LeastLeft:
-			return nil, no("time left: %d us is less than %d us", a.Left, LeastLeft)
+		case a.Left < MinTimeLeft:
+			return nil, no("time left: %d us is less than %d us", a.Left, MinTimeLeft)
 		}
 	}
 	if len(a.Drop) > 0 {
@@ -135,7 +135,7 @@
 			left += p.Weight
 		}
 	}
-	if left <= 0 || left < class.Floor*total-Slack {
+	if left <= 0 || left < class.Floor*total-ShareTolerance {
 		return no("drop: %.3f of the answer would be left, and %s needs %.3f", left/total, class.Name, class.Floor)
 	}
 	return nil
@@ -182,11 +182,13 @@
 
 // Harmless tells whether a query whose parts may have run, or not, may still be
 // refused: a refusal promises that asking again does no harm.
-func Harmless(effect choice.Effect, mayHaveRun bool) bool {
+func SafeToRefuse(effect choice.Effect, mayHaveRun bool) bool {
 	return effect == choice.Safe || !mayHaveRun
 }
 
 // Whole tells whether an answer with this share of the whole query may keep a
 // whole mark, and Enough whether it may be given at all.
-func Whole(class choice.Class, share float64) bool  { return share >= class.Need-Slack }
-func Enough(class choice.Class, share float64) bool { return share > 0 && share >= class.Floor-Slack }
+func MeetsNeed(class choice.Class, share float64) bool { return share >= class.Need-ShareTolerance }
+func MeetsFloor(class choice.Class, share float64) bool {
+	return share > 0 && share >= class.Floor-ShareTolerance
+}
--- a/internal/core/hookrule/hookrule_test.go
+++ b/internal/core/hookrule/hookrule_test.go
@@ -81,14 +81,14 @@
 }
 
 func TestEndings(t *testing.T) {
-	require.True(t, Harmless(choice.Safe, true))
-	require.True(t, Harmless(choice.Unsafe, false))
-	require.False(t, Harmless(choice.Unsafe, true))
-	require.False(t, Harmless(choice.Keyed, true))
+	require.True(t, SafeToRefuse(choice.Safe, true))
+	require.True(t, SafeToRefuse(choice.Unsafe, false))
+	require.False(t, SafeToRefuse(choice.Unsafe, true))
+	require.False(t, SafeToRefuse(choice.Keyed, true))
 	c := choice.Class{Need: 0.5, Floor: 0.2}
-	require.True(t, Whole(c, 0.5))
-	require.False(t, Whole(c, 0.49))
-	require.True(t, Enough(c, 0.2))
-	require.False(t, Enough(c, 0.1))
-	require.False(t, Enough(choice.Class{}, 0))
+	require.True(t, MeetsNeed(c, 0.5))
+	require.False(t, MeetsNeed(c, 0.49))
+	require.True(t, MeetsFloor(c, 0.2))
+	require.False(t, MeetsFloor(c, 0.1))
+	require.False(t, MeetsFloor(choice.Class{}, 0))
 }
--- a/internal/core/level/level.go
+++ b/internal/core/level/level.go
@@ -27,16 +27,16 @@
 
 // Signals are what was measured in a span that has just ended. Shares are 0 to 1.
 type Signals struct {
-	Asked   float64 // queries a second; with fewer than a few nothing is judged
-	Refused float64 // share of the value asked for that was refused for want of room
-	Failed  float64 // share that failed or came too late
-	Cold    float64 // share of the usable servers that are cold
-	Unsound float64 // share of cells without a usable server
-	Queue   float64 // ms that what came in waited for the exchange
+	QueryRate float64 `json:"Asked"` // queries a second; with fewer than a few nothing is judged
+	Refused   float64 // share of the value asked for that was refused for want of room
+	Failed    float64 // share that failed or came too late
+	SlowStart float64 `json:"Cold"`    // share of the usable servers that are cold
+	CellsDown float64 `json:"Unsound"` // share of cells without a usable server
+	Queue     float64 // ms that what came in waited for the exchange
 }
 
 // Names are the signals' names in the operator file, in the order of Signals.
-var Names = []string{"refused", "failed", "cold", "unsound", "queue"}
+var SignalNames = []string{"refused", "failed", "cold", "unsound", "queue"}
 
 // of is a signal by name.
 func (s *Signals) of(name string) float64 {
@@ -46,9 +46,9 @@
 	case "failed":
 		return s.Failed
 	case "cold":
-		return s.Cold
+		return s.SlowStart
 	case "unsound":
-		return s.Unsound
+		return s.CellsDown
 	case "queue":
 		return s.Queue
 	}
@@ -56,7 +56,7 @@
 }
 
 // Cond is a condition: a signal above a bound.
-type Cond struct {
+type Condition struct {
 	Signal string
 	Above  float64
 }
@@ -64,27 +64,27 @@
 // Level is a level below full service, by what speaks for it: any of its conditions.
 type Level struct {
 	Name  string
-	Enter []Cond
+	Enter []Condition
 }
 
 // Settings are the bounds. Spans are in microseconds.
 type Settings struct {
-	Levels    []Level // from the mildest on; full service is above all and has no conditions
-	Evidence  Micros  // at twice a bound, so long, until a level is entered
-	Back      float64 // below this share of all its bounds a level is spoken against
-	Calm      Micros  // at nothing at all, so long, until it may be left
-	Stay      Micros  // at the least
-	MostStay  Micros
-	Trial     Micros
-	Worse     float64 // a trial fails where its share of bad ends is above the others' by this
-	LeastSeen int     // and it has seen so many
+	Levels        []Level // from the mildest on; full service is above all and has no conditions
+	Evidence      Micros  // at twice a bound, so long, until a level is entered
+	ExitRatio     float64 // below this share of all its bounds a level is spoken against
+	Calm          Micros  // at nothing at all, so long, until it may be left
+	MinStay       Micros  // at the least
+	MaxStay       Micros
+	Trial         Micros
+	MaxRegression float64 // a trial fails where its share of bad ends is above the others' by this
+	MinSamples    int     // and it has seen so many
 }
 
 // Change is a change of the level, with its reason in figures.
 type Change struct {
 	At       Micros
 	From, To int // 0 is full service
-	Why      string
+	Reason   string
 }
 
 // State is one mixer's level.
@@ -117,7 +117,7 @@
 
 // New returns a mixer's level: full service.
 func New(set Settings, now Micros) *State {
-	return &State{set: set, up: make([]float64, len(set.Levels)), stay: set.Stay, since: now, last: now, calm: now, pin: -1}
+	return &State{set: set, up: make([]float64, len(set.Levels)), stay: set.MinStay, since: now, last: now, calm: now, pin: -1}
 }
 
 // Level is the level in force; 0 is full service.
@@ -137,7 +137,7 @@
 }
 
 // Trying tells whether the next better level is being tried.
-func (s *State) Trying() bool { return s.trial > 0 && s.pin < 0 }
+func (s *State) TrialActive() bool { return s.trial > 0 && s.pin < 0 }
 
 // Stay is how long the level in force must stand.
 func (s *State) Stay() Micros { return s.stay }
@@ -162,7 +162,7 @@
 
 // Read takes the signals of a span that ends now, and returns a change of the level, if
 // that is one. A clock that has gone back or stood still brings nothing.
-func (s *State) Read(now Micros, g Signals) (Change, bool) {
+func (s *State) Update(now Micros, g Signals) (Change, bool) {
 	dt := now - s.last
 	s.last = now
 	if dt <= 0 {
@@ -176,8 +176,8 @@
 			return Change{now, from, s.level, "the pin has expired"}, true
 		}
 	}
-	if s.level == 0 && now-s.calm >= s.set.MostStay { // long well: what flapping had earned fades
-		s.stay, s.calm = max(s.stay/2, s.set.Stay), now
+	if s.level == 0 && now-s.calm >= s.set.MaxStay { // long well: what flapping had earned fades
+		s.stay, s.calm = max(s.stay/2, s.set.MinStay), now
 	}
 	to, why := s.level, ""
 	for l := 1; l <= len(s.set.Levels); l++ {
@@ -195,7 +195,7 @@
 		return Change{}, false
 	}
 	p, _ := s.pressure(s.level, &g)
-	s.down = max(0, s.down+(s.set.Back-p)/s.set.Back*float64(dt))
+	s.down = max(0, s.down+(s.set.ExitRatio-p)/s.set.ExitRatio*float64(dt))
 	s.down = min(s.down, 2*float64(s.set.Calm))
 	if s.trial > 0 {
 		return s.tryOn(now)
@@ -208,12 +208,12 @@
 
 // tryOn looks at a trial that is under way.
 func (s *State) tryOn(now Micros) (Change, bool) {
-	worse := s.tried.n >= float64(s.set.LeastSeen) && s.tried.share() > s.others.share()+s.set.Worse
+	worse := s.tried.n >= float64(s.set.MinSamples) && s.tried.share() > s.others.share()+s.set.MaxRegression
 	switch {
 	case worse || s.down == 0: // at once: the queries that try it pay for it
 		s.trial, s.down, s.since = 0, 0, now
-		s.stay = min(2*s.stay, s.set.MostStay)
-	case now-s.trial >= s.set.Trial && s.tried.n >= float64(s.set.LeastSeen):
+		s.stay = min(2*s.stay, s.set.MaxStay)
+	case now-s.trial >= s.set.Trial && s.tried.n >= float64(s.set.MinSamples):
 		why := fmt.Sprintf("tried by %.0f queries, %.1f%% ended badly, and %.1f%% of %.0f others", s.tried.n, 100*s.tried.share(), 100*s.others.share(), s.others.n)
 		return s.turn(now, s.level-1, why), true
 	}
@@ -223,7 +223,7 @@
 func (s *State) turn(now Micros, to int, why string) Change {
 	c := Change{now, s.level, to, why}
 	if to > s.level && s.level > 0 || to > s.level && now-s.since < s.stay { // back soon after it was left: it had been left too early
-		s.stay = min(2*s.stay, s.set.MostStay)
+		s.stay = min(2*s.stay, s.set.MaxStay)
 	}
 	s.level, s.since, s.down, s.trial = to, now, 0, 0
 	for i := range s.up {
@@ -239,7 +239,7 @@
 
 // Ended notes how a query ended: whether it went by the better level, and how much of
 // its value was lost.
-func (s *State) Ended(tried bool, value, lost float64) {
+func (s *State) RecordQuery(tried bool, value, lost float64) {
 	if s.trial == 0 {
 		return
 	}
@@ -269,7 +269,7 @@
 }
 
 // Pinned tells until when a level is pinned; 0: none is.
-func (s *State) Pinned() Micros {
+func (s *State) PinnedUntil() Micros {
 	if s.pin < 0 {
 		return 0
 	}
--- a/internal/core/level/level_test.go
+++ b/internal/core/level/level_test.go
@@ -12,8 +12,8 @@
 const sec = Micros(1_000_000)
 
 func settings() Settings {
-	return Settings{Levels: []Level{{"lean", []Cond{{"refused", 0.05}, {"cold", 0.3}}}, {"least", []Cond{{"refused", 0.3}}}},
-		Evidence: 3 * sec, Back: 0.5, Calm: 5 * sec, Stay: 10 * sec, MostStay: 160 * sec, Trial: 5 * sec, Worse: 0.025, LeastSeen: 20}
+	return Settings{Levels: []Level{{"lean", []Condition{{"refused", 0.05}, {"cold", 0.3}}}, {"least", []Condition{{"refused", 0.3}}}},
+		Evidence: 3 * sec, ExitRatio: 0.5, Calm: 5 * sec, MinStay: 10 * sec, MaxStay: 160 * sec, Trial: 5 * sec, MaxRegression: 0.025, MinSamples: 20}
 }
 
 // play has a state read signals once a second for so long, with queries whose loss
@@ -21,10 +21,10 @@
 func play(s *State, from, span Micros, signals func(now Micros, level int) Signals, lost func(now Micros, tried bool) float64) (out []Change) {
 	for now := from + sec; now <= from+span; now += sec {
 		for i := range 100 {
-			tried := s.Trying() && i%10 == 0
-			s.Ended(tried, 1, lost(now, tried))
+			tried := s.TrialActive() && i%10 == 0
+			s.RecordQuery(tried, 1, lost(now, tried))
 		}
-		if c, ok := s.Read(now, signals(now, s.Level())); ok {
+		if c, ok := s.Update(now, signals(now, s.Level())); ok {
 			out = append(out, c)
 		}
 	}
@@ -38,7 +38,7 @@
 	var level int
 	return func(now Micros, l int) Signals {
 			level = l
-			return Signals{Asked: 100, Refused: over(now, l)}
+			return Signals{QueryRate: 100, Refused: over(now, l)}
 		}, func(now Micros, tried bool) float64 {
 			if tried {
 				return over(now, max(level-1, 0))
@@ -59,9 +59,9 @@
 	require.Len(t, out, 2, "%+v", out)
 	require.Equal(t, 1, out[0].To)
 	require.Less(t, out[0].At, 66*sec)
-	require.Contains(t, out[0].Why, "refused 0.2, bound 0.05")
+	require.Contains(t, out[0].Reason, "refused 0.2, bound 0.05")
 	require.Equal(t, 0, out[1].To)
-	require.Contains(t, out[1].Why, "ended badly")
+	require.Contains(t, out[1].Reason, "ended badly")
 }
 
 // Load right at the boundary, faults that come and go, a slow ramp: ten minutes each.
@@ -98,13 +98,13 @@
 // Nothing is judged by one reading, by a gap, or by a clock that jumps.
 func TestClock(t *testing.T) {
 	s := New(settings(), 0)
-	_, ok := s.Read(3600*sec, Signals{Refused: 1})
+	_, ok := s.Update(3600*sec, Signals{Refused: 1})
 	require.False(t, ok)
-	_, ok = s.Read(10*sec, Signals{Refused: 1})
+	_, ok = s.Update(10*sec, Signals{Refused: 1})
 	require.False(t, ok)
-	_, ok = s.Read(10*sec, Signals{Refused: 1})
+	_, ok = s.Update(10*sec, Signals{Refused: 1})
 	require.False(t, ok)
-	s.Read(11*sec, Signals{Refused: math.Inf(1)})
+	s.Update(11*sec, Signals{Refused: math.Inf(1)})
 	require.LessOrEqual(t, s.Level(), 2)
 }
 
@@ -114,10 +114,10 @@
 	require.True(t, ok)
 	require.Equal(t, "least", s.Name(c.To))
 	require.Equal(t, 2, s.Level())
-	_, ok = s.Read(5*sec, Signals{})
+	_, ok = s.Update(5*sec, Signals{})
 	require.False(t, ok)
-	require.Equal(t, 30*sec, s.Pinned())
-	c, ok = s.Read(30*sec, Signals{})
+	require.Equal(t, 30*sec, s.PinnedUntil())
+	c, ok = s.Update(30*sec, Signals{})
 	require.True(t, ok)
 	require.Equal(t, Change{30 * sec, 2, 0, "the pin has expired"}, c)
 	s.Pin(31*sec, 1, 90*sec)
@@ -135,22 +135,22 @@
 		at, was, entered := 0, false, Micros(0)
 		for now := sec; now < 400*sec; now += sec {
 			for i := range 30 {
-				s.Ended(i%10 == 0 && s.Trying(), 1, rapid.SampledFrom([]float64{0, 0, 0, 1}).Draw(t, "lost"))
+				s.RecordQuery(i%10 == 0 && s.TrialActive(), 1, rapid.SampledFrom([]float64{0, 0, 0, 1}).Draw(t, "lost"))
 			}
-			was = s.Trying()
-			c, ok := s.Read(now, Signals{Refused: rapid.SampledFrom([]float64{0, 0, 0.02, 0.06, 0.5, 1}).Draw(t, "refused"), Cold: rapid.SampledFrom([]float64{0, 0, 0.4}).Draw(t, "cold")})
+			was = s.TrialActive()
+			c, ok := s.Update(now, Signals{Refused: rapid.SampledFrom([]float64{0, 0, 0.02, 0.06, 0.5, 1}).Draw(t, "refused"), SlowStart: rapid.SampledFrom([]float64{0, 0, 0.4}).Draw(t, "cold")})
 			if !ok {
 				continue
 			}
-			if c.From != at || c.To == at || c.To < 0 || c.To > len(set.Levels) || c.Why == "" {
+			if c.From != at || c.To == at || c.To < 0 || c.To > len(set.Levels) || c.Reason == "" {
 				t.Fatalf("%+v at level %d", c, at)
 			}
-			if c.To < at && (!was || c.To != at-1 || now-entered < set.Stay) {
+			if c.To < at && (!was || c.To != at-1 || now-entered < set.MinStay) {
 				t.Fatalf("left level %d for %d without a trial, or after %d s", at, c.To, (now-entered)/sec)
 			}
 			at, entered = c.To, now
 		}
-		if s.Stay() > set.MostStay {
+		if s.Stay() > set.MaxStay {
 			t.Fatalf("a stay of %d", s.Stay())
 		}
 	})
--- a/internal/core/membership/membership.go
+++ b/internal/core/membership/membership.go
@@ -79,25 +79,25 @@
 
 // Source is one source and how far it is believed.
 type Source struct {
-	Name    string
-	Rank    int    // 0 is the highest
-	Silent  Micros // without an answer for so long it is not heard
-	Forget  Micros // silent for so long, what it said is forgotten; 0: never
-	Trusted bool   // its new servers need no sign
+	Name        string
+	Rank        int    // 0 is the highest
+	SilentAfter Micros // without an answer for so long it is not heard
+	ForgetAfter Micros // silent for so long, what it said is forgotten; 0: never
+	Trusted     bool   // its new servers need no sign
 }
 
 // Settings are the bounds of the merge.
 type Settings struct {
-	Sources     []Source
-	ByAddress   bool    // one address is one server
-	FloorShare  float64 // a step that takes more than this share away is doubted; 0 or 1: none is
-	FloorLeast  int     // and takes so many servers at least
-	Believe     Micros  // until it is believed
-	FlapHalf    Micros  // the penalty halves in
-	FlapMost    float64 // returns wait above
-	FlapAgain   float64 // until below
-	FirstSign   Micros  // untrusted: the same source again, so much later
-	MostServers int     // beyond, new ones are not taken, and that is counted; 0: no bound
+	Sources         []Source
+	ByAddress       bool    // one address is one server
+	FloorShare      float64 // a step that takes more than this share away is doubted; 0 or 1: none is
+	FloorMinServers int     // and takes so many servers at least
+	RemovalDelay    Micros  // until it is believed
+	FlapHalfLife    Micros  // the penalty halves in
+	FlapSuppress    float64 // returns wait above
+	FlapReuse       float64 // until below
+	ConfirmAfter    Micros  // untrusted: the same source again, so much later
+	MaxServers      int     // beyond, new ones are not taken, and that is counted; 0: no bound
 }
 
 // Claim is what a source says of one server.
@@ -117,28 +117,28 @@
 
 // Observation is one answer of a source.
 type Observation struct {
-	Source string
-	Index  int64
-	Whole  bool // what is left out is dropped
-	Reset  bool // the source's index has begun anew
-	Failed bool // no answer came: nothing is said, not even that it is empty
-	Claims []Claim
-	Gone   []string // of an answer that is not whole
+	Source   string
+	Index    int64
+	Complete bool // what is left out is dropped
+	Reset    bool // the source's index has begun anew
+	Failed   bool // no answer came: nothing is said, not even that it is empty
+	Claims   []Claim
+	Removed  []string // of an answer that is not whole
 }
 
 // Member is a server as the merge has it.
 type Member struct {
-	Name      string
-	State     State
-	Reason    string // why it stands so
-	Addresses []string
-	Site      string
-	Kind      string
-	Cell      int
-	Weight    float64
-	Since     Micros
-	DrainTold Micros // when the first source told; 0: none does
-	New       bool   // withheld for want of a first sign
+	Name        string
+	State       State
+	Reason      string // why it stands so
+	Addresses   []string
+	Site        string
+	Kind        string
+	Cell        int
+	Weight      float64
+	Since       Micros
+	DrainSince  Micros `json:"DrainTold"` // when the first source told; 0: none does
+	Unconfirmed bool   `json:"New"`       // withheld for want of a first sign
 }
 
 // equal tells whether two say the same to the decisions.
@@ -201,9 +201,9 @@
 	held    int              // kept by the floor
 	dueAt   Micros           // when time alone changes something next; 0: never
 
-	Floored bool  // the floor holds now
-	Damped  int64 // returns that waited
-	Refused int64 // servers beyond the bound
+	FloorActive bool  // the floor holds now
+	Damped      int64 // returns that waited
+	Rejected    int64 // servers beyond the bound
 }
 
 // New returns a merge that knows nothing.
@@ -274,14 +274,14 @@
 			m.claim(now, v, n, c)
 		}
 	}
-	if o.Whole {
+	if o.Complete {
 		for _, v := range m.servers {
 			if w := v.said[n]; w != nil && !w.dropped && !named[v.name] {
 				m.drop(now, v, n)
 			}
 		}
 	}
-	for _, name := range o.Gone {
+	for _, name := range o.Removed {
 		if v := m.servers[m.canonical(name)]; v != nil && v.said[n] != nil && !v.said[n].dropped && !named[v.name] {
 			m.drop(now, v, n)
 		}
@@ -320,8 +320,8 @@
 	if v != nil {
 		return v
 	}
-	if m.set.MostServers > 0 && len(m.servers) >= m.set.MostServers {
-		m.Refused++
+	if m.set.MaxServers > 0 && len(m.servers) >= m.set.MaxServers {
+		m.Rejected++
 		return nil
 	}
 	v = &server{name: c.Name, said: make([]*said, len(m.sources)), member: Member{Name: c.Name, State: Gone}}
@@ -438,13 +438,13 @@
 
 // heard tells whether a source counts as heard.
 func (m *Members) heard(now Micros, s *source) bool {
-	return s.heardAt > 0 && now-s.heardAt < s.Silent
+	return s.heardAt > 0 && now-s.heardAt < s.SilentAfter
 }
 
 // forgotten tells whether a source has been silent for so long that what it said
 // counts as never said.
 func (m *Members) forgotten(now Micros, s *source) bool {
-	return s.heardAt == 0 || s.Forget > 0 && now-s.heardAt >= s.Silent+s.Forget
+	return s.heardAt == 0 || s.ForgetAfter > 0 && now-s.heardAt >= s.SilentAfter+s.ForgetAfter
 }
 
 // Step merges what has come since the last one, and what time alone has changed. It
@@ -525,13 +525,13 @@
 			}
 		}
 		if w.dropped {
-			if w.drainAt > 0 && !m.lifted(now, v, i) && (to.DrainTold == 0 || w.drainAt < to.DrainTold) {
-				to.DrainTold = w.drainAt
+			if w.drainAt > 0 && !m.lifted(now, v, i) && (to.DrainSince == 0 || w.drainAt < to.DrainSince) {
+				to.DrainSince = w.drainAt
 			}
 			continue
 		}
-		if w.drainAt > 0 && (heard || !m.later(now, v, w.drainAt)) && (to.DrainTold == 0 || w.drainAt < to.DrainTold) {
-			to.DrainTold = w.drainAt
+		if w.drainAt > 0 && (heard || !m.later(now, v, w.drainAt)) && (to.DrainSince == 0 || w.drainAt < to.DrainSince) {
+			to.DrainSince = w.drainAt
 		}
 		to.Since = max(to.Since, w.Since)
 		if len(w.Addresses) > 0 && (!addressed || heard && !m.addressedBy(now, v, i)) {
@@ -586,8 +586,8 @@
 	case critical != "":
 		to.State, to.Reason = Withheld, critical+" says that its checks are critical"
 	case !m.proven(now, v):
-		to.State, to.Reason, to.New = Withheld, "new, and without a first sign", true
-	case to.DrainTold > 0:
+		to.State, to.Reason, to.Unconfirmed = Withheld, "new, and without a first sign", true
+	case to.DrainSince > 0:
 		to.State, to.Reason = Draining, "told to drain"
 	}
 	return to
@@ -597,7 +597,7 @@
 // no more.
 func (m *Members) lifted(now Micros, v *server, by int) bool {
 	w, s := v.said[by], m.sources[by]
-	if now-w.goneAt >= s.Silent+s.Forget {
+	if now-w.goneAt >= s.SilentAfter+s.ForgetAfter {
 		return true
 	}
 	for i, o := range v.said {
@@ -640,7 +640,7 @@
 			continue
 		}
 		by++
-		if s.Trusted || by > 1 || s.heardAt-w.at >= m.set.FirstSign {
+		if s.Trusted || by > 1 || s.heardAt-w.at >= m.set.ConfirmAfter {
 			v.proven = true
 		}
 	}
@@ -648,7 +648,7 @@
 }
 
 // Sign is a first sign from elsewhere: the server has answered.
-func (m *Members) Sign(name string) {
+func (m *Members) Confirm(name string) {
 	if v := m.servers[m.canonical(name)]; v != nil && !v.proven {
 		v.proven = true
 		m.touch(v)
@@ -664,7 +664,7 @@
 	listed, going := m.listed, m.held
 	leaves := func(i int) bool {
 		was := dirty[i].member.State
-		return (was == Ready || was == Draining) && next[i].State > Draining && next[i].DrainTold == 0
+		return (was == Ready || was == Draining) && next[i].State > Draining && next[i].DrainSince == 0
 	}
 	for i, v := range dirty {
 		switch {
@@ -675,24 +675,24 @@
 			going--
 		}
 	}
-	m.Floored = going >= max(m.set.FloorLeast, 1) && float64(going) > m.set.FloorShare*float64(listed)
+	m.FloorActive = going >= max(m.set.FloorMinServers, 1) && float64(going) > m.set.FloorShare*float64(listed)
 	for i, v := range dirty {
 		if !leaves(i) {
 			continue
 		}
-		if v.heldAt == 0 && !m.Floored {
+		if v.heldAt == 0 && !m.FloorActive {
 			continue
 		}
 		if v.heldAt == 0 {
 			m.hold(v, max(now, 1))
 		}
-		if now-v.heldAt >= m.set.Believe || !m.Floored {
+		if now-v.heldAt >= m.set.RemovalDelay || !m.FloorActive {
 			m.hold(v, 0)
 			continue
 		}
 		reason := next[i].Reason
 		next[i] = v.member
-		next[i].Reason = fmt.Sprintf("%s; too many go at once, so it is kept until that has been said for %d s", reason, m.set.Believe/1e6)
+		next[i].Reason = fmt.Sprintf("%s; too many go at once, so it is kept until that has been said for %d s", reason, m.set.RemovalDelay/1e6)
 	}
 }
 
@@ -713,10 +713,10 @@
 
 // flap holds a return back while a server has come and gone too often.
 func (m *Members) flap(now Micros, v *server, to *Member) {
-	if m.set.FlapHalf <= 0 || m.set.FlapMost <= 0 {
+	if m.set.FlapHalfLife <= 0 || m.set.FlapSuppress <= 0 {
 		return
 	}
-	v.penalty *= math.Exp2(-float64(now-v.penaltyA) / float64(m.set.FlapHalf))
+	v.penalty *= math.Exp2(-float64(now-v.penaltyA) / float64(m.set.FlapHalfLife))
 	v.penaltyA = now
 	up := to.State == Ready || to.State == Draining
 	if !up {
@@ -726,15 +726,15 @@
 		v.listed, v.waiting = false, false
 		return
 	}
-	if !v.listed && !v.waiting && v.penalty > m.set.FlapMost {
+	if !v.listed && !v.waiting && v.penalty > m.set.FlapSuppress {
 		v.waiting = true
 		m.Damped++
 	}
-	if v.waiting && v.penalty <= m.set.FlapAgain {
+	if v.waiting && v.penalty <= m.set.FlapReuse {
 		v.waiting = false
 	}
 	if v.waiting {
-		to.State, to.Reason = Withheld, fmt.Sprintf("it comes and goes: kept back until it stays (penalty %.1f, back at %.1f)", v.penalty, m.set.FlapAgain)
+		to.State, to.Reason = Withheld, fmt.Sprintf("it comes and goes: kept back until it stays (penalty %.1f, back at %.1f)", v.penalty, m.set.FlapReuse)
 		return
 	}
 	v.listed = true
@@ -747,7 +747,7 @@
 			m.time(now, v)
 			continue
 		}
-		keep := v.penalty > faded && m.set.FlapHalf > 0
+		keep := v.penalty > faded && m.set.FlapHalfLife > 0
 		for i, s := range m.sources {
 			w := v.said[i]
 			keep = keep || w != nil && !w.dropped && !m.forgotten(now, s)
@@ -788,19 +788,19 @@
 		}
 	}
 	if v.heldAt > 0 {
-		soon(v.heldAt + m.set.Believe)
+		soon(v.heldAt + m.set.RemovalDelay)
 	}
 	// The penalty halves in FlapHalf: it is at a value after so long.
-	fades := func(to float64) { soon(now + Micros(float64(m.set.FlapHalf)*math.Log2(v.penalty/to)) + 1) }
+	fades := func(to float64) { soon(now + Micros(float64(m.set.FlapHalfLife)*math.Log2(v.penalty/to)) + 1) }
 	if v.waiting {
-		fades(m.set.FlapAgain)
+		fades(m.set.FlapReuse)
 	}
 	if v.penalty > faded && v.member.State == Gone {
 		fades(faded)
 	}
 	for i, w := range v.said {
 		if w != nil && w.dropped && w.drainAt > 0 {
-			soon(w.goneAt + m.sources[i].Silent + m.sources[i].Forget)
+			soon(w.goneAt + m.sources[i].SilentAfter + m.sources[i].ForgetAfter)
 		}
 	}
 	if at == math.MaxInt64 {
@@ -822,9 +822,9 @@
 	}
 	for _, s := range m.sources {
 		if s.heardAt > 0 {
-			soon(s.heardAt + s.Silent)
-			if s.Forget > 0 {
-				soon(s.heardAt + s.Silent + s.Forget)
+			soon(s.heardAt + s.SilentAfter)
+			if s.ForgetAfter > 0 {
+				soon(s.heardAt + s.SilentAfter + s.ForgetAfter)
 			}
 		}
 	}
@@ -841,35 +841,35 @@
 func (m *Members) Due() Micros { return m.dueAt }
 
 // Word is what one source says of a server.
-type Word struct {
-	Source    string
-	Heard     bool
-	Age       Micros // since its last answer
-	Dropped   bool
-	Drain     bool
-	Health    Health
-	Addresses []string
-	Cell      int
-	HasCell   bool
+type SourceReport struct {
+	Source     string
+	Responsive bool   `json:"Heard"`
+	Age        Micros // since its last answer
+	Dropped    bool
+	Drain      bool
+	Health     Health
+	Addresses  []string
+	Cell       int
+	HasCell    bool
 }
 
 // Belief is a member with what it rests on.
-type Belief struct {
+type Explanation struct {
 	Member
 	Penalty float64
-	Words   []Word
+	Reports []SourceReport `json:"Words"`
 }
 
 // Explain tells what is believed of a server, and why; false: nobody ever named it.
-func (m *Members) Explain(now Micros, name string) (Belief, bool) {
+func (m *Members) Explain(now Micros, name string) (Explanation, bool) {
 	v := m.servers[m.canonical(name)]
 	if v == nil {
-		return Belief{}, false
+		return Explanation{}, false
 	}
-	b := Belief{Member: v.member, Penalty: v.penalty}
+	b := Explanation{Member: v.member, Penalty: v.penalty}
 	for i, s := range m.sources {
 		if w := v.said[i]; w != nil {
-			b.Words = append(b.Words, Word{Source: s.Name, Heard: m.heard(now, s), Age: now - s.heardAt, Dropped: w.dropped, Drain: w.drainAt > 0,
+			b.Reports = append(b.Reports, SourceReport{Source: s.Name, Responsive: m.heard(now, s), Age: now - s.heardAt, Dropped: w.dropped, Drain: w.drainAt > 0,
 				Health: w.Health, Addresses: w.Addresses, Cell: w.Cell, HasCell: w.HasCell})
 		}
 	}
@@ -886,9 +886,9 @@
 }
 
 // Told is a source's standing.
-type Told struct {
+type SourceStatus struct {
 	Name               string
-	Heard              bool
+	Responsive         bool   `json:"Heard"`
 	Age                Micros // since its last answer; below 0: there was none
 	Index              int64
 	Calls, Failed, Old int64
@@ -896,10 +896,10 @@
 }
 
 // Sources are the sources' standings, by rank.
-func (m *Members) Sources(now Micros) []Told {
-	var out []Told
+func (m *Members) Sources(now Micros) []SourceStatus {
+	var out []SourceStatus
 	for _, s := range m.sources {
-		t := Told{Name: s.Name, Heard: m.heard(now, s), Age: -1, Index: s.index, Calls: s.Calls, Failed: s.Failed, Old: s.Old}
+		t := SourceStatus{Name: s.Name, Responsive: m.heard(now, s), Age: -1, Index: s.index, Calls: s.Calls, Failed: s.Failed, Old: s.Old}
 		if s.heardAt > 0 {
 			t.Age = now - s.heardAt
 		}
--- a/internal/core/membership/membership_test.go
+++ b/internal/core/membership/membership_test.go
@@ -13,8 +13,8 @@
 const sec = Micros(1_000_000)
 
 func settings() Settings {
-	return Settings{Sources: []Source{{Name: "list", Rank: 0, Silent: 10 * sec, Trusted: true}, {Name: "consul", Rank: 1, Silent: 10 * sec, Forget: 60 * sec},
-		{Name: "dns", Rank: 2, Silent: 10 * sec, Forget: 60 * sec}}, FloorShare: 0.5, FloorLeast: 3, Believe: 20 * sec, FlapHalf: 10 * sec, FlapMost: 2.5, FlapAgain: 1, FirstSign: 2 * sec}
+	return Settings{Sources: []Source{{Name: "list", Rank: 0, SilentAfter: 10 * sec, Trusted: true}, {Name: "consul", Rank: 1, SilentAfter: 10 * sec, ForgetAfter: 60 * sec},
+		{Name: "dns", Rank: 2, SilentAfter: 10 * sec, ForgetAfter: 60 * sec}}, FloorShare: 0.5, FloorMinServers: 3, RemovalDelay: 20 * sec, FlapHalfLife: 10 * sec, FlapSuppress: 2.5, FlapReuse: 1, ConfirmAfter: 2 * sec}
 }
 
 type stage struct {
@@ -48,7 +48,7 @@
 
 func (s *stage) says(source string, claims ...Claim) {
 	s.idx++
-	require.NoError(s.t, s.m.Observe(s.now, Observation{Source: source, Index: s.idx, Whole: true, Claims: claims}))
+	require.NoError(s.t, s.m.Observe(s.now, Observation{Source: source, Index: s.idx, Complete: true, Claims: claims}))
 	s.m.Step(s.now)
 }
 
@@ -89,11 +89,11 @@
 	// A drain by any source; lifted by that source alone, and by no older news.
 	s.says("consul", claim("a", 1, drain))
 	s.is("a", Draining, "told to drain")
-	told := s.m.servers["a"].member.DrainTold
+	told := s.m.servers["a"].member.DrainSince
 	s.wait(sec)
 	s.says("list", claim("a", 1, drain))
-	require.Equal(t, told, s.m.servers["a"].member.DrainTold)
-	require.NoError(t, s.m.Observe(s.now, Observation{Source: "consul", Index: 1, Whole: true, Claims: []Claim{claim("a", 1)}}))
+	require.Equal(t, told, s.m.servers["a"].member.DrainSince)
+	require.NoError(t, s.m.Observe(s.now, Observation{Source: "consul", Index: 1, Complete: true, Claims: []Claim{claim("a", 1)}}))
 	s.m.Step(s.now)
 	s.is("a", Draining, "told to drain")
 	s.says("list", claim("a", 1))
@@ -146,8 +146,8 @@
 // comes back by the list, which is heard, and by a start after the drain.
 func TestSilentInARelease(t *testing.T) {
 	s := begin(t, func(s *Settings) {
-		s.FloorShare, s.FlapHalf = 0, 0
-		s.Sources = []Source{{Name: "consul", Rank: 0, Silent: 5 * sec, Trusted: true}, {Name: "list", Rank: 1, Silent: 5 * sec, Trusted: true}}
+		s.FloorShare, s.FlapHalfLife = 0, 0
+		s.Sources = []Source{{Name: "consul", Rank: 0, SilentAfter: 5 * sec, Trusted: true}, {Name: "list", Rank: 1, SilentAfter: 5 * sec, Trusted: true}}
 	})
 	all := []Claim{claim("a", 1), claim("b", 1), claim("c", 1)}
 	s.says("consul", all...)
@@ -179,10 +179,10 @@
 	s.says("list", all...)
 	s.says("list")
 	s.is("s0", Ready, "too many go at once")
-	require.True(t, s.m.Floored)
+	require.True(t, s.m.FloorActive)
 	s.wait(2 * sec)
 	s.says("list", all...)
-	require.False(t, s.m.Floored)
+	require.False(t, s.m.FloorActive)
 	s.is("s0", Ready, "list names it")
 	drained := slices.Clone(all)
 	for i := range drained {
@@ -233,17 +233,17 @@
 // Names: an alias, one address where that is set, the bound on servers, an index
 // that begins anew.
 func TestIdentity(t *testing.T) {
-	s := begin(t, func(s *Settings) { s.ByAddress, s.MostServers = true, 3 })
+	s := begin(t, func(s *Settings) { s.ByAddress, s.MaxServers = true, 3 })
 	s.says("list", claim("a", 1))
 	s.says("consul", Claim{Name: "node-a", Aliases: []string{"a"}, Cell: 1, HasCell: true, Drain: true})
 	s.says("dns", Claim{Name: "a.example.org", Addresses: []string{"a:1"}})
 	s.is("a", Draining, "")
 	b, _ := s.m.Explain(s.now, "a.example.org")
 	require.Equal(t, "a", b.Name)
-	require.Len(t, b.Words, 3)
+	require.Len(t, b.Reports, 3)
 	s.says("list", claim("a", 1), claim("b", 1), claim("c", 1), claim("d", 1))
-	require.EqualValues(t, 1, s.m.Refused)
-	require.NoError(t, s.m.Observe(s.now, Observation{Source: "list", Index: 1, Reset: true, Whole: true, Claims: []Claim{claim("a", 1), claim("b", 1), claim("c", 1)}}))
+	require.EqualValues(t, 1, s.m.Rejected)
+	require.NoError(t, s.m.Observe(s.now, Observation{Source: "list", Index: 1, Reset: true, Complete: true, Claims: []Claim{claim("a", 1), claim("b", 1), claim("c", 1)}}))
 	s.m.Step(s.now)
 	require.EqualValues(t, 1, s.m.Sources(s.now)[0].Index)
 	require.Error(t, s.m.Observe(s.now, Observation{Source: "rumour"}))
@@ -274,7 +274,7 @@
 				if rapid.IntRange(0, 2).Draw(t, "speaks") == 0 {
 					continue
 				}
-				o := Observation{Source: src, Whole: rapid.Bool().Draw(t, "whole"), Failed: rapid.IntRange(0, 5).Draw(t, "fails") == 0}
+				o := Observation{Source: src, Complete: rapid.Bool().Draw(t, "whole"), Failed: rapid.IntRange(0, 5).Draw(t, "fails") == 0}
 				o.Index = max(index[src]+int64(rapid.IntRange(-1, 2).Draw(t, "index")), 0)
 				for _, n := range names {
 					switch rapid.IntRange(0, 3).Draw(t, n) {
@@ -282,16 +282,16 @@
 						o.Claims = append(o.Claims, Claim{Name: n, Addresses: []string{n}, Cell: rapid.SampledFrom([]int{1, 1, 1, 2}).Draw(t, "cell"), HasCell: true,
 							Drain: rapid.IntRange(0, 4).Draw(t, "drain") == 0, Health: Health(rapid.IntRange(0, 3).Draw(t, "health"))})
 					case 2:
-						o.Gone = append(o.Gone, n)
+						o.Removed = append(o.Removed, n)
 					}
 				}
 				old := o.Index < index[src]
 				if !o.Failed && !old {
 					index[src] = o.Index
-					if drains[src] == nil || o.Whole {
+					if drains[src] == nil || o.Complete {
 						drains[src] = make(map[string]bool)
 					}
-					for _, n := range o.Gone {
+					for _, n := range o.Removed {
 						delete(drains[src], n)
 					}
 					for _, c := range o.Claims {
@@ -311,7 +311,7 @@
 				seen[m.Name] = m
 			}
 			two.Step(now)
-			if !slices.EqualFunc(one.All(), two.All(), func(a, b Member) bool { return a.equal(&b) && a.Name == b.Name && a.DrainTold == b.DrainTold }) {
+			if !slices.EqualFunc(one.All(), two.All(), func(a, b Member) bool { return a.equal(&b) && a.Name == b.Name && a.DrainSince == b.DrainSince }) {
 				t.Fatalf("the order of sources matters:\n%+v\n%+v", one.All(), two.All())
 			}
 			for _, m := range one.All() {
@@ -329,8 +329,8 @@
 				if m.State == Ready || m.State == Draining {
 					cell := -1
 					b, _ := one.Explain(now, m.Name)
-					for _, w := range b.Words {
-						if w.Dropped || !w.Heard || !w.HasCell {
+					for _, w := range b.Reports {
+						if w.Dropped || !w.Responsive || !w.HasCell {
 							continue
 						}
 						if cell >= 0 && cell != w.Cell && one.servers[m.Name].heldAt == 0 {
@@ -353,7 +353,7 @@
 				all = append(all, claim(fmt.Sprint("s", i), i%50))
 			}
 			now := sec
-			m.Observe(now, Observation{Source: "list", Index: 1, Whole: true, Claims: all})
+			m.Observe(now, Observation{Source: "list", Index: 1, Complete: true, Claims: all})
 			m.Step(now)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
--- a/internal/core/placement/model_test.go
+++ b/internal/core/placement/model_test.go
@@ -71,7 +71,7 @@
 	n.copies, n.lasts = slices.Clone(w.copies), slices.Clone(w.lasts)
 	for i, o := range w.owners {
 		c := *o
-		c.Pieces, c.Booked, c.Running, c.Ended = slices.Clone(o.Pieces), maps.Clone(o.Booked), maps.Clone(o.Running), maps.Clone(o.Ended)
+		c.Pieces, c.Booked, c.Running, c.RolledBack = slices.Clone(o.Pieces), maps.Clone(o.Booked), maps.Clone(o.Running), maps.Clone(o.RolledBack)
 		n.owners[i] = &c
 	}
 	return &n
@@ -81,10 +81,10 @@
 	var b strings.Builder
 	r := w.reshape
 	// %q: a copy that holds nothing is not no copy.
-	fmt.Fprintf(&b, "%d %v %v %v %v %v %v %v %v %q %q %v %d", r.Step, r.Copied, r.Fenced, r.Final, r.Active, r.Out, r.Dropped, w.sent, w.acked,
+	fmt.Fprintf(&b, "%d %v %v %v %v %v %v %v %v %q %q %v %d", r.Step, r.Copied, r.Fenced, r.FinalCopied, r.Activated, r.Published, r.Dropped, w.sent, w.acked,
 		w.copies, w.lasts, w.books, w.runs)
 	for _, o := range w.owners {
-		fmt.Fprint(&b, o.Pieces, o.Booked, o.Running, o.Ended)
+		fmt.Fprint(&b, o.Pieces, o.Booked, o.Running, o.RolledBack)
 	}
 	return b.String()
 }
@@ -100,11 +100,11 @@
 	old, new := 0, 1
 	// The coordinator. It stores before it sends, so a crash loses nothing that it
 	// will not send again; acks it has not read yet it may read after.
-	switch d := w.reshape.Do(); d {
+	switch d := w.reshape.NextAction(); d {
 	case Copy:
 		add("orders the copy", func(n *world) { n.sent.copied = true })
 		if w.acked.copied {
-			add("hears of the copy", func(n *world) { n.reshape.Told(Copy) })
+			add("hears of the copy", func(n *world) { n.reshape.Completed(Copy) })
 		}
 	case Fence:
 		add("orders the fence", func(n *world) { n.sent.fence = true })
@@ -112,35 +112,35 @@
 			add("orders the last copy", func(n *world) { n.sent.last = true })
 		}
 		if w.acked.fence {
-			add("hears of the fence", func(n *world) { n.reshape.Told(Fence) })
+			add("hears of the fence", func(n *world) { n.reshape.Completed(Fence) })
 		}
-	case CopyLast:
+	case CopyFinal:
 		add("orders the last copy", func(n *world) { n.sent.last = true })
 		if w.acked.last || f == activateEarly {
-			add("hears of the last copy", func(n *world) { n.reshape.Told(CopyLast) })
+			add("hears of the last copy", func(n *world) { n.reshape.Completed(CopyFinal) })
 		}
 	case Activate:
 		add("orders the cut", func(n *world) { n.sent.activate = true })
 		if w.acked.activate {
-			add("hears of the cut", func(n *world) { n.reshape.Told(Activate) })
+			add("hears of the cut", func(n *world) { n.reshape.Completed(Activate) })
 		}
 	case Publish:
-		add("publishes", func(n *world) { n.reshape.Told(Publish) })
+		add("publishes", func(n *world) { n.reshape.Completed(Publish) })
 	case Drop:
 		add("orders the drop", func(n *world) { n.sent.drop = true })
 		if w.acked.drop {
-			add("hears of the drop", func(n *world) { n.reshape.Told(Drop) })
+			add("hears of the drop", func(n *world) { n.reshape.Completed(Drop) })
 		}
 	case Unfence:
 		add("orders the undoing", func(n *world) { n.sent.unfence = true })
 		if w.acked.unfence {
-			add("hears of the undoing", func(n *world) { n.reshape.Told(Unfence) })
+			add("hears of the undoing", func(n *world) { n.reshape.Completed(Unfence) })
 		}
 	}
 	if r := w.reshape; r.Abort() == nil && r.Step != w.reshape.Step {
 		add("aborts", func(n *world) { _ = n.reshape.Abort() })
-	} else if f == abortLate && w.reshape.Step == Cut {
-		add("aborts late", func(n *world) { n.reshape.Step = Undoing })
+	} else if f == abortLate && w.reshape.Step == Cutover {
+		add("aborts late", func(n *world) { n.reshape.Step = RollingBack })
 	}
 	// Orders that arrive.
 	if w.sent.copied {
@@ -195,7 +195,7 @@
 	if w.sent.unfence {
 		add("undone", func(n *world) {
 			n.owners[old].Unfence(1, whole)
-			n.owners[new].Forget(1, whole)
+			n.owners[new].DiscardCopies(1, whole)
 			n.acked.unfence = true
 		})
 	}
@@ -212,9 +212,9 @@
 			add(fmt.Sprintf("booking %d is lost", i), func(n *world) { n.books[i].where, n.books[i].lost = -1, true })
 			add(fmt.Sprintf("booking %d arrives", i), func(n *world) {
 				switch n.owners[b.where].Begin(key, fmt.Sprint(i)) {
-				case Does:
+				case Accepted:
 					n.books[i].lost = true // until it is heard of again it may have run
-				case Had:
+				case AlreadyBooked:
 					n.books[i].lost = true // answered: it is booked
 				default:
 					n.books[i].told = true
--- a/internal/core/placement/owner.go
+++ b/internal/core/placement/owner.go
@@ -15,7 +15,7 @@
 
 // The modes.
 const (
-	Own      Mode = iota // it reads and books
+	Owned    Mode = iota // it reads and books
 	Fenced               // it reads; bookings are turned away, and never ran
 	Incoming             // copies come in; nothing may be done with them yet
 )
@@ -32,11 +32,11 @@
 
 // Owner is one cell's state.
 type Owner struct {
-	Pieces  []Piece           // by range, none overlapping
-	Booked  map[string]string // key: the query whose booking ran
-	Running map[string]string // begun and not stored: by key
-	Ended   map[int64]bool    // reshapes that were undone here: their orders count no more
-	Epoch   int64             // the newest that it has heard of
+	Pieces     []Piece           // by range, none overlapping
+	Booked     map[string]string // key: the query whose booking ran
+	Running    map[string]string // begun and not stored: by key
+	RolledBack map[int64]bool    // reshapes that were undone here: their orders count no more
+	Epoch      int64             // the newest that it has heard of
 
 	// NoFence leaves the fence out: for drills that must be caught.
 	NoFence bool
@@ -44,30 +44,30 @@
 
 // NewOwner returns a cell that holds these segments.
 func NewOwner(epoch int64, segments ...Segment) *Owner {
-	o := &Owner{Booked: make(map[string]string), Running: make(map[string]string), Ended: make(map[int64]bool), Epoch: epoch}
+	o := &Owner{Booked: make(map[string]string), Running: make(map[string]string), RolledBack: make(map[int64]bool), Epoch: epoch}
 	for _, s := range segments {
-		o.Pieces = append(o.Pieces, Piece{Range: s.Range, Mode: Own, Epoch: epoch})
+		o.Pieces = append(o.Pieces, Piece{Range: s.Range, Mode: Owned, Epoch: epoch})
 	}
 	o.tidy()
 	return o
 }
 
 // Word is what a server says to a part.
-type Word int
+type Result int
 
 // The words.
 const (
-	Does      Word = iota // it does what was asked
-	Had                   // booking: it ran before; nothing runs
-	NotHere               // it does not hold that: never ran
-	NotNow                // it holds it and may not book at this moment: never ran
-	Conflicts             // booking: another one of that key is running: never ran
+	Accepted      Result = iota // it does what was asked
+	AlreadyBooked               // booking: it ran before; nothing runs
+	NotOwned                    // it does not hold that: never ran
+	WritesFenced                // it holds it and may not book at this moment: never ran
+	Conflict                    // booking: another one of that key is running: never ran
 )
 
 // piece is the piece that holds a key.
 func (o *Owner) piece(key string) *Piece {
 	for i := range o.Pieces {
-		if o.Pieces[i].Holds(key) {
+		if o.Pieces[i].Contains(key) {
 			return &o.Pieces[i]
 		}
 	}
@@ -75,20 +75,20 @@
 }
 
 // Begin begins a booking of a key for a query.
-func (o *Owner) Begin(key, query string) Word {
+func (o *Owner) Begin(key, query string) Result {
 	p := o.piece(key)
 	switch {
 	case p == nil || p.Mode == Incoming:
-		return NotHere
+		return NotOwned
 	case o.Booked[key] != "":
-		return Had
+		return AlreadyBooked
 	case p.Mode == Fenced && !o.NoFence:
-		return NotNow
+		return WritesFenced
 	case o.Running[key] != "":
-		return Conflicts
+		return Conflict
 	}
 	o.Running[key] = query
-	return Does
+	return Accepted
 }
 
 // End stores a booking that was begun, with its effect, in one.
@@ -103,25 +103,25 @@
 func (o *Owner) Crash() { clear(o.Running) }
 
 // Reads tells whether all of a range may be read here.
-func (o *Owner) Reads(r Range) Word {
+func (o *Owner) CanRead(r Range) Result {
 	at := r.From
 	for _, p := range o.Pieces {
-		if p.Mode == Incoming || !p.Holds(at) {
+		if p.Mode == Incoming || !p.Contains(at) {
 			continue
 		}
 		if p.To == "" || r.To != "" && p.To >= r.To {
-			return Does
+			return Accepted
 		}
 		at = p.To
 	}
-	return NotHere
+	return NotOwned
 }
 
 // cut splits pieces where a range begins and ends.
 func (o *Owner) cut(r Range) {
 	for _, at := range []string{r.From, r.To} {
 		for i := range o.Pieces {
-			if p := o.Pieces[i]; at != "" && p.Holds(at) && p.From != at {
+			if p := o.Pieces[i]; at != "" && p.Contains(at) && p.From != at {
 				left, right := p, p
 				left.To, right.From = at, at
 				o.Pieces = slices.Replace(o.Pieces, i, i+1, left, right)
@@ -156,7 +156,7 @@
 // Idle tells whether no booking runs in a range.
 func (o *Owner) Idle(r Range) bool {
 	for key := range o.Running {
-		if r.Holds(key) {
+		if r.Contains(key) {
 			return false
 		}
 	}
@@ -167,12 +167,12 @@
 // nothing runs there any more: only then is the fence up. An order of a reshape
 // that has been undone here, or is past its cut, changes nothing.
 func (o *Owner) Fence(reshape int64, r Range) bool {
-	if o.Ended[reshape] {
+	if o.RolledBack[reshape] {
 		return false
 	}
 	o.cut(r)
 	for i := range o.Pieces {
-		if p := &o.Pieces[i]; r.Covers(p.Range) && p.Mode == Own && p.Reshape < reshape {
+		if p := &o.Pieces[i]; r.Covers(p.Range) && p.Mode == Owned && p.Reshape < reshape {
 			p.Mode, p.Reshape = Fenced, reshape
 		}
 	}
@@ -181,10 +181,10 @@
 
 // Unfence undoes a reshape at an old owner.
 func (o *Owner) Unfence(reshape int64, r Range) {
-	o.Ended[reshape] = true
+	o.RolledBack[reshape] = true
 	for i := range o.Pieces {
 		if p := &o.Pieces[i]; r.Covers(p.Range) && p.Mode == Fenced && p.Reshape == reshape {
-			p.Mode = Own
+			p.Mode = Owned
 		}
 	}
 	o.tidy()
@@ -195,7 +195,7 @@
 func (o *Owner) CopyOut(reshape int64, r Range, last bool) (booked map[string]string, ok bool) {
 	if last && !o.NoFence {
 		for _, p := range o.Pieces {
-			if c, both := p.Range.Cut(r); both && !c.Empty() && (p.Mode != Fenced || p.Reshape != reshape) {
+			if c, both := p.Range.Intersect(r); both && !c.Empty() && (p.Mode != Fenced || p.Reshape != reshape) {
 				return nil, false
 			}
 		}
@@ -205,7 +205,7 @@
 	}
 	booked = make(map[string]string)
 	for key, q := range o.Booked {
-		if r.Holds(key) {
+		if r.Contains(key) {
 			booked[key] = q
 		}
 	}
@@ -215,17 +215,17 @@
 // CopyIn takes a copy. What is known already stays: a copy that comes late brings
 // nothing back.
 func (o *Owner) CopyIn(reshape int64, r Range, booked map[string]string) {
-	if o.Ended[reshape] {
+	if o.RolledBack[reshape] {
 		return
 	}
 	for key, q := range booked {
-		if r.Holds(key) && o.Booked[key] == "" {
+		if r.Contains(key) && o.Booked[key] == "" {
 			o.Booked[key] = q
 		}
 	}
 	held := false
 	for _, p := range o.Pieces {
-		if _, both := p.Range.Cut(r); both {
+		if _, both := p.Range.Intersect(r); both {
 			held = true
 		}
 	}
@@ -238,14 +238,14 @@
 // Activate has the cell accept all in a range from an epoch on. Once is enough: an
 // order that comes again, after a later reshape, changes nothing.
 func (o *Owner) Activate(reshape int64, r Range, epoch int64) {
-	if o.Ended[reshape] {
+	if o.RolledBack[reshape] {
 		return
 	}
 	o.Epoch = max(o.Epoch, epoch)
 	o.cut(r)
 	for i := range o.Pieces {
-		if p := &o.Pieces[i]; r.Covers(p.Range) && p.Reshape == reshape && p.Mode != Own {
-			p.Mode, p.Epoch = Own, epoch
+		if p := &o.Pieces[i]; r.Covers(p.Range) && p.Reshape == reshape && p.Mode != Owned {
+			p.Mode, p.Epoch = Owned, epoch
 		}
 	}
 	o.tidy()
@@ -259,8 +259,8 @@
 }
 
 // Forget undoes a reshape at a new owner: the copies go.
-func (o *Owner) Forget(reshape int64, r Range) {
-	o.Ended[reshape] = true
+func (o *Owner) DiscardCopies(reshape int64, r Range) {
+	o.RolledBack[reshape] = true
 	o.lose(reshape, r, Incoming)
 }
 
@@ -271,7 +271,7 @@
 			return false
 		}
 		for key := range o.Booked {
-			if p.Holds(key) {
+			if p.Contains(key) {
 				delete(o.Booked, key)
 			}
 		}
--- a/internal/core/placement/placement.go
+++ b/internal/core/placement/placement.go
@@ -34,7 +34,7 @@
 func below(key, to string) bool { return to == "" || key < to }
 
 // Holds tells whether a key is in the range.
-func (r Range) Holds(key string) bool { return key >= r.From && below(key, r.To) }
+func (r Range) Contains(key string) bool { return key >= r.From && below(key, r.To) }
 
 // Covers tells whether all of o is in r.
 func (r Range) Covers(o Range) bool {
@@ -42,7 +42,7 @@
 }
 
 // Cut is what r and o have in common; ok is false where that is nothing.
-func (r Range) Cut(o Range) (c Range, ok bool) {
+func (r Range) Intersect(o Range) (c Range, ok bool) {
 	c = Range{max(r.From, o.From), r.To}
 	if c.To == "" || o.To != "" && o.To < c.To {
 		c.To = o.To
@@ -106,23 +106,23 @@
 // The ways in which an update is refused.
 type (
 	// OldError is an update to an epoch that is held already, or was.
-	OldError struct{ Have, Got int64 }
+	StaleError struct{ Have, Got int64 }
 	// GapError is a change that does not follow on what is held: the whole is wanted.
 	GapError struct{ Have, Base int64 }
 	// BadError is a map that can't be; At names the range or the segment.
-	BadError struct{ At, Problem string }
+	InvalidError struct{ At, Problem string }
 )
 
-func (e *OldError) Error() string {
+func (e *StaleError) Error() string {
 	return fmt.Sprintf("epoch %d is not newer than %d", e.Got, e.Have)
 }
 func (e *GapError) Error() string {
 	return fmt.Sprintf("follows on epoch %d, and %d is held", e.Base, e.Have)
 }
-func (e *BadError) Error() string { return e.At + ": " + e.Problem }
+func (e *InvalidError) Error() string { return e.At + ": " + e.Problem }
 
 func bad(at fmt.Stringer, format string, args ...any) error {
-	return &BadError{at.String(), fmt.Sprintf(format, args...)}
+	return &InvalidError{at.String(), fmt.Sprintf(format, args...)}
 }
 
 type name string
@@ -169,7 +169,7 @@
 // does where the update is refused.
 func (m *Map) Apply(u *Update) (*Map, error) {
 	if u.Epoch <= m.Epoch() {
-		return nil, &OldError{m.Epoch(), u.Epoch}
+		return nil, &StaleError{m.Epoch(), u.Epoch}
 	}
 	if u.Base != 0 {
 		if m == nil || u.Base != m.epoch {
@@ -397,7 +397,7 @@
 }
 
 // Over are the segments in force that a range touches.
-func (m *Map) Over(r Range) []Segment {
+func (m *Map) Overlapping(r Range) []Segment {
 	if m.Len() == 0 || r.Empty() {
 		return nil
 	}
--- a/internal/core/placement/placement_test.go
+++ b/internal/core/placement/placement_test.go
@@ -79,7 +79,7 @@
 	m, err := m.Apply(&Update{Epoch: 6, Base: 5, Removed: []uint32{1, 2}, Segments: []Segment{
 		{ID: 4, Range: Range{"", "aqaba"}, Cell: 1}, {ID: 5, Range: Range{"aqaba", "irbid"}}}})
 	require.NoError(t, err)
-	got, err := m.Route([]Ask{{Segment: 1, Weight: 0.5}, {Segment: 2, Weight: 0.3}, {Segment: 3, Weight: 0.2}}, 10)
+	got, err := m.Route([]PartRequest{{Segment: 1, Weight: 0.5}, {Segment: 2, Weight: 0.3}, {Segment: 3, Weight: 0.2}}, 10)
 	require.NoError(t, err)
 	require.Equal(t, []Target{
 		{4, 1, []Share{{0, Range{"", "amman"}, 0.5}, {1, Range{"amman", "aqaba"}, 0.15}}},
@@ -88,7 +88,7 @@
 	}, got)
 	require.Equal(t, []Range{{"", "aqaba"}}, got[0].Ranges())
 	require.InDelta(t, 0.65, got[0].Weight(), 1e-9)
-	for want, asks := range map[string][]Ask{
+	for want, asks := range map[string][]PartRequest{
 		"segment 9 is not known at epoch 6":            {{Segment: 9}},
 		"segment 3 holds [irbid, end), not [a, b)":     {{Segment: 3, Range: Range{"a", "b"}}},
 		"segments 2 and 5 are asked for the same keys": {{Segment: 2}, {Segment: 5}},
@@ -97,34 +97,34 @@
 		_, err := m.Route(asks, 2)
 		require.EqualError(t, err, want)
 	}
-	_, err = (*Map)(nil).Route([]Ask{{Segment: 1}}, 2)
+	_, err = (*Map)(nil).Route([]PartRequest{{Segment: 1}}, 2)
 	require.ErrorContains(t, err, "no map")
 }
 
 // Ten thousand parts that find out at once ask one question; failures make it rarer.
 func TestRefresh(t *testing.T) {
-	r := Refresh{Least: 50e3, Most: 2e6}
+	r := Refresh{MinInterval: 50e3, MaxBackoff: 2e6}
 	asked := 0
 	for range 10000 {
-		if r.Want(1000, 7, 5) == 0 {
+		if r.ObserveEpoch(1000, 7, 5) == 0 {
 			asked++
 		}
 	}
 	require.Equal(t, 1, asked)
-	require.EqualValues(t, 9999, r.Spared)
-	r.Came(5)
-	require.EqualValues(t, 51000, r.Want(2000, 7, 5), "not before its time")
+	require.EqualValues(t, 9999, r.Suppressed)
+	r.FetchDone(5)
+	require.EqualValues(t, 51000, r.ObserveEpoch(2000, 7, 5), "not before its time")
 	for now := int64(0); now < 60e6; now += 1000 {
-		if r.Want(now, 7, 5) == 0 {
+		if r.ObserveEpoch(now, 7, 5) == 0 {
 			asked++
-			r.Came(5)
+			r.FetchDone(5)
 		}
 	}
 	require.Less(t, asked, 45)
-	require.EqualValues(t, -1, r.Want(61e6, 7, 7))
-	require.True(t, Turned(MostTurns+1, 9, 5, 1e6).GiveUp)
-	require.EqualValues(t, 15000, Turned(1, 5, 5, 1e6).Pause)
-	require.EqualValues(t, 400000, Turned(1, 9, 5, 1e6).Pause)
+	require.EqualValues(t, -1, r.ObserveEpoch(61e6, 7, 7))
+	require.True(t, AfterRejection(MaxRejections+1, 9, 5, 1e6).Abandon)
+	require.EqualValues(t, 15000, AfterRejection(1, 5, 5, 1e6).Delay)
+	require.EqualValues(t, 400000, AfterRejection(1, 9, 5, 1e6).Delay)
 }
 
 // Whatever is split, merged and moved, by however old a client: each key that is
@@ -149,7 +149,7 @@
 			var targets []Segment
 			at := span.From
 			for _, k := range keys {
-				if k > at && span.Holds(k) && rapid.Bool().Draw(t, "cut at "+k) {
+				if k > at && span.Contains(k) && rapid.Bool().Draw(t, "cut at "+k) {
 					targets = append(targets, Segment{ID: next, Range: Range{at, k}, Cell: int(next % 2)})
 					at, next = k, next+1
 				}
@@ -160,8 +160,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			for r.Start(); !r.Over(); {
-				r.Told(r.Do())
+			for r.Start(); !r.Finished(); {
+				r.Completed(r.NextAction())
 			}
 			if m, err = m.Apply(r.Update(m.Epoch())); err != nil {
 				t.Fatal(err)
@@ -169,7 +169,7 @@
 			old = append(old, m.Segments()...)
 		}
 		s := rapid.SampledFrom(old).Draw(t, "named")
-		got, err := m.Route([]Ask{{Segment: s.ID, Weight: 1}}, 100)
+		got, err := m.Route([]PartRequest{{Segment: s.ID, Weight: 1}}, 100)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -178,7 +178,7 @@
 			n := 0
 			for _, target := range got {
 				for _, r := range target.Ranges() {
-					if r.Holds(k) {
+					if r.Contains(k) {
 						n++
 						if in, _ := m.Lookup(k); in.ID != target.Segment || in.Cell != target.Cell {
 							t.Fatalf("%q goes to segment %d, and %d holds it", k, target.Segment, in.ID)
@@ -186,7 +186,7 @@
 					}
 				}
 			}
-			if want := map[bool]int{true: 1}[s.Holds(k)]; n != want {
+			if want := map[bool]int{true: 1}[s.Contains(k)]; n != want {
 				t.Fatalf("%q is asked for %d times, not %d", k, n, want)
 			}
 		}
@@ -213,9 +213,9 @@
 	r, err := m.Plan(1, []uint32{2}, []Segment{{ID: 2, Range: Range{"amman", "irbid"}, Cell: 0}}, free)
 	require.NoError(t, err)
 	var did []string
-	for r.Start(); !r.Over(); {
-		did = append(did, r.Do().String())
-		r.Told(r.Do())
+	for r.Start(); !r.Finished(); {
+		did = append(did, r.NextAction().String())
+		r.Completed(r.NextAction())
 	}
 	require.Equal(t, []string{"copy", "fence", "copy-last", "activate", "publish", "drop"}, did)
 	require.Error(t, r.Abort())
@@ -223,11 +223,11 @@
 		r, _ := m.Plan(2, []uint32{2}, []Segment{{ID: 2, Range: Range{"amman", "irbid"}, Cell: 0}}, free)
 		r.Start()
 		for range stop {
-			r.Told(r.Do())
+			r.Completed(r.NextAction())
 		}
 		require.NoError(t, r.Abort())
-		require.Equal(t, Unfence, r.Do())
-		r.Told(Unfence)
+		require.Equal(t, Unfence, r.NextAction())
+		r.Completed(Unfence)
 		require.Equal(t, Aborted, r.Step)
 	}
 }
--- a/internal/core/placement/reshape.go
+++ b/internal/core/placement/reshape.go
@@ -37,10 +37,10 @@
 	Planned Step = iota
 	Copying
 	Fencing
-	Cut
+	Cutover
 	Retiring
 	Done
-	Undoing
+	RollingBack
 	Aborted
 )
 
@@ -50,34 +50,34 @@
 
 // Reshape is one reshape. All of it is to be stored.
 type Reshape struct {
-	ID      int64
-	Step    Step
-	Sources []Segment
-	Targets []Segment
-	Copied  bool // a copy is at the new owners
-	Fenced  bool // the old owners said that they are fenced and idle
-	Final   bool // the copy made after that is at the new owners
-	Active  bool // the new owners said that they accept
-	Out     bool // the map has been published
-	Dropped bool // the old data, or the copies, are gone
+	ID          int64
+	Step        Step
+	Sources     []Segment
+	Targets     []Segment
+	Copied      bool // a copy is at the new owners
+	Fenced      bool // the old owners said that they are fenced and idle
+	FinalCopied bool // the copy made after that is at the new owners
+	Activated   bool // the new owners said that they accept
+	Published   bool // the map has been published
+	Dropped     bool // the old data, or the copies, are gone
 }
 
 // Doing is what a reshape wants done.
-type Doing int
+type Action int
 
 // What may be wanted.
 const (
-	Nothing  Doing = iota
-	Copy           // copy the keys to the new owners
-	Fence          // have the old owners fenced, and wait until nothing runs there
-	CopyLast       // copy what has come since, the old owners being fenced
-	Activate       // have the new owners accept at the new epoch
-	Publish        // publish the map
-	Drop           // drop the data at the old owners
-	Unfence        // have the old owners accept again, and drop the copies
+	Nothing   Action = iota
+	Copy             // copy the keys to the new owners
+	Fence            // have the old owners fenced, and wait until nothing runs there
+	CopyFinal        // copy what has come since, the old owners being fenced
+	Activate         // have the new owners accept at the new epoch
+	Publish          // publish the map
+	Drop             // drop the data at the old owners
+	Unfence          // have the old owners accept again, and drop the copies
 )
 
-func (d Doing) String() string {
+func (d Action) String() string {
 	return [...]string{"nothing", "copy", "fence", "copy-last", "activate", "publish", "drop", "unfence"}[d]
 }
 
@@ -123,7 +123,7 @@
 }
 
 // Do is what is wanted next. Told must be told once it is done.
-func (r *Reshape) Do() Doing {
+func (r *Reshape) NextAction() Action {
 	switch r.Step {
 	case Copying:
 		return Copy
@@ -131,23 +131,23 @@
 		if !r.Fenced {
 			return Fence
 		}
-		return CopyLast
-	case Cut:
-		if !r.Active {
+		return CopyFinal
+	case Cutover:
+		if !r.Activated {
 			return Activate
 		}
 		return Publish
 	case Retiring:
 		return Drop
-	case Undoing:
+	case RollingBack:
 		return Unfence
 	}
 	return Nothing
 }
 
 // Told notes that something wanted has been done, and takes the next step.
-func (r *Reshape) Told(d Doing) {
-	if d != r.Do() {
+func (r *Reshape) Completed(d Action) {
+	if d != r.NextAction() {
 		return // an answer to what was asked before: nothing new
 	}
 	switch d {
@@ -155,12 +155,12 @@
 		r.Copied, r.Step = true, Fencing
 	case Fence:
 		r.Fenced = true
-	case CopyLast:
-		r.Final, r.Step = true, Cut
+	case CopyFinal:
+		r.FinalCopied, r.Step = true, Cutover
 	case Activate:
-		r.Active = true
+		r.Activated = true
 	case Publish:
-		r.Out, r.Step = true, Retiring
+		r.Published, r.Step = true, Retiring
 	case Drop:
 		r.Dropped, r.Step = true, Done
 	case Unfence:
@@ -182,8 +182,8 @@
 	case Planned:
 		r.Step = Aborted
 	case Copying, Fencing:
-		r.Step = Undoing
-	case Undoing, Aborted:
+		r.Step = RollingBack
+	case RollingBack, Aborted:
 	default:
 		return fmt.Errorf("reshape %d is %v: it can only go on", r.ID, r.Step)
 	}
@@ -191,7 +191,7 @@
 }
 
 // Over tells whether nothing is left to do.
-func (r *Reshape) Over() bool { return r.Step == Done || r.Step == Aborted }
+func (r *Reshape) Finished() bool { return r.Step == Done || r.Step == Aborted }
 
 // Update is the change of the map that a reshape publishes.
 func (r *Reshape) Update(base int64) *Update {
--- a/internal/core/placement/route.go
+++ b/internal/core/placement/route.go
@@ -10,7 +10,7 @@
 
 // Ask is one part as a client names it: a segment, perhaps of an old epoch, and
 // perhaps only a range of its keys.
-type Ask struct {
+type PartRequest struct {
 	Segment uint32
 	Range   Range // zero: all that the segment holds
 	Weight  float64
@@ -18,9 +18,9 @@
 
 // Share is how much of an ask a target answers for.
 type Share struct {
-	Ask    int // its index
-	Range  Range
-	Weight float64
+	Request int // its index
+	Range   Range
+	Weight  float64
 }
 
 // Target is one part as it goes out: a segment in force, the ranges of it that are
@@ -55,8 +55,8 @@
 
 // RouteError is a query that can't be routed. Again tells that a newer map may help.
 type RouteError struct {
-	Problem string
-	Again   bool
+	Problem   string
+	Retryable bool
 }
 
 func (e *RouteError) Error() string { return e.Problem }
@@ -65,7 +65,7 @@
 // segment has split brings a target for each child that its range touches, its
 // weight shared evenly among them; asks that reach the same segment share one
 // target. Two asks for the same keys are refused: each key is in one part.
-func (m *Map) Route(asks []Ask, most int) ([]Target, error) {
+func (m *Map) Route(asks []PartRequest, most int) ([]Target, error) {
 	if m.Len() == 0 {
 		return nil, &RouteError{"no map of the segments is held yet", true}
 	}
@@ -82,12 +82,12 @@
 			}
 			r = a.Range
 		}
-		over := m.Over(r)
+		over := m.Overlapping(r)
 		if len(out)+len(over) > most+len(index) { // a cheap bound before the exact one
 			return nil, &RouteError{fmt.Sprintf("would bring more than %d parts", most), false}
 		}
 		for _, s := range over {
-			cut, ok := s.Range.Cut(r)
+			cut, ok := s.Range.Intersect(r)
 			if !ok {
 				continue
 			}
@@ -101,8 +101,8 @@
 				out = append(out, Target{Segment: s.ID, Cell: s.Cell})
 			}
 			for _, o := range out[t].Shares {
-				if _, both := o.Range.Cut(cut); both {
-					return nil, &RouteError{fmt.Sprintf("segments %d and %d are asked for the same keys", asks[o.Ask].Segment, a.Segment), false}
+				if _, both := o.Range.Intersect(cut); both {
+					return nil, &RouteError{fmt.Sprintf("segments %d and %d are asked for the same keys", asks[o.Request].Segment, a.Segment), false}
 				}
 			}
 			out[t].Shares = append(out[t].Shares, Share{i, cut, a.Weight / float64(len(over))})
@@ -124,16 +124,16 @@
 
 // Again routes what one target was to bring by a newer map: the same shares, cut
 // where segments have split since.
-func (m *Map) Again(t *Target, most int) ([]Target, error) {
+func (m *Map) Reroute(t *Target, most int) ([]Target, error) {
 	var out []Target
 	index := make(map[uint32]int)
 	for _, s := range t.Shares {
-		over := m.Over(s.Range)
+		over := m.Overlapping(s.Range)
 		if len(over) == 0 {
 			return nil, &RouteError{"no map of the segments is held", true}
 		}
 		for _, seg := range over {
-			cut, ok := seg.Range.Cut(s.Range)
+			cut, ok := seg.Range.Intersect(s.Range)
 			if !ok {
 				continue
 			}
@@ -146,7 +146,7 @@
 				index[seg.ID] = i
 				out = append(out, Target{Segment: seg.ID, Cell: seg.Cell})
 			}
-			out[i].Shares = append(out[i].Shares, Share{s.Ask, cut, s.Weight / float64(len(over))})
+			out[i].Shares = append(out[i].Shares, Share{s.Request, cut, s.Weight / float64(len(over))})
 		}
 	}
 	return out, nil
--- a/internal/core/resolve/resolve.go
+++ b/internal/core/resolve/resolve.go
@@ -37,41 +37,41 @@
 )
 
 // Outcomes are their names.
-var Outcomes = []string{"answer", "no-name", "truncated", "refused", "failed"}
+var OutcomeNames = []string{"answer", "no-name", "truncated", "refused", "failed"}
 
-func (o Outcome) String() string { return Outcomes[o] }
+func (o Outcome) String() string { return OutcomeNames[o] }
 
 // Settings bound what is believed.
 type Settings struct {
-	Resolvers int
-	Floor     Micros // least time that an answer is believed
-	Cap       Micros // and most
-	Stale     Micros // beyond its lifetime, while nobody answers
-	Pause     Micros // after a round in which all failed
-	PauseMost Micros
+	Resolvers  int
+	MinTTL     Micros // least time that an answer is believed
+	MaxTTL     Micros // and most
+	StaleFor   Micros // beyond its lifetime, while nobody answers
+	Backoff    Micros // after a round in which all failed
+	MaxBackoff Micros
 }
 
 // lameRest is how long a resolver that refuses is passed over.
 const lameRest = Micros(60_000_000)
 
 // Standing is how an answer stands.
-type Standing int
+type Status int
 
 // The standings.
 const (
-	Never  Standing = iota // nothing was ever heard, or what was has gone
-	Fresh                  // within its lifetime
-	Stale                  // beyond, and nobody has answered
-	Absent                 // there is no such name
+	Unknown Status = iota // nothing was ever heard, or what was has gone
+	Fresh                 // within its lifetime
+	Stale                 // beyond, and nobody has answered
+	Absent                // there is no such name
 )
 
 // Standings are their names.
-var Standings = []string{"never", "fresh", "stale", "absent"}
+var StatusNames = []string{"never", "fresh", "stale", "absent"}
 
-func (s Standing) String() string { return Standings[s] }
+func (s Status) String() string { return StatusNames[s] }
 
 // Ask is what to ask next.
-type Ask struct {
+type Query struct {
 	Resolver int
 	TCP      bool
 }
@@ -80,7 +80,7 @@
 type Question struct {
 	set    Settings
 	nextAt Micros
-	ask    Ask
+	ask    Query
 	tries  int // since the last answer, of this round
 	pause  Micros
 	rest   []Micros // by resolver: passed over until
@@ -94,19 +94,19 @@
 // New returns a question that is due at once.
 func New(set Settings) *Question {
 	set.Resolvers = max(set.Resolvers, 1)
-	return &Question{set: set, rest: make([]Micros, set.Resolvers), pause: set.Pause}
+	return &Question{set: set, rest: make([]Micros, set.Resolvers), pause: set.Backoff}
 }
 
 // Next is when to ask next, and whom.
-func (q *Question) Next() (Micros, Ask) { return q.nextAt, q.ask }
+func (q *Question) Next() (Micros, Query) { return q.nextAt, q.ask }
 
 // Last is how asking ended last.
-func (q *Question) Last() Outcome { return q.last }
+func (q *Question) LastOutcome() Outcome { return q.last }
 
 // Took takes how asking ended. ttl is the least lifetime of the records, or of the
 // denial; it counts with Answer and NoName alone. It tells whether what is believed is
 // now what this answer says.
-func (q *Question) Took(now Micros, o Outcome, ttl Micros) bool {
+func (q *Question) RecordResponse(now Micros, o Outcome, ttl Micros) bool {
 	q.last = o
 	switch o {
 	case Truncated:
@@ -135,10 +135,10 @@
 }
 
 func (q *Question) believe(now, ttl Micros, absent bool) {
-	life := min(max(ttl, q.set.Floor), q.set.Cap)
+	life := min(max(ttl, q.set.MinTTL), q.set.MaxTTL)
 	q.held, q.absent, q.until = true, absent, now+life
 	q.nextAt = now + life - life/10
-	q.tries, q.pause, q.ask.TCP = 0, q.set.Pause, false
+	q.tries, q.pause, q.ask.TCP = 0, q.set.Backoff, false
 	if !absent {
 		q.denied = 0
 	}
@@ -152,7 +152,7 @@
 	if q.tries >= q.set.Resolvers {
 		q.tries = 0
 		q.nextAt = now + q.pause
-		q.pause = min(2*q.pause, q.set.PauseMost)
+		q.pause = min(2*q.pause, q.set.MaxBackoff)
 	}
 	for range q.set.Resolvers { // those that rest are passed over, unless all do
 		q.ask.Resolver = (q.ask.Resolver + 1) % q.set.Resolvers
@@ -163,10 +163,10 @@
 }
 
 // Standing is how what is believed stands at a time.
-func (q *Question) Standing(now Micros) Standing {
+func (q *Question) Status(now Micros) Status {
 	switch {
-	case !q.held || now >= q.until+q.set.Stale:
-		return Never
+	case !q.held || now >= q.until+q.set.StaleFor:
+		return Unknown
 	case now >= q.until:
 		return Stale
 	case q.absent:
@@ -176,14 +176,14 @@
 }
 
 // Ends is when the standing changes next by time alone; 0: never.
-func (q *Question) Ends(now Micros) Micros {
+func (q *Question) NextStatusChange(now Micros) Micros {
 	switch {
 	case !q.held:
 		return 0
 	case now < q.until:
 		return q.until
-	case now < q.until+q.set.Stale:
-		return q.until + q.set.Stale
+	case now < q.until+q.set.StaleFor:
+		return q.until + q.set.StaleFor
 	}
 	return 0
 }
--- a/internal/core/resolve/resolve_test.go
+++ b/internal/core/resolve/resolve_test.go
@@ -10,49 +10,49 @@
 const sec = Micros(1_000_000)
 
 func settings(n int) Settings {
-	return Settings{Resolvers: n, Floor: sec, Cap: 60 * sec, Stale: 300 * sec, Pause: sec / 4, PauseMost: 5 * sec}
+	return Settings{Resolvers: n, MinTTL: sec, MaxTTL: 60 * sec, StaleFor: 300 * sec, Backoff: sec / 4, MaxBackoff: 5 * sec}
 }
 
 func TestLifetime(t *testing.T) {
 	q := New(settings(1))
-	require.Equal(t, Never, q.Standing(0))
-	require.True(t, q.Took(0, Answer, 10*sec))
+	require.Equal(t, Unknown, q.Status(0))
+	require.True(t, q.RecordResponse(0, Answer, 10*sec))
 	at, _ := q.Next()
 	require.Equal(t, 9*sec, at)
-	require.Equal(t, Fresh, q.Standing(10*sec-1))
-	require.Equal(t, 10*sec, q.Ends(sec))
+	require.Equal(t, Fresh, q.Status(10*sec-1))
+	require.Equal(t, 10*sec, q.NextStatusChange(sec))
 	// A resolver silent for a minute: stale, and asked on, ever more slowly.
 	now, asked := at, 0
 	for ; now < 70*sec; now, _ = q.Next() {
-		require.False(t, q.Took(now, Failed, 0))
+		require.False(t, q.RecordResponse(now, Failed, 0))
 		asked++
 	}
-	require.Equal(t, Stale, q.Standing(69*sec))
+	require.Equal(t, Stale, q.Status(69*sec))
 	require.Less(t, asked, 20)
-	require.Equal(t, Never, q.Standing(310*sec))
-	q.Took(now, Answer, 0) // a lifetime of 0 is lifted to the floor, one of a week cut to the cap
-	require.Equal(t, Fresh, q.Standing(now+sec-1))
-	q.Took(now, Answer, 7*86400*sec)
-	require.Equal(t, Stale, q.Standing(now+60*sec))
+	require.Equal(t, Unknown, q.Status(310*sec))
+	q.RecordResponse(now, Answer, 0) // a lifetime of 0 is lifted to the floor, one of a week cut to the cap
+	require.Equal(t, Fresh, q.Status(now+sec-1))
+	q.RecordResponse(now, Answer, 7*86400*sec)
+	require.Equal(t, Stale, q.Status(now+60*sec))
 }
 
 func TestTurns(t *testing.T) {
 	q := New(settings(3))
-	q.Took(0, Truncated, 0)
+	q.RecordResponse(0, Truncated, 0)
 	at, a := q.Next()
-	require.Equal(t, Ask{0, true}, a)
+	require.Equal(t, Query{0, true}, a)
 	require.Zero(t, at)
-	q.Took(0, Truncated, 0) // over TCP as well
+	q.RecordResponse(0, Truncated, 0) // over TCP as well
 	_, a = q.Next()
-	require.Equal(t, Ask{1, false}, a)
-	q.Took(0, Refused, 0)
+	require.Equal(t, Query{1, false}, a)
+	q.RecordResponse(0, Refused, 0)
 	_, a = q.Next()
 	require.Equal(t, 2, a.Resolver)
-	q.Took(0, Failed, 0)
+	q.RecordResponse(0, Failed, 0)
 	at, a = q.Next()
 	require.Equal(t, 0, a.Resolver)
 	require.Equal(t, sec/4, at, "all have failed: a pause")
-	q.Took(at, Failed, 0)
+	q.RecordResponse(at, Failed, 0)
 	_, a = q.Next()
 	require.Equal(t, 2, a.Resolver, "the lame one rests")
 }
@@ -60,16 +60,16 @@
 // One resolver that lies that the name is not there is not believed; two are.
 func TestNoName(t *testing.T) {
 	q := New(settings(2))
-	q.Took(0, Answer, 10*sec)
-	require.False(t, q.Took(9*sec, NoName, 5*sec))
-	require.Equal(t, Fresh, q.Standing(9*sec))
-	require.True(t, q.Took(9*sec, Answer, 10*sec))
-	require.False(t, q.Took(18*sec, NoName, 5*sec))
-	require.True(t, q.Took(18*sec, NoName, 5*sec))
-	require.Equal(t, Absent, q.Standing(18*sec))
-	require.Equal(t, Fresh, func() Standing { q.Took(20*sec, Answer, sec); return q.Standing(20 * sec) }())
+	q.RecordResponse(0, Answer, 10*sec)
+	require.False(t, q.RecordResponse(9*sec, NoName, 5*sec))
+	require.Equal(t, Fresh, q.Status(9*sec))
+	require.True(t, q.RecordResponse(9*sec, Answer, 10*sec))
+	require.False(t, q.RecordResponse(18*sec, NoName, 5*sec))
+	require.True(t, q.RecordResponse(18*sec, NoName, 5*sec))
+	require.Equal(t, Absent, q.Status(18*sec))
+	require.Equal(t, Fresh, func() Status { q.RecordResponse(20*sec, Answer, sec); return q.Status(20 * sec) }())
 	one := New(settings(1))
-	require.True(t, one.Took(0, NoName, sec))
+	require.True(t, one.RecordResponse(0, NoName, sec))
 }
 
 // Whatever is answered: no resolver is asked more often than the bounds let it.
@@ -87,14 +87,14 @@
 			asked++
 			o := Outcome(rapid.IntRange(0, 4).Draw(t, "outcome"))
 			ttl := Micros(rapid.IntRange(0, 100).Draw(t, "ttl")) * sec
-			if q.Took(now, o, ttl) {
+			if q.RecordResponse(now, o, ttl) {
 				believed = true
-				if s := q.Standing(now); s != Fresh && s != Absent {
+				if s := q.Status(now); s != Fresh && s != Absent {
 					t.Fatalf("%v after an answer", s)
 				}
 			}
-			if !believed && q.Standing(now) != Never {
-				t.Fatalf("%v without an answer", q.Standing(now))
+			if !believed && q.Status(now) != Unknown {
+				t.Fatalf("%v without an answer", q.Status(now))
 			}
 		}
 		if most := 2 * n * (60*5 + 10); asked > most {
--- a/internal/exchange/levels.go
+++ b/internal/exchange/levels.go
@@ -133,8 +133,8 @@
 // SetLevels turns levels on. It must be called before Run.
 func (x *Exchange) SetLevels(set LevelsSettings, each []LevelSettings) error {
 	us := func(d time.Duration) int64 { return d.Microseconds() }
-	s := level.Settings{Evidence: us(set.Evidence), Back: set.Back, Calm: us(set.Calm), Stay: us(set.Stay), MostStay: us(set.MostStay), Trial: us(set.Trial),
-		Worse: set.Worse, LeastSeen: set.Seen}
+	s := level.Settings{Evidence: us(set.Evidence), ExitRatio: set.Back, Calm: us(set.Calm), MinStay: us(set.Stay), MaxStay: us(set.MostStay), Trial: us(set.Trial),
+		MaxRegression: set.Worse, MinSamples: set.Seen}
 	l := &levels{set: set, gives: []map[string]give{nil}, rng: rand.New(rand.NewPCG(x.seeds, 11)), servers: make(map[string]choice.Server), spent: []LevelCost{{Level: "full"}}}
 	for _, name := range set.Names {
 		i := slices.IndexFunc(each, func(e LevelSettings) bool { return e.Name == name })
@@ -150,7 +150,7 @@
 		v := level.Level{Name: name}
 		for k, bound := range []float64{each[i].Refused, each[i].Failed, each[i].Cold, each[i].Unsound, each[i].Queue} {
 			if bound > 0 {
-				v.Enter = append(v.Enter, level.Cond{Signal: level.Names[k], Above: bound})
+				v.Enter = append(v.Enter, level.Condition{Signal: level.SignalNames[k], Above: bound})
 			}
 		}
 		if len(v.Enter) == 0 {
@@ -171,7 +171,7 @@
 	at := x.Clock(now)
 	g := level.Signals{Queue: float64(l.queue.Microseconds()) / 1000}
 	if l.asked >= leastAsked && l.value > 0 {
-		g.Asked, g.Refused, g.Failed = float64(l.asked), l.refused/l.value, l.failed/l.value
+		g.QueryRate, g.Refused, g.Failed = float64(l.asked), l.refused/l.value, l.failed/l.value
 	}
 	usable, cold := 0, 0
 	cells := make(map[int]bool)
@@ -183,14 +183,14 @@
 		}
 	}
 	if usable > 0 {
-		g.Cold = float64(cold) / float64(usable)
-		g.Unsound = 1 - float64(len(cells))/float64(max(x.set.Router.Cells, 1))
+		g.SlowStart = float64(cold) / float64(usable)
+		g.CellsDown = 1 - float64(len(cells))/float64(max(x.set.Router.Cells, 1))
 	}
 	cost := &l.spent[l.state.Level()]
 	cost.Seconds += float64(at-l.at) / 1e6
 	l.at, l.signals = at, g
 	l.asked, l.value, l.refused, l.failed, l.queue = 0, 0, 0, 0, 0
-	if c, ok := l.state.Read(at, g); ok {
+	if c, ok := l.state.Update(at, g); ok {
 		x.changed(c)
 	}
 }
@@ -198,12 +198,12 @@
 // changed notes a change of the level.
 func (x *Exchange) changed(c level.Change) {
 	l := x.levels
-	if l.past = append(l.past, LevelChange{x.drive.Now(), l.state.Name(c.From), l.state.Name(c.To), c.Why}); len(l.past) > mostPast {
+	if l.past = append(l.past, LevelChange{x.drive.Now(), l.state.Name(c.From), l.state.Name(c.To), c.Reason}); len(l.past) > mostPast {
 		l.past = slices.Delete(l.past, 0, len(l.past)-mostPast)
 	}
 	x.Counters.LevelChanges.Add(1)
 	x.Counters.Level.Store(int64(c.To))
-	log.Warn("level", "from", l.state.Name(c.From), "to", l.state.Name(c.To), "why", c.Why)
+	log.Warn("level", "from", l.state.Name(c.From), "to", l.state.Name(c.To), "why", c.Reason)
 }
 
 // eased is what a level has taken from a query.
@@ -217,7 +217,7 @@
 func (x *Exchange) ease(h *held) bool {
 	l := x.levels
 	e := &eased{level: l.state.Level()}
-	if l.state.Trying() && l.rng.Float64() < l.set.Share {
+	if l.state.TrialActive() && l.rng.Float64() < l.set.Share {
 		e.level, e.tried = e.level-1, true
 	}
 	h.eased = e
@@ -278,8 +278,8 @@
 // easedFinal marks the answer to a query that was not asked for as a whole.
 func (x *Exchange) easedFinal(h *held, f Final) Final {
 	class, share := x.class(h.class), h.share()
-	f.Whole = f.Whole && hookrule.Whole(class, share)
-	if !hookrule.Enough(class, share) {
+	f.Whole = f.Whole && hookrule.MeetsNeed(class, share)
+	if !hookrule.MeetsFloor(class, share) {
 		return Final{Ending: Failed}
 	}
 	return f
@@ -315,7 +315,7 @@
 		cost := &l.spent[h.eased.level]
 		cost.value += class.Value
 		cost.earned += earned
-		l.state.Ended(h.eased.tried, class.Value, lost)
+		l.state.RecordQuery(h.eased.tried, class.Value, lost)
 	}
 }
 
@@ -401,10 +401,10 @@
 		}
 	}
 	r := &LevelReport{Level: l.state.Name(l.state.Level()), StayS: float64(l.state.Stay()) / 1e6, Signals: l.signals, Past: slices.Clone(l.past)}
-	if l.state.Trying() {
+	if l.state.TrialActive() {
 		r.Trying = l.state.Name(l.state.Level() - 1)
 	}
-	if until := l.state.Pinned(); until > 0 {
+	if until := l.state.PinnedUntil(); until > 0 {
 		r.Pinned = x.drive.Now().Add(time.Duration(until-now) * time.Microsecond)
 	}
 	for _, c := range l.spent {
--- a/internal/exchange/segments.go
+++ b/internal/exchange/segments.go
@@ -43,7 +43,7 @@
 
 // placed is what is held for a query that is routed by the map.
 type placed struct {
-	asks []placement.Ask
+	asks []placement.PartRequest
 	legs map[string]bool // open queries of the decisions
 	n    int             // legs so far
 	wait int             // parts parked
@@ -81,7 +81,7 @@
 	}
 	k := &placed{legs: map[string]bool{h.ID: true}}
 	for _, p := range h.Parts {
-		k.asks = append(k.asks, placement.Ask{Segment: uint32(p.Shard), Range: p.Range, Weight: p.Weight})
+		k.asks = append(k.asks, placement.PartRequest{Segment: uint32(p.Shard), Range: p.Range, Weight: p.Weight})
 	}
 	targets, err := x.segments.now.Route(k.asks, x.segments.most)
 	if err != nil {
@@ -99,7 +99,7 @@
 func (x *Exchange) target(h *held, t *placement.Target, mark string) *part {
 	p := Part{Shard: int(t.Segment), Weight: t.Weight()}
 	if len(t.Shares) == 1 { // what the client said of its part holds for this one
-		from := h.Parts[t.Shares[0].Ask]
+		from := h.Parts[t.Shares[0].Request]
 		p.Key, p.Hinted, p.Cost = from.Key, from.Hinted, from.Cost
 	}
 	wire := h.ID + "." + strconv.Itoa(p.Shard)
@@ -157,8 +157,8 @@
 	if epoch > have {
 		s.source.Want(epoch)
 	}
-	t := placement.Turned(p.turns, epoch, have, time.Until(h.deadline).Microseconds())
-	if t.GiveUp || p.prior+len(p.attempts) >= x.set.Router.AttemptCap {
+	t := placement.AfterRejection(p.turns, epoch, have, time.Until(h.deadline).Microseconds())
+	if t.Abandon || p.prior+len(p.attempts) >= x.set.Router.AttemptCap {
 		return
 	}
 	a.withheld = true
@@ -168,7 +168,7 @@
 	}
 	s.parked[p] = true // bounded by the queries held
 	h.placed.wait++
-	p.alarm = x.after(x.drive.Now().Add(time.Duration(t.Pause)*time.Microsecond), func() { x.reroute(p) })
+	p.alarm = x.after(x.drive.Now().Add(time.Duration(t.Delay)*time.Microsecond), func() { x.reroute(p) })
 }
 
 // reroute sends a parked part out again by the map that is held now.
@@ -183,7 +183,7 @@
 	if h.ended {
 		return
 	}
-	targets, err := s.now.Again(p.target, s.most)
+	targets, err := s.now.Reroute(p.target, s.most)
 	if err != nil || time.Until(h.deadline) <= 0 {
 		x.releaseAll(p)
 		return
@@ -302,12 +302,12 @@
 	}
 	class, share := x.class(h.class), h.share()
 	switch {
-	case hookrule.Whole(class, share):
+	case hookrule.MeetsNeed(class, share):
 		x.answer(h, true)
 	case len(h.placed.legs) > 0 || h.placed.wait > 0:
-	case class.Floor < class.Need && hookrule.Enough(class, share):
+	case class.Floor < class.Need && hookrule.MeetsFloor(class, share):
 		x.answer(h, false)
-	case hookrule.Harmless(class.Effect, mayHaveRun(h)):
+	case hookrule.SafeToRefuse(class.Effect, mayHaveRun(h)):
 		x.end(h, Final{Ending: Refused, RetryAfter: max(h.placed.told, x.advice(h.class))})
 	default:
 		x.end(h, Final{Ending: Failed})
@@ -364,7 +364,7 @@
 				continue
 			}
 			for _, s := range p.target.Shares {
-				if s.Ask != i {
+				if s.Request != i {
 					continue
 				}
 				if p.served && !p.dropped {
--- a/internal/hook/engines_test.go
+++ b/internal/hook/engines_test.go
@@ -261,7 +261,7 @@
 			r, err := askFree(t, p, text)
 			require.NoError(t, err, engine)
 			_, err = rules.Check(v, r, "h")
-			var refused *hookrule.Refused
+			var refused *hookrule.RejectedError
 			require.ErrorAs(t, err, &refused, "%s: %s", engine, text)
 		}
 		r, err := askFree(t, p, "refuse closed")
--- a/internal/hook/host.go
+++ b/internal/hook/host.go
@@ -52,9 +52,9 @@
 }
 
 func (s *Settings) breaker() breaker.Config {
-	c := breaker.Usual
-	c.Streak, c.Share, c.Trials = s.Streak, s.Share, s.Trials
-	c.FirstPause, c.MostPause = s.FirstPause.Microseconds(), s.MostPause.Microseconds()
+	c := breaker.Default
+	c.MaxFailureStreak, c.FailureRatio, c.TrialSuccesses = s.Streak, s.Share, s.Trials
+	c.MinBackoff, c.MaxBackoff = s.FirstPause.Microseconds(), s.MostPause.Microseconds()
 	return c
 }
 
@@ -263,7 +263,7 @@
 		u.mu.Lock()
 		s := Status{Name: k.Name, Engine: k.Engine, Points: k.Points, Classes: k.Classes, Order: k.Order, OnFailure: k.OnFailure,
 			Calls: u.calls, Faults: make(map[Kind]int64), LastFault: u.last, P50us: u.quantile(0.5), P99us: u.quantile(0.99),
-			Opened: u.breaker.Opened}
+			Opened: u.breaker.OpenCount}
 		for kind, n := range u.faults {
 			s.Faults[kind] = n
 		}
@@ -275,7 +275,7 @@
 		case u.breaker.State == breaker.Open:
 			s.State, s.Reason = "quarantine", u.breaker.Reason
 			s.QuarantineLeftMS = max(u.breaker.Until-h.now(), 0) / 1000
-		case u.breaker.State == breaker.Trial:
+		case u.breaker.State == breaker.HalfOpen:
 			s.State, s.Reason = "trial", u.breaker.Reason
 		default:
 			s.State = "in service"
@@ -340,7 +340,7 @@
 		what = string(f.Kind)
 	}
 	c, changed = u.breaker.Record(now, trial, f != nil, what)
-	return c, u.breaker.Pause, changed
+	return c, u.breaker.Backoff, changed
 }
 
 // missed counts a call that was not made.
--- a/internal/hook/trial.go
+++ b/internal/hook/trial.go
@@ -113,7 +113,7 @@
 			v.Share += v.Parts[i].Weight
 		}
 	}
-	v.Whole = v.Share >= 1-hookrule.Slack
+	v.Whole = v.Share >= 1-hookrule.ShareTolerance
 	if why := at(hookabi.Answer, -1); why != "" {
 		return steps, "refused or failed: " + why
 	}
--- a/internal/lab/desk/desk.go
+++ b/internal/lab/desk/desk.go
@@ -140,7 +140,7 @@
 	first := r.IntN(len(segs) - parts + 1)
 	for _, s := range segs[first : first+parts] {
 		p := judge.Part{Shard: int(s.ID), Weight: 1 / float64(parts), Keys: []string{}}
-		for i := sort.SearchStrings(d.Keys, s.From); i < len(d.Keys) && s.Holds(d.Keys[i]); i++ {
+		for i := sort.SearchStrings(d.Keys, s.From); i < len(d.Keys) && s.Contains(d.Keys[i]); i++ {
 			p.Keys = append(p.Keys, d.Keys[i])
 		}
 		q.Parts = append(q.Parts, p)
--- a/internal/lab/membercost/membercost.go
+++ b/internal/lab/membercost/membercost.go
@@ -94,7 +94,7 @@
 		return m.Observe(now, o)
 	}
 	for _, s := range sources {
-		if err := see(membership.Observation{Source: s, Whole: true, Claims: all}); err != nil {
+		if err := see(membership.Observation{Source: s, Complete: true, Claims: all}); err != nil {
 			return nil, err
 		}
 		m.Step(now)
@@ -133,7 +133,7 @@
 		start := time.Now()
 		for range wholes {
 			now += 100_000
-			if err := see(membership.Observation{Source: "consul", Whole: true, Claims: claims}); err != nil {
+			if err := see(membership.Observation{Source: "consul", Complete: true, Claims: claims}); err != nil {
 				return 0, err
 			}
 			m.Step(now)
@@ -154,7 +154,7 @@
 		}
 		now += 100_000
 		start := time.Now()
-		if err := see(membership.Observation{Source: "consul", Whole: true, Claims: other}); err != nil {
+		if err := see(membership.Observation{Source: "consul", Complete: true, Claims: other}); err != nil {
 			return nil, err
 		}
 		m.Step(now)
@@ -175,7 +175,7 @@
 				if due := m.Due(); due > 0 && due <= now {
 					m.Step(due)
 				}
-				o := membership.Observation{Source: "list", Gone: []string{all[i].Name}}
+				o := membership.Observation{Source: "list", Removed: []string{all[i].Name}}
 				if half == 1 {
 					o = membership.Observation{Source: "list", Claims: all[i : i+1]}
 				}
--- a/internal/lab/reshape/reshape.go
+++ b/internal/lab/reshape/reshape.go
@@ -309,11 +309,11 @@
 		abortAt = w.r.IntN(3)
 	}
 	w.mu.Unlock()
-	for step := 0; !r.Over(); step++ {
+	for step := 0; !r.Finished(); step++ {
 		if step == abortAt && r.Abort() == nil {
 			w.count("aborted")
 		}
-		d := r.Do()
+		d := r.NextAction()
 		done := w.order(r, d)
 		time.Sleep(w.Step)
 		w.mu.Lock()
@@ -325,7 +325,7 @@
 			continue
 		}
 		if done {
-			r.Told(d)
+			r.Completed(d)
 		}
 		if done && d == placement.Activate {
 			w.cut(r)
@@ -395,7 +395,7 @@
 
 // order does what a reshape wants and tells whether it is done. Cells that are dead
 // do nothing.
-func (w *World) order(r *placement.Reshape, d placement.Doing) bool {
+func (w *World) order(r *placement.Reshape, d placement.Action) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, list := range [][]placement.Segment{r.Sources, r.Targets} {
@@ -408,14 +408,14 @@
 	}
 	span := placement.Range{From: r.Sources[0].From, To: r.Sources[len(r.Sources)-1].To}
 	switch d {
-	case placement.Copy, placement.CopyLast:
+	case placement.Copy, placement.CopyFinal:
 		for _, s := range r.Sources {
 			for _, t := range r.Targets {
-				cut, both := s.Range.Cut(t.Range)
+				cut, both := s.Range.Intersect(t.Range)
 				if !both || s.Cell == t.Cell {
 					continue
 				}
-				booked, ok := w.owners[s.Cell].CopyOut(r.ID, cut, d == placement.CopyLast)
+				booked, ok := w.owners[s.Cell].CopyOut(r.ID, cut, d == placement.CopyFinal)
 				if !ok {
 					return false
 				}
@@ -433,7 +433,7 @@
 			w.owners[t.Cell].Activate(r.ID, t.Range, w.m.Epoch()+1)
 		}
 	case placement.Publish:
-		if r.Out {
+		if r.Published {
 			return true
 		}
 		already := slices.ContainsFunc(r.Targets, func(t placement.Segment) bool { // published, and the coordinator died before it stored that
@@ -453,7 +453,7 @@
 		}
 	case placement.Unfence:
 		for _, t := range r.Targets {
-			w.owners[t.Cell].Forget(r.ID, t.Range)
+			w.owners[t.Cell].DiscardCopies(r.ID, t.Range)
 		}
 		for _, s := range r.Sources {
 			w.owners[s.Cell].Unfence(r.ID, span)
@@ -508,7 +508,7 @@
 	key := ranges[0].From
 	word := o.Begin(key, query)
 	switch word {
-	case placement.Does:
+	case placement.Accepted:
 		w.Judge.KeyRan(key, query, server)
 		return func() (string, bool) {
 			w.mu.Lock()
@@ -516,7 +516,7 @@
 			o.End(key)
 			return server + "|booked " + key + " for " + query, true
 		}, o.Epoch, true
-	case placement.Had:
+	case placement.AlreadyBooked:
 		by := o.Booked[key]
 		return func() (string, bool) { return server + "|had " + key + " for " + by, true }, o.Epoch, true
 	}
@@ -529,7 +529,7 @@
 	w, o := k.W, k.W.owners[k.Cell]
 	can := func() bool {
 		for _, r := range ranges {
-			if o.Reads(r) != placement.Does {
+			if o.CanRead(r) != placement.Accepted {
 				w.counts["turned away"]++
 				return false
 			}
--- a/internal/lab/virtual/sources.go
+++ b/internal/lab/virtual/sources.go
@@ -114,7 +114,7 @@
 	o := membership.Observation{Source: s.list.Name, Index: s.index}
 	for _, e := range news {
 		if e.Standing == model.Deleted {
-			o.Gone = append(o.Gone, w.plan.Servers[e.Server].Name)
+			o.Removed = append(o.Removed, w.plan.Servers[e.Server].Name)
 		} else {
 			o.Claims = append(o.Claims, w.claim(e))
 		}
@@ -132,7 +132,7 @@
 		m.observes(membership.Observation{Source: s.list.Name, Failed: true})
 		return
 	}
-	o := membership.Observation{Source: s.list.Name, Index: s.index, Whole: true, Reset: reset}
+	o := membership.Observation{Source: s.list.Name, Index: s.index, Complete: true, Reset: reset}
 	for _, e := range s.told {
 		if s.empty == 0 && e.Standing != model.Deleted {
 			o.Claims = append(o.Claims, w.claim(e))
@@ -159,7 +159,7 @@
 func (m *mixer) observes(o membership.Observation) {
 	w, life := m.w, m.life
 	later := w.near(m)
-	if ttl := w.plan.Source(o.Source).TTL; o.Source == "dns" && len(o.Claims)+len(o.Gone) > 0 {
+	if ttl := w.plan.Source(o.Source).TTL; o.Source == "dns" && len(o.Claims)+len(o.Removed) > 0 {
 		m.merge.n++
 		later += time.Duration(model.Luck(w.plan.Draw, "dns", fmt.Sprint(m.n), fmt.Sprint(m.merge.n)) * float64(ttl))
 	}
--- a/internal/source/consul/consul.go
+++ b/internal/source/consul/consul.go
@@ -272,7 +272,7 @@
 			doubt = true
 			continue
 		}
-		c.to.Observe(membership.Observation{Source: source, Index: now, Whole: true, Reset: doubt, Claims: claims})
+		c.to.Observe(membership.Observation{Source: source, Index: now, Complete: true, Reset: doubt, Claims: claims})
 		if now == index && !doubt { // the wait was over, or there was none: do not spin
 			select {
 			case <-ctx.Done():
--- a/internal/source/consul/consul_test.go
+++ b/internal/source/consul/consul_test.go
@@ -76,7 +76,7 @@
 	})
 	srv.Remove("b")
 	h.Until(t, "gone", func(o membership.Observation) bool {
-		return o.Whole && observed.Named(o, "b") == nil && observed.Named(o, "a") != nil
+		return o.Complete && observed.Named(o, "b") == nil && observed.Named(o, "a") != nil
 	})
 	stop()
 }
--- a/internal/source/dnssrv/dnssrv.go
+++ b/internal/source/dnssrv/dnssrv.go
@@ -129,15 +129,15 @@
 	srv    *item
 	hosts  map[string]*host
 	index  int64
-	was    resolve.Standing
+	was    resolve.Status
 }
 
 func (z *zone) clock() resolve.Micros { return time.Since(z.begin).Microseconds() + 1 }
 
 func (z *zone) item(name string, kind uint16) *item {
 	set := z.s.set
-	return &item{name: name, kind: kind, q: resolve.New(resolve.Settings{Resolvers: len(set.Resolvers), Floor: set.Floor.Microseconds(), Cap: set.Cap.Microseconds(),
-		Stale: set.Stale.Microseconds(), Pause: pause.Microseconds(), PauseMost: pauseMost.Microseconds()})}
+	return &item{name: name, kind: kind, q: resolve.New(resolve.Settings{Resolvers: len(set.Resolvers), MinTTL: set.Floor.Microseconds(), MaxTTL: set.Cap.Microseconds(),
+		StaleFor: set.Stale.Microseconds(), Backoff: pause.Microseconds(), MaxBackoff: pauseMost.Microseconds()})}
 }
 
 func (z *zone) run(ctx context.Context) {
@@ -175,7 +175,7 @@
 	for _, i := range z.items() {
 		next, _ := i.q.Next()
 		at = min(at, next)
-		if ends := i.q.Ends(now); ends > 0 {
+		if ends := i.q.NextStatusChange(now); ends > 0 {
 			at = min(at, ends+1)
 		}
 	}
@@ -215,7 +215,7 @@
 			log.Warn("dns-failed", "name", r.i.name, "type", dns.TypeToString[r.i.kind], "resolver", z.s.set.Resolvers[ask.Resolver], "tcp", ask.TCP, "err", r.err)
 		}
 		r.i.asked = true
-		if r.i.q.Took(z.clock(), r.outcome, r.ttl.Microseconds()) {
+		if r.i.q.RecordResponse(z.clock(), r.outcome, r.ttl.Microseconds()) {
 			r.i.records = r.records
 		}
 		if r.i == z.srv {
@@ -262,7 +262,7 @@
 				}
 			}
 			if len(got) > 0 {
-				i.q.Took(z.clock(), resolve.Answer, ttl.Microseconds())
+				i.q.RecordResponse(z.clock(), resolve.Answer, ttl.Microseconds())
 				i.records = got
 			}
 		}
@@ -280,12 +280,12 @@
 // tell tells the merge what is believed now.
 func (z *zone) tell(srv *resolve.Outcome) {
 	now := z.clock()
-	s := z.srv.q.Standing(now)
+	s := z.srv.q.Status(now)
 	if s != z.was {
 		log.Info("dns-standing", "name", z.srv.name, "is", s, "was", z.was)
 		z.was = s
 	}
-	if s == resolve.Stale || s == resolve.Never {
+	if s == resolve.Stale || s == resolve.Unknown {
 		if srv != nil && *srv >= resolve.Refused {
 			z.s.to.Observe(membership.Observation{Source: z.source, Failed: true})
 		}
@@ -295,7 +295,7 @@
 		return
 	}
 	z.index++
-	o := membership.Observation{Source: z.source, Index: z.index, Whole: true}
+	o := membership.Observation{Source: z.source, Index: z.index, Complete: true}
 	if s == resolve.Fresh {
 		o.Claims = z.claims(now)
 	}
@@ -305,7 +305,7 @@
 // early tells whether first look-ups of targets are still out.
 func (z *zone) early(now resolve.Micros) bool {
 	for _, h := range z.hosts {
-		if h.txt != nil && !h.txt.asked || !h.a.asked && h.a.q.Standing(now) == resolve.Never {
+		if h.txt != nil && !h.txt.asked || !h.a.asked && h.a.q.Status(now) == resolve.Unknown {
 			return true
 		}
 	}
@@ -314,7 +314,7 @@
 
 // believed are the records of a question that still count.
 func (i *item) believed(now resolve.Micros) []dns.RR {
-	if s := i.q.Standing(now); s == resolve.Fresh || s == resolve.Stale {
+	if s := i.q.Status(now); s == resolve.Fresh || s == resolve.Stale {
 		return i.records
 	}
 	return nil
--- a/internal/source/dnssrv/dnssrv_test.go
+++ b/internal/source/dnssrv/dnssrv_test.go
@@ -78,7 +78,7 @@
 	})
 	srv.Remove("s-2.zarqa.example.org")
 	h.Until(t, "gone", func(o membership.Observation) bool {
-		return o.Whole && usable(o, "s-1") && observed.Named(o, "s-2") == nil
+		return o.Complete && usable(o, "s-1") && observed.Named(o, "s-2") == nil
 	})
 	stop()
 	srv.Close()
@@ -115,7 +115,7 @@
 		return len(o.Claims) == 150 && !slices.ContainsFunc(o.Claims, func(c membership.Claim) bool { return !usable(o, c.Name) })
 	})
 	require.Positive(t, srv.Asked("tcp"))
-	require.True(t, o.Whole)
+	require.True(t, o.Complete)
 }
 
 // Resolvers that fail in every way are passed over for one that does not.
--- a/internal/source/members/members.go
+++ b/internal/source/members/members.go
@@ -55,11 +55,11 @@
 // them, highest first: a source may be several there, such as a datacentre each.
 func (s *Settings) Merge(ranked []string) membership.Settings {
 	us := func(d time.Duration) int64 { return d.Microseconds() }
-	out := membership.Settings{ByAddress: s.ByAddress, FloorShare: s.FloorShare, FloorLeast: s.FloorLeast, Believe: us(s.Believe), FlapHalf: us(s.FlapHalf),
-		FlapMost: s.FlapMost, FlapAgain: s.FlapAgain, FirstSign: us(s.FirstSign), MostServers: s.Most}
+	out := membership.Settings{ByAddress: s.ByAddress, FloorShare: s.FloorShare, FloorMinServers: s.FloorLeast, RemovalDelay: us(s.Believe), FlapHalfLife: us(s.FlapHalf),
+		FlapSuppress: s.FlapMost, FlapReuse: s.FlapAgain, ConfirmAfter: us(s.FirstSign), MaxServers: s.Most}
 	for i, name := range ranked {
 		kind, _, _ := strings.Cut(name, ".")
-		out.Sources = append(out.Sources, membership.Source{Name: name, Rank: i, Silent: us(s.Silent), Forget: us(s.Forget), Trusted: slices.Contains(s.Trusted, kind)})
+		out.Sources = append(out.Sources, membership.Source{Name: name, Rank: i, SilentAfter: us(s.Silent), ForgetAfter: us(s.Forget), Trusted: slices.Contains(s.Trusted, kind)})
 	}
 	return out
 }
@@ -180,7 +180,7 @@
 func (s *Service) Sign(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.core.Sign(name)
+	s.core.Confirm(name)
 	s.step()
 }
 
@@ -203,13 +203,13 @@
 	}
 	for _, m := range changed {
 		s.changes++
-		if m.New && s.prove != nil && len(m.Addresses) > 0 {
+		if m.Unconfirmed && s.prove != nil && len(m.Addresses) > 0 {
 			s.probe(m)
 		}
 		log.Info("member", "server", m.Name, "state", m.State, "cell", m.Cell, "why", m.Reason)
 	}
-	if s.core.Floored != s.floored {
-		s.floored = s.core.Floored
+	if s.core.FloorActive != s.floored {
+		s.floored = s.core.FloorActive
 		log.Warn("member-floor", "on", s.floored)
 	}
 	if s.timer != nil {
@@ -362,8 +362,8 @@
 	Floor                           bool
 	Changes, Damped, Refused        int64
 	Skipped                         int64
-	Sources                         []membership.Told
-	Members                         []membership.Belief
+	Sources                         []membership.SourceStatus
+	Members                         []membership.Explanation
 	More                            int // members that are not listed here
 }
 
@@ -372,7 +372,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.clock()
-	r := &Report{Floor: s.core.Floored, Changes: s.changes, Damped: s.core.Damped, Refused: s.core.Refused, Skipped: s.skipped, Sources: s.core.Sources(now)}
+	r := &Report{Floor: s.core.FloorActive, Changes: s.changes, Damped: s.core.Damped, Refused: s.core.Rejected, Skipped: s.skipped, Sources: s.core.Sources(now)}
 	all := s.core.All()
 	for _, m := range all {
 		*[]*int{&r.Ready, &r.Draining, &r.Withheld, &r.Gone}[m.State]++
@@ -406,13 +406,13 @@
 			ready++
 		}
 	}
-	if s.core.Floored {
+	if s.core.FloorActive {
 		floor = 1
 	}
 	put("members_ready", int64(ready))
 	put("member_changes", s.changes)
 	put("member_damped", s.core.Damped)
-	put("member_refused", s.core.Refused)
+	put("member_refused", s.core.Rejected)
 	put("member_skipped", s.skipped)
 	put("member_floor", floor)
 	for _, t := range s.core.Sources(s.clock()) {
@@ -433,10 +433,10 @@
 
 // Told implements targets.Taker.
 func (l List) Told(list choice.List, addrs targets.Addrs) {
-	o := membership.Observation{Source: ListName, Index: list.Version, Whole: list.Form != choice.Delta, Reset: list.Form == choice.Full}
+	o := membership.Observation{Source: ListName, Index: list.Version, Complete: list.Form != choice.Delta, Reset: list.Form == choice.Full}
 	for _, row := range list.Servers {
 		if row.State == choice.Gone {
-			o.Gone = append(o.Gone, row.ID)
+			o.Removed = append(o.Removed, row.ID)
 			continue
 		}
 		o.Claims = append(o.Claims, membership.Claim{Name: row.ID, Addresses: addrs[row.ID], Site: row.Zone, Kind: row.Kind, Cell: row.Cell, HasCell: true,
--- a/internal/source/members/members_test.go
+++ b/internal/source/members/members_test.go
@@ -76,11 +76,11 @@
 		targets.Addrs{"a": {"h:1"}, "b": {"h:2"}})
 	require.Equal(t, []choice.Form{choice.Full}, k.forms)
 	require.Equal(t, choice.Ready, k.state("a"))
-	s.Observe(membership.Observation{Source: "consul", Index: 1, Whole: true, Claims: []membership.Claim{claim("a", 1, true), claim("b", 2, false)}})
+	s.Observe(membership.Observation{Source: "consul", Index: 1, Complete: true, Claims: []membership.Claim{claim("a", 1, true), claim("b", 2, false)}})
 	require.Equal(t, choice.Draining, k.state("a"))
 	require.Equal(t, []choice.Form{choice.Full, choice.Delta}, k.forms)
 	// Two cells for one server: it is gone until they agree.
-	s.Observe(membership.Observation{Source: "consul", Index: 2, Whole: true, Claims: []membership.Claim{claim("a", 1, true), claim("b", 5, false)}})
+	s.Observe(membership.Observation{Source: "consul", Index: 2, Complete: true, Claims: []membership.Claim{claim("a", 1, true), claim("b", 5, false)}})
 	require.Equal(t, choice.Gone, k.state("b"))
 	l.Told(choice.List{Form: choice.Delta, Version: 6, Servers: []choice.Server{{ID: "b", Cell: 5, State: choice.Ready, Scale: 1}}}, targets.Addrs{"b": {"h:3"}})
 	require.Equal(t, choice.Gone, k.state("b"))
@@ -88,12 +88,12 @@
 	require.Equal(t, 5, k.rows["b~5"].Cell)
 	require.Equal(t, []string{"h:3"}, k.addrs["b~5"])
 	// Back in its first cell it has its first name again.
-	s.Observe(membership.Observation{Source: "consul", Index: 3, Whole: true, Claims: []membership.Claim{claim("b", 2, false)}})
+	s.Observe(membership.Observation{Source: "consul", Index: 3, Complete: true, Claims: []membership.Claim{claim("b", 2, false)}})
 	l.Told(choice.List{Form: choice.Delta, Version: 7, Servers: []choice.Server{{ID: "b", Cell: 2, State: choice.Ready, Scale: 1}}}, targets.Addrs{"b": {"h:3"}})
 	require.Equal(t, choice.Gone, k.state("b~5"))
 	require.Equal(t, choice.Ready, k.state("b"))
 	// A cell that is not there is none.
-	s.Observe(membership.Observation{Source: "consul", Index: 4, Whole: true, Claims: []membership.Claim{claim("z", 99, false, "h:9")}})
+	s.Observe(membership.Observation{Source: "consul", Index: 4, Complete: true, Claims: []membership.Claim{claim("z", 99, false, "h:9")}})
 	r, err := s.Report("z", 0)
 	require.NoError(t, err)
 	require.Equal(t, membership.Withheld, r.Members[0].State)
@@ -109,7 +109,7 @@
 	asked := make(chan []string, 4)
 	s.Prove(func(addrs []string) bool { asked <- addrs; return addrs[0] == "h:1" })
 	s.Watch(true)
-	s.Observe(membership.Observation{Source: "consul", Index: 1, Whole: true, Claims: []membership.Claim{claim("z", 1, false, "h:9")}})
+	s.Observe(membership.Observation{Source: "consul", Index: 1, Complete: true, Claims: []membership.Claim{claim("z", 1, false, "h:9")}})
 	require.Equal(t, choice.Ready, k.state("z"), "at the start there is nothing to set it beside")
 	s.Observe(membership.Observation{Source: "consul", Index: 2, Claims: []membership.Claim{claim("a", 1, false, "h:1"), claim("b", 1, false, "h:2")}})
 	<-asked
@@ -124,7 +124,7 @@
 	s, k := begin(t, nil, "list", "consul")
 	s.Watch(true)
 	List{To: s}.Told(choice.List{Form: choice.Full, Version: 1, Servers: []choice.Server{{ID: "a", Cell: 1, State: choice.Ready, Scale: 1}}}, targets.Addrs{"a": {"h:1"}})
-	s.Observe(membership.Observation{Source: "consul", Index: 1, Whole: true, Claims: []membership.Claim{claim("a", 1, true, "h:1")}})
+	s.Observe(membership.Observation{Source: "consul", Index: 1, Complete: true, Claims: []membership.Claim{claim("a", 1, true, "h:1")}})
 	require.Equal(t, choice.Draining, k.state("a"))
 	var set Settings
 	inifile.Default(&set)
--- a/internal/source/segments/segments.go
+++ b/internal/source/segments/segments.go
@@ -69,7 +69,7 @@
 // New returns a feed that has not been asked yet.
 func New(s Settings, to Taker) *Feed {
 	return &Feed{set: s, to: to, start: time.Now(), whole: true, http: &http.Client{Transport: &http.Transport{MaxConnsPerHost: 2, IdleConnTimeout: time.Minute}},
-		refresh: placement.Refresh{Least: least.Microseconds(), Most: most.Microseconds()}}
+		refresh: placement.Refresh{MinInterval: least.Microseconds(), MaxBackoff: most.Microseconds()}}
 }
 
 func (f *Feed) clock() int64 { return time.Since(f.start).Microseconds() }
@@ -84,7 +84,7 @@
 // want is under mu.
 func (f *Feed) want(epoch int64) {
 	now := f.clock()
-	switch at := f.refresh.Want(now, epoch, f.now.Epoch()); {
+	switch at := f.refresh.ObserveEpoch(now, epoch, f.now.Epoch()); {
 	case at == 0:
 		if f.kick != nil {
 			f.kick()
@@ -94,7 +94,7 @@
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			f.later = nil
-			f.want(f.refresh.Wanted)
+			f.want(f.refresh.WantedEpoch)
 		})
 	}
 }
@@ -108,7 +108,7 @@
 		f.mu.Lock()
 		f.kick = cancel
 		url, wait := fmt.Sprintf("http://%s/placement?epoch=%d&wait=%d", f.set.Feed, f.now.Epoch(), f.set.MostWait.Milliseconds()), f.set.MostWait
-		if f.refresh.Asking { // a server named a newer epoch: now, not when something changes
+		if f.refresh.Fetching { // a server named a newer epoch: now, not when something changes
 			url, wait = fmt.Sprintf("http://%s/placement?epoch=%d&wait=0", f.set.Feed, f.now.Epoch()), 0
 		}
 		if f.whole {
@@ -170,7 +170,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.whole = false
-	defer func() { f.refresh.Came(f.now.Epoch()) }()
+	defer func() { f.refresh.FetchDone(f.now.Epoch()) }()
 	if err != nil {
 		if !errors.Is(err, context.Canceled) {
 			f.lastErr = err.Error()
@@ -185,7 +185,7 @@
 	}
 	m, err := f.now.Apply(u)
 	var gap *placement.GapError
-	var old *placement.OldError
+	var old *placement.StaleError
 	switch {
 	case errors.As(err, &gap):
 		f.whole = true
@@ -230,8 +230,8 @@
 func (f *Feed) Report(list int) Report {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	r := Report{Feed: f.set.Feed, Epoch: f.now.Epoch(), Wanted: f.refresh.Wanted, Segments: f.now.Len(), HeardMS: -1, Refused: f.refused,
-		Calls: f.calls, Spared: f.refresh.Spared, Err: f.lastErr, Stale: true}
+	r := Report{Feed: f.set.Feed, Epoch: f.now.Epoch(), Wanted: f.refresh.WantedEpoch, Segments: f.now.Len(), HeardMS: -1, Refused: f.refused,
+		Calls: f.calls, Spared: f.refresh.Suppressed, Err: f.lastErr, Stale: true}
 	if !f.heard.IsZero() {
 		r.HeardMS = time.Since(f.heard).Milliseconds()
 		r.Stale = time.Since(f.heard) > f.set.Stale+f.set.MostWait
