--- a/internal/core/eyeballs/eyeballs.go
+++ b/internal/core/eyeballs/eyeballs.go
@@ -46,53 +46,53 @@
 
 // What an address that does not work costs it.
 const (
-	firstRest = Micros(1_000_000)
-	mostRest  = Micros(60_000_000)
-	mostKept  = 32 // addresses that are remembered of one server
+	minBackoff   = Micros(1_000_000)
+	maxBackoff   = Micros(60_000_000)
+	maxAddresses = 32 // addresses that are remembered of one server
 )
 
 // standing is what is remembered of an address.
-type standing struct {
-	addr  string
-	bad   int    // times in a row that it did not work
-	until Micros // it goes last until then
-	good  Micros // when it last worked; 0: never
+type addressState struct {
+	addr         string
+	failures     int    // times in a row that it did not work
+	backoffUntil Micros // it goes last until then
+	lastSuccess  Micros // when it last worked; 0: never
 }
 
 // Memory is what has been learnt of a server's addresses. Its zero value knows
 // nothing. It keeps a bounded number, those of late.
-type History struct{ all []standing }
+type History struct{ addresses []addressState }
 
-func (m *History) of(addr string) *standing {
-	i := slices.IndexFunc(m.all, func(s standing) bool { return s.addr == addr })
+func (m *History) findOrAdd(addr string) *addressState {
+	i := slices.IndexFunc(m.addresses, func(s addressState) bool { return s.addr == addr })
 	if i >= 0 {
-		return &m.all[i]
+		return &m.addresses[i]
 	}
-	if len(m.all) >= mostKept {
-		m.all = slices.Delete(m.all, 0, 1)
+	if len(m.addresses) >= maxAddresses {
+		m.addresses = slices.Delete(m.addresses, 0, 1)
 	}
-	m.all = append(m.all, standing{addr: addr})
-	return &m.all[len(m.all)-1]
+	m.addresses = append(m.addresses, addressState{addr: addr})
+	return &m.addresses[len(m.addresses)-1]
 }
 
 // Good notes that an address works.
 func (m *History) RecordSuccess(addr string, now Micros) {
-	s := m.of(addr)
-	s.bad, s.until, s.good = 0, 0, now
+	s := m.findOrAdd(addr)
+	s.failures, s.backoffUntil, s.lastSuccess = 0, 0, now
 }
 
 // Bad notes that an address did not come up, did not answer, or fell silent: it goes
 // last for a while, which doubles each time.
 func (m *History) RecordFailure(addr string, now Micros) {
-	s := m.of(addr)
-	s.until = now + min(firstRest<<min(s.bad, 10), mostRest)
-	s.bad++
+	s := m.findOrAdd(addr)
+	s.backoffUntil = now + min(minBackoff<<min(s.failures, 10), maxBackoff)
+	s.failures++
 }
 
 // Resting tells whether an address goes last now.
 func (m *History) InBackoff(addr string, now Micros) bool {
-	i := slices.IndexFunc(m.all, func(s standing) bool { return s.addr == addr })
-	return i >= 0 && now < m.all[i].until
+	i := slices.IndexFunc(m.addresses, func(s addressState) bool { return s.addr == addr })
+	return i >= 0 && now < m.addresses[i].backoffUntil
 }
 
 // Order sorts addresses as they are to be tried: families in turn, the preferred one
@@ -107,8 +107,8 @@
 			resting = append(resting, a)
 			continue
 		}
-		if s := m.find(a); s != nil && s.good > lastGood {
-			last, lastGood = a, s.good
+		if s := m.find(a); s != nil && s.lastSuccess > lastGood {
+			last, lastGood = a, s.lastSuccess
 		}
 		by[FamilyOf(a)] = append(by[FamilyOf(a)], a)
 	}
@@ -127,13 +127,13 @@
 			}
 		}
 	}
-	slices.SortStableFunc(resting, func(a, b string) int { return int(max(min(m.find(a).until-m.find(b).until, 1), -1)) })
+	slices.SortStableFunc(resting, func(a, b string) int { return int(max(min(m.find(a).backoffUntil-m.find(b).backoffUntil, 1), -1)) })
 	return append(out, resting...)
 }
 
-func (m *History) find(addr string) *standing {
-	if i := slices.IndexFunc(m.all, func(s standing) bool { return s.addr == addr }); i >= 0 {
-		return &m.all[i]
+func (m *History) find(addr string) *addressState {
+	if i := slices.IndexFunc(m.addresses, func(s addressState) bool { return s.addr == addr }); i >= 0 {
+		return &m.addresses[i]
 	}
 	return nil
 }
@@ -141,8 +141,8 @@
 // Race is one try to reach a server by its addresses.
 type Race struct {
 	stagger  Micros
-	left     []string
-	out      map[string]bool // begun, and not over
+	pending  []string
+	inFlight map[string]bool // begun, and not over
 	dueAt    Micros          // when the next is begun at the latest; 0: none is left
 	Winner   string          // the first that was ready
 	Finished bool            // there is a winner, or none is left
@@ -151,17 +151,17 @@
 // New returns a race over addresses in that order. RFC 8305 proposes a stagger of 250
 // ms, and 10 ms at least.
 func New(order []string, stagger Micros) *Race {
-	return &Race{left: slices.Clone(order), stagger: max(stagger, 10_000), out: make(map[string]bool)}
+	return &Race{pending: slices.Clone(order), stagger: max(stagger, 10_000), inFlight: make(map[string]bool)}
 }
 
 // Step is what is to be begun at a time: at the start, and when Due is reached.
 func (r *Race) Step(now Micros) (begin string, ok bool) {
-	if r.Finished || len(r.left) == 0 || r.dueAt > now {
+	if r.Finished || len(r.pending) == 0 || r.dueAt > now {
 		return "", false
 	}
-	begin, r.left = r.left[0], r.left[1:]
-	r.out[begin] = true
-	if r.dueAt = 0; len(r.left) > 0 {
+	begin, r.pending = r.pending[0], r.pending[1:]
+	r.inFlight[begin] = true
+	if r.dueAt = 0; len(r.pending) > 0 {
 		r.dueAt = now + r.stagger
 	}
 	return begin, true
@@ -169,7 +169,7 @@
 
 // Due is when Step is to be called next though nothing comes in; 0: never.
 func (r *Race) Due() Micros {
-	if r.Finished || len(r.left) == 0 {
+	if r.Finished || len(r.pending) == 0 {
 		return 0
 	}
 	return r.dueAt
@@ -177,12 +177,12 @@
 
 // Failed ends a try that brought nothing; the next may begin at once.
 func (r *Race) Failed(addr string) {
-	if !r.out[addr] {
+	if !r.inFlight[addr] {
 		return
 	}
-	delete(r.out, addr)
+	delete(r.inFlight, addr)
 	r.dueAt = 0
-	if len(r.left) == 0 && len(r.out) == 0 {
+	if len(r.pending) == 0 && len(r.inFlight) == 0 {
 		r.Finished = true
 	}
 }
@@ -190,10 +190,10 @@
 // Ready ends a try that came up, and tells whether it is the winner. One that is not
 // is to be closed: nothing was ever sent on it.
 func (r *Race) Connected(addr string) (wins bool) {
-	if !r.out[addr] {
+	if !r.inFlight[addr] {
 		return false
 	}
-	delete(r.out, addr)
+	delete(r.inFlight, addr)
 	if r.Finished {
 		return false
 	}
@@ -202,4 +202,4 @@
 }
 
 // Out counts the tries that are begun and not over.
-func (r *Race) InFlight() int { return len(r.out) }
+func (r *Race) InFlight() int { return len(r.inFlight) }
--- a/internal/core/eyeballs/eyeballs_test.go
+++ b/internal/core/eyeballs/eyeballs_test.go
@@ -23,8 +23,8 @@
 		m.RecordFailure("[2001:db8::1]:80", sec)
 		m.RecordFailure(string(rune('a'+i%26))+string(rune('a'+i/26))+":1", sec)
 	}
-	require.LessOrEqual(t, len(m.all), mostKept)
-	require.False(t, m.InBackoff("[2001:db8::1]:80", sec+mostRest+1))
+	require.LessOrEqual(t, len(m.addresses), maxAddresses)
+	require.False(t, m.InBackoff("[2001:db8::1]:80", sec+maxBackoff+1))
 }
 
 // The hard cases: an address that hangs holds the next one up for the stagger alone;
--- a/internal/core/hookrule/hookrule.go
+++ b/internal/core/hookrule/hookrule.go
@@ -26,10 +26,10 @@
 
 func (r *RejectedError) Error() string { return r.Problem }
 
-func no(format string, args ...any) error { return &RejectedError{fmt.Sprintf(format, args...)} }
+func rejectf(format string, args ...any) error { return &RejectedError{fmt.Sprintf(format, args...)} }
 
 // claims say why each may not be had.
-var claims = map[string]string{
+var claimReasons = map[string]string{
 	"id":     "another query may not be touched",
 	"value":  "a value is the leaf server's alone",
 	"whole":  "an answer is whole or not by what is in it",
@@ -57,47 +57,47 @@
 // granted.
 func (r Rules) Check(v *hookabi.View, a *hookabi.Result, hook string) (*hookabi.Result, error) {
 	if err := a.Check(); err != nil {
-		return nil, no("%v", err)
+		return nil, rejectf("%v", err)
 	}
 	if len(a.Claims) > 0 {
-		return nil, no("claims %s: %s", a.Claims[0], claims[a.Claims[0]])
+		return nil, rejectf("claims %s: %s", a.Claims[0], claimReasons[a.Claims[0]])
 	}
 	if v.Point == hookabi.Ended {
 		if a.Refuse || a.NotWhole || a.Class != "" || a.Left != 0 || len(a.Drop)+len(a.Tags)+len(a.Notes) > 0 {
-			return nil, no("the query has ended: there is nothing to ask for")
+			return nil, rejectf("the query has ended: there is nothing to ask for")
 		}
 		return a, nil
 	}
 	if len(v.Tags)+len(a.Tags) > MaxTags || len(v.Notes)+len(a.Notes) > MaxTags {
-		return nil, no("more than %d tags or notes for one query", MaxTags)
+		return nil, rejectf("more than %d tags or notes for one query", MaxTags)
 	}
 	class := r.classes[v.Class]
 	if a.Class != "" && a.Class != v.Class {
 		to, known := r.classes[a.Class]
 		switch {
 		case v.Point != hookabi.Taken:
-			return nil, no("class: only where the query is taken")
+			return nil, rejectf("class: only where the query is taken")
 		case !known:
-			return nil, no("class %q: there is none of that name", a.Class)
+			return nil, rejectf("class %q: there is none of that name", a.Class)
 		case to.Effect < class.Effect:
-			return nil, no("class %s: its parts may be repeated where those of %s may not", a.Class, v.Class)
+			return nil, rejectf("class %s: its parts may be repeated where those of %s may not", a.Class, v.Class)
 		case to.Need < class.Need || to.Floor < class.Floor:
-			return nil, no("class %s: is whole, or served, with less than %s", a.Class, v.Class)
+			return nil, rejectf("class %s: is whole, or served, with less than %s", a.Class, v.Class)
 		}
 		class = to
 	}
 	if a.Left > 0 {
 		switch {
 		case v.Point > hookabi.Admission:
-			return nil, no("time left: too late for that")
+			return nil, rejectf("time left: too late for that")
 		case a.Left > v.Left:
-			return nil, no("time left: %d us is more than there is (%d us)", a.Left, v.Left)
+			return nil, rejectf("time left: %d us is more than there is (%d us)", a.Left, v.Left)
 		case a.Left < MinTimeLeft:
-			return nil, no("time left: %d us is less than %d us", a.Left, MinTimeLeft)
+			return nil, rejectf("time left: %d us is less than %d us", a.Left, MinTimeLeft)
 		}
 	}
 	if len(a.Drop) > 0 {
-		if err := r.drop(v, a.Drop, class); err != nil {
+		if err := r.checkDrop(v, a.Drop, class); err != nil {
 			return nil, err
 		}
 	}
@@ -111,9 +111,9 @@
 
 // drop tells whether an answer without these parts could still be honest: the
 // class must allow one from what is left, and nothing unsafe is ever dropped.
-func (r Rules) drop(v *hookabi.View, shards []int, class choice.Class) error {
+func (r Rules) checkDrop(v *hookabi.View, shards []int, class choice.Class) error {
 	if class.Effect != choice.Safe {
-		return no("drop: parts of %s may have an effect", class.Name)
+		return rejectf("drop: parts of %s may have an effect", class.Name)
 	}
 	total, left := 0.0, 0.0
 	gone := make(map[int]bool, len(shards))
@@ -121,11 +121,11 @@
 		i := slices.IndexFunc(v.Parts, func(p hookabi.PartView) bool { return p.Shard == shard })
 		switch {
 		case i < 0:
-			return no("drop: the query has no part for shard %d", shard)
+			return rejectf("drop: the query has no part for shard %d", shard)
 		case gone[shard]:
-			return no("drop: shard %d twice", shard)
+			return rejectf("drop: shard %d twice", shard)
 		case (v.Point == hookabi.Send || v.Point == hookabi.Answered) && i != v.Part:
-			return no("drop: only the part at hand, not shard %d", shard)
+			return rejectf("drop: only the part at hand, not shard %d", shard)
 		}
 		gone[shard] = true
 	}
@@ -136,7 +136,7 @@
 		}
 	}
 	if left <= 0 || left < class.Floor*total-ShareTolerance {
-		return no("drop: %.3f of the answer would be left, and %s needs %.3f", left/total, class.Name, class.Floor)
+		return rejectf("drop: %.3f of the answer would be left, and %s needs %.3f", left/total, class.Name, class.Floor)
 	}
 	return nil
 }
--- a/internal/core/lanes/lanes.go
+++ b/internal/core/lanes/lanes.go
@@ -27,7 +27,7 @@
 }
 
 // most is how many workers one lane may have.
-func (l *Lanes[T]) most() int { return max(l.workers-1, 1) }
+func (l *Lanes[T]) maxPerLane() int { return max(l.workers-1, 1) }
 
 // Push adds a job; false: there is no room for it.
 func (l *Lanes[T]) Push(name string, job T) bool {
@@ -54,7 +54,7 @@
 	}
 	for i, name := range l.order {
 		x := l.lanes[name]
-		if x.running >= l.most() {
+		if x.running >= l.maxPerLane() {
 			continue
 		}
 		job = x.jobs[0]
--- a/internal/core/level/level.go
+++ b/internal/core/level/level.go
@@ -39,7 +39,7 @@
 var SignalNames = []string{"refused", "failed", "cold", "unsound", "queue"}
 
 // of is a signal by name.
-func (s *Signals) of(name string) float64 {
+func (s *Signals) value(name string) float64 {
 	switch name {
 	case "refused":
 		return s.Refused
@@ -89,26 +89,26 @@
 
 // State is one mixer's level.
 type State struct {
-	set   Settings
-	level int
-	since Micros
-	last  Micros // the last reading
-	up    []float64
-	down  float64
-	stay  Micros
-	calm  Micros // since when it is at full service
+	settings  Settings
+	level     int
+	since     Micros
+	lastRead  Micros // the last reading
+	enterSums []float64
+	exitSum   float64
+	stay      Micros
+	fullSince Micros // since when it is at full service
 
-	trial   Micros // since when the better level is tried; 0: it is not
-	tried   group
-	others  group
-	pin     int // below 0: none
-	pinTill Micros
+	trialSince   Micros // since when the better level is tried; 0: it is not
+	trialGroup   group
+	controlGroup group
+	pin          int // below 0: none
+	pinUntil     Micros
 }
 
 // group is how queries ended.
 type group struct{ n, bad float64 }
 
-func (g group) share() float64 {
+func (g group) badRatio() float64 {
 	if g.n == 0 {
 		return 0
 	}
@@ -117,7 +117,7 @@
 
 // New returns a mixer's level: full service.
 func New(set Settings, now Micros) *State {
-	return &State{set: set, up: make([]float64, len(set.Levels)), stay: set.MinStay, since: now, last: now, calm: now, pin: -1}
+	return &State{settings: set, enterSums: make([]float64, len(set.Levels)), stay: set.MinStay, since: now, lastRead: now, fullSince: now, pin: -1}
 }
 
 // Level is the level in force; 0 is full service.
@@ -133,11 +133,11 @@
 	if level == 0 {
 		return "full"
 	}
-	return s.set.Levels[level-1].Name
+	return s.settings.Levels[level-1].Name
 }
 
 // Trying tells whether the next better level is being tried.
-func (s *State) TrialActive() bool { return s.trial > 0 && s.pin < 0 }
+func (s *State) TrialActive() bool { return s.trialSince > 0 && s.pin < 0 }
 
 // Stay is how long the level in force must stand.
 func (s *State) Stay() Micros { return s.stay }
@@ -146,93 +146,93 @@
 // loudest.
 func (s *State) pressure(level int, g *Signals) (float64, string) {
 	most, why := 0.0, ""
-	for _, c := range s.set.Levels[level-1].Enter {
+	for _, c := range s.settings.Levels[level-1].Enter {
 		if c.Above <= 0 {
 			continue
 		}
-		if p := g.of(c.Signal) / c.Above; p > most {
-			most, why = p, fmt.Sprintf("%s %.3g, bound %.3g", c.Signal, g.of(c.Signal), c.Above)
+		if p := g.value(c.Signal) / c.Above; p > most {
+			most, why = p, fmt.Sprintf("%s %.3g, bound %.3g", c.Signal, g.value(c.Signal), c.Above)
 		}
 	}
 	return most, why
 }
 
 // mostPressure bounds what one reading can say.
-const mostPressure = 4
+const maxPressure = 4
 
 // Read takes the signals of a span that ends now, and returns a change of the level, if
 // that is one. A clock that has gone back or stood still brings nothing.
 func (s *State) Update(now Micros, g Signals) (Change, bool) {
-	dt := now - s.last
-	s.last = now
+	dt := now - s.lastRead
+	s.lastRead = now
 	if dt <= 0 {
 		return Change{}, false
 	}
-	dt = min(dt, s.set.Evidence/2) // a gap is no evidence
-	if s.pin >= 0 && now >= s.pinTill {
+	dt = min(dt, s.settings.Evidence/2) // a gap is no evidence
+	if s.pin >= 0 && now >= s.pinUntil {
 		from := s.pin
 		s.pin = -1
 		if from != s.level {
 			return Change{now, from, s.level, "the pin has expired"}, true
 		}
 	}
-	if s.level == 0 && now-s.calm >= s.set.MaxStay { // long well: what flapping had earned fades
-		s.stay, s.calm = max(s.stay/2, s.set.MinStay), now
+	if s.level == 0 && now-s.fullSince >= s.settings.MaxStay { // long well: what flapping had earned fades
+		s.stay, s.fullSince = max(s.stay/2, s.settings.MinStay), now
 	}
 	to, why := s.level, ""
-	for l := 1; l <= len(s.set.Levels); l++ {
+	for l := 1; l <= len(s.settings.Levels); l++ {
 		p, said := s.pressure(l, &g)
-		s.up[l-1] = max(0, s.up[l-1]+min((min(p, mostPressure)-1)*float64(dt), float64(s.set.Evidence)/2)) // no single reading is enough
-		s.up[l-1] = min(s.up[l-1], 2*float64(s.set.Evidence))
-		if l > s.level && s.up[l-1] >= float64(s.set.Evidence) {
+		s.enterSums[l-1] = max(0, s.enterSums[l-1]+min((min(p, maxPressure)-1)*float64(dt), float64(s.settings.Evidence)/2)) // no single reading is enough
+		s.enterSums[l-1] = min(s.enterSums[l-1], 2*float64(s.settings.Evidence))
+		if l > s.level && s.enterSums[l-1] >= float64(s.settings.Evidence) {
 			to, why = l, said
 		}
 	}
 	if to > s.level {
-		return s.turn(now, to, why), true
+		return s.changeTo(now, to, why), true
 	}
 	if s.level == 0 {
 		return Change{}, false
 	}
 	p, _ := s.pressure(s.level, &g)
-	s.down = max(0, s.down+(s.set.ExitRatio-p)/s.set.ExitRatio*float64(dt))
-	s.down = min(s.down, 2*float64(s.set.Calm))
-	if s.trial > 0 {
-		return s.tryOn(now)
+	s.exitSum = max(0, s.exitSum+(s.settings.ExitRatio-p)/s.settings.ExitRatio*float64(dt))
+	s.exitSum = min(s.exitSum, 2*float64(s.settings.Calm))
+	if s.trialSince > 0 {
+		return s.evaluateTrial(now)
 	}
-	if s.down >= float64(s.set.Calm) && now-s.since >= s.stay {
-		s.trial, s.tried, s.others = now, group{}, group{}
+	if s.exitSum >= float64(s.settings.Calm) && now-s.since >= s.stay {
+		s.trialSince, s.trialGroup, s.controlGroup = now, group{}, group{}
 	}
 	return Change{}, false
 }
 
 // tryOn looks at a trial that is under way.
-func (s *State) tryOn(now Micros) (Change, bool) {
-	worse := s.tried.n >= float64(s.set.MinSamples) && s.tried.share() > s.others.share()+s.set.MaxRegression
+func (s *State) evaluateTrial(now Micros) (Change, bool) {
+	worse := s.trialGroup.n >= float64(s.settings.MinSamples) && s.trialGroup.badRatio() > s.controlGroup.badRatio()+s.settings.MaxRegression
 	switch {
-	case worse || s.down == 0: // at once: the queries that try it pay for it
-		s.trial, s.down, s.since = 0, 0, now
-		s.stay = min(2*s.stay, s.set.MaxStay)
-	case now-s.trial >= s.set.Trial && s.tried.n >= float64(s.set.MinSamples):
-		why := fmt.Sprintf("tried by %.0f queries, %.1f%% ended badly, and %.1f%% of %.0f others", s.tried.n, 100*s.tried.share(), 100*s.others.share(), s.others.n)
-		return s.turn(now, s.level-1, why), true
+	case worse || s.exitSum == 0: // at once: the queries that try it pay for it
+		s.trialSince, s.exitSum, s.since = 0, 0, now
+		s.stay = min(2*s.stay, s.settings.MaxStay)
+	case now-s.trialSince >= s.settings.Trial && s.trialGroup.n >= float64(s.settings.MinSamples):
+		why := fmt.Sprintf("tried by %.0f queries, %.1f%% ended badly, and %.1f%% of %.0f others", s.trialGroup.n, 100*s.trialGroup.badRatio(), 100*s.controlGroup.badRatio(), s.controlGroup.n)
+		return s.changeTo(now, s.level-1, why), true
 	}
 	return Change{}, false
 }
 
-func (s *State) turn(now Micros, to int, why string) Change {
+func (s *State) changeTo(now Micros, to int, why string) Change {
 	c := Change{now, s.level, to, why}
 	if to > s.level && s.level > 0 || to > s.level && now-s.since < s.stay { // back soon after it was left: it had been left too early
-		s.stay = min(2*s.stay, s.set.MaxStay)
+		s.stay = min(2*s.stay, s.settings.MaxStay)
 	}
-	s.level, s.since, s.down, s.trial = to, now, 0, 0
-	for i := range s.up {
+	s.level, s.since, s.exitSum, s.trialSince = to, now, 0, 0
+	for i := range s.enterSums {
 		if i < to || i == to { // what spoke for this or for less has been heard
-			s.up[i] = 0
+			s.enterSums[i] = 0
 		}
 	}
 	if to == 0 {
-		s.calm = now
+		s.fullSince = now
 	}
 	return c
 }
@@ -240,12 +240,12 @@
 // Ended notes how a query ended: whether it went by the better level, and how much of
 // its value was lost.
 func (s *State) RecordQuery(tried bool, value, lost float64) {
-	if s.trial == 0 {
+	if s.trialSince == 0 {
 		return
 	}
-	g := &s.others
+	g := &s.controlGroup
 	if tried {
-		g = &s.tried
+		g = &s.trialGroup
 	}
 	g.n++
 	if value > 0 {
@@ -257,7 +257,7 @@
 // returns the change, if it is one.
 func (s *State) Pin(now Micros, level int, until Micros) (Change, bool) {
 	from := s.Level()
-	s.pin, s.pinTill = level, until
+	s.pin, s.pinUntil = level, until
 	return Change{now, from, level, "pinned"}, from != level
 }
 
@@ -273,5 +273,5 @@
 	if s.pin < 0 {
 		return 0
 	}
-	return s.pinTill
+	return s.pinUntil
 }
--- a/internal/core/membership/membership.go
+++ b/internal/core/membership/membership.go
@@ -150,56 +150,56 @@
 // source is what is held of a source.
 type source struct {
 	Source
-	index   int64
-	heardAt Micros  // the last answer; 0: never
-	count   int     // servers that it names
-	was     [2]bool // heard, forgotten: at the last step
-	Calls   int64
-	Failed  int64
-	Old     int64 // answers that were older than what is held
+	index      int64
+	answeredAt Micros  // the last answer; 0: never
+	servers    int     // servers that it names
+	lastState  [2]bool // heard, forgotten: at the last step
+	Calls      int64
+	Failed     int64
+	Old        int64 // answers that were older than what is held
 }
 
 // said is a source's word on a server.
-type said struct {
+type sourceClaim struct {
 	Claim
-	at      Micros // since when it says so without a break
-	drainAt Micros // since when it says drain; 0: it does not
-	dropped bool   // it named it once, and does no more
-	goneAt  Micros // since when
+	since      Micros // since when it says so without a break
+	drainSince Micros // since when it says drain; 0: it does not
+	dropped    bool   // it named it once, and does no more
+	droppedAt  Micros // since when
 }
 
 type server struct {
-	name     string
-	said     []*said // by the source's number; nil: it never named it
-	member   Member
-	listed   bool // ready or draining in the list that is out
-	firstAt  Micros
-	proven   bool // it has had its first sign
-	penalty  float64
-	penaltyA Micros // when the penalty was counted
-	waiting  bool   // for its penalty to fade
-	heldAt   Micros // it would have gone since then, and the floor keeps it; 0: not
-	dirty    bool
-	dueAt    Micros   // when time alone changes something for it; 0: never
-	addrs    []string // under which byAddr has it
-	aliases  []string // under which alias has it
+	name         string
+	claims       []*sourceClaim // by the source's number; nil: it never named it
+	member       Member
+	listed       bool // ready or draining in the list that is out
+	firstNamedAt Micros
+	confirmed    bool // it has had its first sign
+	penalty      float64
+	penaltyAt    Micros // when the penalty was counted
+	damped       bool   // for its penalty to fade
+	floorSince   Micros // it would have gone since then, and the floor keeps it; 0: not
+	dirty        bool
+	dueAt        Micros   // when time alone changes something for it; 0: never
+	addrs        []string // under which byAddr has it
+	aliases      []string // under which alias has it
 }
 
 // Members is the merge. It is not safe for concurrent use.
 type Members struct {
-	set     Settings
-	sources []*source // by rank
-	byName  map[string]int
-	servers map[string]*server
-	alias   map[string]string // another name: the server's
-	byAddr  map[string]string
-	order   []string // names, sorted
-	begun   bool     // some source has named a server
-	dirty   []*server
-	timed   map[*server]bool // have a dueAt
-	listed  int              // ready or draining
-	held    int              // kept by the floor
-	dueAt   Micros           // when time alone changes something next; 0: never
+	settings    Settings
+	sources     []*source // by rank
+	byName      map[string]int
+	servers     map[string]*server
+	alias       map[string]string // another name: the server's
+	byAddr      map[string]string
+	order       []string // names, sorted
+	initialized bool     // some source has named a server
+	dirty       []*server
+	timed       map[*server]bool // have a dueAt
+	listed      int              // ready or draining
+	floorKept   int              // kept by the floor
+	dueAt       Micros           // when time alone changes something next; 0: never
 
 	FloorActive bool  // the floor holds now
 	Damped      int64 // returns that waited
@@ -208,7 +208,7 @@
 
 // New returns a merge that knows nothing.
 func New(set Settings) (*Members, error) {
-	m := &Members{set: set, byName: make(map[string]int), servers: make(map[string]*server), alias: make(map[string]string), byAddr: make(map[string]string), timed: make(map[*server]bool)}
+	m := &Members{settings: set, byName: make(map[string]int), servers: make(map[string]*server), alias: make(map[string]string), byAddr: make(map[string]string), timed: make(map[*server]bool)}
 	return m, m.Configure(set)
 }
 
@@ -237,16 +237,16 @@
 		byName[s.Name] = i
 	}
 	for _, v := range m.servers {
-		now := make([]*said, len(sources))
+		now := make([]*sourceClaim, len(sources))
 		for i, s := range m.sources {
 			if to, stays := byName[s.Name]; stays {
-				now[to] = v.said[i]
+				now[to] = v.claims[i]
 			}
 		}
-		v.said = now
-		m.touch(v)
+		v.claims = now
+		m.markDirty(v)
 	}
-	m.set, m.sources, m.byName = set, sources, byName
+	m.settings, m.sources, m.byName = set, sources, byName
 	return nil
 }
 
@@ -262,28 +262,28 @@
 		s.Failed++
 		return nil
 	}
-	if o.Index < s.index && !o.Reset && s.heardAt > 0 {
+	if o.Index < s.index && !o.Reset && s.answeredAt > 0 {
 		s.Old++
 		return nil
 	}
-	s.index, s.heardAt = o.Index, now
+	s.index, s.answeredAt = o.Index, now
 	named := make(map[string]bool, len(o.Claims))
 	for _, c := range o.Claims {
-		if v := m.find(c, n); v != nil {
+		if v := m.findOrAdd(c, n); v != nil {
 			named[v.name] = true
-			m.claim(now, v, n, c)
+			m.recordClaim(now, v, n, c)
 		}
 	}
 	if o.Complete {
 		for _, v := range m.servers {
-			if w := v.said[n]; w != nil && !w.dropped && !named[v.name] {
-				m.drop(now, v, n)
+			if w := v.claims[n]; w != nil && !w.dropped && !named[v.name] {
+				m.recordDrop(now, v, n)
 			}
 		}
 	}
 	for _, name := range o.Removed {
-		if v := m.servers[m.canonical(name)]; v != nil && v.said[n] != nil && !v.said[n].dropped && !named[v.name] {
-			m.drop(now, v, n)
+		if v := m.servers[m.canonical(name)]; v != nil && v.claims[n] != nil && !v.claims[n].dropped && !named[v.name] {
+			m.recordDrop(now, v, n)
 		}
 	}
 	return nil
@@ -297,22 +297,22 @@
 }
 
 // find is the server that a claim is of; a new one is made where there is room.
-func (m *Members) find(c Claim, n int) *server {
+func (m *Members) findOrAdd(c Claim, n int) *server {
 	name := m.canonical(c.Name)
 	v := m.servers[name]
 	if v == nil {
 		for _, a := range c.Aliases {
 			if v = m.servers[m.canonical(a)]; v != nil {
-				m.also(v, c.Name)
+				m.addAlias(v, c.Name)
 				break
 			}
 		}
 	}
-	if v == nil && m.set.ByAddress {
+	if v == nil && m.settings.ByAddress {
 		for _, a := range c.Addresses {
 			if other, ok := m.byAddr[a]; ok && m.servers[other] != nil {
 				v = m.servers[other]
-				m.also(v, c.Name)
+				m.addAlias(v, c.Name)
 				break
 			}
 		}
@@ -320,62 +320,62 @@
 	if v != nil {
 		return v
 	}
-	if m.set.MaxServers > 0 && len(m.servers) >= m.set.MaxServers {
+	if m.settings.MaxServers > 0 && len(m.servers) >= m.settings.MaxServers {
 		m.Rejected++
 		return nil
 	}
-	v = &server{name: c.Name, said: make([]*said, len(m.sources)), member: Member{Name: c.Name, State: Gone}}
+	v = &server{name: c.Name, claims: make([]*sourceClaim, len(m.sources)), member: Member{Name: c.Name, State: Gone}}
 	m.servers[c.Name] = v
 	at, _ := slices.BinarySearch(m.order, c.Name)
 	m.order = slices.Insert(m.order, at, c.Name)
 	for _, a := range c.Aliases {
 		if m.servers[a] == nil {
-			m.also(v, a)
+			m.addAlias(v, a)
 		}
 	}
 	return v
 }
 
 // mostAliases bounds the names under which one server is known.
-const mostAliases = 16
+const maxAliases = 16
 
 // also has a server known under another name too.
-func (m *Members) also(v *server, name string) {
-	if m.alias[name] != "" || len(v.aliases) >= mostAliases {
+func (m *Members) addAlias(v *server, name string) {
+	if m.alias[name] != "" || len(v.aliases) >= maxAliases {
 		return
 	}
 	m.alias[name] = v.name
 	v.aliases = append(v.aliases, name)
 }
 
-func (m *Members) claim(now Micros, v *server, n int, c Claim) {
-	w := v.said[n]
+func (m *Members) recordClaim(now Micros, v *server, n int, c Claim) {
+	w := v.claims[n]
 	switch {
 	case w == nil:
-		w = &said{at: now}
-		v.said[n] = w
-		m.sources[n].count++
+		w = &sourceClaim{since: now}
+		v.claims[n] = w
+		m.sources[n].servers++
 	case w.dropped:
-		w.at, w.dropped, w.drainAt = now, false, 0
-		m.sources[n].count++
-	case same(&w.Claim, &c): // nothing new: a whole answer says most things again
-		if !v.proven {
-			m.touch(v)
+		w.since, w.dropped, w.drainSince = now, false, 0
+		m.sources[n].servers++
+	case sameClaim(&w.Claim, &c): // nothing new: a whole answer says most things again
+		if !v.confirmed {
+			m.markDirty(v)
 		}
 		return
 	}
 	switch {
 	case !c.Drain:
-		w.drainAt = 0
-	case w.drainAt == 0:
-		w.drainAt = max(now, 1)
+		w.drainSince = 0
+	case w.drainSince == 0:
+		w.drainSince = max(now, 1)
 	}
 	w.Claim = c
-	if m.set.ByAddress {
+	if m.settings.ByAddress {
 		for _, a := range c.Addresses {
 			if m.byAddr[a] != v.name {
 				m.byAddr[a] = v.name
-				if v.addrs = append(v.addrs, a); len(v.addrs) > mostAliases { // one that moves on and on
+				if v.addrs = append(v.addrs, a); len(v.addrs) > maxAliases { // one that moves on and on
 					if m.byAddr[v.addrs[0]] == v.name {
 						delete(m.byAddr, v.addrs[0])
 					}
@@ -384,26 +384,26 @@
 			}
 		}
 	}
-	if v.firstAt == 0 {
-		v.firstAt = max(now, 1)
+	if v.firstNamedAt == 0 {
+		v.firstNamedAt = max(now, 1)
 	}
-	m.touch(v)
+	m.markDirty(v)
 }
 
 // same tells whether two claims say the same.
-func same(a, b *Claim) bool {
+func sameClaim(a, b *Claim) bool {
 	return a.Site == b.Site && a.Kind == b.Kind && a.Cell == b.Cell && a.HasCell == b.HasCell && a.Drain == b.Drain && a.Health == b.Health &&
 		a.Weight == b.Weight && a.Since == b.Since && a.Name == b.Name && slices.Equal(a.Addresses, b.Addresses) && slices.Equal(a.Aliases, b.Aliases)
 }
 
-func (m *Members) drop(now Micros, v *server, n int) {
-	w := v.said[n]
-	w.dropped, w.goneAt = true, now
-	m.sources[n].count--
-	m.touch(v)
+func (m *Members) recordDrop(now Micros, v *server, n int) {
+	w := v.claims[n]
+	w.dropped, w.droppedAt = true, now
+	m.sources[n].servers--
+	m.markDirty(v)
 }
 
-func (m *Members) touch(v *server) {
+func (m *Members) markDirty(v *server) {
 	if !v.dirty {
 		v.dirty = true
 		m.dirty = append(m.dirty, v)
@@ -412,49 +412,49 @@
 
 // turned has the servers of sources that have begun or ceased to be heard looked at
 // anew, and those for which time has changed something.
-func (m *Members) turned(now Micros) {
+func (m *Members) markTimeChanges(now Micros) {
 	var turned []int
 	for i, s := range m.sources {
-		if is := [2]bool{m.heard(now, s), m.forgotten(now, s)}; is != s.was {
-			s.was = is
+		if is := [2]bool{m.responsive(now, s), m.forgotten(now, s)}; is != s.lastState {
+			s.lastState = is
 			turned = append(turned, i)
 		}
 	}
 	if len(turned) > 0 {
 		for _, v := range m.servers {
 			for _, i := range turned {
-				if v.said[i] != nil {
-					m.touch(v)
+				if v.claims[i] != nil {
+					m.markDirty(v)
 				}
 			}
 		}
 	}
 	for v := range m.timed {
 		if now >= v.dueAt {
-			m.touch(v)
+			m.markDirty(v)
 		}
 	}
 }
 
 // heard tells whether a source counts as heard.
-func (m *Members) heard(now Micros, s *source) bool {
-	return s.heardAt > 0 && now-s.heardAt < s.SilentAfter
+func (m *Members) responsive(now Micros, s *source) bool {
+	return s.answeredAt > 0 && now-s.answeredAt < s.SilentAfter
 }
 
 // forgotten tells whether a source has been silent for so long that what it said
 // counts as never said.
 func (m *Members) forgotten(now Micros, s *source) bool {
-	return s.heardAt == 0 || s.ForgetAfter > 0 && now-s.heardAt >= s.SilentAfter+s.ForgetAfter
+	return s.answeredAt == 0 || s.ForgetAfter > 0 && now-s.answeredAt >= s.SilentAfter+s.ForgetAfter
 }
 
 // Step merges what has come since the last one, and what time alone has changed. It
 // returns the members that changed, by name; a caller that never saw one has it Gone.
 func (m *Members) Step(now Micros) []Member {
-	m.turned(now)
-	if !m.begun && len(m.servers) > 0 { // in a step, so that the order of answers does not matter
-		m.begun = true
+	m.markTimeChanges(now)
+	if !m.initialized && len(m.servers) > 0 { // in a step, so that the order of answers does not matter
+		m.initialized = true
 		for _, v := range m.servers {
-			v.proven = true
+			v.confirmed = true
 		}
 	}
 	dirty := m.dirty
@@ -465,11 +465,11 @@
 		v.dirty = false
 		next[i] = m.merge(now, v)
 	}
-	m.floor(now, dirty, next)
+	m.applyFloor(now, dirty, next)
 	var out []Member
 	for i, v := range dirty {
 		to := next[i]
-		m.flap(now, v, &to)
+		m.dampFlaps(now, v, &to)
 		was := v.member
 		v.member = to
 		if is, had := to.State <= Draining, was.State <= Draining; is && !had {
@@ -481,8 +481,8 @@
 			out = append(out, to)
 		}
 	}
-	m.forget(now, dirty)
-	m.dueAt = m.due(now)
+	m.removeForgotten(now, dirty)
+	m.dueAt = m.nextDue(now)
 	return out
 }
 
@@ -492,9 +492,9 @@
 	to := Member{Name: v.name, State: Gone, Reason: "no source names it", Cell: v.member.Cell, Weight: 1}
 	decides := -1
 	for i, s := range m.sources {
-		if w := v.said[i]; w == nil || m.forgotten(now, s) {
+		if w := v.claims[i]; w == nil || m.forgotten(now, s) {
 			continue
-		} else if m.heard(now, s) {
+		} else if m.responsive(now, s) {
 			decides = i
 			break
 		} else if decides < 0 {
@@ -506,11 +506,11 @@
 	addressed := false
 	disagree := ""
 	for i, s := range m.sources {
-		w := v.said[i]
+		w := v.claims[i]
 		if w == nil || m.forgotten(now, s) {
 			continue
 		}
-		heard := m.heard(now, s)
+		heard := m.responsive(now, s)
 		if i == decides {
 			if w.dropped {
 				to.Reason = s.Name + " has dropped it"
@@ -525,16 +525,16 @@
 			}
 		}
 		if w.dropped {
-			if w.drainAt > 0 && !m.lifted(now, v, i) && (to.DrainSince == 0 || w.drainAt < to.DrainSince) {
-				to.DrainSince = w.drainAt
+			if w.drainSince > 0 && !m.drainLifted(now, v, i) && (to.DrainSince == 0 || w.drainSince < to.DrainSince) {
+				to.DrainSince = w.drainSince
 			}
 			continue
 		}
-		if w.drainAt > 0 && (heard || !m.later(now, v, w.drainAt)) && (to.DrainSince == 0 || w.drainAt < to.DrainSince) {
-			to.DrainSince = w.drainAt
+		if w.drainSince > 0 && (heard || !m.startedAfter(now, v, w.drainSince)) && (to.DrainSince == 0 || w.drainSince < to.DrainSince) {
+			to.DrainSince = w.drainSince
 		}
 		to.Since = max(to.Since, w.Since)
-		if len(w.Addresses) > 0 && (!addressed || heard && !m.addressedBy(now, v, i)) {
+		if len(w.Addresses) > 0 && (!addressed || heard && !m.hasHigherAddress(now, v, i)) {
 			if !addressed {
 				to.Addresses, to.Site, to.Kind = w.Addresses, w.Site, w.Kind
 				if w.Weight > 0 {
@@ -565,7 +565,7 @@
 	}
 	if cells < 0 { // only sources that are silent tell one
 		for i, s := range m.sources {
-			if w := v.said[i]; w != nil && !w.dropped && w.HasCell && !m.forgotten(now, s) && cells < 0 {
+			if w := v.claims[i]; w != nil && !w.dropped && w.HasCell && !m.forgotten(now, s) && cells < 0 {
 				cells = w.Cell
 			}
 		}
@@ -585,7 +585,7 @@
 		to.State, to.Reason = Withheld, disagree
 	case critical != "":
 		to.State, to.Reason = Withheld, critical+" says that its checks are critical"
-	case !m.proven(now, v):
+	case !m.confirmed(now, v):
 		to.State, to.Reason, to.Unconfirmed = Withheld, "new, and without a first sign", true
 	case to.DrainSince > 0:
 		to.State, to.Reason = Draining, "told to drain"
@@ -595,13 +595,13 @@
 
 // lifted tells whether the drain of a server that its source has dropped since holds
 // no more.
-func (m *Members) lifted(now Micros, v *server, by int) bool {
-	w, s := v.said[by], m.sources[by]
-	if now-w.goneAt >= s.SilentAfter+s.ForgetAfter {
+func (m *Members) drainLifted(now Micros, v *server, by int) bool {
+	w, s := v.claims[by], m.sources[by]
+	if now-w.droppedAt >= s.SilentAfter+s.ForgetAfter {
 		return true
 	}
-	for i, o := range v.said {
-		if i != by && o != nil && !o.dropped && (o.at > w.goneAt || o.Since > w.drainAt) {
+	for i, o := range v.claims {
+		if i != by && o != nil && !o.dropped && (o.since > w.droppedAt || o.Since > w.drainSince) {
 			return true
 		}
 	}
@@ -609,9 +609,9 @@
 }
 
 // later tells whether a source that is heard says that a server started after a time.
-func (m *Members) later(now Micros, v *server, than Micros) bool {
-	for i, o := range v.said {
-		if o != nil && !o.dropped && o.Since > than && m.heard(now, m.sources[i]) {
+func (m *Members) startedAfter(now Micros, v *server, than Micros) bool {
+	for i, o := range v.claims {
+		if o != nil && !o.dropped && o.Since > than && m.responsive(now, m.sources[i]) {
 			return true
 		}
 	}
@@ -619,9 +619,9 @@
 }
 
 // addressedBy tells whether a higher-ranked source that is heard gives addresses.
-func (m *Members) addressedBy(now Micros, v *server, below int) bool {
+func (m *Members) hasHigherAddress(now Micros, v *server, below int) bool {
 	for i := range below {
-		if w := v.said[i]; w != nil && !w.dropped && len(w.Addresses) > 0 && m.heard(now, m.sources[i]) {
+		if w := v.claims[i]; w != nil && !w.dropped && len(w.Addresses) > 0 && m.responsive(now, m.sources[i]) {
 			return true
 		}
 	}
@@ -629,136 +629,136 @@
 }
 
 // proven tells whether a server has had its first sign.
-func (m *Members) proven(now Micros, v *server) bool {
-	if v.proven {
+func (m *Members) confirmed(now Micros, v *server) bool {
+	if v.confirmed {
 		return true
 	}
 	by := 0
 	for i, s := range m.sources {
-		w := v.said[i]
-		if w == nil || w.dropped || !m.heard(now, s) {
+		w := v.claims[i]
+		if w == nil || w.dropped || !m.responsive(now, s) {
 			continue
 		}
 		by++
-		if s.Trusted || by > 1 || s.heardAt-w.at >= m.set.ConfirmAfter {
-			v.proven = true
+		if s.Trusted || by > 1 || s.answeredAt-w.since >= m.settings.ConfirmAfter {
+			v.confirmed = true
 		}
 	}
-	return v.proven
+	return v.confirmed
 }
 
 // Sign is a first sign from elsewhere: the server has answered.
 func (m *Members) Confirm(name string) {
-	if v := m.servers[m.canonical(name)]; v != nil && !v.proven {
-		v.proven = true
-		m.touch(v)
+	if v := m.servers[m.canonical(name)]; v != nil && !v.confirmed {
+		v.confirmed = true
+		m.markDirty(v)
 	}
 }
 
 // floor keeps a mass disappearance from emptying the list: those that would go at
 // once stay as they are until that has been said for Believe.
-func (m *Members) floor(now Micros, dirty []*server, next []Member) {
-	if m.set.FloorShare <= 0 || m.set.FloorShare >= 1 {
+func (m *Members) applyFloor(now Micros, dirty []*server, next []Member) {
+	if m.settings.FloorShare <= 0 || m.settings.FloorShare >= 1 {
 		return
 	}
-	listed, going := m.listed, m.held
+	listed, going := m.listed, m.floorKept
 	leaves := func(i int) bool {
 		was := dirty[i].member.State
 		return (was == Ready || was == Draining) && next[i].State > Draining && next[i].DrainSince == 0
 	}
 	for i, v := range dirty {
 		switch {
-		case leaves(i) && v.heldAt == 0:
+		case leaves(i) && v.floorSince == 0:
 			going++
-		case !leaves(i) && v.heldAt > 0: // it is named again
-			m.hold(v, 0)
+		case !leaves(i) && v.floorSince > 0: // it is named again
+			m.setFloorSince(v, 0)
 			going--
 		}
 	}
-	m.FloorActive = going >= max(m.set.FloorMinServers, 1) && float64(going) > m.set.FloorShare*float64(listed)
+	m.FloorActive = going >= max(m.settings.FloorMinServers, 1) && float64(going) > m.settings.FloorShare*float64(listed)
 	for i, v := range dirty {
 		if !leaves(i) {
 			continue
 		}
-		if v.heldAt == 0 && !m.FloorActive {
+		if v.floorSince == 0 && !m.FloorActive {
 			continue
 		}
-		if v.heldAt == 0 {
-			m.hold(v, max(now, 1))
+		if v.floorSince == 0 {
+			m.setFloorSince(v, max(now, 1))
 		}
-		if now-v.heldAt >= m.set.RemovalDelay || !m.FloorActive {
-			m.hold(v, 0)
+		if now-v.floorSince >= m.settings.RemovalDelay || !m.FloorActive {
+			m.setFloorSince(v, 0)
 			continue
 		}
 		reason := next[i].Reason
 		next[i] = v.member
-		next[i].Reason = fmt.Sprintf("%s; too many go at once, so it is kept until that has been said for %d s", reason, m.set.RemovalDelay/1e6)
+		next[i].Reason = fmt.Sprintf("%s; too many go at once, so it is kept until that has been said for %d s", reason, m.settings.RemovalDelay/1e6)
 	}
 }
 
 // hold notes since when the floor keeps a server; 0: it does not.
-func (m *Members) hold(v *server, at Micros) {
+func (m *Members) setFloorSince(v *server, at Micros) {
 	switch {
-	case v.heldAt == 0 && at > 0:
-		m.held++
-	case v.heldAt > 0 && at == 0:
-		m.held--
+	case v.floorSince == 0 && at > 0:
+		m.floorKept++
+	case v.floorSince > 0 && at == 0:
+		m.floorKept--
 	}
-	v.heldAt = at
+	v.floorSince = at
 }
 
 // faded is a penalty that is as good as none: a server that is gone is remembered
 // for it no longer.
-const faded = 0.1
+const negligiblePenalty = 0.1
 
 // flap holds a return back while a server has come and gone too often.
-func (m *Members) flap(now Micros, v *server, to *Member) {
-	if m.set.FlapHalfLife <= 0 || m.set.FlapSuppress <= 0 {
+func (m *Members) dampFlaps(now Micros, v *server, to *Member) {
+	if m.settings.FlapHalfLife <= 0 || m.settings.FlapSuppress <= 0 {
 		return
 	}
-	v.penalty *= math.Exp2(-float64(now-v.penaltyA) / float64(m.set.FlapHalfLife))
-	v.penaltyA = now
+	v.penalty *= math.Exp2(-float64(now-v.penaltyAt) / float64(m.settings.FlapHalfLife))
+	v.penaltyAt = now
 	up := to.State == Ready || to.State == Draining
 	if !up {
 		if v.listed {
 			v.penalty++
 		}
-		v.listed, v.waiting = false, false
+		v.listed, v.damped = false, false
 		return
 	}
-	if !v.listed && !v.waiting && v.penalty > m.set.FlapSuppress {
-		v.waiting = true
+	if !v.listed && !v.damped && v.penalty > m.settings.FlapSuppress {
+		v.damped = true
 		m.Damped++
 	}
-	if v.waiting && v.penalty <= m.set.FlapReuse {
-		v.waiting = false
+	if v.damped && v.penalty <= m.settings.FlapReuse {
+		v.damped = false
 	}
-	if v.waiting {
-		to.State, to.Reason = Withheld, fmt.Sprintf("it comes and goes: kept back until it stays (penalty %.1f, back at %.1f)", v.penalty, m.set.FlapReuse)
+	if v.damped {
+		to.State, to.Reason = Withheld, fmt.Sprintf("it comes and goes: kept back until it stays (penalty %.1f, back at %.1f)", v.penalty, m.settings.FlapReuse)
 		return
 	}
 	v.listed = true
 }
 
 // forget lets go of servers that no source names any more.
-func (m *Members) forget(now Micros, dirty []*server) {
+func (m *Members) removeForgotten(now Micros, dirty []*server) {
 	for _, v := range dirty {
-		if v.member.State != Gone || v.heldAt > 0 {
-			m.time(now, v)
+		if v.member.State != Gone || v.floorSince > 0 {
+			m.schedule(now, v)
 			continue
 		}
-		keep := v.penalty > faded && m.set.FlapHalfLife > 0
+		keep := v.penalty > negligiblePenalty && m.settings.FlapHalfLife > 0
 		for i, s := range m.sources {
-			w := v.said[i]
+			w := v.claims[i]
 			keep = keep || w != nil && !w.dropped && !m.forgotten(now, s)
 		}
 		if keep {
-			m.time(now, v)
+			m.schedule(now, v)
 			continue
 		}
-		for i, w := range v.said {
+		for i, w := range v.claims {
 			if w != nil && !w.dropped {
-				m.sources[i].count--
+				m.sources[i].servers--
 			}
 		}
 		delete(m.timed, v)
@@ -780,27 +780,27 @@
 }
 
 // time notes when time alone changes something for a server.
-func (m *Members) time(now Micros, v *server) {
+func (m *Members) schedule(now Micros, v *server) {
 	at := Micros(math.MaxInt64)
 	soon := func(t Micros) {
 		if t > now && t < at {
 			at = t
 		}
 	}
-	if v.heldAt > 0 {
-		soon(v.heldAt + m.set.RemovalDelay)
+	if v.floorSince > 0 {
+		soon(v.floorSince + m.settings.RemovalDelay)
 	}
 	// The penalty halves in FlapHalf: it is at a value after so long.
-	fades := func(to float64) { soon(now + Micros(float64(m.set.FlapHalfLife)*math.Log2(v.penalty/to)) + 1) }
-	if v.waiting {
-		fades(m.set.FlapReuse)
+	fades := func(to float64) { soon(now + Micros(float64(m.settings.FlapHalfLife)*math.Log2(v.penalty/to)) + 1) }
+	if v.damped {
+		fades(m.settings.FlapReuse)
 	}
-	if v.penalty > faded && v.member.State == Gone {
-		fades(faded)
+	if v.penalty > negligiblePenalty && v.member.State == Gone {
+		fades(negligiblePenalty)
 	}
-	for i, w := range v.said {
-		if w != nil && w.dropped && w.drainAt > 0 {
-			soon(w.goneAt + m.sources[i].SilentAfter + m.sources[i].ForgetAfter)
+	for i, w := range v.claims {
+		if w != nil && w.dropped && w.drainSince > 0 {
+			soon(w.droppedAt + m.sources[i].SilentAfter + m.sources[i].ForgetAfter)
 		}
 	}
 	if at == math.MaxInt64 {
@@ -813,7 +813,7 @@
 }
 
 // due is when time alone changes something next.
-func (m *Members) due(now Micros) Micros {
+func (m *Members) nextDue(now Micros) Micros {
 	at := Micros(math.MaxInt64)
 	soon := func(t Micros) {
 		if t > now && t < at {
@@ -821,10 +821,10 @@
 		}
 	}
 	for _, s := range m.sources {
-		if s.heardAt > 0 {
-			soon(s.heardAt + s.SilentAfter)
+		if s.answeredAt > 0 {
+			soon(s.answeredAt + s.SilentAfter)
 			if s.ForgetAfter > 0 {
-				soon(s.heardAt + s.SilentAfter + s.ForgetAfter)
+				soon(s.answeredAt + s.SilentAfter + s.ForgetAfter)
 			}
 		}
 	}
@@ -868,8 +868,8 @@
 	}
 	b := Explanation{Member: v.member, Penalty: v.penalty}
 	for i, s := range m.sources {
-		if w := v.said[i]; w != nil {
-			b.Reports = append(b.Reports, SourceReport{Source: s.Name, Responsive: m.heard(now, s), Age: now - s.heardAt, Dropped: w.dropped, Drain: w.drainAt > 0,
+		if w := v.claims[i]; w != nil {
+			b.Reports = append(b.Reports, SourceReport{Source: s.Name, Responsive: m.responsive(now, s), Age: now - s.answeredAt, Dropped: w.dropped, Drain: w.drainSince > 0,
 				Health: w.Health, Addresses: w.Addresses, Cell: w.Cell, HasCell: w.HasCell})
 		}
 	}
@@ -899,11 +899,11 @@
 func (m *Members) Sources(now Micros) []SourceStatus {
 	var out []SourceStatus
 	for _, s := range m.sources {
-		t := SourceStatus{Name: s.Name, Responsive: m.heard(now, s), Age: -1, Index: s.index, Calls: s.Calls, Failed: s.Failed, Old: s.Old}
-		if s.heardAt > 0 {
-			t.Age = now - s.heardAt
+		t := SourceStatus{Name: s.Name, Responsive: m.responsive(now, s), Age: -1, Index: s.index, Calls: s.Calls, Failed: s.Failed, Old: s.Old}
+		if s.answeredAt > 0 {
+			t.Age = now - s.answeredAt
 		}
-		t.Servers = s.count
+		t.Servers = s.servers
 		out = append(out, t)
 	}
 	return out
--- a/internal/core/membership/membership_test.go
+++ b/internal/core/membership/membership_test.go
@@ -319,7 +319,7 @@
 					t.Fatalf("%s was never named", m.Name)
 				}
 				for _, src := range slices.Sorted(maps.Keys(drains)) {
-					if drains[src][m.Name] && m.State == Ready && one.heard(now, one.sources[one.byName[src]]) {
+					if drains[src][m.Name] && m.State == Ready && one.responsive(now, one.sources[one.byName[src]]) {
 						t.Fatalf("%s is ready, and %s says that it drains", m.Name, src)
 					}
 				}
@@ -333,7 +333,7 @@
 						if w.Dropped || !w.Responsive || !w.HasCell {
 							continue
 						}
-						if cell >= 0 && cell != w.Cell && one.servers[m.Name].heldAt == 0 {
+						if cell >= 0 && cell != w.Cell && one.servers[m.Name].floorSince == 0 {
 							t.Fatalf("%s is to be used, and its cells disagree: %+v", m.Name, b)
 						}
 						cell = w.Cell
--- /dev/null
+++ b/internal/core/placement/overlaymap.go
@@ -0,0 +1,65 @@
+package placement
+
+import "maps"
+
+// layered is a map by id that shares most of itself with the one it was made from:
+// changes lie in a small layer over a base that is never written again.
+type overlayMap[V any] struct {
+	base    map[uint32]V
+	overlay map[uint32]V
+	deleted map[uint32]bool // of the base
+	size    int
+}
+
+const maxOverlay = 1024 // entries of the layer, then the base is made anew
+
+func (l *overlayMap[V]) get(id uint32) (v V, ok bool) {
+	if v, ok = l.overlay[id]; ok {
+		return v, true
+	}
+	if l.deleted[id] {
+		return v, false
+	}
+	v, ok = l.base[id]
+	return v, ok
+}
+
+// copy returns one that can be changed without changing this one.
+func (l *overlayMap[V]) copy() overlayMap[V] {
+	n := overlayMap[V]{base: l.base, overlay: maps.Clone(l.overlay), deleted: maps.Clone(l.deleted), size: l.size}
+	if len(n.overlay)+len(n.deleted) > maxOverlay {
+		all := make(map[uint32]V, l.size)
+		for id, v := range l.base {
+			if !l.deleted[id] {
+				all[id] = v
+			}
+		}
+		maps.Copy(all, l.overlay)
+		n = overlayMap[V]{base: all, size: l.size}
+	}
+	if n.overlay == nil {
+		n.overlay = make(map[uint32]V)
+	}
+	if n.deleted == nil {
+		n.deleted = make(map[uint32]bool)
+	}
+	return n
+}
+
+func (l *overlayMap[V]) set(id uint32, v V) {
+	if _, known := l.get(id); !known {
+		l.size++
+	}
+	l.overlay[id] = v
+}
+
+func (l *overlayMap[V]) remove(id uint32) {
+	if _, known := l.get(id); !known {
+		return
+	}
+	l.size--
+	delete(l.overlay, id)
+	if _, below := l.base[id]; below {
+		l.deleted[id] = true
+	}
+}
--- a/internal/core/placement/owner.go
+++ b/internal/core/placement/owner.go
@@ -48,7 +48,7 @@
 	for _, s := range segments {
 		o.Pieces = append(o.Pieces, Piece{Range: s.Range, Mode: Owned, Epoch: epoch})
 	}
-	o.tidy()
+	o.normalize()
 	return o
 }
 
@@ -65,7 +65,7 @@
 )
 
 // piece is the piece that holds a key.
-func (o *Owner) piece(key string) *Piece {
+func (o *Owner) pieceOf(key string) *Piece {
 	for i := range o.Pieces {
 		if o.Pieces[i].Contains(key) {
 			return &o.Pieces[i]
@@ -76,7 +76,7 @@
 
 // Begin begins a booking of a key for a query.
 func (o *Owner) Begin(key, query string) Result {
-	p := o.piece(key)
+	p := o.pieceOf(key)
 	switch {
 	case p == nil || p.Mode == Incoming:
 		return NotOwned
@@ -118,7 +118,7 @@
 }
 
 // cut splits pieces where a range begins and ends.
-func (o *Owner) cut(r Range) {
+func (o *Owner) splitAt(r Range) {
 	for _, at := range []string{r.From, r.To} {
 		for i := range o.Pieces {
 			if p := o.Pieces[i]; at != "" && p.Contains(at) && p.From != at {
@@ -132,7 +132,7 @@
 }
 
 // tidy puts pieces in order and joins those that are alike.
-func (o *Owner) tidy() {
+func (o *Owner) normalize() {
 	slices.SortFunc(o.Pieces, func(a, b Piece) int {
 		switch {
 		case a.From < b.From:
@@ -170,7 +170,7 @@
 	if o.RolledBack[reshape] {
 		return false
 	}
-	o.cut(r)
+	o.splitAt(r)
 	for i := range o.Pieces {
 		if p := &o.Pieces[i]; r.Covers(p.Range) && p.Mode == Owned && p.Reshape < reshape {
 			p.Mode, p.Reshape = Fenced, reshape
@@ -187,7 +187,7 @@
 			p.Mode = Owned
 		}
 	}
-	o.tidy()
+	o.normalize()
 }
 
 // CopyOut is what has been booked in a range. Where it must be the last copy, it is
@@ -231,7 +231,7 @@
 	}
 	if !held {
 		o.Pieces = append(o.Pieces, Piece{Range: r, Mode: Incoming, Reshape: reshape})
-		o.tidy()
+		o.normalize()
 	}
 }
 
@@ -242,30 +242,30 @@
 		return
 	}
 	o.Epoch = max(o.Epoch, epoch)
-	o.cut(r)
+	o.splitAt(r)
 	for i := range o.Pieces {
 		if p := &o.Pieces[i]; r.Covers(p.Range) && p.Reshape == reshape && p.Mode != Owned {
 			p.Mode, p.Epoch = Owned, epoch
 		}
 	}
-	o.tidy()
+	o.normalize()
 }
 
 // Drop drops what a reshape took away from the cell: what it fenced here and did
 // not give to this cell again.
 func (o *Owner) Drop(reshape int64, r Range, epoch int64) {
 	o.Epoch = max(o.Epoch, epoch)
-	o.lose(reshape, r, Fenced)
+	o.dropPieces(reshape, r, Fenced)
 }
 
 // Forget undoes a reshape at a new owner: the copies go.
 func (o *Owner) DiscardCopies(reshape int64, r Range) {
 	o.RolledBack[reshape] = true
-	o.lose(reshape, r, Incoming)
+	o.dropPieces(reshape, r, Incoming)
 }
 
 // lose drops the pieces that a reshape has in a mode, with what is booked there.
-func (o *Owner) lose(reshape int64, r Range, mode Mode) {
+func (o *Owner) dropPieces(reshape int64, r Range, mode Mode) {
 	o.Pieces = slices.DeleteFunc(o.Pieces, func(p Piece) bool {
 		if !r.Covers(p.Range) || p.Mode != mode || p.Reshape != reshape {
 			return false
--- a/internal/core/placement/placement.go
+++ b/internal/core/placement/placement.go
@@ -31,10 +31,10 @@
 }
 
 // Below tells whether a key is below the end of a range.
-func below(key, to string) bool { return to == "" || key < to }
+func beforeEnd(key, to string) bool { return to == "" || key < to }
 
 // Holds tells whether a key is in the range.
-func (r Range) Contains(key string) bool { return key >= r.From && below(key, r.To) }
+func (r Range) Contains(key string) bool { return key >= r.From && beforeEnd(key, r.To) }
 
 // Covers tells whether all of o is in r.
 func (r Range) Covers(o Range) bool {
@@ -95,12 +95,12 @@
 
 // Map is a map at one epoch. A nil *Map knows nothing.
 type Map struct {
-	epoch   int64
-	segs    []Segment       // by From
-	from    layered[string] // by id: where it begins
-	cells   map[int][]string
-	retired layered[Range]
-	order   []uint32 // of retired, the oldest first
+	epoch        int64
+	segments     []Segment          // by From
+	starts       overlayMap[string] // by id: where it begins
+	cells        map[int][]string
+	retired      overlayMap[Range]
+	retiredOrder []uint32 // of retired, the oldest first
 }
 
 // The ways in which an update is refused.
@@ -121,13 +121,13 @@
 }
 func (e *InvalidError) Error() string { return e.At + ": " + e.Problem }
 
-func bad(at fmt.Stringer, format string, args ...any) error {
+func invalid(at fmt.Stringer, format string, args ...any) error {
 	return &InvalidError{at.String(), fmt.Sprintf(format, args...)}
 }
 
-type name string
+type label string
 
-func (n name) String() string { return string(n) }
+func (n label) String() string { return string(n) }
 
 // Epoch is the map's epoch, 0 for none.
 func (m *Map) Epoch() int64 {
@@ -142,7 +142,7 @@
 	if m == nil {
 		return 0
 	}
-	return len(m.segs)
+	return len(m.segments)
 }
 
 // Segments are those in force, by range. The caller must not change them.
@@ -150,7 +150,7 @@
 	if m == nil {
 		return nil
 	}
-	return m.segs
+	return m.segments
 }
 
 // Servers are those of a cell.
@@ -163,7 +163,7 @@
 
 // Cells are how many there are, and Retired how many segments of the past are kept.
 func (m *Map) Cells() int   { return len(m.cells) }
-func (m *Map) Retired() int { return m.retired.n }
+func (m *Map) Retired() int { return m.retired.size }
 
 // Apply returns the map after an update. The map itself stays as it is, and so it
 // does where the update is refused.
@@ -176,12 +176,12 @@
 			return nil, &GapError{m.Epoch(), u.Base}
 		}
 	}
-	if err := check(u); err != nil {
+	if err := validate(u); err != nil {
 		return nil, err
 	}
 	n := &Map{epoch: u.Epoch}
 	if m != nil {
-		n.order, n.retired = slices.Clone(m.order), m.retired.copy()
+		n.retiredOrder, n.retired = slices.Clone(m.retiredOrder), m.retired.copy()
 	} else {
 		n.retired = n.retired.copy()
 	}
@@ -206,20 +206,20 @@
 		n.retire(s.ID, s.Range)
 	}
 	if u.Base == 0 {
-		n.segs = slices.Clone(u.Segments)
-		slices.SortFunc(n.segs, byFrom)
+		n.segments = slices.Clone(u.Segments)
+		slices.SortFunc(n.segments, byFrom)
 		if m != nil { // what is not in force any more is of the past
 			now := make(map[uint32]bool, len(u.Segments))
 			for _, s := range u.Segments {
 				now[s.ID] = true
 			}
-			for _, s := range m.segs {
+			for _, s := range m.segments {
 				if !now[s.ID] {
 					n.retire(s.ID, s.Range)
 				}
 			}
 		}
-	} else if err := n.change(m, u); err != nil {
+	} else if err := n.applyDelta(m, u); err != nil {
 		return nil, err
 	}
 	return n, n.verify(m, u)
@@ -236,38 +236,38 @@
 }
 
 // check looks at an update by itself.
-func check(u *Update) error {
+func validate(u *Update) error {
 	if len(u.Segments) > MaxSegments || len(u.Removed) > MaxSegments || len(u.Retired) > MaxRetired || len(u.Cells) > MaxCells {
-		return bad(name("update"), "larger than a map may be")
+		return invalid(label("update"), "larger than a map may be")
 	}
 	seen := make(map[uint32]bool, len(u.Segments))
 	for _, s := range u.Segments {
 		if seen[s.ID] {
-			return bad(s.Range, "segment %d stands twice", s.ID)
+			return invalid(s.Range, "segment %d stands twice", s.ID)
 		}
 		seen[s.ID] = true
 		if s.Empty() {
-			return bad(s.Range, "segment %d holds nothing", s.ID)
+			return invalid(s.Range, "segment %d holds nothing", s.ID)
 		}
 		if len(s.From) > MaxKey || len(s.To) > MaxKey {
-			return bad(s.Range, "segment %d: a key of more than %d bytes", s.ID, MaxKey)
+			return invalid(s.Range, "segment %d: a key of more than %d bytes", s.ID, MaxKey)
 		}
 	}
 	for _, id := range u.Removed {
 		if seen[id] && u.Base != 0 {
-			return bad(name("update"), "segment %d comes and goes", id)
+			return invalid(label("update"), "segment %d comes and goes", id)
 		}
 	}
 	return nil
 }
 
 // change takes the segments of m with the update's over them.
-func (n *Map) change(m *Map, u *Update) error {
+func (n *Map) applyDelta(m *Map, u *Update) error {
 	gone := make(map[uint32]bool, len(u.Removed)+len(u.Segments))
 	for _, id := range u.Removed {
-		s, held := m.segment(id)
+		s, held := m.segmentByID(id)
 		if !held {
-			return bad(name("update"), "segment %d goes, and is not held", id)
+			return invalid(label("update"), "segment %d goes, and is not held", id)
 		}
 		gone[id] = true
 		n.retire(id, s.Range)
@@ -277,27 +277,27 @@
 	}
 	added := slices.Clone(u.Segments)
 	slices.SortFunc(added, byFrom)
-	n.segs = make([]Segment, 0, len(m.segs)+len(added))
-	for _, s := range m.segs { // a merge of two sorted lists
+	n.segments = make([]Segment, 0, len(m.segments)+len(added))
+	for _, s := range m.segments { // a merge of two sorted lists
 		for len(added) > 0 && byFrom(added[0], s) < 0 {
-			n.segs, added = append(n.segs, added[0]), added[1:]
+			n.segments, added = append(n.segments, added[0]), added[1:]
 		}
 		if !gone[s.ID] {
-			n.segs = append(n.segs, s)
+			n.segments = append(n.segments, s)
 		}
 	}
-	n.segs = append(n.segs, added...)
+	n.segments = append(n.segments, added...)
 	return nil
 }
 
 func (n *Map) retire(id uint32, r Range) {
 	if _, known := n.retired.get(id); !known {
-		n.order = append(n.order, id)
+		n.retiredOrder = append(n.retiredOrder, id)
 	}
 	n.retired.set(id, r)
-	for len(n.order) > MaxRetired {
-		n.retired.drop(n.order[0])
-		n.order = n.order[1:]
+	for len(n.retiredOrder) > MaxRetired {
+		n.retired.remove(n.retiredOrder[0])
+		n.retiredOrder = n.retiredOrder[1:]
 	}
 }
 
@@ -305,70 +305,70 @@
 // servers, and none under an id that meant something else. Of a change only what it
 // brings can have a wrong id or cell, unless cells changed too.
 func (n *Map) verify(m *Map, u *Update) error {
-	if len(n.segs) == 0 {
-		return bad(Range{}, "no segment holds it")
+	if len(n.segments) == 0 {
+		return invalid(Range{}, "no segment holds it")
 	}
-	if len(n.segs) > MaxSegments {
-		return bad(name("update"), "more than %d segments", MaxSegments)
+	if len(n.segments) > MaxSegments {
+		return invalid(label("update"), "more than %d segments", MaxSegments)
 	}
 	at, open := "", true
-	for i := range n.segs {
-		s := &n.segs[i]
+	for i := range n.segments {
+		s := &n.segments[i]
 		switch {
 		case !open || s.From < at:
-			return bad(Range{s.From, at}, "segments %d and %d both hold it", n.segs[i-1].ID, s.ID)
+			return invalid(Range{s.From, at}, "segments %d and %d both hold it", n.segments[i-1].ID, s.ID)
 		case s.From > at:
-			return bad(Range{at, s.From}, "no segment holds it")
+			return invalid(Range{at, s.From}, "no segment holds it")
 		case len(u.Cells) > 0 && len(n.cells[s.Cell]) == 0:
-			return bad(s.Range, "segment %d is on cell %d, which names no server", s.ID, s.Cell)
+			return invalid(s.Range, "segment %d is on cell %d, which names no server", s.ID, s.Cell)
 		}
 		at, open = s.To, s.To != ""
 	}
 	if open {
-		return bad(Range{at, ""}, "no segment holds it")
+		return invalid(Range{at, ""}, "no segment holds it")
 	}
 	for _, s := range u.Segments {
 		if len(n.cells[s.Cell]) == 0 {
-			return bad(s.Range, "segment %d is on cell %d, which names no server", s.ID, s.Cell)
+			return invalid(s.Range, "segment %d is on cell %d, which names no server", s.ID, s.Cell)
 		}
 		if r, was := n.retired.get(s.ID); was {
 			if r != s.Range {
-				return bad(s.Range, "segment %d held %v once", s.ID, r)
+				return invalid(s.Range, "segment %d held %v once", s.ID, r)
 			}
-			n.retired.drop(s.ID) // a reshape that was taken back
-			n.order = slices.DeleteFunc(n.order, func(id uint32) bool { return id == s.ID })
+			n.retired.remove(s.ID) // a reshape that was taken back
+			n.retiredOrder = slices.DeleteFunc(n.retiredOrder, func(id uint32) bool { return id == s.ID })
 		}
-		if old, held := m.segment(s.ID); held && old.Range != s.Range {
-			return bad(s.Range, "segment %d held %v before", s.ID, old.Range)
+		if old, held := m.segmentByID(s.ID); held && old.Range != s.Range {
+			return invalid(s.Range, "segment %d held %v before", s.ID, old.Range)
 		}
 	}
 	if u.Base == 0 {
-		n.from = layered[string]{base: make(map[uint32]string, len(n.segs)), n: len(n.segs)}
-		for _, s := range n.segs {
-			n.from.base[s.ID] = s.From
+		n.starts = overlayMap[string]{base: make(map[uint32]string, len(n.segments)), size: len(n.segments)}
+		for _, s := range n.segments {
+			n.starts.base[s.ID] = s.From
 		}
 		return nil
 	}
-	n.from = m.from.copy()
+	n.starts = m.starts.copy()
 	for _, id := range u.Removed {
-		n.from.drop(id)
+		n.starts.remove(id)
 	}
 	for _, s := range u.Segments {
-		n.from.set(s.ID, s.From)
+		n.starts.set(s.ID, s.From)
 	}
 	return nil
 }
 
 // segment finds a segment in force by its id.
-func (m *Map) segment(id uint32) (Segment, bool) {
+func (m *Map) segmentByID(id uint32) (Segment, bool) {
 	if m == nil {
 		return Segment{}, false
 	}
-	from, ok := m.from.get(id)
+	from, ok := m.starts.get(id)
 	if !ok {
 		return Segment{}, false
 	}
-	return m.segs[m.at(from)], true
+	return m.segments[m.indexOf(from)], true
 }
 
 // Lookup finds the segment that holds a key: O(log n).
@@ -376,12 +376,12 @@
 	if m.Len() == 0 {
 		return Segment{}, false
 	}
-	return m.segs[m.at(key)], true
+	return m.segments[m.indexOf(key)], true
 }
 
 // at is the index of the segment that holds a key.
-func (m *Map) at(key string) int {
-	return sort.Search(len(m.segs), func(i int) bool { return m.segs[i].From > key }) - 1
+func (m *Map) indexOf(key string) int {
+	return sort.Search(len(m.segments), func(i int) bool { return m.segments[i].From > key }) - 1
 }
 
 // Range is what a segment holds, or held before it was retired.
@@ -389,7 +389,7 @@
 	if m == nil {
 		return r, false, false
 	}
-	if s, ok := m.segment(id); ok {
+	if s, ok := m.segmentByID(id); ok {
 		return s.Range, true, true
 	}
 	r, known = m.retired.get(id)
@@ -401,10 +401,10 @@
 	if m.Len() == 0 || r.Empty() {
 		return nil
 	}
-	from := m.at(r.From)
+	from := m.indexOf(r.From)
 	to := from
-	for to < len(m.segs) && below(m.segs[to].From, r.To) {
+	for to < len(m.segments) && beforeEnd(m.segments[to].From, r.To) {
 		to++
 	}
-	return m.segs[from:to]
+	return m.segments[from:to]
 }
--- a/internal/core/placement/reshape.go
+++ b/internal/core/placement/reshape.go
@@ -85,16 +85,16 @@
 // reshaping: one segment is in one reshape.
 func (m *Map) Plan(id int64, sources []uint32, targets []Segment, busy func(uint32) bool) (*Reshape, error) {
 	if len(sources) == 0 || len(targets) == 0 {
-		return nil, bad(name("plan"), "nothing to reshape")
+		return nil, invalid(label("plan"), "nothing to reshape")
 	}
 	r := &Reshape{ID: id, Targets: slices.Clone(targets)}
 	for _, s := range sources {
-		held, known := m.segment(s)
+		held, known := m.segmentByID(s)
 		if !known {
-			return nil, bad(name("plan"), "segment %d is not in force", s)
+			return nil, invalid(label("plan"), "segment %d is not in force", s)
 		}
 		if busy(s) {
-			return nil, bad(held.Range, "segment %d is being reshaped", s)
+			return nil, invalid(held.Range, "segment %d is being reshaped", s)
 		}
 		r.Sources = append(r.Sources, held)
 	}
@@ -103,20 +103,20 @@
 	for _, list := range [][]Segment{r.Sources, r.Targets} {
 		for i := 1; i < len(list); i++ {
 			if list[i-1].To == "" || list[i-1].To != list[i].From {
-				return nil, bad(list[i].Range, "does not lie beside %v", list[i-1].Range)
+				return nil, invalid(list[i].Range, "does not lie beside %v", list[i-1].Range)
 			}
 		}
 	}
 	first, last := r.Sources[0], r.Sources[len(r.Sources)-1]
 	if r.Targets[0].From != first.From || r.Targets[len(r.Targets)-1].To != last.To {
-		return nil, bad(Range{first.From, last.To}, "the new segments do not hold the same keys")
+		return nil, invalid(Range{first.From, last.To}, "the new segments do not hold the same keys")
 	}
 	for _, t := range r.Targets {
 		if len(m.cells[t.Cell]) == 0 {
-			return nil, bad(t.Range, "cell %d names no server", t.Cell)
+			return nil, invalid(t.Range, "cell %d names no server", t.Cell)
 		}
 		if old, held, known := m.Range(t.ID); known && (!held || old != t.Range) {
-			return nil, bad(t.Range, "segment %d held %v once", t.ID, old)
+			return nil, invalid(t.Range, "segment %d held %v once", t.ID, old)
 		}
 	}
 	return r, nil
--- a/internal/core/resolve/resolve.go
+++ b/internal/core/resolve/resolve.go
@@ -52,7 +52,7 @@
 }
 
 // lameRest is how long a resolver that refuses is passed over.
-const lameRest = Micros(60_000_000)
+const lameBackoff = Micros(60_000_000)
 
 // Standing is how an answer stands.
 type Status int
@@ -78,85 +78,85 @@
 
 // Question is one question's life. Its zero value can't be used.
 type Question struct {
-	set    Settings
-	nextAt Micros
-	ask    Query
-	tries  int // since the last answer, of this round
-	pause  Micros
-	rest   []Micros // by resolver: passed over until
-	denied int      // resolvers in a row that know no such name
-	held   bool
-	absent bool
-	until  Micros // of what is held
-	last   Outcome
+	settings     Settings
+	nextAt       Micros
+	query        Query
+	tries        int // since the last answer, of this round
+	backoff      Micros
+	backoffUntil []Micros // by resolver: passed over until
+	denials      int      // resolvers in a row that know no such name
+	hasAnswer    bool
+	absent       bool
+	expiresAt    Micros // of what is held
+	lastOutcome  Outcome
 }
 
 // New returns a question that is due at once.
 func New(set Settings) *Question {
 	set.Resolvers = max(set.Resolvers, 1)
-	return &Question{set: set, rest: make([]Micros, set.Resolvers), pause: set.Backoff}
+	return &Question{settings: set, backoffUntil: make([]Micros, set.Resolvers), backoff: set.Backoff}
 }
 
 // Next is when to ask next, and whom.
-func (q *Question) Next() (Micros, Query) { return q.nextAt, q.ask }
+func (q *Question) Next() (Micros, Query) { return q.nextAt, q.query }
 
 // Last is how asking ended last.
-func (q *Question) LastOutcome() Outcome { return q.last }
+func (q *Question) LastOutcome() Outcome { return q.lastOutcome }
 
 // Took takes how asking ended. ttl is the least lifetime of the records, or of the
 // denial; it counts with Answer and NoName alone. It tells whether what is believed is
 // now what this answer says.
 func (q *Question) RecordResponse(now Micros, o Outcome, ttl Micros) bool {
-	q.last = o
+	q.lastOutcome = o
 	switch o {
 	case Truncated:
-		if q.ask.TCP { // over TCP as well: it is of no use
-			q.turn(now)
+		if q.query.TCP { // over TCP as well: it is of no use
+			q.nextResolver(now)
 			return false
 		}
-		q.ask.TCP, q.nextAt = true, now
+		q.query.TCP, q.nextAt = true, now
 		return false
 	case Answer:
-		q.believe(now, ttl, false)
+		q.accept(now, ttl, false)
 		return true
 	case NoName:
-		if q.denied++; q.denied < 2 && q.set.Resolvers > 1 && !q.absent {
-			q.turn(now)
+		if q.denials++; q.denials < 2 && q.settings.Resolvers > 1 && !q.absent {
+			q.nextResolver(now)
 			return false
 		}
-		q.believe(now, ttl, true)
+		q.accept(now, ttl, true)
 		return true
 	case Refused:
-		q.rest[q.ask.Resolver] = now + lameRest
+		q.backoffUntil[q.query.Resolver] = now + lameBackoff
 	}
-	q.denied = 0
-	q.turn(now)
+	q.denials = 0
+	q.nextResolver(now)
 	return false
 }
 
-func (q *Question) believe(now, ttl Micros, absent bool) {
-	life := min(max(ttl, q.set.MinTTL), q.set.MaxTTL)
-	q.held, q.absent, q.until = true, absent, now+life
+func (q *Question) accept(now, ttl Micros, absent bool) {
+	life := min(max(ttl, q.settings.MinTTL), q.settings.MaxTTL)
+	q.hasAnswer, q.absent, q.expiresAt = true, absent, now+life
 	q.nextAt = now + life - life/10
-	q.tries, q.pause, q.ask.TCP = 0, q.set.Backoff, false
+	q.tries, q.backoff, q.query.TCP = 0, q.settings.Backoff, false
 	if !absent {
-		q.denied = 0
+		q.denials = 0
 	}
 }
 
 // turn turns to the next resolver, or pauses where all have had their turn.
-func (q *Question) turn(now Micros) {
-	q.ask.TCP = false
+func (q *Question) nextResolver(now Micros) {
+	q.query.TCP = false
 	q.tries++
 	q.nextAt = now
-	if q.tries >= q.set.Resolvers {
+	if q.tries >= q.settings.Resolvers {
 		q.tries = 0
-		q.nextAt = now + q.pause
-		q.pause = min(2*q.pause, q.set.MaxBackoff)
+		q.nextAt = now + q.backoff
+		q.backoff = min(2*q.backoff, q.settings.MaxBackoff)
 	}
-	for range q.set.Resolvers { // those that rest are passed over, unless all do
-		q.ask.Resolver = (q.ask.Resolver + 1) % q.set.Resolvers
-		if now >= q.rest[q.ask.Resolver] {
+	for range q.settings.Resolvers { // those that rest are passed over, unless all do
+		q.query.Resolver = (q.query.Resolver + 1) % q.settings.Resolvers
+		if now >= q.backoffUntil[q.query.Resolver] {
 			return
 		}
 	}
@@ -165,9 +165,9 @@
 // Standing is how what is believed stands at a time.
 func (q *Question) Status(now Micros) Status {
 	switch {
-	case !q.held || now >= q.until+q.set.StaleFor:
+	case !q.hasAnswer || now >= q.expiresAt+q.settings.StaleFor:
 		return Unknown
-	case now >= q.until:
+	case now >= q.expiresAt:
 		return Stale
 	case q.absent:
 		return Absent
@@ -178,12 +178,12 @@
 // Ends is when the standing changes next by time alone; 0: never.
 func (q *Question) NextStatusChange(now Micros) Micros {
 	switch {
-	case !q.held:
+	case !q.hasAnswer:
 		return 0
-	case now < q.until:
-		return q.until
-	case now < q.until+q.set.StaleFor:
-		return q.until + q.set.StaleFor
+	case now < q.expiresAt:
+		return q.expiresAt
+	case now < q.expiresAt+q.settings.StaleFor:
+		return q.expiresAt + q.settings.StaleFor
 	}
 	return 0
 }
