--- a/internal/cluster/consensus/consensus.go
+++ b/internal/cluster/consensus/consensus.go
@@ -37,7 +37,7 @@
 	RejoinDelay       int64 // how long a member must be alive before it enters the chain
 	ProposerStagger   int64 // delay between the members' turns to propose
 	BallotTimeout     int64 // a ballot that is not decided after this time has failed
-	MinViewAge        int64 // for this long after a view change, only the loss of a chain member causes another one
+	MinViewAge        int64 // for this long after a view change, only a broken chain causes another change
 	Voters            int   // configured number of voters; odd
 	MaxLearners       int   // maximum number of learners that are tracked
 }
--- a/internal/cluster/consensus/decide.go
+++ b/internal/cluster/consensus/decide.go
@@ -26,14 +26,14 @@
 	return m.join()
 }
 
-// sendView sends the current view, with the entry that it is based on if the receiver, whose
-// entry has the viewstamp stored, lacks that entry.
+// sendView sends the current view. stored is the viewstamp of the receiver's entry: if it is older
+// than the base of the view, the message also carries the entry.
 func (m *Machine) sendView(to views.Member, stored views.Viewstamp) {
 	m.send(to, m.View.Epoch, Decide{View: m.View, Entry: m.entryFor(stored, m.View.BaseViewstamp())})
 }
 
-// entryFor returns the entry to send to a process that stores an entry of one viewstamp and
-// needs one of another; nil if its entry is new enough.
+// entryFor returns the entry to send to a process whose stored entry has one viewstamp and that
+// needs an entry at least as new as another; nil if the stored entry is new enough.
 func (m *Machine) entryFor(stored, needed views.Viewstamp) *chain.Entry {
 	if !stored.Less(needed) || m.mutations.AdoptWithoutEntry {
 		return nil
--- a/internal/cluster/lease/lease.go
+++ b/internal/cluster/lease/lease.go
@@ -32,9 +32,9 @@
 // TermOf returns the term of an epoch: the number of times the role has been claimed.
 func TermOf(epoch uint64) uint64 { return epoch >> holderHashBits }
 
-// PreferenceOrder returns the order in which processes are preferred for a role. It is that of a
-// hash of role and process, so that all processes compute the same order and roles are spread
-// over processes.
+// PreferenceOrder returns the processes in the order in which they are preferred for a role. They are
+// sorted by a hash of role and process, so that every process computes the same order and roles are
+// spread over processes.
 func PreferenceOrder(role string, processes []string) []string {
 	out := slices.Clone(processes)
 	position := func(p string) uint64 { return xxhash.Sum64String(role + "\x00" + p) }
--- a/internal/cluster/replica/record.go
+++ b/internal/cluster/replica/record.go
@@ -19,7 +19,8 @@
 	Entry       *chain.Entry
 }
 
-// currentEntry returns the entry with its newest epoch; the zero Entry without content if there is none.
+// currentEntry returns the entry with its newest epoch. Without an entry it returns one that has only
+// an epoch.
 func (r Record) currentEntry() chain.Entry {
 	var e chain.Entry
 	if r.Entry != nil {
