--- a/choice/admission.go
+++ b/choice/admission.go
@@ -19,7 +19,7 @@
 )
 
 func (r *Router) query(ev Query) {
-	if !r.set.ExtraByShard {
+	if !r.set.RetryBudgetPerShard {
 		r.took(&r.ledger)
 	}
 	c := r.classes[ev.Class]
@@ -27,16 +27,16 @@
 		r.do(Refuse{ID: ev.ID})
 		return
 	}
-	aim := min(c.Aim+Micros(c.AimStretch*float64(ev.Predicted)), c.Deadline)
+	aim := min(c.LatencyTarget+Micros(c.LatencyTargetStretch*float64(ev.Predicted)), c.Deadline)
 	if !ev.Repeat {
 		c.patience = min(ev.Grace, c.patience+Micros(quantileStep*float64(ev.Grace-c.patience)))
 	} else if ev.Grace < c.patience { // less is left than a first try has: the client asked so long ago
 		aim -= min(c.Deadline-ev.Grace, aim)
 	}
-	q := &query{id: ev.ID, class: c, tenant: ev.Tenant, number: ev.Number, need: c.Need, step: 1}
-	q.least, q.size, q.at, q.aimAt = cmp.Or(ev.Least, c.Need), ev.Parts, r.now, r.now+aim-r.set.Resolution
+	q := &query{id: ev.ID, class: c, tenant: ev.Tenant, number: ev.Number, need: c.RequiredShare, step: 1}
+	q.least, q.size, q.at, q.aimAt = cmp.Or(ev.Least, c.RequiredShare), ev.Parts, r.now, r.now+aim-r.set.Resolution
 	q.endAt = r.now + ev.Grace - r.set.Resolution
-	if c.LateWorth == 0 {
+	if c.LateValue == 0 {
 		q.endAt = min(q.endAt, q.aimAt)
 	}
 	r.queries[q.id], r.numbers[q.number] = q, q
@@ -47,7 +47,7 @@
 	r.fresh = append(r.fresh, q)
 	r.alarm(q.endAt-r.now, (*expiry)(q))
 	q.partAt = q.aimAt
-	if c.Fetch > 0 { // the second step needs its time
+	if c.FetchParts > 0 { // the second step needs its time
 		q.partAt -= min(Micros(c.high*overdueBy), (q.aimAt-r.now)/2)
 	}
 	if q.partAt < q.endAt {
@@ -60,7 +60,7 @@
 func (r *Router) admit(q *query) {
 	r.size += (float64(len(q.parts)) - r.size) * missStep
 	room := 1.0
-	if q.class.mid >= crowdFrom*float64(q.class.Aim) { // windows of one part bind nothing then
+	if q.class.mid >= crowdFrom*float64(q.class.LatencyTarget) { // windows of one part bind nothing then
 		room -= min(1-missStep, r.missed*float64(len(q.parts))/r.size)
 	}
 	if q.beyond = !r.withinShare(q); q.beyond {
@@ -93,7 +93,7 @@
 
 // easy tells whether a class was seen to be far below its aim, and few queries miss theirs.
 func (r *Router) easy(c *class) bool {
-	return r.missed < missStep && c.seen >= learnFast && c.mid < easyBelow*float64(c.Aim)
+	return r.missed < missStep && c.seen >= learnFast && c.mid < easyBelow*float64(c.LatencyTarget)
 }
 
 // withinShare takes a query off its tenant's share: a bucket that fills at this router's part of the
@@ -115,7 +115,7 @@
 // planAll finds servers for enough parts, or undoes what it planned. It may be let overfill windows:
 // while parts take far less than their aim, a refusal costs more than the wait behind a full window does.
 func (r *Router) planAll(q *query, overfill bool) (rest []*part, ok bool) {
-	weight, want := 0.0, max(q.need, q.class.Need)
+	weight, want := 0.0, max(q.need, q.class.RequiredShare)
 	line := r.line(q.parts, true)
 	for r.plans++; len(line) > 0 && weight < want-weightSlack; {
 		_, left, got := r.call(line, first, want-weight)
--- a/choice/answers.go
+++ b/choice/answers.go
@@ -19,7 +19,7 @@
 func (r *Router) answer(q *query, whole bool) {
 	r.do(Answer{ID: q.id, Whole: whole})
 	q.inTime = r.now <= q.aimAt
-	if q.step == 2 || q.class.Fetch == 0 {
+	if q.step == 2 || q.class.FetchParts == 0 {
 		r.end(q)
 		return
 	}
@@ -30,7 +30,7 @@
 // giveUp ends a query that can't be answered whole any more: with what is in
 // where the class allows it, else with a refusal or a failure.
 func (r *Router) giveUp(q *query) {
-	if q.class.Floor < q.class.Need && q.got > 0 && q.got >= q.class.Floor {
+	if q.class.MinShare < q.class.RequiredShare && q.got > 0 && q.got >= q.class.MinShare {
 		r.answer(q, false)
 		return
 	}
@@ -42,7 +42,7 @@
 	if q.class.Effect != Safe && (q.step == 2 || q.ran()) {
 		r.do(Fail{ID: q.id})
 	} else { // told whether or not RetryAdvice says that some heed it
-		r.do(Refuse{ID: q.id, RetryAfter: min(Micros(float64(q.class.Aim)*adviceShare), r.set.MaxRetryAfter)})
+		r.do(Refuse{ID: q.id, RetryAfter: min(Micros(float64(q.class.LatencyTarget)*adviceShare), r.set.MaxRetryAfter)})
 	}
 	r.end(q)
 }
@@ -50,10 +50,10 @@
 // partNow gives an honest part of an answer when waiting on would earn less.
 func (r *Router) partNow(q *query) {
 	c := q.class
-	if q.ended || q.step == 2 && r.now < q.aimAt || c.Floor >= c.Need || q.got <= 0 || q.got < c.Floor {
+	if q.ended || q.step == 2 && r.now < q.aimAt || c.MinShare >= c.RequiredShare || q.got <= 0 || q.got < c.MinShare {
 		return
 	}
-	if c.Partial*math.Pow(q.got/c.Need, cmp.Or(c.Power, 1)) > c.LateWorth {
+	if c.PartialValue*math.Pow(q.got/c.RequiredShare, cmp.Or(c.PartialExponent, 1)) > c.LateValue {
 		r.giveUp(q)
 	}
 }
--- a/choice/api.go
+++ b/choice/api.go
@@ -17,58 +17,58 @@
 // Settings are what a deployment tells its router at start. A zero field is
 // one the deployment did not tell.
 type Settings struct {
-	Classes      []Class
-	ClassesLater bool // they come by Classes events
-	Tenants      []Tenant
-	Routers      int    // routers in this tier, this one included
-	Resolution   Micros // least time between two batches
-	Shards       int
-	Cells        int    // shard s is held by cells s, s+1, ... s+Width-1, modulo Cells
-	Width        int    // consecutive cells that hold a shard
-	BundleMax    int    // parts one call may carry
-	PerCallWork  Micros // server work per call beside that of its parts
-	AskDiscovery bool   // the server list must be asked for
-
-	Cancel        bool // Cancel is permitted
-	ParallelTries bool // two attempts of a part may be out at once
-	Probes        bool
-	RetryAdvice   bool   // some clients heed Refuse.RetryAfter; it is told either way
-	MaxRetryAfter Micros // the longest advice they heed
-	AttemptCap    int    // attempts per part
-	Keepalive     Micros // an idle connection is closed after this
-
-	AnswerSlack   Micros
-	AskWithin     Micros
-	DrainGrace    Micros
-	StartCapacity float64 // a server starts at no less than this share of its capacity
-	Cold          Micros  // and is warm no later than this
-	FallMultiple  float64 // sent more than this multiple of its capacity
-	Fall          Micros  // for so long, a cold server fails
-	ExtraBudget   bool    // the three below bind
-	ExtraSpare    float64 // further attempts allowed in a window whatever the traffic
-	ExtraRatio    float64 // and per query and part taken in it
-	ExtraWindow   Micros
-	ExtraByShard  bool    // they bind each shard's parts by themselves, not all together
-	OverdueBy     float64 // a part is overdue after so many times its class's upper quantile; 0: 1.5
-	OverdueMax    float64 // but no later than this share of the aim; 0: 0.4
+	Classes         []Class
+	ClassesLater    bool // they come by Classes events
+	Tenants         []Tenant
+	Routers         int    // routers in this tier, this one included
+	Resolution      Micros // least time between two batches
+	Shards          int
+	Cells           int    // shard s is held by cells s, s+1, ... s+Width-1, modulo Cells
+	Width           int    // consecutive cells that hold a shard
+	MaxPartsPerCall int    // parts one call may carry
+	PerCallWork     Micros // server work per call beside that of its parts
+	AskDiscovery    bool   // the server list must be asked for
+
+	Cancel           bool // Cancel is permitted
+	ParallelAttempts bool // two attempts of a part may be out at once
+	Probes           bool
+	RetryAdvice      bool   // some clients heed Refuse.RetryAfter; it is told either way
+	MaxRetryAfter    Micros // the longest advice they heed
+	AttemptCap       int    // attempts per part
+	Keepalive        Micros // an idle connection is closed after this
+
+	AnswerSlack         Micros
+	AskWithin           Micros
+	DrainGrace          Micros
+	StartCapacity       float64 // a server starts at no less than this share of its capacity
+	SlowStart           Micros  // and is warm no later than this
+	OverloadMultiple    float64 // sent more than this multiple of its capacity
+	OverloadWindow      Micros  // for so long, a cold server fails
+	RetryBudget         bool    // the three below bind
+	RetryBudgetMin      float64 // further attempts allowed in a window whatever the traffic
+	RetryBudgetRatio    float64 // and per query and part taken in it
+	RetryBudgetWindow   Micros
+	RetryBudgetPerShard bool    // they bind each shard's parts by themselves, not all together
+	OverdueMultiple     float64 // a part is overdue after so many times its class's upper quantile; 0: 1.5
+	OverdueMaxShare     float64 // but no later than this share of the aim; 0: 0.4
 }
 
 // Class is a class of query.
 type Class struct {
-	Name       string
-	Aim        Micros // an answer within it earns the full worth
-	AimStretch float64
-	Deadline   Micros // the client's whole patience, over all its tries
-	MemorySpan Micros // for Keyed
-	Effect     Effect
-	LateWorth  float64 // share of the worth earned after the aim
-	Value      float64
-	Need       float64 // share of the first step's weight that makes a whole answer
-	Floor      float64 // least share for an answer that is not whole
-	Partial    float64 // such an answer earns this x (share / Need) to the Power
-	Power      float64 // 0: 1
-	Fetch      int     // parts of the second step; 0: one step
-	Attempts   int     // per part; 0: Settings.AttemptCap
+	Name                 string
+	LatencyTarget        Micros // an answer within it earns the full worth
+	LatencyTargetStretch float64
+	Deadline             Micros // the client's whole patience, over all its tries
+	DedupWindow          Micros // for Keyed
+	Effect               Effect
+	LateValue            float64 // share of the worth earned after the aim
+	Value                float64
+	RequiredShare        float64 // share of the first step's weight that makes a whole answer
+	MinShare             float64 // least share for an answer that is not whole
+	PartialValue         float64 // such an answer earns this x (share / Need) to the Power
+	PartialExponent      float64 // 0: 1
+	FetchParts           int     // parts of the second step; 0: one step
+	Attempts             int     // per part; 0: Settings.AttemptCap
 }
 
 // Tenant is a customer and the traffic within its share, over all routers.
@@ -118,11 +118,11 @@
 const (
 	Served Verdict = iota
 	ServerError
-	TurnedAway
+	Rejected
 	NoAnswer
 	NoConnection
 	ConnectionLost
-	CalledOff
+	Cancelled
 	NotSent
 )
 
@@ -206,7 +206,7 @@
 }
 
 // Mail is a message from another router.
-type Mail struct {
+type PeerMessage struct {
 	From  int64
 	Bytes []byte
 }
@@ -217,8 +217,8 @@
 // Tier brings news of the tier: how many routers it has, this one included, and what of
 // the extra budget's spare is this one's.
 type Tier struct {
-	Routers int
-	Spare   float64
+	Routers        int
+	RetryBudgetMin float64
 }
 
 func (List) event()        {}
@@ -231,7 +231,7 @@
 func (ClientLeft) event()  {}
 func (Elapsed) event()     {}
 func (Started) event()     {}
-func (Mail) event()        {}
+func (PeerMessage) event() {}
 
 // Action is something the caller must do, in the order given: one of the
 // action types below.
@@ -279,7 +279,7 @@
 type Release struct{ Server string }
 
 // Tell sends a message to one router of the tier, or to all (Peer below 0).
-type Tell struct {
+type SendToPeer struct {
 	Peer  int64
 	Bytes []byte
 }
@@ -293,15 +293,15 @@
 // Fetch asks for the whole server list once.
 type Fetch struct{}
 
-func (Send) action()    {}
-func (Cancel) action()  {}
-func (Answer) action()  {}
-func (Refuse) action()  {}
-func (Fail) action()    {}
-func (Wake) action()    {}
-func (Probe) action()   {}
-func (Release) action() {}
-func (Tell) action()    {}
-func (Log) action()     {}
-func (Watch) action()   {}
-func (Fetch) action()   {}
+func (Send) action()       {}
+func (Cancel) action()     {}
+func (Answer) action()     {}
+func (Refuse) action()     {}
+func (Fail) action()       {}
+func (Wake) action()       {}
+func (Probe) action()      {}
+func (Release) action()    {}
+func (SendToPeer) action() {}
+func (Log) action()        {}
+func (Watch) action()      {}
+func (Fetch) action()      {}
--- a/choice/attempts.go
+++ b/choice/attempts.go
@@ -10,14 +10,14 @@
 func (r *Router) send(a *attempt) {
 	q := a.p.q
 	r.connect(a)
-	timeout, try := q.endAt-r.now, Micros(q.class.high*r.set.OverdueBy)
-	again := !r.set.ParallelTries && q.class.Effect != Unsafe && len(a.p.attempts) < r.mostAttempts(q.class)
+	timeout, try := q.endAt-r.now, Micros(q.class.high*r.set.OverdueMultiple)
+	again := !r.set.ParallelAttempts && q.class.Effect != Unsafe && len(a.p.attempts) < r.mostAttempts(q.class)
 	if a.short = again && q.aimAt-r.now > 2*try; a.short { // no other may go out before this one is over
 		timeout = q.aimAt - r.now - try
 	}
 	r.do(Send{ID: a.p.id, Server: a.s.ID, Timeout: max(timeout, r.set.Resolution)})
-	late := min(q.class.high*a.p.stretch*r.set.OverdueBy, float64(q.class.Aim)*r.set.OverdueMax)
-	patience := float64(min(q.aimAt, q.endAt)-q.at+r.set.Resolution) * r.set.OverdueMax
+	late := min(q.class.high*a.p.stretch*r.set.OverdueMultiple, float64(q.class.LatencyTarget)*r.set.OverdueMaxShare)
+	patience := float64(min(q.aimAt, q.endAt)-q.at+r.set.Resolution) * r.set.OverdueMaxShare
 	a.early = patience < late
 	r.alarm(max(Micros(min(late, patience)), 2*r.set.Resolution), (*lateness)(a))
 }
@@ -29,14 +29,14 @@
 	gap := r.now - s.heardAt
 	if s.heardAt == 0 || gap > r.set.Keepalive {
 		s.heardAt = r.now
-	} else if gap > min(Micros(c.high), Micros(float64(c.Aim)*r.set.OverdueMax)) {
+	} else if gap > min(Micros(c.high), Micros(float64(c.LatencyTarget)*r.set.OverdueMaxShare)) {
 		a.line = &r.idle
 		dead := r.idle.worse(r.renewed.bad) && r.cutOff(s) != s.groups[0]
 		if dead && s.live == 0 && r.now < r.idle.trialAt {
 			r.do(Release{Server: s.ID})
 			s.heardAt, a.line = r.now, &r.renewed
 		} else {
-			r.idle.trialAt = r.now + Micros(float64(c.Aim)*trialShare*trialPatience)
+			r.idle.trialAt = r.now + Micros(float64(c.LatencyTarget)*trialShare*trialPatience)
 		}
 	}
 	s.live++
@@ -72,14 +72,14 @@
 	}
 	a, q := p.attempts[ev.Attempt], p.q
 	a.ended = true
-	a.ran = ev.Verdict != TurnedAway && ev.Verdict != NoConnection && ev.Verdict != NotSent
+	a.ran = ev.Verdict != Rejected && ev.Verdict != NoConnection && ev.Verdict != NotSent
 	if ev.Verdict == ConnectionLost && a.s.guilt(q.class) == 0 {
 		q.lost++
 	}
 	r.learn(a, ev)
 	a.s.out--
 	a.s.live--
-	if ev.Verdict == Served || ev.Verdict == ServerError || ev.Verdict == TurnedAway {
+	if ev.Verdict == Served || ev.Verdict == ServerError || ev.Verdict == Rejected {
 		a.s.heardAt = r.now
 	}
 	if w := a.s.window; w < 1 { // a window below one is one part for that share of the time
--- a/choice/calls_test.go
+++ b/choice/calls_test.go
@@ -10,7 +10,7 @@
 // its own and a shard is held by three cells in a row.
 func ring(t *testing.T, cells int, change func(*Settings)) *rig {
 	return listed(t, 1, func(s *Settings) {
-		s.Cells, s.Width, s.Shards, s.BundleMax, s.PerCallWork = cells, 3, 4*cells, 16, 80*ms
+		s.Cells, s.Width, s.Shards, s.MaxPartsPerCall, s.PerCallWork = cells, 3, 4*cells, 16, 80*ms
 		if change != nil {
 			change(s)
 		}
@@ -62,7 +62,7 @@
 	rng := rand.New(rand.NewPCG(7, 7))
 	for round := range 400 {
 		cells := 4 + rng.IntN(10)
-		g := ring(t, cells, func(s *Settings) { s.BundleMax = 1 + rng.IntN(4); s.Width = 1 + rng.IntN(min(4, cells)) })
+		g := ring(t, cells, func(s *Settings) { s.MaxPartsPerCall = 1 + rng.IntN(4); s.Width = 1 + rng.IntN(min(4, cells)) })
 		for _, s := range g.r.servers {
 			switch rng.IntN(6) {
 			case 0:
@@ -183,7 +183,7 @@
 			t.Fatalf("%d parts sent, want 1", n)
 		}
 		if got := len(of[Send](g.later(800*ms))) > 0; got != want {
-			t.Fatalf("middle part %d ms of an aim of %d: second copies %v, want %v", mid/ms, c.Aim/ms, got, want)
+			t.Fatalf("middle part %d ms of an aim of %d: second copies %v, want %v", mid/ms, c.LatencyTarget/ms, got, want)
 		}
 	}
 }
--- a/choice/choice.go
+++ b/choice/choice.go
@@ -26,7 +26,7 @@
 }
 
 func (r *Router) newClass(c Class) *class {
-	aim := float64(c.Aim)
+	aim := float64(c.LatencyTarget)
 	return &class{Class: c, n: r.number(), mid: startMiddle * aim, high: startUpper * aim}
 }
 
--- a/choice/cold.go
+++ b/choice/cold.go
@@ -18,16 +18,16 @@
 	if s.State != Ready || s.coldFrom == 0 {
 		return s.State == Ready || s.State == Draining && r.now < s.leaveAt
 	}
-	age := r.now - s.coldFrom - r.set.Fall/2 // capacity in the middle of the window counted
-	if age >= r.set.Cold {
+	age := r.now - s.coldFrom - r.set.OverloadWindow/2 // capacity in the middle of the window counted
+	if age >= r.set.SlowStart {
 		s.coldFrom = 0
 		return true
 	}
-	share := r.set.StartCapacity + (1-r.set.StartCapacity)*float64(max(age, 0))/float64(r.set.Cold)
-	rate := coldSafety * r.set.FallMultiple * share * r.bearing * max(s.Scale, 0)
-	rate = max(rate, 1e6/float64(r.set.Fall)/float64(max(r.set.Routers, 1)))
+	share := r.set.StartCapacity + (1-r.set.StartCapacity)*float64(max(age, 0))/float64(r.set.SlowStart)
+	rate := coldSafety * r.set.OverloadMultiple * share * r.bearing * max(s.Scale, 0)
+	rate = max(rate, 1e6/float64(r.set.OverloadWindow)/float64(max(r.set.Routers, 1)))
 	// What one call carries may go at once: else a query of two parts that it alone holds would never fit.
-	most := float64(min(r.set.Width, max(r.set.BundleMax, 1)))
+	most := float64(min(r.set.Width, max(r.set.MaxPartsPerCall, 1)))
 	s.saved = min(s.saved+rate*float64(r.now-s.savedAt)/1e6, most)
 	s.savedAt = r.now
 	return s.saved >= 1
@@ -35,7 +35,7 @@
 
 // chill holds a server as cold from its start on.
 func (r *Router) chill(s *server, from Micros) {
-	if r.set.Cold > 0 && r.set.FallMultiple > 0 && r.now-from < r.set.Cold {
+	if r.set.SlowStart > 0 && r.set.OverloadMultiple > 0 && r.now-from < r.set.SlowStart {
 		s.coldFrom, s.saved, s.savedAt = max(from, 1), r.rng.Float64(), r.now
 		s.window = leastWindow // to be earned
 	}
@@ -44,7 +44,7 @@
 // roll closes a span of rules.fall and notes what the servers were seen to bear in it.
 func (r *Router) roll() {
 	span := r.now - r.binAt
-	if span < max(r.set.Fall, 1) || r.ready == 0 {
+	if span < max(r.set.OverloadWindow, 1) || r.ready == 0 {
 		return
 	}
 	sum, best := 0.0, 0.0
--- a/choice/draw.go
+++ b/choice/draw.go
@@ -51,9 +51,9 @@
 		return max(int(s.saved), 1)
 	}
 	if u == spare || u == second {
-		return min(max(int(s.window*spareRoom)-s.out, 1), max(r.set.BundleMax, 1))
+		return min(max(int(s.window*spareRoom)-s.out, 1), max(r.set.MaxPartsPerCall, 1))
 	}
-	return max(r.set.BundleMax, 1)
+	return max(r.set.MaxPartsPerCall, 1)
 }
 
 // plan puts the parts of one call on a server; send carries it out.
@@ -73,7 +73,7 @@
 	p, c := line[0], line[0].q.class
 	wait, tries := Micros(0), u == first || u == spare
 	if u == first {
-		wait = Micros(float64(c.Aim) * trialShare * trialPatience)
+		wait = Micros(float64(c.LatencyTarget) * trialShare * trialPatience)
 	}
 	share, least := 1.0, 0.0 // of a window; and in it
 	if u == spare || u == second {
@@ -151,7 +151,7 @@
 // fewest leaves of the servers that a line's first part may go to those with which the whole line costs the
 // fewest calls, one that has a call of this plan costing none.
 func (r *Router) fewest(from []*server, line []*part, u use) []*server {
-	if r.set.BundleMax <= 1 {
+	if r.set.MaxPartsPerCall <= 1 {
 		return from
 	}
 	least, best := math.MaxInt, from[:0]
@@ -175,12 +175,12 @@
 	s := from[r.rng.IntN(len(from))]
 	s.pause(r.now, c)
 	for _, g := range s.groups {
-		g.trialAt = r.now + Micros(float64(c.Aim)*trialShare)
+		g.trialAt = r.now + Micros(float64(c.LatencyTarget)*trialShare)
 	}
 	return s
 }
 
 // pause puts a suspect's next trial off, from its blame as from a trial.
 func (s *server) pause(now Micros, c *class) {
-	s.passed, s.trialAt = 0, now+Micros(float64(c.Aim)*trialShare)*Micros(max(1, s.guilt(c)))
+	s.passed, s.trialAt = 0, now+Micros(float64(c.LatencyTarget)*trialShare)*Micros(max(1, s.guilt(c)))
 }
--- a/choice/example_test.go
+++ b/choice/example_test.go
@@ -10,7 +10,7 @@
 func Example() {
 	router, err := choice.New(42, choice.Settings{
 		Classes: []choice.Class{{
-			Name: "view", Aim: 1_000_000, Deadline: 2_000_000, Value: 1, Need: 1, Floor: 1,
+			Name: "view", LatencyTarget: 1_000_000, Deadline: 2_000_000, Value: 1, RequiredShare: 1, MinShare: 1,
 		}},
 		Shards: 2, Cells: 2, Width: 1, AttemptCap: 2, Cancel: true, Resolution: 5_000,
 	})
--- a/choice/fuzz_test.go
+++ b/choice/fuzz_test.go
@@ -158,10 +158,10 @@
 			all = false
 		}
 	}
-	floor, need := q.class.Floor, q.class.Need
+	floor, need := q.class.MinShare, q.class.RequiredShare
 	if q.step == 2 {
 		need = 1
-		if q.class.Floor >= q.class.Need {
+		if q.class.MinShare >= q.class.RequiredShare {
 			floor = 1
 		}
 		if a.Whole && (!all || !q.first) {
@@ -171,7 +171,7 @@
 	if weight < floor-1e-4 || a.Whole && weight < need-1e-4 {
 		j.t.Fatalf("%s answered (whole %v) from weight %v", a.ID, a.Whole, weight)
 	}
-	if q.step == 1 && q.class.Fetch > 0 {
+	if q.step == 1 && q.class.FetchParts > 0 {
 		j.finished--
 		for _, p := range q.parts {
 			p.closed = true
@@ -198,18 +198,18 @@
 		j.t.Fatalf("attempt %d of %s", len(p.tries), a.ID)
 	}
 	for _, try := range p.tries {
-		if !try.over && !j.set.ParallelTries {
+		if !try.over && !j.set.ParallelAttempts {
 			j.t.Fatalf("two attempts of %s at once", a.ID)
 		}
 		if try.mayRun && (p.q.class.Effect == Unsafe ||
-			p.q.class.Effect == Keyed && j.now-try.at > p.q.class.MemorySpan) {
+			p.q.class.Effect == Keyed && j.now-try.at > p.q.class.DedupWindow) {
 			j.t.Fatalf("%s sent again though it may have run", a.ID)
 		}
 	}
-	if len(p.tries) > 0 && j.set.ExtraBudget {
+	if len(p.tries) > 0 && j.set.RetryBudget {
 		j.extras = append(j.extras, j.now)
-		extras, taken := count(j.extras, j.now-j.set.ExtraWindow), count(j.taken, j.now-j.set.ExtraWindow)
-		if float64(extras) > j.set.ExtraSpare+j.set.ExtraRatio*float64(taken) {
+		extras, taken := count(j.extras, j.now-j.set.RetryBudgetWindow), count(j.taken, j.now-j.set.RetryBudgetWindow)
+		if float64(extras) > j.set.RetryBudgetMin+j.set.RetryBudgetRatio*float64(taken) {
 			j.t.Fatalf("%d further attempts for %d taken", extras, taken)
 		}
 	}
@@ -281,16 +281,16 @@
 	try := j.sent[i]
 	j.sent = append(j.sent[:i:i], j.sent[i+1:]...)
 	verdict := Verdict(s.byte() % 8)
-	if verdict == CalledOff && !try.withdraw {
+	if verdict == Cancelled && !try.withdraw {
 		verdict = Served
 	}
 	try.over = true
-	try.mayRun = verdict != TurnedAway && verdict != NoConnection && verdict != NotSent
+	try.mayRun = verdict != Rejected && verdict != NoConnection && verdict != NotSent
 	if verdict == Served && !try.p.closed && !try.withdraw {
 		try.p.served = true
 	}
 	if try.withdraw && verdict == Served {
-		verdict = CalledOff
+		verdict = Cancelled
 	}
 	return []Event{Outcome{ID: try.p.id, Server: try.server, Attempt: try.attempt, Verdict: verdict,
 		Closed: try.p.closed || try.p.served, Load: loads[s.byte()%len(loads)]}}
@@ -351,14 +351,14 @@
 		for _, change := range []func(*Settings){
 			func(*Settings) {},
 			func(s *Settings) {
-				s.ExtraBudget, s.ExtraSpare, s.ExtraRatio, s.ExtraWindow = true, 1, 0.1, sec
-				s.ParallelTries, s.AskDiscovery, s.AskWithin, s.BundleMax = false, true, sec, 3
+				s.RetryBudget, s.RetryBudgetMin, s.RetryBudgetRatio, s.RetryBudgetWindow = true, 1, 0.1, sec
+				s.ParallelAttempts, s.AskDiscovery, s.AskWithin, s.MaxPartsPerCall = false, true, sec, 3
 				s.Routers = 1
 			},
 			func(s *Settings) { s.Routers, s.Tenants = 400, []Tenant{{Name: "t", QuotaPerS: 2}} },
 			func(s *Settings) { // a part of an answer before a second step, idle connections, no copies
-				s.Classes[2].LateWorth, s.Classes[2].Fetch = 0, 2
-				s.Keepalive, s.ParallelTries, s.RetryAdvice = 10*sec, false, false
+				s.Classes[2].LateValue, s.Classes[2].FetchParts = 0, 2
+				s.Keepalive, s.ParallelAttempts, s.RetryAdvice = 10*sec, false, false
 			},
 		} {
 			set := testSettings()
--- a/choice/rig_test.go
+++ b/choice/rig_test.go
@@ -15,17 +15,17 @@
 func testSettings() Settings {
 	return Settings{
 		Classes: []Class{
-			{Name: "all", Aim: sec, Deadline: 2 * sec, Value: 1, Need: 1, Floor: 1},
-			{Name: "some", Aim: sec, Deadline: 2 * sec, LateWorth: 0.2, Value: 1, Need: 0.5, Floor: 0.5},
-			{Name: "partial", Aim: sec, Deadline: 2 * sec, LateWorth: 0.1, Value: 1, Need: 1, Floor: 0.5, Partial: 0.9},
-			{Name: "keyed", Aim: sec, Deadline: 2 * sec, MemorySpan: 300 * ms, Effect: Keyed, Value: 1, Need: 1, Floor: 1},
-			{Name: "unsafe", Aim: sec, Deadline: 2 * sec, Effect: Unsafe, Value: 1, Need: 1, Floor: 1},
-			{Name: "two-step", Aim: sec, Deadline: 2 * sec, Value: 1, Need: 1, Floor: 1, Fetch: 2},
+			{Name: "all", LatencyTarget: sec, Deadline: 2 * sec, Value: 1, RequiredShare: 1, MinShare: 1},
+			{Name: "some", LatencyTarget: sec, Deadline: 2 * sec, LateValue: 0.2, Value: 1, RequiredShare: 0.5, MinShare: 0.5},
+			{Name: "partial", LatencyTarget: sec, Deadline: 2 * sec, LateValue: 0.1, Value: 1, RequiredShare: 1, MinShare: 0.5, PartialValue: 0.9},
+			{Name: "keyed", LatencyTarget: sec, Deadline: 2 * sec, DedupWindow: 300 * ms, Effect: Keyed, Value: 1, RequiredShare: 1, MinShare: 1},
+			{Name: "unsafe", LatencyTarget: sec, Deadline: 2 * sec, Effect: Unsafe, Value: 1, RequiredShare: 1, MinShare: 1},
+			{Name: "two-step", LatencyTarget: sec, Deadline: 2 * sec, Value: 1, RequiredShare: 1, MinShare: 1, FetchParts: 2},
 		},
-		Routers: 3, Resolution: 5 * ms, Shards: 8, Cells: 4, Width: 2, BundleMax: 1,
-		Cancel: true, ParallelTries: true, RetryAdvice: true, MaxRetryAfter: sec, AttemptCap: 3,
+		Routers: 3, Resolution: 5 * ms, Shards: 8, Cells: 4, Width: 2, MaxPartsPerCall: 1,
+		Cancel: true, ParallelAttempts: true, RetryAdvice: true, MaxRetryAfter: sec, AttemptCap: 3,
 		AnswerSlack: 20 * ms, DrainGrace: 500 * ms,
-		StartCapacity: 0.2, Cold: 10 * sec, FallMultiple: 2, Fall: 3 * sec,
+		StartCapacity: 0.2, SlowStart: 10 * sec, OverloadMultiple: 2, OverloadWindow: 3 * sec,
 	}
 }
 
@@ -121,7 +121,7 @@
 // crowd makes a class look crowded, with such a share of misses.
 func (g *rig) crowd(class string, missed float64) {
 	c := g.r.classes[class]
-	c.mid, g.r.missed = float64(c.Aim), missed
+	c.mid, g.r.missed = float64(c.LatencyTarget), missed
 }
 
 // of picks the actions of one type.
--- a/choice/rules_test.go
+++ b/choice/rules_test.go
@@ -36,7 +36,7 @@
 // Rule 2: an unsafe part is sent again only when no attempt can have run.
 func TestUnsafePartIsRepeatedOnlyWhenProvenNotRun(t *testing.T) {
 	for verdict, again := range map[Verdict]bool{
-		ServerError: false, NoAnswer: false, ConnectionLost: false, TurnedAway: true, NoConnection: true,
+		ServerError: false, NoAnswer: false, ConnectionLost: false, Rejected: true, NoConnection: true,
 	} {
 		g := listed(t, 2, nil)
 		_, evs := g.ask("unsafe", 0)
@@ -75,7 +75,7 @@
 }
 
 func TestNoSecondCopyWhereTwoAtOnceAreForbidden(t *testing.T) {
-	g := listed(t, 2, func(s *Settings) { s.ParallelTries = false })
+	g := listed(t, 2, func(s *Settings) { s.ParallelAttempts = false })
 	_, evs := g.ask("all", 0)
 	g.step(evs...)
 	if n := len(of[Send](g.later(2 * sec))); n != 0 {
@@ -124,7 +124,7 @@
 	fresh := Server{ID: "cold", Cell: 0, State: Ready, Scale: 1, UpSince: g.now}
 	g.step(List{Form: Delta, Servers: []Server{fresh}})
 	got := map[string]int{}
-	for end := g.now + g.r.set.Fall; g.now < end; {
+	for end := g.now + g.r.set.OverloadWindow; g.now < end; {
 		_, evs := g.ask("all", 0)
 		for _, s := range of[Send](g.step(evs...)) {
 			got[s.Server]++
@@ -132,11 +132,11 @@
 			g.end(s, 0, Served)
 		}
 	}
-	borne := 100 / 2 * float64(g.r.set.Fall) / float64(sec) // by each warm server before
-	share := g.r.set.StartCapacity + (1-g.r.set.StartCapacity)*float64(g.r.set.Fall)/2/float64(g.r.set.Cold)
-	limit := g.r.set.FallMultiple * share * borne
+	borne := 100 / 2 * float64(g.r.set.OverloadWindow) / float64(sec) // by each warm server before
+	share := g.r.set.StartCapacity + (1-g.r.set.StartCapacity)*float64(g.r.set.OverloadWindow)/2/float64(g.r.set.SlowStart)
+	limit := g.r.set.OverloadMultiple * share * borne
 	if got["cold"] == 0 || float64(got["cold"]) > limit {
-		t.Fatalf("cold server got %d in its first %d us, want 1 to %.0f", got["cold"], g.r.set.Fall, limit)
+		t.Fatalf("cold server got %d in its first %d us, want 1 to %.0f", got["cold"], g.r.set.OverloadWindow, limit)
 	}
 }
 
@@ -147,7 +147,7 @@
 	var sent, worst, most float64
 	for seed := range uint64(routers) {
 		g := listed(t, 1, func(s *Settings) {
-			s.Routers, s.Cells, s.Width, s.Shards, s.StartCapacity, s.Cold = routers, 1, 1, 1, 0.17, 18*sec
+			s.Routers, s.Cells, s.Width, s.Shards, s.StartCapacity, s.SlowStart = routers, 1, 1, 1, 0.17, 18*sec
 		})
 		g.r, _ = New(seed, g.r.set)
 		g.step(List{Form: Cached, Servers: rows(1, 2)})
@@ -156,9 +156,9 @@
 			g.warm(1, 10*ms, 0)
 			g.now += sec
 		}
-		worst += 0.5 * float64(g.r.set.Fall) / 1e6
+		worst += 0.5 * float64(g.r.set.OverloadWindow) / 1e6
 		g.step(List{Form: Delta, Servers: []Server{{ID: "fresh", Cell: 0, State: Ready, Scale: 1, UpSince: g.now}}})
-		for end := g.now + g.r.set.Fall; g.now < end; {
+		for end := g.now + g.r.set.OverloadWindow; g.now < end; {
 			_, evs := g.ask("all", 0)
 			for _, s := range of[Send](g.step(evs...)) {
 				if s.Server == "fresh" {
@@ -170,7 +170,7 @@
 		}
 	}
 	set := testSettings()
-	most = worst * set.FallMultiple * 0.17 // what warm servers bore, at the share a cold one starts with
+	most = worst * set.OverloadMultiple * 0.17 // what warm servers bore, at the share a cold one starts with
 	if sent == 0 || sent > most {
 		t.Fatalf("%d routers sent a fresh server %v in one window, want 1 to %.0f", routers, sent, most)
 	}
@@ -227,7 +227,7 @@
 // Rule 6: further attempts stay within the told budget over any window.
 func TestFurtherAttemptsStayWithinTheBudget(t *testing.T) {
 	g := listed(t, 3, func(s *Settings) {
-		s.ExtraBudget, s.ExtraSpare, s.ExtraRatio, s.ExtraWindow = true, 2, 0.1, 10*sec
+		s.RetryBudget, s.RetryBudgetMin, s.RetryBudgetRatio, s.RetryBudgetWindow = true, 2, 0.1, 10*sec
 	})
 	taken, extras := 0, 0
 	for range 20 {
@@ -335,7 +335,7 @@
 		s.bins = 4
 	}
 	g.r.servers["c0-0"].bins = 400
-	span := g.r.set.Fall
+	span := g.r.set.OverloadWindow
 	g.r.now = g.r.binAt + span
 	g.r.roll()
 	if want := (400 - 2*20) / (float64(span) / 1e6); g.r.bearing != want {
--- a/choice/spares.go
+++ b/choice/spares.go
@@ -58,7 +58,7 @@
 		case out > 0:
 			late = append(late, p)
 			possible += p.weight
-		case r.repeatable(p) && (!r.set.ExtraByShard || r.budget(p, must) >= 1): // a new try costs none
+		case r.repeatable(p) && (!r.set.RetryBudgetPerShard || r.budget(p, must) >= 1): // a new try costs none
 			failed = append(failed, p)
 			possible += p.weight
 		}
@@ -73,11 +73,11 @@
 	// What is left of the budget goes to queries that few copies complete, of classes that are not slow as
 	// a whole: there all parts are late, and copies are work that the tier lacks.
 	few := len(late) > 0 && float64(len(late)) <= max(1, r.budget(late[0], second)*lateShare)
-	if few && q.class.mid < easyBelow*float64(q.class.Aim) {
+	if few && q.class.mid < easyBelow*float64(q.class.LatencyTarget) {
 		coming += r.further(r.line(slices.DeleteFunc(late, r.once), false), second, q.need-coming)
 	}
 	if coming < q.need-weightSlack && q.retryAt <= r.now {
-		pause := Micros(float64(q.class.Aim) * retryPause)
+		pause := Micros(float64(q.class.LatencyTarget) * retryPause)
 		q.retryAt = r.now + pause
 		r.alarm(pause, (*pursuit)(q))
 	}
@@ -99,7 +99,7 @@
 		return false
 	}
 	out, _ := p.pending()
-	if out > 0 && !r.set.ParallelTries {
+	if out > 0 && !r.set.ParallelAttempts {
 		return false
 	}
 	for _, a := range p.attempts {
@@ -110,7 +110,7 @@
 		case Unsafe:
 			return false
 		case Keyed:
-			return r.now-a.sentAt <= c.MemorySpan-r.set.Resolution
+			return r.now-a.sentAt <= c.DedupWindow-r.set.Resolution
 		}
 	}
 	return true
@@ -124,7 +124,7 @@
 	for len(line) > 0 && coming < want-weightSlack {
 		again := len(line[0].attempts) > 0
 		if again && r.budget(line[0], u) < 1 {
-			if !r.set.ExtraByShard {
+			if !r.set.RetryBudgetPerShard {
 				return coming
 			}
 			line = line[1:]
@@ -151,8 +151,8 @@
 	if u == must {
 		ratio = retryRatio
 	}
-	if r.set.ExtraBudget {
-		span, free, ratio = r.set.ExtraWindow, r.set.ExtraSpare, r.set.ExtraRatio
+	if r.set.RetryBudget {
+		span, free, ratio = r.set.RetryBudgetWindow, r.set.RetryBudgetMin, r.set.RetryBudgetRatio
 	}
 	b.taken, b.extras = since(b.taken, r.now-span+1), since(b.extras, r.now-span)
 	return free + ratio*float64(len(b.taken)) - float64(len(b.extras))
--- a/choice/state.go
+++ b/choice/state.go
@@ -235,7 +235,7 @@
 
 // empty is a router that holds nothing yet.
 func empty(seed uint64, set Settings) *Router {
-	set.OverdueBy, set.OverdueMax = cmp.Or(set.OverdueBy, overdueBy), cmp.Or(set.OverdueMax, overdueMax)
+	set.OverdueMultiple, set.OverdueMaxShare = cmp.Or(set.OverdueMultiple, overdueBy), cmp.Or(set.OverdueMaxShare, overdueMax)
 	return &Router{
 		set:     set,
 		rng:     rand.New(rand.NewPCG(seed, 0)),
@@ -291,7 +291,7 @@
 
 // book is the ledger that a part of a shard stands in.
 func (r *Router) book(shard int) *ledger {
-	if !r.set.ExtraByShard {
+	if !r.set.RetryBudgetPerShard {
 		return &r.ledger
 	}
 	n := shard % r.set.Cells
@@ -311,23 +311,23 @@
 		return fmt.Errorf("setting Width: %d is not within 1 to Cells (%d)", set.Width, set.Cells)
 	case set.AttemptCap < 1:
 		return fmt.Errorf("setting AttemptCap: %d is less than 1", set.AttemptCap)
-	case set.OverdueBy < 0 || set.OverdueMax < 0 || set.OverdueMax > 1:
-		return fmt.Errorf("OverdueBy, OverdueMax: %v, %v out of range", set.OverdueBy, set.OverdueMax)
-	case set.ExtraBudget && set.ExtraWindow < 1:
-		return fmt.Errorf("setting ExtraWindow: %d is less than 1", set.ExtraWindow)
+	case set.OverdueMultiple < 0 || set.OverdueMaxShare < 0 || set.OverdueMaxShare > 1:
+		return fmt.Errorf("OverdueBy, OverdueMax: %v, %v out of range", set.OverdueMultiple, set.OverdueMaxShare)
+	case set.RetryBudget && set.RetryBudgetWindow < 1:
+		return fmt.Errorf("setting ExtraWindow: %d is less than 1", set.RetryBudgetWindow)
 	case set.AskDiscovery && set.AskWithin < 1:
 		return fmt.Errorf("setting AskWithin: %d is less than 1", set.AskWithin)
 	}
 	for _, c := range set.Classes {
 		switch {
-		case c.Aim < 1 || c.Deadline < c.Aim:
+		case c.LatencyTarget < 1 || c.Deadline < c.LatencyTarget:
 			return fmt.Errorf("setting Classes: %s: Aim %d is not within 1 to Deadline (%d)",
-				c.Name, c.Aim, c.Deadline)
-		case c.Need <= 0 || c.Need > 1:
-			return fmt.Errorf("setting Classes: %s: Need %v is not within 0 to 1", c.Name, c.Need)
-		case c.Floor < 0 || c.Floor > c.Need:
+				c.Name, c.LatencyTarget, c.Deadline)
+		case c.RequiredShare <= 0 || c.RequiredShare > 1:
+			return fmt.Errorf("setting Classes: %s: Need %v is not within 0 to 1", c.Name, c.RequiredShare)
+		case c.MinShare < 0 || c.MinShare > c.RequiredShare:
 			return fmt.Errorf("setting Classes: %s: Floor %v is not within 0 to Need (%v)",
-				c.Name, c.Floor, c.Need)
+				c.Name, c.MinShare, c.RequiredShare)
 		}
 	}
 	return nil
@@ -346,7 +346,7 @@
 	case Classes:
 		r.retune(ev.List)
 	case Tier:
-		r.set.Routers, r.set.ExtraSpare = ev.Routers, ev.Spare
+		r.set.Routers, r.set.RetryBudgetMin = ev.Routers, ev.RetryBudgetMin
 	case ClientLeft:
 		if q := r.queries[ev.ID]; q != nil {
 			r.end(q)
@@ -451,7 +451,7 @@
 		r.ready++
 	}
 	if state == Gone && s.State != Gone {
-		r.after(r.set.Cold, func() { r.drop(s) })
+		r.after(r.set.SlowStart, func() { r.drop(s) })
 	}
 	if s.State = state; state != Draining {
 		s.leaveAt = 0
@@ -464,7 +464,7 @@
 		return
 	}
 	if s.out > 0 {
-		r.after(r.set.Cold, func() { r.drop(s) })
+		r.after(r.set.SlowStart, func() { r.drop(s) })
 		return
 	}
 	delete(r.servers, s.ID)
@@ -528,10 +528,10 @@
 func (r *Router) line(parts []*part, shuffle bool) []*part {
 	r.flat = append(r.flat[:0], parts...)
 	line := r.flat
-	if r.set.BundleMax <= 1 && shuffle {
+	if r.set.MaxPartsPerCall <= 1 && shuffle {
 		r.rng.Shuffle(len(line), func(i, j int) { line[i], line[j] = line[j], line[i] })
 	}
-	if r.set.BundleMax <= 1 || len(line) == 0 {
+	if r.set.MaxPartsPerCall <= 1 || len(line) == 0 {
 		return line
 	}
 	cells := r.set.Cells
@@ -580,7 +580,7 @@
 			continue
 		}
 		at := p.shard % r.set.Cells
-		if from < 0 || n >= r.set.BundleMax || (at-from+r.set.Cells)%r.set.Cells >= r.set.Width {
+		if from < 0 || n >= r.set.MaxPartsPerCall || (at-from+r.set.Cells)%r.set.Cells >= r.set.Width {
 			calls, from, n = calls+1, at, 0
 		}
 		n++
@@ -590,8 +590,8 @@
 
 // floorNow is the least weight that still makes an answer.
 func (q *query) floorNow() float64 {
-	if q.class.Floor < q.class.Need {
-		return q.class.Floor
+	if q.class.MinShare < q.class.RequiredShare {
+		return q.class.MinShare
 	}
 	return q.need
 }
@@ -681,8 +681,8 @@
 func (r *Router) took(b *ledger) {
 	if len(b.taken) == cap(b.taken) {
 		span := Micros(copyWindow)
-		if r.set.ExtraBudget {
-			span = r.set.ExtraWindow
+		if r.set.RetryBudget {
+			span = r.set.RetryBudgetWindow
 		}
 		live := since(b.taken, r.now-span+1)
 		if len(live) <= len(b.taken)/2 {
--- a/choice/suspicion.go
+++ b/choice/suspicion.go
@@ -31,7 +31,7 @@
 
 // turns is how many pauses lie between trials: where one would be late, all routers share a pause's trial.
 func (r *Router) turns(s *server, c *class) Micros {
-	if s.Slow*c.mid <= slowShare*float64(c.Aim) {
+	if s.Slow*c.mid <= slowShare*float64(c.LatencyTarget) {
 		return 1
 	}
 	return Micros(max(r.set.Routers, 1))
@@ -65,7 +65,7 @@
 			s.blames[s.cause.n], s.blame, s.cause = max(s.blames[s.cause.n], s.blame), 0, nil
 		}
 		s.bins++
-		if age > slowShare*float64(c.Aim) {
+		if age > slowShare*float64(c.LatencyTarget) {
 			if r.cutOff(s) != s.groups[0] { // else the way is long, not the server full
 				r.shrink(a)
 			}
@@ -96,7 +96,7 @@
 		r.mark(a, 1)
 		r.blame(a, failBlame)
 		s.cause = nil // no class's trouble: the way or the process
-	case ServerError, TurnedAway:
+	case ServerError, Rejected:
 		r.blame(a, failBlame)
 	}
 	r.roll()
--- a/choice/symptoms_test.go
+++ b/choice/symptoms_test.go
@@ -143,18 +143,18 @@
 // Where copies go far the settings have them wait longer.
 func TestSettingsTellWhenAPartIsOverdue(t *testing.T) {
 	for most, want := range map[float64]int{0: 1, 0.8: 0} {
-		g := listed(t, 1, func(s *Settings) { s.OverdueBy, s.OverdueMax = 2*overdueBy*most/0.8, most })
+		g := listed(t, 1, func(s *Settings) { s.OverdueMultiple, s.OverdueMaxShare = 2*overdueBy*most/0.8, most })
 		_, evs := g.ask("all", 0)
 		g.step(evs...)
 		if n := len(of[Send](g.later(450 * ms))); n != want {
 			t.Errorf("%v of the aim: %d copies after 450 ms", most, n)
 		}
 	}
-	for _, s := range []Settings{{OverdueBy: -1}, {OverdueMax: -1}, {OverdueMax: 1.1}} {
+	for _, s := range []Settings{{OverdueMultiple: -1}, {OverdueMaxShare: -1}, {OverdueMaxShare: 1.1}} {
 		set := testSettings()
-		set.OverdueBy, set.OverdueMax = s.OverdueBy, s.OverdueMax
+		set.OverdueMultiple, set.OverdueMaxShare = s.OverdueMultiple, s.OverdueMaxShare
 		if _, err := New(1, set); err == nil {
-			t.Errorf("%v, %v were taken", s.OverdueBy, s.OverdueMax)
+			t.Errorf("%v, %v were taken", s.OverdueMultiple, s.OverdueMaxShare)
 		}
 	}
 }
@@ -194,7 +194,7 @@
 }
 
 func TestPartsOfOneCallShareAServer(t *testing.T) {
-	g := listed(t, 3, func(s *Settings) { s.BundleMax = 4 })
+	g := listed(t, 3, func(s *Settings) { s.MaxPartsPerCall = 4 })
 	_, evs := g.ask("all", 0, 4) // both on cells 0 and 1
 	sends := of[Send](g.step(evs...))
 	if len(sends) != 2 || sends[0].Server != sends[1].Server {
@@ -243,7 +243,7 @@
 func TestEventsForWhatIsGoneAreIgnored(t *testing.T) {
 	g := listed(t, 1, nil)
 	acts := g.step(Outcome{ID: "none", Server: "none"}, ClientLeft{ID: "none"}, Elapsed{Token: 9},
-		ProbeResult{Server: "none"}, Started{ID: "none"}, Mail{}, Part{ID: "p", Number: 99, Shard: 0})
+		ProbeResult{Server: "none"}, Started{ID: "none"}, PeerMessage{}, Part{ID: "p", Number: 99, Shard: 0})
 	if len(acts) != 0 {
 		t.Fatalf("acted on what is gone: %v", acts)
 	}
@@ -260,10 +260,10 @@
 		"no cell":          func(s *Settings) { s.Cells = 0 },
 		"too wide":         func(s *Settings) { s.Width = 5 },
 		"no attempt":       func(s *Settings) { s.AttemptCap = 0 },
-		"no budget window": func(s *Settings) { s.ExtraBudget = true },
-		"aim after end":    func(s *Settings) { s.Classes[0].Aim = 3 * sec },
-		"need over all":    func(s *Settings) { s.Classes[0].Need = 1.5 },
-		"floor over need":  func(s *Settings) { s.Classes[1].Floor = 0.9 },
+		"no budget window": func(s *Settings) { s.RetryBudget = true },
+		"aim after end":    func(s *Settings) { s.Classes[0].LatencyTarget = 3 * sec },
+		"need over all":    func(s *Settings) { s.Classes[0].RequiredShare = 1.5 },
+		"floor over need":  func(s *Settings) { s.Classes[1].MinShare = 0.9 },
 		"ask at no time":   func(s *Settings) { s.AskDiscovery = true },
 	} {
 		set := testSettings()
@@ -449,7 +449,7 @@
 
 func TestScarceBudgetGoesToQueriesThatOneCopyCompletes(t *testing.T) {
 	g := listed(t, 2, func(s *Settings) {
-		s.ExtraBudget, s.ExtraSpare, s.ExtraRatio, s.ExtraWindow = true, 2, 0, 10*sec
+		s.RetryBudget, s.RetryBudgetMin, s.RetryBudgetRatio, s.RetryBudgetWindow = true, 2, 0, 10*sec
 	})
 	g.step()
 	used := g.now - 10*sec + 600*ms // both come back when all parts below are late
@@ -568,7 +568,7 @@
 		row.State = Gone
 		g.step(List{Form: Delta, Servers: []Server{row}})
 	}
-	g.later(g.r.set.Cold + sec)
+	g.later(g.r.set.SlowStart + sec)
 	if n := len(g.r.servers); n != 4 || len(g.r.cells[0]) != 1 || g.r.ready != 4 {
 		t.Fatalf("%d servers held, %d in the cell, %d ready; want 4, 1, 4", n, len(g.r.cells[0]), g.r.ready)
 	}
@@ -777,7 +777,7 @@
 // attempt times out while another can be in time, unless the class may not be repeated.
 func TestSoleAttemptTimesOutWhileAnotherCanBeInTime(t *testing.T) {
 	for class, short := range map[string]bool{"all": true, "unsafe": false} {
-		g := listed(t, 2, func(s *Settings) { s.ParallelTries = false })
+		g := listed(t, 2, func(s *Settings) { s.ParallelAttempts = false })
 		g.warm(20, 100*ms, 0, 1, 2, 3)
 		g.r.classes["unsafe"].high = g.r.classes["all"].high
 		_, evs := g.ask(class, 0)
@@ -796,7 +796,7 @@
 // for the second step: at its aim the part would be worth nothing.
 func TestPartOfAnAnswerLeavesTimeForTheSecondStep(t *testing.T) {
 	g := listed(t, 2, func(s *Settings) {
-		s.Classes[2].LateWorth, s.Classes[2].Fetch, s.ParallelTries = 0, 2, false
+		s.Classes[2].LateValue, s.Classes[2].FetchParts, s.ParallelAttempts = 0, 2, false
 	})
 	id, evs := g.ask("partial", 0, 1, 2)
 	start := g.now
--- a/internal/app/traits.go
+++ b/internal/app/traits.go
@@ -36,10 +36,10 @@
 	}
 	put("rules.drain-grace", us(r.DrainGrace), "nothing is begun on a server %s after its drain was told",
 		max(time.Duration(r.DrainGrace)*time.Microsecond-500*time.Millisecond, 0))
-	if r.BundleMax > 1 {
-		put("family-info.bundle-max", fmt.Sprint(r.BundleMax), "parts that one server holds go to it in one call where that makes calls fewer; a call costs %s", us(r.PerCallWork))
+	if r.MaxPartsPerCall > 1 {
+		put("family-info.bundle-max", fmt.Sprint(r.MaxPartsPerCall), "parts that one server holds go to it in one call where that makes calls fewer; a call costs %s", us(r.PerCallWork))
 	} else {
-		put("family-info.bundle-max", fmt.Sprint(r.BundleMax), "each part goes out by itself, to a replica of its own")
+		put("family-info.bundle-max", fmt.Sprint(r.MaxPartsPerCall), "each part goes out by itself, to a replica of its own")
 	}
 	put("family-info.width", fmt.Sprintf("%d of %d cells, %d shards", r.Width, r.Cells, r.Shards), "a shard has the servers of %d cells in a row to draw from", r.Width)
 	for _, t := range r.Tenants {
@@ -50,28 +50,28 @@
 		put("tenants", "none", "all queries are alike; X-Customer is not looked at")
 	}
 	second := "one attempt of a part is out at a time; an overdue one is given up early enough for another"
-	if r.ParallelTries {
+	if r.ParallelAttempts {
 		second = "an overdue part gets a second copy beside the first, within a budget"
 	}
-	put("limits.parallel-tries", fmt.Sprint(r.ParallelTries), "%s", second)
+	put("limits.parallel-tries", fmt.Sprint(r.ParallelAttempts), "%s", second)
 	put("limits.send-cap", fmt.Sprint(r.AttemptCap), "so many attempts a part")
-	if r.ExtraBudget {
-		put("rules.extra-window", us(r.ExtraWindow), "further attempts: %g and %g for each query and part taken in that span", r.ExtraSpare, r.ExtraRatio)
+	if r.RetryBudget {
+		put("rules.extra-window", us(r.RetryBudgetWindow), "further attempts: %g and %g for each query and part taken in that span", r.RetryBudgetMin, r.RetryBudgetRatio)
 	}
 	for _, k := range r.Classes {
 		so := "all parts are needed"
-		if k.Need < 1 {
-			so = fmt.Sprintf("whole with %g of its weight; one part more is asked for, the rest stand by", k.Need)
+		if k.RequiredShare < 1 {
+			so = fmt.Sprintf("whole with %g of its weight; one part more is asked for, the rest stand by", k.RequiredShare)
 		}
 		switch k.Effect {
 		case choice.Unsafe:
 			so += "; a part that may have run is never sent again"
 		case choice.Keyed:
-			so += fmt.Sprintf("; a part that may have run is sent again within %s alone", us(k.MemorySpan))
+			so += fmt.Sprintf("; a part that may have run is sent again within %s alone", us(k.DedupWindow))
 		}
-		put("class "+k.Name, fmt.Sprintf("aim %s", us(k.Aim)), "%s", so)
+		put("class "+k.Name, fmt.Sprintf("aim %s", us(k.LatencyTarget)), "%s", so)
 	}
-	put("rules.cold", fmt.Sprintf("%s from %g", us(r.Cold), r.StartCapacity), "a server that has started gets a budget until then, and %s of it at once", parts(min(r.Width, max(r.BundleMax, 1))))
+	put("rules.cold", fmt.Sprintf("%s from %g", us(r.SlowStart), r.StartCapacity), "a server that has started gets a budget until then, and %s of it at once", parts(min(r.Width, max(r.MaxPartsPerCall, 1))))
 	return out
 }
 
--- a/internal/back/fuzz_test.go
+++ b/internal/back/fuzz_test.go
@@ -21,7 +21,7 @@
 // nothing may panic, and no entry may come out that the router can't hold.
 func FuzzPeers(f *testing.F) {
 	set := settings.Settings{Router: choice.Settings{Cells: 2, Width: 1, AttemptCap: 1,
-		Classes: []choice.Class{{Name: "c", Aim: 1, Deadline: 1, Need: 1}}}}
+		Classes: []choice.Class{{Name: "c", LatencyTarget: 1, Deadline: 1, RequiredShare: 1}}}}
 	f.Fuzz(func(t *testing.T, raw string) {
 		x, err := exchange.New(1, set)
 		require.NoError(t, err)
--- a/internal/back/leaf.go
+++ b/internal/back/leaf.go
@@ -487,7 +487,7 @@
 // together has what is placed until the end keep together, server by server, where
 // calls carry several parts.
 func (b *Back) together() (end func()) {
-	if b.sending != nil || b.Settings.Router.BundleMax <= 1 {
+	if b.sending != nil || b.Settings.Router.MaxPartsPerCall <= 1 {
 		return func() {}
 	}
 	b.sending = make(map[*server]*conn)
@@ -524,7 +524,7 @@
 // would all wait in vain, and their server would look dead for ever. It takes no
 // new calls, and ends with those that are still out.
 func (c *conn) unanswered(k *call, v choice.Verdict) {
-	if k.state == out && c.heardAt.Before(k.sentAt) && (v == choice.NoAnswer || v == choice.CalledOff) {
+	if k.state == out && c.heardAt.Before(k.sentAt) && (v == choice.NoAnswer || v == choice.Cancelled) {
 		c.unheard++
 		lasting := c.unheard >= mostUnheard && time.Since(c.heardAt) > c.b.dial.Timeout
 		// Called off because its query ended is as good as timed out, if it was late.
@@ -688,7 +688,7 @@
 			c.b.finish(k, choice.NotSent, nil, "")
 		default:
 			if letter = i.letter; letter == 'Q' {
-				room = max(c.b.Settings.Router.BundleMax, 1)
+				room = max(c.b.Settings.Router.MaxPartsPerCall, 1)
 			}
 			if letter != 'X' {
 				k.state = writing
@@ -765,7 +765,7 @@
 	}
 }
 
-var ends = map[string]choice.Verdict{"ok": choice.Served, "err": choice.ServerError, "busy": choice.TurnedAway}
+var ends = map[string]choice.Verdict{"ok": choice.Served, "err": choice.ServerError, "busy": choice.Rejected}
 
 func (c *conn) answer(rest []byte) error {
 	a, err := frame.ParseAnswer(rest)
@@ -789,7 +789,7 @@
 		c.b.Exchange.Counters.Late.Add(1)
 		return nil
 	}
-	if v != choice.TurnedAway { // that may be asked again here
+	if v != choice.Rejected { // that may be asked again here
 		c.stale[a.ID] = time.Now().Add(copyFor)
 	}
 	c.b.finish(k, v, report(a.Report), string(a.Value))
--- a/internal/back/race_test.go
+++ b/internal/back/race_test.go
@@ -122,7 +122,7 @@
 
 func mixer(t *testing.T, addrs []string, stagger time.Duration) (*Back, *exchange.Exchange) {
 	set := settings.Settings{Router: choice.Settings{Cells: 1, Width: 1, Shards: 1, Routers: 1, AttemptCap: 1, Resolution: 1000, DrainGrace: 2_000_000, AskWithin: 10_000_000,
-		Classes: []choice.Class{{Name: "book", Aim: 10_000_000, Deadline: 20_000_000, Need: 1, Floor: 1, Value: 1, Effect: choice.Unsafe}}}, DialTimeout: 300_000}
+		Classes: []choice.Class{{Name: "book", LatencyTarget: 10_000_000, Deadline: 20_000_000, RequiredShare: 1, MinShare: 1, Value: 1, Effect: choice.Unsafe}}}, DialTimeout: 300_000}
 	x, err := exchange.New(1, set)
 	require.NoError(t, err)
 	b := New(Config{Exchange: x, Settings: set, List: noList{}, Stagger: stagger, MaxConns: 64})
--- a/internal/back/reach/answer.go
+++ b/internal/back/reach/answer.go
@@ -30,7 +30,7 @@
 		return choice.ServerError, ""
 	}
 	if p.Header.Get(headNot) != "" || p.Status == 421 {
-		return choice.TurnedAway, ""
+		return choice.Rejected, ""
 	}
 	stamp := p.Header.Get(headStamp)
 	if p.Status >= 200 && p.Status < 300 {
--- a/internal/back/reach/reach.go
+++ b/internal/back/reach/reach.go
@@ -189,7 +189,7 @@
 	if k == nil {
 		return
 	}
-	if v == choice.CalledOff && k.c != nil {
+	if v == choice.Cancelled && k.c != nil {
 		k.off = true
 		if a.Abandoned() && !a.Once() {
 			time.AfterFunc(abandonTime, func() { b.abandon(k) })
@@ -208,7 +208,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if !k.done && k.c.call == k {
-		k.c.end(choice.CalledOff)
+		k.c.end(choice.Cancelled)
 	}
 }
 
@@ -354,7 +354,7 @@
 		for _, c := range slices.Clone(s.conns) {
 			switch {
 			case c.busy && (c.call == nil || c.call.off) && now.Sub(c.sentAt) > staleTime:
-				c.end(choice.CalledOff)
+				c.end(choice.Cancelled)
 			case !c.busy && (now.Sub(c.restAt) > idleTime || !c.until.IsZero() && now.After(c.until)):
 				c.end(choice.ConnectionLost)
 			}
--- a/internal/core/hookrule/hookrule.go
+++ b/internal/core/hookrule/hookrule.go
@@ -81,7 +81,7 @@
 			return nil, no("class %q: there is none of that name", a.Class)
 		case to.Effect < class.Effect:
 			return nil, no("class %s: its parts may be repeated where those of %s may not", a.Class, v.Class)
-		case to.Need < class.Need || to.Floor < class.Floor:
+		case to.RequiredShare < class.RequiredShare || to.MinShare < class.MinShare:
 			return nil, no("class %s: is whole, or served, with less than %s", a.Class, v.Class)
 		}
 		class = to
@@ -135,8 +135,8 @@
 			left += p.Weight
 		}
 	}
-	if left <= 0 || left < class.Floor*total-Slack {
-		return no("drop: %.3f of the answer would be left, and %s needs %.3f", left/total, class.Name, class.Floor)
+	if left <= 0 || left < class.MinShare*total-Slack {
+		return no("drop: %.3f of the answer would be left, and %s needs %.3f", left/total, class.Name, class.MinShare)
 	}
 	return nil
 }
@@ -188,5 +188,7 @@
 
 // Whole tells whether an answer with this share of the whole query may keep a
 // whole mark, and Enough whether it may be given at all.
-func Whole(class choice.Class, share float64) bool  { return share >= class.Need-Slack }
-func Enough(class choice.Class, share float64) bool { return share > 0 && share >= class.Floor-Slack }
+func Whole(class choice.Class, share float64) bool { return share >= class.RequiredShare-Slack }
+func Enough(class choice.Class, share float64) bool {
+	return share > 0 && share >= class.MinShare-Slack
+}
--- a/internal/core/hookrule/hookrule_test.go
+++ b/internal/core/hookrule/hookrule_test.go
@@ -10,10 +10,10 @@
 )
 
 var rules = New([]choice.Class{
-	{Name: "free-slots", Effect: choice.Safe, Need: 0.5, Floor: 0.5},
-	{Name: "any-slot", Effect: choice.Safe, Need: 0.2, Floor: 0.1},
-	{Name: "trip-report", Effect: choice.Safe, Need: 1, Floor: 1},
-	{Name: "book-trip", Effect: choice.Unsafe, Need: 1, Floor: 1},
+	{Name: "free-slots", Effect: choice.Safe, RequiredShare: 0.5, MinShare: 0.5},
+	{Name: "any-slot", Effect: choice.Safe, RequiredShare: 0.2, MinShare: 0.1},
+	{Name: "trip-report", Effect: choice.Safe, RequiredShare: 1, MinShare: 1},
+	{Name: "book-trip", Effect: choice.Unsafe, RequiredShare: 1, MinShare: 1},
 })
 
 func view(point hookabi.Point, class string) *hookabi.View {
@@ -85,7 +85,7 @@
 	require.True(t, Harmless(choice.Unsafe, false))
 	require.False(t, Harmless(choice.Unsafe, true))
 	require.False(t, Harmless(choice.Keyed, true))
-	c := choice.Class{Need: 0.5, Floor: 0.2}
+	c := choice.Class{RequiredShare: 0.5, MinShare: 0.2}
 	require.True(t, Whole(c, 0.5))
 	require.False(t, Whole(c, 0.49))
 	require.True(t, Enough(c, 0.2))
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -300,8 +300,8 @@
 // own, and from there on it is monotonic.
 func NewOn(drive Drive, router Decider, seed uint64, set settings.Settings) (*Exchange, error) {
 	for _, c := range set.Router.Classes {
-		if c.Fetch > 0 {
-			return nil, fmt.Errorf("setting Classes: %s: Fetch %d: the protocol has no second step", c.Name, c.Fetch)
+		if c.FetchParts > 0 {
+			return nil, fmt.Errorf("setting Classes: %s: Fetch %d: the protocol has no second step", c.Name, c.FetchParts)
 		}
 	}
 	start := drive.Now()
@@ -553,7 +553,7 @@
 		gone = h.watched.gone
 	}
 	if gone > 0 {
-		if need := x.class(h.class).Need; 1-gone < need {
+		if need := x.class(h.class).RequiredShare; 1-gone < need {
 			scale = need / (1 - gone)
 		}
 	}
@@ -587,7 +587,7 @@
 	if h.ended {
 		return
 	}
-	if class := x.class(h.class); h.placed != nil && h.watched == nil && class.Floor < class.Need && hookrule.Enough(class, h.share()) {
+	if class := x.class(h.class); h.placed != nil && h.watched == nil && class.MinShare < class.RequiredShare && hookrule.Enough(class, h.share()) {
 		x.answer(h, false) // what was parked did not come in time
 		return
 	}
@@ -602,7 +602,7 @@
 func (x *Exchange) advice(class string) time.Duration {
 	for _, c := range x.set.Router.Classes {
 		if c.Name == class {
-			return time.Duration(min(c.Aim/4, x.set.Router.MaxRetryAfter)) * time.Microsecond
+			return time.Duration(min(c.LatencyTarget/4, x.set.Router.MaxRetryAfter)) * time.Microsecond
 		}
 	}
 	return 0
@@ -614,7 +614,7 @@
 		x.send(now, a)
 	case choice.Cancel:
 		if p := x.parts[a.ID]; p != nil && a.Attempt < len(p.attempts) {
-			x.giveUp(p.attempts[a.Attempt], choice.CalledOff)
+			x.giveUp(p.attempts[a.Attempt], choice.Cancelled)
 		}
 	case choice.Answer:
 		if h := x.queries[a.ID]; h != nil && h.placed != nil {
@@ -654,7 +654,7 @@
 		x.leaves.Fetch()
 	case choice.Log:
 		log.Info("decision", "text", a.Text)
-	case choice.Tell:
+	case choice.SendToPeer:
 		log.Warn("untold", "err", "this platform has no way between mixers")
 	}
 }
@@ -681,7 +681,7 @@
 	// Never out: the query has ended, its time has run out, an attempt is still
 	// out, or the part has had all its attempts.
 	if p.q.ended || p.dropped || p.away || left <= 0 || p.prior+len(p.attempts) > x.set.Router.AttemptCap ||
-		p.out > 1 && !x.set.Router.ParallelTries {
+		p.out > 1 && !x.set.Router.ParallelAttempts {
 		x.Counters.Unsent.Add(1)
 		x.Ended(a, choice.NotSent, nil, "")
 		return
@@ -730,7 +730,7 @@
 	}
 	a.ended = true
 	x.drop(a.alarm)
-	a.neverRan = v == choice.TurnedAway || v == choice.NoConnection || v == choice.NotSent
+	a.neverRan = v == choice.Rejected || v == choice.NoConnection || v == choice.NotSent
 	p := a.part
 	p.out--
 	x.Counters.Outcomes[v].Add(1)
--- a/internal/exchange/hooks.go
+++ b/internal/exchange/hooks.go
@@ -340,5 +340,5 @@
 			return c
 		}
 	}
-	return choice.Class{Need: 1, Floor: 1, Effect: choice.Unsafe}
+	return choice.Class{RequiredShare: 1, MinShare: 1, Effect: choice.Unsafe}
 }
--- a/internal/exchange/ledger_test.go
+++ b/internal/exchange/ledger_test.go
@@ -49,7 +49,7 @@
 		case !s.up:
 			w.x.Ended(a, choice.NoConnection, nil, "")
 		case w.rng.IntN(60) == 0:
-			w.x.Ended(a, choice.TurnedAway, nil, "")
+			w.x.Ended(a, choice.Rejected, nil, "")
 		default:
 			// It is on its way, given up or not; a server that is up when it arrives runs it.
 			w.at(time.Duration(w.rng.IntN(3000))*time.Microsecond, func() {
@@ -115,9 +115,9 @@
 	const bookings, every = 100_000, 45
 	w := &ledgerWorld{stepped: stepped{time.Now()}, rng: rand.New(rand.NewPCG(1, 36)), servers: make(map[string]*ledgerServer),
 		runs: make(map[string]int), out: make(map[*Attempt]*timer), begun: make(map[*Attempt]bool)}
-	set := settings.Settings{Router: choice.Settings{Cells: 1, Width: 1, Shards: 1, Routers: 1, AttemptCap: 4, Resolution: 1000, BundleMax: 1, AskWithin: 10_000_000,
-		Cancel: true, ParallelTries: true, MaxRetryAfter: 1_000_000,
-		Classes: []choice.Class{{Name: "booking", Aim: 800_000, Deadline: 4_000_000, Need: 1, Floor: 1, Value: 1, Effect: choice.Unsafe, LateWorth: 0.4}}}}
+	set := settings.Settings{Router: choice.Settings{Cells: 1, Width: 1, Shards: 1, Routers: 1, AttemptCap: 4, Resolution: 1000, MaxPartsPerCall: 1, AskWithin: 10_000_000,
+		Cancel: true, ParallelAttempts: true, MaxRetryAfter: 1_000_000,
+		Classes: []choice.Class{{Name: "booking", LatencyTarget: 800_000, Deadline: 4_000_000, RequiredShare: 1, MinShare: 1, Value: 1, Effect: choice.Unsafe, LateValue: 0.4}}}}
 	router, err := choice.New(1, set.Router)
 	require.NoError(t, err)
 	w.x, err = NewOn(w, router, 1, set)
--- a/internal/exchange/levels.go
+++ b/internal/exchange/levels.go
@@ -178,7 +178,7 @@
 	for _, s := range l.servers {
 		usable++
 		cells[s.Cell] = true
-		if s.UpSince > 0 && at-s.UpSince < x.set.Router.Cold {
+		if s.UpSince > 0 && at-s.UpSince < x.set.Router.SlowStart {
 			cold++
 		}
 	}
@@ -236,10 +236,10 @@
 		return false
 	}
 	class := x.class(h.class)
-	if g.share >= 1 || class.Effect != choice.Safe || class.Floor >= class.Need || h.placed != nil || h.watched != nil {
+	if g.share >= 1 || class.Effect != choice.Safe || class.MinShare >= class.RequiredShare || h.placed != nil || h.watched != nil {
 		return true
 	}
-	if target := max(g.share, class.Floor); target < class.Need {
+	if target := max(g.share, class.MinShare); target < class.RequiredShare {
 		// The decisions are to want so much. All parts stay theirs to send, so one that is
 		// overdue still has others to stand in for it.
 		e.need = target
@@ -261,7 +261,7 @@
 			continue
 		}
 		n := 2
-		if s.UpSince > 0 && at-s.UpSince < x.set.Router.Cold {
+		if s.UpSince > 0 && at-s.UpSince < x.set.Router.SlowStart {
 			n = 1
 		}
 		cells[s.Cell] = max(cells[s.Cell], n)
@@ -288,7 +288,7 @@
 // weigh notes how a query has ended.
 func (l *levels) weigh(x *Exchange, h *held, f Final) {
 	class := x.class(h.class)
-	late := x.drive.Now().Sub(h.TakenAt).Microseconds() > class.Aim
+	late := x.drive.Now().Sub(h.TakenAt).Microseconds() > class.LatencyTarget
 	l.asked++
 	l.value += class.Value
 	lost, earned := 0.0, class.Value
@@ -304,11 +304,11 @@
 		lost, earned = class.Value, 0
 		l.failed += class.Value
 	case late:
-		lost = class.Value * (1 - class.LateWorth)
+		lost = class.Value * (1 - class.LateValue)
 		earned -= lost
 		l.failed += lost
-	case !f.Whole && class.Need > 0:
-		earned *= min(h.share()/class.Need, 1) * class.Partial
+	case !f.Whole && class.RequiredShare > 0:
+		earned *= min(h.share()/class.RequiredShare, 1) * class.PartialValue
 		lost = class.Value - earned
 	}
 	if h.eased != nil {
--- a/internal/exchange/segments.go
+++ b/internal/exchange/segments.go
@@ -133,7 +133,7 @@
 
 // moved tells whether a server said that it does not hold a part, and its epoch.
 func moved(p *part, v choice.Verdict, load []choice.Reading) (epoch int64, ok bool) {
-	if p.target == nil || v != choice.TurnedAway {
+	if p.target == nil || v != choice.Rejected {
 		return 0, false
 	}
 	for _, r := range load {
@@ -213,7 +213,7 @@
 		x.parts[n.id] = n
 		// A leg wants all of its parts: its weights add up to what the class needs.
 		x.events = append(x.events, choice.Part{ID: n.id, Class: h.class, Number: ev.Number, Key: n.Key,
-			Shard: n.place(), Weight: class.Need * n.Weight / weight})
+			Shard: n.place(), Weight: class.RequiredShare * n.Weight / weight})
 	}
 	x.post(func() {}) // the caller may be in the middle of a turn
 }
@@ -305,7 +305,7 @@
 	case hookrule.Whole(class, share):
 		x.answer(h, true)
 	case len(h.placed.legs) > 0 || h.placed.wait > 0:
-	case class.Floor < class.Need && hookrule.Enough(class, share):
+	case class.MinShare < class.RequiredShare && hookrule.Enough(class, share):
 		x.answer(h, false)
 	case hookrule.Harmless(class.Effect, mayHaveRun(h)):
 		x.end(h, Final{Ending: Refused, RetryAfter: max(h.placed.told, x.advice(h.class))})
--- a/internal/exchange/segments_test.go
+++ b/internal/exchange/segments_test.go
@@ -41,8 +41,8 @@
 // parts that replace them have one name on the wire, and must not be out together.
 func TestMergedAfterTurnedAway(t *testing.T) {
 	d := &stepped{now: time.Now()}
-	set := settings.Settings{Router: choice.Settings{Cells: 2, Width: 1, Shards: 2, Routers: 1, AttemptCap: 4, Resolution: 1000, BundleMax: 1, AskWithin: 10_000_000,
-		Classes: []choice.Class{{Name: "report", Aim: 5_000_000, Deadline: 20_000_000, Need: 1, Floor: 1, Value: 1}}}}
+	set := settings.Settings{Router: choice.Settings{Cells: 2, Width: 1, Shards: 2, Routers: 1, AttemptCap: 4, Resolution: 1000, MaxPartsPerCall: 1, AskWithin: 10_000_000,
+		Classes: []choice.Class{{Name: "report", LatencyTarget: 5_000_000, Deadline: 20_000_000, RequiredShare: 1, MinShare: 1, Value: 1}}}}
 	router, err := choice.New(1, set.Router)
 	require.NoError(t, err)
 	x, err := NewOn(d, router, 1, set)
@@ -71,7 +71,7 @@
 	first := out.take()
 	require.Len(t, first, 2)
 	for _, a := range first {
-		x.Ended(a, choice.TurnedAway, []choice.Reading{{Name: movedReading, Value: 2}}, "")
+		x.Ended(a, choice.Rejected, []choice.Reading{{Name: movedReading, Value: 2}}, "")
 	}
 	turn()
 	x.Placed(merged)
--- a/internal/front/gate/cases_test.go
+++ b/internal/front/gate/cases_test.go
@@ -249,7 +249,7 @@
 		So(body, ShouldNotContainSubstring, "z")
 	})
 	Convey("Over a new cut every answer is of one version, and what is out finishes", t, func() {
-		p := newProxy(t, func(s *choice.Settings) { s.ExtraSpare = 0 })
+		p := newProxy(t, func(s *choice.Settings) { s.RetryBudgetMin = 0 })
 		p.charter(four)
 		hold, reached := make(chan struct{}), make(chan struct{}, 99)
 		for _, name := range []string{"a", "b", "c", "d"} {
@@ -334,8 +334,8 @@
 		seen := 0
 		bad := func(int, standin.Seen) standin.Reply { return standin.Reply{Status: 500} }
 		var servers []*standin.Server
-		first := newProxy(t, func(s *choice.Settings) { s.ExtraRatio, s.ExtraSpare, s.Routers = ratio, slack/2, 2 })
-		second := newProxy(t, func(s *choice.Settings) { s.ExtraRatio, s.ExtraSpare, s.Routers = ratio, slack/2, 2 })
+		first := newProxy(t, func(s *choice.Settings) { s.RetryBudgetRatio, s.RetryBudgetMin, s.Routers = ratio, slack/2, 2 })
+		second := newProxy(t, func(s *choice.Settings) { s.RetryBudgetRatio, s.RetryBudgetMin, s.Routers = ratio, slack/2, 2 })
 		first.charter(four)
 		second.charter(four)
 		for i := range 4 {
@@ -423,7 +423,7 @@
 		})
 		Convey("the silent one's part ends as called off", func() {
 			defer close(hold)
-			So((<-heard).Verdict, ShouldEqual, choice.CalledOff)
+			So((<-heard).Verdict, ShouldEqual, choice.Cancelled)
 		})
 	})
 }
--- a/internal/front/gate/gate_test.go
+++ b/internal/front/gate/gate_test.go
@@ -37,9 +37,9 @@
 
 func newProxy(t testing.TB, change func(*choice.Settings)) *proxy {
 	set := settings.Settings{MostHeld: 10_000, Router: choice.Settings{ClassesLater: true, Cells: gate.MostShards, Width: 1,
-		BundleMax: 1, Resolution: 1000, Cancel: true, ParallelTries: true, MaxRetryAfter: 1_000_000, AttemptCap: 8,
-		Keepalive: 30_000_000, Routers: 1, ExtraBudget: true, ExtraByShard: true, ExtraRatio: 0.2, ExtraSpare: 20,
-		ExtraWindow: 10_000_000}}
+		MaxPartsPerCall: 1, Resolution: 1000, Cancel: true, ParallelAttempts: true, MaxRetryAfter: 1_000_000, AttemptCap: 8,
+		Keepalive: 30_000_000, Routers: 1, RetryBudget: true, RetryBudgetPerShard: true, RetryBudgetRatio: 0.2, RetryBudgetMin: 20,
+		RetryBudgetWindow: 10_000_000}}
 	if change != nil {
 		change(&set.Router)
 	}
--- a/internal/front/gate/hardening_test.go
+++ b/internal/front/gate/hardening_test.go
@@ -49,7 +49,7 @@
 			So(body, ShouldEqual, "ok")
 		}
 		for range 1 + 3 { // a write behind the one that hangs would fail with it
-			So(<-heard, ShouldBeIn, choice.TurnedAway, choice.Served)
+			So(<-heard, ShouldBeIn, choice.Rejected, choice.Served)
 		}
 		long := s.Seen()[0]
 		So(long.Attempt, ShouldEqual, "long")
@@ -102,7 +102,7 @@
 		<-reached
 		began := time.Now()
 		c.Close()
-		So(<-ended, ShouldEqual, choice.CalledOff)
+		So(<-ended, ShouldEqual, choice.Cancelled)
 		So(time.Since(began), ShouldBeLessThan, 1500*time.Millisecond) // one that is late ends after 2 s
 		So(s.Seen(), ShouldHaveLength, 1)
 	})
--- a/internal/front/gate/plan.go
+++ b/internal/front/gate/plan.go
@@ -129,13 +129,13 @@
 	name := fmt.Sprintf("%t|%d|%d|%g|%d|%s", r.Idempotent, aim, r.MaxAttempts, r.MinSuccessRatio, r.Priority, strings.Join(sorted, ","))
 	c, known := classes[name]
 	if !known {
-		c = choice.Class{Name: name, Aim: aim - min(max(choice.Micros(aimMargin*float64(aim)), leastMargin), aim/2), Effect: choice.Unsafe, LateWorth: lateWorth, Need: 1, Floor: 1, Partial: 1,
+		c = choice.Class{Name: name, LatencyTarget: aim - min(max(choice.Micros(aimMargin*float64(aim)), leastMargin), aim/2), Effect: choice.Unsafe, LateValue: lateWorth, RequiredShare: 1, MinShare: 1, PartialValue: 1,
 			Value: valueOfRank / float64(valueOfRank+max(r.Priority, 0)), Attempts: min(r.MaxAttempts, startCap)}
 		if r.Idempotent {
 			c.Effect = choice.Safe
 		}
 		if len(r.FanoutServices) > 0 {
-			c.Floor, c.Power = r.MinSuccessRatio, 2 // the worth goes by the square of the share that is in
+			c.MinShare, c.PartialExponent = r.MinSuccessRatio, 2 // the worth goes by the square of the share that is in
 		}
 	}
 	c.Deadline = max(c.Deadline, r.Timeout.Microseconds(), aim)
--- a/internal/hook/host_test.go
+++ b/internal/hook/host_test.go
@@ -24,8 +24,8 @@
 	"saddleport/sdk/hookabi"
 )
 
-var classes = []choice.Class{{Name: "free-slots", Need: 0.5, Floor: 0.5}, {Name: "trip-report", Need: 1, Floor: 1},
-	{Name: "book-trip", Effect: choice.Unsafe, Need: 1, Floor: 1}}
+var classes = []choice.Class{{Name: "free-slots", RequiredShare: 0.5, MinShare: 0.5}, {Name: "trip-report", RequiredShare: 1, MinShare: 1},
+	{Name: "book-trip", Effect: choice.Unsafe, RequiredShare: 1, MinShare: 1}}
 
 // engine's programs do as their file's first word says.
 type engine struct {
--- a/internal/hook/trial.go
+++ b/internal/hook/trial.go
@@ -29,7 +29,7 @@
 func (l *Loader) Trial(s *Set, q *hookabi.View) ([]Step, string) {
 	classes := l.Classes
 	if len(classes) == 0 {
-		classes = []choice.Class{{Name: q.Class, Effect: choice.Safe, Need: 1}}
+		classes = []choice.Class{{Name: q.Class, Effect: choice.Safe, RequiredShare: 1}}
 	}
 	rules := hookrule.New(classes)
 	var steps []Step
--- a/internal/lab/answers/answers.go
+++ b/internal/lab/answers/answers.go
@@ -84,9 +84,9 @@
 // startProxy starts the data plane of a proxy, and the servers that it knows.
 func startProxy(ctx context.Context, p Plan, l *ledger) (addr string, err error) {
 	set := settings.Settings{MostHeld: 10_000, Router: choice.Settings{ClassesLater: true, Cells: gate.MostShards, Width: 1,
-		BundleMax: 1, Resolution: resolution, Cancel: true, ParallelTries: true, RetryAdvice: true, MaxRetryAfter: 1_000_000,
-		AttemptCap: 8, Keepalive: 30_000_000, Routers: 1, ExtraBudget: true, ExtraByShard: true, ExtraRatio: 1, ExtraSpare: 1000,
-		ExtraWindow: 10_000_000}}
+		MaxPartsPerCall: 1, Resolution: resolution, Cancel: true, ParallelAttempts: true, RetryAdvice: true, MaxRetryAfter: 1_000_000,
+		AttemptCap: 8, Keepalive: 30_000_000, Routers: 1, RetryBudget: true, RetryBudgetPerShard: true, RetryBudgetRatio: 1, RetryBudgetMin: 1000,
+		RetryBudgetWindow: 10_000_000}}
 	x, err := exchange.New(p.Seed, set)
 	if err != nil {
 		return "", err
--- a/internal/lab/oracle/oracle.go
+++ b/internal/lab/oracle/oracle.go
@@ -155,14 +155,14 @@
 	p.queries[q.id], p.numbers[ev.Number] = q, q
 	p.after(q.endAt-p.now, func() { p.expire(q) })
 	// An answer in part is given when the aim would pass otherwise.
-	if aim := p.now + min(c.Aim, ev.Grace) - 2*p.set.Resolution; aim < q.endAt {
+	if aim := p.now + min(c.LatencyTarget, ev.Grace) - 2*p.set.Resolution; aim < q.endAt {
 		p.after(aim-p.now, func() { p.inPart(q) })
 	}
 	return q
 }
 
 func (p *policy) inPart(q *query) {
-	if c := q.class; !q.ended && c.Floor < c.Need && q.got >= c.Floor && q.got > 0 {
+	if c := q.class; !q.ended && c.MinShare < c.RequiredShare && q.got >= c.MinShare && q.got > 0 {
 		p.do(choice.Answer{ID: q.id})
 		p.end(q)
 	}
@@ -183,7 +183,7 @@
 	if q.class.Effect != choice.Safe && ran {
 		p.do(choice.Fail{ID: q.id})
 	} else {
-		p.do(choice.Refuse{ID: q.id, RetryAfter: min(q.class.Aim/4, p.set.MaxRetryAfter)})
+		p.do(choice.Refuse{ID: q.id, RetryAfter: min(q.class.LatencyTarget/4, p.set.MaxRetryAfter)})
 	}
 	p.end(q)
 }
@@ -239,11 +239,11 @@
 func (p *policy) tooLate(q *query) bool {
 	inTime := 0.0
 	for _, x := range q.parts {
-		if s, wait := p.first(x); s != "" && wait < 0.7*float64(q.class.Aim)/1e6 {
+		if s, wait := p.first(x); s != "" && wait < 0.7*float64(q.class.LatencyTarget)/1e6 {
 			inTime += x.weight
 		}
 	}
-	return inTime < min(q.class.Need, max(q.class.Floor, 1e-6))-1e-6
+	return inTime < min(q.class.RequiredShare, max(q.class.MinShare, 1e-6))-1e-6
 }
 
 // best is the server where a part would be done first: by the true state, or any.
@@ -305,7 +305,7 @@
 			x.served = true
 			q.got += x.weight
 		}
-	case choice.TurnedAway, choice.NoConnection, choice.NotSent:
+	case choice.Rejected, choice.NoConnection, choice.NotSent:
 	default:
 		x.ran = true
 	}
@@ -313,7 +313,7 @@
 		delete(p.parts, x.id)
 		return
 	}
-	if q.got >= q.class.Need-1e-6 {
+	if q.got >= q.class.RequiredShare-1e-6 {
 		p.do(choice.Answer{ID: q.id, Whole: true})
 		p.end(q)
 		return
@@ -324,9 +324,9 @@
 			possible += y.weight
 		}
 	}
-	least := q.class.Need
-	if q.class.Floor < least {
-		least = q.class.Floor
+	least := q.class.RequiredShare
+	if q.class.MinShare < least {
+		least = q.class.MinShare
 	}
 	if possible < least-1e-6 {
 		p.giveUp(q)
--- a/internal/lab/virtual/link.go
+++ b/internal/lab/virtual/link.go
@@ -314,7 +314,7 @@
 	case model.Err:
 		m.x.Ended(f.a, choice.ServerError, nil, "")
 	default:
-		m.x.Ended(f.a, choice.TurnedAway, nil, "")
+		m.x.Ended(f.a, choice.Rejected, nil, "")
 	}
 }
 
--- a/internal/lab/virtual/virtual_test.go
+++ b/internal/lab/virtual/virtual_test.go
@@ -85,7 +85,7 @@
 			func(r *record.Run) int { return r.Verdict.Lost }, "lost: query"},
 		{"in time", small, Sabotage{Delay: 3 * time.Second}, func(r *record.Run) int { return r.Verdict.Late }, "late: query"},
 		{"one answer", small, Sabotage{Twice: true}, func(r *record.Run) int { return r.Verdict.Doubled }, "was answered twice"},
-		{"one attempt at a time", small + "[fault f]\ndo = hang\nat = 2s\nparts = 0.3\n", Sabotage{Settings: func(s *settings.Settings) { s.Router.ParallelTries = true }},
+		{"one attempt at a time", small + "[fault f]\ndo = hang\nat = 2s\nparts = 0.3\n", Sabotage{Settings: func(s *settings.Settings) { s.Router.ParallelAttempts = true }},
 			func(r *record.Run) int { return r.Verdict.Doubled }, "was out at"},
 		{"the cap on attempts", small + "[fault f]\ndo = busy\nat = 2s\nfor = 5s\n", Sabotage{Settings: func(s *settings.Settings) { s.Router.AttemptCap = 12 }},
 			func(r *record.Run) int { return r.Verdict.Capped }, "are allowed"},
--- a/internal/node/proxy/outliers.go
+++ b/internal/node/proxy/outliers.go
@@ -68,7 +68,7 @@
 // recordAnswer takes an answer of a server, or a wait for one that was given up.
 func (f *outlierTracker) recordAnswer(h exchange.Heard) {
 	complete := h.Verdict == choice.Served
-	if !complete && h.Verdict != choice.NoAnswer && h.Verdict != choice.CalledOff {
+	if !complete && h.Verdict != choice.NoAnswer && h.Verdict != choice.Cancelled {
 		return
 	}
 	f.mu.Lock()
--- a/internal/node/proxy/proxy.go
+++ b/internal/node/proxy/proxy.go
@@ -84,11 +84,11 @@
 // exchangeSettings returns the settings of the exchange and of the decisions.
 func exchangeSettings(bounds nodesettings.Bounds) settings.Settings {
 	return settings.Settings{MostHeld: maxRequests, Router: choice.Settings{
-		ClassesLater: true, Cells: gate.MostShards, Width: 1, BundleMax: 1, Resolution: tickMicroseconds, Cancel: true,
-		ParallelTries: true, RetryAdvice: true, MaxRetryAfter: time.Second.Microseconds(), AttemptCap: maxAttempts,
+		ClassesLater: true, Cells: gate.MostShards, Width: 1, MaxPartsPerCall: 1, Resolution: tickMicroseconds, Cancel: true,
+		ParallelAttempts: true, RetryAdvice: true, MaxRetryAfter: time.Second.Microseconds(), AttemptCap: maxAttempts,
 		Keepalive: (30 * time.Second).Microseconds(), DrainGrace: bounds.Drain.Microseconds() / 4,
-		Routers: minProxies, ExtraBudget: true, ExtraByShard: true, ExtraRatio: bounds.RetryRatio,
-		ExtraSpare: 0, ExtraWindow: bounds.RetryWindow.Microseconds(), OverdueBy: overdueBy, OverdueMax: overdueMax,
+		Routers: minProxies, RetryBudget: true, RetryBudgetPerShard: true, RetryBudgetRatio: bounds.RetryRatio,
+		RetryBudgetMin: 0, RetryBudgetWindow: bounds.RetryWindow.Microseconds(), OverdueMultiple: overdueBy, OverdueMaxShare: overdueMax,
 	}}
 }
 
@@ -387,6 +387,6 @@
 	spare := t.retryBudget.Share(time.Since(t.startedAt).Microseconds(), routers)
 	if routers = max(routers, minProxies); routers != t.proxyCount || spare != t.retrySlack {
 		t.proxyCount, t.retrySlack = routers, spare
-		t.exchange.Tiered(choice.Tier{Routers: routers, Spare: spare})
+		t.exchange.Tiered(choice.Tier{Routers: routers, RetryBudgetMin: spare})
 	}
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -24,7 +24,7 @@
 	want, err := Decode(values)
 	require.NoError(t, err)
 	require.Len(t, want.Router.Classes, 2)
-	require.Equal(t, 0.15, want.Router.ExtraRatio)
+	require.Equal(t, 0.15, want.Router.RetryBudgetRatio)
 	require.Equal(t, 243, want.MostHeld)
 	got, err := Decode(Flatten(gjson.ParseBytes(nested)))
 	require.NoError(t, err)
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -106,11 +106,11 @@
 var verdicts = map[string]choice.Verdict{
 	"served":          choice.Served,
 	"server_error":    choice.ServerError,
-	"turned_away":     choice.TurnedAway,
+	"turned_away":     choice.Rejected,
 	"no_answer":       choice.NoAnswer,
 	"no_connection":   choice.NoConnection,
 	"connection_lost": choice.ConnectionLost,
-	"called_off":      choice.CalledOff,
+	"called_off":      choice.Cancelled,
 	"not_sent":        choice.NotSent,
 }
 
@@ -217,7 +217,7 @@
 		if err != nil {
 			m.fail("not hex digits")
 		}
-		return choice.Mail{From: from, Bytes: raw}, true, m.err
+		return choice.PeerMessage{From: from, Bytes: raw}, true, m.err
 	}
 	return nil, false, nil
 }
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -48,7 +48,7 @@
 		return "PROBE " + a.Server
 	case choice.Release:
 		return "RELEASE " + a.Server
-	case choice.Tell:
+	case choice.SendToPeer:
 		return "POST " + peerField(a.Peer) + " " + bytesField(a.Bytes)
 	case choice.Log:
 		return "JOURNAL_LINE " + a.Text
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -119,12 +119,12 @@
 			Hinted: true, Repeat: true, Write: true, Parts: 4, Predicted: 50},
 		"NEW_REQUEST p c 3 - 9 - 0 5 0.25 -": choice.Part{ID: "p", Class: "c", Number: 3, Shard: 5, Weight: 0.25},
 		"REPLY p a 8 1 2 turned_away depth:3,x:0.5": choice.Outcome{ID: "p", Server: "a", Delay: 8, Closed: true, Attempt: 2,
-			Verdict: choice.TurnedAway, Load: []choice.Reading{{Name: "depth", Value: 3}, {Name: "x", Value: 0.5}}},
+			Verdict: choice.Rejected, Load: []choice.Reading{{Name: "depth", Value: 3}, {Name: "x", Value: 0.5}}},
 		"CHECK_RESULT 8 no_connection a -": choice.ProbeResult{Server: "a", Delay: 8, Verdict: choice.NoConnection},
 		"CLIENT_LEFT q":                    choice.ClientLeft{ID: "q"},
 		"ELAPSED 77":                       choice.Elapsed{Token: 77},
 		"HEAD_RECEIVED p 8 1 a":            choice.Started{ID: "p", Server: "a", Delay: 8, Attempt: 1},
-		"MAIL 2 0aff":                      choice.Mail{From: 2, Bytes: []byte{10, 255}},
+		"MAIL 2 0aff":                      choice.PeerMessage{From: 2, Bytes: []byte{10, 255}},
 	} {
 		name, _, _ := strings.Cut(line, " ")
 		got, known, err := decodeEvent(name, line)
@@ -144,8 +144,8 @@
 		"WAKE_ME 5 7":     choice.Wake{Delay: 5, Token: 7},
 		"PROBE a":         choice.Probe{Server: "a"},
 		"RELEASE a":       choice.Release{Server: "a"},
-		"POST * 0aff":     choice.Tell{Peer: -1, Bytes: []byte{10, 255}},
-		"POST 2 -":        choice.Tell{Peer: 2},
+		"POST * 0aff":     choice.SendToPeer{Peer: -1, Bytes: []byte{10, 255}},
+		"POST 2 -":        choice.SendToPeer{Peer: 2},
 		"JOURNAL_LINE hi": choice.Log{Text: "hi"},
 		"OBSERVE 1":       choice.Watch{On: true},
 		"PULL":            choice.Fetch{},
@@ -162,8 +162,8 @@
 	if err != nil || seed != 7 {
 		t.Fatal(seed, err)
 	}
-	if !s.ExtraBudget || s.ExtraRatio != 0.05 || !s.AskDiscovery || !s.Cancel || s.Tenants[0].QuotaPerS != 2.5 ||
-		s.Classes[0].Need != 1 || s.Classes[0].Effect != choice.Safe {
+	if !s.RetryBudget || s.RetryBudgetRatio != 0.05 || !s.AskDiscovery || !s.Cancel || s.Tenants[0].QuotaPerS != 2.5 ||
+		s.Classes[0].RequiredShare != 1 || s.Classes[0].Effect != choice.Safe {
 		t.Fatalf("%+v", s)
 	}
 }
