--- a/choice/admission.go
+++ b/choice/admission.go
@@ -1,83 +1,89 @@
 package choice
 
-// Whether a query goes out at all: admission, and the plan of all its parts.
+// Whether a query is admitted: the admission check, and the plan of all its parts.
 //
-//   - crowding (admit): middle latency over a fifth of the aim; against jams of retries; refuses by chance.
-//   - overfilling (admit, draw): the last plan of a query far below its aim, retries; hurts in overload.
-//   - tenants (withinShare, draw): bucket empty, tier crowded or windows half full; against crowding out;
-//     hurts a one-router tenant.
+//   - crowding (admit): the class's median latency is over 0.4 of its latency target and recent queries
+//     missed theirs; against congestion by retries; rejects at random.
+//   - overfilling (admit, selectReplica): the last plan of a query whose class is far below its latency
+//     target may exceed windows; against retries; does harm under overload.
+//   - tenants (withinQuota, selectReplica): the tenant's bucket is empty, and the tier is crowded or windows
+//     are half full; against a tenant that crowds out others; does harm to a tenant that uses one router.
 
 import "cmp"
 
 const (
-	planTries   = 4    // draws of a whole plan before a query is refused
-	shareBurst  = 4.0  // seconds of its quota that a tenant may save up
-	easyBelow   = 0.3  // of the aim: queries whose middle part takes less may overfill windows: see planAll
-	crowdFrom   = 0.4  // of the aim: a class whose middle part takes longer shows a full tier
-	missStep    = 0.1  // of one query: the share that misses its aim, over some ten queries
-	weightSlack = 5e-5 // half of what the rule on honest answers lets pass
+	maxPlans        = 4    // random plans drawn for a query before it is rejected
+	quotaBurst      = 4.0  // seconds of its quota that a tenant may accumulate
+	headroomBelow   = 0.3  // share of the latency target: a class with a lower median has headroom
+	crowdedFrom     = 0.4  // share of the latency target: a higher median shows a tier at capacity
+	missSmoothing   = 0.1  // weight of one query in missedShare, which so covers some ten queries
+	weightTolerance = 5e-5 // half of what the rule on honest answers allows
 )
 
-func (r *Router) query(ev Query) {
-	if !r.set.RetryBudgetPerShard {
-		r.took(&r.ledger)
+func (r *Router) addQuery(event Query) {
+	if !r.settings.RetryBudgetPerShard {
+		r.recordArrival(&r.sharedBudget)
 	}
-	c := r.classes[ev.Class]
+	c := r.classes[event.Class]
 	if c == nil {
-		r.do(Refuse{ID: ev.ID})
+		r.addAction(Refuse{ID: event.ID})
 		return
 	}
-	aim := min(c.LatencyTarget+Micros(c.LatencyTargetStretch*float64(ev.Predicted)), c.Deadline)
-	if !ev.Repeat {
-		c.patience = min(ev.Grace, c.patience+Micros(quantileStep*float64(ev.Grace-c.patience)))
-	} else if ev.Grace < c.patience { // less is left than a first try has: the client asked so long ago
-		aim -= min(c.Deadline-ev.Grace, aim)
+	target := min(c.LatencyTarget+Micros(c.LatencyTargetStretch*float64(event.Predicted)), c.Deadline)
+	if !event.Repeat {
+		c.firstTryTimeout = min(event.Grace,
+			c.firstTryTimeout+Micros(quantileStep*float64(event.Grace-c.firstTryTimeout)))
+	} else if event.Grace < c.firstTryTimeout { // the time since the client's first try, which had more left
+		target -= min(c.Deadline-event.Grace, target)
 	}
-	q := &query{id: ev.ID, class: c, tenant: ev.Tenant, number: ev.Number, need: c.RequiredShare, step: 1}
-	q.least, q.size, q.at, q.aimAt = cmp.Or(ev.Least, c.RequiredShare), ev.Parts, r.now, r.now+aim-r.set.Resolution
-	q.endAt = r.now + ev.Grace - r.set.Resolution
+	q := &query{id: event.ID, class: c, tenant: event.Tenant, number: event.Number,
+		requiredWeight: c.RequiredShare, step: 1}
+	q.reducedWeight, q.expectedParts, q.stepStartedAt, q.targetAt = cmp.Or(event.Least, c.RequiredShare),
+		event.Parts, r.now, r.now+target-r.settings.Resolution
+	q.endsAt = r.now + event.Grace - r.settings.Resolution
 	if c.LateValue == 0 {
-		q.endAt = min(q.endAt, q.aimAt)
+		q.endsAt = min(q.endsAt, q.targetAt)
 	}
-	r.queries[q.id], r.numbers[q.number] = q, q
-	if ev.Repeat && q.endAt-r.now < Micros(c.mid) { // not even half of its parts would be back in time
+	r.queries[q.id], r.queriesByNumber[q.number] = q, q
+	if event.Repeat && q.endsAt-r.now < Micros(c.median) { // not even half of its parts would be in time
 		r.refuse(q)
 		return
 	}
-	r.fresh = append(r.fresh, q)
-	r.alarm(q.endAt-r.now, (*expiry)(q))
-	q.partAt = q.aimAt
-	if c.FetchParts > 0 { // the second step needs its time
-		q.partAt -= min(Micros(c.high*overdueBy), (q.aimAt-r.now)/2)
+	r.newQueries = append(r.newQueries, q)
+	r.setTimer(q.endsAt-r.now, (*expireTask)(q))
+	q.partialAt = q.targetAt
+	if c.FetchParts > 0 { // leaves time for the second step
+		q.partialAt -= min(Micros(c.upperQuantile*defaultOverdueMultiple), (q.targetAt-r.now)/2)
 	}
-	if q.partAt < q.endAt {
-		r.alarm(q.partAt-r.now, (*partial)(q))
+	if q.partialAt < q.endsAt {
+		r.setTimer(q.partialAt-r.now, (*partialTask)(q))
 	}
 }
 
-// admit is the refusal before any part is sent: it plans every part, then sends all or none. A
-// plan that fails is drawn anew a few times: one full shard must not refuse a query that fits.
+// admit decides whether to reject a query before any part is sent. It plans every part, then sends all or
+// none. A plan that fails is drawn again a few times: one full shard must not reject a query that fits.
 func (r *Router) admit(q *query) {
-	r.size += (float64(len(q.parts)) - r.size) * missStep
-	room := 1.0
-	if q.class.mid >= crowdFrom*float64(q.class.LatencyTarget) { // windows of one part bind nothing then
-		room -= min(1-missStep, r.missed*float64(len(q.parts))/r.size)
+	r.meanQuerySize += (float64(len(q.parts)) - r.meanQuerySize) * missSmoothing
+	probability := 1.0
+	if q.class.median >= crowdedFrom*float64(q.class.LatencyTarget) { // a window of one part is no bound then
+		probability -= min(1-missSmoothing, r.missedShare*float64(len(q.parts))/r.meanQuerySize)
 	}
-	if q.beyond = !r.withinShare(q); q.beyond {
-		room *= room // what is over its tenant's share gives way to what is within
+	if q.overQuota = !r.withinQuota(q); q.overQuota {
+		probability *= probability // a query over its tenant's quota gives way to those within theirs
 	}
-	if len(q.parts) == 0 || r.rng.Float64() >= room {
+	if len(q.parts) == 0 || r.rng.Float64() >= probability {
 		r.refuse(q)
 		return
 	}
-	for try := range planTries {
-		q.need -= float64(try/(planTries-1)) * (q.need - q.least) // the last: rather in part than not
-		if rest, ok := r.planAll(q, try == planTries-1 && r.easy(q.class) && !q.beyond); ok {
-			if q.canary = r.now < q.class.watchTo; q.canary {
-				q.lost = 1
+	for plan := range maxPlans {
+		// The last plan lowers the requirement: a partial answer is better than none.
+		q.requiredWeight -= float64(plan/(maxPlans-1)) * (q.requiredWeight - q.reducedWeight)
+		if rest, ok := r.planAll(q, plan == maxPlans-1 && r.hasHeadroom(q.class) && !q.overQuota); ok {
+			if q.canary = r.now < q.class.canaryUntil; q.canary {
+				q.lostConnections = 1
 				q.unplan(1)
 			} else {
-				r.planSpares(q, rest)
+				r.planRedundantParts(q, rest)
 			}
 			q.admitted = true
 			for _, p := range q.parts {
@@ -91,42 +97,46 @@
 	r.refuse(q)
 }
 
-// easy tells whether a class was seen to be far below its aim, and few queries miss theirs.
-func (r *Router) easy(c *class) bool {
-	return r.missed < missStep && c.seen >= learnFast && c.mid < easyBelow*float64(c.LatencyTarget)
+// hasHeadroom reports whether a class is known to be far below its latency target while few queries miss
+// theirs.
+func (r *Router) hasHeadroom(c *class) bool {
+	return r.missedShare < missSmoothing && c.latencySamples >= fastSamples &&
+		c.median < headroomBelow*float64(c.LatencyTarget)
 }
 
-// withinShare takes a query off its tenant's share: a bucket that fills at this router's part of the
-// told quota, one query deep at least: with many routers none would ever have saved one up.
-func (r *Router) withinShare(q *query) bool {
-	b := r.shares[q.tenant]
+// withinQuota takes one query from its tenant's bucket and reports whether the bucket had it. The bucket
+// fills at this router's share of the configured quota and holds at least one query: with many routers that
+// share is so small that a bucket would otherwise never accumulate one.
+func (r *Router) withinQuota(q *query) bool {
+	b := r.quotas[q.tenant]
 	if b == nil {
 		return true
 	}
-	b.left = min(b.left+float64(r.now-b.at)/1e6*b.rate, max(1, b.rate*shareBurst))
-	b.at = r.now
-	if b.left < 1 {
+	b.tokens = min(b.tokens+float64(r.now-b.refilledAt)/1e6*b.rate, max(1, b.rate*quotaBurst))
+	b.refilledAt = r.now
+	if b.tokens < 1 {
 		return false
 	}
-	b.left--
+	b.tokens--
 	return true
 }
 
-// planAll finds servers for enough parts, or undoes what it planned. It may be let overfill windows:
-// while parts take far less than their aim, a refusal costs more than the wait behind a full window does.
+// planAll selects servers for enough parts, or undoes what it planned. With overfill it may exceed windows:
+// while parts take far less than their latency target, a rejection costs more than the wait behind a full
+// window.
 func (r *Router) planAll(q *query, overfill bool) (rest []*part, ok bool) {
-	weight, want := 0.0, max(q.need, q.class.RequiredShare)
-	line := r.line(q.parts, true)
-	for r.plans++; len(line) > 0 && weight < want-weightSlack; {
-		_, left, got := r.call(line, first, want-weight)
-		if got == 0 && overfill {
-			_, left, got = r.call(line, over, want-weight)
+	weight, wanted := 0.0, max(q.requiredWeight, q.class.RequiredShare)
+	parts := r.orderParts(q.parts, true)
+	for r.planNumber++; len(parts) > 0 && weight < wanted-weightTolerance; {
+		_, left, planned := r.planCall(parts, firstSend, wanted-weight)
+		if planned == 0 && overfill {
+			_, left, planned = r.planCall(parts, overfillPart, wanted-weight)
 		}
-		line, weight = left, weight+got
+		parts, weight = left, weight+planned
 	}
-	if weight >= q.need-weightSlack {
-		q.need = min(weight, want) // where less will do, what found room is still wanted
-		return line, true
+	if weight >= q.requiredWeight-weightTolerance {
+		q.requiredWeight = min(weight, wanted) // a reduced requirement rises to what found capacity
+		return parts, true
 	}
 	q.unplan(0)
 	return nil, false
--- a/choice/answers.go
+++ b/choice/answers.go
@@ -1,9 +1,10 @@
 package choice
 
-// When a query is answered, and how one ends that can't be.
+// When a query is answered, and how a query ends that can't be answered.
 //
-//   - early end (query, partNow, expire, giveUp): nothing more can be earned, or come, or in part while there
-//     is time for a second step; against late failures, late tries; costs what the part lacks.
+//   - early end (addQuery, answerPartially, expire, abandon): no more value can be gained, no more parts can
+//     be served, or a partial answer still leaves time for the second step; against late failures and late
+//     client retries; costs the parts that are missing.
 
 import (
 	"cmp"
@@ -12,66 +13,70 @@
 )
 
 const (
-	adviceShare = 0.25 // of the aim: when a refused client should come back
+	retryAfterShare = 0.25 // of the latency target: after which a rejected client should retry
 )
 
-// answer answers from what is in; the first step of two goes on to the second.
-func (r *Router) answer(q *query, whole bool) {
-	r.do(Answer{ID: q.id, Whole: whole})
-	q.inTime = r.now <= q.aimAt
+// answer answers a query from the parts served. The first of two steps is followed by the second.
+func (r *Router) answer(q *query, complete bool) {
+	r.addAction(Answer{ID: q.id, Whole: complete})
+	q.onTime = r.now <= q.targetAt
 	if q.step == 2 || q.class.FetchParts == 0 {
-		r.end(q)
+		r.endQuery(q)
 		return
 	}
-	r.release(q)
-	q.step, q.at, q.whole, q.parts, q.got, q.need = 2, r.now, whole, nil, 0, 1
+	r.releaseParts(q)
+	q.step, q.stepStartedAt, q.firstStepComplete, q.parts, q.servedWeight, q.requiredWeight =
+		2, r.now, complete, nil, 0, 1
 }
 
-// giveUp ends a query that can't be answered whole any more: with what is in
-// where the class allows it, else with a refusal or a failure.
-func (r *Router) giveUp(q *query) {
-	if q.class.MinShare < q.class.RequiredShare && q.got > 0 && q.got >= q.class.MinShare {
+// abandon ends a query that can no longer be answered completely: with a partial answer if the class allows
+// it and enough is served, else with a rejection or a failure.
+func (r *Router) abandonQuery(q *query) {
+	if q.class.MinShare < q.class.RequiredShare && q.servedWeight > 0 && q.servedWeight >= q.class.MinShare {
 		r.answer(q, false)
 		return
 	}
 	r.refuse(q)
 }
 
-// refuse ends a query; it promises that asking again is harmless only where that holds.
+// refuse ends a query without an answer. It promises that a retry is harmless only where that is true.
 func (r *Router) refuse(q *query) {
-	if q.class.Effect != Safe && (q.step == 2 || q.ran()) {
-		r.do(Fail{ID: q.id})
-	} else { // told whether or not RetryAdvice says that some heed it
-		r.do(Refuse{ID: q.id, RetryAfter: min(Micros(float64(q.class.LatencyTarget)*adviceShare), r.set.MaxRetryAfter)})
+	if q.class.Effect != Safe && (q.step == 2 || q.mayHaveRun()) {
+		r.addAction(Fail{ID: q.id})
+	} else { // the advice is given whether or not RetryAdvice says that some clients follow it
+		r.addAction(Refuse{ID: q.id, RetryAfter: min(Micros(float64(q.class.LatencyTarget)*retryAfterShare),
+			r.settings.MaxRetryAfter)})
 	}
-	r.end(q)
+	r.endQuery(q)
 }
 
-// partNow gives an honest part of an answer when waiting on would earn less.
-func (r *Router) partNow(q *query) {
+// answerPartially gives a partial answer, marked as such, if waiting longer would be worth less.
+func (r *Router) answerPartially(q *query) {
 	c := q.class
-	if q.ended || q.step == 2 && r.now < q.aimAt || c.MinShare >= c.RequiredShare || q.got <= 0 || q.got < c.MinShare {
+	if q.ended || q.step == 2 && r.now < q.targetAt || c.MinShare >= c.RequiredShare ||
+		q.servedWeight <= 0 || q.servedWeight < c.MinShare {
 		return
 	}
-	if c.PartialValue*math.Pow(q.got/c.RequiredShare, cmp.Or(c.PartialExponent, 1)) > c.LateValue {
-		r.giveUp(q)
+	if c.PartialValue*math.Pow(q.servedWeight/c.RequiredShare, cmp.Or(c.PartialExponent, 1)) > c.LateValue {
+		r.abandonQuery(q)
 	}
 }
 
-// lags tells that all that is missing is out at servers set apart and late there: the wait earns nothing.
-func (q *query) lags() bool {
-	late := func(a *attempt) bool { return a.sentAt+Micros(a.s.Slow*q.class.mid) > q.partAt }
-	return !slices.ContainsFunc(q.parts, func(p *part) bool { return !p.served && !p.out(late) })
+// waitsOnlyForLate reports whether all missing parts are in flight at ejected servers, which will be late:
+// waiting for them gains nothing.
+func (q *query) waitsOnlyForLate() bool {
+	late := func(a *attempt) bool { return a.sentAt+Micros(a.server.Slow*q.class.median) > q.partialAt }
+	return !slices.ContainsFunc(q.parts, func(p *part) bool { return !p.served && !p.allInFlight(late) })
 }
 
-// expire ends a query whose time is up, whatever is still out.
+// expire ends a query whose time is up, even if attempts are still in flight.
 func (r *Router) expire(q *query) {
 	if q.ended {
 		return
 	}
-	r.giveUp(q)
+	r.abandonQuery(q)
 	if !q.ended {
-		r.do(Fail{ID: q.id})
-		r.end(q)
+		r.addAction(Fail{ID: q.id})
+		r.endQuery(q)
 	}
 }
--- a/choice/api.go
+++ b/choice/api.go
@@ -1,83 +1,82 @@
 package choice
 
-// Micros is a clock reading or a span in microseconds. The clock's origin is
-// the caller's; it must not run backwards.
+// Micros is a clock reading or a duration in microseconds. The caller chooses the clock's origin; the clock
+// must not run backwards.
 type Micros = int64
 
-// Effect says what a repeated part of a class may do.
+// Effect says whether a part of a class may be executed more than once.
 type Effect int
 
 // The effects of a class.
 const (
-	Safe   Effect = iota // may be repeated and refused freely
-	Keyed                // repeats are dropped for Class.MemorySpan after the first that may have run
-	Unsafe               // repeated only when no attempt can have run
+	Safe   Effect = iota // may be repeated and rejected freely
+	Keyed                // repeats are dropped for Class.DedupWindow after the first that may have run
+	Unsafe               // repeated only if no attempt can have run
 )
 
-// Settings are what a deployment tells its router at start. A zero field is
-// one the deployment did not tell.
+// Settings configure a router at its start. A zero field is one that the deployment does not set.
 type Settings struct {
 	Classes         []Class
-	ClassesLater    bool // they come by Classes events
+	ClassesLater    bool // Classes events bring the classes
 	Tenants         []Tenant
-	Routers         int    // routers in this tier, this one included
+	Routers         int    // routers in this tier, including this one
 	Resolution      Micros // least time between two batches
 	Shards          int
-	Cells           int    // shard s is held by cells s, s+1, ... s+Width-1, modulo Cells
-	Width           int    // consecutive cells that hold a shard
-	MaxPartsPerCall int    // parts one call may carry
-	PerCallWork     Micros // server work per call beside that of its parts
-	AskDiscovery    bool   // the server list must be asked for
-
-	Cancel           bool // Cancel is permitted
-	ParallelAttempts bool // two attempts of a part may be out at once
+	Cells           int    // shard s is stored by cells s, s+1, ... s+Width-1, modulo Cells
+	Width           int    // number of consecutive cells that store a shard
+	MaxPartsPerCall int    // parts that one call may carry
+	PerCallWork     Micros // server work per call in addition to the work of its parts
+	AskDiscovery    bool   // the server list has to be requested
+
+	Cancel           bool // the Cancel action is permitted
+	ParallelAttempts bool // two attempts of a part may be in flight at once
 	Probes           bool
-	RetryAdvice      bool   // some clients heed Refuse.RetryAfter; it is told either way
-	MaxRetryAfter    Micros // the longest advice they heed
+	RetryAdvice      bool   // some clients follow Refuse.RetryAfter, which is given in any case
+	MaxRetryAfter    Micros // the longest Refuse.RetryAfter that clients follow
 	AttemptCap       int    // attempts per part
 	Keepalive        Micros // an idle connection is closed after this
 
 	AnswerSlack         Micros
 	AskWithin           Micros
 	DrainGrace          Micros
-	StartCapacity       float64 // a server starts at no less than this share of its capacity
-	SlowStart           Micros  // and is warm no later than this
-	OverloadMultiple    float64 // sent more than this multiple of its capacity
-	OverloadWindow      Micros  // for so long, a cold server fails
-	RetryBudget         bool    // the three below bind
-	RetryBudgetMin      float64 // further attempts allowed in a window whatever the traffic
-	RetryBudgetRatio    float64 // and per query and part taken in it
+	StartCapacity       float64 // the least share of its capacity that a server has when it starts
+	SlowStart           Micros  // a started server has its full capacity after this time at the latest
+	OverloadMultiple    float64 // until then it fails if it is sent more than this multiple of its capacity
+	OverloadWindow      Micros  // for this long
+	RetryBudget         bool    // the four fields below apply to retries and hedges
+	RetryBudgetMin      float64 // extra attempts allowed in a window whatever the traffic,
+	RetryBudgetRatio    float64 // plus this many per query and part that arrived in it
 	RetryBudgetWindow   Micros
-	RetryBudgetPerShard bool    // they bind each shard's parts by themselves, not all together
-	OverdueMultiple     float64 // a part is overdue after so many times its class's upper quantile; 0: 1.5
-	OverdueMaxShare     float64 // but no later than this share of the aim; 0: 0.4
+	RetryBudgetPerShard bool    // the budget applies to each shard's parts separately, not to all together
+	OverdueMultiple     float64 // a part is overdue after this multiple of its class's upper quantile; 0: 1.5
+	OverdueMaxShare     float64 // but no later than this share of the latency target; 0: 0.4
 }
 
 // Class is a class of query.
 type Class struct {
 	Name                 string
-	LatencyTarget        Micros // an answer within it earns the full worth
-	LatencyTargetStretch float64
-	Deadline             Micros // the client's whole patience, over all its tries
-	DedupWindow          Micros // for Keyed
+	LatencyTarget        Micros  // an answer within it earns the full value
+	LatencyTargetStretch float64 // this multiple of Query.Predicted is added to LatencyTarget, up to Deadline
+	Deadline             Micros  // the client's total timeout, over its first try and its retries
+	DedupWindow          Micros  // for Keyed
 	Effect               Effect
-	LateValue            float64 // share of the worth earned after the aim
+	LateValue            float64 // share of the value earned by an answer after the latency target
 	Value                float64
-	RequiredShare        float64 // share of the first step's weight that makes a whole answer
-	MinShare             float64 // least share for an answer that is not whole
-	PartialValue         float64 // such an answer earns this x (share / Need) to the Power
+	RequiredShare        float64 // share of the first step's weight that makes a complete answer
+	MinShare             float64 // least share for a partial answer
+	PartialValue         float64 // a partial answer earns this x (share / RequiredShare)^PartialExponent
 	PartialExponent      float64 // 0: 1
 	FetchParts           int     // parts of the second step; 0: one step
 	Attempts             int     // per part; 0: Settings.AttemptCap
 }
 
-// Tenant is a customer and the traffic within its share, over all routers.
+// Tenant is a customer. QuotaPerS is the traffic within its quota, in queries per second over all routers.
 type Tenant struct {
 	Name      string
 	QuotaPerS float64
 }
 
-// State is what the list says of a server.
+// State is the state of a server according to the list.
 type State int
 
 // The states of a listed server.
@@ -87,17 +86,17 @@
 	Draining State = 2
 )
 
-// Server is one line of a list.
+// Server is one row of a list.
 type Server struct {
 	ID      string
 	Zone    string
 	Kind    string
 	Cell    int
 	State   State
-	Scale   float64 // size beside the other servers
-	Far     int     // 0: nearby; the more, the dearer and slower the way there
+	Scale   float64 // capacity relative to the other servers
+	Far     int     // distance; 0: nearby. A greater distance means a more expensive and slower path.
 	UpSince Micros  // latest start; 0: long ago
-	Slow    float64 // all routers together set it apart as so many times slower than its peers; 0: they don't
+	Slow    float64 // how many times slower than its peers, if the routers together ejected it; else 0
 }
 
 // Form says how a List is to be read.
@@ -105,16 +104,16 @@
 
 // The forms of a list.
 const (
-	Delta  Form = iota // changed lines only
-	Full               // every server; one left out is gone
+	Delta  Form = iota // changed rows only
+	Full               // every server; a server that is missing is gone
 	Cached             // as Full, possibly stale
-	Failed             // an asked list did not come; the old one stands
+	Failed             // a requested list did not arrive; the last one stays in use
 )
 
-// Verdict says how an attempt ended.
+// Verdict is the result of an attempt.
 type Verdict int
 
-// The verdicts. TurnedAway, NoConnection and NotSent prove that it never ran.
+// The verdicts. Rejected, NoConnection and NotSent prove that the attempt never ran.
 const (
 	Served Verdict = iota
 	ServerError
@@ -134,27 +133,27 @@
 	Form    Form
 	Version int64
 	Servers []Server
-	Since   Micros // where lists are pushed: how long ago its news may have counted as told
+	Since   Micros // for pushed lists: how long ago its changes may count as received
 }
 
-// Query is a query taken. Its parts follow as Part events in the same Step.
+// Query is a query that arrived. Its parts follow as Part events in the same Step.
 type Query struct {
 	ID        string
 	Class     string
 	Number    int64 // shared with its parts
 	Key       string
-	Grace     Micros // until the client gives this try up
+	Grace     Micros // until the client's timeout for this try
 	Tenant    string
-	Hinted    bool // Predicted holds
-	Repeat    bool // a client's later try
+	Hinted    bool // Predicted is set
+	Repeat    bool // a retry by the client
 	Write     bool
 	Parts     int
 	Predicted Micros
-	Least     float64 // share that will do where there is no room for the class's; 0: none less
+	Least     float64 // share accepted without capacity for the class's RequiredShare; 0: no less
 }
 
-// Part is one part of a query: of its first step in the Step of its Query, of
-// the second in the Step after the query's first Answer.
+// Part is one part of a query. The parts of the first step come in the Step of their Query, those of the
+// second in the Step after the query's first Answer.
 type Part struct {
 	ID        string
 	Class     string
@@ -166,7 +165,7 @@
 	Predicted Micros
 }
 
-// Outcome ends one attempt; there is exactly one per Send.
+// Outcome ends one attempt. There is exactly one per Send.
 type Outcome struct {
 	ID      string // of the part
 	Server  string
@@ -191,13 +190,13 @@
 	Load    []Reading
 }
 
-// ClientLeft says that the client of a query has gone.
+// ClientLeft says that the client of a query has disconnected.
 type ClientLeft struct{ ID string }
 
 // Elapsed says that a Wake is due.
 type Elapsed struct{ Token int64 }
 
-// Started says that an attempt of a streamed class has begun its answer.
+// Started says that the answer to an attempt of a streamed class has begun.
 type Started struct {
 	ID      string
 	Server  string
@@ -205,17 +204,17 @@
 	Attempt int
 }
 
-// Mail is a message from another router.
+// PeerMessage is a message from another router.
 type PeerMessage struct {
 	From  int64
 	Bytes []byte
 }
 
-// Classes brings all classes anew: those of a name that stays keep what was learned.
+// Classes replaces all classes. A class whose name is kept keeps its learned latencies and faults.
 type Classes struct{ List []Class }
 
-// Tier brings news of the tier: how many routers it has, this one included, and what of
-// the extra budget's spare is this one's.
+// Tier reports a change of the tier: the number of its routers, including this one, and this router's share
+// of Settings.RetryBudgetMin.
 type Tier struct {
 	Routers        int
 	RetryBudgetMin float64
@@ -233,31 +232,30 @@
 func (Started) event()     {}
 func (PeerMessage) event() {}
 
-// Action is something the caller must do, in the order given: one of the
-// action types below.
+// Action is something the caller must do, in the given order: one of the action types below.
 type Action interface{ action() }
 
-// Send starts an attempt for a part. Attempts of a part count from 0.
+// Send starts an attempt of a part. The attempts of a part are numbered from 0.
 type Send struct {
 	ID      string
 	Server  string
 	Timeout Micros
 }
 
-// Cancel ends the wait on one attempt.
+// Cancel ends the wait for one attempt.
 type Cancel struct {
 	ID      string
 	Attempt int
 }
 
-// Answer answers a query from the parts served. In a class with a second step
-// the first whole Answer brings further parts.
+// Answer answers a query from the parts served. Whole marks a complete answer. In a class with a second step
+// the first Answer brings further parts.
 type Answer struct {
 	ID    string
 	Whole bool
 }
 
-// Refuse ends a query and promises that asking again does no harm.
+// Refuse ends a query and promises that a retry does no harm.
 type Refuse struct {
 	ID         string
 	RetryAfter Micros // 0: no advice
@@ -272,13 +270,13 @@
 	Token int64
 }
 
-// Probe tests a server.
+// Probe asks the caller to probe a server.
 type Probe struct{ Server string }
 
-// Release closes idle connections to a server.
+// Release closes the idle connections to a server.
 type Release struct{ Server string }
 
-// Tell sends a message to one router of the tier, or to all (Peer below 0).
+// SendToPeer sends a message to one router of the tier, or to all if Peer is negative.
 type SendToPeer struct {
 	Peer  int64
 	Bytes []byte
@@ -290,7 +288,7 @@
 // Watch starts or ends a subscription to the server list.
 type Watch struct{ On bool }
 
-// Fetch asks for the whole server list once.
+// Fetch requests the complete server list once.
 type Fetch struct{}
 
 func (Send) action()       {}
--- a/choice/attempts.go
+++ b/choice/attempts.go
@@ -1,109 +1,116 @@
 package choice
 
-// How an attempt goes out, when it is overdue, and what its end leads to.
+// How an attempt is sent, when it is overdue, and what follows from its outcome.
 //
-//   - new connections (connect): parts sent on idle ones stay unanswered; against idle connections dropped
-//     unseen; costs handshakes.
-//   - short time-outs (send): no second copies allowed and time for two attempts; against silent servers;
-//     costs work at slow ones.
+//   - new connections (chooseConnection): parts sent on idle connections stay unanswered; against idle
+//     connections that were dropped silently; costs handshakes.
+//   - short timeouts (send): hedges are not permitted and there is time for two attempts; against
+//     unresponsive servers; wastes work at slow ones.
 
 func (r *Router) send(a *attempt) {
-	q := a.p.q
-	r.connect(a)
-	timeout, try := q.endAt-r.now, Micros(q.class.high*r.set.OverdueMultiple)
-	again := !r.set.ParallelAttempts && q.class.Effect != Unsafe && len(a.p.attempts) < r.mostAttempts(q.class)
-	if a.short = again && q.aimAt-r.now > 2*try; a.short { // no other may go out before this one is over
-		timeout = q.aimAt - r.now - try
+	q := a.part.query
+	r.chooseConnection(a)
+	timeout, another := q.endsAt-r.now, Micros(q.class.upperQuantile*r.settings.OverdueMultiple)
+	mayRetry := !r.settings.ParallelAttempts && q.class.Effect != Unsafe &&
+		len(a.part.attempts) < r.maxAttempts(q.class)
+	// No other attempt may start before this one has ended.
+	if a.shortTimeout = mayRetry && q.targetAt-r.now > 2*another; a.shortTimeout {
+		timeout = q.targetAt - r.now - another
 	}
-	r.do(Send{ID: a.p.id, Server: a.s.ID, Timeout: max(timeout, r.set.Resolution)})
-	late := min(q.class.high*a.p.stretch*r.set.OverdueMultiple, float64(q.class.LatencyTarget)*r.set.OverdueMaxShare)
-	patience := float64(min(q.aimAt, q.endAt)-q.at+r.set.Resolution) * r.set.OverdueMaxShare
-	a.early = patience < late
-	r.alarm(max(Micros(min(late, patience)), 2*r.set.Resolution), (*lateness)(a))
+	r.addAction(Send{ID: a.part.id, Server: a.server.ID, Timeout: max(timeout, r.settings.Resolution)})
+	overdue := min(q.class.upperQuantile*a.part.predictionRatio*r.settings.OverdueMultiple,
+		float64(q.class.LatencyTarget)*r.settings.OverdueMaxShare)
+	available := float64(min(q.targetAt, q.endsAt)-q.stepStartedAt+r.settings.Resolution) *
+		r.settings.OverdueMaxShare
+	a.earlyOverdue = available < overdue
+	r.setTimer(max(Micros(min(overdue, available)), 2*r.settings.Resolution), (*overdueTask)(a))
 }
 
-// connect judges the connection an attempt goes out on by how long nothing was heard on it. One that idled
-// is closed first while such ones prove dead, new ones don't, and no bad zone explains it.
-func (r *Router) connect(a *attempt) {
-	s, c := a.s, a.p.q.class
-	gap := r.now - s.heardAt
-	if s.heardAt == 0 || gap > r.set.Keepalive {
-		s.heardAt = r.now
-	} else if gap > min(Micros(c.high), Micros(float64(c.LatencyTarget)*r.set.OverdueMaxShare)) {
-		a.line = &r.idle
-		dead := r.idle.worse(r.renewed.bad) && r.cutOff(s) != s.groups[0]
-		if dead && s.live == 0 && r.now < r.idle.trialAt {
-			r.do(Release{Server: s.ID})
-			s.heardAt, a.line = r.now, &r.renewed
+// chooseConnection classifies the connection that an attempt uses by how long the server has sent nothing. A
+// connection that was idle is closed first while idle ones prove dead and new ones do not, unless a faulty
+// zone explains that.
+func (r *Router) chooseConnection(a *attempt) {
+	s, c := a.server, a.part.query.class
+	idle := r.now - s.lastActiveAt
+	if s.lastActiveAt == 0 || idle > r.settings.Keepalive {
+		s.lastActiveAt = r.now
+	} else if idle > min(Micros(c.upperQuantile),
+		Micros(float64(c.LatencyTarget)*r.settings.OverdueMaxShare)) {
+		a.connGroup = &r.idleConns
+		dead := r.idleConns.worseThan(r.renewedConns.faultShare) && r.faultyGroup(s) != s.groups[0]
+		if dead && s.inFlight == 0 && r.now < r.idleConns.nextTrialAt {
+			r.addAction(Release{Server: s.ID})
+			s.lastActiveAt, a.connGroup = r.now, &r.renewedConns
 		} else {
-			r.idle.trialAt = r.now + Micros(float64(c.LatencyTarget)*trialShare*trialPatience)
+			r.idleConns.nextTrialAt = r.now +
+				Micros(float64(c.LatencyTarget)*trialPauseShare*trialOverdueAfter)
 		}
 	}
-	s.live++
+	s.inFlight++
 }
 
-// overdue judges an attempt before its time-out fires. Late while the server serves
-// others is a late part; nothing served since is a late server (a hang, a dead link).
-func (r *Router) overdue(a *attempt) {
+// handleOverdue handles an attempt that is overdue before its timeout fires. If its server has served others
+// of the class meanwhile, only the part is late; if not, the server is late (it hangs, or its link is dead).
+func (r *Router) handleOverdue(a *attempt) {
 	if a.ended || a.overdue {
 		return
 	}
 	a.overdue = true
-	if a.s.served[a.p.q.class.n] < a.sentAt && !a.early {
-		if a.s.servedAt < a.sentAt {
-			r.mark(a, 1)
+	if a.server.lastServedByClass[a.part.query.class.classIndex] < a.sentAt && !a.earlyOverdue {
+		if a.server.lastServedAt < a.sentAt {
+			r.recordGroups(a, 1)
 		}
-		if !r.wayBad(a) {
-			r.blame(a, silentBlame)
+		if !r.pathFaulty(a) {
+			r.recordFault(a, overdueWeight)
 		}
 	}
-	if q := a.p.q; !q.ended && !a.p.served {
-		if r.pursue(q); q.lags() {
-			r.partNow(q)
+	if q := a.part.query; !q.ended && !a.part.served {
+		if r.scheduleMore(q); q.waitsOnlyForLate() {
+			r.answerPartially(q)
 		}
 	}
 }
 
-// outcome notes how an attempt ended; it answers or pursues its query.
-func (r *Router) outcome(ev Outcome) {
-	p := r.parts[ev.ID]
-	if p == nil || ev.Attempt >= len(p.attempts) || p.attempts[ev.Attempt].ended {
+// handleOutcome records how an attempt ended, then answers its query or schedules more for it.
+func (r *Router) handleOutcome(event Outcome) {
+	p := r.parts[event.ID]
+	if p == nil || event.Attempt >= len(p.attempts) || p.attempts[event.Attempt].ended {
 		return
 	}
-	a, q := p.attempts[ev.Attempt], p.q
+	a, q := p.attempts[event.Attempt], p.query
 	a.ended = true
-	a.ran = ev.Verdict != Rejected && ev.Verdict != NoConnection && ev.Verdict != NotSent
-	if ev.Verdict == ConnectionLost && a.s.guilt(q.class) == 0 {
-		q.lost++
+	a.mayHaveRun = event.Verdict != Rejected && event.Verdict != NoConnection && event.Verdict != NotSent
+	if event.Verdict == ConnectionLost && a.server.suspicion(q.class) == 0 {
+		q.lostConnections++
 	}
-	r.learn(a, ev)
-	a.s.out--
-	a.s.live--
-	if ev.Verdict == Served || ev.Verdict == ServerError || ev.Verdict == Rejected {
-		a.s.heardAt = r.now
+	r.recordOutcome(a, event)
+	a.server.reserved--
+	a.server.inFlight--
+	if event.Verdict == Served || event.Verdict == ServerError || event.Verdict == Rejected {
+		a.server.lastActiveAt = r.now
 	}
-	if w := a.s.window; w < 1 { // a window below one is one part for that share of the time
-		a.s.openAt = r.now + Micros(float64(r.now-a.sentAt)*(1/w-1))
+	if w := a.server.window; w < 1 { // a window below one is one part during that fraction of the time
+		a.server.reopensAt = r.now + Micros(float64(r.now-a.sentAt)*(1/w-1))
 	}
 	if q.ended {
-		r.forget(p)
+		r.forgetPart(p)
 		return
 	}
-	if ev.Verdict == Served && !p.served {
+	if event.Verdict == Served && !p.served {
 		p.served = true
-		q.got += p.weight
+		q.servedWeight += p.weight
 		for _, other := range p.attempts {
-			r.cancel(other)
+			r.cancelAttempt(other)
 		}
-		if q.got >= q.need-weightSlack {
-			r.answer(q, q.step == 1 || q.whole)
+		if q.servedWeight >= q.requiredWeight-weightTolerance {
+			r.answer(q, q.step == 1 || q.firstStepComplete)
 			return
 		}
-		if r.now >= q.partAt || q.lags() {
-			r.partNow(q)
+		if r.now >= q.partialAt || q.waitsOnlyForLate() {
+			r.answerPartially(q)
 		}
 	}
 	if !p.served || q.canary {
-		r.pursue(q)
+		r.scheduleMore(q)
 	}
 }
--- a/choice/calls_test.go
+++ b/choice/batching_test.go
@@ -66,14 +66,14 @@
 		for _, s := range g.r.servers {
 			switch rng.IntN(6) {
 			case 0:
-				s.out = int(s.window)
+				s.reserved = int(s.window)
 			case 1:
 				s.State = Draining
 			case 2:
-				s.blame = 2
+				s.faultLevel = 2
 			}
 		}
-		shards := rng.Perm(g.r.set.Shards)[:1+rng.IntN(9)]
+		shards := rng.Perm(g.r.settings.Shards)[:1+rng.IntN(9)]
 		class := []string{"all", "some", "unsafe"}[rng.IntN(3)]
 		_, evs := g.ask(class, shards...)
 		acts := g.step(evs...)
@@ -86,8 +86,8 @@
 				t.Fatalf("round %d: part %s went out twice at once", round, s.ID)
 			}
 			seen[s.ID] = true
-			if (to.Cell-shards[at]%cells+cells)%cells >= g.r.set.Width {
-				t.Fatalf("round %d: shard %d went to cell %d of %d, width %d", round, shards[at], to.Cell, cells, g.r.set.Width)
+			if (to.Cell-shards[at]%cells+cells)%cells >= g.r.settings.Width {
+				t.Fatalf("round %d: shard %d went to cell %d of %d, width %d", round, shards[at], to.Cell, cells, g.r.settings.Width)
 			}
 		}
 		if class != "some" && len(seen) != 0 && len(seen) != len(shards) {
@@ -100,7 +100,7 @@
 func TestColdServerGetsNoMoreByACall(t *testing.T) {
 	g := ring(t, 10, nil)
 	g.step(List{Form: Delta, Servers: []Server{{ID: "c2-0", Cell: 2, State: Ready, Scale: 1, UpSince: g.now}}})
-	g.r.servers["c2-0"].saved = 1
+	g.r.servers["c2-0"].slowStartTokens = 1
 	_, evs := g.ask("all", 0, 1, 2)
 	if got := calls(g.step(evs...)); got["c2-0"] > 1 {
 		t.Fatalf("a cold server was sent %d parts at once, want one at most", got["c2-0"])
@@ -177,7 +177,7 @@
 	for mid, want := range map[Micros]bool{100 * ms: true, 400 * ms: false} {
 		g := ring(t, 10, nil)
 		c := g.r.classes["all"]
-		c.mid, c.high, c.seen = float64(mid), float64(mid)+1, 50
+		c.median, c.upperQuantile, c.latencySamples = float64(mid), float64(mid)+1, 50
 		_, evs := g.ask("all", 0)
 		if n := len(of[Send](g.step(evs...))); n != 1 {
 			t.Fatalf("%d parts sent, want 1", n)
--- a/choice/bench_test.go
+++ b/choice/bench_test.go
@@ -33,7 +33,7 @@
 		events := []Event{Query{ID: id, Class: "some", Number: int64(i), Grace: 2 * sec, Parts: n}}
 		for p := range n {
 			events = append(events, Part{ID: fmt.Sprintf("%s.%d", id, p), Class: "some", Number: int64(i),
-				Shard: (i + p) % r.set.Shards, Weight: 1 / float64(n)})
+				Shard: (i + p) % r.settings.Shards, Weight: 1 / float64(n)})
 		}
 		c.asks = append(c.asks, events)
 	}
--- a/choice/choice.go
+++ b/choice/choice.go
@@ -1,54 +1,57 @@
-// Package choice decides for a client that reads many shards for one query. Its interface, the settings,
-// events and actions, is in api.go; what it holds is in state.go; every decision and value is in the files
-// that the deploy file names under policy, one concern each, opened by its exceptions: what sets each off,
-// what it guards against and when it hurts (docs/design.md has more).
+// Package choice implements the load balancing decisions of a client that queries many shards at once. The
+// interface (settings, events and actions) is in api.go and the state in state.go. All decisions and
+// constants are in the files that the deploy file lists under policy, one concern each. The head of each file
+// lists its exceptions: the condition that triggers each one, what it guards against and when it does harm
+// (docs/design.md has more).
 //
-// The mechanism: the parts of a query go to more shards than it needs where it needs only some, each to a
-// replica drawn at random among those with room; the query is answered once enough are in. A window per
-// server bounds the parts unanswered there: it grows by one over itself per part served while it is in use,
-// and is cut when parts fail, stay away or come late. A query that finds no room, also for the least that
-// will do, is refused before any part is sent. Nothing is queued.
+// The mechanism: if a query needs only some of its parts, more parts are sent than it needs. Each part goes
+// to a replica chosen at random among those with free capacity, and the query is answered once enough parts
+// are served. A window per server bounds its unanswered parts: it grows by one over its size per part served
+// while it is in use, and is cut when parts fail, get no answer or are late. A query is rejected before any
+// part is sent if the windows have no capacity for the least that is acceptable. Nothing is queued.
 package choice
 
-// New returns a router for the settings, or an error that names the setting it can't serve.
-func New(seed uint64, set Settings) (*Router, error) {
-	if err := check(set); err != nil {
+// New returns a router for the settings, or an error that names the setting that is out of range.
+func New(seed uint64, settings Settings) (*Router, error) {
+	if err := validate(settings); err != nil {
 		return nil, err
 	}
-	r := empty(seed, set)
-	for _, c := range set.Classes {
+	r := newEmptyRouter(seed, settings)
+	for _, c := range settings.Classes {
 		r.classes[c.Name] = r.newClass(c)
 	}
-	for _, t := range set.Tenants {
-		r.shares[t.Name] = &bucket{rate: t.QuotaPerS / float64(max(set.Routers, 1)), left: 1}
+	for _, t := range settings.Tenants {
+		r.quotas[t.Name] = &quotaBucket{rate: t.QuotaPerS / float64(max(settings.Routers, 1)), tokens: 1}
 	}
 	return r, nil
 }
 
 func (r *Router) newClass(c Class) *class {
-	aim := float64(c.LatencyTarget)
-	return &class{Class: c, n: r.number(), mid: startMiddle * aim, high: startUpper * aim}
+	target := float64(c.LatencyTarget)
+	return &class{Class: c, classIndex: r.assignClassIndex(), median: initialMedian * target,
+		upperQuantile: initialUpper * target}
 }
 
-// Step takes the events of one moment and returns what to do, in order; it holds until the next Step.
+// Step handles the events of one moment and returns the actions to take, in order. The returned slice is
+// valid until the next call of Step.
 func (r *Router) Step(now Micros, events []Event) []Action {
-	r.now, r.acts, r.lateBy = now, r.acts[:0], max(now-r.wakeAt, 0)
+	r.now, r.actions, r.wakeDelay = now, r.actions[:0], max(now-r.wakeAt, 0)
 	if !r.started {
-		r.started, r.binAt, r.lateBy = true, r.now, 0
-		if r.set.AskDiscovery {
-			r.ask()
+		r.started, r.spanStartedAt, r.wakeDelay = true, r.now, 0
+		if r.settings.AskDiscovery {
+			r.subscribe()
 		}
 	}
-	for _, ev := range events {
-		r.handle(ev)
+	for _, event := range events {
+		r.handle(event)
 	}
 	r.fireTimers()
-	for _, q := range r.fresh {
+	for _, q := range r.newQueries {
 		if !q.ended {
 			r.admit(q)
 		}
 	}
-	r.fresh = r.fresh[:0]
-	r.wake()
-	return r.acts
+	r.newQueries = r.newQueries[:0]
+	r.requestWake()
+	return r.actions
 }
--- a/choice/rig_test.go
+++ b/choice/helpers_test.go
@@ -53,7 +53,7 @@
 // listed returns a rig that has been told of so many warm servers a cell.
 func listed(t *testing.T, perCell int, change func(*Settings)) *rig {
 	g := newRig(t, change)
-	g.step(List{Form: Cached, Servers: rows(g.r.set.Cells, perCell)})
+	g.step(List{Form: Cached, Servers: rows(g.r.settings.Cells, perCell)})
 	return g
 }
 
@@ -80,7 +80,7 @@
 func (g *rig) later(d Micros) []Action {
 	var acts []Action
 	for end := g.now + d; g.now < end; {
-		g.now += g.r.set.Resolution
+		g.now += g.r.settings.Resolution
 		acts = append(acts, g.step(Elapsed{})...)
 	}
 	return acts
@@ -121,7 +121,7 @@
 // crowd makes a class look crowded, with such a share of misses.
 func (g *rig) crowd(class string, missed float64) {
 	c := g.r.classes[class]
-	c.mid, g.r.missed = float64(c.LatencyTarget), missed
+	c.median, g.r.missedShare = float64(c.LatencyTarget), missed
 }
 
 // of picks the actions of one type.
--- a/choice/symptoms_test.go
+++ b/choice/regressions_test.go
@@ -28,8 +28,8 @@
 		g.step(evs...)
 	}
 	for id, s := range g.r.servers {
-		if float64(s.out) > s.window {
-			t.Errorf("%s has %d out over a window of %.1f", id, s.out, s.window)
+		if float64(s.reserved) > s.window {
+			t.Errorf("%s has %d out over a window of %.1f", id, s.reserved, s.window)
 		}
 	}
 }
@@ -52,7 +52,7 @@
 	g := listed(t, 1, nil)
 	g.warm(100, 10*ms, 0)
 	for id, s := range g.r.servers {
-		if s.window > firstWindow {
+		if s.window > initialWindow {
 			t.Errorf("%s: window %.1f after one part at a time", id, s.window)
 		}
 	}
@@ -86,7 +86,7 @@
 	_, evs := g.ask("all", 0)
 	s := of[Send](g.step(evs...))[0]
 	g.later(600 * ms)
-	if !g.r.suspect(g.r.servers[s.Server], g.r.classes["all"]) {
+	if !g.r.isSuspect(g.r.servers[s.Server], g.r.classes["all"]) {
 		t.Fatal("an overdue part with nothing served since raised no suspicion")
 	}
 }
@@ -102,7 +102,7 @@
 			g.end(s, 0, Served)
 		}
 	}
-	if g.r.suspect(g.r.servers["c0-0"], g.r.classes["all"]) {
+	if g.r.isSuspect(g.r.servers["c0-0"], g.r.classes["all"]) {
 		t.Fatal("one heavy part condemned a server that serves others")
 	}
 }
@@ -120,8 +120,8 @@
 		g.warm(2, 20*ms, 0, 1, 2, 3)
 	}
 	for id, s := range g.r.servers {
-		if s.pace > slowPace {
-			t.Errorf("%s: pace %.1f", id, s.pace)
+		if s.latencyRatio > suspectRatio {
+			t.Errorf("%s: pace %.1f", id, s.latencyRatio)
 		}
 	}
 }
@@ -143,7 +143,7 @@
 // Where copies go far the settings have them wait longer.
 func TestSettingsTellWhenAPartIsOverdue(t *testing.T) {
 	for most, want := range map[float64]int{0: 1, 0.8: 0} {
-		g := listed(t, 1, func(s *Settings) { s.OverdueMultiple, s.OverdueMaxShare = 2*overdueBy*most/0.8, most })
+		g := listed(t, 1, func(s *Settings) { s.OverdueMultiple, s.OverdueMaxShare = 2*defaultOverdueMultiple*most/0.8, most })
 		_, evs := g.ask("all", 0)
 		g.step(evs...)
 		if n := len(of[Send](g.later(450 * ms))); n != want {
@@ -170,13 +170,13 @@
 		first := of[Send](g.step(evs...))[0]
 		late, c := g.r.servers[first.Server], g.r.classes["all"]
 		copies := of[Send](g.later(160 * ms))
-		if len(copies) != 1 || late.guilt(c) == 0 {
-			t.Fatalf("%d copies, guilt %d", len(copies), late.guilt(c))
+		if len(copies) != 1 || late.suspicion(c) == 0 {
+			t.Fatalf("%d copies, guilt %d", len(copies), late.suspicion(c))
 		}
 		g.end(copies[0], 1, Served)
 		g.later(after - 160*ms)
 		g.end(first, 0, Served) // the query has been answered, this part called off
-		if got := late.guilt(c) > 0; got != suspect {
+		if got := late.suspicion(c) > 0; got != suspect {
 			t.Errorf("answered after %d ms: a suspect: %v", after/ms, got)
 		}
 	}
@@ -185,7 +185,7 @@
 func TestEveryReplicaSuspectStillLeavesTheShardReachable(t *testing.T) {
 	g := listed(t, 1, nil)
 	for _, s := range g.r.servers {
-		s.blame, s.trialAt = mostBlame, g.now+100*sec
+		s.faultLevel, s.nextTrialAt = maxFaultLevel, g.now+100*sec
 	}
 	_, evs := g.ask("all", 0)
 	if n := len(of[Send](g.step(evs...))); n != 1 {
@@ -211,7 +211,7 @@
 		t.Fatalf("first step: %v", acts)
 	}
 	for _, server := range g.r.servers {
-		server.out = 100
+		server.reserved = 100
 	}
 	part := Part{ID: "second", Class: "two-step", Number: g.next, Shard: 0, Weight: 1}
 	acts = append(g.step(part), g.later(5*ms)...)
@@ -283,7 +283,7 @@
 			g.warm(200, took, 0)
 		}
 		for _, s := range g.r.servers {
-			s.out = int(s.window * windows)
+			s.reserved = int(s.window * windows)
 		}
 		_, evs := g.ask(class, 0, 1)
 		acts := g.step(evs...)
@@ -295,7 +295,7 @@
 	if n := sent("all", 50*ms, 1); n != 2 {
 		t.Fatalf("%d of 2 parts sent behind full windows, each a twentieth of its aim", n)
 	}
-	if n := sent("all", 0, 1) + sent("all", 500*ms, 1) + sent("all", 50*ms, overMost); n != 0 {
+	if n := sent("all", 0, 1) + sent("all", 500*ms, 1) + sent("all", 50*ms, maxOverfill); n != 0 {
 		t.Fatalf("%d parts sent unseen, slow, or far over a window", n)
 	}
 }
@@ -336,8 +336,8 @@
 		}
 		g.now += 900 * ms
 		g.end(gone[0], 0, NoAnswer)
-		if server.coldFrom != 0 || server.blame > 0 {
-			t.Fatalf("taken for dead: cold %d blame %d", server.coldFrom, server.blame)
+		if server.slowStartFrom != 0 || server.faultLevel > 0 {
+			t.Fatalf("taken for dead: cold %d blame %d", server.slowStartFrom, server.faultLevel)
 		}
 	}
 }
@@ -381,7 +381,7 @@
 					g.end(s, 0, Served)
 					continue
 				}
-				if i >= 30 && g.r.servers[s.Server].blame == 0 {
+				if i >= 30 && g.r.servers[s.Server].faultLevel == 0 {
 					late++ // one not met before
 				}
 				for n, retry := 1, of[Send](g.end(s, 0, NoConnection)); len(retry) > 0 && n < 3; n++ {
@@ -399,13 +399,13 @@
 		t.Errorf("%d first sends to unmet servers of a zone known to be cut off", n)
 	}
 	g := zoned(t, "a")
-	g.r.zones[0].bad = 1
-	if g.r.cutOff(g.r.servers["c0-0"]) != nil {
+	g.r.zones[0].faultShare = 1
+	if g.r.faultyGroup(g.r.servers["c0-0"]) != nil {
 		t.Error("with all labels equal there is nothing to compare with")
 	}
 	g = zoned(t, "a", "b")
-	g.r.zones[0].bad, g.r.zones[1].bad = 0.8, 0.6
-	if g.r.cutOff(g.r.servers["c0-0"]) != nil {
+	g.r.zones[0].faultShare, g.r.zones[1].faultShare = 0.8, 0.6
+	if g.r.faultyGroup(g.r.servers["c0-0"]) != nil {
 		t.Error("where every zone is bad the way to one of them is not to blame")
 	}
 }
@@ -426,8 +426,8 @@
 			g.later(after)
 			g.end(s, 0, Served)
 		}
-		if got := g.r.zones[0].bad > groupBad; got != bad {
-			t.Errorf("served after %d ms: the zone is taken for bad: %v (%.2f)", after/ms, got, g.r.zones[0].bad)
+		if got := g.r.zones[0].faultShare > groupFaultShare; got != bad {
+			t.Errorf("served after %d ms: the zone is taken for bad: %v (%.2f)", after/ms, got, g.r.zones[0].faultShare)
 		}
 	}
 }
@@ -442,8 +442,8 @@
 		g.end(lost[0], 0, NoAnswer)
 		g.warm(4, 10*ms, 0)
 	}
-	if s.guilt(keyed) == 0 || s.guilt(all) != 0 {
-		t.Fatalf("blame %d for the class unanswered, %d for the class served", s.guilt(keyed), s.guilt(all))
+	if s.suspicion(keyed) == 0 || s.suspicion(all) != 0 {
+		t.Fatalf("blame %d for the class unanswered, %d for the class served", s.suspicion(keyed), s.suspicion(all))
 	}
 }
 
@@ -453,7 +453,7 @@
 	})
 	g.step()
 	used := g.now - 10*sec + 600*ms // both come back when all parts below are late
-	g.r.ledger.extras = []Micros{used, used}
+	g.r.sharedBudget.extraAttempts = []Micros{used, used}
 	_, heavy := g.ask("all", 0, 1, 2, 3)
 	g.step(heavy...)
 	_, near := g.ask("all", 0, 1, 2, 3)
@@ -514,7 +514,7 @@
 
 func TestPartsThatNeverComeBackCountAsSlow(t *testing.T) {
 	g := listed(t, 2, func(s *Settings) { s.AttemptCap = 1 })
-	before := g.r.classes["all"].mid
+	before := g.r.classes["all"].median
 	for range 30 {
 		_, evs := g.ask("all", 0, 1, 2, 3)
 		sends := of[Send](g.step(evs...))
@@ -523,7 +523,7 @@
 			g.end(s, 0, NoAnswer)
 		}
 	}
-	if after := g.r.classes["all"].mid; after < 2*before {
+	if after := g.r.classes["all"].median; after < 2*before {
 		t.Fatalf("middle latency %.0f after 30 queries unanswered, %.0f before", after, before)
 	}
 }
@@ -531,9 +531,9 @@
 func TestADeadZoneStandsOutThoughTheOthersAreOverloaded(t *testing.T) {
 	g := zoned(t, "a", "b", "c")
 	for i, bad := range []float64{0.95, 0.4, 0.45} {
-		g.r.zones[i].bad = bad
+		g.r.zones[i].faultShare = bad
 	}
-	if g.r.cutOff(g.r.servers["c0-0"]) == nil || g.r.cutOff(g.r.servers["c0-1"]) != nil {
+	if g.r.faultyGroup(g.r.servers["c0-0"]) == nil || g.r.faultyGroup(g.r.servers["c0-1"]) != nil {
 		t.Error("want the zone that fails nearly always passed over, and it alone")
 	}
 }
@@ -541,7 +541,7 @@
 func TestALateWakeIsNoServersTrouble(t *testing.T) {
 	g := listed(t, 1, nil)
 	g.warm(50, 20*ms, 0)
-	before := g.r.classes["all"].mid
+	before := g.r.classes["all"].median
 	for range 5 {
 		_, evs := g.ask("all", 0)
 		sent := of[Send](g.step(evs...))
@@ -550,11 +550,11 @@
 		g.warm(1, 20*ms, 0)
 	}
 	for id, s := range g.r.servers {
-		if s.guilt(g.r.classes["all"]) > 0 || s.pace > slowPace {
-			t.Errorf("%s: blame %d, pace %.1f after stalls of the router", id, s.blame, s.pace)
+		if s.suspicion(g.r.classes["all"]) > 0 || s.latencyRatio > suspectRatio {
+			t.Errorf("%s: blame %d, pace %.1f after stalls of the router", id, s.faultLevel, s.latencyRatio)
 		}
 	}
-	if after := g.r.classes["all"].mid; after > 2*before {
+	if after := g.r.classes["all"].median; after > 2*before {
 		t.Errorf("middle latency %.0f, %.0f before the stalls", after, before)
 	}
 }
@@ -568,9 +568,9 @@
 		row.State = Gone
 		g.step(List{Form: Delta, Servers: []Server{row}})
 	}
-	g.later(g.r.set.SlowStart + sec)
-	if n := len(g.r.servers); n != 4 || len(g.r.cells[0]) != 1 || g.r.ready != 4 {
-		t.Fatalf("%d servers held, %d in the cell, %d ready; want 4, 1, 4", n, len(g.r.cells[0]), g.r.ready)
+	g.later(g.r.settings.SlowStart + sec)
+	if n := len(g.r.servers); n != 4 || len(g.r.cells[0]) != 1 || g.r.readyServers != 4 {
+		t.Fatalf("%d servers held, %d in the cell, %d ready; want 4, 1, 4", n, len(g.r.cells[0]), g.r.readyServers)
 	}
 }
 
@@ -591,8 +591,8 @@
 		g.end(a, 0, NoAnswer)
 	}
 	g.later(20 * sec)
-	if len(g.r.queries)+len(g.r.numbers)+len(g.r.timers)+len(g.r.fresh) != 0 {
-		t.Errorf("left: %d queries, %d numbers, %d timers", len(g.r.queries), len(g.r.numbers), len(g.r.timers))
+	if len(g.r.queries)+len(g.r.queriesByNumber)+len(g.r.timers)+len(g.r.newQueries) != 0 {
+		t.Errorf("left: %d queries, %d numbers, %d timers", len(g.r.queries), len(g.r.queriesByNumber), len(g.r.timers))
 	}
 }
 
@@ -606,7 +606,7 @@
 	if n := len(of[Send](g.later(200 * ms))); n != 1 {
 		t.Fatalf("%d copies within 200 ms of a try that has 300, want 1", n)
 	}
-	if b := g.r.servers[first.Server].guilt(g.r.classes["all"]); b != 0 {
+	if b := g.r.servers[first.Server].suspicion(g.r.classes["all"]); b != 0 {
 		t.Fatalf("blame %d for a part that is not late by its class", b)
 	}
 }
@@ -620,25 +620,25 @@
 			g.now += 10 * ms
 			g.end(s, 0, Served)
 		}
-		a := &attempt{p: &part{q: &query{class: g.r.classes["all"]}, stretch: 1}, s: hung, sentAt: g.now}
-		g.r.learn(a, Outcome{Verdict: NoConnection})
+		a := &attempt{part: &part{query: &query{class: g.r.classes["all"]}, predictionRatio: 1}, server: hung, sentAt: g.now}
+		g.r.recordOutcome(a, Outcome{Verdict: NoConnection})
 	}
-	if g.r.cutOff(hung) != nil {
-		t.Fatalf("zone shares %.2f and %.2f after one server failed ten times", g.r.zones[0].bad, g.r.zones[1].bad)
+	if g.r.faultyGroup(hung) != nil {
+		t.Fatalf("zone shares %.2f and %.2f after one server failed ten times", g.r.zones[0].faultShare, g.r.zones[1].faultShare)
 	}
 }
 
 func TestALongWayIsNoFullServer(t *testing.T) {
 	g := zoned(t, "a", "b")
-	g.r.zones[0].bad, g.r.zones[1].bad = 0.9, 0
+	g.r.zones[0].faultShare, g.r.zones[1].faultShare = 0.9, 0
 	s := g.r.servers["c0-0"]
-	a := &attempt{p: &part{q: &query{class: g.r.classes["all"]}, stretch: 1}, s: s, sentAt: g.now}
+	a := &attempt{part: &part{query: &query{class: g.r.classes["all"]}, predictionRatio: 1}, server: s, sentAt: g.now}
 	g.now += 900 * ms
 	g.r.Step(g.now, nil)
-	g.r.overdue(a)
-	g.r.learn(a, Outcome{Verdict: Served})
-	if s.window < firstWindow || s.guilt(g.r.classes["all"]) != 0 {
-		t.Fatalf("window %.1f, blame %d for a late part in a zone that is late as a whole", s.window, s.blame)
+	g.r.handleOverdue(a)
+	g.r.recordOutcome(a, Outcome{Verdict: Served})
+	if s.window < initialWindow || s.suspicion(g.r.classes["all"]) != 0 {
+		t.Fatalf("window %.1f, blame %d for a late part in a zone that is late as a whole", s.window, s.faultLevel)
 	}
 }
 
@@ -648,7 +648,7 @@
 	g := listed(t, 1, func(s *Settings) { s.Routers, s.Tenants = 20, []Tenant{{Name: "t", QuotaPerS: 1}} })
 	for i := range 3 {
 		for _, s := range g.r.servers {
-			s.out = int(firstWindow) / 2 // what another query has out: room, but not ample
+			s.reserved = int(initialWindow) / 2 // what another query has out: room, but not ample
 		}
 		_, evs := g.ask("all", 0, 1)
 		q := evs[0].(Query)
@@ -659,7 +659,7 @@
 		}
 	}
 	g.now += 1000 * sec
-	if g.step(); !g.r.withinShare(&query{tenant: "t"}) {
+	if g.step(); !g.r.withinQuota(&query{tenant: "t"}) {
 		t.Error("the first query in a thousand seconds is over the share")
 	}
 }
@@ -698,7 +698,7 @@
 			lost = nil
 		}
 		for _, s := range g.r.servers {
-			if s.guilt(g.r.classes["all"]) > 0 {
+			if s.suspicion(g.r.classes["all"]) > 0 {
 				blamed++
 			}
 		}
@@ -725,7 +725,7 @@
 	}
 	_, evs := g.ask("all", 0, 1, 2, 3)
 	more, ends := lose(of[Send](g.step(evs...)))
-	if len(more) > poisonLost-1 || ends+len(of[Refuse](g.later(sec))) != 1 {
+	if len(more) > queryOfDeathLosses-1 || ends+len(of[Refuse](g.later(sec))) != 1 {
 		t.Fatalf("%d further sends, %d ends after every part lost its connection", len(more), ends)
 	}
 	_, evs = g.ask("all", 0, 1, 2, 3)
@@ -779,7 +779,7 @@
 	for class, short := range map[string]bool{"all": true, "unsafe": false} {
 		g := listed(t, 2, func(s *Settings) { s.ParallelAttempts = false })
 		g.warm(20, 100*ms, 0, 1, 2, 3)
-		g.r.classes["unsafe"].high = g.r.classes["all"].high
+		g.r.classes["unsafe"].upperQuantile = g.r.classes["all"].upperQuantile
 		_, evs := g.ask(class, 0)
 		s := of[Send](g.step(evs...))[0]
 		if (s.Timeout < 900*ms) != short {
@@ -804,7 +804,7 @@
 	g.now += 50 * ms
 	g.end(sends[0], 0, Served)
 	g.end(sends[1], 0, Served)
-	acts := g.later(sec - 100*ms - g.r.set.Resolution)
+	acts := g.later(sec - 100*ms - g.r.settings.Resolution)
 	if a := of[Answer](acts); len(a) != 1 || a[0].Whole || g.now-start > sec {
 		t.Fatalf("two of three parts served, %v before the aim", acts)
 	}
@@ -828,7 +828,7 @@
 	_, evs := g.ask("two-step", 0)
 	g.end(of[Send](g.step(evs...))[0], 0, Served)
 	for _, q := range g.r.queries {
-		g.r.pursue(q)
+		g.r.scheduleMore(q)
 	}
 	if acts := g.step(); finals(acts) != 0 || len(g.r.queries) != 1 {
 		t.Fatalf("between the steps: %v", acts)
@@ -843,7 +843,7 @@
 	g.now += 600 * ms
 	g.end(sends[0], 0, Served)
 	g.end(sends[1], 0, Served)
-	g.r.classes["two-step"].high = float64(sec) // slow of late: only the time left makes a part overdue
+	g.r.classes["two-step"].upperQuantile = float64(sec) // slow of late: only the time left makes a part overdue
 	if n := len(of[Send](g.step(Part{ID: "m", Class: "two-step", Number: g.next, Shard: 0, Weight: 1}))); n != 0 {
 		t.Fatalf("%d sends at once, want them with the next tick", n)
 	}
@@ -869,11 +869,11 @@
 			tries[s.ID]++
 		}
 	}
-	if released != 0 || g.r.idle.bad > groupBad {
-		t.Errorf("%d connections closed, idle ones taken for %.2f bad", released, g.r.idle.bad)
+	if released != 0 || g.r.idleConns.faultShare > groupFaultShare {
+		t.Errorf("%d connections closed, idle ones taken for %.2f bad", released, g.r.idleConns.faultShare)
 	}
 	for id, s := range g.r.servers {
-		if s.window >= firstWindow && s.served[g.r.classes["some"].n] > 0 {
+		if s.window >= initialWindow && s.lastServedByClass[g.r.classes["some"].classIndex] > 0 {
 			t.Errorf("%s keeps a window of %.1f though its parts took 0.7 of their aim", id, s.window)
 		}
 	}
@@ -910,7 +910,7 @@
 		if failed {
 			g.step(List{Form: Failed})
 		}
-		all := rows(g.r.set.Cells, replicas)
+		all := rows(g.r.settings.Cells, replicas)
 		all[0].State = Draining
 		g.step(List{Form: form, Servers: all})
 		g.now += wait
--- a/choice/rules_test.go
+++ b/choice/rules_test.go
@@ -12,7 +12,7 @@
 			g := listed(t, 2, nil)
 			_, evs := g.ask(class, 0, 1)
 			acts := g.step(evs...)
-			acts = append(acts, g.later(2*sec+g.r.set.AnswerSlack)...)
+			acts = append(acts, g.later(2*sec+g.r.settings.AnswerSlack)...)
 			if n := finals(acts); n != 1 {
 				t.Fatalf("%d final answers, want 1: %v", n, acts)
 			}
@@ -124,7 +124,7 @@
 	fresh := Server{ID: "cold", Cell: 0, State: Ready, Scale: 1, UpSince: g.now}
 	g.step(List{Form: Delta, Servers: []Server{fresh}})
 	got := map[string]int{}
-	for end := g.now + g.r.set.OverloadWindow; g.now < end; {
+	for end := g.now + g.r.settings.OverloadWindow; g.now < end; {
 		_, evs := g.ask("all", 0)
 		for _, s := range of[Send](g.step(evs...)) {
 			got[s.Server]++
@@ -132,11 +132,11 @@
 			g.end(s, 0, Served)
 		}
 	}
-	borne := 100 / 2 * float64(g.r.set.OverloadWindow) / float64(sec) // by each warm server before
-	share := g.r.set.StartCapacity + (1-g.r.set.StartCapacity)*float64(g.r.set.OverloadWindow)/2/float64(g.r.set.SlowStart)
-	limit := g.r.set.OverloadMultiple * share * borne
+	borne := 100 / 2 * float64(g.r.settings.OverloadWindow) / float64(sec) // by each warm server before
+	share := g.r.settings.StartCapacity + (1-g.r.settings.StartCapacity)*float64(g.r.settings.OverloadWindow)/2/float64(g.r.settings.SlowStart)
+	limit := g.r.settings.OverloadMultiple * share * borne
 	if got["cold"] == 0 || float64(got["cold"]) > limit {
-		t.Fatalf("cold server got %d in its first %d us, want 1 to %.0f", got["cold"], g.r.set.OverloadWindow, limit)
+		t.Fatalf("cold server got %d in its first %d us, want 1 to %.0f", got["cold"], g.r.settings.OverloadWindow, limit)
 	}
 }
 
@@ -149,16 +149,16 @@
 		g := listed(t, 1, func(s *Settings) {
 			s.Routers, s.Cells, s.Width, s.Shards, s.StartCapacity, s.SlowStart = routers, 1, 1, 1, 0.17, 18*sec
 		})
-		g.r, _ = New(seed, g.r.set)
+		g.r, _ = New(seed, g.r.settings)
 		g.step(List{Form: Cached, Servers: rows(1, 2)})
 		g.now += Micros(seed) * 50 * ms // a start of its own
 		for range 30 {                  // half a part a second and server
 			g.warm(1, 10*ms, 0)
 			g.now += sec
 		}
-		worst += 0.5 * float64(g.r.set.OverloadWindow) / 1e6
+		worst += 0.5 * float64(g.r.settings.OverloadWindow) / 1e6
 		g.step(List{Form: Delta, Servers: []Server{{ID: "fresh", Cell: 0, State: Ready, Scale: 1, UpSince: g.now}}})
-		for end := g.now + g.r.set.OverloadWindow; g.now < end; {
+		for end := g.now + g.r.settings.OverloadWindow; g.now < end; {
 			_, evs := g.ask("all", 0)
 			for _, s := range of[Send](g.step(evs...)) {
 				if s.Server == "fresh" {
@@ -252,8 +252,8 @@
 		sent++
 		queue = append(queue, of[Send](more)...)
 	}
-	if sent != g.r.set.AttemptCap {
-		t.Fatalf("%d attempts, want the cap of %d", sent, g.r.set.AttemptCap)
+	if sent != g.r.settings.AttemptCap {
+		t.Fatalf("%d attempts, want the cap of %d", sent, g.r.settings.AttemptCap)
 	}
 }
 
@@ -280,12 +280,12 @@
 		_, evs := g.ask("all", 0)
 		sends = append(sends, of[Send](g.step(evs...))...)
 	}
-	if len(sends) != int(firstWindow) {
-		t.Fatalf("%d parts out, want the window of %v", len(sends), firstWindow)
+	if len(sends) != int(initialWindow) {
+		t.Fatalf("%d parts out, want the window of %v", len(sends), initialWindow)
 	}
 	g.now += 10 * ms
 	g.end(sends[0], 0, Served)
-	if want := firstWindow + 1/firstWindow; s.window != want {
+	if want := initialWindow + 1/initialWindow; s.window != want {
 		t.Fatalf("window %v after a served part, want %v", s.window, want)
 	}
 	before := s.window
@@ -298,7 +298,7 @@
 
 func TestDesignRefusalBeforeAnyPartIsSent(t *testing.T) {
 	g := listed(t, 1, func(s *Settings) { s.Width = 1 })
-	g.r.servers["c1-0"].out = int(firstWindow)
+	g.r.servers["c1-0"].reserved = int(initialWindow)
 	_, evs := g.ask("all", 0, 1, 2)
 	if acts := g.step(evs...); len(of[Refuse](acts)) != 1 || len(of[Send](acts)) != 0 {
 		t.Fatalf("one of three shards without room: %v", acts)
@@ -307,7 +307,7 @@
 
 func TestDesignUniformDrawAmongReplicasWithRoom(t *testing.T) {
 	g := listed(t, 4, func(s *Settings) { s.Cells, s.Width, s.Shards = 1, 1, 1 })
-	g.r.servers["c0-3"].out = int(firstWindow)
+	g.r.servers["c0-3"].reserved = int(initialWindow)
 	got, rounds := map[string]int{}, 3000
 	for range rounds {
 		_, evs := g.ask("all", 0)
@@ -332,23 +332,23 @@
 func TestBearingIsOfTheServerThatBoreMost(t *testing.T) {
 	g := listed(t, 3, nil)
 	for _, s := range g.r.servers {
-		s.bins = 4
+		s.servedInSpan = 4
 	}
-	g.r.servers["c0-0"].bins = 400
-	span := g.r.set.OverloadWindow
-	g.r.now = g.r.binAt + span
-	g.r.roll()
-	if want := (400 - 2*20) / (float64(span) / 1e6); g.r.bearing != want {
-		t.Fatalf("bears %v a second, want %v", g.r.bearing, want)
+	g.r.servers["c0-0"].servedInSpan = 400
+	span := g.r.settings.OverloadWindow
+	g.r.now = g.r.spanStartedAt + span
+	g.r.updateObservedRate()
+	if want := (400 - 2*20) / (float64(span) / 1e6); g.r.observedRate != want {
+		t.Fatalf("bears %v a second, want %v", g.r.observedRate, want)
 	}
 	g.r.now += span
 	for _, s := range g.r.servers { // few on each: the best of them owes it to chance
-		s.bins = 4
+		s.servedInSpan = 4
 	}
-	g.r.bearing = 0
-	g.r.roll()
-	if want := 4 / (float64(span) / 1e6); g.r.bearing != want {
-		t.Fatalf("bears %v a second, want the mean, %v", g.r.bearing, want)
+	g.r.observedRate = 0
+	g.r.updateObservedRate()
+	if want := 4 / (float64(span) / 1e6); g.r.observedRate != want {
+		t.Fatalf("bears %v a second, want the mean, %v", g.r.observedRate, want)
 	}
 }
 
@@ -359,7 +359,7 @@
 		g := listed(t, 1, func(s *Settings) { s.Width = 1 })
 		for _, s := range g.r.servers { // half of the cells have no room
 			if s.Cell%2 == 0 {
-				s.window, s.out = 1, 1
+				s.window, s.reserved = 1, 1
 			}
 		}
 		_, evs := g.ask("partial", 0, 1)
--- a/choice/servers.go
+++ b/choice/servers.go
@@ -1,90 +1,93 @@
 package choice
 
-// The server list, and when it is asked for.
+// The server list, and when it is requested.
 //
-//   - asking for the list (ask): where told, and after failures; against a stale list; loads the list.
+//   - requests for the list (subscribe): at the start, if AskDiscovery is set, and after failures; against a
+//     stale list; adds load at the list's source.
 
 import "cmp"
 
 const (
-	askShare = 0.25     // of rules.ask-within: the longest pause between asks for the list
-	askFirst = 1.0 / 16 // of that: the first pause after a failure; it doubles
+	listWaitShare    = 0.25     // of AskWithin: the longest pause between requests for the list
+	listBackoffStart = 1.0 / 16 // of that: the first pause after a failure; it doubles
 )
 
-func (r *Router) list(ev List) {
-	if ev.Form == Failed {
-		if !r.set.AskDiscovery { // what is pushed comes by itself
+func (r *Router) applyList(event List) {
+	if event.Form == Failed {
+		if !r.settings.AskDiscovery { // a pushed list arrives without a request
 			return
 		}
-		r.askGap = min(max(2*r.askGap, 1), Micros(float64(r.set.AskWithin)*askShare))
-		r.askAt = r.now + r.askGap
-		r.after(r.askGap, r.askDue)
+		r.listBackoff = min(max(2*r.listBackoff, 1), Micros(float64(r.settings.AskWithin)*listWaitShare))
+		r.listRetryAt = r.now + r.listBackoff
+		r.runAfter(r.listBackoff, r.subscribeIfDue)
 		return
 	}
-	// On a watch that stands news is told now; other news may have counted as told before.
-	fresh := ev.Form == Delta && r.askAt == 0
-	if ev.Form != Cached {
-		r.askAt, r.askGap = 0, Micros(float64(r.set.AskWithin)*askShare*askFirst)
+	// A change from an established subscription became known only now; other changes may have been known
+	// before.
+	fresh := event.Form == Delta && r.listRetryAt == 0
+	if event.Form != Cached {
+		r.listRetryAt, r.listBackoff = 0, Micros(float64(r.settings.AskWithin)*listWaitShare*listBackoffStart)
 	}
-	named := make(map[string]bool, len(ev.Servers))
-	for _, row := range ev.Servers {
-		named[row.ID] = true
-		r.row(row, ev.Form)
-		if s := r.servers[row.ID]; s != nil && fresh && s.State == Draining && s.leaveAt == 0 {
-			s.leaveAt = r.now + Micros(leaveShare*float64(r.set.DrainGrace)) - ev.Since
+	listed := make(map[string]bool, len(event.Servers))
+	for _, row := range event.Servers {
+		listed[row.ID] = true
+		r.applyRow(row, event.Form)
+		if s := r.servers[row.ID]; s != nil && fresh && s.State == Draining && s.lastResortUntil == 0 {
+			s.lastResortUntil = r.now + Micros(drainingUseShare*float64(r.settings.DrainGrace)) - event.Since
 		}
 	}
-	if ev.Form != Delta {
-		r.absent(named)
+	if event.Form != Delta {
+		r.markAbsent(listed)
 	}
 }
 
-// row takes one line. New servers and restarted ones start cold; the list tells late.
-func (r *Router) row(row Server, form Form) {
+// applyRow applies one row of a list. New and restarted servers enter slow start. Where the list gives no
+// start, the time of the row is used instead, although lists report with a delay.
+func (r *Router) applyRow(row Server, form Form) {
 	s := r.servers[row.ID]
 	if s == nil {
-		if row.State == Gone || row.Cell >= r.set.Cells {
+		if row.State == Gone || row.Cell >= r.settings.Cells {
 			return
 		}
-		s = r.add(row)
-		s.window = firstWindow
-		from := row.UpSince
-		if form == Delta && from == 0 {
-			from = r.now
+		s = r.addServer(row)
+		s.window = initialWindow
+		startedAt := row.UpSince
+		if form == Delta && startedAt == 0 {
+			startedAt = r.now
 		}
-		if from > 0 {
-			r.chill(s, from)
+		if startedAt > 0 {
+			r.startSlowStart(s, startedAt)
 		}
 		return
 	}
 	restarted := row.UpSince > s.UpSince
-	back := s.State == Gone && row.State == Ready
-	r.become(s, row.State)
+	returned := s.State == Gone && row.State == Ready
+	r.setState(s, row.State)
 	if row.State == Gone {
 		return
 	}
 	row.Cell = s.Cell
 	s.Server = row
 	if restarted {
-		s.blame, s.pace = 0, 1
-		clear(s.blames)
-		r.chill(s, row.UpSince)
-	} else if back {
-		r.chill(s, r.now)
+		s.faultLevel, s.latencyRatio = 0, 1
+		clear(s.classFaultLevels)
+		r.startSlowStart(s, row.UpSince)
+	} else if returned {
+		r.startSlowStart(s, r.now)
 	}
 }
 
-// ask subscribes to the list and looks again later, in case no answer comes.
-func (r *Router) ask() {
-	r.do(Watch{On: true})
-	wait := Micros(float64(r.set.AskWithin) * askShare)
-	r.askGap = cmp.Or(r.askGap, Micros(float64(wait)*askFirst))
-	r.askAt = r.now + wait
-	r.after(wait, r.askDue)
+// subscribe subscribes to the list, and sets a timer to subscribe again if no list comes.
+func (r *Router) subscribe() {
+	r.addAction(Watch{On: true})
+	wait := Micros(float64(r.settings.AskWithin) * listWaitShare)
+	r.listBackoff = cmp.Or(r.listBackoff, Micros(float64(wait)*listBackoffStart))
+	r.listRetryAt = r.now + wait
+	r.runAfter(wait, r.subscribeIfDue)
 }
 
-func (r *Router) askDue() {
-	if r.askAt != 0 && r.now >= r.askAt {
-		r.ask()
+func (r *Router) subscribeIfDue() {
+	if r.listRetryAt != 0 && r.now >= r.listRetryAt {
+		r.subscribe()
 	}
 }
--- a/choice/state.go
+++ b/choice/state.go
@@ -1,6 +1,6 @@
 package choice
 
-// What a Router holds and how it keeps time; no decision is made here.
+// The state of a Router and its timers. No decision is made here.
 
 import (
 	"cmp"
@@ -13,403 +13,413 @@
 
 type server struct {
 	Server
-	window   float64
-	out      int     // attempts planned or out
-	live     int     // attempts out
-	heardAt  Micros  // the last answer of any sort, or the last new connection
-	episode  Micros  // the last shrink: attempts sent before it don't shrink again
-	blame    int     // for all classes
-	cause    *class  // the one class whose parts raised blame, if no other did
-	blames   []int   // for one class, by its number: others are served
-	pace     float64 // its latencies over the class's middle, smoothed
-	trialAt  Micros
-	openAt   Micros // with a window below one: when it has room again
-	passed   int    // draws that passed it over since
-	servedAt Micros
-	served   []Micros // the same, by class
-	coldFrom Micros   // start of its cold time; 0: warm
-	groups   []*group
-	bins     float64 // parts served since Router.binAt
-	saved    float64 // while cold: the parts it may be sent
-	savedAt  Micros
-	leaveAt  Micros // while draining: until then it may be drawn, as a last resort
-	plan     int    // the last plan that has a call for it
-}
-
-// group is all servers with an equal label.
+	window              float64
+	reserved            int     // attempts planned or in flight
+	inFlight            int     // attempts in flight
+	lastActiveAt        Micros  // last answer of any sort, or last new connection
+	lastShrinkAt        Micros  // attempts sent before it don't shrink the window again
+	faultLevel          int     // suspicion for all classes; see recordFault
+	faultClass          *class  // the only class whose parts raised faultLevel, or nil
+	classFaultLevels    []int   // by class.classIndex: faults of one class while others are served
+	latencyRatio        float64 // of its latencies to the class's median, smoothed
+	nextTrialAt         Micros
+	reopensAt           Micros // for a window below one: when it may be sent a part again
+	timesSkipped        int    // selections since the last trial that skipped it as a suspect
+	lastServedAt        Micros
+	lastServedByClass   []Micros // by class.classIndex
+	slowStartFrom       Micros   // start of its slow start; 0: not in slow start
+	groups              []*group
+	servedInSpan        float64 // parts served since Router.spanStartedAt
+	slowStartTokens     float64 // in slow start: parts it may be sent
+	slowStartRefilledAt Micros
+	lastResortUntil     Micros // while it drains: until then it may be selected as a last resort
+	lastPlan            int    // number of the last plan with a call to it
+}
+
+// group is the servers with the same label, or the connections of one sort.
 type group struct {
-	label   string
-	bad     float64 // share of recent parts that failed or came late
-	trialAt Micros
+	label       string
+	faultShare  float64 // share of recent parts that failed or were late
+	nextTrialAt Micros
 }
 
 type class struct {
 	Class
-	n         int     // its number
-	mid, high float64 // quantiles of latency, in microseconds
-	hint      float64 // mean hint
-	seen      float64 // latencies seen
-	patience  Micros  // the least time that first tries had lately
-	watchTo   Micros  // a query of it crashed servers: until then, one part goes ahead
+	classIndex            int     // index into server.classFaultLevels and server.lastServedByClass
+	median, upperQuantile float64 // estimated quantiles of latency, in microseconds
+	meanPrediction        float64 // mean of Part.Predicted, smoothed
+	latencySamples        float64 // number of latencies
+	firstTryTimeout       Micros  // least recent timeout of clients for their first try
+	canaryUntil           Micros  // until then its queries send one part first: one of them crashed servers
 }
 
 type query struct {
-	id       string
-	class    *class
-	tenant   string
-	number   int64
-	at       Micros // the start of its step
-	aimAt    Micros
-	endAt    Micros
-	partAt   Micros
-	parts    []*part
-	size     int    // parts told of
-	slab     []part // where its parts lie
-	need     float64
-	least    float64 // what it may come down to where there is no room
-	got      float64
-	step     int
-	pace     float64 // product of its served parts' latencies over the class's middle
-	paced    float64 // their number
-	whole    bool    // the first step's answer was whole
-	ended    bool
-	inTime   bool // its last answer was
-	admitted bool
-	canary   bool // one part goes ahead
-	beyond   bool // it is over its tenant's share
-	lost     int  // attempts that ended with a lost connection
-	retryAt  Micros
+	id                string
+	class             *class
+	tenant            string
+	number            int64
+	stepStartedAt     Micros
+	targetAt          Micros
+	endsAt            Micros
+	partialAt         Micros
+	parts             []*part
+	expectedParts     int    // from Query.Parts
+	partStorage       []part // backing array of its parts
+	requiredWeight    float64
+	reducedWeight     float64 // what requiredWeight may be reduced to without capacity for more
+	servedWeight      float64
+	step              int
+	logRatioSum       float64 // sum of log(latency / class median) over its served parts
+	ratioCount        float64 // number of these parts
+	firstStepComplete bool    // the first step's answer was complete
+	ended             bool
+	onTime            bool // its last answer met the latency target
+	admitted          bool
+	canary            bool // one part is sent first, the others once it is served
+	overQuota         bool // over its tenant's quota
+	lostConnections   int  // attempts that lost their connections
+	nextScheduleAt    Micros
 }
 
 type part struct {
-	id       string
-	q        *query
-	shard    int
-	weight   float64
-	stretch  float64 // its hint over the class's mean
-	served   bool
-	attempts []*attempt
-	first    attempt     // where the first attempt lies; most parts have one
-	one      [1]*attempt // what attempts holds then
+	id              string
+	query           *query
+	shard           int
+	weight          float64
+	predictionRatio float64 // Part.Predicted over the class's mean
+	served          bool
+	attempts        []*attempt
+	firstAttempt    attempt     // storage of the first attempt, which is the only one of most parts
+	attemptStorage  [1]*attempt // backing array of attempts in that case
 }
 
 type attempt struct {
-	p         *part
-	s         *server
-	index     int
-	sentAt    Micros
-	overdue   bool
-	short     bool // it times out while there is time for another attempt
-	early     bool // it is overdue early, for want of time: its server is not late
-	ended     bool
-	ran       bool // it may have executed
-	cancelled bool
-	marked    []*group // that bear its bad mark
-	line      *group   // of the connection it went out on, unless that was in use
-}
-
-// bucket is what a tenant has left of its share.
-type bucket struct {
-	rate, left float64
-	at         Micros
-}
-
-// timer is what is done at a time.
+	part         *part
+	server       *server
+	index        int
+	sentAt       Micros
+	overdue      bool
+	shortTimeout bool // its timeout leaves time for another attempt
+	earlyOverdue bool // overdue early because the query has little time: its server is not late
+	ended        bool
+	mayHaveRun   bool // it may have been executed
+	cancelled    bool
+	faultGroups  []*group // groups in which its fault is recorded
+	connGroup    *group   // idleConns or renewedConns; nil if its connection was in use
+}
+
+// quotaBucket is the token bucket of a tenant. Its rate is in queries per second.
+type quotaBucket struct {
+	rate, tokens float64
+	refilledAt   Micros
+}
+
+// timer is a task to run at a time.
 type timer struct {
-	at  Micros
-	seq int
-	do  doer
+	at   Micros
+	seq  int
+	task task
 }
 
-// doer does one thing. Each is a pointer to what it is done with under another name,
-// for a closure for every part would cost more than what most of them do.
-type doer interface{ do(*Router) }
+// task is what a timer runs. Each type is a query or an attempt under another name, because a closure for
+// every part would cost more than what most tasks do.
+type task interface{ fire(*Router) }
 
 type (
-	expiry   query
-	partial  query
-	pursuit  query
-	lateness attempt
-	call     func()
+	expireTask   query
+	partialTask  query
+	scheduleTask query
+	overdueTask  attempt
+	funcTask     func()
 )
 
-func (q *expiry) do(r *Router)   { r.expire((*query)(q)) }
-func (q *partial) do(r *Router)  { r.partNow((*query)(q)) }
-func (q *pursuit) do(r *Router)  { r.pursue((*query)(q)) }
-func (a *lateness) do(r *Router) { r.overdue((*attempt)(a)) }
-func (f call) do(*Router)        { f() }
+func (q *expireTask) fire(r *Router)   { r.expire((*query)(q)) }
+func (q *partialTask) fire(r *Router)  { r.answerPartially((*query)(q)) }
+func (q *scheduleTask) fire(r *Router) { r.scheduleMore((*query)(q)) }
+func (a *overdueTask) fire(r *Router)  { r.handleOverdue((*attempt)(a)) }
+func (f funcTask) fire(*Router)        { f() }
 
-// timers is a binary heap by time, and at one time by the order of asking. It is
-// container/heap without a value boxed for each push and pop.
+// timers is a binary heap ordered by time, and for equal times by the order in which timers were set. It does
+// what container/heap does, without boxing a value for each push and pop.
 type timers []timer
 
-func (t timer) before(o timer) bool { return t.at < o.at || t.at == o.at && t.seq < o.seq }
+func (t timer) before(other timer) bool {
+	return t.at < other.at || t.at == other.at && t.seq < other.seq
+}
 
-func (t *timers) push(x timer) {
-	*t = append(*t, x)
-	h := *t
-	i := len(h) - 1
+func (t *timers) push(added timer) {
+	*t = append(*t, added)
+	heap := *t
+	i := len(heap) - 1
 	for i > 0 {
 		parent := (i - 1) / 2
-		if h[parent].at <= x.at { // at one time the later asked is x
+		if heap[parent].at <= added.at { // of equal times the added timer is the later one
 			break
 		}
-		h[i] = h[parent]
+		heap[i] = heap[parent]
 		i = parent
 	}
-	h[i] = x
+	heap[i] = added
 }
 
 func (t *timers) pop() timer {
-	h := *t
-	first, last := h[0], len(h)-1
-	x := h[last]
-	h[last] = timer{}
-	h = h[:last]
-	*t = h
+	heap := *t
+	first, last := heap[0], len(heap)-1
+	moved := heap[last]
+	heap[last] = timer{}
+	heap = heap[:last]
+	*t = heap
 	if last == 0 {
 		return first
 	}
 	i := 0
-	for c := 1; c < last; c = 2*i + 1 {
-		if c+1 < last && h[c+1].before(h[c]) {
-			c++
+	for child := 1; child < last; child = 2*i + 1 {
+		if child+1 < last && heap[child+1].before(heap[child]) {
+			child++
 		}
-		if !h[c].before(x) {
+		if !heap[child].before(moved) {
 			break
 		}
-		h[i] = h[c]
-		i = c
+		heap[i] = heap[child]
+		i = child
 	}
-	h[i] = x
+	heap[i] = moved
 	return first
 }
 
-// Router decides for one router. It is not safe for concurrent use.
+// Router makes the decisions of one router of the tier. It is not safe for concurrent use.
 type Router struct {
-	set     Settings
-	rng     *rand.Rand
-	now     Micros
-	acts    []Action
-	classes map[string]*class
-	servers map[string]*server
-	cells   [][]*server
-	zones   []*group
-	kinds   []*group
-	idle    group // sends on connections that had idled
-	renewed group // sends on new ones in place of such
-	queries map[string]*query
-	numbers map[int64]*query
-	parts   map[string]*part
-	fresh   []*query
-	flat    []*part // what line and take returned last
-	turned  []*part
-	along   []*part
-	plans   int // the plan at hand: server.plan tells whether it is part of it
-
-	shares  map[string]*bucket
-	timers  timers
-	seq     int
-	wakeAt  Micros
-	lateBy  Micros // this step comes so much later than it was asked for
-	started bool
-	askAt   Micros
-	askGap  Micros
-
-	ledger   ledger   // of all parts, or
-	ledgers  []ledger // of each shard's
-	free     []int    // numbers of classes that are gone
-	numbered int      // numbers given out
-	size     float64  // parts of a query, smoothed
-	missed   float64  // share of recent queries admitted that missed their aim
-	ready    int
-	binAt    Micros
-	bearing  float64 // parts a second that one server of size 1 was seen to bear
-}
-
-// ledger is what a budget of further attempts rests on.
-type ledger struct {
-	taken  []Micros // queries and parts taken
-	extras []Micros // further attempts made
-}
-
-// empty is a router that holds nothing yet.
-func empty(seed uint64, set Settings) *Router {
-	set.OverdueMultiple, set.OverdueMaxShare = cmp.Or(set.OverdueMultiple, overdueBy), cmp.Or(set.OverdueMaxShare, overdueMax)
+	settings        Settings
+	rng             *rand.Rand
+	now             Micros
+	actions         []Action
+	classes         map[string]*class
+	servers         map[string]*server
+	cells           [][]*server
+	zones           []*group
+	kinds           []*group
+	idleConns       group // sends on connections that were idle
+	renewedConns    group // sends on new connections that replaced idle ones
+	queries         map[string]*query
+	queriesByNumber map[int64]*query
+	parts           map[string]*part
+	newQueries      []*query
+	ordered         []*part // buffers of what orderParts and fillCall returned last
+	rotated         []*part
+	callParts       []*part
+	planNumber      int // of the current plan; see server.lastPlan
+
+	quotas      map[string]*quotaBucket
+	timers      timers
+	seq         int
+	wakeAt      Micros
+	wakeDelay   Micros // how much later than requested this step runs
+	started     bool
+	listRetryAt Micros
+	listBackoff Micros
+
+	sharedBudget     budgetLog   // of all parts,
+	shardBudgets     []budgetLog // or of the parts of each shard, with RetryBudgetPerShard
+	freeClassIndexes []int       // indexes of removed classes
+	classIndexCount  int         // indexes assigned so far
+	meanQuerySize    float64     // mean number of parts of a query, smoothed
+	missedShare      float64     // share of recently admitted queries that missed their latency target
+	readyServers     int
+	spanStartedAt    Micros
+	observedRate     float64 // parts per second that one server of scale 1 was seen to serve
+}
+
+// budgetLog has the times from which the rest of a budget of extra attempts is computed.
+type budgetLog struct {
+	arrivals      []Micros // of queries and parts
+	extraAttempts []Micros // retries and hedges
+}
+
+// newEmptyRouter returns a router without classes, tenants or servers.
+func newEmptyRouter(seed uint64, settings Settings) *Router {
+	settings.OverdueMultiple, settings.OverdueMaxShare =
+		cmp.Or(settings.OverdueMultiple, defaultOverdueMultiple),
+		cmp.Or(settings.OverdueMaxShare, defaultOverdueMaxShare)
 	return &Router{
-		set:     set,
-		rng:     rand.New(rand.NewPCG(seed, 0)),
-		classes: make(map[string]*class),
-		servers: make(map[string]*server),
-		cells:   make([][]*server, set.Cells),
-		queries: make(map[string]*query),
-		numbers: make(map[int64]*query),
-		parts:   make(map[string]*part),
-		shares:  make(map[string]*bucket),
-	}
-}
-
-// retune takes classes over: what was learned of a name that stays is kept, and the
-// number of one that is gone serves another. Queries of a class that is gone go on.
-func (r *Router) retune(list []Class) {
-	gone := r.classes
+		settings:        settings,
+		rng:             rand.New(rand.NewPCG(seed, 0)),
+		classes:         make(map[string]*class),
+		servers:         make(map[string]*server),
+		cells:           make([][]*server, settings.Cells),
+		queries:         make(map[string]*query),
+		queriesByNumber: make(map[int64]*query),
+		parts:           make(map[string]*part),
+		quotas:          make(map[string]*quotaBucket),
+	}
+}
+
+// replaceClasses replaces all classes. A class whose name is kept keeps what was learned of it; the index of
+// a removed class is reused. Queries of a removed class continue.
+func (r *Router) replaceClasses(list []Class) {
+	removed := r.classes
 	r.classes = make(map[string]*class, len(list))
 	for _, c := range list {
-		if old := gone[c.Name]; old != nil {
+		if old := removed[c.Name]; old != nil {
 			old.Class = c
 			r.classes[c.Name] = old
-			delete(gone, c.Name)
+			delete(removed, c.Name)
 		}
 	}
-	for _, name := range slices.Sorted(maps.Keys(gone)) {
-		r.free = append(r.free, gone[name].n)
+	for _, name := range slices.Sorted(maps.Keys(removed)) {
+		r.freeClassIndexes = append(r.freeClassIndexes, removed[name].classIndex)
 	}
 	for _, c := range list {
 		if r.classes[c.Name] == nil {
 			r.classes[c.Name] = r.newClass(c)
 		}
 	}
-	r.set.Classes = list
+	r.settings.Classes = list
 }
 
-// number gives a class its number, one that is free before a new one.
-func (r *Router) number() int {
-	n := r.numbered
-	if last := len(r.free) - 1; last >= 0 {
-		n, r.free = r.free[last], r.free[:last]
+// assignClassIndex returns the index for a new class, a free one if there is any.
+func (r *Router) assignClassIndex() int {
+	index := r.classIndexCount
+	if last := len(r.freeClassIndexes) - 1; last >= 0 {
+		index, r.freeClassIndexes = r.freeClassIndexes[last], r.freeClassIndexes[:last]
 	} else {
-		r.numbered++
+		r.classIndexCount++
 	}
 	for _, s := range r.servers {
-		for len(s.blames) <= n {
-			s.blames, s.served = append(s.blames, 0), append(s.served, 0)
+		for len(s.classFaultLevels) <= index {
+			s.classFaultLevels, s.lastServedByClass =
+				append(s.classFaultLevels, 0), append(s.lastServedByClass, 0)
 		}
-		s.blames[n], s.served[n] = 0, 0
+		s.classFaultLevels[index], s.lastServedByClass[index] = 0, 0
 	}
-	return n
+	return index
 }
 
-// book is the ledger that a part of a shard stands in.
-func (r *Router) book(shard int) *ledger {
-	if !r.set.RetryBudgetPerShard {
-		return &r.ledger
+// budgetLogOf returns the log that counts the parts of a shard.
+func (r *Router) budgetLogOf(shard int) *budgetLog {
+	if !r.settings.RetryBudgetPerShard {
+		return &r.sharedBudget
 	}
-	n := shard % r.set.Cells
-	for len(r.ledgers) <= n {
-		r.ledgers = append(r.ledgers, ledger{})
+	index := shard % r.settings.Cells
+	for len(r.shardBudgets) <= index {
+		r.shardBudgets = append(r.shardBudgets, budgetLog{})
 	}
-	return &r.ledgers[n]
+	return &r.shardBudgets[index]
 }
 
-func check(set Settings) error {
+// validate returns an error that names the first setting found to be out of range.
+func validate(settings Settings) error {
 	switch {
-	case len(set.Classes) == 0 && !set.ClassesLater:
-		return fmt.Errorf("setting Classes: none told")
-	case set.Cells < 1:
-		return fmt.Errorf("setting Cells: %d is less than 1", set.Cells)
-	case set.Width < 1 || set.Width > set.Cells:
-		return fmt.Errorf("setting Width: %d is not within 1 to Cells (%d)", set.Width, set.Cells)
-	case set.AttemptCap < 1:
-		return fmt.Errorf("setting AttemptCap: %d is less than 1", set.AttemptCap)
-	case set.OverdueMultiple < 0 || set.OverdueMaxShare < 0 || set.OverdueMaxShare > 1:
-		return fmt.Errorf("OverdueBy, OverdueMax: %v, %v out of range", set.OverdueMultiple, set.OverdueMaxShare)
-	case set.RetryBudget && set.RetryBudgetWindow < 1:
-		return fmt.Errorf("setting ExtraWindow: %d is less than 1", set.RetryBudgetWindow)
-	case set.AskDiscovery && set.AskWithin < 1:
-		return fmt.Errorf("setting AskWithin: %d is less than 1", set.AskWithin)
-	}
-	for _, c := range set.Classes {
+	case len(settings.Classes) == 0 && !settings.ClassesLater:
+		return fmt.Errorf("setting Classes: none is set")
+	case settings.Cells < 1:
+		return fmt.Errorf("setting Cells: %d is less than 1", settings.Cells)
+	case settings.Width < 1 || settings.Width > settings.Cells:
+		return fmt.Errorf("setting Width: %d is not within 1 to Cells (%d)", settings.Width, settings.Cells)
+	case settings.AttemptCap < 1:
+		return fmt.Errorf("setting AttemptCap: %d is less than 1", settings.AttemptCap)
+	case settings.OverdueMultiple < 0 || settings.OverdueMaxShare < 0 || settings.OverdueMaxShare > 1:
+		return fmt.Errorf("settings OverdueMultiple, OverdueMaxShare: %v, %v out of range",
+			settings.OverdueMultiple, settings.OverdueMaxShare)
+	case settings.RetryBudget && settings.RetryBudgetWindow < 1:
+		return fmt.Errorf("setting RetryBudgetWindow: %d is less than 1", settings.RetryBudgetWindow)
+	case settings.AskDiscovery && settings.AskWithin < 1:
+		return fmt.Errorf("setting AskWithin: %d is less than 1", settings.AskWithin)
+	}
+	for _, c := range settings.Classes {
 		switch {
 		case c.LatencyTarget < 1 || c.Deadline < c.LatencyTarget:
-			return fmt.Errorf("setting Classes: %s: Aim %d is not within 1 to Deadline (%d)",
+			return fmt.Errorf("setting Classes: %s: LatencyTarget %d is not within 1 to Deadline (%d)",
 				c.Name, c.LatencyTarget, c.Deadline)
 		case c.RequiredShare <= 0 || c.RequiredShare > 1:
-			return fmt.Errorf("setting Classes: %s: Need %v is not within 0 to 1", c.Name, c.RequiredShare)
+			return fmt.Errorf("setting Classes: %s: RequiredShare %v is not within 0 to 1",
+				c.Name, c.RequiredShare)
 		case c.MinShare < 0 || c.MinShare > c.RequiredShare:
-			return fmt.Errorf("setting Classes: %s: Floor %v is not within 0 to Need (%v)",
+			return fmt.Errorf("setting Classes: %s: MinShare %v is not within 0 to RequiredShare (%v)",
 				c.Name, c.MinShare, c.RequiredShare)
 		}
 	}
 	return nil
 }
 
-func (r *Router) handle(ev Event) {
-	switch ev := ev.(type) {
+func (r *Router) handle(event Event) {
+	switch event := event.(type) {
 	case List:
-		r.list(ev)
+		r.applyList(event)
 	case Query:
-		r.query(ev)
+		r.addQuery(event)
 	case Part:
-		r.part(ev)
+		r.addPart(event)
 	case Outcome:
-		r.outcome(ev)
+		r.handleOutcome(event)
 	case Classes:
-		r.retune(ev.List)
+		r.replaceClasses(event.List)
 	case Tier:
-		r.set.Routers, r.set.RetryBudgetMin = ev.Routers, ev.RetryBudgetMin
+		r.settings.Routers, r.settings.RetryBudgetMin = event.Routers, event.RetryBudgetMin
 	case ClientLeft:
-		if q := r.queries[ev.ID]; q != nil {
-			r.end(q)
+		if q := r.queries[event.ID]; q != nil {
+			r.endQuery(q)
 		}
 	}
 }
 
-func (r *Router) do(a Action) { r.acts = append(r.acts, a) }
+func (r *Router) addAction(a Action) { r.actions = append(r.actions, a) }
 
-// end forgets a query and cancels what is out.
-func (r *Router) end(q *query) {
+// endQuery removes a query and cancels its attempts in flight.
+func (r *Router) endQuery(q *query) {
 	q.ended = true
 	if q.admitted {
 		miss := 1.0
-		if q.inTime {
+		if q.onTime {
 			miss = 0
 		}
-		r.missed += (miss - r.missed) * missStep
+		r.missedShare += (miss - r.missedShare) * missSmoothing
 	}
-	r.release(q)
+	r.releaseParts(q)
 	delete(r.queries, q.id)
-	delete(r.numbers, q.number)
+	delete(r.queriesByNumber, q.number)
 }
 
-func (r *Router) release(q *query) {
+// releaseParts cancels the attempts of a query's parts and removes the parts.
+func (r *Router) releaseParts(q *query) {
 	for _, p := range q.parts {
 		for _, a := range p.attempts {
-			r.cancel(a)
+			r.cancelAttempt(a)
 		}
 		p.served = true
-		r.forget(p)
+		r.forgetPart(p)
 	}
 }
 
-func (r *Router) forget(p *part) {
-	if out, _ := p.pending(); out == 0 {
+// forgetPart removes a part, unless one of its attempts is still in flight.
+func (r *Router) forgetPart(p *part) {
+	if inFlight, _ := p.countInFlight(); inFlight == 0 {
 		delete(r.parts, p.id)
 	}
 }
 
-// track moves a quantile estimate by one sample.
-func track(q, x, p, step float64) float64 {
-	if x > q {
-		return q * (1 + step*p)
+// trackQuantile returns an estimate of the quantile of the given rank (0 to 1), updated with one sample.
+func trackQuantile(estimate, sample, rank, step float64) float64 {
+	if sample > estimate {
+		return estimate * (1 + step*rank)
 	}
-	return q * (1 - step*(1-p))
+	return estimate * (1 - step*(1-rank))
 }
 
-// tried tells whether an attempt of p at s is out or may have run.
-func (p *part) tried(s *server) bool {
+// triedOn reports whether an attempt of p at s is in flight or may have run.
+func (p *part) triedOn(s *server) bool {
 	for _, a := range p.attempts {
-		if a.s == s && (!a.ended || a.ran) {
+		if a.server == s && (!a.ended || a.mayHaveRun) {
 			return true
 		}
 	}
 	return false
 }
 
-// ran tells whether any part of q may have executed.
-func (q *query) ran() bool {
+// mayHaveRun reports whether any part of q may have been executed.
+func (q *query) mayHaveRun() bool {
 	for _, p := range q.parts {
 		for _, a := range p.attempts {
-			if a.ran {
+			if a.mayHaveRun {
 				return true
 			}
 		}
@@ -417,13 +427,15 @@
 	return false
 }
 
-// add takes a new server in, in the order of names, so that the draw doesn't hang on the list's.
-func (r *Router) add(row Server) *server {
-	n := r.numbered
-	s := &server{Server: row, pace: 1, blames: make([]int, n), served: make([]Micros, n)}
-	s.groups = []*group{labelled(&r.zones, row.Zone), labelled(&r.kinds, row.Kind)}
+// addServer adds a new server. Cells are sorted by ID, so that selections don't depend on the order of the
+// list.
+func (r *Router) addServer(row Server) *server {
+	classes := r.classIndexCount
+	s := &server{Server: row, latencyRatio: 1,
+		classFaultLevels: make([]int, classes), lastServedByClass: make([]Micros, classes)}
+	s.groups = []*group{groupFor(&r.zones, row.Zone), groupFor(&r.kinds, row.Kind)}
 	s.State = Gone
-	r.become(s, row.State)
+	r.setState(s, row.State)
 	r.servers[row.ID] = s
 	cell := r.cells[row.Cell]
 	at, _ := slices.BinarySearchFunc(cell, s, func(a, b *server) int { return cmp.Compare(a.ID, b.ID) })
@@ -431,223 +443,229 @@
 	return s
 }
 
-// absent marks as gone what a complete list left out.
-func (r *Router) absent(named map[string]bool) {
+// markAbsent marks the servers as gone that a complete list does not contain.
+func (r *Router) markAbsent(listed map[string]bool) {
 	for _, cell := range r.cells {
 		for _, s := range cell {
-			if !named[s.ID] {
-				r.become(s, Gone)
+			if !listed[s.ID] {
+				r.setState(s, Gone)
 			}
 		}
 	}
 }
 
-// become sets a server's state, counts the ready ones, and lets a server go that stays gone.
-func (r *Router) become(s *server, state State) {
+// setState sets a server's state and counts the ready servers. A server that stays gone is dropped after
+// SlowStart.
+func (r *Router) setState(s *server, state State) {
 	if s.State == Ready {
-		r.ready--
+		r.readyServers--
 	}
 	if state == Ready {
-		r.ready++
+		r.readyServers++
 	}
 	if state == Gone && s.State != Gone {
-		r.after(r.set.SlowStart, func() { r.drop(s) })
+		r.runAfter(r.settings.SlowStart, func() { r.dropServer(s) })
 	}
 	if s.State = state; state != Draining {
-		s.leaveAt = 0
+		s.lastResortUntil = 0
 	}
 }
 
-// drop lets go of a server that is still gone and has nothing out.
-func (r *Router) drop(s *server) {
+// dropServer removes a server if it is still gone. While it has attempts in flight, it is checked again
+// later.
+func (r *Router) dropServer(s *server) {
 	if s.State != Gone || r.servers[s.ID] != s {
 		return
 	}
-	if s.out > 0 {
-		r.after(r.set.SlowStart, func() { r.drop(s) })
+	if s.reserved > 0 {
+		r.runAfter(r.settings.SlowStart, func() { r.dropServer(s) })
 		return
 	}
 	delete(r.servers, s.ID)
 	cell := r.cells[s.Cell]
-	r.cells[s.Cell] = slices.DeleteFunc(cell, func(o *server) bool { return o == s })
+	r.cells[s.Cell] = slices.DeleteFunc(cell, func(other *server) bool { return other == s })
 }
 
-// unplan takes back what was planned but not sent, but for so many parts.
+// unplan undoes a plan that was not sent, except for the first attempts, as many as keep.
 func (q *query) unplan(keep int) {
 	for _, p := range q.parts {
 		if keep -= len(p.attempts); keep >= 0 {
 			continue
 		}
 		for _, a := range p.attempts {
-			a.s.out--
-			a.s.saved++
+			a.server.reserved--
+			a.server.slowStartTokens++
 		}
 		p.attempts = nil
 	}
 }
 
-// newPart adds a part. All parts that a query was told to have lie side by side.
+// newPart stores a part. The number of parts that Query.Parts announced is stored in one array.
 func (q *query) newPart(p part) *part {
-	if q.slab == nil {
-		n := min(max(q.size, 1), mostSlab)
-		q.slab, q.parts = make([]part, 0, n), make([]*part, 0, n)
+	if q.partStorage == nil {
+		size := min(max(q.expectedParts, 1), maxPartStorage)
+		q.partStorage, q.parts = make([]part, 0, size), make([]*part, 0, size)
 	}
-	if len(q.slab) == cap(q.slab) { // more came than told
-		alone := p
-		return &alone
+	if len(q.partStorage) == cap(q.partStorage) { // more parts than announced
+		separate := p
+		return &separate
 	}
-	q.slab = append(q.slab, p)
-	return &q.slab[len(q.slab)-1]
+	q.partStorage = append(q.partStorage, p)
+	return &q.partStorage[len(q.partStorage)-1]
 }
 
-// mostSlab bounds what a told number of parts has laid out ahead.
-const mostSlab = 4096
+// maxPartStorage bounds the memory that is allocated for an announced number of parts.
+const maxPartStorage = 4096
 
-// newAttempt adds an attempt of a part.
+// newAttempt adds an attempt to a part.
 func (p *part) newAttempt(a attempt) {
 	if len(p.attempts) > 0 {
-		further := a
-		p.attempts = append(p.attempts, &further)
+		another := a
+		p.attempts = append(p.attempts, &another)
 		return
 	}
-	p.first = a
-	p.one[0] = &p.first
-	p.attempts = p.one[:]
-}
-
-// cut makes empty lists for a draw, each with room for the replicas that most
-// shards have.
-func cut(l *[7][6]*server) (a, b, c, d, e, f, g []*server) {
-	return l[0][:0], l[1][:0], l[2][:0], l[3][:0], l[4][:0], l[5][:0], l[6][:0]
-}
-
-// line lays parts out in the order in which they are planned. Where a call carries one
-// part that order is random; else it is the ring's, so that parts which one server holds
-// lie side by side: it begins behind the widest stretch of cells that none begins at.
-// What it returns holds until it is called again.
-func (r *Router) line(parts []*part, shuffle bool) []*part {
-	r.flat = append(r.flat[:0], parts...)
-	line := r.flat
-	if r.set.MaxPartsPerCall <= 1 && shuffle {
-		r.rng.Shuffle(len(line), func(i, j int) { line[i], line[j] = line[j], line[i] })
-	}
-	if r.set.MaxPartsPerCall <= 1 || len(line) == 0 {
-		return line
-	}
-	cells := r.set.Cells
-	slices.SortStableFunc(line, func(a, b *part) int { return cmp.Compare(a.shard%cells, b.shard%cells) })
-	from, widest := 0, -1
-	for i, p := range line {
-		before := line[(i+len(line)-1)%len(line)]
-		if gap := (p.shard%cells - before.shard%cells + cells) % cells; gap > widest {
-			from, widest = i, gap
+	p.firstAttempt = a
+	p.attemptStorage[0] = &p.firstAttempt
+	p.attempts = p.attemptStorage[:]
+}
+
+// splitCandidates returns seven empty lists for a selection, each with capacity for the replicas of most
+// shards.
+func splitCandidates(buffers *[7][6]*server) (a, b, c, d, e, f, g []*server) {
+	return buffers[0][:0], buffers[1][:0], buffers[2][:0], buffers[3][:0], buffers[4][:0], buffers[5][:0],
+		buffers[6][:0]
+}
+
+// orderParts returns parts in the order in which they are planned. If a call carries one part, that order is
+// random with shuffle. Else it is the order of the ring of cells, so that parts stored by the same server are
+// adjacent: it starts after the widest gap between the first cells of two parts. The result is valid until
+// the next call.
+func (r *Router) orderParts(parts []*part, shuffle bool) []*part {
+	r.ordered = append(r.ordered[:0], parts...)
+	ordered := r.ordered
+	if r.settings.MaxPartsPerCall <= 1 && shuffle {
+		r.rng.Shuffle(len(ordered), func(i, j int) { ordered[i], ordered[j] = ordered[j], ordered[i] })
+	}
+	if r.settings.MaxPartsPerCall <= 1 || len(ordered) == 0 {
+		return ordered
+	}
+	cells := r.settings.Cells
+	slices.SortStableFunc(ordered, func(a, b *part) int { return cmp.Compare(a.shard%cells, b.shard%cells) })
+	firstIndex, widest := 0, -1
+	for i, p := range ordered {
+		previous := ordered[(i+len(ordered)-1)%len(ordered)]
+		if gap := (p.shard%cells - previous.shard%cells + cells) % cells; gap > widest {
+			firstIndex, widest = i, gap
 		}
 	}
-	r.turned = append(append(r.turned[:0], line[from:]...), line[:from]...)
-	return r.turned
+	r.rotated = append(append(r.rotated[:0], ordered[firstIndex:]...), ordered[:firstIndex]...)
+	return r.rotated
 }
 
-// holds tells whether a server holds a part's shard.
-func (r *Router) holds(s *server, p *part) bool {
-	return (s.Cell-p.shard%r.set.Cells+r.set.Cells)%r.set.Cells < r.set.Width
+// holdsShard reports whether a server stores the shard of a part.
+func (r *Router) holdsShard(s *server, p *part) bool {
+	return (s.Cell-p.shard%r.settings.Cells+r.settings.Cells)%r.settings.Cells < r.settings.Width
 }
 
-// take cuts from a line, whose first part goes to s anyway, what may go there in the
-// same call: up to room parts, and no more weight than wanted. It returns the call and
-// moves what is left of the line, in its order, to the front.
-func (r *Router) take(s *server, line []*part, room int, want float64) (call, rest []*part) {
-	call, rest = r.along[:0], line[:0]
+// fillCall takes from parts, the first of which goes to s in any case, those that may go there in the same
+// call: up to capacity parts, and no more weight than wanted. It returns the call, and the rest of the parts
+// in their order, moved to the front of the slice.
+func (r *Router) fillCall(s *server, parts []*part, capacity int, wanted float64) (call, rest []*part) {
+	call, rest = r.callParts[:0], parts[:0]
 	weight := 0.0
-	for i, p := range line {
-		if i > 0 && (len(call) >= room || weight >= want-weightSlack || !r.holds(s, p) || p.tried(s)) {
+	for i, p := range parts {
+		if i > 0 && (len(call) >= capacity || weight >= wanted-weightTolerance ||
+			!r.holdsShard(s, p) || p.triedOn(s)) {
 			rest = append(rest, p)
 			continue
 		}
 		call = append(call, p)
 		weight += p.weight
 	}
-	r.along = call
+	r.callParts = call
 	return call, rest
 }
 
-// callsFor is the number of calls that the parts of a line would need were every server
-// of their shards to take them, but for those that s would carry.
-func (r *Router) callsFor(line []*part, s *server, room int) int {
-	calls, from, n, taken := 0, -1, 0, 0
-	for i, p := range line {
-		if taken < room && (i == 0 || r.holds(s, p) && !p.tried(s)) {
+// countCalls returns the number of calls that the parts need in addition to one call to s with capacity
+// parts, if every server of their shards accepts them.
+func (r *Router) countCalls(parts []*part, s *server, capacity int) int {
+	calls, firstCell, size, taken := 0, -1, 0, 0
+	for i, p := range parts {
+		if taken < capacity && (i == 0 || r.holdsShard(s, p) && !p.triedOn(s)) {
 			taken++
 			continue
 		}
-		at := p.shard % r.set.Cells
-		if from < 0 || n >= r.set.MaxPartsPerCall || (at-from+r.set.Cells)%r.set.Cells >= r.set.Width {
-			calls, from, n = calls+1, at, 0
+		partCell := p.shard % r.settings.Cells
+		if firstCell < 0 || size >= r.settings.MaxPartsPerCall ||
+			(partCell-firstCell+r.settings.Cells)%r.settings.Cells >= r.settings.Width {
+			calls, firstCell, size = calls+1, partCell, 0
 		}
-		n++
+		size++
 	}
 	return calls
 }
 
-// floorNow is the least weight that still makes an answer.
-func (q *query) floorNow() float64 {
+// minAnswerWeight returns the least weight that makes an answer, complete or partial.
+func (q *query) minAnswerWeight() float64 {
 	if q.class.MinShare < q.class.RequiredShare {
 		return q.class.MinShare
 	}
-	return q.need
+	return q.requiredWeight
 }
 
-// cancel ends the wait on an attempt, once, where that is permitted.
-func (r *Router) cancel(a *attempt) {
-	if !a.ended && !a.cancelled && r.set.Cancel {
+// cancelAttempt cancels an attempt that is in flight, once, if Settings.Cancel permits it.
+func (r *Router) cancelAttempt(a *attempt) {
+	if !a.ended && !a.cancelled && r.settings.Cancel {
 		a.cancelled = true
-		r.do(Cancel{ID: a.p.id, Attempt: a.index})
+		r.addAction(Cancel{ID: a.part.id, Attempt: a.index})
 	}
 }
 
-// after runs fire once d has passed.
-func (r *Router) after(d Micros, fire func()) { r.alarm(d, call(fire)) }
+// runAfter calls callback after the given delay.
+func (r *Router) runAfter(delay Micros, callback func()) { r.setTimer(delay, funcTask(callback)) }
 
-// alarm has something done once d has passed.
-func (r *Router) alarm(d Micros, do doer) {
+// setTimer runs a task after the given delay, which is at least 1.
+func (r *Router) setTimer(delay Micros, t task) {
 	r.seq++
-	r.timers.push(timer{r.now + max(d, 1), r.seq, do})
+	r.timers.push(timer{r.now + max(delay, 1), r.seq, t})
 }
 
-// fireTimers runs what is due, in the order of its time.
+// fireTimers runs the tasks that are due, in the order of their times.
 func (r *Router) fireTimers() {
 	for len(r.timers) > 0 && r.timers[0].at <= r.now {
-		r.timers.pop().do.do(r)
+		r.timers.pop().task.fire(r)
 	}
 }
 
-// wake asks for an Elapsed at the next timer, unless one is already coming.
-func (r *Router) wake() {
+// requestWake requests an Elapsed for the next timer, unless an Elapsed at or before that time is expected
+// already.
+func (r *Router) requestWake() {
 	if r.wakeAt <= r.now {
 		r.wakeAt = math.MaxInt64
 	}
 	if len(r.timers) > 0 && r.timers[0].at < r.wakeAt {
 		r.wakeAt = r.timers[0].at
-		r.do(Wake{Delay: r.wakeAt - r.now})
+		r.addAction(Wake{Delay: r.wakeAt - r.now})
 	}
 }
 
-// pending counts the attempts of a part that are out, and those of them that are overdue.
-func (p *part) pending() (out, overdue int) {
+// countInFlight counts the attempts of a part that are in flight, and those of them that are overdue.
+func (p *part) countInFlight() (inFlight, overdue int) {
 	for _, a := range p.attempts {
 		if !a.ended {
-			out++
+			inFlight++
 			if a.overdue {
 				overdue++
 			}
 		}
 	}
-	return out, overdue
+	return inFlight, overdue
 }
 
-// out tells whether attempts of a part are out, and all of them such.
-func (p *part) out(such func(*attempt) bool) (all bool) {
+// allInFlight reports whether the part has attempts in flight and match is true for all of them.
+func (p *part) allInFlight(match func(*attempt) bool) (all bool) {
 	for _, a := range p.attempts {
-		if !a.ended && !such(a) {
+		if !a.ended && !match(a) {
 			return false
 		}
 		all = all || !a.ended
@@ -655,8 +673,8 @@
 	return all
 }
 
-// labelled finds the group of a label, or adds it.
-func labelled(groups *[]*group, label string) *group {
+// groupFor returns the group with a label, which it adds if there is none.
+func groupFor(groups *[]*group, label string) *group {
 	for _, g := range *groups {
 		if g.label == label {
 			return g
@@ -667,8 +685,8 @@
 	return g
 }
 
-// since drops the times before from.
-func since(times []Micros, from Micros) []Micros {
+// dropBefore returns the times, which must be sorted, without those before from.
+func dropBefore(times []Micros, from Micros) []Micros {
 	i := 0
 	for i < len(times) && times[i] < from {
 		i++
@@ -676,47 +694,47 @@
 	return times[i:]
 }
 
-// took notes a query or a part taken. What no budget asks for any more goes before
-// the list grows.
-func (r *Router) took(b *ledger) {
-	if len(b.taken) == cap(b.taken) {
-		span := Micros(copyWindow)
-		if r.set.RetryBudget {
-			span = r.set.RetryBudgetWindow
+// recordArrival adds a query or part that arrived. Times that no budget counts any more are removed before
+// the slice grows.
+func (r *Router) recordArrival(log *budgetLog) {
+	if len(log.arrivals) == cap(log.arrivals) {
+		window := Micros(defaultBudgetWindow)
+		if r.settings.RetryBudget {
+			window = r.settings.RetryBudgetWindow
 		}
-		live := since(b.taken, r.now-span+1)
-		if len(live) <= len(b.taken)/2 {
-			b.taken = b.taken[:copy(b.taken, live)]
+		recent := dropBefore(log.arrivals, r.now-window+1)
+		if len(recent) <= len(log.arrivals)/2 {
+			log.arrivals = log.arrivals[:copy(log.arrivals, recent)]
 		}
 	}
-	b.taken = append(b.taken, r.now)
+	log.arrivals = append(log.arrivals, r.now)
 }
 
-// mostAttempts is how many attempts a part of a class may have.
-func (r *Router) mostAttempts(c *class) int {
+// maxAttempts returns how many attempts a part of a class may have.
+func (r *Router) maxAttempts(c *class) int {
 	if c.Attempts > 0 {
-		return min(c.Attempts, r.set.AttemptCap)
+		return min(c.Attempts, r.settings.AttemptCap)
 	}
-	return r.set.AttemptCap
+	return r.settings.AttemptCap
 }
 
-// part adds a part to its query; those of a second step are sent by pursue.
-func (r *Router) part(ev Part) {
-	r.took(r.book(ev.Shard))
-	q := r.numbers[ev.Number]
+// addPart adds a part to its query. The parts of a second step are sent by scheduleMore.
+func (r *Router) addPart(event Part) {
+	r.recordArrival(r.budgetLogOf(event.Shard))
+	q := r.queriesByNumber[event.Number]
 	if q == nil || q.ended {
 		return
 	}
-	p := q.newPart(part{id: ev.ID, q: q, shard: ev.Shard, weight: ev.Weight, stretch: 1})
-	if c := q.class; ev.Hinted && ev.Predicted > 0 {
-		h := float64(ev.Predicted)
-		c.hint = cmp.Or(c.hint, h)
-		p.stretch = min(max(h/c.hint, 1/hintSpread), hintSpread)
-		c.hint += (h - c.hint) * quantileStep
+	p := q.newPart(part{id: event.ID, query: q, shard: event.Shard, weight: event.Weight, predictionRatio: 1})
+	if c := q.class; event.Hinted && event.Predicted > 0 {
+		predicted := float64(event.Predicted)
+		c.meanPrediction = cmp.Or(c.meanPrediction, predicted)
+		p.predictionRatio = min(max(predicted/c.meanPrediction, 1/maxPredictionRatio), maxPredictionRatio)
+		c.meanPrediction += (predicted - c.meanPrediction) * quantileStep
 	}
 	q.parts = append(q.parts, p)
 	r.parts[p.id] = p
 	if q.step == 2 && len(q.parts) == 1 {
-		r.alarm(0, (*pursuit)(q))
+		r.setTimer(0, (*scheduleTask)(q))
 	}
 }
