--- a/internal/core/hookrule/hookrule.go
+++ b/internal/core/hookrule/hookrule.go
@@ -188,7 +188,9 @@
 
 // Whole tells whether an answer with this share of the whole query may keep a
 // whole mark, and Enough whether it may be given at all.
-func MeetsNeed(class choice.Class, share float64) bool { return share >= class.RequiredShare-ShareTolerance }
+func MeetsNeed(class choice.Class, share float64) bool {
+	return share >= class.RequiredShare-ShareTolerance
+}
 func MeetsFloor(class choice.Class, share float64) bool {
 	return share > 0 && share >= class.MinShare-ShareTolerance
 }
