--- a/internal/app/config.go
+++ b/internal/app/config.go
@@ -31,7 +31,7 @@
 	settings                settings.Settings
 	known                   choice.List
 	addrs                   targets.Addrs
-	pace                    downstream.Pace
+	pace                    downstream.Limits
 	stay                    time.Duration
 	look                    time.Duration // tests: where lists are pushed, how long an answer may take
 	operator                string        // the operator file; empty: none
@@ -65,7 +65,7 @@
 		}
 		return env(variable)
 	}
-	c := &Config{pace: downstream.Usual, stay: stayTime, name: told("name", "BALANCER_NAME"), listen: told("listen", "BALANCER_LISTEN"),
+	c := &Config{pace: downstream.DefaultLimits, stay: stayTime, name: told("name", "BALANCER_NAME"), listen: told("listen", "BALANCER_LISTEN"),
 		discovery: told("discovery", "BALANCER_DISCOVERY")}
 	for field, addr := range map[string]string{"listen": c.listen, "discovery": c.discovery} {
 		if _, _, err := net.SplitHostPort(addr); err != nil {
--- a/internal/app/members.go
+++ b/internal/app/members.go
@@ -86,13 +86,13 @@
 }
 
 // newMembers makes the merge; nothing is asked before start.
-func newMembers(cfg *Config, op *Operator, b *upstream.Back) (*memberships, error) {
+func newMembers(cfg *Config, op *Operator, b *upstream.Pool) (*memberships, error) {
 	s, err := members.New(op.Members.Merge(op.ranked()), cfg.settings.Router.Cells, b)
 	if err != nil {
 		return nil, err
 	}
 	if cfg.settings.Router.Probes {
-		s.Prove(b.Answers)
+		s.Prove(b.Reachable)
 	}
 	return &memberships{Service: s, cfg: cfg, running: make(map[string]*running)}, nil
 }
--- a/internal/app/play_test.go
+++ b/internal/app/play_test.go
@@ -42,7 +42,7 @@
 	t       *testing.T
 	listen  string
 	config  string // the file
-	pace    downstream.Pace
+	pace    downstream.Limits
 	stay    time.Duration
 	set     string // the folder of its hooks; empty: none
 	peers   map[string]*peer
@@ -59,7 +59,7 @@
 			t.Parallel()
 			text, err := os.ReadFile(file)
 			require.NoError(t, err)
-			s := &stage{t: t, peers: make(map[string]*peer), pace: downstream.Pace{First: patience, Request: patience, Idle: patience}}
+			s := &stage{t: t, peers: make(map[string]*peer), pace: downstream.Limits{FirstRequest: patience, Request: patience, Idle: patience}}
 			for i, line := range strings.Split(string(text), "\n") {
 				if line = strings.TrimSpace(line); line != "" && line[0] != '#' {
 					s.play(fmt.Sprintf("%s:%d: %s", file, i+1, line), strings.SplitN(line, " ", 3))
@@ -100,7 +100,7 @@
 		return
 	}
 	if who == "hurry" { // clients have little time; a request that is sent at once still comes
-		s.pace = downstream.Pace{First: patience / 4, Request: patience / 4, Idle: patience / 40}
+		s.pace = downstream.Limits{FirstRequest: patience / 4, Request: patience / 4, Idle: patience / 40}
 		return
 	}
 	if who == "stay" { // open connections go on after SIGTERM, for as long as any script lasts
--- a/internal/app/serve.go
+++ b/internal/app/serve.go
@@ -231,7 +231,7 @@
 	}
 	p := &platform.Protocol{Exchange: x, Shards: cfg.settings.Router.Shards, Classes: classes, Segments: m.feed != nil}
 	f := downstream.New(downstream.Config{Exchange: x, Protocol: p, MaxClients: cfg.sockets - spareFiles - leaves,
-		Keep: cfg.sockets / keepShare, Pace: cfg.pace})
+		SoftLimit: cfg.sockets / keepShare, Limits: cfg.pace})
 	if m.feed != nil { // segments are numbered as the map says
 		p.Shards, p.Ready = 0, m.feed.Held
 	}
@@ -287,7 +287,7 @@
 			}
 		}
 	}
-	f.Stop()
+	f.MarkNotReady()
 	since := time.Now()
 	// Clients use the connections they have for as long as these stay open, and
 	// may have no other mixer yet: closed at once, they had nowhere to ask. What is
@@ -295,11 +295,11 @@
 	for time.Since(since) < cfg.stay && (f.Clients() > 0 || time.Since(since) < settleTime) {
 		sleep(pollTime)
 	}
-	f.Close()
+	f.CloseAfterResponses()
 	// New connections and queries are served until none has come for a while:
 	// what the kernel has accepted is ours, whether or not we have. Probes of the
 	// ready path do not count, or they would keep the mixer up for ever.
-	for time.Since(since) < settleTime || x.Open() > 0 || !f.Quiet(quietTime) {
+	for time.Since(since) < settleTime || x.Open() > 0 || !f.QuietFor(quietTime) {
 		f.CloseIdle(lastChance)
 		sleep(pollTime)
 	}
--- a/internal/downstream/downstream.go
+++ b/internal/downstream/downstream.go
@@ -38,36 +38,36 @@
 type Config struct {
 	Exchange   *exchange.Exchange
 	Protocol   Protocol
-	MaxClients int    // connections at once
-	Keep       int    // beyond so many, one at rest ends for each that comes or comes to rest; 0: none does
-	Lanes      *Lanes // nil: all callers are alike
-	Pace       Pace
+	MaxClients int       // connections at once
+	SoftLimit  int       // beyond so many, one at rest ends for each that comes or comes to rest; 0: none does
+	SlowLane   *SlowLane // nil: all callers are alike
+	Limits     Limits
 }
 
-// Pace is how long clients may take, and how much they may send.
-type Pace struct {
-	First   time.Duration // for a connection's first request, whole, from its start on
-	Request time.Duration // for any later request, from its first byte on
-	Idle    time.Duration // between requests
-	Body    time.Duration // for a body, once its head has come; 0: the times above are for both
-	MaxHead int           // bytes; 0: httpwire.MaxHead
-	MaxBody int           // bytes; 0: httpwire.MaxBody
+// Limits is how long clients may take, and how much they may send.
+type Limits struct {
+	FirstRequest time.Duration // for a connection's first request, whole, from its start on
+	Request      time.Duration // for any later request, from its first byte on
+	Idle         time.Duration // between requests
+	Body         time.Duration // for a body, once its head has come; 0: the times above are for both
+	MaxHead      int           // bytes; 0: httpwire.MaxHead
+	MaxBody      int           // bytes; 0: httpwire.MaxBody
 }
 
-// Usual is the pace for service. A client that says nothing, or does not end what
+// DefaultLimits is the pace for service. A client that says nothing, or does not end what
 // it says, is owed an end within 3 s; one without an open request may be closed
 // after 2 s.
-var Usual = Pace{First: 2 * time.Second, Request: 2 * time.Second, Idle: 3 * time.Second}
+var DefaultLimits = Limits{FirstRequest: 2 * time.Second, Request: 2 * time.Second, Idle: 3 * time.Second}
 
-// Front is the server side.
-type Front struct {
+// Server is the server side.
+type Server struct {
 	Config
 	stopping atomic.Bool   // not ready
 	closing  atomic.Bool   // each answer ends its connection
 	refusing atomic.Bool   // no further request is taken
 	cut      chan struct{} // closed when what is in hand is to end at once
 	cutOnce  sync.Once
-	pace     atomic.Pointer[Pace]
+	pace     atomic.Pointer[Limits]
 
 	mu     sync.Mutex
 	conns  map[*Conn]struct{}
@@ -78,7 +78,7 @@
 
 // Conn is a client's connection.
 type Conn struct {
-	f       *Front
+	f       *Server
 	nc      net.Conn
 	r       *httpwire.Reader
 	idleAt  time.Time     // since when it waits for a request; zero: it has one in hand
@@ -90,17 +90,17 @@
 }
 
 // New returns a server side.
-func New(cfg Config) *Front {
-	f := &Front{Config: cfg, conns: make(map[*Conn]struct{}), room: make(chan struct{}, cfg.MaxClients), cut: make(chan struct{})}
-	f.SetPace(cfg.Pace)
+func New(cfg Config) *Server {
+	f := &Server{Config: cfg, conns: make(map[*Conn]struct{}), room: make(chan struct{}, cfg.MaxClients), cut: make(chan struct{})}
+	f.SetLimits(cfg.Limits)
 	return f
 }
 
-// SetPace has another pace count, for requests that begin from now on.
-func (f *Front) SetPace(p Pace) { f.pace.Store(&p) }
+// SetLimits has another pace count, for requests that begin from now on.
+func (f *Server) SetLimits(p Limits) { f.pace.Store(&p) }
 
 // Serve accepts connections until the listener is closed.
-func (f *Front) Serve(ln net.Listener) error {
+func (f *Server) Serve(ln net.Listener) error {
 	for {
 		// Connections that find no room wait unaccepted: a descriptor too many
 		// would cost more than their wait does.
@@ -116,7 +116,7 @@
 			continue
 		}
 		c := &Conn{f: f, nc: nc, r: httpwire.NewReader(nc), idleAt: time.Now()}
-		if !f.Lanes.enter(c) {
+		if !f.SlowLane.enter(c) {
 			nc.Close() // unread: its client asks again elsewhere
 			<-f.room
 			f.mu.Lock()
@@ -135,7 +135,7 @@
 }
 
 // waitRoom returns once one more connection may be had.
-func (f *Front) waitRoom() {
+func (f *Server) waitRoom() {
 	select {
 	case f.room <- struct{}{}:
 		return
@@ -160,7 +160,7 @@
 // queries, whose client asks again elsewhere. By age alone, clients that ask once and
 // stay would drive out those that go on asking.
 // Under f.mu; rank 0 is any, 1 none that has just come.
-func (f *Front) evict(rank int) {
+func (f *Server) evict(rank int) {
 	var oldest *Conn
 	for c := range f.conns {
 		if c.idleAt.IsZero() {
@@ -168,7 +168,7 @@
 		}
 		r := 1
 		switch silent := time.Since(c.idleAt) > silentTime; {
-		case f.Lanes.slow(c):
+		case f.SlowLane.slow(c):
 			r = 5
 		case !c.asked && silent:
 			r = 4
@@ -189,38 +189,38 @@
 // tidy keeps few connections at rest. The other side holds only so many to us, and
 // clients that ask once and keep their connection use them up: no new client would
 // get through, though there was room here. Under f.mu.
-func (f *Front) tidy() {
-	if f.Keep > 0 && len(f.conns) > f.Keep {
+func (f *Server) tidy() {
+	if f.SoftLimit > 0 && len(f.conns) > f.SoftLimit {
 		f.evict(1)
 	}
 }
 
-// Stop makes the mixer not ready. It goes on serving, on the connections that are
+// MarkNotReady makes the mixer not ready. It goes on serving, on the connections that are
 // open too: their clients may have nowhere else to go yet.
-func (f *Front) Stop() { f.stopping.Store(true) }
+func (f *Server) MarkNotReady() { f.stopping.Store(true) }
 
-// Close has each answer tell its client that the connection ends.
-func (f *Front) Close() { f.closing.Store(true) }
+// CloseAfterResponses has each answer tell its client that the connection ends.
+func (f *Server) CloseAfterResponses() { f.closing.Store(true) }
 
-// Refuse has each request that is read from now on turned away: it might not be finished
+// RejectRequests has each request that is read from now on turned away: it might not be finished
 // any more.
-func (f *Front) Refuse() {
+func (f *Server) RejectRequests() {
 	f.closing.Store(true)
 	f.refusing.Store(true)
 }
 
-// CutShort ends what is in hand: its clients are answered as if its time were up.
-func (f *Front) CutShort() { f.cutOnce.Do(func() { close(f.cut) }) }
+// ExpireRequests ends what is in hand: its clients are answered as if its time were up.
+func (f *Server) ExpireRequests() { f.cutOnce.Do(func() { close(f.cut) }) }
 
 // Clients counts the connections of clients.
-func (f *Front) Clients() int {
+func (f *Server) Clients() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.conns)
 }
 
-// Quiet tells whether no query has come for so long and nothing is in hand.
-func (f *Front) Quiet(span time.Duration) bool {
+// QuietFor tells whether no query has come for so long and nothing is in hand.
+func (f *Server) QuietFor(span time.Duration) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.busy == 0 && time.Since(f.active) >= span
@@ -228,7 +228,7 @@
 
 // CloseIdle ends the wait on idle connections after a last chance for a request
 // that is on its way.
-func (f *Front) CloseIdle(chance time.Duration) {
+func (f *Server) CloseIdle(chance time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for c := range f.conns {
@@ -250,8 +250,8 @@
 	}
 }
 
-// Rest has the connection wait for its next request: from now on it may be closed.
-func (c *Conn) Rest() {
+// MarkIdle has the connection wait for its next request: from now on it may be closed.
+func (c *Conn) MarkIdle() {
 	c.f.mu.Lock()
 	defer c.f.mu.Unlock()
 	if !c.closing { // else its last chance is already running
@@ -267,16 +267,16 @@
 // serve takes the requests of one connection, one after another.
 func (c *Conn) serve() {
 	defer func() {
-		c.Rest()
+		c.MarkIdle()
 		c.nc.Close()
 		c.f.mu.Lock()
 		delete(c.f.conns, c)
 		c.f.mu.Unlock()
-		c.f.Lanes.leave(c)
+		c.f.SlowLane.leave(c)
 		c.f.Exchange.Counters.Clients.Add(-1)
 		<-c.f.room
 	}()
-	c.nc.SetReadDeadline(c.idleAt.Add(c.f.pace.Load().First)) // nothing else writes idleAt before begin
+	c.nc.SetReadDeadline(c.idleAt.Add(c.f.pace.Load().FirstRequest)) // nothing else writes idleAt before begin
 	for {
 		if c.r.Await() != nil {
 			return
@@ -290,7 +290,7 @@
 			c.r.Headed = func() { c.nc.SetReadDeadline(time.Now().Add(pace.Body)) }
 		}
 		q, err := c.r.Request(func() error {
-			if !c.Put([]byte("HTTP/1.1 100 Continue\r\n\r\n")) {
+			if !c.WriteBytes([]byte("HTTP/1.1 100 Continue\r\n\r\n")) {
 				return io.ErrClosedPipe
 			}
 			return nil
@@ -305,7 +305,7 @@
 		if !c.f.Protocol.Serve(c, q, at) {
 			return
 		}
-		c.Rest()
+		c.MarkIdle()
 	}
 }
 
@@ -324,7 +324,7 @@
 	}
 	c.f.Exchange.Counters.Malformed.Add(1)
 	log.Warn("bad-request", "peer", c.nc.RemoteAddr(), "status", known.Status, "err", known.Reason)
-	if c.Write(known.Status, known.Reason+"\n", false); late { // it has all been read
+	if c.WriteText(known.Status, known.Reason+"\n", false); late { // it has all been read
 		return
 	}
 	if tcp, ok := c.nc.(*net.TCPConn); ok {
@@ -334,25 +334,25 @@
 	io.Copy(io.Discard, io.LimitReader(c.nc, 4*httpwire.MaxBody))
 }
 
-// Write answers with a text, and tells whether the connection goes on.
-func (c *Conn) Write(status int, text string, keep bool, fields ...httpwire.Field) bool {
-	return c.Put(httpwire.AppendResponse(nil, status, "text/plain; charset=utf-8", []byte(text), keep, fields...)) && keep
+// WriteText answers with a text, and tells whether the connection goes on.
+func (c *Conn) WriteText(status int, text string, keep bool, fields ...httpwire.Field) bool {
+	return c.WriteBytes(httpwire.AppendResponse(nil, status, "text/plain; charset=utf-8", []byte(text), keep, fields...)) && keep
 }
 
-// Put writes bytes within the time that a write may take. With lanes, one that is held up
+// WriteBytes writes bytes within the time that a write may take. With lanes, one that is held up
 // is told of as soon as that is seen, and again at its end.
-func (c *Conn) Put(b []byte) bool {
+func (c *Conn) WriteBytes(b []byte) bool {
 	begun, within := time.Now(), writeTime
-	if c.f.Lanes != nil {
+	if c.f.SlowLane != nil {
 		c.nc.SetWriteDeadline(begun.Add(heldTime))
 		n, err := c.nc.Write(b)
-		c.f.Lanes.took(c, begun)
+		c.f.SlowLane.took(c, begun)
 		var held net.Error
 		if err == nil || !errors.As(err, &held) || !held.Timeout() {
 			return err == nil
 		}
-		b, within = b[n:], c.f.Lanes.within(c)
-		defer c.f.Lanes.took(c, begun)
+		b, within = b[n:], c.f.SlowLane.within(c)
+		defer c.f.SlowLane.took(c, begun)
 	}
 	c.nc.SetWriteDeadline(begun.Add(within))
 	_, err := c.nc.Write(b)
@@ -365,29 +365,29 @@
 // Closing tells whether each answer is to end its connection.
 func (c *Conn) Closing() bool { return c.f.closing.Load() }
 
-// Stopping tells whether the mixer is on its way out.
-func (c *Conn) Stopping() bool { return c.f.stopping.Load() }
+// NotReady tells whether the mixer is on its way out.
+func (c *Conn) NotReady() bool { return c.f.stopping.Load() }
 
-// Refusing tells whether no further request is taken.
-func (c *Conn) Refusing() bool { return c.f.refusing.Load() }
+// Rejecting tells whether no further request is taken.
+func (c *Conn) Rejecting() bool { return c.f.refusing.Load() }
 
-// Active notes that a query has come, readable or not.
-func (c *Conn) Active(at time.Time) {
+// NoteActivity notes that a query has come, readable or not.
+func (c *Conn) NoteActivity(at time.Time) {
 	c.f.mu.Lock()
 	defer c.f.mu.Unlock()
 	c.f.active = at
 }
 
-// Queried notes that the connection has brought a query that could be read.
-func (c *Conn) Queried() {
+// NoteQuery notes that the connection has brought a query that could be read.
+func (c *Conn) NoteQuery() {
 	c.f.mu.Lock()
 	defer c.f.mu.Unlock()
 	c.queried = true
 }
 
-// Exchange hands a query in and waits for its end, the client's, or the process's. A
+// RunQuery hands a query in and waits for its end, the client's, or the process's. A
 // client's next request may come meanwhile; it is left unread until this one is answered.
-func (c *Conn) Exchange(q *exchange.Query, keep bool, answer func(f exchange.Final, keep bool) bool) bool {
+func (c *Conn) RunQuery(q *exchange.Query, keep bool, answer func(f exchange.Final, keep bool) bool) bool {
 	final := make(chan exchange.Final, 1)
 	q.Done = func(f exchange.Final) { final <- f }
 	c.nc.SetReadDeadline(time.Time{})
@@ -395,13 +395,13 @@
 	c.f.Exchange.Take(q)
 	go func() { next <- c.r.Await() }()
 	f, gone := c.await(q, final, next)
-	keep = keep && !c.f.closing.Load() && !c.f.Lanes.crowded(c)
+	keep = keep && !c.f.closing.Load() && !c.f.SlowLane.crowded(c)
 	if gone || !answer(f, keep) || !keep {
 		c.nc.SetReadDeadline(time.Now()) // frees the goroutine that waits for a request
 		<-next
 		return false
 	}
-	c.Rest()
+	c.MarkIdle()
 	return <-next == nil
 }
 
--- a/internal/downstream/httpserver/httpserver.go
+++ b/internal/downstream/httpserver/httpserver.go
@@ -36,8 +36,8 @@
 	shareOfTime  = 0.02                   // of a client's patience, set aside for the way back
 )
 
-// Gate implements downstream.Protocol.
-type Gate struct {
+// Handler implements downstream.Protocol.
+type Handler struct {
 	Exchange *exchange.Exchange
 	Unrouted atomic.Int64 // requests that no route is for
 	// Allow takes a request off an allowance, or tells when one may be admitted; nil: there
@@ -48,35 +48,35 @@
 	number atomic.Int64
 }
 
-// Use puts a plan in force for the requests that come from now on.
-func (g *Gate) Use(p *Plan) { g.plan.Store(p) }
+// SetPlan puts a plan in force for the requests that come from now on.
+func (g *Handler) SetPlan(p *Plan) { g.plan.Store(p) }
 
 // Plan returns the plan in force; nil: there is none yet.
-func (g *Gate) Plan() *Plan { return g.plan.Load() }
+func (g *Handler) Plan() *Plan { return g.plan.Load() }
 
 // Serve implements downstream.Protocol.
-func (g *Gate) Serve(c *downstream.Conn, r *httpwire.Request, at time.Time) bool {
+func (g *Handler) Serve(c *downstream.Conn, r *httpwire.Request, at time.Time) bool {
 	keep := r.KeepAlive && !c.Closing()
-	c.Active(at)
-	if c.Refusing() {
-		return c.Write(503, "this process is about to end\n", false, retry(endingRetry))
+	c.NoteActivity(at)
+	if c.Rejecting() {
+		return c.WriteText(503, "this process is about to end\n", false, retry(endingRetry))
 	}
 	p := g.plan.Load()
 	if p == nil {
-		return c.Write(503, "no configuration yet\n", keep, retry(lateRetry))
+		return c.WriteText(503, "no configuration yet\n", keep, retry(lateRetry))
 	}
 	route := p.Config.MatchRoute(r.Header.Get("Host"), r.Path)
 	if route == nil {
 		g.Unrouted.Add(1)
-		return c.Write(404, "no such route\n", keep)
+		return c.WriteText(404, "no such route\n", keep)
 	}
-	c.Queried()
+	c.NoteQuery()
 	if len(p.Config.Allowances) > 0 && g.Allow != nil {
 		// Before anything of it is sent: who is turned away here has had nothing of it done.
 		if a := p.Config.MatchAllowance(route, r.Header.Get); a != nil {
 			if ok, after := g.Allow(a.Name); !ok {
 				after = min(after, mostAfter)
-				return c.Write(429, fmt.Sprintf("not done: the allowance %s (%g requests a second) is used up; come back in %.1f s\n", a.Name, a.Rate, after.Seconds()), keep, retry(after))
+				return c.WriteText(429, fmt.Sprintf("not done: the allowance %s (%g requests a second) is used up; come back in %.1f s\n", a.Name, a.Rate, after.Seconds()), keep, retry(after))
 			}
 		}
 	}
@@ -103,12 +103,12 @@
 		q.Parts = []exchange.Part{{Shard: l.shards[i], Weight: 1}}
 	}
 	q.Text = request(r, q.ID)
-	return c.Exchange(q, r.KeepAlive, func(f exchange.Final, keep bool) bool {
+	return c.RunQuery(q, r.KeepAlive, func(f exchange.Final, keep bool) bool {
 		if f.Ending == exchange.Answered {
 			if q.Gather {
-				return c.Put(merge(f.Hits, len(q.Parts), route.ResultLimit, keep))
+				return c.WriteBytes(merge(f.Hits, len(q.Parts), route.ResultLimit, keep))
 			}
-			return c.Put(closing(f.Hits[0].Value, keep))
+			return c.WriteBytes(closing(f.Hits[0].Value, keep))
 		}
 		return g.fail(c, f, keep)
 	})
@@ -120,16 +120,16 @@
 
 // fail answers a request that has no answer: with 503 and a time to come back where it
 // has not run and never will, else with what its server said, or 502 or 504.
-func (g *Gate) fail(c *downstream.Conn, f exchange.Final, keep bool) bool {
+func (g *Handler) fail(c *downstream.Conn, f exchange.Final, keep bool) bool {
 	switch {
 	case !f.Ran && f.Ending != exchange.Gone:
-		return c.Write(503, "refused\n", keep, retry(cmp.Or(f.RetryAfter, lateRetry)))
+		return c.WriteText(503, "refused\n", keep, retry(cmp.Or(f.RetryAfter, lateRetry)))
 	case f.Failure != "":
-		return c.Put(closing(f.Failure, keep))
+		return c.WriteBytes(closing(f.Failure, keep))
 	case f.Ending == exchange.Expired:
-		return c.Write(504, "time is up\n", keep)
+		return c.WriteText(504, "time is up\n", keep)
 	}
-	return c.Write(502, "failed\n", keep)
+	return c.WriteText(502, "failed\n", keep)
 }
 
 // closing ends the head of an answer that a server gave.
--- a/internal/downstream/httpserver/httpserver_test.go
+++ b/internal/downstream/httpserver/httpserver_test.go
@@ -28,15 +28,15 @@
 	t       testing.TB
 	addr    string
 	x       *exchange.Exchange
-	back    *httpclient.Back
-	gate    *httpserver.Gate
-	front   *downstream.Front
-	numbers httpserver.Shards
+	back    *httpclient.Pool
+	gate    *httpserver.Handler
+	front   *downstream.Server
+	numbers httpserver.ShardNumbers
 	servers map[string]*standin.Server // by service: the last that was added
 }
 
 func newProxy(t testing.TB, change func(*choice.Settings)) *proxy {
-	set := settings.Settings{MostHeld: 10_000, Router: choice.Settings{ClassesLater: true, Cells: httpserver.MostShards, Width: 1,
+	set := settings.Settings{MostHeld: 10_000, Router: choice.Settings{ClassesLater: true, Cells: httpserver.MaxShards, Width: 1,
 		BundleMax: 1, Resolution: 1000, Cancel: true, ParallelTries: true, MaxRetryAfter: 1_000_000, AttemptCap: 8,
 		Keepalive: 30_000_000, Routers: 1, ExtraBudget: true, ExtraByShard: true, ExtraRatio: 0.2, ExtraSpare: 20,
 		ExtraWindow: 10_000_000}}
@@ -45,10 +45,10 @@
 	}
 	x, err := exchange.New(1, set)
 	require.NoError(t, err)
-	p := &proxy{t: t, x: x, gate: &httpserver.Gate{Exchange: x}, back: httpclient.New(httpclient.Config{Exchange: x, MaxConns: 500}),
+	p := &proxy{t: t, x: x, gate: &httpserver.Handler{Exchange: x}, back: httpclient.New(httpclient.Config{Exchange: x, MaxConns: 500}),
 		servers: make(map[string]*standin.Server)}
 	p.front = downstream.New(downstream.Config{Exchange: x, Protocol: p.gate, MaxClients: 500,
-		Pace: downstream.Pace{First: time.Minute, Request: time.Minute, Idle: time.Minute}})
+		Limits: downstream.Limits{FirstRequest: time.Minute, Request: time.Minute, Idle: time.Minute}})
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	p.addr = ln.Addr().String()
@@ -67,8 +67,8 @@
 	plan, err := httpserver.NewPlan(c, &p.numbers)
 	require.NoError(p.t, err)
 	p.x.Retune(plan.Classes)
-	p.gate.Use(plan)
-	p.front.SetPace(httpserver.Pace(c.Limits))
+	p.gate.SetPlan(plan)
+	p.front.SetLimits(httpserver.LimitsFrom(c.Limits))
 }
 
 func (p *proxy) server(service string, s *standin.Server) {
--- a/internal/downstream/httpserver/hardening_test.go
+++ b/internal/downstream/httpserver/lifecycle_test.go
@@ -73,13 +73,13 @@
 		late, lateR := p.client()
 		fmt.Fprintf(c, "POST /book/1 HTTP/1.1\r\nHost: h\r\nX-Saddleport-Attempt-Id: in-hand\r\nX-Saddleport-Deadline-Ms: 4000\r\nContent-Length: 0\r\n\r\n")
 		<-reached
-		p.front.Refuse()
+		p.front.RejectRequests()
 		ans, _ := ask(t, late, lateR, "POST", "/book/2", "too-late", "x")
 		So(ans.StatusCode, ShouldEqual, 503)
 		So(ans.Header.Get("Retry-After"), ShouldNotBeEmpty)
 		So(ans.Close, ShouldBeTrue)
 		So(s.Seen(), ShouldHaveLength, 1)
-		p.front.CutShort()
+		p.front.ExpireRequests()
 		ans, err := http.ReadResponse(r, nil)
 		So(err, ShouldBeNil)
 		So(ans.StatusCode, ShouldEqual, 504) // it may have run
--- a/internal/downstream/httpserver/plan.go
+++ b/internal/downstream/httpserver/plan.go
@@ -39,24 +39,24 @@
 	return len(l.upTo) - 1
 }
 
-// Shards numbers services. A number is kept for as long as the process lives; there are
+// ShardNumbers numbers services. A number is kept for as long as the process lives; there are
 // at most MostShards.
-type Shards struct {
+type ShardNumbers struct {
 	numbers map[string]int
 }
 
-// MostShards bounds the services that one process can number.
-const MostShards = 4096
+// MaxShards bounds the services that one process can number.
+const MaxShards = 4096
 
 // Of returns a service's number.
-func (s *Shards) Of(service string) (int, error) {
+func (s *ShardNumbers) Of(service string) (int, error) {
 	if s.numbers == nil {
 		s.numbers = make(map[string]int)
 	}
 	n, known := s.numbers[service]
 	if !known {
-		if len(s.numbers) >= MostShards {
-			return 0, fmt.Errorf("more than %d services since the start", MostShards)
+		if len(s.numbers) >= MaxShards {
+			return 0, fmt.Errorf("more than %d services since the start", MaxShards)
 		}
 		n = len(s.numbers)
 		s.numbers[service] = n
@@ -76,7 +76,7 @@
 )
 
 // NewPlan makes a plan of a configuration.
-func NewPlan(c *routeconfig.Config, numbers *Shards) (*Plan, error) {
+func NewPlan(c *routeconfig.Config, numbers *ShardNumbers) (*Plan, error) {
 	p := &Plan{Config: c, lanes: make(map[*routeconfig.Route]*lane, len(c.Routes))}
 	classes := make(map[string]choice.Class)
 	for _, r := range c.Routes {
@@ -143,8 +143,8 @@
 	return name
 }
 
-// Pace is what a configuration's limits mean to the front: a client has the time of a head
+// LimitsFrom is what a configuration's limits mean to the front: a client has the time of a head
 // for its head, and as long as it may rest for its body.
-func Pace(l routeconfig.Limits) downstream.Pace {
-	return downstream.Pace{First: l.IdleTimeout, Request: l.HeaderTimeout, Idle: l.IdleTimeout, Body: l.IdleTimeout, MaxHead: l.MaxHeaderBytes, MaxBody: l.MaxBodyBytes}
+func LimitsFrom(l routeconfig.Limits) downstream.Limits {
+	return downstream.Limits{FirstRequest: l.IdleTimeout, Request: l.HeaderTimeout, Idle: l.IdleTimeout, Body: l.IdleTimeout, MaxHead: l.MaxHeaderBytes, MaxBody: l.MaxBodyBytes}
 }
--- a/internal/downstream/httpserver/cases_test.go
+++ b/internal/downstream/httpserver/requests_test.go
@@ -373,8 +373,8 @@
 		rests, _ := p.client()
 		fmt.Fprintf(c, "GET /look/1 HTTP/1.1\r\nHost: h\r\nX-Saddleport-Attempt-Id: l1\r\nX-Saddleport-Deadline-Ms: 2000\r\n\r\n")
 		<-reached
-		p.front.Stop()
-		p.front.Close()
+		p.front.MarkNotReady()
+		p.front.CloseAfterResponses()
 		p.front.CloseIdle(0)
 		_, err := rests.Read(make([]byte, 1))
 		So(err, ShouldNotBeNil) // the one that rested is closed
--- a/internal/downstream/platform/platform.go
+++ b/internal/downstream/platform/platform.go
@@ -55,43 +55,43 @@
 	case "/api", "/-/ready", "/-/healthy", "/-/counters":
 	case "/-/members":
 		if f.Members == nil {
-			return c.Write(404, "no such path\n", keep)
+			return c.WriteText(404, "no such path\n", keep)
 		}
 	default:
-		return c.Write(404, "no such path\n", keep)
+		return c.WriteText(404, "no such path\n", keep)
 	}
 	if q.Method != method {
-		return c.Write(405, "only "+method+" here\n", keep, httpwire.Field{Name: "Allow", Value: method})
+		return c.WriteText(405, "only "+method+" here\n", keep, httpwire.Field{Name: "Allow", Value: method})
 	}
 	switch q.Path {
 	case "/-/ready":
-		if c.Stopping() {
-			return c.Write(503, "stopping\n", false)
+		if c.NotReady() {
+			return c.WriteText(503, "stopping\n", false)
 		}
 		if f.Ready != nil && !f.Ready() {
-			return c.Write(503, "nothing is known of segments or servers yet\n", keep)
+			return c.WriteText(503, "nothing is known of segments or servers yet\n", keep)
 		}
-		return c.Write(200, "ready\n", keep)
+		return c.WriteText(200, "ready\n", keep)
 	case "/-/healthy":
-		return c.Write(200, "healthy\n", keep)
+		return c.WriteText(200, "healthy\n", keep)
 	case "/-/members":
-		return c.Write(200, f.Members()+"\n", keep)
+		return c.WriteText(200, f.Members()+"\n", keep)
 	case "/-/counters":
-		return c.Write(200, f.Exchange.Counters.String()+"\n", keep)
+		return c.WriteText(200, f.Exchange.Counters.String()+"\n", keep)
 	}
-	c.Active(at)
+	c.NoteActivity(at)
 	query, err := f.query(q, at)
 	if err != nil {
 		f.Exchange.Counters.Malformed.Add(1)
 		log.Warn("bad-query", "peer", c.Peer(), "err", err)
-		if keep = c.Write(400, err.Error()+"\n", keep); keep {
-			c.Rest() // what it waits here is its own time, and it may be closed meanwhile
+		if keep = c.WriteText(400, err.Error()+"\n", keep); keep {
+			c.MarkIdle() // what it waits here is its own time, and it may be closed meanwhile
 			time.Sleep(badPause)
 		}
 		return keep
 	}
-	c.Queried()
-	return c.Exchange(query, q.KeepAlive, func(final exchange.Final, keep bool) bool { return answer(c, final, keep) })
+	c.NoteQuery()
+	return c.RunQuery(query, q.KeepAlive, func(final exchange.Final, keep bool) bool { return answer(c, final, keep) })
 }
 
 // answer writes a query's final answer. 429 and 503 promise that asking again
@@ -137,17 +137,17 @@
 			body = append(body, '}')
 		}
 		body = append(body, "]}"...)
-		return c.Put(httpwire.AppendResponse(nil, 200, "application/json", body, keep, fields...))
+		return c.WriteBytes(httpwire.AppendResponse(nil, 200, "application/json", body, keep, fields...))
 	case exchange.Refused:
 		if f.RetryAfter > 0 {
 			after := strconv.FormatFloat(f.RetryAfter.Seconds(), 'f', -1, 64)
 			fields = append(fields, httpwire.Field{Name: "Retry-After", Value: after})
 		}
-		c.Write(503, "refused"+because, keep, fields...)
+		c.WriteText(503, "refused"+because, keep, fields...)
 	case exchange.Expired:
-		c.Write(504, "time is up\n", keep, fields...)
+		c.WriteText(504, "time is up\n", keep, fields...)
 	default:
-		c.Write(502, "failed"+because, keep, fields...)
+		c.WriteText(502, "failed"+because, keep, fields...)
 	}
 	return keep
 }
--- a/internal/downstream/lanes.go
+++ b/internal/downstream/slowlane.go
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// Lanes keeps callers that read or send slowly to a bounded part of the connections, a
+// SlowLane keeps callers that read or send slowly to a bounded part of the connections, a
 // lane of their own: they may fill that one, and no other caller waits for room. Who is
 // slow is told from outside. It must never end a connection that has a request in hand.
-type Lanes struct {
-	Most int // connections that all slow callers together may have
-	// Saw is told how long a caller's part of a turn took: its request to come in or its
+type SlowLane struct {
+	MaxConns int // connections that all slow callers together may have
+	// Observe is told how long a caller's part of a turn took: its request to come in or its
 	// answer to go out, whichever was longer. It must not block.
-	Saw func(caller string, took time.Duration)
+	Observe func(caller string, took time.Duration)
 
-	Turned atomic.Int64 // connections ended unread, for the lane was full
-	mu     sync.Mutex
-	apart  map[string]bool
-	conns  map[string]int // by caller
-	all    int
-	in     int // connections in the lane
+	Rejected atomic.Int64 // connections ended unread, for the lane was full
+	mu       sync.Mutex
+	apart    map[string]bool
+	conns    map[string]int // by caller
+	all      int
+	in       int // connections in the lane
 }
 
 const (
@@ -33,8 +33,8 @@
 // no one caller, or there is nobody to be held up by it.
 const mostOfAll = 3 // one in so many
 
-// Apart says which callers are slow. One that most of the traffic comes from is left.
-func (l *Lanes) Apart(callers map[string]bool) (taken int) {
+// SetSlow says which callers are slow. One that most of the traffic comes from is left.
+func (l *SlowLane) SetSlow(callers map[string]bool) (taken int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.apart, l.in = make(map[string]bool, len(callers)), 0
@@ -48,15 +48,15 @@
 	return len(l.apart)
 }
 
-// In counts the connections in the lane.
-func (l *Lanes) In() int {
+// InUse counts the connections in the lane.
+func (l *SlowLane) InUse() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.in
 }
 
 // enter takes a connection; false: it is a slow caller's, and the lane is full.
-func (l *Lanes) enter(c *Conn) bool {
+func (l *SlowLane) enter(c *Conn) bool {
 	if l == nil {
 		return true
 	}
@@ -64,8 +64,8 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.apart[c.caller] {
-		if l.in >= l.Most {
-			l.Turned.Add(1)
+		if l.in >= l.MaxConns {
+			l.Rejected.Add(1)
 			return false
 		}
 		l.in++
@@ -78,7 +78,7 @@
 	return true
 }
 
-func (l *Lanes) leave(c *Conn) {
+func (l *SlowLane) leave(c *Conn) {
 	if l == nil {
 		return
 	}
@@ -93,7 +93,7 @@
 	l.all--
 }
 
-func (l *Lanes) slow(c *Conn) bool {
+func (l *SlowLane) slow(c *Conn) bool {
 	if l == nil {
 		return false
 	}
@@ -103,28 +103,28 @@
 }
 
 // crowded tells whether a connection is one too many of the lane's: it ends with its answer.
-func (l *Lanes) crowded(c *Conn) bool {
+func (l *SlowLane) crowded(c *Conn) bool {
 	if l == nil {
 		return false
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.in > l.Most && l.apart[c.caller]
+	return l.in > l.MaxConns && l.apart[c.caller]
 }
 
 // within is the time that an answer may take that is held up: in the lane there is time.
-func (l *Lanes) within(c *Conn) time.Duration {
+func (l *SlowLane) within(c *Conn) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.apart[c.caller] && l.in <= l.Most {
+	if l.apart[c.caller] && l.in <= l.MaxConns {
 		return laneTime
 	}
 	return writeTime
 }
 
 // took tells of a turn whose answer began to go out then.
-func (l *Lanes) took(c *Conn, begun time.Time) {
-	if l != nil && l.Saw != nil {
-		l.Saw(c.caller, max(c.inTook, time.Since(begun)))
+func (l *SlowLane) took(c *Conn, begun time.Time) {
+	if l != nil && l.Observe != nil {
+		l.Observe(c.caller, max(c.inTook, time.Since(begun)))
 	}
 }
--- a/internal/downstream/lanes_test.go
+++ b/internal/downstream/slowlane_test.go
@@ -26,7 +26,7 @@
 	if r.Path == "/large" {
 		n = 32 << 20
 	}
-	return c.Put(httpwire.AppendResponse(nil, 200, "text/plain", make([]byte, n), true))
+	return c.WriteBytes(httpwire.AppendResponse(nil, 200, "text/plain", make([]byte, n), true))
 }
 
 func from(ip, addr string) net.Conn {
@@ -43,12 +43,12 @@
 		x, err := exchange.New(1, settings.Settings{Router: choice.Settings{Cells: 1, Width: 1, AttemptCap: 1, ClassesLater: true}})
 		So(err, ShouldBeNil)
 		saw := make(chan time.Duration, 100)
-		l := &Lanes{Most: 2, Saw: func(caller string, took time.Duration) {
+		l := &SlowLane{MaxConns: 2, Observe: func(caller string, took time.Duration) {
 			if caller == slow {
 				saw <- took
 			}
 		}}
-		f := New(Config{Exchange: x, Protocol: large{}, MaxClients: 9, Lanes: l, Pace: Pace{First: time.Minute, Request: time.Minute, Idle: time.Minute}})
+		f := New(Config{Exchange: x, Protocol: large{}, MaxClients: 9, SlowLane: l, Limits: Limits{FirstRequest: time.Minute, Request: time.Minute, Idle: time.Minute}})
 		ln, err := net.Listen("tcp4", "127.0.0.1:0")
 		So(err, ShouldBeNil)
 		defer ln.Close()
@@ -66,8 +66,8 @@
 			held = append(held, c)
 			So(<-saw, ShouldBeGreaterThanOrEqualTo, heldTime) // told while it is held up, not at its end
 		}
-		So(l.Apart(map[string]bool{slow: true}), ShouldEqual, 1)
-		So(l.In(), ShouldEqual, 4)
+		So(l.SetSlow(map[string]bool{slow: true}), ShouldEqual, 1)
+		So(l.InUse(), ShouldEqual, 4)
 
 		Convey("a further connection of the slow one is ended unread", func() {
 			c := from(slow, addr)
@@ -75,7 +75,7 @@
 			fmt.Fprintf(c, "GET /small HTTP/1.1\r\nHost: h\r\n\r\n")
 			_, err := http.ReadResponse(bufio.NewReader(c), nil)
 			So(err, ShouldNotBeNil)
-			So(l.Turned.Load(), ShouldBeGreaterThan, 0)
+			So(l.Rejected.Load(), ShouldBeGreaterThan, 0)
 			So(f.Clients(), ShouldBeLessThanOrEqualTo, 6)
 		})
 		Convey("the prompt one is served, on a new connection too", func() {
@@ -96,8 +96,8 @@
 			So(n, ShouldEqual, 32<<20)
 		})
 		Convey("when it is well again its connections are as all others", func() {
-			l.Apart(nil)
-			So(l.In(), ShouldEqual, 0)
+			l.SetSlow(nil)
+			So(l.InUse(), ShouldEqual, 0)
 			c := from(slow, addr)
 			defer c.Close()
 			fmt.Fprintf(c, "GET /small HTTP/1.1\r\nHost: h\r\n\r\n")
@@ -107,7 +107,7 @@
 		})
 	})
 	Convey("One caller that everything comes from is never set apart: it may be many", t, func() {
-		l := &Lanes{Most: 2, conns: map[string]int{"10.0.0.1": 90, "10.0.0.2": 1}, all: 91}
-		So(l.Apart(map[string]bool{"10.0.0.1": true}), ShouldEqual, 0)
+		l := &SlowLane{MaxConns: 2, conns: map[string]int{"10.0.0.1": 90, "10.0.0.2": 1}, all: 91}
+		So(l.SetSlow(map[string]bool{"10.0.0.1": true}), ShouldEqual, 0)
 	})
 }
--- a/internal/lab/answers/answers.go
+++ b/internal/lab/answers/answers.go
@@ -28,7 +28,7 @@
 	Servers  int     // of each service
 	Spoilt   float64 // the share of requests that a server does not answer in order
 	Seed     uint64
-	Breaks   httpclient.Breaks
+	Breaks   httpclient.Mutations
 }
 
 // Usual is the plan of a run by hand.
@@ -83,7 +83,7 @@
 
 // startProxy starts the data plane of a proxy, and the servers that it knows.
 func startProxy(ctx context.Context, p Plan, l *ledger) (addr string, err error) {
-	set := settings.Settings{MostHeld: 10_000, Router: choice.Settings{ClassesLater: true, Cells: httpserver.MostShards, Width: 1,
+	set := settings.Settings{MostHeld: 10_000, Router: choice.Settings{ClassesLater: true, Cells: httpserver.MaxShards, Width: 1,
 		BundleMax: 1, Resolution: resolution, Cancel: true, ParallelTries: true, RetryAdvice: true, MaxRetryAfter: 1_000_000,
 		AttemptCap: 8, Keepalive: 30_000_000, Routers: 1, ExtraBudget: true, ExtraByShard: true, ExtraRatio: 1, ExtraSpare: 1000,
 		ExtraWindow: 10_000_000}}
@@ -91,10 +91,10 @@
 	if err != nil {
 		return "", err
 	}
-	g := &httpserver.Gate{Exchange: x}
-	back := httpclient.New(httpclient.Config{Exchange: x, MaxConns: mostConns, Breaks: p.Breaks})
+	g := &httpserver.Handler{Exchange: x}
+	back := httpclient.New(httpclient.Config{Exchange: x, MaxConns: mostConns, Mutations: p.Breaks})
 	f := downstream.New(downstream.Config{Exchange: x, Protocol: g, MaxClients: 4 * p.Clients,
-		Pace: downstream.Pace{First: time.Minute, Request: time.Minute, Idle: time.Minute}})
+		Limits: downstream.Limits{FirstRequest: time.Minute, Request: time.Minute, Idle: time.Minute}})
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return "", err
@@ -104,7 +104,7 @@
 	go x.Run(back, stop)
 	go back.Run(ctx)
 	go f.Serve(ln)
-	var numbers httpserver.Shards
+	var numbers httpserver.ShardNumbers
 	c, err := routeconfig.Parse([]byte(routeConfig))
 	if err != nil {
 		return "", err
@@ -114,8 +114,8 @@
 		return "", err
 	}
 	x.Retune(plan.Classes)
-	g.Use(plan)
-	f.SetPace(httpserver.Pace(c.Limits))
+	g.SetPlan(plan)
+	f.SetLimits(httpserver.LimitsFrom(c.Limits))
 	for service := range c.Services {
 		number, err := numbers.Of(service)
 		if err != nil {
--- a/internal/lab/answers/command.go
+++ b/internal/lab/answers/command.go
@@ -13,7 +13,7 @@
 )
 
 // Mutants are the rules that can be left out on purpose, by name.
-var Mutants = map[string]httpclient.Breaks{
+var Mutants = map[string]httpclient.Mutations{
 	"any-id":         {AnyID: true},
 	"lost-is-unsent": {LostIsUnsent: true},
 }
--- a/internal/node/proxy/outliers.go
+++ b/internal/node/proxy/outliers.go
@@ -226,6 +226,6 @@
 			}
 		}
 		t.outliers.mu.Unlock()
-		t.downstream.Lanes.Apart(apart)
+		t.downstream.SlowLane.SetSlow(apart)
 	}
 }
--- a/internal/node/proxy/proxy.go
+++ b/internal/node/proxy/proxy.go
@@ -56,11 +56,11 @@
 type proxy struct {
 	settings     *nodesettings.Settings
 	exchange     *exchange.Exchange
-	upstream     *httpclient.Back
-	routes       *httpserver.Gate
-	downstream   *downstream.Front
+	upstream     *httpclient.Pool
+	routes       *httpserver.Handler
+	downstream   *downstream.Server
 	client       *rpc.Client
-	shardNumbers httpserver.Shards
+	shardNumbers httpserver.ShardNumbers
 	startedAt    time.Time
 	serverCount  atomic.Int64
 
@@ -84,7 +84,7 @@
 // exchangeSettings returns the settings of the exchange and of the decisions.
 func exchangeSettings(bounds nodesettings.Bounds) settings.Settings {
 	return settings.Settings{MostHeld: maxRequests, Router: choice.Settings{
-		ClassesLater: true, Cells: httpserver.MostShards, Width: 1, BundleMax: 1, Resolution: tickMicroseconds, Cancel: true,
+		ClassesLater: true, Cells: httpserver.MaxShards, Width: 1, BundleMax: 1, Resolution: tickMicroseconds, Cancel: true,
 		ParallelTries: true, RetryAdvice: true, MaxRetryAfter: time.Second.Microseconds(), AttemptCap: maxAttempts,
 		Keepalive: (30 * time.Second).Microseconds(), DrainGrace: bounds.Drain.Microseconds() / 4,
 		Routers: minProxies, ExtraBudget: true, ExtraByShard: true, ExtraRatio: bounds.RetryRatio,
@@ -101,19 +101,19 @@
 	}
 	upstreamConnections := (boot.MaxOpenFiles - reservedDescriptors) / upstreamShare
 	t := &proxy{settings: boot, exchange: x, client: rpc.NewClient(time.Second), store: gossip.NewStore(), startedAt: time.Now(),
-		routes: &httpserver.Gate{Exchange: x}, upstream: httpclient.New(httpclient.Config{Exchange: x, MaxConns: upstreamConnections}),
+		routes: &httpserver.Handler{Exchange: x}, upstream: httpclient.New(httpclient.Config{Exchange: x, MaxConns: upstreamConnections}),
 		maxConnections: make(map[string]int), maxClients: boot.MaxOpenFiles - reservedDescriptors - upstreamConnections,
 		maxUpstream: upstreamConnections}
 	t.retryBudget = quota.NewRetryBudget(0, quota.Config{Total: boot.Bounds.RetrySlack, Window: boot.Bounds.RetryWindow.Microseconds(),
 		MinProxies: minProxies, FirstStart: boot.Bootstrap})
 	t.outliers, t.quotas = newOutlierTracker(t), newQuotaClient(t)
 	t.routes.Allow = t.quotas.admit
-	lanes := &downstream.Lanes{Most: max(t.maxClients/slowLaneShare, 1)}
+	lanes := &downstream.SlowLane{MaxConns: max(t.maxClients/slowLaneShare, 1)}
 	if !file.NoEjection {
-		x.Heard, lanes.Saw = t.outliers.recordAnswer, t.outliers.recordCaller
+		x.Heard, lanes.Observe = t.outliers.recordAnswer, t.outliers.recordCaller
 	}
 	t.downstream = downstream.New(downstream.Config{Exchange: x, Protocol: t.routes, MaxClients: t.maxClients,
-		Pace: httpserver.Pace(routeconfig.DefaultLimits), Lanes: lanes})
+		Limits: httpserver.LimitsFrom(routeconfig.DefaultLimits), SlowLane: lanes})
 	return t, nil
 }
 
@@ -330,8 +330,8 @@
 	}
 	t.quotas.setAllowances(c)
 	t.exchange.Retune(p.Classes)
-	t.routes.Use(p)
-	t.downstream.SetPace(httpserver.Pace(c.Limits))
+	t.routes.SetPlan(p)
+	t.downstream.SetLimits(httpserver.LimitsFrom(c.Limits))
 	events.ConfigInForce.Log("revision", c.Revision, "routes", len(c.Routes), "services", len(c.Services), "classes", len(p.Classes))
 }
 
--- a/internal/node/proxy/show.go
+++ b/internal/node/proxy/show.go
@@ -87,10 +87,10 @@
 	if counts {
 		publisher = assignment.By
 	}
-	lanes := f.proxy.downstream.Lanes
+	lanes := f.proxy.downstream.SlowLane
 	state := admin.Table{Title: "ejections: state", Columns: []string{"published by", "requested", "suspected here", "changes", "reports sent", "in the slow lane", "rejected there"},
 		Rows: [][]string{{publisher, fmt.Sprint(len(assignment.Requested)), fmt.Sprint(f.servers.Suspected() + f.callers.Suspected()), fmt.Sprint(f.changesApplied), fmt.Sprint(f.reportsSent),
-			fmt.Sprintf("%d of %d", lanes.In(), lanes.Most), fmt.Sprint(lanes.Turned.Load())}}}
+			fmt.Sprintf("%d of %d", lanes.InUse(), lanes.MaxConns), fmt.Sprint(lanes.Rejected.Load())}}}
 	return []admin.Table{t, state}
 }
 
--- a/internal/node/proxy/shutdown.go
+++ b/internal/node/proxy/shutdown.go
@@ -25,18 +25,18 @@
 	begun := time.Now()
 	over := begun.Add(grace - graceEndMargin)
 	events.Stopping.Log("open", t.exchange.Open())
-	t.downstream.Stop()
+	t.downstream.MarkNotReady()
 	sleepUntil(begun.Add(min(readyDrainTime, grace/graceShare)))
-	t.downstream.Close()
+	t.downstream.CloseAfterResponses()
 	refuseAt := begun.Add(min(refuseAfter, grace/graceShare))
-	for time.Now().Before(over) && (t.exchange.Open() > 0 || !t.downstream.Quiet(quietPeriod)) {
+	for time.Now().Before(over) && (t.exchange.Open() > 0 || !t.downstream.QuietFor(quietPeriod)) {
 		if time.Now().After(refuseAt) {
-			t.downstream.Refuse()
+			t.downstream.RejectRequests()
 		}
 		t.downstream.CloseIdle(idleCloseDelay)
 		time.Sleep(pollInterval)
 	}
-	t.downstream.Refuse()
+	t.downstream.RejectRequests()
 	ln.Close()
 	t.endRemaining(over)
 }
@@ -47,7 +47,7 @@
 		if !cut && !time.Now().Before(over) {
 			cut = true
 			events.CutShort.Log("open", t.exchange.Open())
-			t.downstream.CutShort()
+			t.downstream.ExpireRequests()
 		}
 		t.downstream.CloseIdle(idleCloseDelay)
 		time.Sleep(pollInterval)
--- a/internal/upstream/httpclient/httpclient.go
+++ b/internal/upstream/httpclient/httpclient.go
@@ -41,13 +41,13 @@
 
 // Config is what the client side is told at its start.
 type Config struct {
-	Exchange *exchange.Exchange
-	MaxConns int // connections at once to all servers
-	Breaks   Breaks
+	Exchange  *exchange.Exchange
+	MaxConns  int // connections at once to all servers
+	Mutations Mutations
 }
 
-// Breaks leaves rules out on purpose, so that a checker can show that it finds each.
-type Breaks struct {
+// Mutations leaves rules out on purpose, so that a checker can show that it finds each.
+type Mutations struct {
 	AnyID        bool // an answer is taken for the request that waits, whatever it names
 	LostIsUnsent bool // a reset or a close counts as proof that a request has not run
 	ReuseEarly   bool // a connection is used again though a request is not yet written whole
@@ -60,8 +60,8 @@
 	MaxConns int // this mixer's part of what the server takes; 0: not told
 }
 
-// Back is the client side. It implements exchange.Leaves.
-type Back struct {
+// Pool is the client side. It implements exchange.Leaves.
+type Pool struct {
 	Config
 	dial *net.Dialer
 
@@ -89,7 +89,7 @@
 }
 
 type conn struct {
-	b       *Back
+	b       *Pool
 	s       *server
 	nc      net.Conn
 	r       *httpwire.Reader
@@ -108,13 +108,13 @@
 }
 
 // New returns a client side that knows no server yet.
-func New(cfg Config) *Back {
-	return &Back{Config: cfg, dial: transport.Dialer(dialTime), servers: make(map[string]*server),
+func New(cfg Config) *Pool {
+	return &Pool{Config: cfg, dial: transport.Dialer(dialTime), servers: make(map[string]*server),
 		calls: make(map[*exchange.Attempt]*call)}
 }
 
 // Run keeps the connections until ctx ends.
-func (b *Back) Run(ctx context.Context) {
+func (b *Pool) Run(ctx context.Context) {
 	tick := time.NewTicker(sweepEvery)
 	defer tick.Stop()
 	for {
@@ -135,7 +135,7 @@
 }
 
 // Told takes news of servers, before the exchange hears of them.
-func (b *Back) UpdateServers(list []Server) {
+func (b *Pool) UpdateServers(list []Server) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, t := range list {
@@ -159,7 +159,7 @@
 	}
 }
 
-func (b *Back) forget(s *server) {
+func (b *Pool) forget(s *server) {
 	if s.Gone && len(s.conns) == 0 && s.dialing == 0 && b.servers[s.ID] == s {
 		delete(b.servers, s.ID)
 	}
@@ -168,7 +168,7 @@
 // ---- What the exchange asks for.
 
 // Send starts attempts.
-func (b *Back) Send(attempts []*exchange.Attempt) {
+func (b *Pool) Send(attempts []*exchange.Attempt) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, a := range attempts {
@@ -182,7 +182,7 @@
 // come: closed, it would cost another one. One that is called off ends with that answer,
 // so that a server that is late beside another is told from one that is silent; without
 // an answer, within staleTime.
-func (b *Back) GiveUp(a *exchange.Attempt, v choice.Verdict) {
+func (b *Pool) GiveUp(a *exchange.Attempt, v choice.Verdict) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	k := b.calls[a]
@@ -204,7 +204,7 @@
 
 // abandon closes the connection of an attempt whose client has left and which has not been
 // answered since: the server need not work on.
-func (b *Back) abandon(k *call) {
+func (b *Pool) abandon(k *call) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if !k.done && k.c.call == k {
@@ -213,10 +213,10 @@
 }
 
 // Probe implements exchange.Leaves: the decisions send none here.
-func (b *Back) Probe(name string) { b.Exchange.Probed(name, 0, choice.NotSent, nil) }
+func (b *Pool) Probe(name string) { b.Exchange.Probed(name, 0, choice.NotSent, nil) }
 
 // Release closes the idle connections to a server.
-func (b *Back) Release(name string) {
+func (b *Pool) Release(name string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if s := b.servers[name]; s != nil {
@@ -229,14 +229,14 @@
 }
 
 // Watch and Fetch implement exchange.Leaves: what there is of servers comes by itself.
-func (b *Back) Watch(bool) {}
+func (b *Pool) Watch(bool) {}
 
 // Fetch is as Watch.
-func (b *Back) Fetch() {}
+func (b *Pool) Fetch() {}
 
 // ---- Under b.mu.
 
-func (b *Back) place(k *call) {
+func (b *Pool) place(k *call) {
 	s := k.s
 	if s == nil || s.Gone {
 		b.finish(k, choice.NotSent, nil, "")
@@ -263,7 +263,7 @@
 }
 
 // open opens a connection for what waits, unless enough are on their way.
-func (b *Back) open(s *server) {
+func (b *Pool) open(s *server) {
 	if s.dialing >= len(s.waiting) || s.MaxConns > 0 && len(s.conns)+s.dialing >= s.MaxConns {
 		return
 	}
@@ -283,7 +283,7 @@
 	go b.connect(s, s.Addr)
 }
 
-func (b *Back) connect(s *server, addr string) {
+func (b *Pool) connect(s *server, addr string) {
 	nc, err := b.dial.Dial("tcp4", addr)
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -314,7 +314,7 @@
 }
 
 // pump sends what waits on connections that rest.
-func (b *Back) pump(s *server) {
+func (b *Pool) pump(s *server) {
 	waiting := s.waiting
 	s.waiting = nil
 	for _, k := range waiting {
@@ -322,7 +322,7 @@
 	}
 }
 
-func (b *Back) noConnection(s *server) {
+func (b *Pool) noConnection(s *server) {
 	failed := s.waiting
 	s.waiting = nil
 	for _, k := range failed {
@@ -331,7 +331,7 @@
 }
 
 // finish ends a call, once.
-func (b *Back) finish(k *call, v choice.Verdict, load []choice.Reading, value string) {
+func (b *Pool) finish(k *call, v choice.Verdict, load []choice.Reading, value string) {
 	if k.done {
 		return
 	}
@@ -346,7 +346,7 @@
 	b.Exchange.Ended(k.a, v, load, value)
 }
 
-func (b *Back) sweep() {
+func (b *Pool) sweep() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
@@ -421,7 +421,7 @@
 	if c.call != nil {
 		if v == choice.ConnectionLost {
 			b.Exchange.Counters.Resets.Add(1)
-			if b.Breaks.LostIsUnsent {
+			if b.Mutations.LostIsUnsent {
 				v = choice.NoConnection
 			}
 		}
@@ -476,7 +476,7 @@
 			return
 		}
 		if err == nil && stray < mostStray {
-			if id := p.Header.Get(headID); id != "" && id != c.id && !c.b.Breaks.AnyID {
+			if id := p.Header.Get(headID); id != "" && id != c.id && !c.b.Mutations.AnyID {
 				// A second answer to an earlier request, in the place of this one's, which
 				// may still follow. It belongs to nobody.
 				stray++
@@ -488,7 +488,7 @@
 		}
 		// An answer may come before the request is written whole: what another one wrote would
 		// then stand where the rest of its body is due.
-		keep := err == nil && p.KeepAlive && c.r.Buffered() == 0 && (!c.writing || c.b.Breaks.ReuseEarly)
+		keep := err == nil && p.KeepAlive && c.r.Buffered() == 0 && (!c.writing || c.b.Mutations.ReuseEarly)
 		v, value := choice.ServerError, ""
 		var load []choice.Reading
 		switch {
@@ -501,7 +501,7 @@
 		default:
 			c.until = lasts(p, time.Now())
 			id := c.id
-			if c.b.Breaks.AnyID {
+			if c.b.Mutations.AnyID {
 				id = p.Header.Get(headID)
 			}
 			v, value = judge(p, id, c.gather)
--- a/internal/upstream/leaf.go
+++ b/internal/upstream/pool.go
@@ -63,8 +63,8 @@
 	Run(stop <-chan struct{})
 }
 
-// Back is the client side. It implements exchange.Leaves.
-type Back struct {
+// Pool is the client side. It implements exchange.Leaves.
+type Pool struct {
 	Config
 	dial net.Dialer
 
@@ -128,7 +128,7 @@
 }
 
 type conn struct {
-	b      *Back
+	b      *Pool
 	s      *server
 	nc     net.Conn
 	addr   string
@@ -149,8 +149,8 @@
 }
 
 // New returns a client side that knows no server yet.
-func New(cfg Config) *Back {
-	b := &Back{Config: cfg, servers: make(map[string]*server), calls: make(map[*exchange.Attempt]*call)}
+func New(cfg Config) *Pool {
+	b := &Pool{Config: cfg, servers: make(map[string]*server), calls: make(map[*exchange.Attempt]*call)}
 	b.dial.Timeout = time.Duration(cfg.Settings.DialTimeout) * time.Microsecond
 	if b.dial.Timeout <= 0 {
 		b.dial.Timeout = dialFallback
@@ -159,7 +159,7 @@
 }
 
 // Run keeps the connections and the watch until stop is closed.
-func (b *Back) Run(stop <-chan struct{}) {
+func (b *Pool) Run(stop <-chan struct{}) {
 	go b.List.Run(stop)
 	tick := time.NewTicker(sweepEvery)
 	defer tick.Stop()
@@ -183,7 +183,7 @@
 // ---- What the exchange asks for.
 
 // Send starts attempts.
-func (b *Back) Send(attempts []*exchange.Attempt) {
+func (b *Pool) Send(attempts []*exchange.Attempt) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	defer b.together()()
@@ -196,7 +196,7 @@
 
 // GiveUp ends the wait for an attempt: at once if its frame has not been begun,
 // else once the server has been told.
-func (b *Back) GiveUp(a *exchange.Attempt, v choice.Verdict) {
+func (b *Pool) GiveUp(a *exchange.Attempt, v choice.Verdict) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	k := b.calls[a]
@@ -216,7 +216,7 @@
 }
 
 // Probe tests a server.
-func (b *Back) Probe(name string) {
+func (b *Pool) Probe(name string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	k := &call{s: b.servers[name], begun: time.Now()}
@@ -233,7 +233,7 @@
 }
 
 // Release closes the idle connections to a server.
-func (b *Back) Release(name string) {
+func (b *Pool) Release(name string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if s := b.servers[name]; s != nil {
@@ -246,22 +246,22 @@
 }
 
 // Watch starts or ends the watch on the list.
-func (b *Back) Watch(on bool) { b.List.Watch(on) }
+func (b *Pool) Watch(on bool) { b.List.Watch(on) }
 
 // Fetch asks for the whole list once.
-func (b *Back) Fetch() { b.List.Fetch() }
+func (b *Pool) Fetch() { b.List.Fetch() }
 
 // ---- The list.
 
 // Failed implements targets.Taker.
-func (b *Back) Failed() {
+func (b *Pool) Failed() {
 	b.Exchange.Counters.ListFails.Add(1)
 	b.Exchange.Listed(choice.List{Form: choice.Failed})
 }
 
 // Told implements targets.Taker: it takes a list for the connections and hands it to
 // the exchange.
-func (b *Back) Told(list choice.List, addrs targets.Addrs) {
+func (b *Pool) Told(list choice.List, addrs targets.Addrs) {
 	if list.Form != choice.Cached {
 		b.Exchange.Counters.Lists.Add(1)
 	}
@@ -300,7 +300,7 @@
 
 // mayStart notes from when on nothing may start on a server; since is how long ago
 // the news may have counted as told.
-func (b *Back) mayStart(s *server, ready bool, since choice.Micros) {
+func (b *Pool) mayStart(s *server, ready bool, since choice.Micros) {
 	if ready {
 		s.stopAt = time.Time{}
 	} else if s.stopAt.IsZero() {
@@ -314,7 +314,7 @@
 // place finds a call its connection, or has one opened. A connection on which
 // the same part was given up is passed over: a late answer to that would be
 // taken for this one's.
-func (b *Back) place(k *call) {
+func (b *Pool) place(k *call) {
 	s := k.s
 	if s == nil || s.drained() {
 		b.finish(k, choice.NotSent, nil, "")
@@ -367,7 +367,7 @@
 
 // open opens one connection to a server, unless one is being opened or there
 // are enough; what waits then waits for room.
-func (b *Back) open(s *server) {
+func (b *Pool) open(s *server) {
 	live := 0
 	for _, c := range s.conns {
 		if !c.silent {
@@ -400,7 +400,7 @@
 }
 
 // evict closes the leaf connection that has idled longest.
-func (b *Back) evict() bool {
+func (b *Pool) evict() bool {
 	var oldest *conn
 	for _, s := range b.servers {
 		for _, c := range s.conns {
@@ -415,14 +415,14 @@
 	return oldest != nil
 }
 
-func (b *Back) failWaiting(s *server, err error) {
+func (b *Pool) failWaiting(s *server, err error) {
 	b.Exchange.Counters.DialFails.Add(1)
 	log.Warn("dial-failed", "server", s.name, "addr", s.addr(), "waiting", len(s.waiting), "err", err)
 	b.noConnection(s)
 }
 
 // noConnection ends what waits for a connection to s: it never ran.
-func (b *Back) noConnection(s *server) {
+func (b *Pool) noConnection(s *server) {
 	failed := s.waiting
 	s.waiting = nil
 	for _, k := range failed {
@@ -430,7 +430,7 @@
 	}
 }
 
-func (b *Back) connect(s *server, addr string) {
+func (b *Pool) connect(s *server, addr string) {
 	nc, err := b.dial.Dial("tcp", addr)
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -464,7 +464,7 @@
 }
 
 // add takes a connection that has come up.
-func (b *Back) add(s *server, c *conn) {
+func (b *Pool) add(s *server, c *conn) {
 	c.b, c.s, c.ready, c.usedAt, c.heardAt = b, s, sync.NewCond(&b.mu), time.Now(), time.Now()
 	c.calls, c.stale = make(map[string]*call), make(map[string]time.Time)
 	s.conns = append(s.conns, c)
@@ -475,7 +475,7 @@
 }
 
 // pump places what has waited for a connection.
-func (b *Back) pump(s *server) {
+func (b *Pool) pump(s *server) {
 	ready := s.waiting
 	s.waiting = nil
 	defer b.together()()
@@ -486,7 +486,7 @@
 
 // together has what is placed until the end keep together, server by server, where
 // calls carry several parts.
-func (b *Back) together() (end func()) {
+func (b *Pool) together() (end func()) {
 	if b.sending != nil || b.Settings.Router.BundleMax <= 1 {
 		return func() {}
 	}
@@ -495,7 +495,7 @@
 }
 
 // finish ends a call, once.
-func (b *Back) finish(k *call, v choice.Verdict, load []choice.Reading, value string) {
+func (b *Pool) finish(k *call, v choice.Verdict, load []choice.Reading, value string) {
 	if k.done {
 		return
 	}
@@ -549,7 +549,7 @@
 }
 
 // sweep closes what has idled and forgets what can't come any more.
-func (b *Back) sweep() {
+func (b *Pool) sweep() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	keep := time.Duration(float64(b.Settings.Router.Keepalive)*idleShare) * time.Microsecond
--- a/internal/upstream/race.go
+++ b/internal/upstream/race.go
@@ -23,12 +23,12 @@
 )
 
 // race begins a race for a connection. Under b.mu.
-func (b *Back) race(s *server) {
+func (b *Pool) race(s *server) {
 	r := &race{b: b, s: s, Race: eyeballs.New(s.seen.Order(s.addrs, clock()), b.stagger().Microseconds())}
 	r.step()
 }
 
-func (b *Back) stagger() time.Duration {
+func (b *Pool) stagger() time.Duration {
 	if b.Stagger > 0 {
 		return b.Stagger
 	}
@@ -42,7 +42,7 @@
 
 // race is one race. All of it is under b.mu.
 type race struct {
-	b *Back
+	b *Pool
 	s *server
 	*eyeballs.Race
 	timer *time.Timer
@@ -114,9 +114,9 @@
 	b.add(r.s, &conn{nc: nc, addr: addr, in: answers})
 }
 
-// Answers tells whether a server answers a probe at any of its addresses. What it
+// Reachable tells whether a server answers a probe at any of its addresses. What it
 // opens for that counts as a connection, and is closed.
-func (b *Back) Answers(addrs []string) bool {
+func (b *Pool) Reachable(addrs []string) bool {
 	for _, addr := range addrs {
 		b.mu.Lock()
 		room := b.conns < b.MaxConns*3/4
@@ -143,7 +143,7 @@
 
 // greet opens a connection and waits for the answer to a probe, for the dial time in
 // all: an address that accepts and then hangs does not get a part.
-func (b *Back) greet(addr string) (net.Conn, *bufio.Reader, error) {
+func (b *Pool) greet(addr string) (net.Conn, *bufio.Reader, error) {
 	until := time.Now().Add(b.dial.Timeout)
 	network := "tcp"
 	if path, local := strings.CutPrefix(addr, unixPrefix); local {
--- a/internal/upstream/race_test.go
+++ b/internal/upstream/race_test.go
@@ -86,7 +86,7 @@
 
 // ask sends so many queries of one part through a whole exchange, and wants each
 // answered; it returns the addresses that parts came to.
-func (s *stand) ask(b *Back, x *exchange.Exchange, n int) map[string]int {
+func (s *stand) ask(b *Pool, x *exchange.Exchange, n int) map[string]int {
 	s.t.Helper()
 	var all sync.WaitGroup
 	room := make(chan struct{}, 3) // within the window that a server has at the start
@@ -120,7 +120,7 @@
 func (noList) Fetch()                   {}
 func (noList) Run(stop <-chan struct{}) { <-stop }
 
-func mixer(t *testing.T, addrs []string, stagger time.Duration) (*Back, *exchange.Exchange) {
+func mixer(t *testing.T, addrs []string, stagger time.Duration) (*Pool, *exchange.Exchange) {
 	set := settings.Settings{Router: choice.Settings{Cells: 1, Width: 1, Shards: 1, Routers: 1, AttemptCap: 1, Resolution: 1000, DrainGrace: 2_000_000, AskWithin: 10_000_000,
 		Classes: []choice.Class{{Name: "book", Aim: 10_000_000, Deadline: 20_000_000, Need: 1, Floor: 1, Value: 1, Effect: choice.Unsafe}}}, DialTimeout: 300_000}
 	x, err := exchange.New(1, set)
