--- a/internal/app/levels.go
+++ b/internal/app/levels.go
@@ -32,7 +32,7 @@
 			return &operator.KeyError{Key: "levels", Problem: name + " stands twice, or is full service's name"}
 		}
 	}
-	if o.Levels.Stay > o.Levels.MostStay {
+	if o.Levels.MinStay > o.Levels.MaxStay {
 		return &operator.KeyError{Key: "least-stay", Problem: "is above most-stay"}
 	}
 	return nil
--- a/internal/app/serve.go
+++ b/internal/app/serve.go
@@ -176,7 +176,7 @@
 			return err
 		}
 		b.List = m.members
-		x.Counters.More = m.members.Counters
+		x.Counters.Extra = m.members.Counters
 		if err := m.members.apply(op); err != nil {
 			return err
 		}
@@ -212,7 +212,7 @@
 			return fmt.Errorf("[segments] feed: a shard is held by %d cells, and segments are held by one", w)
 		}
 		m.feed = segments.New(op.Segments, x)
-		x.SetSegments(m.feed, op.Segments.Most)
+		x.SetMapSource(m.feed, op.Segments.Most)
 		feeding, end := context.WithCancel(context.Background())
 		fed := make(chan struct{})
 		go func() { m.feed.Run(feeding); close(fed) }()
--- a/internal/back/hold_test.go
+++ b/internal/back/hold_test.go
@@ -33,7 +33,7 @@
 	_, x := mixer(t, []string{dead}, 0) // dial time 300 ms
 	one := func(i int) exchange.Ending {
 		done := make(chan exchange.Ending, 1)
-		x.Take(&exchange.Query{ID: fmt.Sprintf("%016x", i), Class: "book", Text: "t", TakenAt: time.Now(), Patience: 5 * time.Second,
+		x.Submit(&exchange.Query{ID: fmt.Sprintf("%016x", i), Class: "book", Text: "t", ReceivedAt: time.Now(), Timeout: 5 * time.Second,
 			Parts: []exchange.Part{{Shard: 0, Weight: 1}}, Done: func(f exchange.Final) { done <- f.Ending }})
 		select {
 		case e := <-done:
--- a/internal/back/leaf.go
+++ b/internal/back/leaf.go
@@ -194,9 +194,9 @@
 	}
 }
 
-// GiveUp ends the wait for an attempt: at once if its frame has not been begun,
+// Cancel ends the wait for an attempt: at once if its frame has not been begun,
 // else once the server has been told.
-func (b *Back) GiveUp(a *exchange.Attempt, v choice.Verdict) {
+func (b *Back) Cancel(a *exchange.Attempt, v choice.Verdict) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	k := b.calls[a]
@@ -221,7 +221,7 @@
 	defer b.mu.Unlock()
 	k := &call{s: b.servers[name], begun: time.Now()}
 	if k.s == nil {
-		b.Exchange.Probed(name, 0, choice.NotSent, nil)
+		b.Exchange.ProbeEnded(name, 0, choice.NotSent, nil)
 		return
 	}
 	b.place(k)
@@ -256,7 +256,7 @@
 // Failed implements targets.Taker.
 func (b *Back) Failed() {
 	b.Exchange.Counters.ListFails.Add(1)
-	b.Exchange.Listed(choice.List{Form: choice.Failed})
+	b.Exchange.UpdateServers(choice.List{Form: choice.Failed})
 }
 
 // Told implements targets.Taker: it takes a list for the connections and hands it to
@@ -295,7 +295,7 @@
 	if len(list.Servers) > 0 || list.Form != choice.Delta {
 		log.Info("list", "form", int(list.Form), "version", list.Version, "entries", len(list.Servers))
 	}
-	b.Exchange.Listed(list)
+	b.Exchange.UpdateServers(list)
 }
 
 // mayStart notes from when on nothing may start on a server; since is how long ago
@@ -468,7 +468,7 @@
 	c.b, c.s, c.ready, c.usedAt, c.heardAt = b, s, sync.NewCond(&b.mu), time.Now(), time.Now()
 	c.calls, c.stale = make(map[string]*call), make(map[string]time.Time)
 	s.conns = append(s.conns, c)
-	b.Exchange.Counters.Leaves.Add(1)
+	b.Exchange.Counters.ServerConns.Add(1)
 	go c.write()
 	go c.read()
 	b.pump(s)
@@ -504,7 +504,7 @@
 		k.s.waiting = slices.DeleteFunc(k.s.waiting, func(o *call) bool { return o == k })
 	}
 	if k.a == nil {
-		b.Exchange.Probed(k.s.name, time.Since(k.begun), v, load)
+		b.Exchange.ProbeEnded(k.s.name, time.Since(k.begun), v, load)
 		return
 	}
 	delete(b.calls, k.a)
@@ -512,7 +512,7 @@
 		delete(k.c.calls, k.a.PartID)
 		k.c.unanswered(k, v)
 	}
-	b.Exchange.Ended(k.a, v, load, value)
+	b.Exchange.AttemptEnded(k.a, v, load, value)
 	if k.c != nil && len(k.s.waiting) > 0 { // there is room on a connection
 		b.pump(k.s)
 	}
@@ -528,13 +528,13 @@
 		c.unheard++
 		lasting := c.unheard >= mostUnheard && time.Since(c.heardAt) > c.b.dial.Timeout
 		// Called off because its query ended is as good as timed out, if it was late.
-		late := v == choice.NoAnswer || 2*time.Since(k.sentAt) > k.a.Until.Sub(k.sentAt)
+		late := v == choice.NoAnswer || 2*time.Since(k.sentAt) > k.a.Deadline.Sub(k.sentAt)
 		if !c.silent && (late || lasting) {
 			c.silent = true
 			if len(c.s.addrs) > 1 { // the next connection is tried elsewhere first
 				c.s.seen.Bad(c.addr, clock())
 			}
-			c.b.Exchange.Counters.Silent.Add(1)
+			c.b.Exchange.Counters.Unresponsive.Add(1)
 			log.Warn("leaf-silent", "server", c.s.name, "addr", c.addr, "parts", len(c.calls))
 		}
 	}
@@ -586,11 +586,11 @@
 	c.ready.Signal()
 	b, s := c.b, c.s
 	b.conns--
-	b.Exchange.Counters.Leaves.Add(-1)
+	b.Exchange.Counters.ServerConns.Add(-1)
 	s.conns = slices.DeleteFunc(s.conns, func(o *conn) bool { return o == c })
 	var told *spoiltError
 	if c.spoilt = errors.As(err, &told); c.spoilt {
-		b.Exchange.Counters.Spoilt.Add(1)
+		b.Exchange.Counters.MalformedAnswers.Add(1)
 	}
 	if err != nil && len(c.calls) > 0 {
 		b.Exchange.Counters.Resets.Add(1)
@@ -651,9 +651,9 @@
 		for _, k := range calls {
 			switch letter {
 			case 'Q':
-				ms := max((time.Until(k.a.Until)+time.Millisecond-1)/time.Millisecond, 1)
+				ms := max((time.Until(k.a.Deadline)+time.Millisecond-1)/time.Millisecond, 1)
 				rest = frame.AppendPart(rest, frame.Part{ID: k.a.PartID, Shard: k.a.Shard,
-					List: "d=" + strconv.FormatInt(int64(ms), 10) + k.a.Extra, Text: k.a.Text})
+					Options: "d=" + strconv.FormatInt(int64(ms), 10) + k.a.ExtraFields, Text: k.a.Text})
 			case 'X':
 				rest = append(rest, k.a.PartID...)
 			default:
@@ -748,7 +748,7 @@
 	letter, rest, err := frame.Read(r)
 	var malformed *frame.Error
 	if errors.As(err, &malformed) {
-		return spoilt("%s", malformed.What)
+		return spoilt("%s", malformed.Problem)
 	}
 	if err != nil {
 		return err
@@ -772,7 +772,7 @@
 	if err != nil {
 		return spoilt("%v", err)
 	}
-	v := ends[a.End]
+	v := ends[a.Status]
 	if v == choice.Served && (len(a.Value) == 0 || !utf8.Valid(a.Value)) {
 		return spoilt("a value of %d bytes that is no text", len(a.Value))
 	}
@@ -786,13 +786,13 @@
 		if _, ended := c.stale[a.ID]; !ended {
 			return spoilt("id %.80q of no part", a.ID)
 		}
-		c.b.Exchange.Counters.Late.Add(1)
+		c.b.Exchange.Counters.LateAnswers.Add(1)
 		return nil
 	}
 	if v != choice.TurnedAway { // that may be asked again here
 		c.stale[a.ID] = time.Now().Add(copyFor)
 	}
-	c.b.finish(k, v, report(a.Report), string(a.Value))
+	c.b.finish(k, v, report(a.LoadReport), string(a.Value))
 	return nil
 }
 
--- a/internal/back/race_test.go
+++ b/internal/back/race_test.go
@@ -78,7 +78,7 @@
 					s.seen <- at
 					<-hold
 				}
-				nc.Write(frame.Append(nil, 'A', frame.AppendAnswer(nil, frame.Answer{ID: p.ID, End: "ok", Report: "-", Value: []byte("v")})))
+				nc.Write(frame.Append(nil, 'A', frame.AppendAnswer(nil, frame.Answer{ID: p.ID, Status: "ok", LoadReport: "-", Value: []byte("v")})))
 			}
 		}
 	}
@@ -93,9 +93,9 @@
 	for i := range n {
 		all.Add(1)
 		room <- struct{}{}
-		x.Take(&exchange.Query{ID: fmt.Sprintf("%016x", i), Class: "book", Text: "t", TakenAt: time.Now(), Patience: 20 * time.Second,
+		x.Submit(&exchange.Query{ID: fmt.Sprintf("%016x", i), Class: "book", Text: "t", ReceivedAt: time.Now(), Timeout: 20 * time.Second,
 			Parts: []exchange.Part{{Shard: 0, Weight: 1}}, Done: func(f exchange.Final) {
-				if f.Ending != exchange.Answered || !f.Whole {
+				if f.Ending != exchange.Answered || !f.Complete {
 					s.t.Errorf("query %d ended as %d", i, f.Ending)
 				}
 				<-room
@@ -196,7 +196,7 @@
 	s.hold, s.seen = make(chan struct{}), make(chan string, 8)
 	finals := make(chan exchange.Final, 8)
 	take := func(i int) {
-		x.Take(&exchange.Query{ID: fmt.Sprintf("held%012x", i), Class: "book", Text: "t", TakenAt: time.Now(), Patience: 20 * time.Second,
+		x.Submit(&exchange.Query{ID: fmt.Sprintf("held%012x", i), Class: "book", Text: "t", ReceivedAt: time.Now(), Timeout: 20 * time.Second,
 			Parts: []exchange.Part{{Shard: 0, Weight: 1}}, Done: func(f exchange.Final) { finals <- f }})
 	}
 	take(0)
--- a/internal/back/reach/answer.go
+++ b/internal/back/reach/answer.go
@@ -67,7 +67,7 @@
 	b.WriteString("HTTP/1.1 ")
 	b.WriteString(strconv.Itoa(p.Status))
 	b.WriteString(" ")
-	b.WriteString(httpwire.Reason(p.Status))
+	b.WriteString(httpwire.StatusText(p.Status))
 	b.WriteString("\r\n")
 	names := make([]string, 0, len(p.Header))
 	for name := range p.Header {
--- a/internal/back/reach/reach.go
+++ b/internal/back/reach/reach.go
@@ -178,11 +178,11 @@
 	}
 }
 
-// GiveUp ends the wait for an attempt. Its connection stays taken until the answer has
+// Cancel ends the wait for an attempt. Its connection stays taken until the answer has
 // come: closed, it would cost another one. One that is called off ends with that answer,
 // so that a server that is late beside another is told from one that is silent; without
 // an answer, within staleTime.
-func (b *Back) GiveUp(a *exchange.Attempt, v choice.Verdict) {
+func (b *Back) Cancel(a *exchange.Attempt, v choice.Verdict) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	k := b.calls[a]
@@ -191,7 +191,7 @@
 	}
 	if v == choice.CalledOff && k.c != nil {
 		k.off = true
-		if a.Abandoned() && !a.Once() {
+		if a.Abandoned() && !a.NonIdempotent() {
 			time.AfterFunc(abandonTime, func() { b.abandon(k) })
 		}
 		return
@@ -213,7 +213,7 @@
 }
 
 // Probe implements exchange.Leaves: the decisions send none here.
-func (b *Back) Probe(name string) { b.Exchange.Probed(name, 0, choice.NotSent, nil) }
+func (b *Back) Probe(name string) { b.Exchange.ProbeEnded(name, 0, choice.NotSent, nil) }
 
 // Release closes the idle connections to a server.
 func (b *Back) Release(name string) {
@@ -252,7 +252,7 @@
 			c.end(choice.ConnectionLost)
 			continue
 		}
-		if k.a.Once() && now.Sub(c.restAt) > onceRest {
+		if k.a.NonIdempotent() && now.Sub(c.restAt) > onceRest {
 			break // the others have rested longer still
 		}
 		c.send(k, now)
@@ -306,9 +306,9 @@
 		return
 	}
 	s.misses, s.heldTill = 0, time.Time{}
-	c := &conn{b: b, s: s, nc: nc, r: httpwire.NewReaderOf(nc, readBuffer, mostHead, mostAnswer), restAt: time.Now()}
+	c := &conn{b: b, s: s, nc: nc, r: httpwire.NewReaderSize(nc, readBuffer, mostHead, mostAnswer), restAt: time.Now()}
 	s.conns = append(s.conns, c)
-	b.Exchange.Counters.Leaves.Add(1)
+	b.Exchange.Counters.ServerConns.Add(1)
 	go c.read()
 	b.pump(s)
 }
@@ -343,7 +343,7 @@
 	if k.c != nil && k.c.call == k {
 		k.c.call = nil
 	}
-	b.Exchange.Ended(k.a, v, load, value)
+	b.Exchange.AttemptEnded(k.a, v, load, value)
 }
 
 func (b *Back) sweep() {
@@ -366,7 +366,7 @@
 func (c *conn) send(k *call, now time.Time) {
 	a := k.a
 	at := strings.Index(a.Text, "\r\n\r\n") + 2
-	ms := max(a.Until.Sub(now).Milliseconds(), 1)
+	ms := max(a.Deadline.Sub(now).Milliseconds(), 1)
 	buf := make([]byte, 0, len(a.Text)+96+len(c.s.ID))
 	buf = append(buf, a.Text[:at]...)
 	buf = append(buf, "X-Saddleport-Deadline-Ms: "...)
@@ -375,7 +375,7 @@
 	buf = append(buf, c.s.ID...)
 	buf = append(buf, "\r\n"...)
 	buf = append(buf, a.Text[at:]...)
-	k.c, c.call, c.busy, c.sentAt, c.gather = c, k, true, now, a.Gather()
+	k.c, c.call, c.busy, c.sentAt, c.gather = c, k, true, now, a.FanOut()
 	c.method, _, _ = strings.Cut(a.Text[:at], " ")
 	c.id = a.QueryID()
 	head := bytes.Index(buf, []byte("\r\n\r\n")) + 4
@@ -416,7 +416,7 @@
 	c.nc.Close()
 	b, s := c.b, c.s
 	b.conns--
-	b.Exchange.Counters.Leaves.Add(-1)
+	b.Exchange.Counters.ServerConns.Add(-1)
 	s.conns = slices.DeleteFunc(s.conns, func(o *conn) bool { return o == c })
 	if c.call != nil {
 		if v == choice.ConnectionLost {
@@ -460,7 +460,7 @@
 		c.b.mu.Lock()
 		method, busy := c.method, c.busy
 		if err == nil && !busy { // bytes that nobody asked for
-			c.b.Exchange.Counters.Spoilt.Add(1)
+			c.b.Exchange.Counters.MalformedAnswers.Add(1)
 			err = errors.New("stray bytes")
 		}
 		if err != nil {
@@ -481,7 +481,7 @@
 				// may still follow. It belongs to nobody.
 				stray++
 				c.leaving = true
-				c.b.Exchange.Counters.Late.Add(1)
+				c.b.Exchange.Counters.LateAnswers.Add(1)
 				c.b.mu.Unlock()
 				continue
 			}
@@ -496,7 +496,7 @@
 			var known *httpwire.Error
 			if v = choice.ConnectionLost; errors.As(err, &known) {
 				v = choice.ServerError
-				c.b.Exchange.Counters.Spoilt.Add(1)
+				c.b.Exchange.Counters.MalformedAnswers.Add(1)
 			}
 		default:
 			c.until = lasts(p, time.Now())
--- a/internal/exchange/counters.go
+++ b/internal/exchange/counters.go
@@ -22,18 +22,18 @@
 	Outcomes [8]atomic.Int64
 	Probes   atomic.Int64
 
-	Clients   atomic.Int64 // client connections open
-	Accepted  atomic.Int64 // client connections accepted
-	Malformed atomic.Int64 // requests answered 4xx or 5xx by the framing
-	Leaves    atomic.Int64 // leaf connections open
-	Dials     atomic.Int64 // leaf connections tried
-	DialFails atomic.Int64
-	Resets    atomic.Int64 // leaf connections that ended under parts
-	Spoilt    atomic.Int64 // of these and idle ones, ended for an answer that can't be used
-	Silent    atomic.Int64 // leaf connections that fell silent
-	Late      atomic.Int64 // answers for attempts already given up
-	Lists     atomic.Int64 // answers of discovery
-	ListFails atomic.Int64
+	ClientConns         atomic.Int64 // client connections open
+	ClientConnsAccepted atomic.Int64 // client connections accepted
+	MalformedRequests   atomic.Int64 // requests answered 4xx or 5xx by the framing
+	ServerConns         atomic.Int64 // leaf connections open
+	Dials               atomic.Int64 // leaf connections tried
+	DialFails           atomic.Int64
+	Resets              atomic.Int64 // leaf connections that ended under parts
+	MalformedAnswers    atomic.Int64 // of these and idle ones, ended for an answer that can't be used
+	Unresponsive        atomic.Int64 // leaf connections that fell silent
+	LateAnswers         atomic.Int64 // answers for attempts already given up
+	Lists               atomic.Int64 // answers of discovery
+	ListFails           atomic.Int64
 
 	HookAsks    atomic.Int64 // points at which hooks were asked
 	HookLate    atomic.Int64 // of these, not answered in time
@@ -49,8 +49,8 @@
 	LevelRefused atomic.Int64 // queries that a level turned away
 	LevelShort   atomic.Int64 // queries that were asked for in part
 
-	// More are the figures of a subsystem that is on; nil: none. It is set before Run.
-	More func(put func(name string, v int64))
+	// Extra are the figures of a subsystem that is on; nil: none. It is set before Run.
+	Extra func(put func(name string, v int64))
 }
 
 var endings = [5]string{"answered", "refused", "failed", "expired", "gone"}
@@ -76,16 +76,16 @@
 		put(verdicts[i], &c.Outcomes[i])
 	}
 	put("probes", &c.Probes)
-	put("clients", &c.Clients)
-	put("accepted", &c.Accepted)
-	put("malformed", &c.Malformed)
-	put("leaves", &c.Leaves)
+	put("clients", &c.ClientConns)
+	put("accepted", &c.ClientConnsAccepted)
+	put("malformed", &c.MalformedRequests)
+	put("leaves", &c.ServerConns)
 	put("dials", &c.Dials)
 	put("dial_fails", &c.DialFails)
 	put("resets", &c.Resets)
-	put("spoilt", &c.Spoilt)
-	put("silent", &c.Silent)
-	put("late", &c.Late)
+	put("spoilt", &c.MalformedAnswers)
+	put("silent", &c.Unresponsive)
+	put("late", &c.LateAnswers)
 	put("lists", &c.Lists)
 	put("list_fails", &c.ListFails)
 	put("hook_asks", &c.HookAsks)
@@ -99,8 +99,8 @@
 	put("level_changes", &c.LevelChanges)
 	put("level_refused", &c.LevelRefused)
 	put("level_short", &c.LevelShort)
-	if c.More != nil {
-		c.More(func(name string, v int64) { fmt.Fprintf(&b, "%s=%d ", name, v) })
+	if c.Extra != nil {
+		c.Extra(func(name string, v int64) { fmt.Fprintf(&b, "%s=%d ", name, v) })
 	}
 	return strings.TrimSpace(b.String())
 }
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -27,18 +27,18 @@
 
 // Query is a query as the server side took it.
 type Query struct {
-	ID       string
-	Class    string
-	Key      string
-	Tenant   string
-	Text     string // what each part carries, unchanged
-	Repeat   bool
-	TakenAt  time.Time     // when its first byte was seen
-	Patience time.Duration // how long the client waits, from TakenAt
-	Parts    []Part
-	Gather   bool    // its answer is made of its parts'
-	Once     bool    // it may not be repeated
-	Least    float64 // share that will do where there is no room for the class's; 0: none less
+	ID            string
+	Class         string
+	Key           string
+	Tenant        string
+	Text          string // what each part carries, unchanged
+	ClientRetry   bool
+	ReceivedAt    time.Time     // when its first byte was seen
+	Timeout       time.Duration // how long the client waits, from TakenAt
+	Parts         []Part
+	FanOut        bool    // its answer is made of its parts'
+	NonIdempotent bool    // it may not be repeated
+	MinShare      float64 // share that will do where there is no room for the class's; 0: none less
 	// Done gets the one final answer, on the exchange's goroutine: it must not block.
 	Done func(Final)
 }
@@ -61,20 +61,20 @@
 	Answered Ending = iota
 	Refused
 	Failed
-	Expired // failed, for the client's time was up
-	Gone    // nobody is there to be answered
+	Expired    // failed, for the client's time was up
+	ClientGone // nobody is there to be answered
 )
 
 // Final is the one final answer of a query.
 type Final struct {
-	Ending     Ending
-	Whole      bool
-	Hits       []Hit
-	RetryAfter time.Duration // 0: no advice
-	Reason     string        // a hook's word on a refusal or a failure
-	Failure    string        // where there is no answer: the value of the last that a server failed with
-	Ran        bool          // an attempt may have run
-	Notes      []hookabi.Pair
+	Ending       Ending
+	Complete     bool
+	Hits         []Hit
+	RetryAfter   time.Duration // 0: no advice
+	Reason       string        // a hook's word on a refusal or a failure
+	FailureValue string        // where there is no answer: the value of the last that a server failed with
+	MayHaveRun   bool          // an attempt may have run
+	Notes        []hookabi.Pair
 }
 
 // Hit is the value of one part, as a leaf server gave it.
@@ -83,20 +83,20 @@
 	Value string
 	// Where segments are routed by a map: the shards whose hits hold more of this
 	// one, and the keys that are in where not all are.
-	In     []int
+	AlsoIn []int
 	Covers []placement.Range
 }
 
 // Attempt is one attempt of a part. All but the unexported fields are fixed
 // before the client side gets it.
 type Attempt struct {
-	PartID string
-	Server string
-	Index  int
-	Shard  int
-	Text   string
-	Until  time.Time // when the mixer stops waiting
-	Extra  string    // what the frame's list carries beside the time
+	PartID      string
+	Server      string
+	Index       int
+	Shard       int
+	Text        string
+	Deadline    time.Time // when the mixer stops waiting
+	ExtraFields string    // what the frame's list carries beside the time
 
 	sentAt time.Time
 	part   *part
@@ -113,22 +113,22 @@
 // QueryID is the id of the query that an attempt is for.
 func (a *Attempt) QueryID() string { return a.part.q.ID }
 
-// Gather tells whether the query that an attempt is for has several parts.
-func (a *Attempt) Gather() bool { return a.part.q.Gather }
+// FanOut tells whether the query that an attempt is for has several parts.
+func (a *Attempt) FanOut() bool { return a.part.q.FanOut }
 
 // Abandoned tells whether the client of the attempt's query has left. It is for the
 // goroutine that hands attempts to the client side.
 func (a *Attempt) Abandoned() bool { return a.part.q.abandoned }
 
-// Once tells whether the query that an attempt is for may not be repeated.
-func (a *Attempt) Once() bool { return a.part.q.Once }
+// NonIdempotent tells whether the query that an attempt is for may not be repeated.
+func (a *Attempt) NonIdempotent() bool { return a.part.q.NonIdempotent }
 
-// Leaves is the client side. Its methods must not block; each attempt that is
+// Upstream is the client side. Its methods must not block; each attempt that is
 // sent must come back by Ended, once and some seconds after GiveUp at the latest: one
 // that is called off may come back as what its late answer says.
-type Leaves interface {
+type Upstream interface {
 	Send([]*Attempt) // of one moment, in order: parts for one server may share a call
-	GiveUp(*Attempt, choice.Verdict)
+	Cancel(*Attempt, choice.Verdict)
 	Probe(server string)
 	Release(server string)
 	Watch(on bool)
@@ -206,10 +206,10 @@
 	return x
 }
 
-// Drive is what an exchange runs on: whose clock it reads, and who is told that
+// EventLoop is what an exchange runs on: whose clock it reads, and who is told that
 // something has come in. A process that serves has the system's clock and Run's
 // goroutine; in virtual time both are its caller's event loop.
-type Drive interface {
+type EventLoop interface {
 	// Now is monotonic, and does not go on within a Turn of a virtual drive.
 	Now() time.Time
 	// Wake asks for a Turn soon. It is called from any goroutine, also from within a
@@ -235,22 +235,22 @@
 	}
 }
 
-// Heard is how an attempt ended, for who only looks on.
-type Heard struct {
+// AttemptResult is how an attempt ended, for who only looks on.
+type AttemptResult struct {
 	Server, Class string
-	Took          time.Duration
+	Latency       time.Duration
 	Verdict       choice.Verdict
 }
 
 // Exchange hands events to the decisions and actions to the two sides.
 type Exchange struct {
 	Counters Counters
-	// Heard is told of each attempt that was handed over, on the exchange's goroutine, and
+	// OnAttemptEnd is told of each attempt that was handed over, on the exchange's goroutine, and
 	// must not block; nil: nobody is. It is set before Run.
-	Heard func(Heard)
+	OnAttemptEnd func(AttemptResult)
 
 	set    settings.Settings
-	leaves Leaves
+	leaves Upstream
 	hooks  Hooks // nil: there are none
 	// Tags that hooks give go to leaf servers too.
 	forwardTags bool
@@ -263,7 +263,7 @@
 	in    []func()
 	inAt  time.Time // when the first of them came, with levels
 	spare []func()  // what in was before, to be used again
-	drive Drive
+	drive EventLoop
 	wake  chan struct{} // of the system's drive; nil: another's
 	open  atomic.Int64
 
@@ -298,7 +298,7 @@
 // its client side, and from then on Turn runs it. The clock handed to the decisions
 // starts at the Unix time, so that the list's start times need no origin of their
 // own, and from there on it is monotonic.
-func NewOn(drive Drive, router Decider, seed uint64, set settings.Settings) (*Exchange, error) {
+func NewOn(drive EventLoop, router Decider, seed uint64, set settings.Settings) (*Exchange, error) {
 	for _, c := range set.Router.Classes {
 		if c.Fetch > 0 {
 			return nil, fmt.Errorf("setting Classes: %s: Fetch %d: the protocol has no second step", c.Name, c.Fetch)
@@ -317,8 +317,8 @@
 	}, nil
 }
 
-// Clock converts a time to the decisions' clock.
-func (x *Exchange) Clock(t time.Time) choice.Micros {
+// Micros converts a time to the decisions' clock.
+func (x *Exchange) Micros(t time.Time) choice.Micros {
 	return x.origin + t.Sub(x.start).Microseconds()
 }
 
@@ -337,38 +337,38 @@
 	x.drive.Wake()
 }
 
-// Take hands in a query. Its Done is called exactly once.
-func (x *Exchange) Take(q *Query) {
+// Submit hands in a query. Its Done is called exactly once.
+func (x *Exchange) Submit(q *Query) {
 	x.open.Add(1)
 	x.Counters.Taken.Add(1)
 	x.post(func() { x.take(q) })
 }
 
-// Left says that the client of a query has gone; a query that has ended is let be.
-func (x *Exchange) Left(q *Query) {
+// ClientLeft says that the client of a query has gone; a query that has ended is let be.
+func (x *Exchange) ClientLeft(q *Query) {
 	x.post(func() {
 		if h := x.queries[q.ID]; h != nil && h.Query == q {
 			h.abandoned = true
 			x.withdraw(h)
-			x.end(h, Final{Ending: Gone})
+			x.end(h, Final{Ending: ClientGone})
 		}
 	})
 }
 
-// Ended ends an attempt. Only the first call for an attempt counts.
-func (x *Exchange) Ended(a *Attempt, v choice.Verdict, load []choice.Reading, value string) {
+// AttemptEnded ends an attempt. Only the first call for an attempt counts.
+func (x *Exchange) AttemptEnded(a *Attempt, v choice.Verdict, load []choice.Reading, value string) {
 	x.post(func() { x.outcome(a, v, load, value) })
 }
 
-// Probed ends a probe.
-func (x *Exchange) Probed(server string, delay time.Duration, v choice.Verdict, load []choice.Reading) {
+// ProbeEnded ends a probe.
+func (x *Exchange) ProbeEnded(server string, delay time.Duration, v choice.Verdict, load []choice.Reading) {
 	x.post(func() {
 		x.events = append(x.events, choice.ProbeResult{Server: server, Delay: delay.Microseconds(), Verdict: v, Load: load})
 	})
 }
 
-// Listed hands in news of the server list.
-func (x *Exchange) Listed(l choice.List) {
+// UpdateServers hands in news of the server list.
+func (x *Exchange) UpdateServers(l choice.List) {
 	x.post(func() {
 		x.events = append(x.events, l)
 		if x.levels != nil {
@@ -377,23 +377,23 @@
 	})
 }
 
-// Retune brings all classes anew, for queries that come after it.
-func (x *Exchange) Retune(classes []choice.Class) {
+// UpdateClasses brings all classes anew, for queries that come after it.
+func (x *Exchange) UpdateClasses(classes []choice.Class) {
 	x.post(func() {
 		x.set.Router.Classes = classes
 		x.events = append(x.events, choice.Classes{List: classes})
 	})
 }
 
-// Tiered hands in news of the tier.
-func (x *Exchange) Tiered(t choice.Tier) {
+// UpdateTier hands in news of the tier.
+func (x *Exchange) UpdateTier(t choice.Tier) {
 	x.post(func() { x.events = append(x.events, t) })
 }
 
 // ---- The owner's goroutine.
 
 // Run serves until stop is closed. What is open then is left without an answer.
-func (x *Exchange) Run(leaves Leaves, stop <-chan struct{}) {
+func (x *Exchange) Run(leaves Upstream, stop <-chan struct{}) {
 	x.Attach(leaves)
 	alarm := time.NewTimer(0)
 	defer alarm.Stop()
@@ -413,7 +413,7 @@
 }
 
 // Attach gives an exchange its client side.
-func (x *Exchange) Attach(leaves Leaves) {
+func (x *Exchange) Attach(leaves Upstream) {
 	x.leaves = leaves
 	if x.levels != nil {
 		x.levels.tick = x.after(x.drive.Now().Add(readEvery), x.read)
@@ -446,7 +446,7 @@
 	if len(x.events) > 0 {
 		events := x.events
 		x.events = x.decided[:0]
-		for _, a := range x.router.Step(x.Clock(now), events) {
+		for _, a := range x.router.Step(x.Micros(now), events) {
 			if _, more := a.(choice.Send); !more {
 				x.flush()
 			}
@@ -494,7 +494,7 @@
 		// share its parts' ids: it is no new query, and nothing may go out twice. Of the
 		// id it can't be said that it has not run.
 		x.Counters.Repeated.Add(1)
-		x.final(q, Final{Ending: Failed, Ran: true})
+		x.final(q, Final{Ending: Failed, MayHaveRun: true})
 		return
 	}
 	if x.set.MostHeld > 0 && len(x.queries)+len(x.parts) >= x.set.MostHeld {
@@ -502,7 +502,7 @@
 		x.final(q, Final{Ending: Refused, RetryAfter: x.advice(q.Class)})
 		return
 	}
-	h := &held{Query: q, class: q.Class, deadline: q.TakenAt.Add(q.Patience)}
+	h := &held{Query: q, class: q.Class, deadline: q.ReceivedAt.Add(q.Timeout)}
 	if err := x.lay(h); err != nil {
 		x.Counters.Unrouted.Add(1)
 		x.final(q, Final{Ending: Refused, RetryAfter: x.advice(q.Class), Reason: err.Error()})
@@ -511,7 +511,7 @@
 	for _, p := range h.parts {
 		if x.parts[p.id] != nil { // by the map's names it is one that is still out
 			x.Counters.Repeated.Add(1)
-			x.final(q, Final{Ending: Failed, Ran: true})
+			x.final(q, Final{Ending: Failed, MayHaveRun: true})
 			return
 		}
 	}
@@ -522,7 +522,7 @@
 	x.guard(h)
 	if x.hooks != nil {
 		if k := x.hooks.Begin(q.Class); k != nil {
-			h.watched = &watched{Hooked: k}
+			h.watched = &watched{QueryHooks: k}
 			x.begin(h)
 			return
 		}
@@ -544,7 +544,7 @@
 	x.numbers++
 	ev := choice.Query{ID: q.ID, Class: h.class, Number: x.numbers, Key: q.Key, Tenant: q.Tenant,
 		Grace:  max(h.deadline.Sub(x.drive.Now()).Microseconds(), 0),
-		Repeat: q.Repeat, Parts: len(h.parts), Hinted: true}
+		Repeat: q.ClientRetry, Parts: len(h.parts), Hinted: true}
 	// Where hooks dropped so much that the rest can't be whole, the decisions are to
 	// want all of the rest; how the answer is marked is looked at again at its end.
 	scale := 1.0
@@ -557,7 +557,7 @@
 			scale = need / (1 - gone)
 		}
 	}
-	if ev.Least = q.Least; h.eased != nil {
+	if ev.Least = q.MinShare; h.eased != nil {
 		ev.Least = h.eased.need
 	}
 	at := len(x.events)
@@ -622,7 +622,7 @@
 		} else if h != nil && h.watched != nil {
 			x.decide(h, a.Whole)
 		} else if h != nil {
-			f := Final{Ending: Answered, Whole: a.Whole, Hits: h.hits()}
+			f := Final{Ending: Answered, Complete: a.Whole, Hits: h.hits()}
 			if h.eased != nil && h.eased.need > 0 {
 				f = x.easedFinal(h, f)
 			}
@@ -676,23 +676,23 @@
 	if s.Timeout != 0 {
 		left = min(span(s.Timeout), left)
 	}
-	a.Until = now.Add(left)
+	a.Deadline = now.Add(left)
 	hooked := p.q.watched != nil && p.q.watched.Wants(hookabi.Send, p.q.class)
 	// Never out: the query has ended, its time has run out, an attempt is still
 	// out, or the part has had all its attempts.
 	if p.q.ended || p.dropped || p.away || left <= 0 || p.prior+len(p.attempts) > x.set.Router.AttemptCap ||
 		p.out > 1 && !x.set.Router.ParallelTries {
 		x.Counters.Unsent.Add(1)
-		x.Ended(a, choice.NotSent, nil, "")
+		x.AttemptEnded(a, choice.NotSent, nil, "")
 		return
 	}
-	a.alarm = x.after(a.Until, func() { x.giveUp(a, choice.NoAnswer) })
+	a.alarm = x.after(a.Deadline, func() { x.giveUp(a, choice.NoAnswer) })
 	if hooked {
 		x.askSend(a)
 		return
 	}
 	if p.q.watched != nil || p.target != nil {
-		a.Extra = x.names(p) + x.extra(p.q)
+		a.ExtraFields = x.names(p) + x.extra(p.q)
 	}
 	a.handed = true
 	x.Counters.Sent.Add(1)
@@ -717,10 +717,10 @@
 	if !a.ended && !a.giving {
 		a.giving = true
 		if a.asking { // nobody has it yet, and nobody will
-			x.Ended(a, choice.NotSent, nil, "")
+			x.AttemptEnded(a, choice.NotSent, nil, "")
 			return
 		}
-		x.leaves.GiveUp(a, v)
+		x.leaves.Cancel(a, v)
 	}
 }
 
@@ -739,8 +739,8 @@
 	} else if v == choice.ServerError {
 		p.failure = value
 	}
-	if x.Heard != nil && a.handed {
-		x.Heard(Heard{Server: a.Server, Class: p.q.class, Took: x.drive.Now().Sub(a.sentAt), Verdict: v})
+	if x.OnAttemptEnd != nil && a.handed {
+		x.OnAttemptEnd(AttemptResult{Server: a.Server, Class: p.q.class, Latency: x.drive.Now().Sub(a.sentAt), Verdict: v})
 	}
 	if epoch, away := moved(p, v, load); away && !p.q.ended {
 		x.turned(a, epoch)
@@ -780,9 +780,9 @@
 		f.Notes = h.watched.notes
 	}
 	if f.Ending != Answered {
-		f.Ran = mayHaveRun(h)
+		f.MayHaveRun = mayHaveRun(h)
 		for _, p := range h.parts {
-			f.Failure = cmp.Or(f.Failure, p.failure)
+			f.FailureValue = cmp.Or(f.FailureValue, p.failure)
 		}
 	}
 	if x.levels != nil {
@@ -802,7 +802,7 @@
 
 func (x *Exchange) final(q *Query, f Final) {
 	x.Counters.Finals[f.Ending].Add(1)
-	if f.Ending == Answered && !f.Whole {
+	if f.Ending == Answered && !f.Complete {
 		x.Counters.Partial.Add(1)
 	}
 	q.Done(f)
--- a/internal/exchange/hooks.go
+++ b/internal/exchange/hooks.go
@@ -24,28 +24,28 @@
 type Hooks interface {
 	// Begin is called once for each query taken, on the exchange's goroutine. It
 	// returns nil where no hook watches queries of the class.
-	Begin(class string) Hooked
+	Begin(class string) QueryHooks
 }
 
-// Hooked are the hooks of one query. They are the same set for all its life. Its
+// QueryHooks are the hooks of one query. They are the same set for all its life. Its
 // methods are called on the exchange's goroutine and must not block.
-type Hooked interface {
+type QueryHooks interface {
 	// Wants tells whether any hook is asked at a point, and Wait how long they may
 	// take together.
 	Wants(p hookabi.Point, class string) bool
-	Wait(p hookabi.Point, class string) time.Duration
-	// Ask shows a view; it is the hooks' from then on. done is called once, from any
+	Timeout(p hookabi.Point, class string) time.Duration
+	// Invoke shows a view; it is the hooks' from then on. done is called once, from any
 	// goroutine, with what was granted (nil: nothing).
-	Ask(v *hookabi.View, within time.Duration, done func(*hookabi.Result))
-	// Unanswered is what holds where an ask could not be made, or its time is over.
-	Unanswered(p hookabi.Point, class string) *hookabi.Result
+	Invoke(v *hookabi.View, within time.Duration, done func(*hookabi.Result))
+	// Fallback is what holds where an ask could not be made, or its time is over.
+	Fallback(p hookabi.Point, class string) *hookabi.Result
 	// End is called once, after the final answer. With a view, hooks may look at it.
 	End(v *hookabi.View)
 }
 
 // watched is what is held for a query that hooks watch.
 type watched struct {
-	Hooked
+	QueryHooks
 	tags, notes []hookabi.Pair
 	notWhole    bool
 	admitted    bool // the decisions have it
@@ -85,12 +85,12 @@
 		then(nil)
 		return
 	}
-	within := min(k.Wait(point, h.class), time.Until(h.deadline)-hookMargin)
+	within := min(k.Timeout(point, h.class), time.Until(h.deadline)-hookMargin)
 	if within <= 0 {
 		x.Counters.HookShort.Add(1)
 		x.post(func() { // the caller may be in the middle of a turn
 			if !h.ended {
-				then(k.Unanswered(point, h.class))
+				then(k.Fallback(point, h.class))
 			}
 		})
 		return
@@ -111,17 +111,17 @@
 	alarm = x.after(x.drive.Now().Add(within+hookGrace), func() {
 		if !settled {
 			x.Counters.HookLate.Add(1)
-			settle(k.Unanswered(point, h.class))
+			settle(k.Fallback(point, h.class))
 		}
 	})
-	k.Ask(x.view(h, point, p, attempt), within, func(r *hookabi.Result) { x.post(func() { settle(r) }) })
+	k.Invoke(x.view(h, point, p, attempt), within, func(r *hookabi.Result) { x.post(func() { settle(r) }) })
 }
 
 // view is what hooks see of a query: a copy, so that nothing they hold is ours.
 func (x *Exchange) view(h *held, point hookabi.Point, at *part, attempt int) *hookabi.View {
 	x.seeds = x.seeds*6364136223846793005 + 1442695040888963407 // Knuth's MMIX; one for each ask
-	v := &hookabi.View{Point: point, ID: h.ID, Class: h.class, Key: h.Key, Tenant: h.Tenant, Text: h.Text, Repeat: h.Repeat,
-		TakenAt: h.TakenAt.UnixMicro(), Left: max(time.Until(h.deadline).Microseconds(), 0), Seed: x.seeds,
+	v := &hookabi.View{Point: point, ID: h.ID, Class: h.class, Key: h.Key, Tenant: h.Tenant, Text: h.Text, Repeat: h.ClientRetry,
+		TakenAt: h.ReceivedAt.UnixMicro(), Left: max(time.Until(h.deadline).Microseconds(), 0), Seed: x.seeds,
 		Tags: slices.Clone(h.watched.tags), Notes: slices.Clone(h.watched.notes), Part: -1, Attempt: attempt,
 		Parts: make([]hookabi.PartView, len(h.parts))}
 	got := 0.0
@@ -139,7 +139,7 @@
 		}
 	}
 	if k := h.watched; point == hookabi.Answer && k.answer != nil {
-		v.Ending, v.Whole, v.Share = endings[Answered], k.answer.Whole && !k.notWhole, got
+		v.Ending, v.Whole, v.Share = endings[Answered], k.answer.Complete && !k.notWhole, got
 	}
 	return v
 }
@@ -239,12 +239,12 @@
 			return
 		}
 		now := x.drive.Now()
-		if p.dropped || !a.Until.After(now) {
+		if p.dropped || !a.Deadline.After(now) {
 			x.outcome(a, choice.NotSent, nil, "")
 			return
 		}
 		// What the hooks took is not the server's doing.
-		a.sentAt, a.Extra, a.handed = now, x.names(p)+x.extra(h), true
+		a.sentAt, a.ExtraFields, a.handed = now, x.names(p)+x.extra(h), true
 		x.Counters.Sent.Add(1)
 		x.sends = append(x.sends, a)
 		x.flush()
@@ -291,7 +291,7 @@
 // decide takes the decisions' answer to a query that hooks watch. It goes out
 // once what was asked about its parts is settled.
 func (x *Exchange) decide(h *held, whole bool) {
-	h.watched.decided, h.watched.answer = true, &Final{Ending: Answered, Whole: whole}
+	h.watched.decided, h.watched.answer = true, &Final{Ending: Answered, Complete: whole}
 	if h.watched.asking == 0 {
 		x.askAnswer(h)
 	}
@@ -311,13 +311,13 @@
 	f, share := *k.answer, 0.0
 	f.Hits, share = h.hits(), h.share()
 	if k.gone > 0 { // the decisions' mark did not know of that
-		f.Whole = f.Whole && hookrule.Whole(class, share)
+		f.Complete = f.Complete && hookrule.Whole(class, share)
 		if !hookrule.Enough(class, share) {
 			x.turnAway(h, "too little is left of the answer", x.advice(h.class))
 			return
 		}
 	}
-	f.Whole = f.Whole && !k.notWhole
+	f.Complete = f.Complete && !k.notWhole
 	x.end(h, f)
 }
 
@@ -329,7 +329,7 @@
 		return
 	}
 	v := x.view(h, hookabi.Ended, nil, 0)
-	v.Ending, v.Whole = endings[f.Ending], f.Whole
+	v.Ending, v.Whole = endings[f.Ending], f.Complete
 	v.Share = h.share()
 	k.End(v)
 }
--- a/internal/exchange/ledger_test.go
+++ b/internal/exchange/ledger_test.go
@@ -47,9 +47,9 @@
 		s := w.servers[a.Server]
 		switch {
 		case !s.up:
-			w.x.Ended(a, choice.NoConnection, nil, "")
+			w.x.AttemptEnded(a, choice.NoConnection, nil, "")
 		case w.rng.IntN(60) == 0:
-			w.x.Ended(a, choice.TurnedAway, nil, "")
+			w.x.AttemptEnded(a, choice.TurnedAway, nil, "")
 		default:
 			// It is on its way, given up or not; a server that is up when it arrives runs it.
 			w.at(time.Duration(w.rng.IntN(3000))*time.Microsecond, func() {
@@ -62,7 +62,7 @@
 				w.out[a] = w.at(took, func() {
 					delete(w.out, a)
 					if s.up && !s.cut {
-						w.x.Ended(a, choice.Served, nil, "ok")
+						w.x.AttemptEnded(a, choice.Served, nil, "ok")
 					}
 				})
 			})
@@ -70,7 +70,7 @@
 	}
 }
 
-func (w *ledgerWorld) GiveUp(a *Attempt, v choice.Verdict) { w.x.Ended(a, v, nil, "") }
+func (w *ledgerWorld) Cancel(a *Attempt, v choice.Verdict) { w.x.AttemptEnded(a, v, nil, "") }
 func (w *ledgerWorld) Probe(string)                        {}
 func (w *ledgerWorld) Release(string)                      {}
 func (w *ledgerWorld) Watch(bool)                          {}
@@ -83,7 +83,7 @@
 		if s.Slow = 0; w.rng.IntN(2) == 0 {
 			s.Slow = 2 + 10*w.rng.Float64()
 		}
-		w.x.Listed(choice.List{Form: choice.Delta, Servers: []choice.Server{s.Server}})
+		w.x.UpdateServers(choice.List{Form: choice.Delta, Servers: []choice.Server{s.Server}})
 		return true
 	case 3:
 		s.slow = 1 + 9*w.rng.Float64()
@@ -99,7 +99,7 @@
 		for _, a := range lost {
 			w.out[a].fire = func() {}
 			delete(w.out, a)
-			w.x.Ended(a, choice.ConnectionLost, nil, "")
+			w.x.AttemptEnded(a, choice.ConnectionLost, nil, "")
 		}
 		w.at(time.Second, func() { s.up = true })
 	case 5:
@@ -129,12 +129,12 @@
 		w.servers[s.ID], w.names = s, append(w.names, s.ID)
 		rows = append(rows, s.Server)
 	}
-	w.x.Listed(choice.List{Form: choice.Cached, Servers: rows})
+	w.x.UpdateServers(choice.List{Form: choice.Cached, Servers: rows})
 	finals := make(map[string]Final)
 	regroups, doubled := 0, 0
 	for n := range bookings {
 		id := fmt.Sprintf("%08x", n)
-		w.x.Take(&Query{ID: id, Class: "booking", Text: "book", TakenAt: w.now, Patience: 4 * time.Second, Once: true, Parts: []Part{{Weight: 1}},
+		w.x.Submit(&Query{ID: id, Class: "booking", Text: "book", ReceivedAt: w.now, Timeout: 4 * time.Second, NonIdempotent: true, Parts: []Part{{Weight: 1}},
 			Done: func(f Final) {
 				if _, twice := finals[id]; twice {
 					doubled++
@@ -157,7 +157,7 @@
 		case f.Ending == Answered:
 			count["answered"]++
 			require.Equal(t, 1, w.runs[id], "booking %s is answered and never ran", id)
-		case !f.Ran:
+		case !f.MayHaveRun:
 			count["told that it did not run"]++
 			require.Zero(t, w.runs[id], "booking %s was told not to have run", id)
 		default:
--- a/internal/exchange/levels.go
+++ b/internal/exchange/levels.go
@@ -21,27 +21,27 @@
 
 // LevelsSettings are the operator file's section [levels].
 type LevelsSettings struct {
-	Names    []string      `ini:"levels" help:"[level NAME] sections, from the mildest on; none: there is full service alone"`
-	Evidence time.Duration `ini:"evidence" default:"3s" range:"500ms..10m" help:"a signal at twice its bound for so long enters a level; at 1.5 times, for twice as long"`
-	Back     float64       `ini:"back" default:"0.5" range:"0.05..0.95" help:"below this share of its bounds a level is spoken against"`
-	Calm     time.Duration `ini:"calm" default:"5s" range:"500ms..10m" help:"with all signals at 0, so long until a level may be left"`
-	Stay     time.Duration `ini:"least-stay" default:"10s" range:"1s..1h"`
-	MostStay time.Duration `ini:"most-stay" default:"160s" range:"1s..24h" help:"each return soon after, and each trial that fails, doubles the stay up to this"`
-	Trial    time.Duration `ini:"trial" default:"5s" range:"1s..10m" help:"the better level is tried for so long before it is in force"`
-	Share    float64       `ini:"trial-share" default:"0.1" range:"0.01..0.9" help:"of the queries that try it"`
-	Worse    float64       `ini:"worse" default:"0.025" range:"0..1" help:"a trial fails where it loses this much more of its value than the others"`
-	Seen     int           `ini:"trial-least" default:"20" range:"1..100000" help:"queries that must have tried it"`
+	Names           []string      `ini:"levels" help:"[level NAME] sections, from the mildest on; none: there is full service alone"`
+	Evidence        time.Duration `ini:"evidence" default:"3s" range:"500ms..10m" help:"a signal at twice its bound for so long enters a level; at 1.5 times, for twice as long"`
+	ExitShare       float64       `ini:"back" default:"0.5" range:"0.05..0.95" help:"below this share of its bounds a level is spoken against"`
+	Calm            time.Duration `ini:"calm" default:"5s" range:"500ms..10m" help:"with all signals at 0, so long until a level may be left"`
+	MinStay         time.Duration `ini:"least-stay" default:"10s" range:"1s..1h"`
+	MaxStay         time.Duration `ini:"most-stay" default:"160s" range:"1s..24h" help:"each return soon after, and each trial that fails, doubles the stay up to this"`
+	Trial           time.Duration `ini:"trial" default:"5s" range:"1s..10m" help:"the better level is tried for so long before it is in force"`
+	TrialShare      float64       `ini:"trial-share" default:"0.1" range:"0.01..0.9" help:"of the queries that try it"`
+	MaxTrialLoss    float64       `ini:"worse" default:"0.025" range:"0..1" help:"a trial fails where it loses this much more of its value than the others"`
+	MinTrialQueries int           `ini:"trial-least" default:"20" range:"1..100000" help:"queries that must have tried it"`
 }
 
 // LevelSettings are a section [level NAME]. A bound of 0 is none.
 type LevelSettings struct {
-	Name    string
-	Refused float64  `ini:"refused" default:"0" range:"0..1" help:"enter: share of the value asked for that is refused for want of room"`
-	Failed  float64  `ini:"failed" default:"0" range:"0..1" help:"enter: share that fails or comes too late"`
-	Cold    float64  `ini:"cold" default:"0" range:"0..1" help:"enter: share of the usable servers that are cold"`
-	Unsound float64  `ini:"unsound" default:"0" range:"0..1" help:"enter: share of the cells without a usable server"`
-	Queue   float64  `ini:"queue" default:"0" range:"0..60000" help:"enter: ms that what comes in waits for the exchange"`
-	Give    []string `ini:"give" help:"what is given up, by class: CLASS share S (ask for so much, never less than its least share; marked not whole), CLASS refuse R (turn away this share at once)"`
+	Name       string
+	Refused    float64  `ini:"refused" default:"0" range:"0..1" help:"enter: share of the value asked for that is refused for want of room"`
+	Failed     float64  `ini:"failed" default:"0" range:"0..1" help:"enter: share that fails or comes too late"`
+	WarmingUp  float64  `ini:"cold" default:"0" range:"0..1" help:"enter: share of the usable servers that are cold"`
+	Unserved   float64  `ini:"unsound" default:"0" range:"0..1" help:"enter: share of the cells without a usable server"`
+	Queue      float64  `ini:"queue" default:"0" range:"0..60000" help:"enter: ms that what comes in waits for the exchange"`
+	Reductions []string `ini:"give" help:"what is given up, by class: CLASS share S (ask for so much, never less than its least share; marked not whole), CLASS refuse R (turn away this share at once)"`
 }
 
 // give is what a level gives up of a class.
@@ -50,7 +50,7 @@
 // gives reads what a level gives up.
 func (s *LevelSettings) gives() (map[string]give, error) {
 	out := make(map[string]give)
-	for _, text := range s.Give {
+	for _, text := range s.Reductions {
 		w := strings.Fields(text)
 		if len(w) != 3 || w[1] != "share" && w[1] != "refuse" {
 			return nil, fmt.Errorf("give: %q is neither CLASS share S nor CLASS refuse R", text)
@@ -133,8 +133,8 @@
 // SetLevels turns levels on. It must be called before Run.
 func (x *Exchange) SetLevels(set LevelsSettings, each []LevelSettings) error {
 	us := func(d time.Duration) int64 { return d.Microseconds() }
-	s := level.Settings{Evidence: us(set.Evidence), Back: set.Back, Calm: us(set.Calm), Stay: us(set.Stay), MostStay: us(set.MostStay), Trial: us(set.Trial),
-		Worse: set.Worse, LeastSeen: set.Seen}
+	s := level.Settings{Evidence: us(set.Evidence), Back: set.ExitShare, Calm: us(set.Calm), Stay: us(set.MinStay), MostStay: us(set.MaxStay), Trial: us(set.Trial),
+		Worse: set.MaxTrialLoss, LeastSeen: set.MinTrialQueries}
 	l := &levels{set: set, gives: []map[string]give{nil}, rng: rand.New(rand.NewPCG(x.seeds, 11)), servers: make(map[string]choice.Server), spent: []LevelCost{{Level: "full"}}}
 	for _, name := range set.Names {
 		i := slices.IndexFunc(each, func(e LevelSettings) bool { return e.Name == name })
@@ -148,7 +148,7 @@
 		l.gives = append(l.gives, g)
 		l.spent = append(l.spent, LevelCost{Level: name})
 		v := level.Level{Name: name}
-		for k, bound := range []float64{each[i].Refused, each[i].Failed, each[i].Cold, each[i].Unsound, each[i].Queue} {
+		for k, bound := range []float64{each[i].Refused, each[i].Failed, each[i].WarmingUp, each[i].Unserved, each[i].Queue} {
 			if bound > 0 {
 				v.Enter = append(v.Enter, level.Cond{Signal: level.Names[k], Above: bound})
 			}
@@ -158,7 +158,7 @@
 		}
 		s.Levels = append(s.Levels, v)
 	}
-	l.at = x.Clock(x.drive.Now())
+	l.at = x.Micros(x.drive.Now())
 	l.state = level.New(s, l.at)
 	x.levels = l
 	return nil
@@ -168,7 +168,7 @@
 func (x *Exchange) read() {
 	l, now := x.levels, x.drive.Now()
 	l.tick = x.after(now.Add(readEvery), x.read)
-	at := x.Clock(now)
+	at := x.Micros(now)
 	g := level.Signals{Queue: float64(l.queue.Microseconds()) / 1000}
 	if l.asked >= leastAsked && l.value > 0 {
 		g.Asked, g.Refused, g.Failed = float64(l.asked), l.refused/l.value, l.failed/l.value
@@ -217,7 +217,7 @@
 func (x *Exchange) ease(h *held) bool {
 	l := x.levels
 	e := &eased{level: l.state.Level()}
-	if l.state.Trying() && l.rng.Float64() < l.set.Share {
+	if l.state.Trying() && l.rng.Float64() < l.set.TrialShare {
 		e.level, e.tried = e.level-1, true
 	}
 	h.eased = e
@@ -254,7 +254,7 @@
 
 // sound says of a shard: 0, no usable server holds it; 1, none that is warm; 2.
 func (l *levels) sound(x *Exchange) func(shard int) int {
-	at := x.Clock(x.drive.Now())
+	at := x.Micros(x.drive.Now())
 	cells := make([]int, max(x.set.Router.Cells, 1))
 	for _, s := range l.servers {
 		if s.Cell < 0 || s.Cell >= len(cells) {
@@ -278,7 +278,7 @@
 // easedFinal marks the answer to a query that was not asked for as a whole.
 func (x *Exchange) easedFinal(h *held, f Final) Final {
 	class, share := x.class(h.class), h.share()
-	f.Whole = f.Whole && hookrule.Whole(class, share)
+	f.Complete = f.Complete && hookrule.Whole(class, share)
 	if !hookrule.Enough(class, share) {
 		return Final{Ending: Failed}
 	}
@@ -288,12 +288,12 @@
 // weigh notes how a query has ended.
 func (l *levels) weigh(x *Exchange, h *held, f Final) {
 	class := x.class(h.class)
-	late := x.drive.Now().Sub(h.TakenAt).Microseconds() > class.Aim
+	late := x.drive.Now().Sub(h.ReceivedAt).Microseconds() > class.Aim
 	l.asked++
 	l.value += class.Value
 	lost, earned := 0.0, class.Value
 	switch {
-	case f.Ending == Gone:
+	case f.Ending == ClientGone:
 		l.asked--
 		l.value -= class.Value
 		return
@@ -307,7 +307,7 @@
 		lost = class.Value * (1 - class.LateWorth)
 		earned -= lost
 		l.failed += lost
-	case !f.Whole && class.Need > 0:
+	case !f.Complete && class.Need > 0:
 		earned *= min(h.share()/class.Need, 1) * class.Partial
 		lost = class.Value - earned
 	}
@@ -369,8 +369,8 @@
 	}
 }
 
-// LevelsNow is Levels for who owns the exchange's goroutine; nil: there are none.
-func (x *Exchange) LevelsNow() *LevelReport {
+// LevelsSnapshot is Levels for who owns the exchange's goroutine; nil: there are none.
+func (x *Exchange) LevelsSnapshot() *LevelReport {
 	r, err := x.levelReport("", 0, false)
 	if err != nil {
 		return nil
@@ -383,7 +383,7 @@
 	if l == nil {
 		return nil, fmt.Errorf("this mixer has no levels: [levels] levels names none")
 	}
-	now := x.Clock(x.drive.Now())
+	now := x.Micros(x.drive.Now())
 	if pin != "" {
 		n := 0
 		if pin != "full" {
--- a/internal/exchange/segments.go
+++ b/internal/exchange/segments.go
@@ -23,10 +23,10 @@
 	"saddleport/internal/core/placement"
 )
 
-// Segments is the source of maps. It must not block.
-type Segments interface {
-	// Want says that a server named an epoch beyond the map's.
-	Want(epoch int64)
+// MapSource is the source of maps. It must not block.
+type MapSource interface {
+	// RequestEpoch says that a server named an epoch beyond the map's.
+	RequestEpoch(epoch int64)
 }
 
 // movedReading is the name of the reading by which a server says that it does not
@@ -35,7 +35,7 @@
 
 // segments is what the exchange holds where it routes by a map.
 type segments struct {
-	source Segments
+	source MapSource
 	most   int // targets of one query
 	now    *placement.Map
 	parked map[*part]bool // wait for a newer map, or a moment
@@ -50,13 +50,13 @@
 	told time.Duration   // the decisions' advice, where they refused
 }
 
-// SetSegments turns routing by a map on. It must be called before Run.
-func (x *Exchange) SetSegments(s Segments, most int) {
+// SetMapSource turns routing by a map on. It must be called before Run.
+func (x *Exchange) SetMapSource(s MapSource, most int) {
 	x.segments = &segments{source: s, most: most, parked: make(map[*part]bool)}
 }
 
-// Placed hands in a newer map.
-func (x *Exchange) Placed(m *placement.Map) {
+// UpdateMap hands in a newer map.
+func (x *Exchange) UpdateMap(m *placement.Map) {
 	x.post(func() {
 		s := x.segments
 		if m.Epoch() <= s.now.Epoch() {
@@ -155,7 +155,7 @@
 	s := x.segments
 	have := s.now.Epoch()
 	if epoch > have {
-		s.source.Want(epoch)
+		s.source.RequestEpoch(epoch)
 	}
 	t := placement.Turned(p.turns, epoch, have, time.Until(h.deadline).Microseconds())
 	if t.GiveUp || p.prior+len(p.attempts) >= x.set.Router.AttemptCap {
@@ -320,7 +320,7 @@
 		x.decide(h, whole)
 		return
 	}
-	x.end(h, Final{Ending: Answered, Whole: whole, Hits: h.hits()})
+	x.end(h, Final{Ending: Answered, Complete: whole, Hits: h.hits()})
 }
 
 // closeLegs ends what a query that has its answer still has with the decisions.
@@ -390,7 +390,7 @@
 			}
 			if shard, stands := at[x.p]; stands {
 				if shard != ask.Shard {
-					hit.In = append(hit.In, shard)
+					hit.AlsoIn = append(hit.AlsoIn, shard)
 				}
 				continue
 			}
--- a/internal/exchange/segments_test.go
+++ b/internal/exchange/segments_test.go
@@ -21,7 +21,7 @@
 type sent struct{ all []*Attempt }
 
 func (s *sent) Send(a []*Attempt)               { s.all = append(s.all, a...) }
-func (s *sent) GiveUp(*Attempt, choice.Verdict) {}
+func (s *sent) Cancel(*Attempt, choice.Verdict) {}
 func (s *sent) Probe(string)                    {}
 func (s *sent) Release(string)                  {}
 func (s *sent) Watch(bool)                      {}
@@ -35,7 +35,7 @@
 
 type noFeed struct{}
 
-func (noFeed) Want(int64) {}
+func (noFeed) RequestEpoch(int64) {}
 
 // Two segments of a query are turned away one by one, and have merged by then: the
 // parts that replace them have one name on the wire, and must not be out together.
@@ -47,7 +47,7 @@
 	require.NoError(t, err)
 	x, err := NewOn(d, router, 1, set)
 	require.NoError(t, err)
-	x.SetSegments(noFeed{}, 16)
+	x.SetMapSource(noFeed{}, 16)
 	out := &sent{}
 	x.Attach(out)
 	var final *Final
@@ -62,19 +62,19 @@
 	require.NoError(t, err)
 	merged, err := old.Apply(&placement.Update{Base: 1, Epoch: 2, Removed: []uint32{1, 2}, Segments: []placement.Segment{{ID: 3, Cell: 1, Since: 2}}})
 	require.NoError(t, err)
-	x.Placed(old)
-	x.Listed(choice.List{Form: choice.Full, Version: 1, Servers: []choice.Server{{ID: "a", Cell: 0, State: choice.Ready, Scale: 1}, {ID: "b", Cell: 1, State: choice.Ready, Scale: 1}}})
+	x.UpdateMap(old)
+	x.UpdateServers(choice.List{Form: choice.Full, Version: 1, Servers: []choice.Server{{ID: "a", Cell: 0, State: choice.Ready, Scale: 1}, {ID: "b", Cell: 1, State: choice.Ready, Scale: 1}}})
 	turn()
-	x.Take(&Query{ID: "q", Class: "report", Text: "t", TakenAt: d.now, Patience: 15 * time.Second, Done: func(f Final) { final = &f },
+	x.Submit(&Query{ID: "q", Class: "report", Text: "t", ReceivedAt: d.now, Timeout: 15 * time.Second, Done: func(f Final) { final = &f },
 		Parts: []Part{{Shard: 1, Weight: 0.5}, {Shard: 2, Weight: 0.5}}})
 	turn()
 	first := out.take()
 	require.Len(t, first, 2)
 	for _, a := range first {
-		x.Ended(a, choice.TurnedAway, []choice.Reading{{Name: movedReading, Value: 2}}, "")
+		x.AttemptEnded(a, choice.TurnedAway, []choice.Reading{{Name: movedReading, Value: 2}}, "")
 	}
 	turn()
-	x.Placed(merged)
+	x.UpdateMap(merged)
 	turn()
 	one := out.take()
 	require.Len(t, one, 1, "the second waits for the first")
@@ -84,18 +84,18 @@
 		turn()
 	}
 	require.Empty(t, out.take())
-	x.Ended(one[0], choice.Served, nil, "v1")
+	x.AttemptEnded(one[0], choice.Served, nil, "v1")
 	turn()
 	d.now = d.now.Add(meetPause)
 	turn()
 	two := out.take()
 	require.Len(t, two, 1)
 	require.Equal(t, "q.3", two[0].PartID)
-	require.NotEqual(t, one[0].Extra, two[0].Extra, "it asks for the other keys")
-	x.Ended(two[0], choice.Served, nil, "v2")
+	require.NotEqual(t, one[0].ExtraFields, two[0].ExtraFields, "it asks for the other keys")
+	x.AttemptEnded(two[0], choice.Served, nil, "v2")
 	turn()
 	require.NotNil(t, final)
-	require.True(t, final.Whole)
+	require.True(t, final.Complete)
 	require.Len(t, final.Hits, 2)
 	require.NotEqual(t, final.Hits[0].Value, final.Hits[1].Value)
 }
--- a/internal/frame/frame.go
+++ b/internal/frame/frame.go
@@ -18,9 +18,9 @@
 const Max = 128 << 10
 
 // Error is a frame, or a message in one, that can't be used.
-type Error struct{ What string }
+type Error struct{ Problem string }
 
-func (e *Error) Error() string { return e.What }
+func (e *Error) Error() string { return e.Problem }
 
 func bad(format string, args ...any) error { return &Error{fmt.Sprintf(format, args...)} }
 
@@ -49,15 +49,15 @@
 
 // Part is one part of a call: Q carries one or more.
 type Part struct {
-	ID    string
-	Shard int
-	List  string // d=MILLISECONDS and more, by commas
-	Text  string
+	ID      string
+	Shard   int
+	Options string // d=MILLISECONDS and more, by commas
+	Text    string
 }
 
 // AppendPart appends a part's line and text to the rest of a Q.
 func AppendPart(b []byte, p Part) []byte {
-	return fmt.Appendf(b, "%s %d %s %d\n%s", p.ID, p.Shard, p.List, len(p.Text), p.Text)
+	return fmt.Appendf(b, "%s %d %s %d\n%s", p.ID, p.Shard, p.Options, len(p.Text), p.Text)
 }
 
 // ParseParts reads the rest of a Q.
@@ -86,9 +86,9 @@
 	return out, nil
 }
 
-// Wait is the number of milliseconds that a list gives, 0 where it gives none.
-func (p Part) Wait() int {
-	for item := range strings.SplitSeq(p.List, ",") {
+// TimeoutMS is the number of milliseconds that a list gives, 0 where it gives none.
+func (p Part) TimeoutMS() int {
+	for item := range strings.SplitSeq(p.Options, ",") {
 		if v, ok := strings.CutPrefix(item, "d="); ok {
 			n, err := strconv.Atoi(v)
 			if err == nil {
@@ -101,16 +101,16 @@
 
 // Answer is the rest of an A.
 type Answer struct {
-	ID     string
-	End    string // ok, err or busy
-	Score  uint64
-	Report string // a load report, or -
-	Value  []byte
+	ID         string
+	Status     string // ok, err or busy
+	Score      uint64
+	LoadReport string // a load report, or -
+	Value      []byte
 }
 
 // AppendAnswer appends the rest of an A.
 func AppendAnswer(b []byte, a Answer) []byte {
-	return append(fmt.Appendf(b, "%s %s %d %s\n", a.ID, a.End, a.Score, a.Report), a.Value...)
+	return append(fmt.Appendf(b, "%s %s %d %s\n", a.ID, a.Status, a.Score, a.LoadReport), a.Value...)
 }
 
 // ParseAnswer reads the rest of an A.
--- a/internal/frame/frame_test.go
+++ b/internal/frame/frame_test.go
@@ -17,7 +17,7 @@
 	back, err := ParseParts(got)
 	require.NoError(t, err)
 	require.Equal(t, parts, back)
-	require.Equal(t, 240, back[0].Wait())
+	require.Equal(t, 240, back[0].TimeoutMS())
 	a := Answer{"q.3", "ok", 7, "inflight=1", []byte("v")}
 	again, err := ParseAnswer(AppendAnswer(nil, a))
 	require.NoError(t, err)
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -128,8 +128,8 @@
 		f.conns[c] = struct{}{}
 		f.tidy()
 		f.mu.Unlock()
-		f.Exchange.Counters.Accepted.Add(1)
-		f.Exchange.Counters.Clients.Add(1)
+		f.Exchange.Counters.ClientConnsAccepted.Add(1)
+		f.Exchange.Counters.ClientConns.Add(1)
 		go c.serve()
 	}
 }
@@ -273,7 +273,7 @@
 		delete(c.f.conns, c)
 		c.f.mu.Unlock()
 		c.f.Lanes.leave(c)
-		c.f.Exchange.Counters.Clients.Add(-1)
+		c.f.Exchange.Counters.ClientConns.Add(-1)
 		<-c.f.room
 	}()
 	c.nc.SetReadDeadline(c.idleAt.Add(c.f.pace.Load().First)) // nothing else writes idleAt before begin
@@ -282,12 +282,12 @@
 			return
 		}
 		at, pace := time.Now(), c.f.pace.Load()
-		c.r.Bound(pace.MaxHead, pace.MaxBody)
+		c.r.SetLimits(pace.MaxHead, pace.MaxBody)
 		if c.asked || pace.Body > 0 { // else the first request has its time already
 			c.nc.SetReadDeadline(at.Add(pace.Request))
 		}
-		if c.r.Headed = nil; pace.Body > 0 {
-			c.r.Headed = func() { c.nc.SetReadDeadline(time.Now().Add(pace.Body)) }
+		if c.r.OnHead = nil; pace.Body > 0 {
+			c.r.OnHead = func() { c.nc.SetReadDeadline(time.Now().Add(pace.Body)) }
 		}
 		q, err := c.r.Request(func() error {
 			if !c.Put([]byte("HTTP/1.1 100 Continue\r\n\r\n")) {
@@ -322,7 +322,7 @@
 	default:
 		return
 	}
-	c.f.Exchange.Counters.Malformed.Add(1)
+	c.f.Exchange.Counters.MalformedRequests.Add(1)
 	log.Warn("bad-request", "peer", c.nc.RemoteAddr(), "status", known.Status, "err", known.Reason)
 	if c.Write(known.Status, known.Reason+"\n", false); late { // it has all been read
 		return
@@ -392,7 +392,7 @@
 	q.Done = func(f exchange.Final) { final <- f }
 	c.nc.SetReadDeadline(time.Time{})
 	next := make(chan error, 1)
-	c.f.Exchange.Take(q)
+	c.f.Exchange.Submit(q)
 	go func() { next <- c.r.Await() }()
 	f, gone := c.await(q, final, next)
 	keep = keep && !c.f.closing.Load() && !c.f.Lanes.crowded(c)
@@ -415,13 +415,13 @@
 		case err := <-next:
 			next <- nil
 			if err != nil {
-				c.f.Exchange.Left(q)
+				c.f.Exchange.ClientLeft(q)
 				return <-final, true
 			}
 			next = nil // the next request is there, and waits
 		case <-cut:
-			c.f.Exchange.Left(q)
-			if f = <-final; f.Ending == exchange.Gone {
+			c.f.Exchange.ClientLeft(q)
+			if f = <-final; f.Ending == exchange.ClientGone {
 				f.Ending = exchange.Expired
 			}
 			return f, false
--- a/internal/front/gate/cases_test.go
+++ b/internal/front/gate/cases_test.go
@@ -391,8 +391,8 @@
 func TestLateAnswersTell(t *testing.T) {
 	Convey("Of two servers of a service", t, func() {
 		p := newProxy(t, nil)
-		heard := make(chan exchange.Heard, 1000)
-		p.x.Heard = func(h exchange.Heard) { heard <- h }
+		heard := make(chan exchange.AttemptResult, 1000)
+		p.x.OnAttemptEnd = func(h exchange.AttemptResult) { heard <- h }
 		p.charter(four)
 		hold := make(chan struct{})
 		var slow atomic.Int64 // the request whose first copy is held
@@ -419,7 +419,7 @@
 			late := <-heard
 			So(late.Verdict, ShouldEqual, choice.Served)
 			So(late.Server, ShouldNotEqual, quick.Server)
-			So(late.Took, ShouldBeGreaterThan, quick.Took)
+			So(late.Latency, ShouldBeGreaterThan, quick.Latency)
 		})
 		Convey("the silent one's part ends as called off", func() {
 			defer close(hold)
--- a/internal/front/gate/gate.go
+++ b/internal/front/gate/gate.go
@@ -81,18 +81,18 @@
 		}
 	}
 	l := p.lanes[route]
-	q := &exchange.Query{ID: r.Header.Get(headID), Class: l.class, TakenAt: at, Gather: len(route.FanoutServices) > 0,
-		Once: !route.Idempotent, Least: route.MinSuccessRatio}
+	q := &exchange.Query{ID: r.Header.Get(headID), Class: l.class, ReceivedAt: at, FanOut: len(route.FanoutServices) > 0,
+		NonIdempotent: !route.Idempotent, MinShare: route.MinSuccessRatio}
 	if q.ID == "" || len(q.ID) > maxID {
 		q.ID = "~" + strconv.FormatInt(g.number.Add(1), 10)
 	}
-	if q.Patience = route.Timeout; true {
+	if q.Timeout = route.Timeout; true {
 		if ms, err := strconv.ParseFloat(r.Header.Get(headDeadline), 64); err == nil && ms >= 0 {
 			told := time.Duration(min(ms, float64(mostPatience.Milliseconds())) * float64(time.Millisecond))
-			q.Patience = min(q.Patience, told-time.Duration(float64(told)*shareOfTime))
+			q.Timeout = min(q.Timeout, told-time.Duration(float64(told)*shareOfTime))
 		}
 	}
-	if q.Gather {
+	if q.FanOut {
 		q.Parts = make([]exchange.Part, len(l.shards))
 		for i, shard := range l.shards {
 			q.Parts[i] = exchange.Part{Shard: shard, Weight: 1 / float64(len(l.shards))}
@@ -105,7 +105,7 @@
 	q.Text = request(r, q.ID)
 	return c.Exchange(q, r.KeepAlive, func(f exchange.Final, keep bool) bool {
 		if f.Ending == exchange.Answered {
-			if q.Gather {
+			if q.FanOut {
 				return c.Put(merge(f.Hits, len(q.Parts), route.ResultLimit, keep))
 			}
 			return c.Put(closing(f.Hits[0].Value, keep))
@@ -122,10 +122,10 @@
 // has not run and never will, else with what its server said, or 502 or 504.
 func (g *Gate) fail(c *front.Conn, f exchange.Final, keep bool) bool {
 	switch {
-	case !f.Ran && f.Ending != exchange.Gone:
+	case !f.MayHaveRun && f.Ending != exchange.ClientGone:
 		return c.Write(503, "refused\n", keep, retry(cmp.Or(f.RetryAfter, lateRetry)))
-	case f.Failure != "":
-		return c.Put(closing(f.Failure, keep))
+	case f.FailureValue != "":
+		return c.Put(closing(f.FailureValue, keep))
 	case f.Ending == exchange.Expired:
 		return c.Write(504, "time is up\n", keep)
 	}
--- a/internal/front/gate/gate_test.go
+++ b/internal/front/gate/gate_test.go
@@ -66,7 +66,7 @@
 	require.NoError(p.t, err)
 	plan, err := gate.NewPlan(c, &p.numbers)
 	require.NoError(p.t, err)
-	p.x.Retune(plan.Classes)
+	p.x.UpdateClasses(plan.Classes)
 	p.gate.Use(plan)
 	p.front.SetPace(gate.Pace(c.Limits))
 }
@@ -76,7 +76,7 @@
 	n, err := p.numbers.Of(service)
 	require.NoError(p.t, err)
 	p.back.UpdateServers([]reach.Server{{ID: s.ID, Addr: s.Addr}})
-	p.x.Listed(choice.List{Servers: []choice.Server{{ID: s.ID, Zone: "z", Cell: n, State: choice.Ready, Scale: 3}}})
+	p.x.UpdateServers(choice.List{Servers: []choice.Server{{ID: s.ID, Zone: "z", Cell: n, State: choice.Ready, Scale: 3}}})
 }
 
 const four = `{"revision":1,"services":[{"name":"a"},{"name":"b"},{"name":"c"},{"name":"d"},{"name":"one"}],"routes":[
--- a/internal/front/gate/hardening_test.go
+++ b/internal/front/gate/hardening_test.go
@@ -36,7 +36,7 @@
 		}
 		s.Window.Store(8 << 10)
 		heard := make(chan choice.Verdict, 99)
-		p.x.Heard = func(h exchange.Heard) { heard <- h.Verdict }
+		p.x.OnAttemptEnd = func(h exchange.AttemptResult) { heard <- h.Verdict }
 		t.Cleanup(s.Close)
 		p.server("one", s)
 		c, _ := p.client()
@@ -97,7 +97,7 @@
 		})
 		defer close(hold)
 		ended := make(chan choice.Verdict, 9)
-		p.x.Heard = func(h exchange.Heard) { ended <- h.Verdict }
+		p.x.OnAttemptEnd = func(h exchange.AttemptResult) { ended <- h.Verdict }
 		fmt.Fprintf(c, "GET /look/1 HTTP/1.1\r\nHost: h\r\nX-Saddleport-Attempt-Id: left\r\nX-Saddleport-Deadline-Ms: 4000\r\n\r\n")
 		<-reached
 		began := time.Now()
--- a/internal/front/platform/fuzz_test.go
+++ b/internal/front/platform/fuzz_test.go
@@ -22,7 +22,7 @@
 		if err != nil {
 			return
 		}
-		require.True(t, q.Patience > 0 && q.Patience <= maxPatience && len(q.Parts) > 0, "%+v", q)
+		require.True(t, q.Timeout > 0 && q.Timeout <= maxPatience && len(q.Parts) > 0, "%+v", q)
 		for _, p := range q.Parts {
 			require.True(t, p.Shard >= 0 && p.Shard < 6 && p.Cost >= 0 && p.Weight > 0 && p.Weight <= 1, "%+v", p)
 		}
--- a/internal/front/platform/platform.go
+++ b/internal/front/platform/platform.go
@@ -82,7 +82,7 @@
 	c.Active(at)
 	query, err := f.query(q, at)
 	if err != nil {
-		f.Exchange.Counters.Malformed.Add(1)
+		f.Exchange.Counters.MalformedRequests.Add(1)
 		log.Warn("bad-query", "peer", c.Peer(), "err", err)
 		if keep = c.Write(400, err.Error()+"\n", keep); keep {
 			c.Rest() // what it waits here is its own time, and it may be closed meanwhile
@@ -108,7 +108,7 @@
 	switch f.Ending {
 	case exchange.Answered:
 		body := []byte(`{"complete":`)
-		body = strconv.AppendBool(body, f.Whole)
+		body = strconv.AppendBool(body, f.Complete)
 		body = append(body, `,"hits":[`...)
 		for i, h := range f.Hits {
 			if i > 0 {
@@ -118,11 +118,11 @@
 			body = strconv.AppendInt(body, int64(h.Shard), 10)
 			body = append(body, `,"doc":`...)
 			body = gjson.AppendJSONString(body, h.Value)
-			for j, shard := range h.In {
+			for j, shard := range h.AlsoIn {
 				body = append(body, []string{`,"in":[`, ","}[min(j, 1)]...)
 				body = strconv.AppendInt(body, int64(shard), 10)
 			}
-			if len(h.In) > 0 {
+			if len(h.AlsoIn) > 0 {
 				body = append(body, ']')
 			}
 			for j, r := range h.Covers {
@@ -156,7 +156,7 @@
 func (f *Protocol) query(r *httpwire.Request, at time.Time) (*exchange.Query, error) {
 	q := &exchange.Query{ID: r.Header.Get("X-Trace-Id"), Class: r.Header.Get("X-Qos"),
 		Tenant: r.Header.Get("X-Customer"), Key: r.Header.Get("X-Object"),
-		Repeat: r.Header.Get("X-Second-Try") == "1", TakenAt: at}
+		ClientRetry: r.Header.Get("X-Second-Try") == "1", ReceivedAt: at}
 	if !printable(q.ID) {
 		return nil, errors.New("X-Trace-Id: not a printable word of 1 to 128 characters")
 	}
@@ -167,7 +167,7 @@
 	if err != nil {
 		return nil, err
 	}
-	q.Patience = patience - min(unseen, patience/unseenShare)
+	q.Timeout = patience - min(unseen, patience/unseenShare)
 	doc := gjson.ParseBytes(r.Body)
 	if !gjson.ValidBytes(r.Body) || !doc.IsObject() {
 		return nil, errors.New("body: not a JSON object")
--- a/internal/hook/host.go
+++ b/internal/hook/host.go
@@ -183,7 +183,7 @@
 }
 
 // Begin implements exchange.Hooks.
-func (h *Host) Begin(class string) exchange.Hooked {
+func (h *Host) Begin(class string) exchange.QueryHooks {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.set == nil {
--- a/internal/hook/host_test.go
+++ b/internal/hook/host_test.go
@@ -126,9 +126,9 @@
 }
 
 // asked asks a session and returns a channel with the ruling.
-func asked(s exchange.Hooked, class string, within time.Duration) chan *hookabi.Result {
+func asked(s exchange.QueryHooks, class string, within time.Duration) chan *hookabi.Result {
 	out := make(chan *hookabi.Result, 1)
-	s.Ask(query(class), within, func(r *hookabi.Result) { out <- r })
+	s.Invoke(query(class), within, func(r *hookabi.Result) { out <- r })
 	return out
 }
 
@@ -171,7 +171,7 @@
 	defer goleak.VerifyNone(t)
 	e := newEngine()
 	h := host(t, e, nil)
-	var sessions []exchange.Hooked
+	var sessions []exchange.QueryHooks
 	for i := range 10 {
 		require.NoError(t, h.Reload(set(t, fmt.Sprintf("h%d ok", i))))
 		sessions = append(sessions, h.Begin("free-slots"))
@@ -279,7 +279,7 @@
 	require.Contains(t, h.Report().Hooks[2].LastFault, "the engine panicked: on purpose")
 	close(e.hold)
 	<-lost
-	for _, s := range []exchange.Hooked{stuck, well, odd} {
+	for _, s := range []exchange.QueryHooks{stuck, well, odd} {
 		s.End(nil)
 	}
 }
--- a/internal/hook/session.go
+++ b/internal/hook/session.go
@@ -42,9 +42,9 @@
 	return false
 }
 
-// Wait implements exchange.Hooked: the budgets, and as much again for a worker to
+// Timeout implements exchange.Hooked: the budgets, and as much again for a worker to
 // come free, up to what the operators allow.
-func (s *session) Wait(p hookabi.Point, class string) time.Duration {
+func (s *session) Timeout(p hookabi.Point, class string) time.Duration {
 	sum := time.Duration(0)
 	for _, h := range s.set.Hooks {
 		if h.wants(p, class) && !h.unit.disabled.Load() {
@@ -54,8 +54,8 @@
 	return min(2*sum, s.most)
 }
 
-// Unanswered implements exchange.Hooked.
-func (s *session) Unanswered(p hookabi.Point, class string) *hookabi.Result {
+// Fallback implements exchange.Hooked.
+func (s *session) Fallback(p hookabi.Point, class string) *hookabi.Result {
 	for _, h := range s.set.Hooks {
 		if h.wants(p, class) && !h.unit.disabled.Load() && h.OnFailure == "refuse" {
 			return h.refusal()
@@ -69,8 +69,8 @@
 	return &hookabi.Result{Refuse: true, Reason: "hook " + h.Name + " did not answer", RetryAfter: h.RetryAfter.Microseconds()}
 }
 
-// Ask implements exchange.Hooked.
-func (s *session) Ask(v *hookabi.View, within time.Duration, done func(*hookabi.Result)) {
+// Invoke implements exchange.Hooked.
+func (s *session) Invoke(v *hookabi.View, within time.Duration, done func(*hookabi.Result)) {
 	until := time.Now().Add(within)
 	s.users.Add(1)
 	taken := s.host.pool.push(v.Class, func(lost func()) { s.run(v, until, lost, done) }, s.leave)
@@ -82,14 +82,14 @@
 			}
 		}
 		log.Warn("hooks-busy", "class", v.Class, "point", v.Point)
-		done(s.Unanswered(v.Point, v.Class))
+		done(s.Fallback(v.Point, v.Class))
 	}
 }
 
 // End implements exchange.Hooked.
 func (s *session) End(v *hookabi.View) {
 	if v != nil {
-		s.Ask(v, s.Wait(v.Point, v.Class), func(*hookabi.Result) {})
+		s.Invoke(v, s.Timeout(v.Point, v.Class), func(*hookabi.Result) {})
 	}
 	s.leave()
 }
--- a/internal/httpwire/httpwire.go
+++ b/internal/httpwire/httpwire.go
@@ -61,23 +61,23 @@
 	text             *textproto.Reader
 	maxHead, maxBody int
 
-	// Headed, if set, is called when a request's head has come and a body follows.
-	Headed func()
+	// OnHead, if set, is called when a request's head has come and a body follows.
+	OnHead func()
 }
 
 // NewReader reads messages from r, within MaxHead and MaxBody.
-func NewReader(r io.Reader) *Reader { return NewReaderOf(r, 4096, MaxHead, MaxBody) }
+func NewReader(r io.Reader) *Reader { return NewReaderSize(r, 4096, MaxHead, MaxBody) }
 
-// NewReaderOf reads messages from r through a buffer of so many bytes, within bounds of
+// NewReaderSize reads messages from r through a buffer of so many bytes, within bounds of
 // the caller's, in bytes.
-func NewReaderOf(r io.Reader, buffer, maxHead, maxBody int) *Reader {
+func NewReaderSize(r io.Reader, buffer, maxHead, maxBody int) *Reader {
 	limit := &bounded{r: r}
 	buf := bufio.NewReaderSize(limit, buffer)
 	return &Reader{limit: limit, buf: buf, text: textproto.NewReader(buf), maxHead: maxHead, maxBody: maxBody}
 }
 
-// Bound has other bounds count from the next message on, in bytes; 0: MaxHead, MaxBody.
-func (r *Reader) Bound(maxHead, maxBody int) {
+// SetLimits has other bounds count from the next message on, in bytes; 0: MaxHead, MaxBody.
+func (r *Reader) SetLimits(maxHead, maxBody int) {
 	r.maxHead, r.maxBody = cmp.Or(maxHead, MaxHead), cmp.Or(maxBody, MaxBody)
 	r.limit.left = max(r.maxHead-r.buf.Buffered(), 0)
 }
@@ -140,8 +140,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if r.Headed != nil && (chunked || length > 0) {
-		r.Headed()
+	if r.OnHead != nil && (chunked || length > 0) {
+		r.OnHead()
 	}
 	if cont != nil && (chunked || length > 0) && strings.EqualFold(q.Header.Get("Expect"), "100-continue") {
 		if err := cont(); err != nil {
@@ -346,8 +346,8 @@
 	408: "Request Timeout", 413: "Content Too Large", 501: "Not Implemented", 502: "Bad Gateway",
 	503: "Service Unavailable", 504: "Gateway Timeout", 505: "HTTP Version Not Supported"}
 
-// Reason is the words of a status.
-func Reason(status int) string {
+// StatusText is the words of a status.
+func StatusText(status int) string {
 	if r := reasons[status]; r != "" {
 		return r
 	}
--- a/internal/lab/answers/answers.go
+++ b/internal/lab/answers/answers.go
@@ -113,7 +113,7 @@
 	if err != nil {
 		return "", err
 	}
-	x.Retune(plan.Classes)
+	x.UpdateClasses(plan.Classes)
 	g.Use(plan)
 	f.SetPace(gate.Pace(c.Limits))
 	for service := range c.Services {
@@ -128,7 +128,7 @@
 			}
 			l.serve(s)
 			back.UpdateServers([]reach.Server{{ID: s.ID, Addr: s.Addr}})
-			x.Listed(choice.List{Servers: []choice.Server{{ID: s.ID, Zone: "z", Cell: number, State: choice.Ready, Scale: 64}}})
+			x.UpdateServers(choice.List{Servers: []choice.Server{{ID: s.ID, Zone: "z", Cell: number, State: choice.Ready, Scale: 64}}})
 		}
 	}
 	return ln.Addr().String(), nil
--- a/internal/lab/bench/capacity.go
+++ b/internal/lab/bench/capacity.go
@@ -148,7 +148,7 @@
 				return
 			}
 			for _, p := range parts {
-				ch <- due{time.Now().Add(capTime), frame.Append(nil, 'A', frame.AppendAnswer(nil, frame.Answer{ID: p.ID, End: "ok", Score: 1, Report: "-", Value: []byte("v")}))}
+				ch <- due{time.Now().Add(capTime), frame.Append(nil, 'A', frame.AppendAnswer(nil, frame.Answer{ID: p.ID, Status: "ok", Score: 1, LoadReport: "-", Value: []byte("v")}))}
 			}
 		case 'P':
 			ch <- due{time.Now(), frame.Append(nil, 'P', []byte("ok"))}
@@ -540,7 +540,7 @@
 			b.waits[name] = ch
 			b.mu.Unlock()
 			c := b.conns[shard%len(b.conns)]
-			out := frame.Append(nil, 'Q', frame.AppendPart(nil, frame.Part{ID: name, Shard: shard, List: "d=2000", Text: text}))
+			out := frame.Append(nil, 'Q', frame.AppendPart(nil, frame.Part{ID: name, Shard: shard, Options: "d=2000", Text: text}))
 			c.mu.Lock()
 			_, err := c.nc.Write(out)
 			c.mu.Unlock()
--- a/internal/lab/leaf/leaf.go
+++ b/internal/lab/leaf/leaf.go
@@ -273,7 +273,7 @@
 	s.mu.Unlock()
 	if end != "" {
 		w.attempt.Over(now, "")
-		c.write('A', frame.AppendAnswer(nil, frame.Answer{ID: p.ID, End: end, Report: "-"}))
+		c.write('A', frame.AppendAnswer(nil, frame.Answer{ID: p.ID, Status: end, LoadReport: "-"}))
 	}
 }
 
@@ -325,7 +325,7 @@
 	w.gone = true
 	delete(w.c.work, w.part.ID)
 	w.attempt.Over(time.Now(), "")
-	go w.c.write('A', frame.AppendAnswer(nil, frame.Answer{ID: w.part.ID, End: "busy", Report: fmt.Sprintf("moved=%d", epoch)}))
+	go w.c.write('A', frame.AppendAnswer(nil, frame.Answer{ID: w.part.ID, Status: "busy", LoadReport: fmt.Sprintf("moved=%d", epoch)}))
 }
 
 func (s *Server) finish(w *work) {
@@ -354,7 +354,7 @@
 		return
 	}
 	w.attempt.Over(time.Now(), value)
-	w.c.write('A', frame.AppendAnswer(nil, frame.Answer{ID: w.part.ID, End: "ok", Score: 1, Report: s.report(), Value: []byte(value)}))
+	w.c.write('A', frame.AppendAnswer(nil, frame.Answer{ID: w.part.ID, Status: "ok", Score: 1, LoadReport: s.report(), Value: []byte(value)}))
 }
 
 // giveUp drops a part that the mixer has given up; one that runs goes on, unheard.
--- a/internal/lab/real/host.go
+++ b/internal/lab/real/host.go
@@ -344,7 +344,7 @@
 	}
 	if c.jobs[p.ID] != nil {
 		f.seen.Over(time.Now(), "")
-		c.put('A', frame.AppendAnswer(nil, frame.Answer{ID: p.ID, End: "err", Report: "-"}))
+		c.put('A', frame.AppendAnswer(nil, frame.Answer{ID: p.ID, Status: "err", LoadReport: "-"}))
 		return
 	}
 	class, _, _ := strings.Cut(p.Text, " ")
@@ -357,7 +357,7 @@
 	_, shard, _ := strings.Cut(rest, ".")
 	f.job = model.Job{ID: p.ID, Ask: ask, Class: class, Shard: p.Shard, Work: work.Of(ask, shard), Call: head, Key: h.r.key(ask, shard), Ran: func(*model.Job) { f.seen.Ran() },
 		Done: func(_ *model.Job, e model.End) { c.done(p, f, e) }}
-	if wait := p.Wait(); wait > 0 {
+	if wait := p.TimeoutMS(); wait > 0 {
 		f.job.Until = at.Add(time.Duration(wait) * time.Millisecond).Sub(h.r.begin)
 	}
 	c.jobs[p.ID] = f
@@ -374,7 +374,7 @@
 	if c.come[p.ID] == f {
 		delete(c.come, p.ID)
 	}
-	a := frame.Answer{ID: p.ID, End: []string{"ok", "err", "busy"}[e], Report: "-"}
+	a := frame.Answer{ID: p.ID, Status: []string{"ok", "err", "busy"}[e], LoadReport: "-"}
 	if e == model.OK {
 		a.Score, a.Value = 1, []byte(c.d.h.name+"/"+p.ID)
 	}
--- a/internal/lab/reshape/reshape.go
+++ b/internal/lab/reshape/reshape.go
@@ -472,7 +472,7 @@
 
 // names reads what a frame's list says of a part's keys.
 func names(p frame.Part) (epoch int64, ranges []placement.Range, ok bool) {
-	for item := range strings.SplitSeq(p.List, ",") {
+	for item := range strings.SplitSeq(p.Options, ",") {
 		if v, is := strings.CutPrefix(item, "e="); is {
 			epoch, _ = strconv.ParseInt(v, 10, 64)
 		}
--- a/internal/lab/virtual/link.go
+++ b/internal/lab/virtual/link.go
@@ -61,7 +61,7 @@
 	for _, a := range attempts {
 		i, known := m.w.server(a.Server)
 		if stop, told := m.stops[i]; !known || told && m.w.loop.Now() >= stop {
-			m.x.Ended(a, choice.NotSent, nil, "")
+			m.x.AttemptEnded(a, choice.NotSent, nil, "")
 			continue
 		}
 		m.link(i).place(a, calls[i]%max(m.w.plan.Settings.Bundle, 1) == 0)
@@ -69,8 +69,8 @@
 	}
 }
 
-// GiveUp ends the wait for an attempt, once the server has been told.
-func (m *mixer) GiveUp(a *exchange.Attempt, v choice.Verdict) {
+// Cancel ends the wait for an attempt, once the server has been told.
+func (m *mixer) Cancel(a *exchange.Attempt, v choice.Verdict) {
 	i, _ := m.w.server(a.Server)
 	l := m.links[i]
 	if l == nil {
@@ -81,7 +81,7 @@
 		if v == choice.NoAnswer { // it was never sent, so it never ran
 			v = choice.NotSent
 		}
-		m.x.Ended(a, v, nil, "")
+		m.x.AttemptEnded(a, v, nil, "")
 		return
 	}
 	f := l.out[a]
@@ -101,7 +101,7 @@
 		l.open = false // it fell silent: the next goes out on a new one
 	}
 	l.usedAt = now
-	m.x.Ended(a, v, nil, "")
+	m.x.AttemptEnded(a, v, nil, "")
 }
 
 func (m *mixer) trace(a *exchange.Attempt, what, more string) {
@@ -118,7 +118,7 @@
 	end := func(after time.Duration, v choice.Verdict) {
 		w.loop.Post(after, func() {
 			if m.life == life && m.x != nil {
-				m.x.Probed(server, w.loop.Now()-begun, v, nil)
+				m.x.ProbeEnded(server, w.loop.Now()-begun, v, nil)
 			}
 		})
 	}
@@ -175,7 +175,7 @@
 			l.waiting = nil
 			for _, x := range waiting {
 				m.trace(x.a, "finds no connection to", "")
-				m.x.Ended(x.a, choice.NoConnection, nil, "")
+				m.x.AttemptEnded(x.a, choice.NoConnection, nil, "")
 			}
 		})
 	}
@@ -209,7 +209,7 @@
 			l.waiting = nil
 			for _, x := range waiting {
 				if stop, told := m.stops[l.server]; told && w.loop.Now() >= stop {
-					m.x.Ended(x.a, choice.NotSent, nil, "")
+					m.x.AttemptEnded(x.a, choice.NotSent, nil, "")
 					continue
 				}
 				l.transmit(x.a, x.head)
@@ -229,7 +229,7 @@
 	}
 	ask, rest, _ := strings.Cut(a.PartID, "-")
 	_, shard, _ := strings.Cut(rest, ".")
-	f.job = model.Job{ID: a.PartID, Ask: ask, Class: class, Shard: a.Shard, Work: w.Work[class].Of(ask, shard), Until: a.Until.Sub(epoch),
+	f.job = model.Job{ID: a.PartID, Ask: ask, Class: class, Shard: a.Shard, Work: w.Work[class].Of(ask, shard), Until: a.Deadline.Sub(epoch),
 		Done: l.done, Ran: ran, Tag: f, Call: head}
 	if query, _, ok := strings.Cut(a.PartID, "."); ok && m.keys[query] != "" {
 		f.job.Key = m.keys[query] + "." + shard
@@ -238,7 +238,7 @@
 	l.out[a] = f
 	l.usedAt = w.loop.Now()
 	if w.opt.Trace != nil {
-		m.trace(a, "goes to", fmt.Sprintf("until %v, work %v", a.Until.Sub(epoch), f.job.Work))
+		m.trace(a, "goes to", fmt.Sprintf("until %v, work %v", a.Deadline.Sub(epoch), f.job.Work))
 	}
 	l.carry(func() {
 		if f.gen != l.gen {
@@ -310,11 +310,11 @@
 	}
 	switch e {
 	case model.OK:
-		m.x.Ended(f.a, choice.Served, nil, valueOf(f.a))
+		m.x.AttemptEnded(f.a, choice.Served, nil, valueOf(f.a))
 	case model.Err:
-		m.x.Ended(f.a, choice.ServerError, nil, "")
+		m.x.AttemptEnded(f.a, choice.ServerError, nil, "")
 	default:
-		m.x.Ended(f.a, choice.TurnedAway, nil, "")
+		m.x.AttemptEnded(f.a, choice.TurnedAway, nil, "")
 	}
 }
 
@@ -347,7 +347,7 @@
 	for _, f := range lost {
 		f.seen.Over(m.w.time(), "")
 		m.trace(f.a, "lost its connection to", "")
-		m.x.Ended(f.a, choice.ConnectionLost, nil, "")
+		m.x.AttemptEnded(f.a, choice.ConnectionLost, nil, "")
 	}
 }
 
--- a/internal/lab/virtual/mixer.go
+++ b/internal/lab/virtual/mixer.go
@@ -101,7 +101,7 @@
 			return err
 		}
 	}
-	var leaves exchange.Leaves = m
+	var leaves exchange.Upstream = m
 	if wrap := w.opt.Sabotage.Leaves; wrap != nil {
 		leaves = wrap(m.n, leaves, m.x)
 	}
@@ -202,7 +202,7 @@
 
 // levelsOver notes what the levels of a mixer that ends have done.
 func (m *mixer) levelsOver() {
-	r := m.x.LevelsNow()
+	r := m.x.LevelsSnapshot()
 	if r == nil {
 		return
 	}
@@ -227,8 +227,8 @@
 	}
 	a.life = m.life
 	t := a.t
-	q := &exchange.Query{ID: t.ID, Class: t.Ask.Class.Name, Text: t.Ask.Class.Name, Repeat: t.Repeat, TakenAt: w.time(),
-		Patience: t.Patience - min(unseen, t.Patience/unseenShare), Tenant: t.Ask.Tenant, Key: t.Ask.Key}
+	q := &exchange.Query{ID: t.ID, Class: t.Ask.Class.Name, Text: t.Ask.Class.Name, ClientRetry: t.Repeat, ReceivedAt: w.time(),
+		Timeout: t.Patience - min(unseen, t.Patience/unseenShare), Tenant: t.Ask.Tenant, Key: t.Ask.Key}
 	for _, p := range t.Ask.Parts {
 		q.Parts = append(q.Parts, exchange.Part{Shard: p.Shard, Weight: p.Weight, Key: t.Ask.Key})
 	}
@@ -243,7 +243,7 @@
 		}
 	}
 	a.q = q
-	m.x.Take(q)
+	m.x.Submit(q)
 }
 
 // ---- The list.
@@ -274,7 +274,7 @@
 			}
 		}
 	}
-	m.x.Listed(l)
+	m.x.UpdateServers(l)
 }
 
 // mayStart notes from when on nothing may start on a server; since is how long ago the
--- a/internal/lab/virtual/virtual.go
+++ b/internal/lab/virtual/virtual.go
@@ -79,13 +79,13 @@
 // Sabotage breaks the rig or the mixers on purpose: a judge that can't fail judges
 // nothing. Each field that is set breaks one rule.
 type Sabotage struct {
-	Leaves   func(mixer int, l exchange.Leaves, x *exchange.Exchange) exchange.Leaves // between the exchange and the links
-	Value    func(server, part string) string                                         // what the client is told in a value's place
-	Final    func(f *exchange.Final) *exchange.Final                                  // the answer; nil: none is given
-	Twice    bool                                                                     // every answer is given twice
-	Delay    time.Duration                                                            // every answer is held back so long
-	Undrain  bool                                                                     // links go on though the list says that a server drains
-	Settings func(*settings.Settings)                                                 // what the mixers are told
+	Leaves   func(mixer int, l exchange.Upstream, x *exchange.Exchange) exchange.Upstream // between the exchange and the links
+	Value    func(server, part string) string                                             // what the client is told in a value's place
+	Final    func(f *exchange.Final) *exchange.Final                                      // the answer; nil: none is given
+	Twice    bool                                                                         // every answer is given twice
+	Delay    time.Duration                                                                // every answer is held back so long
+	Undrain  bool                                                                         // links go on though the list says that a server drains
+	Settings func(*settings.Settings)                                                     // what the mixers are told
 }
 
 type world struct {
@@ -459,7 +459,7 @@
 	w.reply(a, judge.Gone, model.Reply{Kind: model.Left})
 	w.loop.Post(w.near(m), func() {
 		if m.x != nil && m.life == a.life && a.q != nil {
-			m.x.Left(a.q)
+			m.x.ClientLeft(a.q)
 		}
 	})
 }
@@ -498,7 +498,7 @@
 	outcome := judge.Failed
 	switch f.Ending {
 	case exchange.Answered:
-		outcome, r.Kind, r.Whole = judge.Answered, model.Answered, f.Whole
+		outcome, r.Kind, r.Whole = judge.Answered, model.Answered, f.Complete
 		for _, h := range f.Hits {
 			if i := slices.IndexFunc(a.t.Ask.Parts, func(p model.PartAsk) bool { return p.Shard == h.Shard }); i >= 0 {
 				r.Share += a.t.Ask.Parts[i].Weight
@@ -506,7 +506,7 @@
 		}
 	case exchange.Refused:
 		outcome, r.Kind = judge.Refused, model.Refused
-	case exchange.Gone:
+	case exchange.ClientGone:
 		return
 	default:
 		r.Kind = model.Failed
--- a/internal/lab/virtual/virtual_test.go
+++ b/internal/lab/virtual/virtual_test.go
@@ -94,12 +94,12 @@
 			func(r *record.Run) int { return r.Verdict.Drained }, "after its drain was told"},
 		{"also where one source alone told", told, Sabotage{Undrain: true, Settings: func(s *settings.Settings) { s.Router.DrainGrace = 60_000_000 }},
 			func(r *record.Run) int { return r.Verdict.Drained }, "after its drain was told"},
-		{"nothing to a server that does not hold it", small, Sabotage{Leaves: func(_ int, l exchange.Leaves, _ *exchange.Exchange) exchange.Leaves { return &strayer{Leaves: l} }},
+		{"nothing to a server that does not hold it", small, Sabotage{Leaves: func(_ int, l exchange.Upstream, _ *exchange.Exchange) exchange.Upstream { return &strayer{Upstream: l} }},
 			func(r *record.Run) int { return r.Verdict.Astray }, "which does not hold it"},
 		{"whole marks are honest", small, Sabotage{Final: func(f *exchange.Final) *exchange.Final { f.Hits = f.Hits[:min(len(f.Hits), 1)]; return f }},
 			func(r *record.Run) int { return r.Verdict.Wrong }, "marked whole with"},
 		{"the least share", small, Sabotage{Final: func(f *exchange.Final) *exchange.Final {
-			f.Whole, f.Hits = false, f.Hits[:min(len(f.Hits), 1)]
+			f.Complete, f.Hits = false, f.Hits[:min(len(f.Hits), 1)]
 			return f
 		}}, func(r *record.Run) int { return r.Verdict.Wrong }, "and the least is"},
 		{"values come from servers", small, Sabotage{Value: func(_, v string) string { return v + "!" }},
@@ -110,7 +110,7 @@
 			}
 			return f
 		}}, func(r *record.Run) int { return r.Verdict.Wrong }, "was refused, and a part of it ran"},
-		{"only what was asked for", small, Sabotage{Leaves: func(_ int, l exchange.Leaves, _ *exchange.Exchange) exchange.Leaves { return &renamer{Leaves: l} }},
+		{"only what was asked for", small, Sabotage{Leaves: func(_ int, l exchange.Upstream, _ *exchange.Exchange) exchange.Upstream { return &renamer{Upstream: l} }},
 			func(r *record.Run) int { return r.Verdict.Wrong }, "was asked for by no client"},
 	}
 	for _, c := range cases {
@@ -125,7 +125,7 @@
 
 // strayer sends now and then a part to the first server that it has seen, whatever that holds.
 type strayer struct {
-	exchange.Leaves
+	exchange.Upstream
 	first string
 	n     int
 }
@@ -139,12 +139,12 @@
 			a.Server = s.first
 		}
 	}
-	s.Leaves.Send(list)
+	s.Upstream.Send(list)
 }
 
 // renamer sends parts under names that nobody gave them.
 type renamer struct {
-	exchange.Leaves
+	exchange.Upstream
 	n int
 }
 
@@ -154,7 +154,7 @@
 			a.PartID = strings.Replace(a.PartID, "-", "x-", 1)
 		}
 	}
-	r.Leaves.Send(list)
+	r.Upstream.Send(list)
 }
 
 // The same scenario and seed give the same bytes, on one core and on four, and
--- a/internal/node/proxy/outliers.go
+++ b/internal/node/proxy/outliers.go
@@ -66,7 +66,7 @@
 }
 
 // recordAnswer takes an answer of a server, or a wait for one that was given up.
-func (f *outlierTracker) recordAnswer(h exchange.Heard) {
+func (f *outlierTracker) recordAnswer(h exchange.AttemptResult) {
 	complete := h.Verdict == choice.Served
 	if !complete && h.Verdict != choice.NoAnswer && h.Verdict != choice.CalledOff {
 		return
@@ -86,7 +86,7 @@
 		kind = fmt.Sprint(h.Class, " ", at.far)
 		f.kindNames[of] = kind
 	}
-	if f.servers.Record(f.now(), outlier.Sample{Name: h.Server, Shard: at.service, Kind: kind, Latency: h.Took.Microseconds(), Complete: complete}) {
+	if f.servers.Record(f.now(), outlier.Sample{Name: h.Server, Shard: at.service, Kind: kind, Latency: h.Latency.Microseconds(), Complete: complete}) {
 		f.wake()
 	}
 }
@@ -215,7 +215,7 @@
 		}
 	}
 	if len(list.Servers) > 0 {
-		t.exchange.Listed(list)
+		t.exchange.UpdateServers(list)
 	}
 	if callers {
 		apart := make(map[string]bool)
--- a/internal/node/proxy/proxy.go
+++ b/internal/node/proxy/proxy.go
@@ -110,7 +110,7 @@
 	t.routes.Allow = t.quotas.admit
 	lanes := &front.Lanes{Most: max(t.maxClients/slowLaneShare, 1)}
 	if !file.NoEjection {
-		x.Heard, lanes.Saw = t.outliers.recordAnswer, t.outliers.recordCaller
+		x.OnAttemptEnd, lanes.Saw = t.outliers.recordAnswer, t.outliers.recordCaller
 	}
 	t.downstream = front.New(front.Config{Exchange: x, Protocol: t.routes, MaxClients: t.maxClients,
 		Pace: gate.Pace(routeconfig.DefaultLimits), Lanes: lanes})
@@ -311,7 +311,7 @@
 	if len(servers) > 0 {
 		events.ServersChanged.Log("servers", len(servers))
 		t.upstream.UpdateServers(servers)
-		t.exchange.Listed(list)
+		t.exchange.UpdateServers(list)
 	}
 }
 
@@ -329,7 +329,7 @@
 		t.maxConnections[name] = s.MaxConnections
 	}
 	t.quotas.setAllowances(c)
-	t.exchange.Retune(p.Classes)
+	t.exchange.UpdateClasses(p.Classes)
 	t.routes.Use(p)
 	t.downstream.SetPace(gate.Pace(c.Limits))
 	events.ConfigInForce.Log("revision", c.Revision, "routes", len(c.Routes), "services", len(c.Services), "classes", len(p.Classes))
@@ -387,6 +387,6 @@
 	spare := t.retryBudget.Share(time.Since(t.startedAt).Microseconds(), routers)
 	if routers = max(routers, minProxies); routers != t.proxyCount || spare != t.retrySlack {
 		t.proxyCount, t.retrySlack = routers, spare
-		t.exchange.Tiered(choice.Tier{Routers: routers, Spare: spare})
+		t.exchange.UpdateTier(choice.Tier{Routers: routers, Spare: spare})
 	}
 }
--- a/internal/source/segments/segments.go
+++ b/internal/source/segments/segments.go
@@ -45,7 +45,7 @@
 var log = logs.For("segments")
 
 // Taker gets each newer map.
-type Taker interface{ Placed(m *placement.Map) }
+type Taker interface{ UpdateMap(m *placement.Map) }
 
 // Feed is the watch on one feed.
 type Feed struct {
@@ -74,8 +74,8 @@
 
 func (f *Feed) clock() int64 { return time.Since(f.start).Microseconds() }
 
-// Want implements exchange.Segments: a server named a newer epoch.
-func (f *Feed) Want(epoch int64) {
+// RequestEpoch implements exchange.Segments: a server named a newer epoch.
+func (f *Feed) RequestEpoch(epoch int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.want(epoch)
@@ -203,7 +203,7 @@
 	}
 	f.now, f.lastErr = m, ""
 	log.Info("map", "epoch", m.Epoch(), "segments", m.Len(), "changed", len(u.Segments), "whole", u.Base == 0)
-	f.to.Placed(m)
+	f.to.UpdateMap(m)
 	return true
 }
 
--- a/internal/source/segments/segments_test.go
+++ b/internal/source/segments/segments_test.go
@@ -62,7 +62,7 @@
 
 type taker chan *placement.Map
 
-func (t taker) Placed(m *placement.Map) { t <- m }
+func (t taker) UpdateMap(m *placement.Map) { t <- m }
 
 var cells = []placement.Cell{{ID: 0, Servers: []string{"a"}}}
 
@@ -113,7 +113,7 @@
 	before := len(f.asked)
 	f.mu.Unlock()
 	for range 10000 {
-		w.Want(11)
+		w.RequestEpoch(11)
 	}
 	for range 2 { // the call that was ended may take one with it
 		f.then(placement.Update{Epoch: 11, Base: 10})
