--- a/internal/exchange/segments_test.go
+++ b/internal/exchange/segments_test.go
@@ -80,13 +80,13 @@
 	require.Len(t, one, 1, "the second waits for the first")
 	require.Equal(t, "q.3", one[0].PartID)
 	for range 10 { // it looks again and again, and waits on
-		d.now = d.now.Add(meetPause)
+		d.now = d.now.Add(segmentInUsePause)
 		turn()
 	}
 	require.Empty(t, out.take())
 	x.AttemptEnded(one[0], choice.Served, nil, "v1")
 	turn()
-	d.now = d.now.Add(meetPause)
+	d.now = d.now.Add(segmentInUsePause)
 	turn()
 	two := out.take()
 	require.Len(t, two, 1)
