--- a/choice/admission.go
+++ b/choice/admission.go
@@ -20,6 +20,8 @@
 	weightTolerance = 5e-5 // half of what the rule on honest answers allows
 )
 
+// addQuery registers a query and sets its timers. It rejects a query of an unknown class, and a client's
+// retry that has too little time left.
 func (r *Router) addQuery(event Query) {
 	if !r.settings.RetryBudgetPerShard {
 		r.recordArrival(&r.sharedBudget)
--- a/choice/batching_test.go
+++ b/choice/batching_test.go
@@ -6,10 +6,10 @@
 	"testing"
 )
 
-// ring returns a rig of a ring of cells of one server each, where a call has a cost of
-// its own and a shard is held by three cells in a row.
-func ring(t *testing.T, cells int, change func(*Settings)) *rig {
-	return listed(t, 1, func(s *Settings) {
+// newRingHarness returns a harness for a ring of cells of one server each. A call has a fixed cost, and a shard is
+// stored by three consecutive cells.
+func newRingHarness(t *testing.T, cells int, change func(*Settings)) *harness {
+	return newListedHarness(t, 1, func(s *Settings) {
 		s.Cells, s.Width, s.Shards, s.MaxPartsPerCall, s.PerCallWork = cells, 3, 4*cells, 16, 80*ms
 		if change != nil {
 			change(s)
@@ -17,53 +17,53 @@
 	})
 }
 
-// calls counts the sends of one moment by server.
-func calls(acts []Action) map[string]int {
-	out := make(map[string]int)
-	for _, s := range of[Send](acts) {
-		out[s.Server]++
+// partsByServer counts the sends by server.
+func partsByServer(actions []Action) map[string]int {
+	counts := make(map[string]int)
+	for _, s := range actionsOf[Send](actions) {
+		counts[s.Server]++
 	}
-	return out
+	return counts
 }
 
-// Neighbouring blocks have no two replica sets in common, but one server holds several
-// of them: a run of six goes out in two calls, wherever on the ring it begins.
+// The replica sets of adjacent shards all differ, but one server stores several of these shards. Six consecutive
+// shards must be sent in two calls, wherever on the ring the first of them is.
 func TestNeighboursShareCalls(t *testing.T) {
 	for from := range 40 {
-		g := ring(t, 10, nil)
+		h := newRingHarness(t, 10, nil)
 		var shards []int
 		for i := range 6 {
 			shards = append(shards, (from+i)%40)
 		}
-		_, evs := g.ask("all", shards...)
-		got := calls(g.step(evs...))
+		_, events := h.newQuery("all", shards...)
+		got := partsByServer(h.step(events...))
 		if len(got) != 2 {
-			t.Fatalf("from %d: a run of six blocks went out as %v, want two calls of three", from, got)
+			t.Fatalf("from %d: six consecutive shards were sent as %v, want two calls of three", from, got)
 		}
 	}
 }
 
-// Where the server that holds most is out of the draw the others share what they hold,
-// and no part is left out or sent twice.
+// When the server that stores most of the shards is gone, the parts are sent in two calls to others, and no part is
+// left out or sent twice.
 func TestCallsWithoutTheBestServer(t *testing.T) {
-	g := ring(t, 10, nil)
-	g.step(List{Form: Delta, Servers: []Server{{ID: "c2-0", Cell: 2, State: Gone}}})
-	_, evs := g.ask("all", 0, 1, 2)
-	acts := g.step(evs...)
-	got := calls(acts)
-	if len(of[Send](acts)) != 3 || len(got) != 2 || got["c2-0"] != 0 {
-		t.Fatalf("three blocks without their common server went out as %v, want two calls", got)
+	h := newRingHarness(t, 10, nil)
+	h.step(List{Form: Delta, Servers: []Server{{ID: "c2-0", Cell: 2, State: Gone}}})
+	_, events := h.newQuery("all", 0, 1, 2)
+	actions := h.step(events...)
+	got := partsByServer(actions)
+	if len(actionsOf[Send](actions)) != 3 || len(got) != 2 || got["c2-0"] != 0 {
+		t.Fatalf("three shards without their common server were sent as %v, want two calls", got)
 	}
 }
 
-// What is scattered as well as what lies in a row, with servers full, gone and cold:
-// each part goes out once, to a server that holds it, in calls no larger than told.
-func TestCallsKeepToHoldersAndBounds(t *testing.T) {
+// With random shards and with full, draining and suspect servers, each part is sent at most once, to a server that
+// stores its shard, and either all required parts are sent or none.
+func TestPartsGoOnceToServersOfTheirShard(t *testing.T) {
 	rng := rand.New(rand.NewPCG(7, 7))
 	for round := range 400 {
 		cells := 4 + rng.IntN(10)
-		g := ring(t, cells, func(s *Settings) { s.MaxPartsPerCall = 1 + rng.IntN(4); s.Width = 1 + rng.IntN(min(4, cells)) })
-		for _, s := range g.r.servers {
+		h := newRingHarness(t, cells, func(s *Settings) { s.MaxPartsPerCall = 1 + rng.IntN(4); s.Width = 1 + rng.IntN(min(4, cells)) })
+		for _, s := range h.router.servers {
 			switch rng.IntN(6) {
 			case 0:
 				s.reserved = int(s.window)
@@ -73,117 +73,116 @@
 				s.faultLevel = 2
 			}
 		}
-		shards := rng.Perm(g.r.settings.Shards)[:1+rng.IntN(9)]
+		shards := rng.Perm(h.router.settings.Shards)[:1+rng.IntN(9)]
 		class := []string{"all", "some", "unsafe"}[rng.IntN(3)]
-		_, evs := g.ask(class, shards...)
-		acts := g.step(evs...)
+		_, events := h.newQuery(class, shards...)
+		actions := h.step(events...)
 		seen := make(map[string]bool)
-		for _, s := range of[Send](acts) {
+		for _, s := range actionsOf[Send](actions) {
 			var at int
 			fmt.Sscanf(s.ID[len("q1."):], "%d", &at)
-			to := g.r.servers[s.Server]
+			to := h.router.servers[s.Server]
 			if seen[s.ID] {
-				t.Fatalf("round %d: part %s went out twice at once", round, s.ID)
+				t.Fatalf("round %d: part %s was sent twice at once", round, s.ID)
 			}
 			seen[s.ID] = true
-			if (to.Cell-shards[at]%cells+cells)%cells >= g.r.settings.Width {
-				t.Fatalf("round %d: shard %d went to cell %d of %d, width %d", round, shards[at], to.Cell, cells, g.r.settings.Width)
+			if (to.Cell-shards[at]%cells+cells)%cells >= h.router.settings.Width {
+				t.Fatalf("round %d: shard %d was sent to cell %d of %d, width %d", round, shards[at], to.Cell, cells, h.router.settings.Width)
 			}
 		}
 		if class != "some" && len(seen) != 0 && len(seen) != len(shards) {
-			t.Fatalf("round %d: %d of %d parts went out, and all are needed", round, len(seen), len(shards))
+			t.Fatalf("round %d: %d of %d parts were sent, and all are required", round, len(seen), len(shards))
 		}
 	}
 }
 
-// A cold server is drawn for one part, and gets no more by a call: its budget is in parts.
-func TestColdServerGetsNoMoreByACall(t *testing.T) {
-	g := ring(t, 10, nil)
-	g.step(List{Form: Delta, Servers: []Server{{ID: "c2-0", Cell: 2, State: Ready, Scale: 1, UpSince: g.now}}})
-	g.r.servers["c2-0"].slowStartTokens = 1
-	_, evs := g.ask("all", 0, 1, 2)
-	if got := calls(g.step(evs...)); got["c2-0"] > 1 {
-		t.Fatalf("a cold server was sent %d parts at once, want one at most", got["c2-0"])
+// The tokens of a server in slow start count parts: a call must not carry more parts to it than it has tokens.
+func TestSlowStartBoundsThePartsOfACall(t *testing.T) {
+	h := newRingHarness(t, 10, nil)
+	h.step(List{Form: Delta, Servers: []Server{{ID: "c2-0", Cell: 2, State: Ready, Scale: 1, UpSince: h.now}}})
+	h.router.servers["c2-0"].slowStartTokens = 1
+	_, events := h.newQuery("all", 0, 1, 2)
+	if got := partsByServer(h.step(events...)); got["c2-0"] > 1 {
+		t.Fatalf("a server in slow start was sent %d parts at once, want one at most", got["c2-0"])
 	}
 }
 
-// A booking of two parts in one call whose connection breaks in the middle: neither part
-// may go out again, and the client is not told that asking again is harmless.
+// A call with two parts of an unsafe class loses its connection in the middle. The part that may have run must not
+// be sent again, and the client must not be told that a retry is harmless.
 func TestTwoUnsafePartsOfOneCallAreNotSentAgain(t *testing.T) {
-	g := ring(t, 10, nil)
-	_, evs := g.ask("unsafe", 4, 5)
-	sends := of[Send](g.step(evs...))
+	h := newRingHarness(t, 10, nil)
+	_, events := h.newQuery("unsafe", 4, 5)
+	sends := actionsOf[Send](h.step(events...))
 	if len(sends) != 2 || sends[0].Server != sends[1].Server {
-		t.Fatalf("two neighbouring parts went out as %v, want one call", sends)
+		t.Fatalf("two parts of adjacent shards were sent as %v, want one call", sends)
 	}
-	acts := g.step(Outcome{ID: sends[0].ID, Server: sends[0].Server, Verdict: ConnectionLost},
+	actions := h.step(Outcome{ID: sends[0].ID, Server: sends[0].Server, Verdict: ConnectionLost},
 		Outcome{ID: sends[1].ID, Server: sends[1].Server, Verdict: NoConnection})
-	acts = append(acts, g.later(2*sec)...)
-	for _, s := range of[Send](acts) {
+	actions = append(actions, h.advance(2*sec)...)
+	for _, s := range actionsOf[Send](actions) {
 		if s.ID == sends[0].ID {
-			t.Fatalf("a part that may have run went out again: %v", s)
+			t.Fatalf("a part that may have run was sent again: %v", s)
 		}
 	}
-	if len(of[Refuse](acts)) != 0 || len(of[Fail](acts)) != 1 {
-		t.Fatalf("want a failure and no refusal: %v", acts)
+	if len(actionsOf[Refuse](actions)) != 0 || len(actionsOf[Fail](actions)) != 1 {
+		t.Fatalf("want Fail and no Refuse: %v", actions)
 	}
 }
 
-// A second copy goes to no server that drains.
-func TestNoSecondCopyToADrainingServer(t *testing.T) {
-	g := ring(t, 10, nil)
-	g.warm(40, 100*ms, 0, 5)
-	g.step(List{Form: Delta, Servers: []Server{{ID: "c0-0", Cell: 0, State: Draining}, {ID: "c1-0", Cell: 1, State: Draining}}})
-	_, evs := g.ask("all", 0)
-	sends := of[Send](g.step(evs...))
+// Hedges must not go to draining servers.
+func TestNoHedgeToADrainingServer(t *testing.T) {
+	h := newRingHarness(t, 10, nil)
+	h.serveQueries(40, 100*ms, 0, 5)
+	h.step(List{Form: Delta, Servers: []Server{{ID: "c0-0", Cell: 0, State: Draining}, {ID: "c1-0", Cell: 1, State: Draining}}})
+	_, events := h.newQuery("all", 0)
+	sends := actionsOf[Send](h.step(events...))
 	if len(sends) != 1 || sends[0].Server != "c2-0" {
-		t.Fatalf("%v, want one part to the server that stays", sends)
+		t.Fatalf("%v, want one part to the server that does not drain", sends)
 	}
-	for _, s := range of[Send](g.later(900 * ms)) {
-		t.Fatalf("a second copy went to %s, which drains", s.Server)
+	for _, s := range actionsOf[Send](h.advance(900 * ms)) {
+		t.Fatalf("a hedge was sent to %s, which drains", s.Server)
 	}
 }
 
-// Where lists are pushed a look that failed is none of the decisions' business: asked to
-// ask again, they would have done so without end, for they know no pause there.
-func TestFailedLookIsNotAskedAgainWhereListsArePushed(t *testing.T) {
-	g := ring(t, 10, nil)
-	acts := g.step(List{Form: Failed})
-	if acts = append(acts, g.later(sec)...); len(of[Watch](acts)) != 0 || len(of[Wake](acts)) != 0 {
-		t.Fatalf("%v, want nothing", acts)
+// Where lists are pushed, a Failed list must not start requests: without AskWithin there is no backoff, so they
+// would be repeated endlessly.
+func TestFailedListIsNotRequestedAgainWhereListsArePushed(t *testing.T) {
+	h := newRingHarness(t, 10, nil)
+	actions := h.step(List{Form: Failed})
+	if actions = append(actions, h.advance(sec)...); len(actionsOf[Watch](actions)) != 0 || len(actionsOf[Wake](actions)) != 0 {
+		t.Fatalf("%v, want nothing", actions)
 	}
 }
 
-// News that may have counted as told for long leaves no time in which a draining server
-// stands in.
-func TestOldNewsOfADrainLeavesNoTime(t *testing.T) {
+// If the change to Draining may count as received for long, the server must not be used as a last resort.
+func TestOldDrainChangeAllowsNoLastResort(t *testing.T) {
 	for since, want := range map[Micros]bool{0: true, 400 * ms: false} {
-		g := ring(t, 10, nil) // its grace is 500 ms
+		h := newRingHarness(t, 10, nil) // with a DrainGrace of 500 ms
 		var rows []Server
 		for _, c := range []int{0, 1, 2} {
 			rows = append(rows, Server{ID: fmt.Sprintf("c%d-0", c), Cell: c, State: Draining})
 		}
-		g.step(List{Form: Delta, Servers: rows, Since: since})
-		_, evs := g.ask("all", 0)
-		if got := len(of[Send](g.step(evs...))) > 0; got != want {
-			t.Fatalf("news %d us old: sent to a server that drains: %v, want %v", since, got, want)
+		h.step(List{Form: Delta, Servers: rows, Since: since})
+		_, events := h.newQuery("all", 0)
+		if got := len(actionsOf[Send](h.step(events...))) > 0; got != want {
+			t.Fatalf("change %d us old: sent to a server that drains: %v, want %v", since, got, want)
 		}
 	}
 }
 
-// While a class is slow as a whole all its parts are late, and second copies would be
-// work that the tier lacks; while it is far below its aim they go out.
-func TestNoSecondCopiesOfAClassThatIsSlow(t *testing.T) {
+// While a class is slow as a whole, all its parts are late, and hedges would add work for which the tier lacks
+// capacity. Hedges are sent only while the class is far below its latency target.
+func TestNoHedgesOfAClassThatIsSlow(t *testing.T) {
 	for mid, want := range map[Micros]bool{100 * ms: true, 400 * ms: false} {
-		g := ring(t, 10, nil)
-		c := g.r.classes["all"]
+		h := newRingHarness(t, 10, nil)
+		c := h.router.classes["all"]
 		c.median, c.upperQuantile, c.latencySamples = float64(mid), float64(mid)+1, 50
-		_, evs := g.ask("all", 0)
-		if n := len(of[Send](g.step(evs...))); n != 1 {
+		_, events := h.newQuery("all", 0)
+		if n := len(actionsOf[Send](h.step(events...))); n != 1 {
 			t.Fatalf("%d parts sent, want 1", n)
 		}
-		if got := len(of[Send](g.later(800*ms))) > 0; got != want {
-			t.Fatalf("middle part %d ms of an aim of %d: second copies %v, want %v", mid/ms, c.LatencyTarget/ms, got, want)
+		if got := len(actionsOf[Send](h.advance(800*ms))) > 0; got != want {
+			t.Fatalf("median latency %d ms with a target of %d ms: hedges %v, want %v", mid/ms, c.LatencyTarget/ms, got, want)
 		}
 	}
 }
--- a/choice/bench_test.go
+++ b/choice/bench_test.go
@@ -5,91 +5,91 @@
 	"testing"
 )
 
-// fleet is a router told of so many servers in cells of three, with all windows open.
-func fleet(tb testing.TB, servers int) *Router {
-	set := testSettings()
-	set.Cells, set.Width, set.Shards, set.Routers = servers/3, 1, servers/3, 30
-	r, err := New(1, set)
+// newFleetRouter returns a router with the given number of servers, in cells of three, with initial windows.
+func newFleetRouter(tb testing.TB, servers int) *Router {
+	settings := testSettings()
+	settings.Cells, settings.Width, settings.Shards, settings.Routers = servers/3, 1, servers/3, 30
+	r, err := New(1, settings)
 	if err != nil {
 		tb.Fatal(err)
 	}
-	r.Step(sec, []Event{List{Form: Cached, Servers: rows(set.Cells, 3)}})
+	r.Step(sec, []Event{List{Form: Cached, Servers: testServers(settings.Cells, 3)}})
 	return r
 }
 
-// caller is what drives a router: it has its events ready, so that what is measured
-// is the deciding and not the making of names. Outcomes it makes as they come.
-type caller struct {
-	r      *Router
-	asks   [][]Event // queries of eight parts
-	events []Event
+// driver drives a router with queries built in advance, so that the benchmark measures the decisions and not the
+// building of names. Only outcomes are built as they come.
+type driver struct {
+	router  *Router
+	queries [][]Event // the events of queries of eight parts
+	events  []Event
 }
 
-func newCaller(r *Router) *caller {
-	c := &caller{r: r}
+func newDriver(router *Router) *driver {
+	d := &driver{router: router}
 	for i := range 512 {
 		n := 8
 		id := fmt.Sprintf("q%d", i)
 		events := []Event{Query{ID: id, Class: "some", Number: int64(i), Grace: 2 * sec, Parts: n}}
 		for p := range n {
 			events = append(events, Part{ID: fmt.Sprintf("%s.%d", id, p), Class: "some", Number: int64(i),
-				Shard: (i + p) % r.settings.Shards, Weight: 1 / float64(n)})
+				Shard: (i + p) % router.settings.Shards, Weight: 1 / float64(n)})
 		}
-		c.asks = append(c.asks, events)
+		d.queries = append(d.queries, events)
 	}
-	return c
+	return d
 }
 
-// roundTrip is one query of eight parts, all served.
-func (c *caller) roundTrip(i int) int {
+// roundTrip sends one query of eight parts, has all its attempts served and returns their number.
+func (d *driver) roundTrip(i int) int {
 	now := 10*sec + Micros(i)*100*ms
-	c.events = c.events[:0]
-	for _, a := range c.r.Step(now, c.asks[i%len(c.asks)]) {
+	d.events = d.events[:0]
+	for _, a := range d.router.Step(now, d.queries[i%len(d.queries)]) {
 		if s, ok := a.(Send); ok {
-			c.events = append(c.events, Outcome{ID: s.ID, Server: s.Server, Verdict: Served})
+			d.events = append(d.events, Outcome{ID: s.ID, Server: s.Server, Verdict: Served})
 		}
 	}
-	c.r.Step(now+20*ms, c.events)
-	return len(c.events)
+	d.router.Step(now+20*ms, d.events)
+	return len(d.events)
 }
 
 func BenchmarkQuery(b *testing.B) {
 	for _, servers := range []int{12, 1200} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
-			c := newCaller(fleet(b, servers))
+			d := newDriver(newFleetRouter(b, servers))
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				c.roundTrip(i)
+				d.roundTrip(i)
 			}
 		})
 	}
 }
 
-// One list line and one query allocate the same whatever the fleet: neither walks all servers into a new list.
+// Guards against a list row or a query that copies all servers: their allocations must not grow with the fleet.
 func TestWorkPerQueryDoesNotGrowWithTheFleet(t *testing.T) {
-	cost := func(servers int) (perQuery, perLine float64) {
-		r, i := fleet(t, servers), 0
-		c := newCaller(r)
-		for range 5000 { // until each server has been met
-			c.roundTrip(i)
+	cost := func(servers int) (perQuery, perRow float64) {
+		router, i := newFleetRouter(t, servers), 0
+		d := newDriver(router)
+		for range 5000 { // until each server has been used
+			d.roundTrip(i)
 			i++
 		}
 		perQuery = testing.AllocsPerRun(200, func() {
-			if c.roundTrip(i) < 4 {
-				t.Fatal("a query with room everywhere was not sent")
+			if d.roundTrip(i) < 4 {
+				t.Fatal("a query was not sent though all windows have capacity")
 			}
 			i++
 		})
-		line := rows(1, 1)
-		perLine = testing.AllocsPerRun(200, func() {
-			r.Step(10*sec+Micros(i)*100*ms, []Event{List{Form: Delta, Servers: line}})
+		row := testServers(1, 1)
+		perRow = testing.AllocsPerRun(200, func() {
+			router.Step(10*sec+Micros(i)*100*ms, []Event{List{Form: Delta, Servers: row}})
 		})
-		return perQuery, perLine
+		return perQuery, perRow
 	}
-	smallQuery, smallLine := cost(12)
-	largeQuery, largeLine := cost(1200)
-	if largeQuery > 1.1*smallQuery || largeLine > smallLine {
-		t.Errorf("allocations per query %.0f and %.0f, per list line %.0f and %.0f, with 12 and 1200 servers",
-			smallQuery, largeQuery, smallLine, largeLine)
+	smallQuery, smallRow := cost(12)
+	largeQuery, largeRow := cost(1200)
+	if largeQuery > 1.1*smallQuery || largeRow > smallRow {
+		t.Errorf("allocations per query %.0f and %.0f, per list row %.0f and %.0f, with 12 and 1200 servers",
+			smallQuery, largeQuery, smallRow, largeRow)
 	}
 }
--- a/choice/example_test.go
+++ b/choice/example_test.go
@@ -6,7 +6,7 @@
 	"saddleport/choice"
 )
 
-// A caller feeds events with the clock it read and carries out the actions.
+// The caller passes events with its clock reading and carries out the actions.
 func Example() {
 	router, err := choice.New(42, choice.Settings{
 		Classes: []choice.Class{{
@@ -29,7 +29,7 @@
 			case choice.Send:
 				fmt.Println("send", a.ID, "to", a.Server)
 			case choice.Answer:
-				fmt.Println("answer", a.ID, "whole:", a.Whole)
+				fmt.Println("answer", a.ID, "complete:", a.Whole)
 			}
 		}
 	}
@@ -45,5 +45,5 @@
 	// Output:
 	// send q.0 to left
 	// send q.1 to right
-	// answer q whole: true
+	// answer q complete: true
 }
--- a/choice/fuzz_test.go
+++ b/choice/fuzz_test.go
@@ -7,147 +7,150 @@
 	"testing"
 )
 
-// judge follows a router's events and actions and knows the rules that show
-// in its actions alone.
-type judge struct {
-	stalled  Micros // the router could not act before
-	t        *testing.T
-	set      Settings
-	now      Micros
-	classes  map[string]Class
-	queries  map[string]*judged
-	parts    map[string]*judgedPart
-	state    map[string]State
-	drain    map[string]Micros // since when
-	cell     map[string]int
-	taken    []Micros
-	extras   []Micros
-	sent     []*judgedTry
-	finished int
+// checker follows the events and actions of a router and checks the rules that can be checked from its actions
+// alone.
+type checker struct {
+	stalledUntil  Micros // the router could not act before this time
+	t             *testing.T
+	settings      Settings
+	now           Micros
+	classes       map[string]Class
+	queries       map[string]*checkedQuery
+	parts         map[string]*checkedPart
+	state         map[string]State
+	drainingSince map[string]Micros
+	cell          map[string]int
+	arrivals      []Micros
+	extraAttempts []Micros
+	inFlight      []*checkedAttempt
+	finished      int
 }
 
-type judged struct {
-	id     string
-	number int64
-	class  Class
-	ends   Micros
-	step   int
-	first  bool // the first step's answer was whole
-	parts  []*judgedPart
-	over   bool
+type checkedQuery struct {
+	id                string
+	number            int64
+	class             Class
+	endsAt            Micros
+	step              int
+	firstStepComplete bool // the first step's answer was complete
+	parts             []*checkedPart
+	ended             bool
 }
 
-type judgedPart struct {
-	id     string
-	q      *judged
-	shard  int
-	weight float64
-	served bool
-	closed bool
-	tries  []*judgedTry
+type checkedPart struct {
+	id       string
+	query    *checkedQuery
+	shard    int
+	weight   float64
+	served   bool
+	closed   bool
+	attempts []*checkedAttempt
 }
 
-type judgedTry struct {
-	p        *judgedPart
-	server   string
-	attempt  int
-	at       Micros
-	over     bool
-	mayRun   bool
-	withdraw bool
+type checkedAttempt struct {
+	part       *checkedPart
+	server     string
+	index      int
+	sentAt     Micros
+	ended      bool
+	mayHaveRun bool
+	cancelled  bool
 }
 
-func newJudge(t *testing.T, set Settings) *judge {
-	j := &judge{t: t, set: set, classes: map[string]Class{}, queries: map[string]*judged{},
-		parts: map[string]*judgedPart{}, state: map[string]State{}, drain: map[string]Micros{}, cell: map[string]int{}}
-	for _, c := range set.Classes {
-		j.classes[c.Name] = c
+func newChecker(t *testing.T, settings Settings) *checker {
+	c := &checker{t: t, settings: settings, classes: map[string]Class{}, queries: map[string]*checkedQuery{},
+		parts: map[string]*checkedPart{}, state: map[string]State{}, drainingSince: map[string]Micros{}, cell: map[string]int{}}
+	for _, class := range settings.Classes {
+		c.classes[class.Name] = class
 	}
-	return j
+	return c
 }
 
-// hear notes an event before the router gets it.
-func (j *judge) hear(ev Event) {
-	switch ev := ev.(type) {
+// observeEvent records an event before the router gets it.
+func (c *checker) observeEvent(event Event) {
+	switch event := event.(type) {
 	case List:
-		if ev.Form == Full || ev.Form == Cached {
-			for id := range j.state {
-				j.state[id] = Gone
+		if event.Form == Full || event.Form == Cached {
+			for id := range c.state {
+				c.state[id] = Gone
 			}
 		}
-		for _, s := range ev.Servers {
+		for _, s := range event.Servers {
 			if s.State != Draining {
-				delete(j.drain, s.ID)
-			} else if j.state[s.ID] != Draining {
-				j.drain[s.ID] = j.now
+				delete(c.drainingSince, s.ID)
+			} else if c.state[s.ID] != Draining {
+				c.drainingSince[s.ID] = c.now
 			}
-			j.state[s.ID], j.cell[s.ID] = s.State, s.Cell
+			c.state[s.ID], c.cell[s.ID] = s.State, s.Cell
 		}
 	case Query:
-		j.taken = append(j.taken, j.now)
-		j.queries[ev.ID] = &judged{id: ev.ID, number: ev.Number, class: j.classes[ev.Class], ends: j.now + ev.Grace, step: 1}
+		c.arrivals = append(c.arrivals, c.now)
+		c.queries[event.ID] = &checkedQuery{id: event.ID, number: event.Number, class: c.classes[event.Class], endsAt: c.now + event.Grace, step: 1}
 	case Part:
-		j.taken = append(j.taken, j.now)
-		q := j.queries[fmt.Sprintf("q%d", ev.Number)]
-		p := &judgedPart{id: ev.ID, q: q, shard: ev.Shard, weight: ev.Weight}
+		c.arrivals = append(c.arrivals, c.now)
+		q := c.queries[fmt.Sprintf("q%d", event.Number)]
+		p := &checkedPart{id: event.ID, query: q, shard: event.Shard, weight: event.Weight}
 		q.parts = append(q.parts, p)
-		j.parts[ev.ID] = p
+		c.parts[event.ID] = p
 	case ClientLeft:
-		if q := j.queries[ev.ID]; q != nil && !q.over {
-			j.close(q)
+		if q := c.queries[event.ID]; q != nil && !q.ended {
+			c.close(q)
 		}
 	}
 }
 
-func (j *judge) close(q *judged) {
-	q.over = true
+// close marks a query and its parts as ended.
+func (c *checker) close(q *checkedQuery) {
+	q.ended = true
 	for _, p := range q.parts {
 		p.closed = true
 	}
 }
 
-func (j *judge) see(a Action) {
-	switch a := a.(type) {
+// checkAction fails the test if an action violates a rule, and records the action.
+func (c *checker) checkAction(action Action) {
+	switch action := action.(type) {
 	case Send:
-		j.send(a)
+		c.checkSend(action)
 	case Cancel:
-		p := j.parts[a.ID]
-		if p == nil || a.Attempt >= len(p.tries) {
-			j.t.Fatalf("cancel of an attempt never sent: %v", a)
+		p := c.parts[action.ID]
+		if p == nil || action.Attempt >= len(p.attempts) {
+			c.t.Fatalf("cancel of an attempt never sent: %v", action)
 		}
-		p.tries[a.Attempt].withdraw = true
+		p.attempts[action.Attempt].cancelled = true
 	case Answer:
-		j.answer(a)
+		c.checkAnswer(action)
 	case Refuse:
-		q := j.ending(a.ID)
+		q := c.checkFinal(action.ID)
 		for _, p := range q.parts {
-			for _, try := range p.tries {
-				if q.class.Effect == Unsafe && try.mayRun {
-					j.t.Fatalf("refused %s though an unsafe part may have run", a.ID)
+			for _, attempt := range p.attempts {
+				if q.class.Effect == Unsafe && attempt.mayHaveRun {
+					c.t.Fatalf("Refuse of %s though an unsafe part may have run", action.ID)
 				}
 			}
 		}
-		j.close(q)
+		c.close(q)
 	case Fail:
-		j.close(j.ending(a.ID))
+		c.close(c.checkFinal(action.ID))
 	}
 }
 
-func (j *judge) ending(id string) *judged {
-	q := j.queries[id]
-	if q == nil || q.over {
-		j.t.Fatalf("a final answer for %s, which has none due", id)
+// checkFinal returns the query that an action ends. It fails the test if there is none or it ends too late.
+func (c *checker) checkFinal(id string) *checkedQuery {
+	q := c.queries[id]
+	if q == nil || q.ended {
+		c.t.Fatalf("a final action for %s, which is unknown or has ended", id)
 	}
-	if j.now > q.ends+j.set.AnswerSlack && j.now > j.stalled {
-		j.t.Fatalf("%s ended %d us late", id, j.now-q.ends)
+	if c.now > q.endsAt+c.settings.AnswerSlack && c.now > c.stalledUntil {
+		c.t.Fatalf("%s ended %d us late", id, c.now-q.endsAt)
 	}
-	j.finished++
+	c.finished++
 	return q
 }
 
-func (j *judge) answer(a Answer) {
-	q := j.ending(a.ID)
-	weight, all := 0.0, true
+func (c *checker) checkAnswer(answer Answer) {
+	q := c.checkFinal(answer.ID)
+	weight, complete := 0.0, true
 	for _, p := range q.parts {
 		if p.closed {
 			continue
@@ -155,70 +158,71 @@
 		if p.served {
 			weight += p.weight
 		} else {
-			all = false
+			complete = false
 		}
 	}
-	floor, need := q.class.MinShare, q.class.RequiredShare
+	minimum, required := q.class.MinShare, q.class.RequiredShare
 	if q.step == 2 {
-		need = 1
+		required = 1
 		if q.class.MinShare >= q.class.RequiredShare {
-			floor = 1
+			minimum = 1
 		}
-		if a.Whole && (!all || !q.first) {
-			j.t.Fatalf("%s called whole at the second step", a.ID)
+		if answer.Whole && (!complete || !q.firstStepComplete) {
+			c.t.Fatalf("%s marked as complete at the second step", answer.ID)
 		}
 	}
-	if weight < floor-1e-4 || a.Whole && weight < need-1e-4 {
-		j.t.Fatalf("%s answered (whole %v) from weight %v", a.ID, a.Whole, weight)
+	if weight < minimum-1e-4 || answer.Whole && weight < required-1e-4 {
+		c.t.Fatalf("%s answered (complete: %v) with weight %v", answer.ID, answer.Whole, weight)
 	}
 	if q.step == 1 && q.class.FetchParts > 0 {
-		j.finished--
+		c.finished--
 		for _, p := range q.parts {
 			p.closed = true
 		}
-		q.step, q.first = 2, a.Whole
+		q.step, q.firstStepComplete = 2, answer.Whole
 		return
 	}
-	j.close(q)
+	c.close(q)
 }
 
-func (j *judge) send(a Send) {
-	p := j.parts[a.ID]
+func (c *checker) checkSend(send Send) {
+	p := c.parts[send.ID]
 	if p == nil || p.closed || p.served {
-		j.t.Fatalf("send of %s, which has ended or never was", a.ID)
+		c.t.Fatalf("send of %s, which is unknown or has ended", send.ID)
 	}
-	told, drains := j.drain[a.Server]
-	if j.state[a.Server] != Ready && !(drains && j.state[a.Server] == Draining && j.now-told <= j.set.DrainGrace) {
-		j.t.Fatalf("send to %s in state %d", a.Server, j.state[a.Server])
+	since, draining := c.drainingSince[send.Server]
+	if c.state[send.Server] != Ready && !(draining && c.state[send.Server] == Draining && c.now-since <= c.settings.DrainGrace) {
+		c.t.Fatalf("send to %s in state %d", send.Server, c.state[send.Server])
 	}
-	if off := (j.cell[a.Server] - p.shard%j.set.Cells + j.set.Cells) % j.set.Cells; off >= j.set.Width {
-		j.t.Fatalf("%s does not hold shard %d", a.Server, p.shard)
+	if distance := (c.cell[send.Server] - p.shard%c.settings.Cells + c.settings.Cells) % c.settings.Cells; distance >= c.settings.Width {
+		c.t.Fatalf("%s does not store shard %d", send.Server, p.shard)
 	}
-	if len(p.tries) >= j.set.AttemptCap {
-		j.t.Fatalf("attempt %d of %s", len(p.tries), a.ID)
+	if len(p.attempts) >= c.settings.AttemptCap {
+		c.t.Fatalf("attempt %d of %s", len(p.attempts), send.ID)
 	}
-	for _, try := range p.tries {
-		if !try.over && !j.set.ParallelAttempts {
-			j.t.Fatalf("two attempts of %s at once", a.ID)
+	for _, a := range p.attempts {
+		if !a.ended && !c.settings.ParallelAttempts {
+			c.t.Fatalf("two attempts of %s at once", send.ID)
 		}
-		if try.mayRun && (p.q.class.Effect == Unsafe ||
-			p.q.class.Effect == Keyed && j.now-try.at > p.q.class.DedupWindow) {
-			j.t.Fatalf("%s sent again though it may have run", a.ID)
+		if a.mayHaveRun && (p.query.class.Effect == Unsafe ||
+			p.query.class.Effect == Keyed && c.now-a.sentAt > p.query.class.DedupWindow) {
+			c.t.Fatalf("%s sent again though it may have run", send.ID)
 		}
 	}
-	if len(p.tries) > 0 && j.set.RetryBudget {
-		j.extras = append(j.extras, j.now)
-		extras, taken := count(j.extras, j.now-j.set.RetryBudgetWindow), count(j.taken, j.now-j.set.RetryBudgetWindow)
-		if float64(extras) > j.set.RetryBudgetMin+j.set.RetryBudgetRatio*float64(taken) {
-			j.t.Fatalf("%d further attempts for %d taken", extras, taken)
+	if len(p.attempts) > 0 && c.settings.RetryBudget {
+		c.extraAttempts = append(c.extraAttempts, c.now)
+		extraAttempts, arrivals := countSince(c.extraAttempts, c.now-c.settings.RetryBudgetWindow), countSince(c.arrivals, c.now-c.settings.RetryBudgetWindow)
+		if float64(extraAttempts) > c.settings.RetryBudgetMin+c.settings.RetryBudgetRatio*float64(arrivals) {
+			c.t.Fatalf("%d extra attempts for %d queries and parts", extraAttempts, arrivals)
 		}
 	}
-	try := &judgedTry{p: p, server: a.Server, attempt: len(p.tries), at: j.now, mayRun: true}
-	p.tries = append(p.tries, try)
-	j.sent = append(j.sent, try)
+	a := &checkedAttempt{part: p, server: send.Server, index: len(p.attempts), sentAt: c.now, mayHaveRun: true}
+	p.attempts = append(p.attempts, a)
+	c.inFlight = append(c.inFlight, a)
 }
 
-func count(times []Micros, from Micros) int {
+// countSince returns how many of the times are not before from.
+func countSince(times []Micros, from Micros) int {
 	n := 0
 	for _, t := range times {
 		if t >= from {
@@ -228,10 +232,10 @@
 	return n
 }
 
-// script turns fuzz bytes into legal but odd events.
+// script turns fuzz bytes into events that are legal but unusual.
 type script struct {
-	data []byte
-	next int64
+	data       []byte
+	queryCount int64
 }
 
 func (s *script) byte() int {
@@ -243,72 +247,72 @@
 	return int(b)
 }
 
-func (s *script) events(j *judge) []Event {
+func (s *script) events(c *checker) []Event {
 	switch op := s.byte() % 8; op {
 	case 0, 1, 2:
-		return s.query(j)
+		return s.query(c)
 	case 3, 4, 5:
-		return s.outcome(j)
+		return s.outcome(c)
 	case 6:
-		return s.list(j)
+		return s.list(c)
 	default:
-		if len(j.queries) == 0 {
+		if len(c.queries) == 0 {
 			return []Event{ClientLeft{ID: "never"}}
 		}
-		return []Event{ClientLeft{ID: fmt.Sprintf("q%d", 1+s.byte()%len(j.queries))}}
+		return []Event{ClientLeft{ID: fmt.Sprintf("q%d", 1+s.byte()%len(c.queries))}}
 	}
 }
 
-func (s *script) query(j *judge) []Event {
-	s.next++
-	id, n := fmt.Sprintf("q%d", s.next), 1+s.byte()%6
-	class := j.set.Classes[s.byte()%len(j.set.Classes)]
-	grace := Micros(s.byte()) * 10 * ms
-	evs := []Event{Query{ID: id, Class: class.Name, Number: s.next, Grace: grace, Parts: n, Repeat: n%2 == 0, Tenant: "t"}}
+func (s *script) query(c *checker) []Event {
+	s.queryCount++
+	id, parts := fmt.Sprintf("q%d", s.queryCount), 1+s.byte()%6
+	class := c.settings.Classes[s.byte()%len(c.settings.Classes)]
+	timeout := Micros(s.byte()) * 10 * ms
+	events := []Event{Query{ID: id, Class: class.Name, Number: s.queryCount, Grace: timeout, Parts: parts, Repeat: parts%2 == 0, Tenant: "t"}}
 	shard := s.byte()
-	for i := range n {
-		evs = append(evs, Part{ID: fmt.Sprintf("%s.%d", id, i), Class: class.Name, Number: s.next,
-			Shard: (shard + i) % j.set.Shards, Weight: 1 / float64(n), Hinted: n == 3, Predicted: Micros(shard) * ms})
+	for i := range parts {
+		events = append(events, Part{ID: fmt.Sprintf("%s.%d", id, i), Class: class.Name, Number: s.queryCount,
+			Shard: (shard + i) % c.settings.Shards, Weight: 1 / float64(parts), Hinted: parts == 3, Predicted: Micros(shard) * ms})
 	}
-	return evs
+	return events
 }
 
-func (s *script) outcome(j *judge) []Event {
-	if len(j.sent) == 0 {
+func (s *script) outcome(c *checker) []Event {
+	if len(c.inFlight) == 0 {
 		return []Event{Outcome{ID: "never", Server: "never"}, Elapsed{Token: 7}}
 	}
-	i := s.byte() % len(j.sent)
-	try := j.sent[i]
-	j.sent = append(j.sent[:i:i], j.sent[i+1:]...)
+	i := s.byte() % len(c.inFlight)
+	a := c.inFlight[i]
+	c.inFlight = append(c.inFlight[:i:i], c.inFlight[i+1:]...)
 	verdict := Verdict(s.byte() % 8)
-	if verdict == Cancelled && !try.withdraw {
+	if verdict == Cancelled && !a.cancelled {
 		verdict = Served
 	}
-	try.over = true
-	try.mayRun = verdict != Rejected && verdict != NoConnection && verdict != NotSent
-	if verdict == Served && !try.p.closed && !try.withdraw {
-		try.p.served = true
+	a.ended = true
+	a.mayHaveRun = verdict != Rejected && verdict != NoConnection && verdict != NotSent
+	if verdict == Served && !a.part.closed && !a.cancelled {
+		a.part.served = true
 	}
-	if try.withdraw && verdict == Served {
+	if a.cancelled && verdict == Served {
 		verdict = Cancelled
 	}
-	return []Event{Outcome{ID: try.p.id, Server: try.server, Attempt: try.attempt, Verdict: verdict,
-		Closed: try.p.closed || try.p.served, Load: loads[s.byte()%len(loads)]}}
+	return []Event{Outcome{ID: a.part.id, Server: a.server, Attempt: a.index, Verdict: verdict,
+		Closed: a.part.closed || a.part.served, Load: loadReports[s.byte()%len(loadReports)]}}
 }
 
-// loads are reports as no server should send them.
-var loads = [][]Reading{
+// loadReports are load reports, some of them such as no server should send.
+var loadReports = [][]Reading{
 	nil, {{Name: "depth", Value: 3}}, {{Name: "depth", Value: -1}}, {{Name: "", Value: math.Inf(1)}},
 	{{Name: "mean_ms", Value: math.NaN()}, {Name: "mean_ms", Value: 1e300}},
 }
 
-func (s *script) list(j *judge) []Event {
+func (s *script) list(c *checker) []Event {
 	form := []Form{Delta, Full, Cached, Failed}[s.byte()%4]
 	if form == Failed {
 		return []Event{List{Form: Failed}}
 	}
-	servers := rows(j.set.Cells, 2)
-	kept := servers[:0]
+	servers := testServers(c.settings.Cells, 2)
+	listed := servers[:0]
 	for _, row := range servers {
 		switch b := s.byte(); b % 5 {
 		case 0:
@@ -322,11 +326,11 @@
 		case 4:
 			row.Zone, row.Kind = fmt.Sprintf("zone %d", b%3), fmt.Sprintf("kind %d", b)
 		case 3:
-			row.UpSince = j.now - Micros(b)*100*ms
+			row.UpSince = c.now - Micros(b)*100*ms
 		}
-		kept = append(kept, row)
+		listed = append(listed, row)
 	}
-	return []Event{List{Form: form, Servers: kept}}
+	return []Event{List{Form: form, Servers: listed}}
 }
 
 func FuzzRulesHoldUnderOddEvents(f *testing.F) {
@@ -356,66 +360,66 @@
 				s.Routers = 1
 			},
 			func(s *Settings) { s.Routers, s.Tenants = 400, []Tenant{{Name: "t", QuotaPerS: 2}} },
-			func(s *Settings) { // a part of an answer before a second step, idle connections, no copies
+			func(s *Settings) { // a partial answer before a second step, idle connections, no hedges
 				s.Classes[2].LateValue, s.Classes[2].FetchParts = 0, 2
 				s.Keepalive, s.ParallelAttempts, s.RetryAdvice = 10*sec, false, false
 			},
 		} {
-			set := testSettings()
-			change(&set)
-			play(t, set, data)
+			settings := testSettings()
+			change(&settings)
+			runScript(t, settings, data)
 		}
 	})
 }
 
-// play runs one script against two routers alike, and judges what they do.
-func play(t *testing.T, set Settings, data []byte) {
-	a, errA := New(9, set)
-	b, errB := New(9, set)
+// runScript runs one script against two identical routers. It checks their actions, and that both do the same.
+func runScript(t *testing.T, settings Settings, data []byte) {
+	a, errA := New(9, settings)
+	b, errB := New(9, settings)
 	if errA != nil || errB != nil {
 		t.Fatal(errA, errB)
 	}
-	j := newJudge(t, set)
+	c := newChecker(t, settings)
 	s := &script{data: data}
-	j.now = 50 * sec
-	step := func(evs ...Event) {
-		for _, ev := range evs {
-			j.hear(ev)
+	c.now = 50 * sec
+	step := func(events ...Event) {
+		for _, event := range events {
+			c.observeEvent(event)
 		}
-		acts, again := a.Step(j.now, evs), b.Step(j.now, evs)
-		if !reflect.DeepEqual(acts, again) {
-			t.Fatalf("same events, other actions:\n%v\n%v", acts, again)
+		actions, repeated := a.Step(c.now, events), b.Step(c.now, events)
+		if !reflect.DeepEqual(actions, repeated) {
+			t.Fatalf("different actions for the same events:\n%v\n%v", actions, repeated)
 		}
-		for _, act := range acts {
-			j.see(act)
+		for _, action := range actions {
+			c.checkAction(action)
 		}
 	}
-	step(List{Form: Cached, Servers: rows(set.Cells, 2)})
+	step(List{Form: Cached, Servers: testServers(settings.Cells, 2)})
 	for len(s.data) > 0 {
-		step(s.events(j)...)
-		if s.byte()%16 == 15 { // the router stands still, then finds all that came meanwhile
-			j.now += Micros(s.byte()) * 20 * ms
-			j.stalled = j.now
+		step(s.events(c)...)
+		if s.byte()%16 == 15 { // the router stalls, then gets all events of that time at once
+			c.now += Micros(s.byte()) * 20 * ms
+			c.stalledUntil = c.now
 			var queries []Event
 			for range s.byte() {
-				queries = append(queries, s.query(j)...)
+				queries = append(queries, s.query(c)...)
 			}
 			step(queries...)
 			for range s.byte() {
-				step(s.events(j)...)
+				step(s.events(c)...)
 			}
 		}
 		for range s.byte() % 16 {
-			j.now += set.Resolution
+			c.now += settings.Resolution
 			step(Elapsed{})
 		}
 	}
-	for range 3 * sec / set.Resolution {
-		j.now += set.Resolution
+	for range 3 * sec / settings.Resolution {
+		c.now += settings.Resolution
 		step(Elapsed{})
 	}
-	for id, q := range j.queries {
-		if !q.over {
+	for id, q := range c.queries {
+		if !q.ended {
 			t.Fatalf("%s never ended", id)
 		}
 	}
--- a/choice/helpers_test.go
+++ b/choice/helpers_test.go
@@ -10,8 +10,8 @@
 	sec Micros = 1_000_000
 )
 
-// testSettings are those of a small deployment: four cells, each shard on two
-// of them, one class of each sort.
+// testSettings returns the settings of a small deployment: four cells, each shard on two of them, and one class of
+// each sort.
 func testSettings() Settings {
 	return Settings{
 		Classes: []Class{
@@ -29,15 +29,15 @@
 	}
 }
 
-// rig drives one router by hand.
-type rig struct {
-	t    *testing.T
-	r    *Router
-	now  Micros
-	next int64
+// harness drives one router with the events and the clock of a test.
+type harness struct {
+	t          *testing.T
+	router     *Router
+	now        Micros
+	queryCount int64
 }
 
-func newRig(t *testing.T, change func(*Settings)) *rig {
+func newHarness(t *testing.T, change func(*Settings)) *harness {
 	t.Helper()
 	set := testSettings()
 	if change != nil {
@@ -47,17 +47,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &rig{t: t, r: r, now: 100 * sec}
+	return &harness{t: t, router: r, now: 100 * sec}
 }
 
-// listed returns a rig that has been told of so many warm servers a cell.
-func listed(t *testing.T, perCell int, change func(*Settings)) *rig {
-	g := newRig(t, change)
-	g.step(List{Form: Cached, Servers: rows(g.r.settings.Cells, perCell)})
-	return g
+// newListedHarness returns a harness whose router has a list with perCell warmed up servers per cell.
+func newListedHarness(t *testing.T, perCell int, change func(*Settings)) *harness {
+	h := newHarness(t, change)
+	h.step(List{Form: Cached, Servers: testServers(h.router.settings.Cells, perCell)})
+	return h
 }
 
-func rows(cells, perCell int) []Server {
+// testServers returns ready servers without zones and kinds: c0-0, c0-1, and so on.
+func testServers(cells, perCell int) []Server {
 	var out []Server
 	for c := range cells {
 		for i := range perCell {
@@ -67,67 +68,69 @@
 	return out
 }
 
-// step gives the events now, after the wakes that were due before.
-func (g *rig) step(events ...Event) []Action {
-	var acts []Action
-	for at := g.r.wakeAt; at > 0 && at < g.now; at = g.r.wakeAt {
-		acts = append(acts, g.r.Step(at, []Event{Elapsed{}})...)
+// step first delivers the wakes that are due before now, then the events.
+func (h *harness) step(events ...Event) []Action {
+	var actions []Action
+	for at := h.router.wakeAt; at > 0 && at < h.now; at = h.router.wakeAt {
+		actions = append(actions, h.router.Step(at, []Event{Elapsed{}})...)
 	}
-	return append(acts, g.r.Step(g.now, events)...)
+	return append(actions, h.router.Step(h.now, events)...)
 }
 
-// later moves the clock on in ticks and collects what the timers bring.
-func (g *rig) later(d Micros) []Action {
-	var acts []Action
-	for end := g.now + d; g.now < end; {
-		g.now += g.r.settings.Resolution
-		acts = append(acts, g.step(Elapsed{})...)
+// advance moves the clock forward in steps of Resolution and returns the actions of the timers that fire.
+func (h *harness) advance(duration Micros) []Action {
+	var actions []Action
+	for end := h.now + duration; h.now < end; {
+		h.now += h.router.settings.Resolution
+		actions = append(actions, h.step(Elapsed{})...)
 	}
-	return acts
+	return actions
 }
 
-// ask makes a query of the class with a part for each shard, of equal weight.
-func (g *rig) ask(class string, shards ...int) (id string, events []Event) {
-	g.next++
-	id = fmt.Sprintf("q%d", g.next)
-	events = append(events, Query{ID: id, Class: class, Number: g.next, Grace: 2 * sec, Parts: len(shards)})
+// newQuery returns the events of a query of the class, with one part of equal weight for each shard.
+func (h *harness) newQuery(class string, shards ...int) (id string, events []Event) {
+	h.queryCount++
+	id = fmt.Sprintf("q%d", h.queryCount)
+	events = append(events, Query{ID: id, Class: class, Number: h.queryCount, Grace: 2 * sec, Parts: len(shards)})
 	for i, s := range shards {
-		events = append(events, Part{ID: fmt.Sprintf("%s.%d", id, i), Class: class, Number: g.next, Shard: s,
+		events = append(events, Part{ID: fmt.Sprintf("%s.%d", id, i), Class: class, Number: h.queryCount, Shard: s,
 			Weight: 1 / float64(len(shards))})
 	}
 	return id, events
 }
 
-func (g *rig) end(s Send, attempt int, v Verdict) []Action {
-	return g.step(Outcome{ID: s.ID, Server: s.Server, Attempt: attempt, Verdict: v})
+// finish delivers the outcome of an attempt.
+func (h *harness) finish(send Send, attempt int, verdict Verdict) []Action {
+	return h.step(Outcome{ID: send.ID, Server: send.Server, Attempt: attempt, Verdict: verdict})
 }
 
-// warm answers n one-part queries of a shard after d each, to teach latencies.
-func (g *rig) warm(n int, d Micros, shards ...int) {
-	g.t.Helper()
+// serveQueries sends n queries of one part to each shard and has them served after the given latency, so that the
+// router learns it.
+func (h *harness) serveQueries(n int, latency Micros, shards ...int) {
+	h.t.Helper()
 	for range n {
 		for _, shard := range shards {
-			_, evs := g.ask("all", shard)
-			sends := of[Send](g.step(evs...))
+			_, events := h.newQuery("all", shard)
+			sends := actionsOf[Send](h.step(events...))
 			if len(sends) != 1 {
-				g.t.Fatalf("warming: %d sends for one part", len(sends))
+				h.t.Fatalf("serving queries: %d sends for one part", len(sends))
 			}
-			g.now += d
-			g.end(sends[0], 0, Served)
+			h.now += latency
+			h.finish(sends[0], 0, Served)
 		}
 	}
 }
 
-// crowd makes a class look crowded, with such a share of misses.
-func (g *rig) crowd(class string, missed float64) {
-	c := g.r.classes[class]
-	c.median, g.r.missedShare = float64(c.LatencyTarget), missed
+// setCrowded makes the router take a class for crowded, with the given share of missed latency targets.
+func (h *harness) setCrowded(class string, missed float64) {
+	c := h.router.classes[class]
+	c.median, h.router.missedShare = float64(c.LatencyTarget), missed
 }
 
-// of picks the actions of one type.
-func of[A Action](acts []Action) []A {
+// actionsOf returns the actions of one type.
+func actionsOf[A Action](actions []Action) []A {
 	var out []A
-	for _, a := range acts {
+	for _, a := range actions {
 		if a, ok := a.(A); ok {
 			out = append(out, a)
 		}
@@ -135,7 +138,7 @@
 	return out
 }
 
-// finals counts final answers of any sort.
-func finals(acts []Action) int {
-	return len(of[Answer](acts)) + len(of[Refuse](acts)) + len(of[Fail](acts))
+// countFinal counts the actions that end a query.
+func countFinal(actions []Action) int {
+	return len(actionsOf[Answer](actions)) + len(actionsOf[Refuse](actions)) + len(actionsOf[Fail](actions))
 }
--- a/choice/state.go
+++ b/choice/state.go
@@ -49,7 +49,7 @@
 	median, upperQuantile float64 // estimated quantiles of latency, in microseconds
 	meanPrediction        float64 // mean of Part.Predicted, smoothed
 	latencySamples        float64 // number of latencies
-	firstTryTimeout       Micros  // least recent timeout of clients for their first try
+	firstTryTimeout       Micros  // lowest timeout that clients recently had for a first try
 	canaryUntil           Micros  // until then its queries send one part first: one of them crashed servers
 }
 
--- a/choice/suspects.go
+++ b/choice/suspects.go
@@ -23,13 +23,14 @@
 	trialPauseShare   = 0.5 // pause between trials at level one, as a share of the class's latency target
 )
 
-// Groups: servers of one zone or kind. They serve a router that seldom sends to any single server.
+// Groups: the servers of one zone or kind. They help a router that seldom sends to any single server.
 const (
 	groupSmoothing  = 0.1 // weight of one part: about ten decide, which even a quiet router sees in seconds
 	groupFaultShare = 0.3 // a group is faulty if a greater share of its parts fails or is late
 	groupOddsRatio  = 3.0 // and its odds are this many times the best group's: else its path is not the cause
 )
 
+// isSuspect reports whether a server is not trusted with parts of a class.
 func (r *Router) isSuspect(s *server, c *class) bool {
 	return s.suspicion(c) > 0 || s.latencyRatio > suspectRatio
 }
