--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -11,90 +11,95 @@
 	"saddleport/internal/settings"
 )
 
-// fieldError says what is wrong with one field of a message.
+// fieldError returns an error for one field of a message.
 func fieldError(message, field, problem string) error {
 	return fmt.Errorf("%s: field %s: %s", message, field, problem)
 }
 
-// message is one line, cut at its spaces, with the first complaint about it.
+// message is one line, split at its spaces. Its methods decode the next field. err is the first error found; once
+// it is set, they return zero values.
 type message struct {
-	name   string
-	fields []string
-	names  []string
-	next   int
-	err    error
+	name       string
+	fields     []string
+	fieldNames []string
+	next       int
+	err        error
 }
 
-func newMessage(line string, fields ...string) *message {
-	cut := strings.Split(line, " ")
-	m := &message{name: cut[0], fields: cut[1:], names: fields}
-	if n := len(m.fields); n < len(fields) {
-		m.err = fieldError(m.name, fields[n], "missing")
-	} else if n > len(fields) {
-		m.err = fmt.Errorf("%s: %d fields too many", m.name, n-len(fields))
+// newMessage splits a line. err is set unless the line has exactly the given fields.
+func newMessage(line string, fieldNames ...string) *message {
+	tokens := strings.Split(line, " ")
+	m := &message{name: tokens[0], fields: tokens[1:], fieldNames: fieldNames}
+	if got := len(m.fields); got < len(fieldNames) {
+		m.err = fieldError(m.name, fieldNames[got], "missing")
+	} else if got > len(fieldNames) {
+		m.err = fmt.Errorf("%s: %d fields too many", m.name, got-len(fieldNames))
 	}
 	return m
 }
 
+// fail records a problem with the field decoded last, unless there was an error before.
 func (m *message) fail(problem string) {
 	if m.err == nil {
-		m.err = fieldError(m.name, m.names[m.next-1], problem)
+		m.err = fieldError(m.name, m.fieldNames[m.next-1], problem)
 	}
 }
 
-// text takes the next field; "-" is an absent value.
-func (m *message) text() string {
+// optionalText decodes the next field. It returns "" for "-", which stands for an absent value.
+func (m *message) optionalText() string {
 	m.next++
 	if m.err != nil {
 		return ""
 	}
-	if s := m.fields[m.next-1]; s != "-" {
-		return s
+	if value := m.fields[m.next-1]; value != "-" {
+		return value
 	}
 	return ""
 }
 
-// word takes the next field, which must be there.
-func (m *message) word() string {
-	s := m.text()
-	if s == "" {
+// requiredText decodes the next field, which must not be absent.
+func (m *message) requiredText() string {
+	value := m.optionalText()
+	if value == "" {
 		m.fail("absent")
 	}
-	return s
+	return value
 }
 
-// integer takes a whole number within bounds.
-func (m *message) integer(least, most int64) int64 {
-	s := m.word()
+// integer decodes an integer from minimum to maximum.
+func (m *message) integer(minimum, maximum int64) int64 {
+	text := m.requiredText()
 	if m.err != nil {
 		return 0
 	}
-	n, err := strconv.ParseInt(s, 10, 64)
+	n, err := strconv.ParseInt(text, 10, 64)
 	if err != nil {
-		m.fail(fmt.Sprintf("%q is not a whole number", s))
-	} else if n < least || n > most {
-		m.fail(fmt.Sprintf("%d is not within %d to %d", n, least, most))
+		m.fail(fmt.Sprintf("%q is not an integer", text))
+	} else if n < minimum || n > maximum {
+		m.fail(fmt.Sprintf("%d is not within %d to %d", n, minimum, maximum))
 	}
 	return n
 }
 
-func (m *message) span() choice.Micros { return m.integer(0, math.MaxInt64) }
+// duration decodes a time or duration in microseconds, or another number that is not negative.
+func (m *message) duration() choice.Micros { return m.integer(0, math.MaxInt64) }
 
-// optionalSpan takes a time that may be absent.
-func (m *message) optionalSpan() choice.Micros {
+// optionalDuration decodes a time or duration that may be absent; it is 0 then.
+func (m *message) optionalDuration() choice.Micros {
 	if m.err == nil && m.fields[m.next] == "-" {
 		m.next++
 		return 0
 	}
-	return m.span()
+	return m.duration()
 }
 
+// number decodes a finite decimal number.
 func (m *message) number() float64 {
-	s := m.word()
+	text := m.requiredText()
 	if m.err != nil {
 		return 0
 	}
-	f, err := settings.ParseNumber(s)
+	f, err := settings.ParseNumber(text)
 	if err != nil {
 		m.fail(err.Error())
 	}
@@ -115,105 +120,108 @@
 }
 
 func (m *message) verdict() choice.Verdict {
-	s := m.word()
-	v, ok := verdicts[s]
+	name := m.requiredText()
+	v, ok := verdicts[name]
 	if !ok {
-		m.fail(fmt.Sprintf("unknown verdict %q", s))
+		m.fail(fmt.Sprintf("unknown verdict %q", name))
 	}
 	return v
 }
 
-func (m *message) load() []choice.Reading {
-	s := m.text()
-	if s == "" {
+// loadReport decodes a list of name:number pairs, separated by commas, that may be absent.
+func (m *message) loadReport() []choice.Reading {
+	report := m.optionalText()
+	if report == "" {
 		return nil
 	}
-	var load []choice.Reading
-	for pair := range strings.SplitSeq(s, ",") {
+	var readings []choice.Reading
+	for pair := range strings.SplitSeq(report, ",") {
 		name, value, ok := strings.Cut(pair, ":")
 		f, err := settings.ParseNumber(value)
 		if !ok || name == "" || err != nil {
 			m.fail(fmt.Sprintf("%q is not name:number", pair))
 			return nil
 		}
-		load = append(load, choice.Reading{Name: name, Value: f})
+		readings = append(readings, choice.Reading{Name: name, Value: f})
 	}
-	return load
+	return readings
 }
 
+// decodeRow decodes one row of a server list.
 func decodeRow(line string) (choice.Server, error) {
 	m := newMessage(line, "node", "hall", "sku", "slot-no", "state", "scale", "up-since")
-	s := choice.Server{
-		ID:      m.word(),
-		Zone:    m.text(),
-		Kind:    m.text(),
+	server := choice.Server{
+		ID:      m.requiredText(),
+		Zone:    m.optionalText(),
+		Kind:    m.optionalText(),
 		Cell:    int(m.integer(0, math.MaxInt32)),
 		State:   choice.State(m.integer(0, 2)),
 		Scale:   m.number(),
-		UpSince: m.optionalSpan(),
+		UpSince: m.optionalDuration(),
 	}
-	return s, m.err
+	return server, m.err
 }
 
-// Bit values of a request's bitmap.
+// Flags in the bitmap of a request.
 const (
-	bitHint   = 1
-	bitRepeat = 2
-	bitWrite  = 4
+	flagHint   = 1
+	flagRepeat = 2
+	flagWrite  = 4
 )
 
+// decodeRequest decodes a NEW_REQUEST: a query if its shard is negative, else a part.
 func decodeRequest(line string) (choice.Event, error) {
 	m := newMessage(line, "op-id", "profile", "job-no", "path-key", "grace", "user-group",
 		"bitmap", "slab", "amount", "predicted")
-	id, class, job, key := m.word(), m.word(), m.span(), m.text()
-	grace, tenant, bits := m.integer(math.MinInt64, math.MaxInt64), m.text(), m.span()
+	id, class, number, key := m.requiredText(), m.requiredText(), m.duration(), m.optionalText()
+	grace, tenant, flags := m.integer(math.MinInt64, math.MaxInt64), m.optionalText(), m.duration()
 	shard, amount := m.integer(math.MinInt32, math.MaxInt32), m.number()
-	hinted := bits&bitHint != 0
-	predicted := m.optionalSpan()
+	hinted := flags&flagHint != 0
+	predicted := m.optionalDuration()
 	if shard >= 0 {
-		return choice.Part{ID: id, Class: class, Number: job, Key: key, Shard: int(shard), Weight: amount,
+		return choice.Part{ID: id, Class: class, Number: number, Key: key, Shard: int(shard), Weight: amount,
 			Hinted: hinted, Predicted: predicted}, m.err
 	}
 	if amount < 0 || amount != math.Trunc(amount) || amount > math.MaxInt32 {
 		m.next--
 		m.fail("not a count of parts")
 	}
-	return choice.Query{ID: id, Class: class, Number: job, Key: key, Grace: grace, Tenant: tenant,
-		Hinted: hinted, Repeat: bits&bitRepeat != 0, Write: bits&bitWrite != 0, Parts: int(amount),
+	return choice.Query{ID: id, Class: class, Number: number, Key: key, Grace: grace, Tenant: tenant,
+		Hinted: hinted, Repeat: flags&flagRepeat != 0, Write: flags&flagWrite != 0, Parts: int(amount),
 		Predicted: predicted}, m.err
 }
 
-// decodeEvent reads the messages that become one event by themselves. It
-// reports false for a name it does not know.
-func decodeEvent(name, line string) (ev choice.Event, known bool, err error) {
+// decodeEvent decodes the messages that are an event by themselves. known is false if the name is not that of such
+// a message.
+func decodeEvent(name, line string) (event choice.Event, known bool, err error) {
 	switch name {
 	case "NEW_REQUEST":
-		ev, err = decodeRequest(line)
-		return ev, true, err
+		event, err = decodeRequest(line)
+		return event, true, err
 	case "REPLY":
 		m := newMessage(line, "op-id", "node", "delay-seen", "complete", "attempt", "verdict", "gauge")
-		ev = choice.Outcome{ID: m.word(), Server: m.word(), Delay: m.span(), Closed: m.bool(),
-			Attempt: int(m.integer(0, math.MaxInt32)), Verdict: m.verdict(), Load: m.load()}
-		return ev, true, m.err
+		event = choice.Outcome{ID: m.requiredText(), Server: m.requiredText(), Delay: m.duration(), Closed: m.bool(),
+			Attempt: int(m.integer(0, math.MaxInt32)), Verdict: m.verdict(), Load: m.loadReport()}
+		return event, true, m.err
 	case "CHECK_RESULT":
 		m := newMessage(line, "delay-seen", "verdict", "node", "gauge")
-		ev = choice.ProbeResult{Delay: m.span(), Verdict: m.verdict(), Server: m.word(), Load: m.load()}
-		return ev, true, m.err
+		event = choice.ProbeResult{Delay: m.duration(), Verdict: m.verdict(), Server: m.requiredText(), Load: m.loadReport()}
+		return event, true, m.err
 	case "CLIENT_LEFT":
 		m := newMessage(line, "op-id")
-		return choice.ClientLeft{ID: m.word()}, true, m.err
+		return choice.ClientLeft{ID: m.requiredText()}, true, m.err
 	case "ELAPSED":
 		m := newMessage(line, "cookie")
-		return choice.Elapsed{Token: m.span()}, true, m.err
+		return choice.Elapsed{Token: m.duration()}, true, m.err
 	case "HEAD_RECEIVED":
 		m := newMessage(line, "op-id", "delay-seen", "attempt", "node")
-		ev = choice.Started{ID: m.word(), Delay: m.span(), Attempt: int(m.integer(0, math.MaxInt32)),
-			Server: m.word()}
-		return ev, true, m.err
+		event = choice.Started{ID: m.requiredText(), Delay: m.duration(), Attempt: int(m.integer(0, math.MaxInt32)),
+			Server: m.requiredText()}
+		return event, true, m.err
 	case "MAIL":
 		m := newMessage(line, "from", "bytes")
-		from := m.span()
-		raw, err := hex.DecodeString(m.text())
+		from := m.duration()
+		raw, err := hex.DecodeString(m.optionalText())
 		if err != nil {
 			m.fail("not hex digits")
 		}
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -8,8 +8,8 @@
 	"saddleport/choice"
 )
 
-func bit(on bool) string {
-	if on {
+func boolField(value bool) string {
+	if value {
 		return "1"
 	}
 	return "0"
@@ -29,7 +29,7 @@
 	return strconv.FormatInt(peer, 10)
 }
 
-// encode writes one action as its line, without the line end.
+// encode returns the line for one action, without the line break. It panics for an unknown type.
 func encode(a choice.Action) string {
 	switch a := a.(type) {
 	case choice.Send:
@@ -37,7 +37,7 @@
 	case choice.Cancel:
 		return fmt.Sprintf("ABANDON %s %d", a.ID, a.Attempt)
 	case choice.Answer:
-		return "ANSWER " + a.ID + " " + bit(a.Whole)
+		return "ANSWER " + a.ID + " " + boolField(a.Whole)
 	case choice.Refuse:
 		return fmt.Sprintf("BOUNCE %s %d", a.ID, a.RetryAfter)
 	case choice.Fail:
@@ -53,9 +53,9 @@
 	case choice.Log:
 		return "JOURNAL_LINE " + a.Text
 	case choice.Watch:
-		return "OBSERVE " + bit(a.On)
+		return "OBSERVE " + boolField(a.On)
 	case choice.Fetch:
 		return "PULL"
 	}
-	panic(fmt.Sprintf("wire: action %T has no line", a))
+	panic(fmt.Sprintf("wire: no encoding for action %T", a))
 }
--- a/internal/wire/host.go
+++ b/internal/wire/host.go
@@ -1,6 +1,5 @@
-// Package wire speaks the simulator's text wire for any number of decision
-// modules. It decides nothing: it decodes events, hands each instance its own
-// in order, and encodes the actions that come back.
+// Package wire implements the simulator's text protocol for any number of routers. It makes no decisions: it
+// decodes events, passes them in order to the instance that they are for, and encodes the resulting actions.
 package wire
 
 import (
@@ -14,38 +13,39 @@
 	"saddleport/choice"
 )
 
-// maxLine bounds one line; batches may be larger.
+// maxLine is the largest length of a line in bytes; batches may be larger.
 const maxLine = 16 << 20
 
-// instance is one router; killed ones stay as a mark, with a nil router.
+// instance is one router. A detached instance stays known, with a nil router.
 type instance struct {
 	name   string
 	router *choice.Router
 	events []choice.Event
-	queued bool
+	queued bool // in host.active
 }
 
+// host serves the instances of one simulator.
 type host struct {
-	in        *bufio.Scanner
-	line      int
-	instances map[string]*instance
-	lists     [16][]choice.Server
-	current   *instance
-	touched   []*instance // in order of their first event in the batch
+	input      *bufio.Scanner
+	lineNumber int
+	instances  map[string]*instance
+	lists      [16][]choice.Server
+	current    *instance
+	active     []*instance // instances with events in the batch, in order of the first one
 }
 
-// Run serves batches from in until it ends, writing one reply each to out.
+// Run reads batches from in until it ends and writes one reply to each to out. Errors of the input name its line.
 func Run(in io.Reader, out io.Writer) error {
-	h := &host{in: bufio.NewScanner(in), instances: make(map[string]*instance)}
-	h.in.Buffer(make([]byte, 1<<16), maxLine)
+	h := &host{input: bufio.NewScanner(in), instances: make(map[string]*instance)}
+	h.input.Buffer(make([]byte, 1<<16), maxLine)
 	w := bufio.NewWriterSize(out, 1<<16)
 	for {
-		line, ok := h.next()
+		line, ok := h.nextLine()
 		if !ok {
 			return h.scanError()
 		}
-		if err := h.batch(line, w); err != nil {
-			return fmt.Errorf("line %d: %w", h.line, err)
+		if err := h.serveBatch(line, w); err != nil {
+			return fmt.Errorf("line %d: %w", h.lineNumber, err)
 		}
 		if err := w.Flush(); err != nil {
 			return fmt.Errorf("writing a reply: %w", err)
@@ -53,57 +53,58 @@
 	}
 }
 
-func (h *host) next() (string, bool) {
-	if !h.in.Scan() {
+func (h *host) nextLine() (string, bool) {
+	if !h.input.Scan() {
 		return "", false
 	}
-	h.line++
-	return h.in.Text(), true
+	h.lineNumber++
+	return h.input.Text(), true
 }
 
 func (h *host) scanError() error {
-	if err := h.in.Err(); err != nil {
-		return fmt.Errorf("line %d: %w", h.line+1, err)
+	if err := h.input.Err(); err != nil {
+		return fmt.Errorf("line %d: %w", h.lineNumber+1, err)
 	}
 	return nil
 }
 
-// batch reads from a SYNC line to its GO and writes the reply.
-func (h *host) batch(first string, w *bufio.Writer) error {
+// serveBatch reads the batch that begins with the given SYNC line up to its GO, and writes the reply.
+func (h *host) serveBatch(first string, w *bufio.Writer) error {
 	if name, _, _ := strings.Cut(first, " "); name != "SYNC" {
-		return fmt.Errorf("%s: a batch must open with SYNC", name)
+		return fmt.Errorf("%s: a batch must start with SYNC", name)
 	}
 	m := newMessage(first, "clock")
 	now := m.integer(0, math.MaxInt64)
 	if m.err != nil {
 		return m.err
 	}
-	h.current, h.touched = nil, h.touched[:0]
+	h.current, h.active = nil, h.active[:0]
 	for {
-		line, ok := h.next()
+		line, ok := h.nextLine()
 		if !ok {
-			if err := h.in.Err(); err != nil {
+			if err := h.input.Err(); err != nil {
 				return err
 			}
 			return errors.New("SYNC: input ended before GO")
 		}
 		if line == "GO" {
-			h.reply(now, w)
+			h.writeReply(now, w)
 			return nil
 		}
-		if err := h.message(line); err != nil {
+		if err := h.handleMessage(line); err != nil {
 			return err
 		}
 	}
 }
 
-func (h *host) message(line string) error {
+// handleMessage handles one message between SYNC and GO.
+func (h *host) handleMessage(line string) error {
 	name, _, _ := strings.Cut(line, " ")
 	switch name {
 	case "INSTANCE":
 		return h.selectInstance(line)
 	case "REGISTER":
-		return h.register(line)
+		return h.readList(line)
 	}
 	inst := h.current
 	if inst == nil {
@@ -121,7 +122,7 @@
 		}
 		inst.events = nil
 		h.instances[inst.name] = inst
-		h.touch(inst)
+		h.markActive(inst)
 		return nil
 	case "DETACH":
 		if m := newMessage(line); m.err != nil {
@@ -133,7 +134,7 @@
 		inst.router, inst.events = nil, nil
 		return nil
 	}
-	ev, err := h.event(name, line)
+	event, err := h.decodeEvent(name, line)
 	if err != nil {
 		return err
 	}
@@ -141,26 +142,28 @@
 		return fmt.Errorf("%s: instance %s was never started", name, inst.name)
 	}
 	if inst.router != nil {
-		inst.events = append(inst.events, ev)
-		h.touch(inst)
+		inst.events = append(inst.events, event)
+		h.markActive(inst)
 	}
 	return nil
 }
 
-func (h *host) event(name, line string) (choice.Event, error) {
+// decodeEvent decodes a message that is an event for an instance.
+func (h *host) decodeEvent(name, line string) (choice.Event, error) {
 	if name == "ANNOUNCE" {
-		return h.announce(line)
+		return h.decodeAnnounce(line)
 	}
-	ev, known, err := decodeEvent(name, line)
+	event, known, err := decodeEvent(name, line)
 	if err == nil && !known {
 		err = fmt.Errorf("%q: unknown message", name)
 	}
-	return ev, err
+	return event, err
 }
 
+// selectInstance sets the instance that the next messages are for. A new one is known once it is started.
 func (h *host) selectInstance(line string) error {
 	m := newMessage(line, "i")
-	name := m.word()
+	name := m.requiredText()
 	if m.err != nil {
 		return m.err
 	}
@@ -170,29 +173,29 @@
 	return nil
 }
 
-func (h *host) touch(inst *instance) {
+func (h *host) markActive(inst *instance) {
 	if !inst.queued {
 		inst.queued = true
-		h.touched = append(h.touched, inst)
+		h.active = append(h.active, inst)
 	}
 }
 
-// register reads a list and its rows. The number may be reused, so each
-// ANNOUNCE takes the rows as they stand when it comes.
-func (h *host) register(line string) error {
+// readList reads a REGISTER and its rows. The number of a list may be reused, so each ANNOUNCE uses the rows that
+// the list has at that point.
+func (h *host) readList(line string) error {
 	m := newMessage(line, "list", "entries")
-	list, n := m.integer(0, int64(len(h.lists)-1)), m.integer(0, math.MaxInt32)
+	list, count := m.integer(0, int64(len(h.lists)-1)), m.integer(0, math.MaxInt32)
 	if m.err != nil {
 		return m.err
 	}
-	rows := make([]choice.Server, 0, min(n, 1024))
-	for range n {
-		row, ok := h.next()
+	rows := make([]choice.Server, 0, min(count, 1024))
+	for range count {
+		row, ok := h.nextLine()
 		if !ok {
 			return errors.New("REGISTER: field entries: input ended before the last ROW")
 		}
 		if !strings.HasPrefix(row, "ROW ") {
-			return fmt.Errorf("REGISTER: field entries: %d rows of %d came", len(rows), n)
+			return fmt.Errorf("REGISTER: field entries: got %d of %d rows", len(rows), count)
 		}
 		server, err := decodeRow(row)
 		if err != nil {
@@ -204,13 +207,13 @@
 	return nil
 }
 
-func (h *host) announce(line string) (choice.Event, error) {
+func (h *host) decodeAnnounce(line string) (choice.Event, error) {
 	m := newMessage(line, "form", "stamp", "list")
 	form := choice.Form(m.integer(0, int64(choice.Failed)))
 	if m.err == nil && form == choice.Failed {
 		return choice.List{Form: form}, nil
 	}
-	version, list := m.span(), m.integer(0, int64(len(h.lists)-1))
+	version, list := m.duration(), m.integer(0, int64(len(h.lists)-1))
 	if m.err != nil {
 		return nil, m.err
 	}
@@ -220,8 +223,9 @@
 	return choice.List{Form: form, Version: version, Servers: h.lists[list]}, nil
 }
 
-func (h *host) reply(now choice.Micros, w *bufio.Writer) {
-	for _, inst := range h.touched {
+// writeReply lets the active instances handle their events and writes their actions.
+func (h *host) writeReply(now choice.Micros, w *bufio.Writer) {
+	for _, inst := range h.active {
 		inst.queued = false
 		if inst.router == nil {
 			continue
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -1,7 +1,7 @@
 package wire
 
-// The start of an instance. This file owns the message's form and its complaints;
-// what a setting means is left to the settings package.
+// The start of an instance. This file decodes the message and reports its errors; the settings package decodes the
+// settings themselves.
 
 import (
 	"errors"
@@ -13,29 +13,29 @@
 	"saddleport/internal/settings"
 )
 
-// decodeStart reads a NEW_INSTANCE. Settings it does not know are skipped.
-func decodeStart(line string) (seed uint64, s choice.Settings, err error) {
+// decodeStart decodes a NEW_INSTANCE. Unknown settings are ignored.
+func decodeStart(line string) (seed uint64, routerSettings choice.Settings, err error) {
 	fields := strings.Split(line, " ")
 	if len(fields) < 2 {
-		return 0, s, fieldError("NEW_INSTANCE", "init-seed", "missing")
+		return 0, routerSettings, fieldError("NEW_INSTANCE", "init-seed", "missing")
 	}
 	seed, err = strconv.ParseUint(fields[1], 10, 64)
 	if err != nil {
-		return 0, s, fieldError("NEW_INSTANCE", "init-seed", fmt.Sprintf("%q is not a whole number", fields[1]))
+		return 0, routerSettings, fieldError("NEW_INSTANCE", "init-seed", fmt.Sprintf("%q is not an integer", fields[1]))
 	}
 	values, err := settings.Pairs(fields[2:])
 	if err != nil {
-		return 0, s, startError(err)
+		return 0, routerSettings, startError(err)
 	}
-	told, err := settings.Decode(values)
-	return seed, told.Router, startError(err)
+	decoded, err := settings.Decode(values)
+	return seed, decoded.Router, startError(err)
 }
 
-// startError names the message that a complaint about a setting came in.
+// startError adds the name of the message to an error about a setting.
 func startError(err error) error {
-	var field *settings.FieldError
-	if errors.As(err, &field) {
-		return fieldError("NEW_INSTANCE", field.Path, field.Problem)
+	var fieldErr *settings.FieldError
+	if errors.As(err, &fieldErr) {
+		return fieldError("NEW_INSTANCE", fieldErr.Path, fieldErr.Problem)
 	}
 	return err
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestKilledInstanceLosesItsStateAndMayRestartInTheSameBatch(t *testing.T) {
+func TestDetachedInstanceLosesItsStateAndMayRestartInTheSameBatch(t *testing.T) {
 	in := "SYNC 100\nINSTANCE r\n" + start + "\n" + list + "GO\n" +
 		"SYNC 200\nINSTANCE r\nNEW_REQUEST q c 1 - 2000000 - 0 -1 1 -\nNEW_REQUEST p c 1 - 2000000 - 0 0 1 -\n" +
 		"DETACH\n" + start + "\n" + list + "REPLY p a 100 1 0 served -\nGO\n"
@@ -56,7 +56,7 @@
 	}
 	out, err = run(t, "SYNC 1\nINSTANCE r\n"+start+"\nDETACH\nCLIENT_LEFT q\nELAPSED 3\nGO\n")
 	if err != nil || out != "NEXT\n" {
-		t.Fatalf("events after the kill: %q, %v", out, err)
+		t.Fatalf("events after the detach: %q, %v", out, err)
 	}
 }
 
@@ -69,17 +69,17 @@
 	}
 }
 
-func TestMalformedInputIsNamedAndEndsTheRun(t *testing.T) {
+func TestMalformedInputIsReportedAndEndsTheRun(t *testing.T) {
 	open := "SYNC 1\nINSTANCE r\n" + start + "\n"
 	for _, c := range []struct{ name, in, want string }{
-		{"GO without SYNC", "GO\n", "line 1: GO: a batch must open with SYNC"},
+		{"GO without SYNC", "GO\n", "line 1: GO: a batch must start with SYNC"},
 		{"clock", "SYNC x\n", "line 1: SYNC: field clock"},
 		{"clock missing", "SYNC\n", "line 1: SYNC: field clock: missing"},
 		{"no GO", "SYNC 1\n", "input ended before GO"},
 		{"unknown message", open + "HELLO 1\nGO\n", `line 4: "HELLO": unknown message`},
 		{"no instance", "SYNC 1\nELAPSED 3\nGO\n", "line 2: ELAPSED: no INSTANCE selected"},
 		{"never started", "SYNC 1\nINSTANCE q\nELAPSED 3\nGO\n", "line 3: ELAPSED: instance q was never started"},
-		{"stop of none", "SYNC 1\nINSTANCE q\nDETACH\nGO\n", "line 3: DETACH: instance q was never started"},
+		{"detach of none", "SYNC 1\nINSTANCE q\nDETACH\nGO\n", "line 3: DETACH: instance q was never started"},
 		{"cookie", open + "ELAPSED -3\nGO\n", "line 4: ELAPSED: field cookie"},
 		{"verdict", open + "REPLY p a 1 1 0 fine -\nGO\n", `line 4: REPLY: field verdict: unknown verdict "fine"`},
 		{"bool", open + "REPLY p a 1 2 0 served -\nGO\n", "line 4: REPLY: field complete"},
@@ -93,7 +93,7 @@
 		{"list number", open + "REGISTER 16 0\nGO\n", "line 4: REGISTER: field list"},
 		{"list unknown", open + "ANNOUNCE 1 1 5\nGO\n", "line 4: ANNOUNCE: field list: list 5 was never registered"},
 		{"form", open + "ANNOUNCE 9 1 0\nGO\n", "line 4: ANNOUNCE: field form"},
-		{"rows", open + "REGISTER 0 2\nROW a z k 0 1 1 -\nGO\n", "line 6: REGISTER: field entries: 1 rows of 2 came"},
+		{"rows", open + "REGISTER 0 2\nROW a z k 0 1 1 -\nGO\n", "line 6: REGISTER: field entries: got 1 of 2 rows"},
 		{"state", open + "REGISTER 0 1\nROW a z k 0 3 1 -\nGO\n", "line 5: ROW: field state"},
 		{"seed", "SYNC 1\nINSTANCE r\nNEW_INSTANCE x\nGO\n", "line 3: NEW_INSTANCE: field init-seed"},
 		{"pair", "SYNC 1\nINSTANCE r\nNEW_INSTANCE 1 x\nGO\n", "line 3: NEW_INSTANCE: field profile-data"},
@@ -176,11 +176,11 @@
 		var out strings.Builder
 		err := Run(strings.NewReader(in), &out)
 		if err != nil && (err.Error() == "" || strings.Contains(err.Error(), "\n")) {
-			t.Fatalf("error %q is not one plain line", err)
+			t.Fatalf("error %q is not one line", err)
 		}
 		for line := range strings.SplitSeq(strings.TrimSuffix(out.String(), "\n"), "\n") {
 			if strings.HasPrefix(line, "SYNC") {
-				t.Fatalf("output %q is no reply", line)
+				t.Fatalf("output %q is not a reply", line)
 			}
 		}
 	})
