--- a/choice/batching_test.go
+++ b/choice/batching_test.go
@@ -108,7 +108,7 @@
 }
 
 // A call with two parts of an unsafe class loses its connection in the middle. The part that may have run must not
-// be sent again, and the client must not be told that a retry is harmless.
+// be sent again, and a retry by the client must not be called harmless.
 func TestTwoUnsafePartsOfOneCallAreNotSentAgain(t *testing.T) {
 	h := newRingHarness(t, 10, nil)
 	_, events := h.newQuery("unsafe", 4, 5)
--- a/choice/regressions_test.go
+++ b/choice/regressions_test.go
@@ -304,7 +304,7 @@
 // While a class is crowded, queries are rejected at random. The probability to admit a query over its tenant's
 // quota is squared.
 func TestTenantOverItsQuotaYieldsWhileCrowded(t *testing.T) {
-	refused := func(tenant string) (n int) {
+	rejected := func(tenant string) (n int) {
 		h := newListedHarness(t, 1, func(s *Settings) { s.Tenants = []Tenant{{Name: "greedy", QuotaPerS: 0.75}} })
 		for range 400 {
 			h.setCrowded("all", 0.5)
@@ -320,7 +320,7 @@
 		}
 		return n
 	}
-	if within, over := refused(""), refused("greedy"); within < 150 || within > 250 || over < 270 || over > 330 {
+	if within, over := rejected(""), rejected("greedy"); within < 150 || within > 250 || over < 270 || over > 330 {
 		t.Fatalf("of 400 each, %d within and %d over the quota rejected", within, over)
 	}
 }
@@ -330,14 +330,14 @@
 	server := h.router.servers["c0-0"]
 	for range 20 {
 		_, lost := h.newQuery("all", 0)
-		gone := actionsOf[Send](h.step(lost...))
+		sends := actionsOf[Send](h.step(lost...))
 		h.now += 50 * ms
 		h.serveQueries(1, 10*ms, 0)
-		if len(gone) != 1 {
-			t.Fatalf("%d sends to a server that serves", len(gone))
+		if len(sends) != 1 {
+			t.Fatalf("%d sends to a server that serves", len(sends))
 		}
 		h.now += 900 * ms
-		h.finish(gone[0], 0, NoAnswer)
+		h.finish(sends[0], 0, NoAnswer)
 		if server.slowStartFrom != 0 || server.faultLevel > 0 {
 			t.Fatalf("taken for dead: slow start %d, fault level %d", server.slowStartFrom, server.faultLevel)
 		}
@@ -470,7 +470,7 @@
 }
 
 func TestCrowdedTierRejectsAtRandomThoughWindowsHaveCapacity(t *testing.T) {
-	refused := func(delay Micros) (n int) {
+	rejected := func(delay Micros) (n int) {
 		h := newListedHarness(t, 3, nil)
 		for range 100 {
 			_, events := h.newQuery("some", 0, 1, 2, 3)
@@ -484,10 +484,10 @@
 		}
 		return n
 	}
-	if n := refused(50 * ms); n != 0 {
+	if n := rejected(50 * ms); n != 0 {
 		t.Errorf("%d of 100 rejected while all are in time", n)
 	}
-	if n := refused(1200 * ms); n < 30 || n == 100 {
+	if n := rejected(1200 * ms); n < 30 || n == 100 {
 		t.Errorf("%d of 100 rejected while all miss their latency target, want many but not all", n)
 	}
 }
@@ -888,7 +888,7 @@
 // not always.
 func TestLargeQueriesAreRejectedFirstWhileCrowded(t *testing.T) {
 	h := newListedHarness(t, 3, nil)
-	refused := map[int]int{}
+	rejected := map[int]int{}
 	for i := range 400 {
 		shards := []int{0}
 		if i%2 == 0 {
@@ -897,13 +897,13 @@
 		h.setCrowded("all", 0.4)
 		_, events := h.newQuery("all", shards...)
 		actions := h.step(events...)
-		refused[len(shards)] += len(actionsOf[Refuse](actions))
+		rejected[len(shards)] += len(actionsOf[Refuse](actions))
 		for _, s := range actionsOf[Send](actions) {
 			h.finish(s, 0, Served)
 		}
 	}
-	if refused[1] > 50 || refused[7] < 100 || refused[7] > 180 {
-		t.Fatalf("of 200 each, %d of one part and %d of seven parts rejected", refused[1], refused[7])
+	if rejected[1] > 50 || rejected[7] < 100 || rejected[7] > 180 {
+		t.Fatalf("of 200 each, %d of one part and %d of seven parts rejected", rejected[1], rejected[7])
 	}
 }
 
--- a/choice/rules_test.go
+++ b/choice/rules_test.go
@@ -46,7 +46,7 @@
 			t.Errorf("verdict %d: sent again %v, want %v", verdict, got, again)
 		}
 		if n := len(actionsOf[Refuse](actions)); !again && n != 0 {
-			t.Errorf("verdict %d: refused though it may have run", verdict)
+			t.Errorf("verdict %d: Refuse though it may have run", verdict)
 		}
 	}
 }
@@ -121,8 +121,8 @@
 func TestStartingServerIsNotOverloaded(t *testing.T) {
 	h := newListedHarness(t, 1, func(s *Settings) { s.Cells, s.Width, s.Shards = 2, 2, 2 })
 	h.serveQueries(300, 10*ms, 0)
-	fresh := Server{ID: "cold", Cell: 0, State: Ready, Scale: 1, UpSince: h.now}
-	h.step(List{Form: Delta, Servers: []Server{fresh}})
+	starting := Server{ID: "starting", Cell: 0, State: Ready, Scale: 1, UpSince: h.now}
+	h.step(List{Form: Delta, Servers: []Server{starting}})
 	got := map[string]int{}
 	for end := h.now + h.router.settings.OverloadWindow; h.now < end; {
 		_, events := h.newQuery("all", 0)
@@ -135,8 +135,8 @@
 	before := 100 / 2 * float64(h.router.settings.OverloadWindow) / float64(sec) // load of each server before the start
 	share := h.router.settings.StartCapacity + (1-h.router.settings.StartCapacity)*float64(h.router.settings.OverloadWindow)/2/float64(h.router.settings.SlowStart)
 	limit := h.router.settings.OverloadMultiple * share * before
-	if got["cold"] == 0 || float64(got["cold"]) > limit {
-		t.Fatalf("starting server got %d parts in its first %d us, want 1 to %.0f", got["cold"], h.router.settings.OverloadWindow, limit)
+	if got["starting"] == 0 || float64(got["starting"]) > limit {
+		t.Fatalf("starting server got %d parts in its first %d us, want 1 to %.0f", got["starting"], h.router.settings.OverloadWindow, limit)
 	}
 }
 
@@ -179,10 +179,10 @@
 // Rule 5: an answer marked as complete is complete, and no answer is made from less than MinShare.
 func TestAnswersAreHonest(t *testing.T) {
 	for _, c := range []struct {
-		class  string
-		served int
-		answer bool
-		whole  bool
+		class    string
+		served   int
+		answer   bool
+		complete bool
 	}{
 		{"all", 3, false, false}, {"all", 4, true, true},
 		{"some", 1, false, false}, {"some", 2, true, true},
@@ -198,8 +198,8 @@
 			}
 			actions = append(actions, h.advance(3*sec)...)
 			answers := actionsOf[Answer](actions)
-			if (len(answers) == 1) != c.answer || c.answer && answers[0].Whole != c.whole {
-				t.Fatalf("answers %v, want %v, complete %v", answers, c.answer, c.whole)
+			if (len(answers) == 1) != c.answer || c.answer && answers[0].Whole != c.complete {
+				t.Fatalf("answers %v, want %v, complete %v", answers, c.answer, c.complete)
 			}
 		})
 	}
