--- a/internal/front/gate/gate_test.go
+++ b/internal/downstream/httpserver/httpserver_test.go
@@ -1,4 +1,4 @@
-package gate_test
+package httpserver_test
 
 import (
 	"bufio"
@@ -14,13 +14,13 @@
 	"github.com/stretchr/testify/require"
 
 	"saddleport/choice"
-	"saddleport/internal/back/reach"
 	"saddleport/internal/cluster/routeconfig"
+	"saddleport/internal/downstream"
+	"saddleport/internal/downstream/httpserver"
 	"saddleport/internal/exchange"
-	"saddleport/internal/front"
-	"saddleport/internal/front/gate"
 	"saddleport/internal/lab/standin"
 	"saddleport/internal/settings"
+	"saddleport/internal/upstream/httpclient"
 )
 
 // proxy is a proxy on loopback: the front, the exchange and the back, without an agent.
@@ -28,15 +28,15 @@
 	t       testing.TB
 	addr    string
 	x       *exchange.Exchange
-	back    *reach.Back
-	gate    *gate.Gate
-	front   *front.Front
-	numbers gate.Shards
+	back    *httpclient.Pool
+	gate    *httpserver.Handler
+	front   *downstream.Server
+	numbers httpserver.ShardNumbers
 	servers map[string]*standin.Server // by service: the last that was added
 }
 
 func newProxy(t testing.TB, change func(*choice.Settings)) *proxy {
-	set := settings.Settings{MostHeld: 10_000, Router: choice.Settings{ClassesLater: true, Cells: gate.MostShards, Width: 1,
+	set := settings.Settings{MostHeld: 10_000, Router: choice.Settings{ClassesLater: true, Cells: httpserver.MaxShards, Width: 1,
 		MaxPartsPerCall: 1, Resolution: 1000, Cancel: true, ParallelAttempts: true, MaxRetryAfter: 1_000_000, AttemptCap: 8,
 		Keepalive: 30_000_000, Routers: 1, RetryBudget: true, RetryBudgetPerShard: true, RetryBudgetRatio: 0.2, RetryBudgetMin: 20,
 		RetryBudgetWindow: 10_000_000}}
@@ -45,10 +45,10 @@
 	}
 	x, err := exchange.New(1, set)
 	require.NoError(t, err)
-	p := &proxy{t: t, x: x, gate: &gate.Gate{Exchange: x}, back: reach.New(reach.Config{Exchange: x, MaxConns: 500}),
+	p := &proxy{t: t, x: x, gate: &httpserver.Handler{Exchange: x}, back: httpclient.New(httpclient.Config{Exchange: x, MaxConns: 500}),
 		servers: make(map[string]*standin.Server)}
-	p.front = front.New(front.Config{Exchange: x, Protocol: p.gate, MaxClients: 500,
-		Pace: front.Pace{First: time.Minute, Request: time.Minute, Idle: time.Minute}})
+	p.front = downstream.New(downstream.Config{Exchange: x, Protocol: p.gate, MaxClients: 500,
+		Limits: downstream.Limits{FirstRequest: time.Minute, Request: time.Minute, Idle: time.Minute}})
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	p.addr = ln.Addr().String()
@@ -64,19 +64,19 @@
 func (p *proxy) charter(text string) {
 	c, err := routeconfig.Parse([]byte(text))
 	require.NoError(p.t, err)
-	plan, err := gate.NewPlan(c, &p.numbers)
+	plan, err := httpserver.NewPlan(c, &p.numbers)
 	require.NoError(p.t, err)
-	p.x.Retune(plan.Classes)
-	p.gate.Use(plan)
-	p.front.SetPace(gate.Pace(c.Limits))
+	p.x.UpdateClasses(plan.Classes)
+	p.gate.SetPlan(plan)
+	p.front.SetLimits(httpserver.LimitsFrom(c.Limits))
 }
 
 func (p *proxy) server(service string, s *standin.Server) {
 	p.servers[service] = s
 	n, err := p.numbers.Of(service)
 	require.NoError(p.t, err)
-	p.back.UpdateServers([]reach.Server{{ID: s.ID, Addr: s.Addr}})
-	p.x.Listed(choice.List{Servers: []choice.Server{{ID: s.ID, Zone: "z", Cell: n, State: choice.Ready, Scale: 3}}})
+	p.back.UpdateServers([]httpclient.Server{{ID: s.ID, Addr: s.Addr}})
+	p.x.UpdateServers(choice.List{Servers: []choice.Server{{ID: s.ID, Zone: "z", Cell: n, State: choice.Ready, Scale: 3}}})
 }
 
 const four = `{"revision":1,"services":[{"name":"a"},{"name":"b"},{"name":"c"},{"name":"d"},{"name":"one"}],"routes":[
--- a/internal/front/gate/hardening_test.go
+++ b/internal/downstream/httpserver/lifecycle_test.go
@@ -1,4 +1,4 @@
-package gate_test
+package httpserver_test
 
 import (
 	"fmt"
@@ -36,7 +36,7 @@
 		}
 		s.Window.Store(8 << 10)
 		heard := make(chan choice.Verdict, 99)
-		p.x.Heard = func(h exchange.Heard) { heard <- h.Verdict }
+		p.x.OnAttemptEnd = func(h exchange.AttemptResult) { heard <- h.Verdict }
 		t.Cleanup(s.Close)
 		p.server("one", s)
 		c, _ := p.client()
@@ -73,13 +73,13 @@
 		late, lateR := p.client()
 		fmt.Fprintf(c, "POST /book/1 HTTP/1.1\r\nHost: h\r\nX-Saddleport-Attempt-Id: in-hand\r\nX-Saddleport-Deadline-Ms: 4000\r\nContent-Length: 0\r\n\r\n")
 		<-reached
-		p.front.Refuse()
+		p.front.RejectRequests()
 		ans, _ := ask(t, late, lateR, "POST", "/book/2", "too-late", "x")
 		So(ans.StatusCode, ShouldEqual, 503)
 		So(ans.Header.Get("Retry-After"), ShouldNotBeEmpty)
 		So(ans.Close, ShouldBeTrue)
 		So(s.Seen(), ShouldHaveLength, 1)
-		p.front.CutShort()
+		p.front.ExpireRequests()
 		ans, err := http.ReadResponse(r, nil)
 		So(err, ShouldBeNil)
 		So(ans.StatusCode, ShouldEqual, 504) // it may have run
@@ -97,7 +97,7 @@
 		})
 		defer close(hold)
 		ended := make(chan choice.Verdict, 9)
-		p.x.Heard = func(h exchange.Heard) { ended <- h.Verdict }
+		p.x.OnAttemptEnd = func(h exchange.AttemptResult) { ended <- h.Verdict }
 		fmt.Fprintf(c, "GET /look/1 HTTP/1.1\r\nHost: h\r\nX-Saddleport-Attempt-Id: left\r\nX-Saddleport-Deadline-Ms: 4000\r\n\r\n")
 		<-reached
 		began := time.Now()
--- a/internal/front/gate/cases_test.go
+++ b/internal/downstream/httpserver/requests_test.go
@@ -1,4 +1,4 @@
-package gate_test
+package httpserver_test
 
 import (
 	"bufio"
@@ -373,8 +373,8 @@
 		rests, _ := p.client()
 		fmt.Fprintf(c, "GET /look/1 HTTP/1.1\r\nHost: h\r\nX-Saddleport-Attempt-Id: l1\r\nX-Saddleport-Deadline-Ms: 2000\r\n\r\n")
 		<-reached
-		p.front.Stop()
-		p.front.Close()
+		p.front.MarkNotReady()
+		p.front.CloseAfterResponses()
 		p.front.CloseIdle(0)
 		_, err := rests.Read(make([]byte, 1))
 		So(err, ShouldNotBeNil) // the one that rested is closed
@@ -391,8 +391,8 @@
 func TestLateAnswersTell(t *testing.T) {
 	Convey("Of two servers of a service", t, func() {
 		p := newProxy(t, nil)
-		heard := make(chan exchange.Heard, 1000)
-		p.x.Heard = func(h exchange.Heard) { heard <- h }
+		heard := make(chan exchange.AttemptResult, 1000)
+		p.x.OnAttemptEnd = func(h exchange.AttemptResult) { heard <- h }
 		p.charter(four)
 		hold := make(chan struct{})
 		var slow atomic.Int64 // the request whose first copy is held
@@ -419,7 +419,7 @@
 			late := <-heard
 			So(late.Verdict, ShouldEqual, choice.Served)
 			So(late.Server, ShouldNotEqual, quick.Server)
-			So(late.Took, ShouldBeGreaterThan, quick.Took)
+			So(late.Latency, ShouldBeGreaterThan, quick.Latency)
 		})
 		Convey("the silent one's part ends as called off", func() {
 			defer close(hold)
--- a/internal/lab/virtual/virtual.go
+++ b/internal/lab/virtual/virtual.go
@@ -4,8 +4,8 @@
 // the machine's clock for anything that a result shows, walk a map where the order
 // could be seen, or decide anything for a mixer.
 //
-// What stands in for the mixer's sockets (link.go) follows internal/front and
-// internal/back: where it does less, docs/design/emulator.md says so.
+// What stands in for the mixer's sockets (link.go) follows internal/downstream and
+// internal/upstream: where it does less, docs/design/emulator.md says so.
 package virtual
 
 import (
@@ -28,8 +28,8 @@
 	"saddleport/internal/settings"
 )
 
-// What the mixer's own sides do with time: the figures of internal/front and
-// internal/back.
+// What the mixer's own sides do with time: the figures of internal/downstream and
+// internal/upstream.
 const (
 	unseen      = 30 * time.Millisecond
 	unseenShare = 10
@@ -79,13 +79,13 @@
 // Sabotage breaks the rig or the mixers on purpose: a judge that can't fail judges
 // nothing. Each field that is set breaks one rule.
 type Sabotage struct {
-	Leaves   func(mixer int, l exchange.Leaves, x *exchange.Exchange) exchange.Leaves // between the exchange and the links
-	Value    func(server, part string) string                                         // what the client is told in a value's place
-	Final    func(f *exchange.Final) *exchange.Final                                  // the answer; nil: none is given
-	Twice    bool                                                                     // every answer is given twice
-	Delay    time.Duration                                                            // every answer is held back so long
-	Undrain  bool                                                                     // links go on though the list says that a server drains
-	Settings func(*settings.Settings)                                                 // what the mixers are told
+	Leaves   func(mixer int, l exchange.Upstream, x *exchange.Exchange) exchange.Upstream // between the exchange and the links
+	Value    func(server, part string) string                                             // what the client is told in a value's place
+	Final    func(f *exchange.Final) *exchange.Final                                      // the answer; nil: none is given
+	Twice    bool                                                                         // every answer is given twice
+	Delay    time.Duration                                                                // every answer is held back so long
+	Undrain  bool                                                                         // links go on though the list says that a server drains
+	Settings func(*settings.Settings)                                                     // what the mixers are told
 }
 
 type world struct {
@@ -459,7 +459,7 @@
 	w.reply(a, judge.Gone, model.Reply{Kind: model.Left})
 	w.loop.Post(w.near(m), func() {
 		if m.x != nil && m.life == a.life && a.q != nil {
-			m.x.Left(a.q)
+			m.x.ClientLeft(a.q)
 		}
 	})
 }
@@ -498,7 +498,7 @@
 	outcome := judge.Failed
 	switch f.Ending {
 	case exchange.Answered:
-		outcome, r.Kind, r.Whole = judge.Answered, model.Answered, f.Whole
+		outcome, r.Kind, r.Whole = judge.Answered, model.Answered, f.Complete
 		for _, h := range f.Hits {
 			if i := slices.IndexFunc(a.t.Ask.Parts, func(p model.PartAsk) bool { return p.Shard == h.Shard }); i >= 0 {
 				r.Share += a.t.Ask.Parts[i].Weight
@@ -506,7 +506,7 @@
 		}
 	case exchange.Refused:
 		outcome, r.Kind = judge.Refused, model.Refused
-	case exchange.Gone:
+	case exchange.ClientGone:
 		return
 	default:
 		r.Kind = model.Failed
--- a/internal/node/proxy/proxy.go
+++ b/internal/node/proxy/proxy.go
@@ -15,14 +15,13 @@
 	"time"
 
 	"saddleport/choice"
-	"saddleport/internal/back/reach"
 	"saddleport/internal/cluster/gossip"
 	"saddleport/internal/cluster/quota"
 	"saddleport/internal/cluster/registry"
 	"saddleport/internal/cluster/routeconfig"
+	"saddleport/internal/downstream"
+	"saddleport/internal/downstream/httpserver"
 	"saddleport/internal/exchange"
-	"saddleport/internal/front"
-	"saddleport/internal/front/gate"
 	"saddleport/internal/node/admin"
 	"saddleport/internal/node/agentapi"
 	"saddleport/internal/node/events"
@@ -30,6 +29,7 @@
 	"saddleport/internal/node/rpc"
 	"saddleport/internal/settings"
 	"saddleport/internal/transport"
+	"saddleport/internal/upstream/httpclient"
 )
 
 const (
@@ -56,11 +56,11 @@
 type proxy struct {
 	settings     *nodesettings.Settings
 	exchange     *exchange.Exchange
-	upstream     *reach.Back
-	routes       *gate.Gate
-	downstream   *front.Front
+	upstream     *httpclient.Pool
+	routes       *httpserver.Handler
+	downstream   *downstream.Server
 	client       *rpc.Client
-	shardNumbers gate.Shards
+	shardNumbers httpserver.ShardNumbers
 	startedAt    time.Time
 	serverCount  atomic.Int64
 
@@ -84,7 +84,7 @@
 // exchangeSettings returns the settings of the exchange and of the decisions.
 func exchangeSettings(bounds nodesettings.Bounds) settings.Settings {
 	return settings.Settings{MostHeld: maxRequests, Router: choice.Settings{
-		ClassesLater: true, Cells: gate.MostShards, Width: 1, MaxPartsPerCall: 1, Resolution: tickMicroseconds, Cancel: true,
+		ClassesLater: true, Cells: httpserver.MaxShards, Width: 1, MaxPartsPerCall: 1, Resolution: tickMicroseconds, Cancel: true,
 		ParallelAttempts: true, RetryAdvice: true, MaxRetryAfter: time.Second.Microseconds(), AttemptCap: maxAttempts,
 		Keepalive: (30 * time.Second).Microseconds(), DrainGrace: bounds.Drain.Microseconds() / 4,
 		Routers: minProxies, RetryBudget: true, RetryBudgetPerShard: true, RetryBudgetRatio: bounds.RetryRatio,
@@ -101,19 +101,19 @@
 	}
 	upstreamConnections := (boot.MaxOpenFiles - reservedDescriptors) / upstreamShare
 	t := &proxy{settings: boot, exchange: x, client: rpc.NewClient(time.Second), store: gossip.NewStore(), startedAt: time.Now(),
-		routes: &gate.Gate{Exchange: x}, upstream: reach.New(reach.Config{Exchange: x, MaxConns: upstreamConnections}),
+		routes: &httpserver.Handler{Exchange: x}, upstream: httpclient.New(httpclient.Config{Exchange: x, MaxConns: upstreamConnections}),
 		maxConnections: make(map[string]int), maxClients: boot.MaxOpenFiles - reservedDescriptors - upstreamConnections,
 		maxUpstream: upstreamConnections}
 	t.retryBudget = quota.NewRetryBudget(0, quota.Config{Total: boot.Bounds.RetrySlack, Window: boot.Bounds.RetryWindow.Microseconds(),
 		MinProxies: minProxies, FirstStart: boot.Bootstrap})
 	t.outliers, t.quotas = newOutlierTracker(t), newQuotaClient(t)
 	t.routes.Allow = t.quotas.admit
-	lanes := &front.Lanes{Most: max(t.maxClients/slowLaneShare, 1)}
+	lanes := &downstream.SlowLane{MaxConns: max(t.maxClients/slowLaneShare, 1)}
 	if !file.NoEjection {
-		x.Heard, lanes.Saw = t.outliers.recordAnswer, t.outliers.recordCaller
+		x.OnAttemptEnd, lanes.Observe = t.outliers.recordAnswer, t.outliers.recordCaller
 	}
-	t.downstream = front.New(front.Config{Exchange: x, Protocol: t.routes, MaxClients: t.maxClients,
-		Pace: gate.Pace(routeconfig.DefaultLimits), Lanes: lanes})
+	t.downstream = downstream.New(downstream.Config{Exchange: x, Protocol: t.routes, MaxClients: t.maxClients,
+		Limits: httpserver.LimitsFrom(routeconfig.DefaultLimits), SlowLane: lanes})
 	return t, nil
 }
 
@@ -138,7 +138,7 @@
 	if err != nil {
 		return err
 	}
-	transport.Bounded(front, sendBufferBytes)
+	transport.LimitSendBuffer(front, sendBufferBytes)
 	readiness, err := transport.Listen(ctx, t.settings.Readiness)
 	if err != nil {
 		return err
@@ -287,7 +287,7 @@
 // applyEntries puts entries in force. mu must be locked.
 func (t *proxy) applyEntries(items []gossip.Entry) {
 	list := choice.List{Form: choice.Delta}
-	var servers []reach.Server
+	var servers []httpclient.Server
 	now := time.Since(t.startedAt).Microseconds()
 	for _, i := range items {
 		if !t.store.Put(now, i, 1, false) {
@@ -311,15 +311,15 @@
 	if len(servers) > 0 {
 		events.ServersChanged.Log("servers", len(servers))
 		t.upstream.UpdateServers(servers)
-		t.exchange.Listed(list)
+		t.exchange.UpdateServers(list)
 	}
 }
 
 func (t *proxy) applyConfiguration(i gossip.Entry) {
 	c, err := routeconfig.Parse(i.Value)
-	var p *gate.Plan
+	var p *httpserver.Plan
 	if err == nil {
-		p, err = gate.NewPlan(c, &t.shardNumbers)
+		p, err = httpserver.NewPlan(c, &t.shardNumbers)
 	}
 	if err != nil {
 		events.ConfigUnusable.Log("rank", i.Version, "err", err)
@@ -329,25 +329,25 @@
 		t.maxConnections[name] = s.MaxConnections
 	}
 	t.quotas.setAllowances(c)
-	t.exchange.Retune(p.Classes)
-	t.routes.Use(p)
-	t.downstream.SetPace(gate.Pace(c.Limits))
+	t.exchange.UpdateClasses(p.Classes)
+	t.routes.SetPlan(p)
+	t.downstream.SetLimits(httpserver.LimitsFrom(c.Limits))
 	events.ConfigInForce.Log("revision", c.Revision, "routes", len(c.Routes), "services", len(c.Services), "classes", len(p.Classes))
 }
 
-func (t *proxy) serverRow(i gossip.Entry) (choice.Server, reach.Server, bool) {
+func (t *proxy) serverRow(i gossip.Entry) (choice.Server, httpclient.Server, bool) {
 	s, err := registry.Parse(i)
 	if err != nil {
-		return choice.Server{}, reach.Server{}, false
+		return choice.Server{}, httpclient.Server{}, false
 	}
 	row := choice.Server{ID: s.ID, Zone: s.Zone, Kind: s.Revision, Scale: max(s.Capacity, 1), State: choice.Gone}
 	if i.Deleted() {
 		t.outliers.setPlacement(s.ID, "", 0, true)
-		return row, reach.Server{ID: s.ID, Gone: true}, true
+		return row, httpclient.Server{ID: s.ID, Gone: true}, true
 	}
 	n, err := t.shardNumbers.Of(s.Service)
 	if err != nil {
-		return row, reach.Server{}, false
+		return row, httpclient.Server{}, false
 	}
 	row.Cell, row.Far = n, t.distance(s.Zone)
 	t.outliers.setPlacement(s.ID, s.Service, row.Far, false)
@@ -362,7 +362,7 @@
 	if m := t.maxConnections[s.Service]; m > 0 {
 		most = max(m/max(t.proxyCount, minProxies), 2)
 	}
-	return row, reach.Server{ID: s.ID, Addr: s.Addr, MaxConns: most}, true
+	return row, httpclient.Server{ID: s.ID, Addr: s.Addr, MaxConns: most}, true
 }
 
 // distance returns how expensive the way to a zone is, see nodesettings.Distance.
@@ -387,6 +387,6 @@
 	spare := t.retryBudget.Share(time.Since(t.startedAt).Microseconds(), routers)
 	if routers = max(routers, minProxies); routers != t.proxyCount || spare != t.retrySlack {
 		t.proxyCount, t.retrySlack = routers, spare
-		t.exchange.Tiered(choice.Tier{Routers: routers, RetryBudgetMin: spare})
+		t.exchange.UpdateTier(choice.Tier{Routers: routers, RetryBudgetMin: spare})
 	}
 }
--- a/internal/back/reach/reach.go
+++ b/internal/upstream/httpclient/httpclient.go
@@ -1,9 +1,9 @@
-// Package reach is the client side for servers that speak HTTP/1.1: it owns the
+// Package httpclient is the client side for servers that speak HTTP/1.1: it owns the
 // connections to them, one request at a time on each. It does what the exchange asks and
 // reports how it ended. It must never decide where a part goes, send one twice, take
 // bytes for an answer that were not meant for the request that waits, or let one silent
 // server hold up another.
-package reach
+package httpclient
 
 import (
 	"bytes"
@@ -41,13 +41,13 @@
 
 // Config is what the client side is told at its start.
 type Config struct {
-	Exchange *exchange.Exchange
-	MaxConns int // connections at once to all servers
-	Breaks   Breaks
+	Exchange  *exchange.Exchange
+	MaxConns  int // connections at once to all servers
+	Mutations Mutations
 }
 
-// Breaks leaves rules out on purpose, so that a checker can show that it finds each.
-type Breaks struct {
+// Mutations leaves rules out on purpose, so that a checker can show that it finds each.
+type Mutations struct {
 	AnyID        bool // an answer is taken for the request that waits, whatever it names
 	LostIsUnsent bool // a reset or a close counts as proof that a request has not run
 	ReuseEarly   bool // a connection is used again though a request is not yet written whole
@@ -60,8 +60,8 @@
 	MaxConns int // this mixer's part of what the server takes; 0: not told
 }
 
-// Back is the client side. It implements exchange.Leaves.
-type Back struct {
+// Pool is the client side. It implements exchange.Leaves.
+type Pool struct {
 	Config
 	dial *net.Dialer
 
@@ -89,7 +89,7 @@
 }
 
 type conn struct {
-	b       *Back
+	b       *Pool
 	s       *server
 	nc      net.Conn
 	r       *httpwire.Reader
@@ -108,13 +108,13 @@
 }
 
 // New returns a client side that knows no server yet.
-func New(cfg Config) *Back {
-	return &Back{Config: cfg, dial: transport.Dialer(dialTime), servers: make(map[string]*server),
+func New(cfg Config) *Pool {
+	return &Pool{Config: cfg, dial: transport.Dialer(dialTime), servers: make(map[string]*server),
 		calls: make(map[*exchange.Attempt]*call)}
 }
 
 // Run keeps the connections until ctx ends.
-func (b *Back) Run(ctx context.Context) {
+func (b *Pool) Run(ctx context.Context) {
 	tick := time.NewTicker(sweepEvery)
 	defer tick.Stop()
 	for {
@@ -135,7 +135,7 @@
 }
 
 // Told takes news of servers, before the exchange hears of them.
-func (b *Back) UpdateServers(list []Server) {
+func (b *Pool) UpdateServers(list []Server) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, t := range list {
@@ -159,7 +159,7 @@
 	}
 }
 
-func (b *Back) forget(s *server) {
+func (b *Pool) forget(s *server) {
 	if s.Gone && len(s.conns) == 0 && s.dialing == 0 && b.servers[s.ID] == s {
 		delete(b.servers, s.ID)
 	}
@@ -168,7 +168,7 @@
 // ---- What the exchange asks for.
 
 // Send starts attempts.
-func (b *Back) Send(attempts []*exchange.Attempt) {
+func (b *Pool) Send(attempts []*exchange.Attempt) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, a := range attempts {
@@ -178,11 +178,11 @@
 	}
 }
 
-// GiveUp ends the wait for an attempt. Its connection stays taken until the answer has
+// Cancel ends the wait for an attempt. Its connection stays taken until the answer has
 // come: closed, it would cost another one. One that is called off ends with that answer,
 // so that a server that is late beside another is told from one that is silent; without
 // an answer, within staleTime.
-func (b *Back) GiveUp(a *exchange.Attempt, v choice.Verdict) {
+func (b *Pool) Cancel(a *exchange.Attempt, v choice.Verdict) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	k := b.calls[a]
@@ -191,7 +191,7 @@
 	}
 	if v == choice.Cancelled && k.c != nil {
 		k.off = true
-		if a.Abandoned() && !a.Once() {
+		if a.Abandoned() && !a.NonIdempotent() {
 			time.AfterFunc(abandonTime, func() { b.abandon(k) })
 		}
 		return
@@ -204,7 +204,7 @@
 
 // abandon closes the connection of an attempt whose client has left and which has not been
 // answered since: the server need not work on.
-func (b *Back) abandon(k *call) {
+func (b *Pool) abandon(k *call) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if !k.done && k.c.call == k {
@@ -213,10 +213,10 @@
 }
 
 // Probe implements exchange.Leaves: the decisions send none here.
-func (b *Back) Probe(name string) { b.Exchange.Probed(name, 0, choice.NotSent, nil) }
+func (b *Pool) Probe(name string) { b.Exchange.ProbeEnded(name, 0, choice.NotSent, nil) }
 
 // Release closes the idle connections to a server.
-func (b *Back) Release(name string) {
+func (b *Pool) Release(name string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if s := b.servers[name]; s != nil {
@@ -229,14 +229,14 @@
 }
 
 // Watch and Fetch implement exchange.Leaves: what there is of servers comes by itself.
-func (b *Back) Watch(bool) {}
+func (b *Pool) Watch(bool) {}
 
 // Fetch is as Watch.
-func (b *Back) Fetch() {}
+func (b *Pool) Fetch() {}
 
 // ---- Under b.mu.
 
-func (b *Back) place(k *call) {
+func (b *Pool) place(k *call) {
 	s := k.s
 	if s == nil || s.Gone {
 		b.finish(k, choice.NotSent, nil, "")
@@ -252,7 +252,7 @@
 			c.end(choice.ConnectionLost)
 			continue
 		}
-		if k.a.Once() && now.Sub(c.restAt) > onceRest {
+		if k.a.NonIdempotent() && now.Sub(c.restAt) > onceRest {
 			break // the others have rested longer still
 		}
 		c.send(k, now)
@@ -263,7 +263,7 @@
 }
 
 // open opens a connection for what waits, unless enough are on their way.
-func (b *Back) open(s *server) {
+func (b *Pool) open(s *server) {
 	if s.dialing >= len(s.waiting) || s.MaxConns > 0 && len(s.conns)+s.dialing >= s.MaxConns {
 		return
 	}
@@ -283,7 +283,7 @@
 	go b.connect(s, s.Addr)
 }
 
-func (b *Back) connect(s *server, addr string) {
+func (b *Pool) connect(s *server, addr string) {
 	nc, err := b.dial.Dial("tcp4", addr)
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -306,15 +306,15 @@
 		return
 	}
 	s.misses, s.heldTill = 0, time.Time{}
-	c := &conn{b: b, s: s, nc: nc, r: httpwire.NewReaderOf(nc, readBuffer, mostHead, mostAnswer), restAt: time.Now()}
+	c := &conn{b: b, s: s, nc: nc, r: httpwire.NewReaderSize(nc, readBuffer, mostHead, mostAnswer), restAt: time.Now()}
 	s.conns = append(s.conns, c)
-	b.Exchange.Counters.Leaves.Add(1)
+	b.Exchange.Counters.ServerConns.Add(1)
 	go c.read()
 	b.pump(s)
 }
 
 // pump sends what waits on connections that rest.
-func (b *Back) pump(s *server) {
+func (b *Pool) pump(s *server) {
 	waiting := s.waiting
 	s.waiting = nil
 	for _, k := range waiting {
@@ -322,7 +322,7 @@
 	}
 }
 
-func (b *Back) noConnection(s *server) {
+func (b *Pool) noConnection(s *server) {
 	failed := s.waiting
 	s.waiting = nil
 	for _, k := range failed {
@@ -331,7 +331,7 @@
 }
 
 // finish ends a call, once.
-func (b *Back) finish(k *call, v choice.Verdict, load []choice.Reading, value string) {
+func (b *Pool) finish(k *call, v choice.Verdict, load []choice.Reading, value string) {
 	if k.done {
 		return
 	}
@@ -343,10 +343,10 @@
 	if k.c != nil && k.c.call == k {
 		k.c.call = nil
 	}
-	b.Exchange.Ended(k.a, v, load, value)
+	b.Exchange.AttemptEnded(k.a, v, load, value)
 }
 
-func (b *Back) sweep() {
+func (b *Pool) sweep() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
@@ -366,7 +366,7 @@
 func (c *conn) send(k *call, now time.Time) {
 	a := k.a
 	at := strings.Index(a.Text, "\r\n\r\n") + 2
-	ms := max(a.Until.Sub(now).Milliseconds(), 1)
+	ms := max(a.Deadline.Sub(now).Milliseconds(), 1)
 	buf := make([]byte, 0, len(a.Text)+96+len(c.s.ID))
 	buf = append(buf, a.Text[:at]...)
 	buf = append(buf, "X-Saddleport-Deadline-Ms: "...)
@@ -375,7 +375,7 @@
 	buf = append(buf, c.s.ID...)
 	buf = append(buf, "\r\n"...)
 	buf = append(buf, a.Text[at:]...)
-	k.c, c.call, c.busy, c.sentAt, c.gather = c, k, true, now, a.Gather()
+	k.c, c.call, c.busy, c.sentAt, c.gather = c, k, true, now, a.FanOut()
 	c.method, _, _ = strings.Cut(a.Text[:at], " ")
 	c.id = a.QueryID()
 	head := bytes.Index(buf, []byte("\r\n\r\n")) + 4
@@ -416,12 +416,12 @@
 	c.nc.Close()
 	b, s := c.b, c.s
 	b.conns--
-	b.Exchange.Counters.Leaves.Add(-1)
+	b.Exchange.Counters.ServerConns.Add(-1)
 	s.conns = slices.DeleteFunc(s.conns, func(o *conn) bool { return o == c })
 	if c.call != nil {
 		if v == choice.ConnectionLost {
 			b.Exchange.Counters.Resets.Add(1)
-			if b.Breaks.LostIsUnsent {
+			if b.Mutations.LostIsUnsent {
 				v = choice.NoConnection
 			}
 		}
@@ -460,7 +460,7 @@
 		c.b.mu.Lock()
 		method, busy := c.method, c.busy
 		if err == nil && !busy { // bytes that nobody asked for
-			c.b.Exchange.Counters.Spoilt.Add(1)
+			c.b.Exchange.Counters.MalformedAnswers.Add(1)
 			err = errors.New("stray bytes")
 		}
 		if err != nil {
@@ -476,19 +476,19 @@
 			return
 		}
 		if err == nil && stray < mostStray {
-			if id := p.Header.Get(headID); id != "" && id != c.id && !c.b.Breaks.AnyID {
+			if id := p.Header.Get(headID); id != "" && id != c.id && !c.b.Mutations.AnyID {
 				// A second answer to an earlier request, in the place of this one's, which
 				// may still follow. It belongs to nobody.
 				stray++
 				c.leaving = true
-				c.b.Exchange.Counters.Late.Add(1)
+				c.b.Exchange.Counters.LateAnswers.Add(1)
 				c.b.mu.Unlock()
 				continue
 			}
 		}
 		// An answer may come before the request is written whole: what another one wrote would
 		// then stand where the rest of its body is due.
-		keep := err == nil && p.KeepAlive && c.r.Buffered() == 0 && (!c.writing || c.b.Breaks.ReuseEarly)
+		keep := err == nil && p.KeepAlive && c.r.Buffered() == 0 && (!c.writing || c.b.Mutations.ReuseEarly)
 		v, value := choice.ServerError, ""
 		var load []choice.Reading
 		switch {
@@ -496,12 +496,12 @@
 			var known *httpwire.Error
 			if v = choice.ConnectionLost; errors.As(err, &known) {
 				v = choice.ServerError
-				c.b.Exchange.Counters.Spoilt.Add(1)
+				c.b.Exchange.Counters.MalformedAnswers.Add(1)
 			}
 		default:
 			c.until = lasts(p, time.Now())
 			id := c.id
-			if c.b.Breaks.AnyID {
+			if c.b.Mutations.AnyID {
 				id = p.Header.Get(headID)
 			}
 			v, value = judge(p, id, c.gather)
--- a/internal/back/leaf.go
+++ b/internal/upstream/pool.go
@@ -1,4 +1,4 @@
-// Package back is the client side: it owns the connections to leaf servers, the
+// Package upstream is the client side: it owns the connections to leaf servers, the
 // frames on them, and where those servers are. It does
 // what the exchange asks and reports how it ended. It must never decide where a
 // part goes, send one twice, start anything on a server that has long been said
@@ -6,7 +6,7 @@
 //
 // This file holds the leaf connections; race.go opens those to a server that has
 // several addresses.
-package back
+package upstream
 
 import (
 	"bufio"
@@ -63,8 +63,8 @@
 	Run(stop <-chan struct{})
 }
 
-// Back is the client side. It implements exchange.Leaves.
-type Back struct {
+// Pool is the client side. It implements exchange.Leaves.
+type Pool struct {
 	Config
 	dial net.Dialer
 
@@ -84,7 +84,7 @@
 	conns   []*conn
 	waiting []*call // for a connection
 	dialing bool
-	seen    eyeballs.Memory // of its addresses, where it has several
+	seen    eyeballs.History // of its addresses, where it has several
 	// After a dial failed: no new dial before heldTill; misses in a row set how long.
 	heldTill time.Time
 	misses   int
@@ -128,7 +128,7 @@
 }
 
 type conn struct {
-	b      *Back
+	b      *Pool
 	s      *server
 	nc     net.Conn
 	addr   string
@@ -149,8 +149,8 @@
 }
 
 // New returns a client side that knows no server yet.
-func New(cfg Config) *Back {
-	b := &Back{Config: cfg, servers: make(map[string]*server), calls: make(map[*exchange.Attempt]*call)}
+func New(cfg Config) *Pool {
+	b := &Pool{Config: cfg, servers: make(map[string]*server), calls: make(map[*exchange.Attempt]*call)}
 	b.dial.Timeout = time.Duration(cfg.Settings.DialTimeout) * time.Microsecond
 	if b.dial.Timeout <= 0 {
 		b.dial.Timeout = dialFallback
@@ -159,7 +159,7 @@
 }
 
 // Run keeps the connections and the watch until stop is closed.
-func (b *Back) Run(stop <-chan struct{}) {
+func (b *Pool) Run(stop <-chan struct{}) {
 	go b.List.Run(stop)
 	tick := time.NewTicker(sweepEvery)
 	defer tick.Stop()
@@ -183,7 +183,7 @@
 // ---- What the exchange asks for.
 
 // Send starts attempts.
-func (b *Back) Send(attempts []*exchange.Attempt) {
+func (b *Pool) Send(attempts []*exchange.Attempt) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	defer b.together()()
@@ -194,9 +194,9 @@
 	}
 }
 
-// GiveUp ends the wait for an attempt: at once if its frame has not been begun,
+// Cancel ends the wait for an attempt: at once if its frame has not been begun,
 // else once the server has been told.
-func (b *Back) GiveUp(a *exchange.Attempt, v choice.Verdict) {
+func (b *Pool) Cancel(a *exchange.Attempt, v choice.Verdict) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	k := b.calls[a]
@@ -216,12 +216,12 @@
 }
 
 // Probe tests a server.
-func (b *Back) Probe(name string) {
+func (b *Pool) Probe(name string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	k := &call{s: b.servers[name], begun: time.Now()}
 	if k.s == nil {
-		b.Exchange.Probed(name, 0, choice.NotSent, nil)
+		b.Exchange.ProbeEnded(name, 0, choice.NotSent, nil)
 		return
 	}
 	b.place(k)
@@ -233,7 +233,7 @@
 }
 
 // Release closes the idle connections to a server.
-func (b *Back) Release(name string) {
+func (b *Pool) Release(name string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if s := b.servers[name]; s != nil {
@@ -246,22 +246,22 @@
 }
 
 // Watch starts or ends the watch on the list.
-func (b *Back) Watch(on bool) { b.List.Watch(on) }
+func (b *Pool) Watch(on bool) { b.List.Watch(on) }
 
 // Fetch asks for the whole list once.
-func (b *Back) Fetch() { b.List.Fetch() }
+func (b *Pool) Fetch() { b.List.Fetch() }
 
 // ---- The list.
 
 // Failed implements targets.Taker.
-func (b *Back) Failed() {
+func (b *Pool) Failed() {
 	b.Exchange.Counters.ListFails.Add(1)
-	b.Exchange.Listed(choice.List{Form: choice.Failed})
+	b.Exchange.UpdateServers(choice.List{Form: choice.Failed})
 }
 
 // Told implements targets.Taker: it takes a list for the connections and hands it to
 // the exchange.
-func (b *Back) Told(list choice.List, addrs targets.Addrs) {
+func (b *Pool) Told(list choice.List, addrs targets.Addrs) {
 	if list.Form != choice.Cached {
 		b.Exchange.Counters.Lists.Add(1)
 	}
@@ -295,12 +295,12 @@
 	if len(list.Servers) > 0 || list.Form != choice.Delta {
 		log.Info("list", "form", int(list.Form), "version", list.Version, "entries", len(list.Servers))
 	}
-	b.Exchange.Listed(list)
+	b.Exchange.UpdateServers(list)
 }
 
 // mayStart notes from when on nothing may start on a server; since is how long ago
 // the news may have counted as told.
-func (b *Back) mayStart(s *server, ready bool, since choice.Micros) {
+func (b *Pool) mayStart(s *server, ready bool, since choice.Micros) {
 	if ready {
 		s.stopAt = time.Time{}
 	} else if s.stopAt.IsZero() {
@@ -314,7 +314,7 @@
 // place finds a call its connection, or has one opened. A connection on which
 // the same part was given up is passed over: a late answer to that would be
 // taken for this one's.
-func (b *Back) place(k *call) {
+func (b *Pool) place(k *call) {
 	s := k.s
 	if s == nil || s.drained() {
 		b.finish(k, choice.NotSent, nil, "")
@@ -367,7 +367,7 @@
 
 // open opens one connection to a server, unless one is being opened or there
 // are enough; what waits then waits for room.
-func (b *Back) open(s *server) {
+func (b *Pool) open(s *server) {
 	live := 0
 	for _, c := range s.conns {
 		if !c.silent {
@@ -400,7 +400,7 @@
 }
 
 // evict closes the leaf connection that has idled longest.
-func (b *Back) evict() bool {
+func (b *Pool) evict() bool {
 	var oldest *conn
 	for _, s := range b.servers {
 		for _, c := range s.conns {
@@ -415,14 +415,14 @@
 	return oldest != nil
 }
 
-func (b *Back) failWaiting(s *server, err error) {
+func (b *Pool) failWaiting(s *server, err error) {
 	b.Exchange.Counters.DialFails.Add(1)
 	log.Warn("dial-failed", "server", s.name, "addr", s.addr(), "waiting", len(s.waiting), "err", err)
 	b.noConnection(s)
 }
 
 // noConnection ends what waits for a connection to s: it never ran.
-func (b *Back) noConnection(s *server) {
+func (b *Pool) noConnection(s *server) {
 	failed := s.waiting
 	s.waiting = nil
 	for _, k := range failed {
@@ -430,7 +430,7 @@
 	}
 }
 
-func (b *Back) connect(s *server, addr string) {
+func (b *Pool) connect(s *server, addr string) {
 	nc, err := b.dial.Dial("tcp", addr)
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -464,18 +464,18 @@
 }
 
 // add takes a connection that has come up.
-func (b *Back) add(s *server, c *conn) {
+func (b *Pool) add(s *server, c *conn) {
 	c.b, c.s, c.ready, c.usedAt, c.heardAt = b, s, sync.NewCond(&b.mu), time.Now(), time.Now()
 	c.calls, c.stale = make(map[string]*call), make(map[string]time.Time)
 	s.conns = append(s.conns, c)
-	b.Exchange.Counters.Leaves.Add(1)
+	b.Exchange.Counters.ServerConns.Add(1)
 	go c.write()
 	go c.read()
 	b.pump(s)
 }
 
 // pump places what has waited for a connection.
-func (b *Back) pump(s *server) {
+func (b *Pool) pump(s *server) {
 	ready := s.waiting
 	s.waiting = nil
 	defer b.together()()
@@ -486,7 +486,7 @@
 
 // together has what is placed until the end keep together, server by server, where
 // calls carry several parts.
-func (b *Back) together() (end func()) {
+func (b *Pool) together() (end func()) {
 	if b.sending != nil || b.Settings.Router.MaxPartsPerCall <= 1 {
 		return func() {}
 	}
@@ -495,7 +495,7 @@
 }
 
 // finish ends a call, once.
-func (b *Back) finish(k *call, v choice.Verdict, load []choice.Reading, value string) {
+func (b *Pool) finish(k *call, v choice.Verdict, load []choice.Reading, value string) {
 	if k.done {
 		return
 	}
@@ -504,7 +504,7 @@
 		k.s.waiting = slices.DeleteFunc(k.s.waiting, func(o *call) bool { return o == k })
 	}
 	if k.a == nil {
-		b.Exchange.Probed(k.s.name, time.Since(k.begun), v, load)
+		b.Exchange.ProbeEnded(k.s.name, time.Since(k.begun), v, load)
 		return
 	}
 	delete(b.calls, k.a)
@@ -512,7 +512,7 @@
 		delete(k.c.calls, k.a.PartID)
 		k.c.unanswered(k, v)
 	}
-	b.Exchange.Ended(k.a, v, load, value)
+	b.Exchange.AttemptEnded(k.a, v, load, value)
 	if k.c != nil && len(k.s.waiting) > 0 { // there is room on a connection
 		b.pump(k.s)
 	}
@@ -528,13 +528,13 @@
 		c.unheard++
 		lasting := c.unheard >= mostUnheard && time.Since(c.heardAt) > c.b.dial.Timeout
 		// Called off because its query ended is as good as timed out, if it was late.
-		late := v == choice.NoAnswer || 2*time.Since(k.sentAt) > k.a.Until.Sub(k.sentAt)
+		late := v == choice.NoAnswer || 2*time.Since(k.sentAt) > k.a.Deadline.Sub(k.sentAt)
 		if !c.silent && (late || lasting) {
 			c.silent = true
 			if len(c.s.addrs) > 1 { // the next connection is tried elsewhere first
-				c.s.seen.Bad(c.addr, clock())
+				c.s.seen.RecordFailure(c.addr, clock())
 			}
-			c.b.Exchange.Counters.Silent.Add(1)
+			c.b.Exchange.Counters.Unresponsive.Add(1)
 			log.Warn("leaf-silent", "server", c.s.name, "addr", c.addr, "parts", len(c.calls))
 		}
 	}
@@ -549,7 +549,7 @@
 }
 
 // sweep closes what has idled and forgets what can't come any more.
-func (b *Back) sweep() {
+func (b *Pool) sweep() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	keep := time.Duration(float64(b.Settings.Router.Keepalive)*idleShare) * time.Microsecond
@@ -586,11 +586,11 @@
 	c.ready.Signal()
 	b, s := c.b, c.s
 	b.conns--
-	b.Exchange.Counters.Leaves.Add(-1)
+	b.Exchange.Counters.ServerConns.Add(-1)
 	s.conns = slices.DeleteFunc(s.conns, func(o *conn) bool { return o == c })
 	var told *spoiltError
 	if c.spoilt = errors.As(err, &told); c.spoilt {
-		b.Exchange.Counters.Spoilt.Add(1)
+		b.Exchange.Counters.MalformedAnswers.Add(1)
 	}
 	if err != nil && len(c.calls) > 0 {
 		b.Exchange.Counters.Resets.Add(1)
@@ -651,9 +651,9 @@
 		for _, k := range calls {
 			switch letter {
 			case 'Q':
-				ms := max((time.Until(k.a.Until)+time.Millisecond-1)/time.Millisecond, 1)
+				ms := max((time.Until(k.a.Deadline)+time.Millisecond-1)/time.Millisecond, 1)
 				rest = frame.AppendPart(rest, frame.Part{ID: k.a.PartID, Shard: k.a.Shard,
-					List: "d=" + strconv.FormatInt(int64(ms), 10) + k.a.Extra, Text: k.a.Text})
+					Options: "d=" + strconv.FormatInt(int64(ms), 10) + k.a.ExtraFields, Text: k.a.Text})
 			case 'X':
 				rest = append(rest, k.a.PartID...)
 			default:
@@ -748,7 +748,7 @@
 	letter, rest, err := frame.Read(r)
 	var malformed *frame.Error
 	if errors.As(err, &malformed) {
-		return spoilt("%s", malformed.What)
+		return spoilt("%s", malformed.Problem)
 	}
 	if err != nil {
 		return err
@@ -772,7 +772,7 @@
 	if err != nil {
 		return spoilt("%v", err)
 	}
-	v := ends[a.End]
+	v := ends[a.Status]
 	if v == choice.Served && (len(a.Value) == 0 || !utf8.Valid(a.Value)) {
 		return spoilt("a value of %d bytes that is no text", len(a.Value))
 	}
@@ -786,13 +786,13 @@
 		if _, ended := c.stale[a.ID]; !ended {
 			return spoilt("id %.80q of no part", a.ID)
 		}
-		c.b.Exchange.Counters.Late.Add(1)
+		c.b.Exchange.Counters.LateAnswers.Add(1)
 		return nil
 	}
 	if v != choice.Rejected { // that may be asked again here
 		c.stale[a.ID] = time.Now().Add(copyFor)
 	}
-	c.b.finish(k, v, report(a.Report), string(a.Value))
+	c.b.finish(k, v, report(a.LoadReport), string(a.Value))
 	return nil
 }
 
--- a/internal/back/race.go
+++ b/internal/upstream/race.go
@@ -1,4 +1,4 @@
-package back
+package upstream
 
 // This file opens connections to a server that has several addresses, or a Unix
 // socket. It owns the tries; core/eyeballs has their order. It must never put a part
@@ -18,17 +18,17 @@
 )
 
 const (
-	unixPrefix     = eyeballs.Unix
+	unixPrefix     = eyeballs.UnixPrefix
 	defaultStagger = 250 * time.Millisecond // RFC 8305, section 8
 )
 
 // race begins a race for a connection. Under b.mu.
-func (b *Back) race(s *server) {
+func (b *Pool) race(s *server) {
 	r := &race{b: b, s: s, Race: eyeballs.New(s.seen.Order(s.addrs, clock()), b.stagger().Microseconds())}
 	r.step()
 }
 
-func (b *Back) stagger() time.Duration {
+func (b *Pool) stagger() time.Duration {
 	if b.Stagger > 0 {
 		return b.Stagger
 	}
@@ -42,7 +42,7 @@
 
 // race is one race. All of it is under b.mu.
 type race struct {
-	b *Back
+	b *Pool
 	s *server
 	*eyeballs.Race
 	timer *time.Timer
@@ -72,7 +72,7 @@
 			r.step()
 		})
 	}
-	if r.Over && r.s.dialing && r.Winner == "" {
+	if r.Finished && r.s.dialing && r.Winner == "" {
 		r.s.dialing = false
 		b.failWaiting(r.s, r.err)
 	}
@@ -86,8 +86,8 @@
 	defer b.mu.Unlock()
 	if err != nil {
 		b.conns--
-		if !r.Over { // else it may have been cut short
-			r.s.seen.Bad(addr, clock())
+		if !r.Finished { // else it may have been cut short
+			r.s.seen.RecordFailure(addr, clock())
 			log.Warn("address-failed", "server", r.s.name, "addr", addr, "err", err)
 		}
 		r.err = err
@@ -95,8 +95,8 @@
 		r.step()
 		return
 	}
-	r.s.seen.Good(addr, clock())
-	if !r.Ready(addr) {
+	r.s.seen.RecordSuccess(addr, clock())
+	if !r.Connected(addr) {
 		b.conns--
 		nc.Close()
 		return
@@ -114,9 +114,9 @@
 	b.add(r.s, &conn{nc: nc, addr: addr, in: answers})
 }
 
-// Answers tells whether a server answers a probe at any of its addresses. What it
+// Reachable tells whether a server answers a probe at any of its addresses. What it
 // opens for that counts as a connection, and is closed.
-func (b *Back) Answers(addrs []string) bool {
+func (b *Pool) Reachable(addrs []string) bool {
 	for _, addr := range addrs {
 		b.mu.Lock()
 		room := b.conns < b.MaxConns*3/4
@@ -143,7 +143,7 @@
 
 // greet opens a connection and waits for the answer to a probe, for the dial time in
 // all: an address that accepts and then hangs does not get a part.
-func (b *Back) greet(addr string) (net.Conn, *bufio.Reader, error) {
+func (b *Pool) greet(addr string) (net.Conn, *bufio.Reader, error) {
 	until := time.Now().Add(b.dial.Timeout)
 	network := "tcp"
 	if path, local := strings.CutPrefix(addr, unixPrefix); local {
--- a/internal/back/race_test.go
+++ b/internal/upstream/race_test.go
@@ -1,4 +1,4 @@
-package back
+package upstream
 
 // Servers with several addresses, on loopback sockets: what arrives is counted for
 // every part.
@@ -78,7 +78,7 @@
 					s.seen <- at
 					<-hold
 				}
-				nc.Write(frame.Append(nil, 'A', frame.AppendAnswer(nil, frame.Answer{ID: p.ID, End: "ok", Report: "-", Value: []byte("v")})))
+				nc.Write(frame.Append(nil, 'A', frame.AppendAnswer(nil, frame.Answer{ID: p.ID, Status: "ok", LoadReport: "-", Value: []byte("v")})))
 			}
 		}
 	}
@@ -86,16 +86,16 @@
 
 // ask sends so many queries of one part through a whole exchange, and wants each
 // answered; it returns the addresses that parts came to.
-func (s *stand) ask(b *Back, x *exchange.Exchange, n int) map[string]int {
+func (s *stand) ask(b *Pool, x *exchange.Exchange, n int) map[string]int {
 	s.t.Helper()
 	var all sync.WaitGroup
 	room := make(chan struct{}, 3) // within the window that a server has at the start
 	for i := range n {
 		all.Add(1)
 		room <- struct{}{}
-		x.Take(&exchange.Query{ID: fmt.Sprintf("%016x", i), Class: "book", Text: "t", TakenAt: time.Now(), Patience: 20 * time.Second,
+		x.Submit(&exchange.Query{ID: fmt.Sprintf("%016x", i), Class: "book", Text: "t", ReceivedAt: time.Now(), Timeout: 20 * time.Second,
 			Parts: []exchange.Part{{Shard: 0, Weight: 1}}, Done: func(f exchange.Final) {
-				if f.Ending != exchange.Answered || !f.Whole {
+				if f.Ending != exchange.Answered || !f.Complete {
 					s.t.Errorf("query %d ended as %d", i, f.Ending)
 				}
 				<-room
@@ -120,7 +120,7 @@
 func (noList) Fetch()                   {}
 func (noList) Run(stop <-chan struct{}) { <-stop }
 
-func mixer(t *testing.T, addrs []string, stagger time.Duration) (*Back, *exchange.Exchange) {
+func mixer(t *testing.T, addrs []string, stagger time.Duration) (*Pool, *exchange.Exchange) {
 	set := settings.Settings{Router: choice.Settings{Cells: 1, Width: 1, Shards: 1, Routers: 1, AttemptCap: 1, Resolution: 1000, DrainGrace: 2_000_000, AskWithin: 10_000_000,
 		Classes: []choice.Class{{Name: "book", LatencyTarget: 10_000_000, Deadline: 20_000_000, RequiredShare: 1, MinShare: 1, Value: 1, Effect: choice.Unsafe}}}, DialTimeout: 300_000}
 	x, err := exchange.New(1, set)
@@ -196,7 +196,7 @@
 	s.hold, s.seen = make(chan struct{}), make(chan string, 8)
 	finals := make(chan exchange.Final, 8)
 	take := func(i int) {
-		x.Take(&exchange.Query{ID: fmt.Sprintf("held%012x", i), Class: "book", Text: "t", TakenAt: time.Now(), Patience: 20 * time.Second,
+		x.Submit(&exchange.Query{ID: fmt.Sprintf("held%012x", i), Class: "book", Text: "t", ReceivedAt: time.Now(), Timeout: 20 * time.Second,
 			Parts: []exchange.Part{{Shard: 0, Weight: 1}}, Done: func(f exchange.Final) { finals <- f }})
 	}
 	take(0)
