--- a/choice/answers.go
+++ b/choice/answers.go
@@ -2,9 +2,9 @@
 
 // When a query is answered, and how a query ends that can't be answered.
 //
-//   - early end (addQuery, answerPartially, expire, abandon): no more value can be gained, no more parts can
-//     be served, or a partial answer still leaves time for the second step; against late failures and late
-//     client retries; costs the parts that are missing.
+//   - early end (addQuery, answerPartially, expire, abandonQuery): no more value can be gained, no more parts
+//     can be served, or a partial answer still leaves time for the second step; against late failures and
+//     late client retries; costs the parts that are missing.
 
 import (
 	"cmp"
@@ -29,8 +29,8 @@
 		2, r.now, complete, nil, 0, 1
 }
 
-// abandon ends a query that can no longer be answered completely: with a partial answer if the class allows
-// it and enough is served, else with a rejection or a failure.
+// abandonQuery ends a query that can no longer be answered completely: with a partial answer if the class
+// allows it and enough is served, else with a rejection or a failure.
 func (r *Router) abandonQuery(q *query) {
 	if q.class.MinShare < q.class.RequiredShare && q.servedWeight > 0 && q.servedWeight >= q.class.MinShare {
 		r.answer(q, false)
--- a/choice/batching_test.go
+++ b/choice/batching_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// newRingHarness returns a harness for a ring of cells of one server each. A call has a fixed cost, and a shard is
-// stored by three consecutive cells.
+// newRingHarness returns a harness for a ring of cells of one server each. A call has a fixed cost, and a
+// shard is stored by three consecutive cells.
 func newRingHarness(t *testing.T, cells int, change func(*Settings)) *harness {
 	return newListedHarness(t, 1, func(s *Settings) {
 		s.Cells, s.Width, s.Shards, s.MaxPartsPerCall, s.PerCallWork = cells, 3, 4*cells, 16, 80*ms
@@ -26,8 +26,8 @@
 	return counts
 }
 
-// The replica sets of adjacent shards all differ, but one server stores several of these shards. Six consecutive
-// shards must be sent in two calls, wherever on the ring the first of them is.
+// The replica sets of adjacent shards all differ, but one server stores several of these shards. Six
+// consecutive shards must be sent in two calls, wherever on the ring the first of them is.
 func TestNeighboursShareCalls(t *testing.T) {
 	for from := range 40 {
 		h := newRingHarness(t, 10, nil)
@@ -43,8 +43,8 @@
 	}
 }
 
-// When the server that stores most of the shards is gone, the parts are sent in two calls to others, and no part is
-// left out or sent twice.
+// When the server that stores most of the shards is gone, the parts are sent in two calls to others, and no
+// part is left out or sent twice.
 func TestCallsWithoutTheBestServer(t *testing.T) {
 	h := newRingHarness(t, 10, nil)
 	h.step(List{Form: Delta, Servers: []Server{{ID: "c2-0", Cell: 2, State: Gone}}})
@@ -56,8 +56,8 @@
 	}
 }
 
-// With random shards and with full, draining and suspect servers, each part is sent at most once, to a server that
-// stores its shard, and either all required parts are sent or none.
+// With random shards and with full, draining and suspect servers, each part is sent at most once, to a server
+// that stores its shard, and either all required parts are sent or none.
 func TestPartsGoOnceToServersOfTheirShard(t *testing.T) {
 	rng := rand.New(rand.NewPCG(7, 7))
 	for round := range 400 {
@@ -96,7 +96,8 @@
 	}
 }
 
-// The tokens of a server in slow start count parts: a call must not carry more parts to it than it has tokens.
+// The tokens of a server in slow start count parts: a call must not carry more parts to it than it has
+// tokens.
 func TestSlowStartBoundsThePartsOfACall(t *testing.T) {
 	h := newRingHarness(t, 10, nil)
 	h.step(List{Form: Delta, Servers: []Server{{ID: "c2-0", Cell: 2, State: Ready, Scale: 1, UpSince: h.now}}})
@@ -107,8 +108,8 @@
 	}
 }
 
-// A call with two parts of an unsafe class loses its connection in the middle. The part that may have run must not
-// be sent again, and a retry by the client must not be called harmless.
+// A call with two parts of an unsafe class loses its connection in the middle. The part that may have run
+// must not be sent again, and a retry by the client must not be called harmless.
 func TestTwoUnsafePartsOfOneCallAreNotSentAgain(t *testing.T) {
 	h := newRingHarness(t, 10, nil)
 	_, events := h.newQuery("unsafe", 4, 5)
@@ -144,8 +145,8 @@
 	}
 }
 
-// Where lists are pushed, a Failed list must not start requests: without AskWithin there is no backoff, so they
-// would be repeated endlessly.
+// Where lists are pushed, a Failed list must not start requests: without AskWithin there is no backoff, so
+// they would be repeated endlessly.
 func TestFailedListIsNotRequestedAgainWhereListsArePushed(t *testing.T) {
 	h := newRingHarness(t, 10, nil)
 	actions := h.step(List{Form: Failed})
@@ -170,8 +171,8 @@
 	}
 }
 
-// While a class is slow as a whole, all its parts are late, and hedges would add work for which the tier lacks
-// capacity. Hedges are sent only while the class is far below its latency target.
+// While a class is slow as a whole, all its parts are late, and hedges would add work for which the tier
+// lacks capacity. Hedges are sent only while the class is far below its latency target.
 func TestNoHedgesOfAClassThatIsSlow(t *testing.T) {
 	for mid, want := range map[Micros]bool{100 * ms: true, 400 * ms: false} {
 		h := newRingHarness(t, 10, nil)
--- a/choice/bench_test.go
+++ b/choice/bench_test.go
@@ -17,8 +17,8 @@
 	return r
 }
 
-// driver drives a router with queries built in advance, so that the benchmark measures the decisions and not the
-// building of names. Only outcomes are built as they come.
+// driver drives a router with queries built in advance, so that the benchmark measures the decisions and not
+// the building of names. Only outcomes are built as they come.
 type driver struct {
 	router  *Router
 	queries [][]Event // the events of queries of eight parts
@@ -65,7 +65,8 @@
 	}
 }
 
-// Guards against a list row or a query that copies all servers: their allocations must not grow with the fleet.
+// Guards against a list row or a query that copies all servers: their allocations must not grow with the
+// fleet.
 func TestWorkPerQueryDoesNotGrowWithTheFleet(t *testing.T) {
 	cost := func(servers int) (perQuery, perRow float64) {
 		router, i := newFleetRouter(t, servers), 0
--- a/choice/fuzz_test.go
+++ b/choice/fuzz_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// checker follows the events and actions of a router and checks the rules that can be checked from its actions
-// alone.
+// checker follows the events and actions of a router and checks the rules that can be checked from its
+// actions alone.
 type checker struct {
 	stalledUntil  Micros // the router could not act before this time
 	t             *testing.T
@@ -372,7 +372,8 @@
 	})
 }
 
-// runScript runs one script against two identical routers. It checks their actions, and that both do the same.
+// runScript runs one script against two identical routers. It checks their actions, and that both do the
+// same.
 func runScript(t *testing.T, settings Settings, data []byte) {
 	a, errA := New(9, settings)
 	b, errB := New(9, settings)
--- a/choice/helpers_test.go
+++ b/choice/helpers_test.go
@@ -10,8 +10,8 @@
 	sec Micros = 1_000_000
 )
 
-// testSettings returns the settings of a small deployment: four cells, each shard on two of them, and one class of
-// each sort.
+// testSettings returns the settings of a small deployment: four cells, each shard on two of them, and one
+// class of each sort.
 func testSettings() Settings {
 	return Settings{
 		Classes: []Class{
@@ -104,8 +104,8 @@
 	return h.step(Outcome{ID: send.ID, Server: send.Server, Attempt: attempt, Verdict: verdict})
 }
 
-// serveQueries sends n queries of one part to each shard and has them served after the given latency, so that the
-// router learns it.
+// serveQueries sends n queries of one part to each shard and has them served after the given latency, so that
+// the router learns it.
 func (h *harness) serveQueries(n int, latency Micros, shards ...int) {
 	h.t.Helper()
 	for range n {
--- a/choice/regressions_test.go
+++ b/choice/regressions_test.go
@@ -275,8 +275,8 @@
 }
 
 // Queries were rejected because of a full window although their parts would have taken a tenth of the latency
-// target. They are still rejected if no latency is known yet, if it is not far below the target, or if the server
-// already has three windows of parts.
+// target. They are still rejected if no latency is known yet, if it is not far below the target, or if the
+// server already has three windows of parts.
 func TestFullWindowsDoNotRejectClassesFarBelowTheirTarget(t *testing.T) {
 	sent := func(class string, took Micros, windows float64) int {
 		h := newListedHarness(t, 1, func(s *Settings) { s.Cells, s.Width, s.Shards = 4, 1, 4 })
@@ -301,8 +301,8 @@
 	}
 }
 
-// While a class is crowded, queries are rejected at random. The probability to admit a query over its tenant's
-// quota is squared.
+// While a class is crowded, queries are rejected at random. The probability to admit a query over its
+// tenant's quota is squared.
 func TestTenantOverItsQuotaYieldsWhileCrowded(t *testing.T) {
 	rejected := func(tenant string) (n int) {
 		h := newListedHarness(t, 1, func(s *Settings) { s.Tenants = []Tenant{{Name: "greedy", QuotaPerS: 0.75}} })
@@ -412,8 +412,8 @@
 	}
 }
 
-// A zone whose parts are sometimes overdue but well within the latency target is not faulty. One whose parts come
-// too late to be of use is.
+// A zone whose parts are sometimes overdue but well within the latency target is not faulty. One whose parts
+// come too late to be of use is.
 func TestOverdueWithinTheTargetIsNoFaultyZone(t *testing.T) {
 	for after, bad := range map[Micros]bool{450 * ms: false, 700 * ms: true} {
 		h := newZonedHarness(t, "a", "b")
@@ -492,7 +492,8 @@
 	}
 }
 
-// With many routers, a window of one part at each bounds nothing. After failures the pause between parts must grow.
+// With many routers, a window of one part at each bounds nothing. After failures the pause between parts must
+// grow.
 func TestWindowsShrinkBelowOneInALargeTier(t *testing.T) {
 	sent := func(routers int) (n int) {
 		h := newListedHarness(t, 1, func(s *Settings) {
@@ -644,8 +645,8 @@
 	}
 }
 
-// With many routers, a tenant's quota at one of them is less than a query per minute. Its bucket never accumulated
-// one, so every query yielded, and an idle tier rejected large ones.
+// With many routers, a tenant's quota at one of them is less than a query per minute. Its bucket never
+// accumulated one, so every query yielded, and an idle tier rejected large ones.
 func TestQueriesOverTheQuotaAreServedWhileThereIsCapacity(t *testing.T) {
 	h := newListedHarness(t, 1, func(s *Settings) { s.Routers, s.Tenants = 20, []Tenant{{Name: "t", QuotaPerS: 1}} })
 	for i := range 3 {
@@ -714,9 +715,9 @@
 	}
 }
 
-// A query that crashes every server it reaches must cost no more servers than its first sends and the retry before
-// it is recognised. Queries of its class then send one canary part first when the client retries. The crash of a
-// single server must not end its query.
+// A query that crashes every server it reaches must cost no more servers than its first sends and the retry
+// before it is recognised. Queries of its class then send one canary part first when the client retries. The
+// crash of a single server must not end its query.
 func TestQueryOfDeathIsNotRetriedElsewhere(t *testing.T) {
 	h := newListedHarness(t, 3, nil)
 	loseConnections := func(sends []Send) (more []Send, finals int) {
@@ -751,9 +752,9 @@
 	}
 }
 
-// A client's retry with less time left than first tries have may be past its latency target. If a late answer has
-// no value, nothing must be sent for it. A retry with as much time as first tries, or of a class with a late value,
-// is served.
+// A client's retry with less time left than first tries have may be past its latency target. If a late answer
+// has no value, nothing must be sent for it. A retry with as much time as first tries, or of a class with a
+// late value, is served.
 func TestClientRetryPastItsTargetIsRejectedBeforeAnyPart(t *testing.T) {
 	for _, c := range []struct {
 		class string
@@ -777,8 +778,8 @@
 	}
 }
 
-// Without parallel attempts, an unresponsive server would keep a part until the end of the query. The first attempt
-// must time out while another can still be in time, unless the class is unsafe.
+// Without parallel attempts, an unresponsive server would keep a part until the end of the query. The first
+// attempt must time out while another can still be in time, unless the class is unsafe.
 func TestSoleAttemptTimesOutWhileAnotherCanBeInTime(t *testing.T) {
 	for class, short := range map[string]bool{"all": true, "unsafe": false} {
 		h := newListedHarness(t, 2, func(s *Settings) { s.ParallelAttempts = false })
@@ -796,8 +797,8 @@
 	}
 }
 
-// A class with partial answers and a second step must be answered partially while there is time for the second
-// step. At the latency target a partial answer would be worth nothing.
+// A class with partial answers and a second step must be answered partially while there is time for the
+// second step. At the latency target a partial answer would be worth nothing.
 func TestPartialAnswerLeavesTimeForTheSecondStep(t *testing.T) {
 	h := newListedHarness(t, 2, func(s *Settings) {
 		s.Classes[2].LateValue, s.Classes[2].FetchParts, s.ParallelAttempts = 0, 2, false
@@ -856,8 +857,8 @@
 	}
 }
 
-// Under congestion, answers on idle connections are late. That proves that the connections work, and the windows
-// must shrink all the same.
+// Under congestion, answers on idle connections are late. That proves that the connections work, and the
+// windows must shrink all the same.
 func TestLateAnswersAreNoDeadConnections(t *testing.T) {
 	h := newListedHarness(t, 2, func(s *Settings) { s.Keepalive = 60 * sec })
 	h.serveQueries(20, 50*ms, 0, 1, 2, 3)
@@ -884,8 +885,8 @@
 	}
 }
 
-// While a class is crowded, large queries are rejected more often than small ones, because they are more work, but
-// not always.
+// While a class is crowded, large queries are rejected more often than small ones, because they are more
+// work, but not always.
 func TestLargeQueriesAreRejectedFirstWhileCrowded(t *testing.T) {
 	h := newListedHarness(t, 3, nil)
 	rejected := map[int]int{}
@@ -907,9 +908,9 @@
 	}
 }
 
-// During a release, a shard's only healthy replica may drain while the other is down. Queries were rejected then.
-// The draining server is used instead, but only if the change came just now on an established subscription, and not
-// for long.
+// During a release, a shard's only healthy replica may drain while the other is down. Queries were rejected
+// then. The draining server is used instead, but only if the change came just now on an established
+// subscription, and not for long.
 func TestDrainingServerIsUsedIfThereIsNoOther(t *testing.T) {
 	sent := func(form Form, failed bool, wait Micros, replicas int) int {
 		h := newListedHarness(t, replicas, func(s *Settings) { s.Width, s.AskDiscovery, s.AskWithin = 1, true, 10*sec })
--- a/choice/rules_test.go
+++ b/choice/rules_test.go
@@ -140,8 +140,8 @@
 	}
 }
 
-// Many routers, each with a small part of the traffic, must not overload a starting server together. A floor of one
-// call per router would be three times what it can take.
+// Many routers, each with a small part of the traffic, must not overload a starting server together. A floor
+// of one call per router would be three times what it can take.
 func TestManyRoutersTogetherDoNotOverloadAStartingServer(t *testing.T) {
 	const routers = 60
 	var sent, normal, limit float64
@@ -327,8 +327,8 @@
 	}
 }
 
-// The load that a starting server may get is derived from what a single server was surely seen to take. If one
-// server is busy and the others are nearly idle, the mean can be a third of that.
+// The load that a starting server may get is derived from what a single server was surely seen to take. If
+// one server is busy and the others are nearly idle, the mean can be a third of that.
 func TestObservedRateIsThatOfTheBusiestServer(t *testing.T) {
 	h := newListedHarness(t, 3, nil)
 	for _, s := range h.router.servers {
@@ -352,8 +352,8 @@
 	}
 }
 
-// A query with Least set is admitted for that share if there is no capacity for the complete query. Without it the
-// query is rejected and nothing is sent.
+// A query with Least set is admitted for that share if there is no capacity for the complete query. Without
+// it the query is rejected and nothing is sent.
 func TestReducedShareWithoutCapacityForMore(t *testing.T) {
 	for _, least := range []float64{0, 0.5} {
 		h := newListedHarness(t, 1, func(s *Settings) { s.Width = 1 })
@@ -382,8 +382,8 @@
 	}
 }
 
-// An ejected server gets a first send only if no other has capacity, or in one of the few trials that all routers
-// share. If it would still be in time, it gets trials as any suspect does.
+// An ejected server gets a first send only if no other has capacity, or in one of the few trials that all
+// routers share. If it would still be in time, it gets trials as any suspect does.
 func TestEjectedServerGetsWhatFindsNoCapacity(t *testing.T) {
 	for _, c := range []struct {
 		times       float64
@@ -425,8 +425,8 @@
 	}
 }
 
-// A query that lacks only parts of ejected servers is answered partially at once, and not marked as complete. Parts
-// that may be in time, or have another attempt in flight, are waited for.
+// A query that lacks only parts of ejected servers is answered partially at once, and not marked as complete.
+// Parts that may be in time, or have another attempt in flight, are waited for.
 func TestPartialAnswerAtOnceIfOnlyEjectedServersAreLate(t *testing.T) {
 	sendQuery := func(times float64) (*harness, string, []Send) {
 		h := newListedHarness(t, 1, func(s *Settings) { s.Width, s.AttemptCap = 1, 1 })
--- a/choice/servers.go
+++ b/choice/servers.go
@@ -12,6 +12,7 @@
 	listBackoffStart = 1.0 / 16 // of that: the first pause after a failure; it doubles
 )
 
+// applyList applies a list or its changes. If a requested list failed, it is requested again with backoff.
 func (r *Router) applyList(event List) {
 	if event.Form == Failed {
 		if !r.settings.AskDiscovery { // a pushed list arrives without a request
@@ -22,8 +23,7 @@
 		r.runAfter(r.listBackoff, r.subscribeIfDue)
 		return
 	}
-	// A change from an established subscription became known only now; other changes may have been known
-	// before.
+	// A change on an established subscription counts as received now; others may count as received earlier.
 	fresh := event.Form == Delta && r.listRetryAt == 0
 	if event.Form != Cached {
 		r.listRetryAt, r.listBackoff = 0, Micros(float64(r.settings.AskWithin)*listWaitShare*listBackoffStart)
@@ -41,8 +41,8 @@
 	}
 }
 
-// applyRow applies one row of a list. New and restarted servers enter slow start. Where the list gives no
-// start, the time of the row is used instead, although lists report with a delay.
+// applyRow applies one row of a list. New and restarted servers enter slow start, counted from row.UpSince if
+// it is set, because lists report with a delay.
 func (r *Router) applyRow(row Server, form Form) {
 	s := r.servers[row.ID]
 	if s == nil {
--- a/choice/state.go
+++ b/choice/state.go
@@ -294,7 +294,7 @@
 	return index
 }
 
-// budgetLogOf returns the log that counts the parts of a shard.
+// budgetLogOf returns the log for the parts of a shard: one for all, unless RetryBudgetPerShard is set.
 func (r *Router) budgetLogOf(shard int) *budgetLog {
 	if !r.settings.RetryBudgetPerShard {
 		return &r.sharedBudget
@@ -341,6 +341,7 @@
 	return nil
 }
 
+// handle dispatches one event.
 func (r *Router) handle(event Event) {
 	switch event := event.(type) {
 	case List:
@@ -537,9 +538,9 @@
 }
 
 // orderParts returns parts in the order in which they are planned. If a call carries one part, that order is
-// random with shuffle. Else it is the order of the ring of cells, so that parts stored by the same server are
-// adjacent: it starts after the widest gap between the first cells of two parts. The result is valid until
-// the next call.
+// random if shuffle is set. Else it is the order of the ring of cells, so that parts stored by the same
+// server are adjacent: it starts after the widest gap between the first cells of two parts. The result is
+// valid until the next call.
 func (r *Router) orderParts(parts []*part, shuffle bool) []*part {
 	r.ordered = append(r.ordered[:0], parts...)
 	ordered := r.ordered
