--- a/internal/exchange/counters.go
+++ b/internal/exchange/counters.go
@@ -1,7 +1,7 @@
 package exchange
 
-// Counters own the figures that on-call staff ask for. They count; they must
-// never be read to decide anything.
+// This file defines the counters that on-call staff read. No decision may depend on
+// them.
 
 import (
 	"fmt"
@@ -9,47 +9,48 @@
 	"sync/atomic"
 )
 
-// Counters count what is taken in, sent and answered since the start.
+// Counters counts queries, attempts and connections since the start.
 type Counters struct {
-	Taken    atomic.Int64 // queries taken
-	Repeated atomic.Int64 // of these, the id was held already
-	Full     atomic.Int64 // of these, refused for want of room in memory
-	Overdue  atomic.Int64 // queries that the last guard ended
-	Finals   [5]atomic.Int64
-	Partial  atomic.Int64 // answers not marked whole
-	Sent     atomic.Int64 // attempts handed to the client side
-	Unsent   atomic.Int64 // attempts that were never handed over
-	Outcomes [8]atomic.Int64
-	Probes   atomic.Int64
+	Received         atomic.Int64    // queries received
+	Duplicate        atomic.Int64    // of these, failed because the id was already in use
+	OverCapacity     atomic.Int64    // of these, refused because the limit on queries and parts in memory was reached
+	DeadlineEnforced atomic.Int64    // queries that the exchange ended at the deadline because the router had not
+	Finals           [5]atomic.Int64 // final answers, by Ending
+	Partial          atomic.Int64    // answers not marked complete
+	Sent             atomic.Int64    // attempts handed to the upstream side
+	Unsent           atomic.Int64    // attempts that were never handed over
+	Outcomes         [8]atomic.Int64 // attempts that ended, by choice.Verdict
+	Probes           atomic.Int64
 
 	ClientConns         atomic.Int64 // client connections open
 	ClientConnsAccepted atomic.Int64 // client connections accepted
-	MalformedRequests   atomic.Int64 // requests answered 4xx or 5xx by the framing
-	ServerConns         atomic.Int64 // leaf connections open
-	Dials               atomic.Int64 // leaf connections tried
+	MalformedRequests   atomic.Int64 // requests that the framing answered with 4xx or 5xx
+	ServerConns         atomic.Int64 // connections to leaf servers open
+	Dials               atomic.Int64 // connections to leaf servers attempted
 	DialFails           atomic.Int64
-	Resets              atomic.Int64 // leaf connections that ended under parts
-	MalformedAnswers    atomic.Int64 // of these and idle ones, ended for an answer that can't be used
-	Unresponsive        atomic.Int64 // leaf connections that fell silent
-	LateAnswers         atomic.Int64 // answers for attempts already given up
-	Lists               atomic.Int64 // answers of discovery
+	Resets              atomic.Int64 // connections to leaf servers that ended with parts in flight
+	MalformedAnswers    atomic.Int64 // of these and of idle ones, closed because of an unusable answer
+	Unresponsive        atomic.Int64 // connections to leaf servers that became unresponsive
+	LateAnswers         atomic.Int64 // answers for attempts already canceled
+	Lists               atomic.Int64 // answers of the discovery service
 	ListFails           atomic.Int64
 
-	HookAsks    atomic.Int64 // points at which hooks were asked
-	HookLate    atomic.Int64 // of these, not answered in time
-	HookShort   atomic.Int64 // points at which no time was left to ask
-	HookRefused atomic.Int64 // queries refused or failed on a hook's word, or for want of it
-	HookDrops   atomic.Int64 // parts that hooks dropped
+	HookCalls    atomic.Int64 // points at which hooks were called
+	HookTimeouts atomic.Int64 // of these, without a result in time
+	HookNoTime   atomic.Int64 // points at which no time was left to call hooks
+	HookRefused  atomic.Int64 // queries refused or failed because of a hook's result or the lack of one
+	HookDrops    atomic.Int64 // parts that hooks dropped
 
-	Moved    atomic.Int64 // attempts turned away by servers that do not hold them now
+	Moved    atomic.Int64 // attempts rejected by servers that do not have the segment at that moment
 	Unrouted atomic.Int64 // queries that the map of segments could not route
 
 	Level        atomic.Int64 // the level of service in force; 0 is full
 	LevelChanges atomic.Int64
-	LevelRefused atomic.Int64 // queries that a level turned away
-	LevelShort   atomic.Int64 // queries that were asked for in part
+	LevelRefused atomic.Int64 // queries that a level refused
+	LevelReduced atomic.Int64 // queries for which a level lowered the share to settle for
 
-	// Extra are the figures of a subsystem that is on; nil: none. It is set before Run.
+	// Extra adds the counters of a further subsystem; nil: there is none. It must be
+	// set before Run.
 	Extra func(put func(name string, v int64))
 }
 
@@ -58,14 +59,14 @@
 var verdicts = [8]string{"served", "server_error", "turned_away", "no_answer", "no_connection",
 	"connection_lost", "called_off", "not_sent"}
 
-// String gives every counter as key=value.
+// String returns all counters as key=value pairs, separated by spaces.
 func (c *Counters) String() string {
 	var b strings.Builder
 	put := func(name string, v *atomic.Int64) { fmt.Fprintf(&b, "%s=%d ", name, v.Load()) }
-	put("taken", &c.Taken)
-	put("repeated", &c.Repeated)
-	put("full", &c.Full)
-	put("overdue", &c.Overdue)
+	put("taken", &c.Received)
+	put("repeated", &c.Duplicate)
+	put("full", &c.OverCapacity)
+	put("overdue", &c.DeadlineEnforced)
 	for i := range c.Finals {
 		put(endings[i], &c.Finals[i])
 	}
@@ -88,9 +89,9 @@
 	put("late", &c.LateAnswers)
 	put("lists", &c.Lists)
 	put("list_fails", &c.ListFails)
-	put("hook_asks", &c.HookAsks)
-	put("hook_late", &c.HookLate)
-	put("hook_short", &c.HookShort)
+	put("hook_asks", &c.HookCalls)
+	put("hook_late", &c.HookTimeouts)
+	put("hook_short", &c.HookNoTime)
 	put("hook_refused", &c.HookRefused)
 	put("hook_drops", &c.HookDrops)
 	put("moved", &c.Moved)
@@ -98,7 +99,7 @@
 	put("level", &c.Level)
 	put("level_changes", &c.LevelChanges)
 	put("level_refused", &c.LevelRefused)
-	put("level_short", &c.LevelShort)
+	put("level_short", &c.LevelReduced)
 	if c.Extra != nil {
 		c.Extra(func(name string, v int64) { fmt.Fprintf(&b, "%s=%d ", name, v) })
 	}
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -1,9 +1,10 @@
-// Package exchange is where the server side and the client side meet. It owns
-// the choice.Router and all that is held for it: queries, their parts, the
-// attempts that are out, the timers. One goroutine alone touches these; the two
-// sides hand it what happened and are called back with what to do. It must never
-// read or write a socket, block on a side, give a query two final answers or an
-// attempt two outcomes.
+// Package exchange connects the downstream side, which serves clients, with the
+// upstream side, which talks to leaf servers. It owns the choice.Router and the state
+// behind it: open queries, their parts, the attempts in flight and the timers. A
+// single goroutine accesses that state; the two sides post events to it and are called
+// back with what to do. The package never reads or writes a socket, never blocks on
+// either side, never gives a query two final answers and never gives an attempt two
+// outcomes.
 package exchange
 
 import (
@@ -25,21 +26,21 @@
 
 var log = logs.For("exchange")
 
-// Query is a query as the server side took it.
+// Query is a query as the downstream side received it.
 type Query struct {
 	ID            string
 	Class         string
 	Key           string
 	Tenant        string
-	Text          string // what each part carries, unchanged
-	ClientRetry   bool
-	ReceivedAt    time.Time     // when its first byte was seen
-	Timeout       time.Duration // how long the client waits, from TakenAt
+	Text          string        // sent with each part, unchanged
+	ClientRetry   bool          // the client says that it has sent this query before
+	ReceivedAt    time.Time     // when its first byte arrived
+	Timeout       time.Duration // how long the client waits, from ReceivedAt
 	Parts         []Part
-	FanOut        bool    // its answer is made of its parts'
-	NonIdempotent bool    // it may not be repeated
-	MinShare      float64 // share that will do where there is no room for the class's; 0: none less
-	// Done gets the one final answer, on the exchange's goroutine: it must not block.
+	FanOut        bool    // the answer is merged from those of the parts
+	NonIdempotent bool    // the query must not be executed more than once
+	MinShare      float64 // share to settle for where there is no capacity for what the class needs; 0: never less than that
+	// Done gets the one final answer. It is called on the exchange's goroutine and must not block.
 	Done func(Final)
 }
 
@@ -48,21 +49,21 @@
 	Shard  int
 	Weight float64
 	Key    string
-	Hinted bool
+	Hinted bool // Cost is known
 	Cost   choice.Micros
-	Range  placement.Range // where segments are routed by a map: the keys wanted; zero: all
+	Range  placement.Range // the keys wanted, where segments are routed by a map; zero: all
 }
 
 // Ending says how a query ended.
 type Ending int
 
-// The endings of a query. Only Refused promises that asking again does no harm.
+// The endings of a query. Only Refused guarantees that sending the query again is safe.
 const (
 	Answered Ending = iota
 	Refused
 	Failed
-	Expired    // failed, for the client's time was up
-	ClientGone // nobody is there to be answered
+	Expired    // failed because the client's timeout was over
+	ClientGone // the client has disconnected, so nobody gets the answer
 )
 
 // Final is the one final answer of a query.
@@ -71,63 +72,65 @@
 	Complete     bool
 	Hits         []Hit
 	RetryAfter   time.Duration // 0: no advice
-	Reason       string        // a hook's word on a refusal or a failure
-	FailureValue string        // where there is no answer: the value of the last that a server failed with
-	MayHaveRun   bool          // an attempt may have run
+	Reason       string        // why the query was refused or failed, where that is known
+	FailureValue string        // without an answer: the value that came with a server's error
+	MayHaveRun   bool          // an attempt may have been executed
 	Notes        []hookabi.Pair
 }
 
-// Hit is the value of one part, as a leaf server gave it.
+// Hit is the value of one part, as a leaf server returned it.
 type Hit struct {
 	Shard int
 	Value string
-	// Where segments are routed by a map: the shards whose hits hold more of this
-	// one, and the keys that are in where not all are.
+	// Where segments are routed by a map: the other shards whose hits contain values
+	// for this one, and the key ranges that are present if some are missing.
 	AlsoIn []int
 	Covers []placement.Range
 }
 
-// Attempt is one attempt of a part. All but the unexported fields are fixed
-// before the client side gets it.
+// Attempt is one attempt to execute a part. The exported fields do not change once
+// the upstream side has the attempt.
 type Attempt struct {
 	PartID      string
 	Server      string
 	Index       int
 	Shard       int
 	Text        string
-	Deadline    time.Time // when the mixer stops waiting
-	ExtraFields string    // what the frame's list carries beside the time
+	Deadline    time.Time // when the exchange stops waiting for the attempt
+	ExtraFields string    // options of the frame besides the remaining time
 
-	sentAt time.Time
-	part   *part
-	alarm  *timer
-	ended  bool
-	giving bool // given up: the client side will end it
+	sentAt        time.Time
+	part          *partState
+	deadlineTimer *timer
+	ended         bool
+	canceling     bool // canceled; the upstream side will report the outcome
 
-	withheld bool // the decisions have not been told that it never ran
-	asking   bool // hooks are being asked; the client side does not have it
-	handed   bool // the client side has had it
-	neverRan bool // it has ended, and never ran
+	outcomeDeferred bool // the attempt never ran, and the router has not been notified of that
+	awaitingHooks   bool // hooks are running; the upstream side does not have the attempt yet
+	handedOver      bool // the upstream side has received the attempt
+	neverRan        bool // the attempt has ended without having run
 }
 
-// QueryID is the id of the query that an attempt is for.
-func (a *Attempt) QueryID() string { return a.part.q.ID }
+// QueryID returns the id of the query that the attempt belongs to.
+func (a *Attempt) QueryID() string { return a.part.query.ID }
 
-// FanOut tells whether the query that an attempt is for has several parts.
-func (a *Attempt) FanOut() bool { return a.part.q.FanOut }
+// FanOut reports whether the query that the attempt belongs to has several parts.
+func (a *Attempt) FanOut() bool { return a.part.query.FanOut }
 
-// Abandoned tells whether the client of the attempt's query has left. It is for the
-// goroutine that hands attempts to the client side.
-func (a *Attempt) Abandoned() bool { return a.part.q.abandoned }
+// Abandoned reports whether the client of the attempt's query has disconnected. Only
+// the goroutine that hands attempts to the upstream side may call it.
+func (a *Attempt) Abandoned() bool { return a.part.query.abandoned }
 
-// NonIdempotent tells whether the query that an attempt is for may not be repeated.
-func (a *Attempt) NonIdempotent() bool { return a.part.q.NonIdempotent }
+// NonIdempotent reports whether the query that the attempt belongs to must not be
+// executed more than once.
+func (a *Attempt) NonIdempotent() bool { return a.part.query.NonIdempotent }
 
-// Upstream is the client side. Its methods must not block; each attempt that is
-// sent must come back by Ended, once and some seconds after GiveUp at the latest: one
-// that is called off may come back as what its late answer says.
+// Upstream is the side that talks to leaf servers. Its methods must not block. Each
+// attempt passed to Send must be reported to AttemptEnded exactly once, and within a few
+// seconds of Cancel at the latest. If the answer to a canceled attempt arrives anyway,
+// the attempt may be reported with the verdict of that answer.
 type Upstream interface {
-	Send([]*Attempt) // of one moment, in order: parts for one server may share a call
+	Send([]*Attempt) // attempts of one moment, in order; parts for the same server may share a call
 	Cancel(*Attempt, choice.Verdict)
 	Probe(server string)
 	Release(server string)
@@ -135,54 +138,55 @@
 	Fetch()
 }
 
-// mostSpare bounds the list kept for what comes in: one burst must not stay.
-const mostSpare = 4096
+// maxRetainedCap bounds the capacity of the queues kept for reuse, so that a single
+// burst does not pin memory.
+const maxRetainedCap = 4096
 
-// maxWait bounds every span that a peer or the module names.
-const maxWait = 71 * time.Minute
+// maxDelay bounds every duration that comes from a peer or from the router.
+const maxDelay = 71 * time.Minute
 
-type part struct {
+type partState struct {
 	Part
-	id       string // the decisions' name for it
-	wire     string // the leaf servers'
-	q        *held
-	attempts []*Attempt
-	out      int
-	served   bool
-	dropped  bool // a hook does not want it
-	value    string
-	failure  string // of an attempt that its server failed
+	id           string // for the router
+	wireID       string // for the leaf servers
+	query        *queryState
+	attempts     []*Attempt
+	inFlight     int
+	served       bool
+	dropped      bool // by a hook
+	value        string
+	failureValue string // of an attempt that ended with a server error
 
 	// Where segments are routed by a map.
-	target   *placement.Target
-	from     *part    // it replaced that one
-	leg      string   // in which it goes out
-	legs     []string // in which what replaced it went out
-	replaced bool
-	away     bool // a server did not hold it: not sent under this name any more
-	turns    int  // times that it, or what it replaced, was turned away
-	prior    int  // attempts of what it replaced
-	wanted   int64
-	alarm    *timer
-}
-
-type held struct {
+	target         *placement.Target
+	replaces       *partState // the part that this one was rerouted from
+	subquery       string     // the router's query that this part belongs to
+	subqueries     []string   // the router's queries for the parts that replace this one
+	replaced       bool
+	moved          bool // a server did not have the segment: the part is not sent under this id again
+	moveRejections int  // rejections for a moved segment, including those of the replaced parts
+	priorAttempts  int  // attempts of the replaced parts
+	wantedEpoch    int64
+	rerouteTimer   *timer
+}
+
+type queryState struct {
 	*Query
-	parts     []*part
-	abandoned bool   // its client has left
-	class     string // as hooks may have rewritten it
-	deadline  time.Time
-	alarm     *timer
-	ended     bool
-	watched   *watched // nil: no hook watches it
-	placed    *placed  // nil: it is not routed by a map
-	eased     *eased   // nil: there are no levels
+	parts         []*partState
+	abandoned     bool   // the client has disconnected
+	class         string // hooks may have rewritten it
+	deadline      time.Time
+	deadlineTimer *timer
+	ended         bool
+	hookState     *hookState // nil: no hook watches the query
+	routing       *routing   // nil: the query is not routed by a map
+	degraded      *degraded  // nil: there are no levels
 }
 
 type timer struct {
 	at    time.Time
 	fire  func()
-	index int // in the heap; below 0: not in it any more
+	index int // in the heap; negative once removed
 }
 
 type timers []*timer
@@ -206,262 +210,265 @@
 	return x
 }
 
-// EventLoop is what an exchange runs on: whose clock it reads, and who is told that
-// something has come in. A process that serves has the system's clock and Run's
-// goroutine; in virtual time both are its caller's event loop.
+// EventLoop provides an exchange with a clock and with a way to schedule its next
+// Turn. In production that is the system clock and the goroutine of Run; in virtual
+// time both are the caller's event loop.
 type EventLoop interface {
-	// Now is monotonic, and does not go on within a Turn of a virtual drive.
+	// Now returns a monotonic time. In virtual time it does not advance during a Turn.
 	Now() time.Time
-	// Wake asks for a Turn soon. It is called from any goroutine, also from within a
-	// Turn, must not block, and must not call Turn itself.
+	// Wake requests a Turn soon. It is called from any goroutine, also during a Turn.
+	// It must not block and must not call Turn itself.
 	Wake()
 }
 
-// Decider is what decides: a choice.Router where the mixer serves. Step takes the
-// events of one moment and returns what to do, in order.
+// Decider makes the decisions; in production it is a choice.Router. Step takes the
+// events of one moment and returns the actions to execute, in order.
 type Decider interface {
 	Step(now choice.Micros, events []choice.Event) []choice.Action
 }
 
-// system is the drive of a process that serves.
-type system struct{ wake chan struct{} }
+// systemLoop is the event loop of production: the system clock and Run's goroutine.
+type systemLoop struct{ wake chan struct{} }
 
-func (system) Now() time.Time { return time.Now() }
+func (systemLoop) Now() time.Time { return time.Now() }
 
-func (s system) Wake() {
+func (s systemLoop) Wake() {
 	select {
 	case s.wake <- struct{}{}:
 	default:
 	}
 }
 
-// AttemptResult is how an attempt ended, for who only looks on.
+// AttemptResult describes to an observer how an attempt ended.
 type AttemptResult struct {
 	Server, Class string
 	Latency       time.Duration
 	Verdict       choice.Verdict
 }
 
-// Exchange hands events to the decisions and actions to the two sides.
+// Exchange passes events to the router and the router's actions to the two sides.
 type Exchange struct {
 	Counters Counters
-	// OnAttemptEnd is told of each attempt that was handed over, on the exchange's goroutine, and
-	// must not block; nil: nobody is. It is set before Run.
+	// OnAttemptEnd, if not nil, is called for each attempt that was handed over and has
+	// ended. It is called on the exchange's goroutine and must not block. It must be set
+	// before Run.
 	OnAttemptEnd func(AttemptResult)
 
-	set    settings.Settings
-	leaves Upstream
-	hooks  Hooks // nil: there are none
-	// Tags that hooks give go to leaf servers too.
-	forwardTags bool
-	segments    *segments // nil: shards are what the settings say
-	levels      *levels   // nil: there is full service alone
-	start       time.Time
-	origin      choice.Micros
-
-	mu    sync.Mutex
-	in    []func()
-	inAt  time.Time // when the first of them came, with levels
-	spare []func()  // what in was before, to be used again
-	drive EventLoop
-	wake  chan struct{} // of the system's drive; nil: another's
-	open  atomic.Int64
-
-	// Owned by the goroutine that runs it.
-	router  Decider
-	events  []choice.Event
-	decided []choice.Event // what events was before, to be used again
-	sends   []*Attempt     // not handed over yet
-	guards  []func()       // to run once the events at hand have been decided on
-	queries map[string]*held
-	parts   map[string]*part
-	numbers int64
-	timers  timers
-	seeds   uint64 // of the hooks' random numbers
-}
-
-// New returns an exchange on the system's clock; Run starts it.
+	settings settings.Settings
+	upstream Upstream
+	hooks    Hooks // nil: there are none
+	// Tags that hooks set are forwarded to leaf servers.
+	forwardTags    bool
+	segmentRouting *segmentRouting // nil: the settings define the shards
+	levels         *levels         // nil: there is only full service
+	start          time.Time
+	origin         choice.Micros
+
+	mu          sync.Mutex
+	inbox       []func()
+	inboxSince  time.Time // when the first entry of inbox was added; only set with levels
+	spareInbox  []func()  // the inbox before, kept for reuse
+	loop        EventLoop
+	wake        chan struct{} // of systemLoop; nil with another event loop
+	openQueries atomic.Int64
+
+	// Owned by the goroutine that calls Turn.
+	router         Decider
+	events         []choice.Event
+	spareEvents    []choice.Event // the events before, kept for reuse
+	pendingSends   []*Attempt     // not yet handed to the upstream side
+	deadlineChecks []func()       // run after the router has processed the current events
+	queries        map[string]*queryState
+	parts          map[string]*partState
+	lastNumber     int64
+	timers         timers
+	hookSeed       uint64 // state of the generator of the hooks' random seeds
+}
+
+// New returns an exchange that runs on the system clock; Run starts it.
 func New(seed uint64, set settings.Settings) (*Exchange, error) {
 	router, err := choice.New(seed, set.Router)
 	if err != nil {
 		return nil, err
 	}
 	wake := make(chan struct{}, 1)
-	x, err := NewOn(system{wake}, router, seed, set)
+	x, err := NewOn(systemLoop{wake}, router, seed, set)
 	if err == nil {
 		x.wake = wake
 	}
 	return x, err
 }
 
-// NewOn returns an exchange on a caller's drive, with what decides; Attach gives it
-// its client side, and from then on Turn runs it. The clock handed to the decisions
-// starts at the Unix time, so that the list's start times need no origin of their
-// own, and from there on it is monotonic.
-func NewOn(drive EventLoop, router Decider, seed uint64, set settings.Settings) (*Exchange, error) {
+// NewOn returns an exchange that runs on the caller's event loop and uses the given
+// router. Attach sets its upstream side; from then on the caller calls Turn. The clock
+// passed to the router starts at the Unix time, so that the start times in the server
+// list need no conversion, and is monotonic from there.
+func NewOn(loop EventLoop, router Decider, seed uint64, set settings.Settings) (*Exchange, error) {
 	for _, c := range set.Router.Classes {
 		if c.Fetch > 0 {
-			return nil, fmt.Errorf("setting Classes: %s: Fetch %d: the protocol has no second step", c.Name, c.Fetch)
+			return nil, fmt.Errorf("setting Classes: %s: Fetch %d: the protocol does not support a second step", c.Name, c.Fetch)
 		}
 	}
-	start := drive.Now()
+	start := loop.Now()
 	return &Exchange{
-		set:     set,
-		start:   start,
-		origin:  start.UnixMicro(),
-		drive:   drive,
-		router:  router,
-		seeds:   seed,
-		queries: make(map[string]*held),
-		parts:   make(map[string]*part),
+		settings: set,
+		start:    start,
+		origin:   start.UnixMicro(),
+		loop:     loop,
+		router:   router,
+		hookSeed: seed,
+		queries:  make(map[string]*queryState),
+		parts:    make(map[string]*partState),
 	}, nil
 }
 
-// Micros converts a time to the decisions' clock.
+// Micros converts a time to the router's clock.
 func (x *Exchange) Micros(t time.Time) choice.Micros {
 	return x.origin + t.Sub(x.start).Microseconds()
 }
 
-// Open counts the queries without a final answer.
-func (x *Exchange) Open() int { return int(x.open.Load()) }
+// Open returns the number of queries without a final answer.
+func (x *Exchange) Open() int { return int(x.openQueries.Load()) }
 
-// ---- What the sides hand in, from any goroutine.
+// ---- Events from the two sides; safe to call from any goroutine.
 
+// post queues f to run on the exchange's goroutine.
 func (x *Exchange) post(f func()) {
 	x.mu.Lock()
-	if x.levels != nil && len(x.in) == 0 {
-		x.inAt = x.drive.Now()
+	if x.levels != nil && len(x.inbox) == 0 {
+		x.inboxSince = x.loop.Now()
 	}
-	x.in = append(x.in, f)
+	x.inbox = append(x.inbox, f)
 	x.mu.Unlock()
-	x.drive.Wake()
+	x.loop.Wake()
 }
 
-// Submit hands in a query. Its Done is called exactly once.
+// Submit starts a query. Its Done is called exactly once.
 func (x *Exchange) Submit(q *Query) {
-	x.open.Add(1)
-	x.Counters.Taken.Add(1)
-	x.post(func() { x.take(q) })
+	x.openQueries.Add(1)
+	x.Counters.Received.Add(1)
+	x.post(func() { x.accept(q) })
 }
 
-// ClientLeft says that the client of a query has gone; a query that has ended is let be.
+// ClientLeft reports that the client of a query has disconnected. It has no effect on
+// a query that has ended.
 func (x *Exchange) ClientLeft(q *Query) {
 	x.post(func() {
-		if h := x.queries[q.ID]; h != nil && h.Query == q {
-			h.abandoned = true
-			x.withdraw(h)
-			x.end(h, Final{Ending: ClientGone})
+		if qs := x.queries[q.ID]; qs != nil && qs.Query == q {
+			qs.abandoned = true
+			x.withdraw(qs)
+			x.finish(qs, Final{Ending: ClientGone})
 		}
 	})
 }
 
-// AttemptEnded ends an attempt. Only the first call for an attempt counts.
+// AttemptEnded reports the outcome of an attempt. Only the first call for an attempt counts.
 func (x *Exchange) AttemptEnded(a *Attempt, v choice.Verdict, load []choice.Reading, value string) {
-	x.post(func() { x.outcome(a, v, load, value) })
+	x.post(func() { x.recordOutcome(a, v, load, value) })
 }
 
-// ProbeEnded ends a probe.
+// ProbeEnded reports the outcome of a probe.
 func (x *Exchange) ProbeEnded(server string, delay time.Duration, v choice.Verdict, load []choice.Reading) {
 	x.post(func() {
 		x.events = append(x.events, choice.ProbeResult{Server: server, Delay: delay.Microseconds(), Verdict: v, Load: load})
 	})
 }
 
-// UpdateServers hands in news of the server list.
+// UpdateServers passes on the server list or a change of it.
 func (x *Exchange) UpdateServers(l choice.List) {
 	x.post(func() {
 		x.events = append(x.events, l)
 		if x.levels != nil {
-			x.levels.heard(l)
+			x.levels.updateServers(l)
 		}
 	})
 }
 
-// UpdateClasses brings all classes anew, for queries that come after it.
+// UpdateClasses replaces all classes, for the queries submitted from then on.
 func (x *Exchange) UpdateClasses(classes []choice.Class) {
 	x.post(func() {
-		x.set.Router.Classes = classes
+		x.settings.Router.Classes = classes
 		x.events = append(x.events, choice.Classes{List: classes})
 	})
 }
 
-// UpdateTier hands in news of the tier.
+// UpdateTier passes on a change of the tier.
 func (x *Exchange) UpdateTier(t choice.Tier) {
 	x.post(func() { x.events = append(x.events, t) })
 }
 
-// ---- The owner's goroutine.
+// ---- The exchange's own goroutine.
 
-// Run serves until stop is closed. What is open then is left without an answer.
-func (x *Exchange) Run(leaves Upstream, stop <-chan struct{}) {
-	x.Attach(leaves)
-	alarm := time.NewTimer(0)
-	defer alarm.Stop()
+// Run processes events until stop is closed. Queries that are open then get no answer.
+func (x *Exchange) Run(upstream Upstream, stop <-chan struct{}) {
+	x.Attach(upstream)
+	wakeup := time.NewTimer(0)
+	defer wakeup.Stop()
 	for {
 		select {
 		case <-stop:
 			return
 		case <-x.wake:
-		case <-alarm.C:
+		case <-wakeup.C:
 		}
-		next := maxWait
+		next := maxDelay
 		if at, due := x.Turn(); due {
 			next = max(time.Until(at), 0)
 		}
-		alarm.Reset(next)
+		wakeup.Reset(next)
 	}
 }
 
-// Attach gives an exchange its client side.
-func (x *Exchange) Attach(leaves Upstream) {
-	x.leaves = leaves
+// Attach sets the upstream side of an exchange.
+func (x *Exchange) Attach(upstream Upstream) {
+	x.upstream = upstream
 	if x.levels != nil {
-		x.levels.tick = x.after(x.drive.Now().Add(readEvery), x.read)
-		x.drive.Wake()
+		x.levels.sampleTimer = x.startTimer(x.loop.Now().Add(sampleInterval), x.sampleLevels)
+		x.loop.Wake()
 	}
 }
 
-// Turn gathers what has come in and what is due, lets the router decide, and hands
-// out what it decided. It tells when something is due next, if anything is. One
-// goroutine at a time may call it.
+// Turn processes the posted events and the due timers, runs the router and executes
+// its actions. It returns when the next timer is due, if there is one. Calls must not
+// overlap.
 func (x *Exchange) Turn() (next time.Time, due bool) {
 	x.mu.Lock()
-	in := x.in
-	x.in = x.spare[:0]
-	if x.levels != nil && len(in) > 0 {
-		x.levels.queue = max(x.levels.queue, x.drive.Now().Sub(x.inAt))
+	inbox := x.inbox
+	x.inbox = x.spareInbox[:0]
+	if x.levels != nil && len(inbox) > 0 {
+		x.levels.queueDelay = max(x.levels.queueDelay, x.loop.Now().Sub(x.inboxSince))
 	}
 	x.mu.Unlock()
-	for i, f := range in {
+	for i, f := range inbox {
 		f()
-		in[i] = nil
+		inbox[i] = nil
 	}
-	if x.spare = in; cap(in) > mostSpare {
-		x.spare = nil
+	if x.spareInbox = inbox; cap(inbox) > maxRetainedCap {
+		x.spareInbox = nil
 	}
-	now := x.drive.Now()
+	now := x.loop.Now()
 	for len(x.timers) > 0 && !x.timers[0].at.After(now) {
 		heap.Pop(&x.timers).(*timer).fire()
 	}
 	if len(x.events) > 0 {
 		events := x.events
-		x.events = x.decided[:0]
+		x.events = x.spareEvents[:0]
 		for _, a := range x.router.Step(x.Micros(now), events) {
-			if _, more := a.(choice.Send); !more {
-				x.flush()
+			if _, isSend := a.(choice.Send); !isSend {
+				x.flushSends()
 			}
-			x.act(now, a)
+			x.execute(now, a)
 		}
-		x.flush()
-		if clear(events); cap(events) <= mostSpare {
-			x.decided = events
+		x.flushSends()
+		if clear(events); cap(events) <= maxRetainedCap {
+			x.spareEvents = events
 		} else {
-			x.decided = nil
+			x.spareEvents = nil
 		}
 	}
-	guards := x.guards
-	x.guards = nil
-	for _, f := range guards {
+	checks := x.deadlineChecks
+	x.deadlineChecks = nil
+	for _, f := range checks {
 		f()
 	}
 	if len(x.timers) == 0 {
@@ -470,341 +477,352 @@
 	return x.timers[0].at, true
 }
 
-func (x *Exchange) after(at time.Time, fire func()) *timer {
+func (x *Exchange) startTimer(at time.Time, fire func()) *timer {
 	t := &timer{at: at, fire: fire}
 	heap.Push(&x.timers, t)
 	return t
 }
 
-// drop takes a timer that is not needed any more out of the heap: kept until it
-// is due, it would hold on to the text of a query that ended long before.
-func (x *Exchange) drop(t *timer) {
+// stopTimer removes a timer from the heap. A timer left there until it is due would
+// keep the text of a query alive that ended long before.
+func (x *Exchange) stopTimer(t *timer) {
 	if t != nil && t.index >= 0 {
 		heap.Remove(&x.timers, t.index)
 	}
 }
 
-func (x *Exchange) take(q *Query) {
-	repeated := x.queries[q.ID] != nil
+// accept registers a new query and passes it to the hooks or to the router.
+func (x *Exchange) accept(q *Query) {
+	duplicate := x.queries[q.ID] != nil
 	for _, p := range q.Parts {
-		repeated = repeated || x.parts[partID(q, p)] != nil
-	}
-	if repeated {
-		// A second query of an id that is held, or whose parts are still out, would
-		// share its parts' ids: it is no new query, and nothing may go out twice. Of the
-		// id it can't be said that it has not run.
-		x.Counters.Repeated.Add(1)
-		x.final(q, Final{Ending: Failed, MayHaveRun: true})
+		duplicate = duplicate || x.parts[partID(q, p)] != nil
+	}
+	if duplicate {
+		// A query whose id is already in use, or whose parts still have attempts in
+		// flight, would share the ids of those parts. It does not count as a new query,
+		// and nothing may be sent twice. Whether the query of that id has run is unknown.
+		x.Counters.Duplicate.Add(1)
+		x.deliver(q, Final{Ending: Failed, MayHaveRun: true})
 		return
 	}
-	if x.set.MostHeld > 0 && len(x.queries)+len(x.parts) >= x.set.MostHeld {
-		x.Counters.Full.Add(1)
-		x.final(q, Final{Ending: Refused, RetryAfter: x.advice(q.Class)})
+	if x.settings.MostHeld > 0 && len(x.queries)+len(x.parts) >= x.settings.MostHeld {
+		x.Counters.OverCapacity.Add(1)
+		x.deliver(q, Final{Ending: Refused, RetryAfter: x.retryAfter(q.Class)})
 		return
 	}
-	h := &held{Query: q, class: q.Class, deadline: q.ReceivedAt.Add(q.Timeout)}
-	if err := x.lay(h); err != nil {
+	qs := &queryState{Query: q, class: q.Class, deadline: q.ReceivedAt.Add(q.Timeout)}
+	if err := x.createParts(qs); err != nil {
 		x.Counters.Unrouted.Add(1)
-		x.final(q, Final{Ending: Refused, RetryAfter: x.advice(q.Class), Reason: err.Error()})
+		x.deliver(q, Final{Ending: Refused, RetryAfter: x.retryAfter(q.Class), Reason: err.Error()})
 		return
 	}
-	for _, p := range h.parts {
-		if x.parts[p.id] != nil { // by the map's names it is one that is still out
-			x.Counters.Repeated.Add(1)
-			x.final(q, Final{Ending: Failed, MayHaveRun: true})
+	for _, p := range qs.parts {
+		if x.parts[p.id] != nil { // the map gives this part the id of one that is still in flight
+			x.Counters.Duplicate.Add(1)
+			x.deliver(q, Final{Ending: Failed, MayHaveRun: true})
 			return
 		}
 	}
-	x.queries[q.ID] = h
-	for _, p := range h.parts {
+	x.queries[q.ID] = qs
+	for _, p := range qs.parts {
 		x.parts[p.id] = p
 	}
-	x.guard(h)
+	x.startDeadlineTimer(qs)
 	if x.hooks != nil {
-		if k := x.hooks.Begin(q.Class); k != nil {
-			h.watched = &watched{QueryHooks: k}
-			x.begin(h)
+		if h := x.hooks.Begin(q.Class); h != nil {
+			qs.hookState = &hookState{QueryHooks: h}
+			x.callFirstHooks(qs)
 			return
 		}
 	}
-	x.admit(h)
+	x.admit(qs)
 }
 
-// guard sets the last alarm of a query.
-func (x *Exchange) guard(h *held) {
-	h.alarm = x.after(h.deadline, func() { x.guards = append(x.guards, func() { x.overdue(h) }) })
+// startDeadlineTimer ensures that a query ends at its deadline even if the router does
+// not end it.
+func (x *Exchange) startDeadlineTimer(qs *queryState) {
+	qs.deadlineTimer = x.startTimer(qs.deadline, func() { x.deadlineChecks = append(x.deadlineChecks, func() { x.enforceDeadline(qs) }) })
 }
 
-// admit hands a query to the decisions.
-func (x *Exchange) admit(h *held) {
-	if x.levels != nil && !x.ease(h) {
+// admit passes a query to the router.
+func (x *Exchange) admit(qs *queryState) {
+	if x.levels != nil && !x.applyLevel(qs) {
 		return
 	}
-	q := h.Query
-	x.numbers++
-	ev := choice.Query{ID: q.ID, Class: h.class, Number: x.numbers, Key: q.Key, Tenant: q.Tenant,
-		Grace:  max(h.deadline.Sub(x.drive.Now()).Microseconds(), 0),
-		Repeat: q.ClientRetry, Parts: len(h.parts), Hinted: true}
-	// Where hooks dropped so much that the rest can't be whole, the decisions are to
-	// want all of the rest; how the answer is marked is looked at again at its end.
+	q := qs.Query
+	x.lastNumber++
+	ev := choice.Query{ID: q.ID, Class: qs.class, Number: x.lastNumber, Key: q.Key, Tenant: q.Tenant,
+		Grace:  max(qs.deadline.Sub(x.loop.Now()).Microseconds(), 0),
+		Repeat: q.ClientRetry, Parts: len(qs.parts), Hinted: true}
+	// If hooks dropped so many parts that the remaining ones can't make a complete
+	// answer, the weights are scaled so that the router needs all of the remaining parts.
+	// Whether the answer is marked complete is checked again when the query ends.
 	scale := 1.0
-	gone := 0.0
-	if h.watched != nil {
-		gone = h.watched.gone
+	droppedWeight := 0.0
+	if qs.hookState != nil {
+		droppedWeight = qs.hookState.droppedWeight
 	}
-	if gone > 0 {
-		if need := x.class(h.class).Need; 1-gone < need {
-			scale = need / (1 - gone)
+	if droppedWeight > 0 {
+		if need := x.class(qs.class).Need; 1-droppedWeight < need {
+			scale = need / (1 - droppedWeight)
 		}
 	}
-	if ev.Least = q.MinShare; h.eased != nil {
-		ev.Least = h.eased.need
+	if ev.Least = q.MinShare; qs.degraded != nil {
+		ev.Least = qs.degraded.need
 	}
 	at := len(x.events)
-	x.events = append(x.events, ev) // with the query in front, once its parts are known
-	for _, p := range h.parts {
+	x.events = append(x.events, ev) // replaced below, once the parts are known: the query comes before its parts
+	for _, p := range qs.parts {
 		if p.dropped {
 			ev.Parts--
 			continue
 		}
 		ev.Hinted = ev.Hinted && p.Hinted
 		ev.Predicted += p.Cost
-		x.events = append(x.events, choice.Part{ID: p.id, Class: h.class, Number: ev.Number, Key: p.Key,
-			Shard: p.place(), Weight: p.Weight * scale, Hinted: p.Hinted, Predicted: p.Cost})
+		x.events = append(x.events, choice.Part{ID: p.id, Class: qs.class, Number: ev.Number, Key: p.Key,
+			Shard: p.routerShard(), Weight: p.Weight * scale, Hinted: p.Hinted, Predicted: p.Cost})
 	}
 	if !ev.Hinted {
 		ev.Predicted = 0
 	}
-	// The query and all its parts go into one Step: alone it looks empty.
+	// The query and all its parts go into the same Step: without its parts the query
+	// would look empty.
 	x.events[at] = ev
 }
 
 func partID(q *Query, p Part) string { return q.ID + "." + strconv.Itoa(p.Shard) }
 
-// overdue is the last guard: a client whose time is up gets an answer though
-// the router has not given one.
-func (x *Exchange) overdue(h *held) {
-	if h.ended {
+// enforceDeadline ends a query whose deadline has passed and that the router has not
+// ended.
+func (x *Exchange) enforceDeadline(qs *queryState) {
+	if qs.ended {
 		return
 	}
-	if class := x.class(h.class); h.placed != nil && h.watched == nil && class.Floor < class.Need && hookrule.Enough(class, h.share()) {
-		x.answer(h, false) // what was parked did not come in time
+	if class := x.class(qs.class); qs.routing != nil && qs.hookState == nil && class.Floor < class.Need && hookrule.Enough(class, qs.servedShare()) {
+		x.answer(qs, false) // the parked parts were not served in time
 		return
 	}
-	log.Error("overdue", "id", h.ID, "class", h.Class)
-	x.Counters.Overdue.Add(1)
-	x.end(h, Final{Ending: Expired})
-	x.withdraw(h)
+	log.Error("overdue", "id", qs.ID, "class", qs.Class)
+	x.Counters.DeadlineEnforced.Add(1)
+	x.finish(qs, Final{Ending: Expired})
+	x.withdraw(qs)
 	x.post(func() {})
 }
 
-// advice tells a client that finds the mixer full when to come back.
-func (x *Exchange) advice(class string) time.Duration {
-	for _, c := range x.set.Router.Classes {
+// retryAfter returns when a client should retry a query of the class that the mixer
+// had no capacity for.
+func (x *Exchange) retryAfter(class string) time.Duration {
+	for _, c := range x.settings.Router.Classes {
 		if c.Name == class {
-			return time.Duration(min(c.Aim/4, x.set.Router.MaxRetryAfter)) * time.Microsecond
+			return time.Duration(min(c.Aim/4, x.settings.Router.MaxRetryAfter)) * time.Microsecond
 		}
 	}
 	return 0
 }
 
-func (x *Exchange) act(now time.Time, action choice.Action) {
+// execute executes an action of the router.
+func (x *Exchange) execute(now time.Time, action choice.Action) {
 	switch a := action.(type) {
 	case choice.Send:
 		x.send(now, a)
 	case choice.Cancel:
 		if p := x.parts[a.ID]; p != nil && a.Attempt < len(p.attempts) {
-			x.giveUp(p.attempts[a.Attempt], choice.CalledOff)
+			x.cancel(p.attempts[a.Attempt], choice.CalledOff)
 		}
 	case choice.Answer:
-		if h := x.queries[a.ID]; h != nil && h.placed != nil {
-			x.legOver(h, a.ID, 0)
-		} else if h != nil && h.watched != nil {
-			x.decide(h, a.Whole)
-		} else if h != nil {
-			f := Final{Ending: Answered, Complete: a.Whole, Hits: h.hits()}
-			if h.eased != nil && h.eased.need > 0 {
-				f = x.easedFinal(h, f)
+		if qs := x.queries[a.ID]; qs != nil && qs.routing != nil {
+			x.subqueryEnded(qs, a.ID, 0)
+		} else if qs != nil && qs.hookState != nil {
+			x.answerDecided(qs, a.Whole)
+		} else if qs != nil {
+			f := Final{Ending: Answered, Complete: a.Whole, Hits: qs.hits()}
+			if qs.degraded != nil && qs.degraded.need > 0 {
+				f = x.degradedFinal(qs, f)
 			}
-			x.end(h, f)
+			x.finish(qs, f)
 		}
 	case choice.Refuse:
-		if h := x.queries[a.ID]; h != nil && h.placed != nil {
-			x.legOver(h, a.ID, time.Duration(a.RetryAfter)*time.Microsecond)
-		} else if h != nil {
-			x.end(h, Final{Ending: Refused, RetryAfter: time.Duration(a.RetryAfter) * time.Microsecond})
+		if qs := x.queries[a.ID]; qs != nil && qs.routing != nil {
+			x.subqueryEnded(qs, a.ID, time.Duration(a.RetryAfter)*time.Microsecond)
+		} else if qs != nil {
+			x.finish(qs, Final{Ending: Refused, RetryAfter: time.Duration(a.RetryAfter) * time.Microsecond})
 		}
 	case choice.Fail:
-		if h := x.queries[a.ID]; h != nil && h.placed != nil {
-			x.legOver(h, a.ID, 0)
-		} else if h != nil {
-			x.end(h, Final{Ending: Failed})
+		if qs := x.queries[a.ID]; qs != nil && qs.routing != nil {
+			x.subqueryEnded(qs, a.ID, 0)
+		} else if qs != nil {
+			x.finish(qs, Final{Ending: Failed})
 		}
 	case choice.Wake:
 		token := a.Token
-		x.after(now.Add(span(a.Delay)), func() { x.events = append(x.events, choice.Elapsed{Token: token}) })
+		x.startTimer(now.Add(boundedDelay(a.Delay)), func() { x.events = append(x.events, choice.Elapsed{Token: token}) })
 	case choice.Probe:
 		x.Counters.Probes.Add(1)
-		x.leaves.Probe(a.Server)
+		x.upstream.Probe(a.Server)
 	case choice.Release:
-		x.leaves.Release(a.Server)
+		x.upstream.Release(a.Server)
 	case choice.Watch:
-		x.leaves.Watch(a.On)
+		x.upstream.Watch(a.On)
 	case choice.Fetch:
-		x.leaves.Fetch()
+		x.upstream.Fetch()
 	case choice.Log:
 		log.Info("decision", "text", a.Text)
 	case choice.Tell:
-		log.Warn("untold", "err", "this platform has no way between mixers")
+		log.Warn("untold", "err", "this platform has no channel between mixers")
 	}
 }
 
-func span(d choice.Micros) time.Duration {
-	return min(time.Duration(max(d, 0))*time.Microsecond, maxWait)
+func boundedDelay(d choice.Micros) time.Duration {
+	return min(time.Duration(max(d, 0))*time.Microsecond, maxDelay)
 }
 
+// send creates an attempt for a part and queues it for the upstream side.
 func (x *Exchange) send(now time.Time, s choice.Send) {
 	p := x.parts[s.ID]
 	if p == nil {
 		return
 	}
-	a := &Attempt{PartID: p.wire, Server: s.Server, Index: len(p.attempts), Shard: p.Shard, Text: p.q.Text,
+	a := &Attempt{PartID: p.wireID, Server: s.Server, Index: len(p.attempts), Shard: p.Shard, Text: p.query.Text,
 		sentAt: now, part: p}
 	p.attempts = append(p.attempts, a)
-	p.out++
-	left := p.q.deadline.Sub(now)
+	p.inFlight++
+	timeout := p.query.deadline.Sub(now)
 	if s.Timeout != 0 {
-		left = min(span(s.Timeout), left)
-	}
-	a.Deadline = now.Add(left)
-	hooked := p.q.watched != nil && p.q.watched.Wants(hookabi.Send, p.q.class)
-	// Never out: the query has ended, its time has run out, an attempt is still
-	// out, or the part has had all its attempts.
-	if p.q.ended || p.dropped || p.away || left <= 0 || p.prior+len(p.attempts) > x.set.Router.AttemptCap ||
-		p.out > 1 && !x.set.Router.ParallelTries {
+		timeout = min(boundedDelay(s.Timeout), timeout)
+	}
+	a.Deadline = now.Add(timeout)
+	hooked := p.query.hookState != nil && p.query.hookState.Wants(hookabi.Send, p.query.class)
+	// The attempt is not sent if the query has ended, the part was dropped or its
+	// segment has moved, no time is left, the part has used up its attempts, or another
+	// attempt is in flight and the settings do not allow parallel attempts.
+	if p.query.ended || p.dropped || p.moved || timeout <= 0 || p.priorAttempts+len(p.attempts) > x.settings.Router.AttemptCap ||
+		p.inFlight > 1 && !x.settings.Router.ParallelTries {
 		x.Counters.Unsent.Add(1)
 		x.AttemptEnded(a, choice.NotSent, nil, "")
 		return
 	}
-	a.alarm = x.after(a.Deadline, func() { x.giveUp(a, choice.NoAnswer) })
+	a.deadlineTimer = x.startTimer(a.Deadline, func() { x.cancel(a, choice.NoAnswer) })
 	if hooked {
-		x.askSend(a)
+		x.callSendHooks(a)
 		return
 	}
-	if p.q.watched != nil || p.target != nil {
-		a.ExtraFields = x.names(p) + x.extra(p.q)
+	if p.query.hookState != nil || p.target != nil {
+		a.ExtraFields = x.keyFields(p) + x.tagFields(p.query)
 	}
-	a.handed = true
+	a.handedOver = true
 	x.Counters.Sent.Add(1)
-	x.sends = append(x.sends, a)
+	x.pendingSends = append(x.pendingSends, a)
 }
 
-// flush hands over the sends that came in a row.
-func (x *Exchange) flush() {
-	if len(x.sends) > 0 {
-		x.leaves.Send(x.sends)
-		x.sends = nil
+// flushSends hands the pending sends to the upstream side in a single call.
+func (x *Exchange) flushSends() {
+	if len(x.pendingSends) > 0 {
+		x.upstream.Send(x.pendingSends)
+		x.pendingSends = nil
 	}
 }
 
-// giveUp stops waiting for an attempt. Its outcome comes once the client side
-// has told the leaf server, so that no further attempt goes out before that.
-func (x *Exchange) giveUp(a *Attempt, v choice.Verdict) {
-	if a.withheld {
-		x.release(a)
+// cancel cancels an attempt. The upstream side reports its outcome once it has notified
+// the leaf server, so that no further attempt of the part is sent before that.
+func (x *Exchange) cancel(a *Attempt, v choice.Verdict) {
+	if a.outcomeDeferred {
+		x.reportNeverRan(a)
 		return
 	}
-	if !a.ended && !a.giving {
-		a.giving = true
-		if a.asking { // nobody has it yet, and nobody will
+	if !a.ended && !a.canceling {
+		a.canceling = true
+		if a.awaitingHooks { // the upstream side has not received the attempt and never will
 			x.AttemptEnded(a, choice.NotSent, nil, "")
 			return
 		}
-		x.leaves.Cancel(a, v)
+		x.upstream.Cancel(a, v)
 	}
 }
 
-func (x *Exchange) outcome(a *Attempt, v choice.Verdict, load []choice.Reading, value string) {
+// recordOutcome records how an attempt ended and notifies the router.
+func (x *Exchange) recordOutcome(a *Attempt, v choice.Verdict, load []choice.Reading, value string) {
 	if a.ended {
 		return
 	}
 	a.ended = true
-	x.drop(a.alarm)
+	x.stopTimer(a.deadlineTimer)
 	a.neverRan = v == choice.TurnedAway || v == choice.NoConnection || v == choice.NotSent
 	p := a.part
-	p.out--
+	p.inFlight--
 	x.Counters.Outcomes[v].Add(1)
-	if v == choice.Served && !p.q.ended {
+	if v == choice.Served && !p.query.ended {
 		p.served, p.value = true, value
 	} else if v == choice.ServerError {
-		p.failure = value
+		p.failureValue = value
 	}
-	if x.OnAttemptEnd != nil && a.handed {
-		x.OnAttemptEnd(AttemptResult{Server: a.Server, Class: p.q.class, Latency: x.drive.Now().Sub(a.sentAt), Verdict: v})
+	if x.OnAttemptEnd != nil && a.handedOver {
+		x.OnAttemptEnd(AttemptResult{Server: a.Server, Class: p.query.class, Latency: x.loop.Now().Sub(a.sentAt), Verdict: v})
 	}
-	if epoch, away := moved(p, v, load); away && !p.q.ended {
-		x.turned(a, epoch)
-		if a.withheld {
-			x.forget(p)
+	if epoch, moved := movedTo(p, v, load); moved && !p.query.ended {
+		x.parkMoved(a, epoch)
+		if a.outcomeDeferred {
+			x.removeIfDone(p)
 			return
 		}
-		v = choice.NotSent // no sign of a server that is busy
+		v = choice.NotSent // the rejection does not mean that the server is busy
 	}
-	x.events = append(x.events, choice.Outcome{ID: p.id, Server: a.Server, Delay: x.drive.Now().Sub(a.sentAt).Microseconds(),
-		Closed: p.served || p.q.ended, Attempt: a.Index, Verdict: v, Load: load})
-	if p.q.watched != nil && v == choice.Served && !p.q.ended {
-		x.askAnswered(p)
+	x.events = append(x.events, choice.Outcome{ID: p.id, Server: a.Server, Delay: x.loop.Now().Sub(a.sentAt).Microseconds(),
+		Closed: p.served || p.query.ended, Attempt: a.Index, Verdict: v, Load: load})
+	if p.query.hookState != nil && v == choice.Served && !p.query.ended {
+		x.callAnsweredHooks(p)
 	}
-	if p.q.placed != nil && v == choice.Served && !p.q.ended {
-		x.settle(p.q)
+	if p.query.routing != nil && v == choice.Served && !p.query.ended {
+		x.finishIfSettled(p.query)
 	}
-	x.forget(p)
+	x.removeIfDone(p)
 }
 
-// end gives a query its final answer. Its attempts that are still out end as
-// they would have: the router cancels them where that is permitted.
-func (x *Exchange) end(h *held, f Final) {
-	if h.ended {
+// finish gives a query its final answer. Attempts that are still in flight run on: the
+// router cancels them where that is allowed.
+func (x *Exchange) finish(qs *queryState, f Final) {
+	if qs.ended {
 		return
 	}
-	h.ended = true
-	x.drop(h.alarm)
-	delete(x.queries, h.ID)
-	for _, p := range h.parts {
-		x.forget(p)
+	qs.ended = true
+	x.stopTimer(qs.deadlineTimer)
+	delete(x.queries, qs.ID)
+	for _, p := range qs.parts {
+		x.removeIfDone(p)
 	}
-	if h.placed != nil {
-		x.closeLegs(h)
+	if qs.routing != nil {
+		x.closeSubqueries(qs)
 	}
-	if h.watched != nil {
-		f.Notes = h.watched.notes
+	if qs.hookState != nil {
+		f.Notes = qs.hookState.notes
 	}
 	if f.Ending != Answered {
-		f.MayHaveRun = mayHaveRun(h)
-		for _, p := range h.parts {
-			f.FailureValue = cmp.Or(f.FailureValue, p.failure)
+		f.MayHaveRun = mayHaveRun(qs)
+		for _, p := range qs.parts {
+			f.FailureValue = cmp.Or(f.FailureValue, p.failureValue)
 		}
 	}
 	if x.levels != nil {
-		x.levels.weigh(x, h, f)
+		x.levels.recordEnding(x, qs, f)
 	}
-	x.final(h.Query, f)
-	if h.watched != nil {
-		x.endHooks(h, f)
+	x.deliver(qs.Query, f)
+	if qs.hookState != nil {
+		x.endHooks(qs, f)
 	}
 }
 
-func (x *Exchange) forget(p *part) {
-	if p.q.ended && p.out == 0 {
+// removeIfDone removes a part once its query has ended and no attempt of it is in flight.
+func (x *Exchange) removeIfDone(p *partState) {
+	if p.query.ended && p.inFlight == 0 {
 		delete(x.parts, p.id)
 	}
 }
 
-func (x *Exchange) final(q *Query, f Final) {
+// deliver counts the final answer of a query and passes it to the client.
+func (x *Exchange) deliver(q *Query, f Final) {
 	x.Counters.Finals[f.Ending].Add(1)
 	if f.Ending == Answered && !f.Complete {
 		x.Counters.Partial.Add(1)
 	}
 	q.Done(f)
-	x.open.Add(-1)
+	x.openQueries.Add(-1)
 }
--- a/internal/exchange/hooks.go
+++ b/internal/exchange/hooks.go
@@ -1,10 +1,9 @@
 package exchange
 
-// The seam at which hooks stand beside a query's life. This file owns what a
-// query that hooks watch holds beyond others, the order of its points, and what
-// becomes of it when no ruling comes in time. It must never wait: each ask has an
-// alarm of its own, and what comes after that is dropped. A query that no hook
-// watches never gets here.
+// This file calls hooks at the points of a query's life. It owns the state of queries
+// that hooks watch, the order of the points, and the fallback when no result arrives
+// in time. It never blocks: each call has its own timer, and a result that arrives
+// after that is dropped. Queries that no hook watches don't get here.
 
 import (
 	"slices"
@@ -16,116 +15,118 @@
 )
 
 const (
-	hookMargin = 3 * time.Millisecond // kept of a query's time for the answer itself
-	hookGrace  = 2 * time.Millisecond // beyond the time an ask was given: then it counts as unanswered
+	hookMargin = 3 * time.Millisecond // part of a query's time that is reserved for writing the answer
+	hookGrace  = 2 * time.Millisecond // added to the timeout of a call before it counts as unanswered
 )
 
 // Hooks decides which queries are watched.
 type Hooks interface {
-	// Begin is called once for each query taken, on the exchange's goroutine. It
-	// returns nil where no hook watches queries of the class.
+	// Begin is called once for each query received, on the exchange's goroutine. It
+	// returns nil if no hook watches queries of the class.
 	Begin(class string) QueryHooks
 }
 
-// QueryHooks are the hooks of one query. They are the same set for all its life. Its
-// methods are called on the exchange's goroutine and must not block.
+// QueryHooks is the set of hooks of one query. It stays the same for the life of the
+// query. Its methods are called on the exchange's goroutine and must not block.
 type QueryHooks interface {
-	// Wants tells whether any hook is asked at a point, and Wait how long they may
-	// take together.
+	// Wants reports whether any hook is to be called at a point, and Timeout returns
+	// how long all hooks of the point together may take.
 	Wants(p hookabi.Point, class string) bool
 	Timeout(p hookabi.Point, class string) time.Duration
-	// Invoke shows a view; it is the hooks' from then on. done is called once, from any
-	// goroutine, with what was granted (nil: nothing).
+	// Invoke calls the hooks with a view, which belongs to them from then on. done is
+	// called once, from any goroutine, with what was granted (nil: nothing).
 	Invoke(v *hookabi.View, within time.Duration, done func(*hookabi.Result))
-	// Fallback is what holds where an ask could not be made, or its time is over.
+	// Fallback returns the result to use if the hooks could not be called or did not
+	// return in time.
 	Fallback(p hookabi.Point, class string) *hookabi.Result
-	// End is called once, after the final answer. With a view, hooks may look at it.
+	// End is called once, after the final answer. If v is not nil, hooks may inspect it.
 	End(v *hookabi.View)
 }
 
-// watched is what is held for a query that hooks watch.
-type watched struct {
+// hookState is the state of a query that hooks watch.
+type hookState struct {
 	QueryHooks
-	tags, notes []hookabi.Pair
-	notWhole    bool
-	admitted    bool // the decisions have it
-	decided     bool // and are done with it
-	asking      int  // Answered asks that are out
-	answer      *Final
-	gone        float64 // weight dropped
+	tags, notes     []hookabi.Pair
+	incomplete      bool // a hook forbids to mark the answer complete
+	admitted        bool // the router has the query
+	decided         bool // the router has answered the query
+	pendingAnswered int  // calls at the point Answered that are in progress
+	answer          *Final
+	droppedWeight   float64
 }
 
-// SetHooks puts hooks beside the queries taken from then on; tags are passed on
-// to leaf servers where that is wanted. It must be called before Run.
+// SetHooks sets the hooks for the queries received from then on. With forwardTags,
+// tags set by hooks are forwarded to leaf servers. It must be called before Run.
 func (x *Exchange) SetHooks(h Hooks, forwardTags bool) { x.hooks, x.forwardTags = h, forwardTags }
 
-// begin has the hooks see a query that has just been taken, then admits it.
-func (x *Exchange) begin(h *held) {
-	x.ask(h, hookabi.Taken, nil, 0, func(r *hookabi.Result) {
-		if !x.grant(h, nil, r) {
+// callFirstHooks calls the hooks for a query that has just been received, then admits it.
+func (x *Exchange) callFirstHooks(qs *queryState) {
+	x.callHooks(qs, hookabi.Taken, nil, 0, func(r *hookabi.Result) {
+		if !x.applyResult(qs, nil, r) {
 			return
 		}
 		if r != nil && r.Class != "" {
-			h.class = r.Class
+			qs.class = r.Class
 		}
-		x.ask(h, hookabi.Admission, nil, 0, func(r *hookabi.Result) {
-			if x.grant(h, nil, r) {
-				h.watched.admitted = true
-				x.admit(h)
+		x.callHooks(qs, hookabi.Admission, nil, 0, func(r *hookabi.Result) {
+			if x.applyResult(qs, nil, r) {
+				qs.hookState.admitted = true
+				x.admit(qs)
 			}
 		})
 	})
 }
 
-// ask asks at a point and calls then with the ruling: at once where nobody is to
-// be asked, else later, and never once the query has ended.
-func (x *Exchange) ask(h *held, point hookabi.Point, p *part, attempt int, then func(*hookabi.Result)) {
-	k := h.watched
-	if !k.Wants(point, h.class) {
+// callHooks calls the hooks of a point and passes their result to then: immediately if
+// there are none, otherwise later, and never once the query has ended.
+func (x *Exchange) callHooks(qs *queryState, point hookabi.Point, p *partState, attempt int, then func(*hookabi.Result)) {
+	state := qs.hookState
+	if !state.Wants(point, qs.class) {
 		then(nil)
 		return
 	}
-	within := min(k.Timeout(point, h.class), time.Until(h.deadline)-hookMargin)
+	within := min(state.Timeout(point, qs.class), time.Until(qs.deadline)-hookMargin)
 	if within <= 0 {
-		x.Counters.HookShort.Add(1)
-		x.post(func() { // the caller may be in the middle of a turn
-			if !h.ended {
-				then(k.Fallback(point, h.class))
+		x.Counters.HookNoTime.Add(1)
+		x.post(func() { // posted because the caller may be in the middle of a Turn
+			if !qs.ended {
+				then(state.Fallback(point, qs.class))
 			}
 		})
 		return
 	}
-	x.Counters.HookAsks.Add(1)
-	var alarm *timer
-	settled := false
-	settle := func(r *hookabi.Result) {
-		if settled {
+	x.Counters.HookCalls.Add(1)
+	var timeoutTimer *timer
+	resolved := false
+	resolve := func(r *hookabi.Result) {
+		if resolved {
 			return
 		}
-		settled = true
-		x.drop(alarm)
-		if !h.ended {
+		resolved = true
+		x.stopTimer(timeoutTimer)
+		if !qs.ended {
 			then(r)
 		}
 	}
-	alarm = x.after(x.drive.Now().Add(within+hookGrace), func() {
-		if !settled {
-			x.Counters.HookLate.Add(1)
-			settle(k.Fallback(point, h.class))
+	timeoutTimer = x.startTimer(x.loop.Now().Add(within+hookGrace), func() {
+		if !resolved {
+			x.Counters.HookTimeouts.Add(1)
+			resolve(state.Fallback(point, qs.class))
 		}
 	})
-	k.Invoke(x.view(h, point, p, attempt), within, func(r *hookabi.Result) { x.post(func() { settle(r) }) })
+	state.Invoke(x.view(qs, point, p, attempt), within, func(r *hookabi.Result) { x.post(func() { resolve(r) }) })
 }
 
-// view is what hooks see of a query: a copy, so that nothing they hold is ours.
-func (x *Exchange) view(h *held, point hookabi.Point, at *part, attempt int) *hookabi.View {
-	x.seeds = x.seeds*6364136223846793005 + 1442695040888963407 // Knuth's MMIX; one for each ask
-	v := &hookabi.View{Point: point, ID: h.ID, Class: h.class, Key: h.Key, Tenant: h.Tenant, Text: h.Text, Repeat: h.ClientRetry,
-		TakenAt: h.ReceivedAt.UnixMicro(), Left: max(time.Until(h.deadline).Microseconds(), 0), Seed: x.seeds,
-		Tags: slices.Clone(h.watched.tags), Notes: slices.Clone(h.watched.notes), Part: -1, Attempt: attempt,
-		Parts: make([]hookabi.PartView, len(h.parts))}
-	got := 0.0
-	for i, p := range h.parts {
+// view returns what hooks see of a query. It is a copy, so that hooks never share
+// memory with the exchange.
+func (x *Exchange) view(qs *queryState, point hookabi.Point, at *partState, attempt int) *hookabi.View {
+	x.hookSeed = x.hookSeed*6364136223846793005 + 1442695040888963407 // Knuth's MMIX generator; one step per view
+	v := &hookabi.View{Point: point, ID: qs.ID, Class: qs.class, Key: qs.Key, Tenant: qs.Tenant, Text: qs.Text, Repeat: qs.ClientRetry,
+		TakenAt: qs.ReceivedAt.UnixMicro(), Left: max(time.Until(qs.deadline).Microseconds(), 0), Seed: x.hookSeed,
+		Tags: slices.Clone(qs.hookState.tags), Notes: slices.Clone(qs.hookState.notes), Part: -1, Attempt: attempt,
+		Parts: make([]hookabi.PartView, len(qs.parts))}
+	share := 0.0
+	for i, p := range qs.parts {
 		v.Parts[i] = hookabi.PartView{Shard: p.Shard, Weight: p.Weight, Key: p.Key, Attempts: len(p.attempts),
 			Served: p.served, Dropped: p.dropped}
 		if p == at {
@@ -135,92 +136,94 @@
 			v.Parts[i].Value = p.value
 		}
 		if p.served && !p.dropped {
-			got += p.Weight
+			share += p.Weight
 		}
 	}
-	if k := h.watched; point == hookabi.Answer && k.answer != nil {
-		v.Ending, v.Whole, v.Share = endings[Answered], k.answer.Complete && !k.notWhole, got
+	if state := qs.hookState; point == hookabi.Answer && state.answer != nil {
+		v.Ending, v.Whole, v.Share = endings[Answered], state.answer.Complete && !state.incomplete, share
 	}
 	return v
 }
 
-// grant does what a ruling says and tells whether the query goes on. Class is
-// left to the caller.
-func (x *Exchange) grant(h *held, at *part, r *hookabi.Result) bool {
+// applyResult applies a result of the hooks and reports whether the query continues.
+// It does not apply Class; the caller does.
+func (x *Exchange) applyResult(qs *queryState, at *partState, r *hookabi.Result) bool {
 	if r == nil {
 		return true
 	}
-	k := h.watched
-	k.tags, k.notes = hookrule.Merge(k.tags, r.Tags), hookrule.Merge(k.notes, r.Notes)
-	k.notWhole = k.notWhole || r.NotWhole
+	state := qs.hookState
+	state.tags, state.notes = hookrule.Merge(state.tags, r.Tags), hookrule.Merge(state.notes, r.Notes)
+	state.incomplete = state.incomplete || r.NotWhole
 	if r.Left > 0 {
-		// The view was made a moment ago: what is left is counted from now, never up.
-		if sooner := x.drive.Now().Add(time.Duration(r.Left) * time.Microsecond); sooner.Before(h.deadline) {
-			h.deadline = sooner
-			x.drop(h.alarm)
-			x.guard(h)
+		// Time has passed since the view was made. Left counts from now, and the
+		// deadline is never extended.
+		if earlier := x.loop.Now().Add(time.Duration(r.Left) * time.Microsecond); earlier.Before(qs.deadline) {
+			qs.deadline = earlier
+			x.stopTimer(qs.deadlineTimer)
+			x.startDeadlineTimer(qs)
 		}
 	}
 	if len(r.Drop) > 0 {
-		x.dropParts(h, r)
+		x.dropParts(qs, r)
 	}
 	if !r.Refuse {
 		return true
 	}
-	advice := time.Duration(r.RetryAfter) * time.Microsecond
-	if advice == 0 {
-		advice = x.advice(h.class)
+	retryAfter := time.Duration(r.RetryAfter) * time.Microsecond
+	if retryAfter == 0 {
+		retryAfter = x.retryAfter(qs.class)
 	}
 	x.Counters.HookRefused.Add(1)
-	x.turnAway(h, r.Reason, advice)
+	x.refuse(qs, r.Reason, retryAfter)
 	return false
 }
 
-// dropParts takes parts out of a query where what is left still makes an honest
-// answer. The rules have been checked on the view; since then another ask of the
-// same query may have dropped one too.
-func (x *Exchange) dropParts(h *held, r *hookabi.Result) {
-	k, class := h.watched, x.class(h.class)
-	for _, p := range h.parts {
+// dropParts drops parts of a query as long as the remaining ones still make an answer
+// that the class allows. The rules have been checked on the view, but another call for
+// the same query may have dropped a part since then.
+func (x *Exchange) dropParts(qs *queryState, r *hookabi.Result) {
+	state, class := qs.hookState, x.class(qs.class)
+	for _, p := range qs.parts {
 		if p.dropped || !slices.Contains(r.Drop, p.Shard) || class.Effect != choice.Safe {
 			continue
 		}
-		if !hookrule.Enough(class, 1-k.gone-p.Weight) {
+		if !hookrule.Enough(class, 1-state.droppedWeight-p.Weight) {
 			continue
 		}
 		p.dropped = true
-		k.gone += p.Weight
+		state.droppedWeight += p.Weight
 		x.Counters.HookDrops.Add(1)
 	}
 }
 
-// turnAway ends a query on a hook's word. Where a part that can do harm may have
-// run it has failed: a refusal would promise what nobody knows.
-func (x *Exchange) turnAway(h *held, reason string, advice time.Duration) {
-	f := Final{Ending: Refused, RetryAfter: advice, Reason: reason}
-	if !hookrule.Harmless(x.class(h.class).Effect, mayHaveRun(h)) {
+// refuse ends a query because hooks refuse it or leave too little of it. If a part with
+// side effects may have run, the query fails instead: a refusal guarantees that sending
+// the query again is safe, which is then unknown.
+func (x *Exchange) refuse(qs *queryState, reason string, retryAfter time.Duration) {
+	f := Final{Ending: Refused, RetryAfter: retryAfter, Reason: reason}
+	if !hookrule.Harmless(x.class(qs.class).Effect, mayHaveRun(qs)) {
 		f = Final{Ending: Failed, Reason: reason}
 	}
-	x.end(h, f)
-	x.withdraw(h)
+	x.finish(qs, f)
+	x.withdraw(qs)
 }
 
-// withdraw tells the decisions that a query of theirs has ended without them.
-func (x *Exchange) withdraw(h *held) {
-	if h.placed != nil { // its legs are closed with it
+// withdraw notifies the router that a query it has not answered has ended.
+func (x *Exchange) withdraw(qs *queryState) {
+	if qs.routing != nil { // finish has closed its subqueries
 		return
 	}
-	if h.watched == nil || h.watched.admitted && !h.watched.decided {
-		x.events = append(x.events, choice.ClientLeft{ID: h.ID})
+	if qs.hookState == nil || qs.hookState.admitted && !qs.hookState.decided {
+		x.events = append(x.events, choice.ClientLeft{ID: qs.ID})
 	}
 }
 
-// mayHaveRun tells whether any attempt of a query was handed over and has not
-// come back as one that never ran.
-func mayHaveRun(h *held) bool {
-	for _, p := range h.parts {
+// mayHaveRun reports whether any attempt of a query was handed over and has not been
+// reported as one that never ran.
+func mayHaveRun(qs *queryState) bool {
+	for _, p := range qs.parts {
 		for _, a := range p.attempts {
-			if a.handed && !a.neverRan {
+			if a.handedOver && !a.neverRan {
 				return true
 			}
 		}
@@ -228,40 +231,40 @@
 	return false
 }
 
-// askSend has the hooks see an attempt before it is handed over.
-func (x *Exchange) askSend(a *Attempt) {
+// callSendHooks calls the hooks for an attempt, then hands the attempt over.
+func (x *Exchange) callSendHooks(a *Attempt) {
 	p := a.part
-	h := p.q
-	a.asking = true
-	x.ask(h, hookabi.Send, p, a.Index, func(r *hookabi.Result) {
-		a.asking = false
-		if !x.grant(h, p, r) || a.giving {
+	qs := p.query
+	a.awaitingHooks = true
+	x.callHooks(qs, hookabi.Send, p, a.Index, func(r *hookabi.Result) {
+		a.awaitingHooks = false
+		if !x.applyResult(qs, p, r) || a.canceling {
 			return
 		}
-		now := x.drive.Now()
+		now := x.loop.Now()
 		if p.dropped || !a.Deadline.After(now) {
-			x.outcome(a, choice.NotSent, nil, "")
+			x.recordOutcome(a, choice.NotSent, nil, "")
 			return
 		}
-		// What the hooks took is not the server's doing.
-		a.sentAt, a.ExtraFields, a.handed = now, x.names(p)+x.extra(h), true
+		// The time that the hooks took must not count against the server.
+		a.sentAt, a.ExtraFields, a.handedOver = now, x.keyFields(p)+x.tagFields(qs), true
 		x.Counters.Sent.Add(1)
-		x.sends = append(x.sends, a)
-		x.flush()
+		x.pendingSends = append(x.pendingSends, a)
+		x.flushSends()
 	})
 }
 
-// extra is what a frame's list carries beside the time.
-func (x *Exchange) extra(h *held) string {
-	if !x.forwardTags || h.watched == nil {
+// tagFields returns the options of a frame that carry a query's tags.
+func (x *Exchange) tagFields(qs *queryState) string {
+	if !x.forwardTags || qs.hookState == nil {
 		return ""
 	}
 	var b []byte
-	for _, t := range h.watched.tags {
+	for _, t := range qs.hookState.tags {
 		b = append(b, ",t."...)
 		b = append(b, t.Name...)
 		b = append(b, '=')
-		for i := range len(t.Value) { // a list's own marks and spaces would end the word
+		for i := range len(t.Value) { // spaces and the separators of the options would end the value
 			if c := t.Value[i]; c > ' ' && c != ',' && c != '=' {
 				b = append(b, c)
 			} else {
@@ -272,70 +275,74 @@
 	return string(b)
 }
 
-// askAnswered has the hooks see a value that is in. The decisions have it already:
-// what the hooks take is their query's alone, and no server's.
-func (x *Exchange) askAnswered(p *part) {
-	h := p.q
-	if !h.watched.Wants(hookabi.Answered, h.class) {
+// callAnsweredHooks calls the hooks for a part that has been served. The router has
+// been notified already, so the time that the hooks take delays only this query and is
+// not attributed to a server.
+func (x *Exchange) callAnsweredHooks(p *partState) {
+	qs := p.query
+	if !qs.hookState.Wants(hookabi.Answered, qs.class) {
 		return
 	}
-	h.watched.asking++
-	x.ask(h, hookabi.Answered, p, max(len(p.attempts)-1, 0), func(r *hookabi.Result) {
-		h.watched.asking--
-		if x.grant(h, p, r) && h.watched.answer != nil && h.watched.asking == 0 {
-			x.askAnswer(h)
+	qs.hookState.pendingAnswered++
+	x.callHooks(qs, hookabi.Answered, p, max(len(p.attempts)-1, 0), func(r *hookabi.Result) {
+		qs.hookState.pendingAnswered--
+		if x.applyResult(qs, p, r) && qs.hookState.answer != nil && qs.hookState.pendingAnswered == 0 {
+			x.callAnswerHooks(qs)
 		}
 	})
 }
 
-// decide takes the decisions' answer to a query that hooks watch. It goes out
-// once what was asked about its parts is settled.
-func (x *Exchange) decide(h *held, whole bool) {
-	h.watched.decided, h.watched.answer = true, &Final{Ending: Answered, Complete: whole}
-	if h.watched.asking == 0 {
-		x.askAnswer(h)
+// answerDecided takes the router's answer to a query that hooks watch. The answer is
+// delivered once all hook calls for its parts have returned.
+func (x *Exchange) answerDecided(qs *queryState, complete bool) {
+	qs.hookState.decided, qs.hookState.answer = true, &Final{Ending: Answered, Complete: complete}
+	if qs.hookState.pendingAnswered == 0 {
+		x.callAnswerHooks(qs)
 	}
 }
 
-func (x *Exchange) askAnswer(h *held) {
-	x.ask(h, hookabi.Answer, nil, 0, func(r *hookabi.Result) {
-		if x.grant(h, nil, r) {
-			x.conclude(h)
+func (x *Exchange) callAnswerHooks(qs *queryState) {
+	x.callHooks(qs, hookabi.Answer, nil, 0, func(r *hookabi.Result) {
+		if x.applyResult(qs, nil, r) {
+			x.finishHooked(qs)
 		}
 	})
 }
 
-// conclude gives a watched query its answer, marked by what is in it.
-func (x *Exchange) conclude(h *held) {
-	k, class := h.watched, x.class(h.class)
-	f, share := *k.answer, 0.0
-	f.Hits, share = h.hits(), h.share()
-	if k.gone > 0 { // the decisions' mark did not know of that
+// finishHooked gives a query that hooks watch its answer, marked complete or not by the
+// parts that were served.
+func (x *Exchange) finishHooked(qs *queryState) {
+	state, class := qs.hookState, x.class(qs.class)
+	f, share := *state.answer, 0.0
+	f.Hits, share = qs.hits(), qs.servedShare()
+	if state.droppedWeight > 0 { // the router's mark does not account for dropped parts
 		f.Complete = f.Complete && hookrule.Whole(class, share)
 		if !hookrule.Enough(class, share) {
-			x.turnAway(h, "too little is left of the answer", x.advice(h.class))
+			x.refuse(qs, "too little is left of the answer", x.retryAfter(qs.class))
 			return
 		}
 	}
-	f.Complete = f.Complete && !k.notWhole
-	x.end(h, f)
+	f.Complete = f.Complete && !state.incomplete
+	x.finish(qs, f)
 }
 
-// ended lets the hooks look at a query whose final answer is out.
-func (x *Exchange) endHooks(h *held, f Final) {
-	k := h.watched
-	if !k.Wants(hookabi.Ended, h.class) {
-		k.End(nil)
+// endHooks lets the hooks inspect a query whose final answer has been delivered.
+func (x *Exchange) endHooks(qs *queryState, f Final) {
+	state := qs.hookState
+	if !state.Wants(hookabi.Ended, qs.class) {
+		state.End(nil)
 		return
 	}
-	v := x.view(h, hookabi.Ended, nil, 0)
+	v := x.view(qs, hookabi.Ended, nil, 0)
 	v.Ending, v.Whole = endings[f.Ending], f.Complete
-	v.Share = h.share()
-	k.End(v)
+	v.Share = qs.servedShare()
+	state.End(v)
 }
 
+// class returns the settings of a class. A class that is not configured counts as unsafe
+// and needs all of the answer.
 func (x *Exchange) class(name string) choice.Class {
-	for _, c := range x.set.Router.Classes {
+	for _, c := range x.settings.Router.Classes {
 		if c.Name == name {
 			return c
 		}
--- a/internal/exchange/levels.go
+++ b/internal/exchange/levels.go
@@ -1,10 +1,11 @@
 package exchange
 
-// Named levels of reduced service, where an operator has set some. This file owns what
-// is measured for them, and what a level gives up of a query before the decisions see
-// it. It must never mark an answer whole that is not, give less than a class's least
-// share, hold a query back, or choose a server; core/level decides which level is in
-// force, and the decisions all else.
+// This file implements named levels of reduced service, for operators who configure
+// some. It measures the signals for them and applies the level in force to a query
+// before the router sees it. It never marks an incomplete answer complete, never lets an
+// answer fall below the minimum share of its class, never delays a query and never
+// chooses a server. core/level decides which level is in force; the router decides
+// everything else.
 
 import (
 	"fmt"
@@ -19,67 +20,69 @@
 	"saddleport/internal/core/level"
 )
 
-// LevelsSettings are the operator file's section [levels].
+// LevelsSettings is the section [levels] of the operator file.
 type LevelsSettings struct {
-	Names           []string      `ini:"levels" help:"[level NAME] sections, from the mildest on; none: there is full service alone"`
-	Evidence        time.Duration `ini:"evidence" default:"3s" range:"500ms..10m" help:"a signal at twice its bound for so long enters a level; at 1.5 times, for twice as long"`
-	ExitShare       float64       `ini:"back" default:"0.5" range:"0.05..0.95" help:"below this share of its bounds a level is spoken against"`
-	Calm            time.Duration `ini:"calm" default:"5s" range:"500ms..10m" help:"with all signals at 0, so long until a level may be left"`
-	MinStay         time.Duration `ini:"least-stay" default:"10s" range:"1s..1h"`
-	MaxStay         time.Duration `ini:"most-stay" default:"160s" range:"1s..24h" help:"each return soon after, and each trial that fails, doubles the stay up to this"`
-	Trial           time.Duration `ini:"trial" default:"5s" range:"1s..10m" help:"the better level is tried for so long before it is in force"`
-	TrialShare      float64       `ini:"trial-share" default:"0.1" range:"0.01..0.9" help:"of the queries that try it"`
-	MaxTrialLoss    float64       `ini:"worse" default:"0.025" range:"0..1" help:"a trial fails where it loses this much more of its value than the others"`
-	MinTrialQueries int           `ini:"trial-least" default:"20" range:"1..100000" help:"queries that must have tried it"`
+	Names         []string      `ini:"levels" help:"[level NAME] sections, from the mildest on; none: there is full service alone"`
+	Evidence      time.Duration `ini:"evidence" default:"3s" range:"500ms..10m" help:"a signal at twice its bound for so long enters a level; at 1.5 times, for twice as long"`
+	ExitRatio     float64       `ini:"back" default:"0.5" range:"0.05..0.95" help:"below this share of its bounds a level is spoken against"`
+	Calm          time.Duration `ini:"calm" default:"5s" range:"500ms..10m" help:"with all signals at 0, so long until a level may be left"`
+	MinStay       time.Duration `ini:"least-stay" default:"10s" range:"1s..1h"`
+	MaxStay       time.Duration `ini:"most-stay" default:"160s" range:"1s..24h" help:"each return soon after, and each trial that fails, doubles the stay up to this"`
+	Trial         time.Duration `ini:"trial" default:"5s" range:"1s..10m" help:"the better level is tried for so long before it is in force"`
+	TrialShare    float64       `ini:"trial-share" default:"0.1" range:"0.01..0.9" help:"of the queries that try it"`
+	MaxRegression float64       `ini:"worse" default:"0.025" range:"0..1" help:"a trial fails where it loses this much more of its value than the others"`
+	MinSamples    int           `ini:"trial-least" default:"20" range:"1..100000" help:"queries that must have tried it"`
 }
 
-// LevelSettings are a section [level NAME]. A bound of 0 is none.
+// LevelSettings is a section [level NAME] of the operator file. A bound of 0 means that
+// the signal does not enter the level.
 type LevelSettings struct {
 	Name       string
-	Refused    float64  `ini:"refused" default:"0" range:"0..1" help:"enter: share of the value asked for that is refused for want of room"`
-	Failed     float64  `ini:"failed" default:"0" range:"0..1" help:"enter: share that fails or comes too late"`
-	WarmingUp  float64  `ini:"cold" default:"0" range:"0..1" help:"enter: share of the usable servers that are cold"`
-	Unserved   float64  `ini:"unsound" default:"0" range:"0..1" help:"enter: share of the cells without a usable server"`
-	Queue      float64  `ini:"queue" default:"0" range:"0..60000" help:"enter: ms that what comes in waits for the exchange"`
-	Reductions []string `ini:"give" help:"what is given up, by class: CLASS share S (ask for so much, never less than its least share; marked not whole), CLASS refuse R (turn away this share at once)"`
+	Refused    float64  `ini:"refused" default:"0" range:"0..1" help:"enter above this share of the requested value that is refused for lack of capacity"`
+	Failed     float64  `ini:"failed" default:"0" range:"0..1" help:"enter above this share of the requested value that fails or is answered too late"`
+	SlowStart  float64  `ini:"cold" default:"0" range:"0..1" help:"enter above this share of usable servers that are still warming up"`
+	CellsDown  float64  `ini:"unsound" default:"0" range:"0..1" help:"enter above this share of cells without a usable server"`
+	Queue      float64  `ini:"queue" default:"0" range:"0..60000" help:"enter above this queueing delay of events for the exchange, in ms"`
+	Reductions []string `ini:"give" help:"the reductions, by class: CLASS share S (settle for this share of the answer, but never less than the class's minimum; such answers are not marked complete), CLASS refuse R (refuse this share of the queries at once)"`
 }
 
-// give is what a level gives up of a class.
-type give struct{ share, refuse float64 }
+// reduction is how a level reduces the service of a class.
+type reduction struct{ share, refuse float64 }
 
-// gives reads what a level gives up.
-func (s *LevelSettings) gives() (map[string]give, error) {
-	out := make(map[string]give)
+// reductions parses Reductions, by class.
+func (s *LevelSettings) reductions() (map[string]reduction, error) {
+	out := make(map[string]reduction)
 	for _, text := range s.Reductions {
-		w := strings.Fields(text)
-		if len(w) != 3 || w[1] != "share" && w[1] != "refuse" {
+		fields := strings.Fields(text)
+		if len(fields) != 3 || fields[1] != "share" && fields[1] != "refuse" {
 			return nil, fmt.Errorf("give: %q is neither CLASS share S nor CLASS refuse R", text)
 		}
-		v, err := strconv.ParseFloat(w[2], 64)
+		v, err := strconv.ParseFloat(fields[2], 64)
 		if err != nil || !(v >= 0 && v <= 1) {
-			return nil, fmt.Errorf("give: %q: %s is not within 0 to 1", text, w[2])
+			return nil, fmt.Errorf("give: %q: %s is not within 0 to 1", text, fields[2])
 		}
-		g, known := out[w[0]]
+		red, known := out[fields[0]]
 		if !known {
-			g.share = 1
+			red.share = 1
 		}
-		if w[1] == "share" {
-			g.share = v
+		if fields[1] == "share" {
+			red.share = v
 		} else {
-			g.refuse = v
+			red.refuse = v
 		}
-		out[w[0]] = g
+		out[fields[0]] = red
 	}
 	return out, nil
 }
 
-// Check looks at what a level gives up; classes may be nil where they are not known.
+// Check validates the reductions of a level. If classes is nil, the class names are not
+// checked.
 func (s *LevelSettings) Check(classes []choice.Class) error {
-	g, err := s.gives()
+	byClass, err := s.reductions()
 	if err != nil {
 		return err
 	}
-	for name := range g {
+	for name := range byClass {
 		if classes != nil && !slices.ContainsFunc(classes, func(c choice.Class) bool { return c.Name == name }) {
 			return fmt.Errorf("give: there is no class %s", name)
 		}
@@ -87,197 +90,202 @@
 	return nil
 }
 
-// levels is what the exchange holds for them. Its goroutine owns it.
+// levels is the state behind the levels of service. The exchange's goroutine owns it.
 type levels struct {
-	set   LevelsSettings
-	gives []map[string]give // by level; [0] is full service
-	state *level.State
-	rng   *rand.Rand
-	tick  *timer
+	settings    LevelsSettings
+	reductions  []map[string]reduction // by level, then by class; [0] is full service
+	state       *level.State
+	rng         *rand.Rand
+	sampleTimer *timer
 
-	value, refused, failed float64 // of the span at hand
-	asked                  int
-	queue                  time.Duration
+	value, refused, failed float64       // since the last sample
+	queries                int           // since the last sample
+	queueDelay             time.Duration // the longest since the last sample
 	servers                map[string]choice.Server
-	past                   []LevelChange
-	spent                  []LevelCost
-	at                     choice.Micros // of the last reading
+	changes                []LevelChange
+	costs                  []LevelCost
+	sampledAt              choice.Micros
 	signals                level.Signals
 }
 
-// LevelChange is a change of the level, for people.
+// LevelChange is a change of the level, as shown to operators.
 type LevelChange struct {
 	At       time.Time
 	From, To string
 	Why      string
 }
 
-// LevelCost is what a level has cost and saved since the start.
+// LevelCost is what a level has cost and saved since the start of the mixer.
 type LevelCost struct {
 	Level    string
 	Seconds  float64
 	Asked    int64
-	Refused  int64   // turned away by it
-	Short    int64   // asked for less than all
-	Answered float64 // value answered in time, as a share of what was asked for
+	Refused  int64   // queries refused by the level
+	Short    int64   // queries for which the level lowered the share to settle for
+	Answered float64 // value answered in time, as a share of the value requested
 	value    float64
 	earned   float64
 }
 
 const (
-	readEvery  = time.Second
-	mostPast   = 256
-	leastAsked = 5 // in a span: with fewer nothing is judged
+	sampleInterval  = time.Second
+	maxLevelChanges = 256 // kept for reports
+	minQueries      = 5   // per sample; with fewer queries the refused and failed shares are not computed
 )
 
-// SetLevels turns levels on. It must be called before Run.
+// SetLevels enables levels of reduced service. It must be called before Run.
 func (x *Exchange) SetLevels(set LevelsSettings, each []LevelSettings) error {
-	us := func(d time.Duration) int64 { return d.Microseconds() }
-	s := level.Settings{Evidence: us(set.Evidence), Back: set.ExitShare, Calm: us(set.Calm), Stay: us(set.MinStay), MostStay: us(set.MaxStay), Trial: us(set.Trial),
-		Worse: set.MaxTrialLoss, LeastSeen: set.MinTrialQueries}
-	l := &levels{set: set, gives: []map[string]give{nil}, rng: rand.New(rand.NewPCG(x.seeds, 11)), servers: make(map[string]choice.Server), spent: []LevelCost{{Level: "full"}}}
+	micros := func(d time.Duration) int64 { return d.Microseconds() }
+	s := level.Settings{Evidence: micros(set.Evidence), Back: set.ExitRatio, Calm: micros(set.Calm), Stay: micros(set.MinStay), MostStay: micros(set.MaxStay), Trial: micros(set.Trial),
+		Worse: set.MaxRegression, LeastSeen: set.MinSamples}
+	l := &levels{settings: set, reductions: []map[string]reduction{nil}, rng: rand.New(rand.NewPCG(x.hookSeed, 11)), servers: make(map[string]choice.Server), costs: []LevelCost{{Level: "full"}}}
 	for _, name := range set.Names {
 		i := slices.IndexFunc(each, func(e LevelSettings) bool { return e.Name == name })
 		if i < 0 {
 			return fmt.Errorf("levels: there is no section [level %s]", name)
 		}
-		if err := each[i].Check(x.set.Router.Classes); err != nil {
+		if err := each[i].Check(x.settings.Router.Classes); err != nil {
 			return fmt.Errorf("[level %s] %w", name, err)
 		}
-		g, _ := each[i].gives()
-		l.gives = append(l.gives, g)
-		l.spent = append(l.spent, LevelCost{Level: name})
+		byClass, _ := each[i].reductions()
+		l.reductions = append(l.reductions, byClass)
+		l.costs = append(l.costs, LevelCost{Level: name})
 		v := level.Level{Name: name}
-		for k, bound := range []float64{each[i].Refused, each[i].Failed, each[i].WarmingUp, each[i].Unserved, each[i].Queue} {
+		for k, bound := range []float64{each[i].Refused, each[i].Failed, each[i].SlowStart, each[i].CellsDown, each[i].Queue} {
 			if bound > 0 {
 				v.Enter = append(v.Enter, level.Cond{Signal: level.Names[k], Above: bound})
 			}
 		}
 		if len(v.Enter) == 0 {
-			return fmt.Errorf("[level %s] names no bound: it would never be entered", name)
+			return fmt.Errorf("[level %s] sets no bound, so it would never be entered", name)
 		}
 		s.Levels = append(s.Levels, v)
 	}
-	l.at = x.Micros(x.drive.Now())
-	l.state = level.New(s, l.at)
+	l.sampledAt = x.Micros(x.loop.Now())
+	l.state = level.New(s, l.sampledAt)
 	x.levels = l
 	return nil
 }
 
-// read closes a span of readings and lets the level be decided.
-func (x *Exchange) read() {
-	l, now := x.levels, x.drive.Now()
-	l.tick = x.after(now.Add(readEvery), x.read)
+// sampleLevels computes the signals since the last sample and lets core/level decide on
+// the level.
+func (x *Exchange) sampleLevels() {
+	l, now := x.levels, x.loop.Now()
+	l.sampleTimer = x.startTimer(now.Add(sampleInterval), x.sampleLevels)
 	at := x.Micros(now)
-	g := level.Signals{Queue: float64(l.queue.Microseconds()) / 1000}
-	if l.asked >= leastAsked && l.value > 0 {
-		g.Asked, g.Refused, g.Failed = float64(l.asked), l.refused/l.value, l.failed/l.value
+	sample := level.Signals{Queue: float64(l.queueDelay.Microseconds()) / 1000}
+	if l.queries >= minQueries && l.value > 0 {
+		sample.Asked, sample.Refused, sample.Failed = float64(l.queries), l.refused/l.value, l.failed/l.value
 	}
-	usable, cold := 0, 0
+	usable, warmingUp := 0, 0
 	cells := make(map[int]bool)
 	for _, s := range l.servers {
 		usable++
 		cells[s.Cell] = true
-		if s.UpSince > 0 && at-s.UpSince < x.set.Router.Cold {
-			cold++
+		if s.UpSince > 0 && at-s.UpSince < x.settings.Router.Cold {
+			warmingUp++
 		}
 	}
 	if usable > 0 {
-		g.Cold = float64(cold) / float64(usable)
-		g.Unsound = 1 - float64(len(cells))/float64(max(x.set.Router.Cells, 1))
+		sample.Cold = float64(warmingUp) / float64(usable)
+		sample.Unsound = 1 - float64(len(cells))/float64(max(x.settings.Router.Cells, 1))
 	}
-	cost := &l.spent[l.state.Level()]
-	cost.Seconds += float64(at-l.at) / 1e6
-	l.at, l.signals = at, g
-	l.asked, l.value, l.refused, l.failed, l.queue = 0, 0, 0, 0, 0
-	if c, ok := l.state.Read(at, g); ok {
-		x.changed(c)
+	cost := &l.costs[l.state.Level()]
+	cost.Seconds += float64(at-l.sampledAt) / 1e6
+	l.sampledAt, l.signals = at, sample
+	l.queries, l.value, l.refused, l.failed, l.queueDelay = 0, 0, 0, 0, 0
+	if c, ok := l.state.Read(at, sample); ok {
+		x.recordLevelChange(c)
 	}
 }
 
-// changed notes a change of the level.
-func (x *Exchange) changed(c level.Change) {
+// recordLevelChange records, counts and logs a change of the level.
+func (x *Exchange) recordLevelChange(c level.Change) {
 	l := x.levels
-	if l.past = append(l.past, LevelChange{x.drive.Now(), l.state.Name(c.From), l.state.Name(c.To), c.Why}); len(l.past) > mostPast {
-		l.past = slices.Delete(l.past, 0, len(l.past)-mostPast)
+	if l.changes = append(l.changes, LevelChange{x.loop.Now(), l.state.Name(c.From), l.state.Name(c.To), c.Why}); len(l.changes) > maxLevelChanges {
+		l.changes = slices.Delete(l.changes, 0, len(l.changes)-maxLevelChanges)
 	}
 	x.Counters.LevelChanges.Add(1)
 	x.Counters.Level.Store(int64(c.To))
 	log.Warn("level", "from", l.state.Name(c.From), "to", l.state.Name(c.To), "why", c.Why)
 }
 
-// eased is what a level has taken from a query.
-type eased struct {
+// degraded is how a level reduces the service of a query.
+type degraded struct {
 	level int
-	tried bool
-	need  float64 // what the decisions are to want; 0: the class's
+	trial bool    // the query takes part in the trial of a better level
+	need  float64 // share that the router may settle for; 0: only what the class needs
 }
 
-// ease gives up of a query what the level says, and tells whether it goes on.
-func (x *Exchange) ease(h *held) bool {
+// applyLevel reduces the service of a query as its level says, and reports whether the
+// query continues.
+func (x *Exchange) applyLevel(qs *queryState) bool {
 	l := x.levels
-	e := &eased{level: l.state.Level()}
-	if l.state.Trying() && l.rng.Float64() < l.set.TrialShare {
-		e.level, e.tried = e.level-1, true
+	d := &degraded{level: l.state.Level()}
+	if l.state.Trying() && l.rng.Float64() < l.settings.TrialShare {
+		d.level, d.trial = d.level-1, true
 	}
-	h.eased = e
-	cost := &l.spent[e.level]
+	qs.degraded = d
+	cost := &l.costs[d.level]
 	cost.Asked++
-	g, gives := l.gives[e.level][h.class]
-	if !gives {
+	red, reduced := l.reductions[d.level][qs.class]
+	if !reduced {
 		return true
 	}
-	if l.rng.Float64() < g.refuse {
+	if l.rng.Float64() < red.refuse {
 		cost.Refused++
 		x.Counters.LevelRefused.Add(1)
-		advice := x.advice(h.class)
-		advice += time.Duration(l.rng.Float64() * float64(advice)) // they must not come back together
-		x.end(h, Final{Ending: Refused, RetryAfter: advice, Reason: "reduced service: " + l.state.Name(e.level)})
+		retryAfter := x.retryAfter(qs.class)
+		retryAfter += time.Duration(l.rng.Float64() * float64(retryAfter)) // spreads the retries of clients refused together
+		x.finish(qs, Final{Ending: Refused, RetryAfter: retryAfter, Reason: "reduced service: " + l.state.Name(d.level)})
 		return false
 	}
-	class := x.class(h.class)
-	if g.share >= 1 || class.Effect != choice.Safe || class.Floor >= class.Need || h.placed != nil || h.watched != nil {
+	class := x.class(qs.class)
+	if red.share >= 1 || class.Effect != choice.Safe || class.Floor >= class.Need || qs.routing != nil || qs.hookState != nil {
 		return true
 	}
-	if target := max(g.share, class.Floor); target < class.Need {
-		// The decisions are to want so much. All parts stay theirs to send, so one that is
-		// overdue still has others to stand in for it.
-		e.need = target
-		// Parts whose cells are worst off are planned last.
-		sound := l.sound(x)
-		slices.SortStableFunc(h.parts, func(a, b *part) int { return sound(b.Shard) - sound(a.Shard) })
+	if target := max(red.share, class.Floor); target < class.Need {
+		// Only the share that the router may settle for is lowered. The router still gets
+		// all parts, so that others can replace one that is overdue.
+		d.need = target
+		// Parts of the least healthy cells are planned last.
+		health := l.shardHealth(x)
+		slices.SortStableFunc(qs.parts, func(a, b *partState) int { return health(b.Shard) - health(a.Shard) })
 		cost.Short++
-		x.Counters.LevelShort.Add(1)
+		x.Counters.LevelReduced.Add(1)
 	}
 	return true
 }
 
-// sound says of a shard: 0, no usable server holds it; 1, none that is warm; 2.
-func (l *levels) sound(x *Exchange) func(shard int) int {
-	at := x.Micros(x.drive.Now())
-	cells := make([]int, max(x.set.Router.Cells, 1))
+// shardHealth returns a function that rates a shard: 0 without a usable server for it,
+// 1 if all usable servers are warming up, else 2.
+func (l *levels) shardHealth(x *Exchange) func(shard int) int {
+	at := x.Micros(x.loop.Now())
+	cells := make([]int, max(x.settings.Router.Cells, 1))
 	for _, s := range l.servers {
 		if s.Cell < 0 || s.Cell >= len(cells) {
 			continue
 		}
-		n := 2
-		if s.UpSince > 0 && at-s.UpSince < x.set.Router.Cold {
-			n = 1
+		rating := 2
+		if s.UpSince > 0 && at-s.UpSince < x.settings.Router.Cold {
+			rating = 1
 		}
-		cells[s.Cell] = max(cells[s.Cell], n)
+		cells[s.Cell] = max(cells[s.Cell], rating)
 	}
 	return func(shard int) int {
 		best := 0
-		for j := range max(x.set.Router.Width, 1) {
+		for j := range max(x.settings.Router.Width, 1) {
 			best = max(best, cells[(shard+j)%len(cells)])
 		}
 		return best
 	}
 }
 
-// easedFinal marks the answer to a query that was not asked for as a whole.
-func (x *Exchange) easedFinal(h *held, f Final) Final {
-	class, share := x.class(h.class), h.share()
+// degradedFinal corrects the final answer of a query for which the router was allowed to
+// settle for less than the class needs: the answer is complete only if the share served
+// is, and the query fails if that share is below the class's minimum.
+func (x *Exchange) degradedFinal(qs *queryState, f Final) Final {
+	class, share := x.class(qs.class), qs.servedShare()
 	f.Complete = f.Complete && hookrule.Whole(class, share)
 	if !hookrule.Enough(class, share) {
 		return Final{Ending: Failed}
@@ -285,16 +293,17 @@
 	return f
 }
 
-// weigh notes how a query has ended.
-func (l *levels) weigh(x *Exchange, h *held, f Final) {
-	class := x.class(h.class)
-	late := x.drive.Now().Sub(h.ReceivedAt).Microseconds() > class.Aim
-	l.asked++
+// recordEnding adds the ending of a query to the current sample and to the cost of its
+// level.
+func (l *levels) recordEnding(x *Exchange, qs *queryState, f Final) {
+	class := x.class(qs.class)
+	late := x.loop.Now().Sub(qs.ReceivedAt).Microseconds() > class.Aim
+	l.queries++
 	l.value += class.Value
 	lost, earned := 0.0, class.Value
 	switch {
 	case f.Ending == ClientGone:
-		l.asked--
+		l.queries--
 		l.value -= class.Value
 		return
 	case f.Ending == Refused:
@@ -308,19 +317,19 @@
 		earned -= lost
 		l.failed += lost
 	case !f.Complete && class.Need > 0:
-		earned *= min(h.share()/class.Need, 1) * class.Partial
+		earned *= min(qs.servedShare()/class.Need, 1) * class.Partial
 		lost = class.Value - earned
 	}
-	if h.eased != nil {
-		cost := &l.spent[h.eased.level]
+	if qs.degraded != nil {
+		cost := &l.costs[qs.degraded.level]
 		cost.value += class.Value
 		cost.earned += earned
-		l.state.Ended(h.eased.tried, class.Value, lost)
+		l.state.Ended(qs.degraded.trial, class.Value, lost)
 	}
 }
 
-// heard takes news of the list.
-func (l *levels) heard(list choice.List) {
+// updateServers applies the server list or a change of it.
+func (l *levels) updateServers(list choice.List) {
 	if list.Form == choice.Failed {
 		return
 	}
@@ -336,9 +345,9 @@
 	}
 }
 
-// ---- What operators see and say.
+// ---- Reports and commands for operators.
 
-// LevelReport is what is known of the levels.
+// LevelReport describes the level in force, its signals, and the changes and costs so far.
 type LevelReport struct {
 	Level   string
 	Trying  string `json:",omitempty"`
@@ -349,27 +358,29 @@
 	Cost    []LevelCost
 }
 
-// Levels tells of the levels, and does first what is asked: pin or release. It waits
-// for the exchange's goroutine, up to a bound.
+// Levels reports on the levels after executing a command, if there is one: a pin that is
+// not empty pins that level for the span, release removes the pin. Levels waits for the
+// exchange's goroutine for 10 s at most.
 func (x *Exchange) Levels(pin string, span time.Duration, release bool) (*LevelReport, error) {
-	type answer struct {
-		r   *LevelReport
-		err error
+	type result struct {
+		report *LevelReport
+		err    error
 	}
-	out := make(chan answer, 1)
+	done := make(chan result, 1)
 	x.post(func() {
-		r, err := x.levelReport(pin, span, release)
-		out <- answer{r, err}
+		report, err := x.levelReport(pin, span, release)
+		done <- result{report, err}
 	})
 	select {
-	case a := <-out:
-		return a.r, a.err
+	case res := <-done:
+		return res.report, res.err
 	case <-time.After(10 * time.Second):
-		return nil, fmt.Errorf("the exchange did not answer in time")
+		return nil, fmt.Errorf("the exchange did not answer within 10 s")
 	}
 }
 
-// LevelsSnapshot is Levels for who owns the exchange's goroutine; nil: there are none.
+// LevelsSnapshot is like Levels without a command, for callers on the exchange's
+// goroutine. It returns nil if there are no levels.
 func (x *Exchange) LevelsSnapshot() *LevelReport {
 	r, err := x.levelReport("", 0, false)
 	if err != nil {
@@ -381,33 +392,33 @@
 func (x *Exchange) levelReport(pin string, span time.Duration, release bool) (*LevelReport, error) {
 	l := x.levels
 	if l == nil {
-		return nil, fmt.Errorf("this mixer has no levels: [levels] levels names none")
+		return nil, fmt.Errorf("this mixer has no levels: the setting levels in section [levels] is empty")
 	}
-	now := x.Micros(x.drive.Now())
+	now := x.Micros(x.loop.Now())
 	if pin != "" {
-		n := 0
+		index := 0
 		if pin != "full" {
-			if n = slices.Index(l.set.Names, pin) + 1; n == 0 {
-				return nil, fmt.Errorf("there is no level %.40s; there are: full, %s", pin, strings.Join(l.set.Names, ", "))
+			if index = slices.Index(l.settings.Names, pin) + 1; index == 0 {
+				return nil, fmt.Errorf("unknown level %.40s; the levels are: full, %s", pin, strings.Join(l.settings.Names, ", "))
 			}
 		}
-		if c, ok := l.state.Pin(now, n, now+span.Microseconds()); ok {
-			x.changed(c)
+		if c, ok := l.state.Pin(now, index, now+span.Microseconds()); ok {
+			x.recordLevelChange(c)
 		}
 	}
 	if release {
 		if c, ok := l.state.Release(now); ok {
-			x.changed(c)
+			x.recordLevelChange(c)
 		}
 	}
-	r := &LevelReport{Level: l.state.Name(l.state.Level()), StayS: float64(l.state.Stay()) / 1e6, Signals: l.signals, Past: slices.Clone(l.past)}
+	r := &LevelReport{Level: l.state.Name(l.state.Level()), StayS: float64(l.state.Stay()) / 1e6, Signals: l.signals, Past: slices.Clone(l.changes)}
 	if l.state.Trying() {
 		r.Trying = l.state.Name(l.state.Level() - 1)
 	}
 	if until := l.state.Pinned(); until > 0 {
-		r.Pinned = x.drive.Now().Add(time.Duration(until-now) * time.Microsecond)
+		r.Pinned = x.loop.Now().Add(time.Duration(until-now) * time.Microsecond)
 	}
-	for _, c := range l.spent {
+	for _, c := range l.costs {
 		if c.value > 0 {
 			c.Answered = c.earned / c.value
 		}
--- a/internal/exchange/segments.go
+++ b/internal/exchange/segments.go
@@ -1,16 +1,17 @@
 package exchange
 
-// Routing by the map of segments (core/placement), where an installation has one.
-// This file owns how a client's parts become parts for the segments in force, what
-// happens when a server says that it does not hold one, and how values come back
-// under the names that the client used. It must never send a part again that may
-// have run, put a key into an answer twice, or choose a server: the decisions get
-// the cell in place of the shard, and draw there.
+// This file routes queries by the map of segments (core/placement), for installations
+// that have one. It owns how the parts that a client names become parts for the segments
+// in force, what happens if a server rejects a part because it does not have the
+// segment, and how values are returned under the names that the client used. It never
+// sends a part again that may have run, never puts a key into an answer twice and never
+// chooses a server: the router gets the cell in place of the shard and selects a server
+// there.
 //
-// A part that is turned away goes out again as a part of a *leg*: a further query
-// to the decisions, for those parts alone. What became of the attempt is withheld
-// from the first query until the leg is settled: told at once, the decisions would
-// give the whole query up.
+// A rejected part is sent again as part of a *subquery*: a further query to the router,
+// for the rerouted parts alone. The outcome of the rejected attempt is withheld from the
+// first query until the subquery has ended, because the router would abandon the whole
+// query if it learned the outcome immediately.
 
 import (
 	"net/url"
@@ -23,105 +24,108 @@
 	"saddleport/internal/core/placement"
 )
 
-// MapSource is the source of maps. It must not block.
+// MapSource provides the maps of segments. Its methods must not block.
 type MapSource interface {
-	// RequestEpoch says that a server named an epoch beyond the map's.
+	// RequestEpoch reports that a server named an epoch newer than the map's.
 	RequestEpoch(epoch int64)
 }
 
-// movedReading is the name of the reading by which a server says that it does not
-// hold a part now; its value is the server's epoch.
+// movedReading is the name of the load reading by which a server reports that it does
+// not have the segment of a part. The value of the reading is the server's epoch.
 const movedReading = "moved"
 
-// segments is what the exchange holds where it routes by a map.
-type segments struct {
-	source MapSource
-	most   int // targets of one query
-	now    *placement.Map
-	parked map[*part]bool // wait for a newer map, or a moment
+// segmentRouting is the state of an exchange that routes by a map.
+type segmentRouting struct {
+	source     MapSource
+	maxTargets int // of one query
+	current    *placement.Map
+	parked     map[*partState]bool // parts that wait for a newer map or for a timer
 }
 
-// placed is what is held for a query that is routed by the map.
-type placed struct {
-	asks []placement.Ask
-	legs map[string]bool // open queries of the decisions
-	n    int             // legs so far
-	wait int             // parts parked
-	told time.Duration   // the decisions' advice, where they refused
+// routing is the state of a query that is routed by the map.
+type routing struct {
+	asks       []placement.Ask
+	open       map[string]bool // ids of the query and its subqueries that are open at the router
+	subqueries int             // subqueries so far
+	parked     int             // parts that are parked
+	retryAfter time.Duration   // the longest that the router returned with a refusal
 }
 
-// SetMapSource turns routing by a map on. It must be called before Run.
-func (x *Exchange) SetMapSource(s MapSource, most int) {
-	x.segments = &segments{source: s, most: most, parked: make(map[*part]bool)}
+// SetMapSource enables routing by a map. A query gets maxTargets targets at most. It
+// must be called before Run.
+func (x *Exchange) SetMapSource(s MapSource, maxTargets int) {
+	x.segmentRouting = &segmentRouting{source: s, maxTargets: maxTargets, parked: make(map[*partState]bool)}
 }
 
-// UpdateMap hands in a newer map.
+// UpdateMap replaces the map by a newer one.
 func (x *Exchange) UpdateMap(m *placement.Map) {
 	x.post(func() {
-		s := x.segments
-		if m.Epoch() <= s.now.Epoch() {
+		s := x.segmentRouting
+		if m.Epoch() <= s.current.Epoch() {
 			return
 		}
-		s.now = m
+		s.current = m
 		for p := range s.parked {
-			if p.wanted <= m.Epoch() {
+			if p.wantedEpoch <= m.Epoch() {
 				x.reroute(p)
 			}
 		}
 	})
 }
 
-// lay makes a query's parts.
-func (x *Exchange) lay(h *held) error {
-	if x.segments == nil {
-		for _, p := range h.Parts {
-			h.parts = append(h.parts, &part{Part: p, id: partID(h.Query, p), wire: partID(h.Query, p), q: h})
+// createParts creates the parts of a query.
+func (x *Exchange) createParts(qs *queryState) error {
+	if x.segmentRouting == nil {
+		for _, p := range qs.Parts {
+			qs.parts = append(qs.parts, &partState{Part: p, id: partID(qs.Query, p), wireID: partID(qs.Query, p), query: qs})
 		}
 		return nil
 	}
-	k := &placed{legs: map[string]bool{h.ID: true}}
-	for _, p := range h.Parts {
-		k.asks = append(k.asks, placement.Ask{Segment: uint32(p.Shard), Range: p.Range, Weight: p.Weight})
+	r := &routing{open: map[string]bool{qs.ID: true}}
+	for _, p := range qs.Parts {
+		r.asks = append(r.asks, placement.Ask{Segment: uint32(p.Shard), Range: p.Range, Weight: p.Weight})
 	}
-	targets, err := x.segments.now.Route(k.asks, x.segments.most)
+	targets, err := x.segmentRouting.current.Route(r.asks, x.segmentRouting.maxTargets)
 	if err != nil {
 		return err
 	}
-	h.placed = k
+	qs.routing = r
 	for i := range targets {
-		h.parts = append(h.parts, x.target(h, &targets[i], ""))
-		h.parts[i].leg = h.ID
+		qs.parts = append(qs.parts, x.newTargetPart(qs, &targets[i], ""))
+		qs.parts[i].subquery = qs.ID
 	}
 	return nil
 }
 
-// target makes the part for a target; mark sets the decisions' id apart.
-func (x *Exchange) target(h *held, t *placement.Target, mark string) *part {
+// newTargetPart creates the part for a target. idSuffix makes the id for the router
+// unique; the id for the leaf servers does not include it.
+func (x *Exchange) newTargetPart(qs *queryState, t *placement.Target, idSuffix string) *partState {
 	p := Part{Shard: int(t.Segment), Weight: t.Weight()}
-	if len(t.Shares) == 1 { // what the client said of its part holds for this one
-		from := h.Parts[t.Shares[0].Ask]
+	if len(t.Shares) == 1 { // the target serves one part of the client: its key and cost apply
+		from := qs.Parts[t.Shares[0].Ask]
 		p.Key, p.Hinted, p.Cost = from.Key, from.Hinted, from.Cost
 	}
-	wire := h.ID + "." + strconv.Itoa(p.Shard)
-	return &part{Part: p, id: wire + mark, wire: wire, q: h, target: t}
+	wireID := qs.ID + "." + strconv.Itoa(p.Shard)
+	return &partState{Part: p, id: wireID + idSuffix, wireID: wireID, query: qs, target: t}
 }
 
-// place is what the decisions take for the part's shard.
-func (p *part) place() int {
+// routerShard returns what the router takes for the part's shard: the cell where segments
+// are routed by a map.
+func (p *partState) routerShard() int {
 	if p.target != nil {
 		return p.target.Cell
 	}
 	return p.Shard
 }
 
-// names is what a frame's list says of a part's keys: the epoch by which it was
-// routed, and the ranges wanted.
-func (x *Exchange) names(p *part) string {
+// keyFields returns the options of a frame that describe a part's keys: the epoch by
+// which the part was routed, and the key ranges wanted.
+func (x *Exchange) keyFields(p *partState) string {
 	if p.target == nil {
 		return ""
 	}
 	var b strings.Builder
-	b.WriteString(",e=" + strconv.FormatInt(x.segments.now.Epoch(), 10) + ",r=")
+	b.WriteString(",e=" + strconv.FormatInt(x.segmentRouting.current.Epoch(), 10) + ",r=")
 	for i, r := range p.target.Ranges() {
 		if i > 0 {
 			b.WriteByte(';')
@@ -131,8 +135,9 @@
 	return b.String()
 }
 
-// moved tells whether a server said that it does not hold a part, and its epoch.
-func moved(p *part, v choice.Verdict, load []choice.Reading) (epoch int64, ok bool) {
+// movedTo reports whether a server rejected a part because it does not have the segment,
+// and returns the server's epoch.
+func movedTo(p *partState, v choice.Verdict, load []choice.Reading) (epoch int64, ok bool) {
 	if p.target == nil || v != choice.TurnedAway {
 		return 0, false
 	}
@@ -144,90 +149,91 @@
 	return 0, false
 }
 
-// turned takes a part that was turned away for not being held: it waits for a newer
-// map, or a moment. Its attempt never ran.
-func (x *Exchange) turned(a *Attempt, epoch int64) {
+// parkMoved parks a part that was rejected because the server does not have the segment:
+// it waits for a newer map or for a timer. Its attempt never ran.
+func (x *Exchange) parkMoved(a *Attempt, epoch int64) {
 	p := a.part
-	h := p.q
+	qs := p.query
 	x.Counters.Moved.Add(1)
-	p.away = true
-	p.turns++
-	s := x.segments
-	have := s.now.Epoch()
-	if epoch > have {
+	p.moved = true
+	p.moveRejections++
+	s := x.segmentRouting
+	current := s.current.Epoch()
+	if epoch > current {
 		s.source.RequestEpoch(epoch)
 	}
-	t := placement.Turned(p.turns, epoch, have, time.Until(h.deadline).Microseconds())
-	if t.GiveUp || p.prior+len(p.attempts) >= x.set.Router.AttemptCap {
+	t := placement.Turned(p.moveRejections, epoch, current, time.Until(qs.deadline).Microseconds())
+	if t.GiveUp || p.priorAttempts+len(p.attempts) >= x.settings.Router.AttemptCap {
 		return
 	}
-	a.withheld = true
-	p.wanted = max(epoch, have)
-	if epoch <= have {
-		p.wanted = have + 1 // a newer map than the one that did not help
+	a.outcomeDeferred = true
+	p.wantedEpoch = max(epoch, current)
+	if epoch <= current {
+		p.wantedEpoch = current + 1 // the current map did not help, so wait for a newer one
 	}
-	s.parked[p] = true // bounded by the queries held
-	h.placed.wait++
-	p.alarm = x.after(x.drive.Now().Add(time.Duration(t.Pause)*time.Microsecond), func() { x.reroute(p) })
+	s.parked[p] = true // bounded by the number of open queries
+	qs.routing.parked++
+	p.rerouteTimer = x.startTimer(x.loop.Now().Add(time.Duration(t.Pause)*time.Microsecond), func() { x.reroute(p) })
 }
 
-// reroute sends a parked part out again by the map that is held now.
-func (x *Exchange) reroute(p *part) {
-	s, h := x.segments, p.q
+// reroute sends a parked part again, routed by the current map.
+func (x *Exchange) reroute(p *partState) {
+	s, qs := x.segmentRouting, p.query
 	if !s.parked[p] {
 		return
 	}
 	delete(s.parked, p)
-	x.drop(p.alarm)
-	h.placed.wait--
-	if h.ended {
+	x.stopTimer(p.rerouteTimer)
+	qs.routing.parked--
+	if qs.ended {
 		return
 	}
-	targets, err := s.now.Again(p.target, s.most)
-	if err != nil || time.Until(h.deadline) <= 0 {
-		x.releaseAll(p)
+	targets, err := s.current.Again(p.target, s.maxTargets)
+	if err != nil || time.Until(qs.deadline) <= 0 {
+		x.reportDeferredOutcomes(p)
 		return
 	}
-	if h.meets(p, targets) {
+	if qs.segmentInUse(p, targets) {
 		s.parked[p] = true
-		h.placed.wait++
-		p.alarm = x.after(x.drive.Now().Add(meetPause), func() { x.reroute(p) })
+		qs.routing.parked++
+		p.rerouteTimer = x.startTimer(x.loop.Now().Add(segmentInUsePause), func() { x.reroute(p) })
 		return
 	}
-	h.placed.n++
-	leg := h.ID + "~" + strconv.Itoa(h.placed.n)
+	qs.routing.subqueries++
+	subquery := qs.ID + "~" + strconv.Itoa(qs.routing.subqueries)
 	p.replaced = true
-	p.legs = append(p.legs, leg)
-	h.placed.legs[leg], x.queries[leg] = true, h
-	x.numbers++
-	class := x.class(h.class)
-	ev := choice.Query{ID: leg, Class: h.class, Number: x.numbers, Key: h.Key, Tenant: h.Tenant,
-		Grace: max(time.Until(h.deadline).Microseconds(), 0), Parts: len(targets)}
+	p.subqueries = append(p.subqueries, subquery)
+	qs.routing.open[subquery], x.queries[subquery] = true, qs
+	x.lastNumber++
+	class := x.class(qs.class)
+	ev := choice.Query{ID: subquery, Class: qs.class, Number: x.lastNumber, Key: qs.Key, Tenant: qs.Tenant,
+		Grace: max(time.Until(qs.deadline).Microseconds(), 0), Parts: len(targets)}
 	x.events = append(x.events, ev)
 	weight := p.target.Weight()
 	for i := range targets {
-		n := x.target(h, &targets[i], "~"+strconv.Itoa(h.placed.n))
-		n.leg = leg
-		n.prior, n.turns, n.from = p.prior+len(p.attempts), p.turns, p
-		h.parts = append(h.parts, n)
+		n := x.newTargetPart(qs, &targets[i], "~"+strconv.Itoa(qs.routing.subqueries))
+		n.subquery = subquery
+		n.priorAttempts, n.moveRejections, n.replaces = p.priorAttempts+len(p.attempts), p.moveRejections, p
+		qs.parts = append(qs.parts, n)
 		x.parts[n.id] = n
-		// A leg wants all of its parts: its weights add up to what the class needs.
-		x.events = append(x.events, choice.Part{ID: n.id, Class: h.class, Number: ev.Number, Key: n.Key,
-			Shard: n.place(), Weight: class.Need * n.Weight / weight})
+		// A subquery needs all of its parts: their weights add up to what the class needs.
+		x.events = append(x.events, choice.Part{ID: n.id, Class: qs.class, Number: ev.Number, Key: n.Key,
+			Shard: n.routerShard(), Weight: class.Need * n.Weight / weight})
 	}
-	x.post(func() {}) // the caller may be in the middle of a turn
+	x.post(func() {}) // requests another Turn because the caller may be in the middle of one
 }
 
-// meetPause is how soon a part looks again whether its segment is free.
-const meetPause = 5 * time.Millisecond
+// segmentInUsePause is the interval at which a parked part checks whether its segment is
+// still in use by another part of the query.
+const segmentInUsePause = 5 * time.Millisecond
 
-// meets tells whether another part of the query is under way to a segment that a part
-// would go to now: two segments that were turned away one by one have merged since.
-// Both would go out under one name, as a part that has two attempts out at once; so
-// the second waits for the first.
-func (h *held) meets(p *part, targets []placement.Target) bool {
-	for _, o := range h.parts {
-		live := o.out > 0 || !o.served && !o.replaced && h.placed.legs[o.leg]
+// segmentInUse reports whether another live part of the query uses a segment that p would
+// now be sent to. That happens when two parts are rejected one after the other and their
+// segments have been merged since. Both would be sent under the same id, like a part with
+// two attempts in flight, so the second waits for the first.
+func (qs *queryState) segmentInUse(p *partState, targets []placement.Target) bool {
+	for _, o := range qs.parts {
+		live := o.inFlight > 0 || !o.served && !o.replaced && qs.routing.open[o.subquery]
 		if o == p || !live {
 			continue
 		}
@@ -240,53 +246,57 @@
 	return false
 }
 
-// release tells the decisions, late, that an attempt never ran.
-func (x *Exchange) release(a *Attempt) {
-	if !a.withheld {
+// reportNeverRan notifies the router of an attempt that never ran, if that has been
+// deferred.
+func (x *Exchange) reportNeverRan(a *Attempt) {
+	if !a.outcomeDeferred {
 		return
 	}
-	a.withheld = false
-	x.events = append(x.events, choice.Outcome{ID: a.part.id, Server: a.Server, Delay: x.drive.Now().Sub(a.sentAt).Microseconds(),
-		Closed: a.part.q.ended, Attempt: a.Index, Verdict: choice.NotSent})
+	a.outcomeDeferred = false
+	x.events = append(x.events, choice.Outcome{ID: a.part.id, Server: a.Server, Delay: x.loop.Now().Sub(a.sentAt).Microseconds(),
+		Closed: a.part.query.ended, Attempt: a.Index, Verdict: choice.NotSent})
 	x.post(func() {})
 }
 
-func (x *Exchange) releaseAll(p *part) {
+// reportDeferredOutcomes notifies the router of all attempts of a part whose outcome has
+// been deferred.
+func (x *Exchange) reportDeferredOutcomes(p *partState) {
 	for _, a := range p.attempts {
-		x.release(a)
+		x.reportNeverRan(a)
 	}
 }
 
-// legOver takes the end of one of the decisions' queries.
-func (x *Exchange) legOver(h *held, id string, advice time.Duration) {
-	k := h.placed
-	delete(k.legs, id)
-	if id != h.ID {
+// subqueryEnded handles the end, at the router, of a query that is routed by the map or
+// of one of its subqueries.
+func (x *Exchange) subqueryEnded(qs *queryState, id string, retryAfter time.Duration) {
+	r := qs.routing
+	delete(r.open, id)
+	if id != qs.ID {
 		delete(x.queries, id)
 	}
-	k.told = max(k.told, advice)
-	for _, p := range h.parts { // a leg that brought nothing: the query it was for may go on
-		if len(p.legs) > 0 && p.legs[len(p.legs)-1] == id && !x.brought(h, p) {
-			x.releaseAll(p)
+	r.retryAfter = max(r.retryAfter, retryAfter)
+	for _, p := range qs.parts { // if the subquery for a part failed, the query that the part came from may continue
+		if len(p.subqueries) > 0 && p.subqueries[len(p.subqueries)-1] == id && !x.replacementServed(qs, p) {
+			x.reportDeferredOutcomes(p)
 		}
 	}
-	x.settle(h)
+	x.finishIfSettled(qs)
 }
 
-// brought tells whether all that replaced a part has been served.
-func (x *Exchange) brought(h *held, p *part) bool {
-	for _, n := range h.parts {
-		if n.from == p && !n.served && !(n.replaced && x.brought(h, n)) {
+// replacementServed reports whether all parts that replace a part have been served.
+func (x *Exchange) replacementServed(qs *queryState, p *partState) bool {
+	for _, n := range qs.parts {
+		if n.replaces == p && !n.served && !(n.replaced && x.replacementServed(qs, n)) {
 			return false
 		}
 	}
 	return true
 }
 
-// share is how much of a query is in.
-func (h *held) share() float64 {
+// servedShare returns the sum of the weights of the parts that have been served.
+func (qs *queryState) servedShare() float64 {
 	sum := 0.0
-	for _, p := range h.parts {
+	for _, p := range qs.parts {
 		if p.served && !p.dropped && !p.replaced {
 			sum += p.Weight
 		}
@@ -294,56 +304,58 @@
 	return sum
 }
 
-// settle ends a query that is routed by the map once enough is in, or nothing more
-// can come.
-func (x *Exchange) settle(h *held) {
-	if h.ended || h.watched != nil && h.watched.answer != nil {
+// finishIfSettled ends a query that is routed by the map once enough parts have been
+// served or no further part can be.
+func (x *Exchange) finishIfSettled(qs *queryState) {
+	if qs.ended || qs.hookState != nil && qs.hookState.answer != nil {
 		return
 	}
-	class, share := x.class(h.class), h.share()
+	class, share := x.class(qs.class), qs.servedShare()
 	switch {
 	case hookrule.Whole(class, share):
-		x.answer(h, true)
-	case len(h.placed.legs) > 0 || h.placed.wait > 0:
+		x.answer(qs, true)
+	case len(qs.routing.open) > 0 || qs.routing.parked > 0:
 	case class.Floor < class.Need && hookrule.Enough(class, share):
-		x.answer(h, false)
-	case hookrule.Harmless(class.Effect, mayHaveRun(h)):
-		x.end(h, Final{Ending: Refused, RetryAfter: max(h.placed.told, x.advice(h.class))})
+		x.answer(qs, false)
+	case hookrule.Harmless(class.Effect, mayHaveRun(qs)):
+		x.finish(qs, Final{Ending: Refused, RetryAfter: max(qs.routing.retryAfter, x.retryAfter(qs.class))})
 	default:
-		x.end(h, Final{Ending: Failed})
+		x.finish(qs, Final{Ending: Failed})
 	}
 }
 
-// answer ends a query with what is in.
-func (x *Exchange) answer(h *held, whole bool) {
-	if h.watched != nil {
-		x.decide(h, whole)
+// answer ends a query with the parts that have been served.
+func (x *Exchange) answer(qs *queryState, complete bool) {
+	if qs.hookState != nil {
+		x.answerDecided(qs, complete)
 		return
 	}
-	x.end(h, Final{Ending: Answered, Complete: whole, Hits: h.hits()})
+	x.finish(qs, Final{Ending: Answered, Complete: complete, Hits: qs.hits()})
 }
 
-// closeLegs ends what a query that has its answer still has with the decisions.
-func (x *Exchange) closeLegs(h *held) {
-	for id := range h.placed.legs {
+// closeSubqueries ends at the router whatever is still open there for a query that has
+// ended.
+func (x *Exchange) closeSubqueries(qs *queryState) {
+	for id := range qs.routing.open {
 		delete(x.queries, id)
 		x.events = append(x.events, choice.ClientLeft{ID: id})
 	}
-	for _, p := range h.parts {
-		if x.segments.parked[p] {
-			delete(x.segments.parked, p)
-			x.drop(p.alarm)
+	for _, p := range qs.parts {
+		if x.segmentRouting.parked[p] {
+			delete(x.segmentRouting.parked, p)
+			x.stopTimer(p.rerouteTimer)
 		}
-		x.releaseAll(p)
+		x.reportDeferredOutcomes(p)
 	}
 	x.post(func() {})
 }
 
-// hits are the values that are in, under the names that the client used.
-func (h *held) hits() []Hit {
-	if h.placed == nil {
+// hits returns the values of the parts that have been served, under the names that the
+// client used.
+func (qs *queryState) hits() []Hit {
+	if qs.routing == nil {
 		var out []Hit
-		for _, p := range h.parts {
+		for _, p := range qs.parts {
 			if p.served && !p.dropped {
 				out = append(out, Hit{Shard: p.Shard, Value: p.value})
 			}
@@ -351,15 +363,15 @@
 		return out
 	}
 	type piece struct {
-		r placement.Range
-		p *part
+		keys placement.Range
+		part *partState
 	}
-	at := make(map[*part]int) // the shard under which a value stands already
+	returned := make(map[*partState]int) // the shard whose hit contains the value of the part
 	var out []Hit
-	for i, ask := range h.Parts {
-		var in []piece
+	for i, ask := range qs.Parts {
+		var pieces []piece
 		missing := false
-		for _, p := range h.parts {
+		for _, p := range qs.parts {
 			if p.replaced {
 				continue
 			}
@@ -368,34 +380,34 @@
 					continue
 				}
 				if p.served && !p.dropped {
-					in = append(in, piece{s.Range, p})
+					pieces = append(pieces, piece{s.Range, p})
 				} else {
 					missing = true
 				}
 			}
 		}
-		if len(in) == 0 {
+		if len(pieces) == 0 {
 			continue
 		}
-		for j := 1; j < len(in); j++ { // by key; there are few
-			for k := j; k > 0 && in[k].r.From < in[k-1].r.From; k-- {
-				in[k], in[k-1] = in[k-1], in[k]
+		for j := 1; j < len(pieces); j++ { // insertion sort by key: there are few pieces
+			for k := j; k > 0 && pieces[k].keys.From < pieces[k-1].keys.From; k-- {
+				pieces[k], pieces[k-1] = pieces[k-1], pieces[k]
 			}
 		}
 		hit := Hit{Shard: ask.Shard}
 		var values []string
-		for _, x := range in {
+		for _, pc := range pieces {
 			if missing {
-				hit.Covers = append(hit.Covers, x.r)
+				hit.Covers = append(hit.Covers, pc.keys)
 			}
-			if shard, stands := at[x.p]; stands {
+			if shard, known := returned[pc.part]; known {
 				if shard != ask.Shard {
 					hit.AlsoIn = append(hit.AlsoIn, shard)
 				}
 				continue
 			}
-			at[x.p] = ask.Shard
-			values = append(values, x.p.value)
+			returned[pc.part] = ask.Shard
+			values = append(values, pc.part.value)
 		}
 		hit.Value = strings.Join(values, "\n")
 		out = append(out, hit)
--- a/internal/exchange/segments_test.go
+++ b/internal/exchange/segments_test.go
@@ -11,89 +11,91 @@
 	"saddleport/internal/settings"
 )
 
-// stepped is a drive whose clock the test moves.
-type stepped struct{ now time.Time }
+// manualLoop is an event loop whose clock the test advances.
+type manualLoop struct{ now time.Time }
 
-func (s *stepped) Now() time.Time { return s.now }
-func (s *stepped) Wake()          {}
+func (l *manualLoop) Now() time.Time { return l.now }
+func (l *manualLoop) Wake()          {}
 
-// sent records what the exchange hands over.
-type sent struct{ all []*Attempt }
+// recordingUpstream records the attempts that the exchange sends.
+type recordingUpstream struct{ attempts []*Attempt }
 
-func (s *sent) Send(a []*Attempt)               { s.all = append(s.all, a...) }
-func (s *sent) Cancel(*Attempt, choice.Verdict) {}
-func (s *sent) Probe(string)                    {}
-func (s *sent) Release(string)                  {}
-func (s *sent) Watch(bool)                      {}
-func (s *sent) Fetch()                          {}
+func (u *recordingUpstream) Send(a []*Attempt)               { u.attempts = append(u.attempts, a...) }
+func (u *recordingUpstream) Cancel(*Attempt, choice.Verdict) {}
+func (u *recordingUpstream) Probe(string)                    {}
+func (u *recordingUpstream) Release(string)                  {}
+func (u *recordingUpstream) Watch(bool)                      {}
+func (u *recordingUpstream) Fetch()                          {}
 
-func (s *sent) take() []*Attempt {
-	out := s.all
-	s.all = nil
-	return out
+func (u *recordingUpstream) takeAttempts() []*Attempt {
+	attempts := u.attempts
+	u.attempts = nil
+	return attempts
 }
 
-type noFeed struct{}
+// noMapSource ignores requests for a newer map; the test calls UpdateMap itself.
+type noMapSource struct{}
 
-func (noFeed) RequestEpoch(int64) {}
+func (noMapSource) RequestEpoch(int64) {}
 
-// Two segments of a query are turned away one by one, and have merged by then: the
-// parts that replace them have one name on the wire, and must not be out together.
-func TestMergedAfterTurnedAway(t *testing.T) {
-	d := &stepped{now: time.Now()}
+// Two parts of a query are rejected one after the other because their segments have
+// moved, and meanwhile the two segments have been merged. The parts that replace them
+// have the same id on the wire and must not be in flight together.
+func TestSegmentsMergedAfterRejection(t *testing.T) {
+	loop := &manualLoop{now: time.Now()}
 	set := settings.Settings{Router: choice.Settings{Cells: 2, Width: 1, Shards: 2, Routers: 1, AttemptCap: 4, Resolution: 1000, BundleMax: 1, AskWithin: 10_000_000,
 		Classes: []choice.Class{{Name: "report", Aim: 5_000_000, Deadline: 20_000_000, Need: 1, Floor: 1, Value: 1}}}}
 	router, err := choice.New(1, set.Router)
 	require.NoError(t, err)
-	x, err := NewOn(d, router, 1, set)
+	x, err := NewOn(loop, router, 1, set)
 	require.NoError(t, err)
-	x.SetMapSource(noFeed{}, 16)
-	out := &sent{}
-	x.Attach(out)
+	x.SetMapSource(noMapSource{}, 16)
+	upstream := &recordingUpstream{}
+	x.Attach(upstream)
 	var final *Final
-	turn := func() {
-		for range 4 { // what a turn posts is done in the next
+	runTurns := func() {
+		for range 4 { // events posted during a Turn are processed in the next
 			x.Turn()
 		}
 	}
 	cells := []placement.Cell{{ID: 0, Servers: []string{"a"}}, {ID: 1, Servers: []string{"b"}}}
-	old, err := (*placement.Map)(nil).Apply(&placement.Update{Epoch: 1, Cells: cells, Segments: []placement.Segment{
+	initial, err := (*placement.Map)(nil).Apply(&placement.Update{Epoch: 1, Cells: cells, Segments: []placement.Segment{
 		{ID: 1, Range: placement.Range{To: "m"}, Cell: 0, Since: 1}, {ID: 2, Range: placement.Range{From: "m"}, Cell: 0, Since: 1}}})
 	require.NoError(t, err)
-	merged, err := old.Apply(&placement.Update{Base: 1, Epoch: 2, Removed: []uint32{1, 2}, Segments: []placement.Segment{{ID: 3, Cell: 1, Since: 2}}})
+	merged, err := initial.Apply(&placement.Update{Base: 1, Epoch: 2, Removed: []uint32{1, 2}, Segments: []placement.Segment{{ID: 3, Cell: 1, Since: 2}}})
 	require.NoError(t, err)
-	x.UpdateMap(old)
+	x.UpdateMap(initial)
 	x.UpdateServers(choice.List{Form: choice.Full, Version: 1, Servers: []choice.Server{{ID: "a", Cell: 0, State: choice.Ready, Scale: 1}, {ID: "b", Cell: 1, State: choice.Ready, Scale: 1}}})
-	turn()
-	x.Submit(&Query{ID: "q", Class: "report", Text: "t", ReceivedAt: d.now, Timeout: 15 * time.Second, Done: func(f Final) { final = &f },
+	runTurns()
+	x.Submit(&Query{ID: "q", Class: "report", Text: "t", ReceivedAt: loop.now, Timeout: 15 * time.Second, Done: func(f Final) { final = &f },
 		Parts: []Part{{Shard: 1, Weight: 0.5}, {Shard: 2, Weight: 0.5}}})
-	turn()
-	first := out.take()
-	require.Len(t, first, 2)
-	for _, a := range first {
+	runTurns()
+	rejected := upstream.takeAttempts()
+	require.Len(t, rejected, 2)
+	for _, a := range rejected {
 		x.AttemptEnded(a, choice.TurnedAway, []choice.Reading{{Name: movedReading, Value: 2}}, "")
 	}
-	turn()
+	runTurns()
 	x.UpdateMap(merged)
-	turn()
-	one := out.take()
-	require.Len(t, one, 1, "the second waits for the first")
-	require.Equal(t, "q.3", one[0].PartID)
-	for range 10 { // it looks again and again, and waits on
-		d.now = d.now.Add(meetPause)
-		turn()
+	runTurns()
+	firstReroute := upstream.takeAttempts()
+	require.Len(t, firstReroute, 1, "the second part waits for the first")
+	require.Equal(t, "q.3", firstReroute[0].PartID)
+	for range 10 { // the second part checks again and again and keeps waiting
+		loop.now = loop.now.Add(segmentInUsePause)
+		runTurns()
 	}
-	require.Empty(t, out.take())
-	x.AttemptEnded(one[0], choice.Served, nil, "v1")
-	turn()
-	d.now = d.now.Add(meetPause)
-	turn()
-	two := out.take()
-	require.Len(t, two, 1)
-	require.Equal(t, "q.3", two[0].PartID)
-	require.NotEqual(t, one[0].ExtraFields, two[0].ExtraFields, "it asks for the other keys")
-	x.AttemptEnded(two[0], choice.Served, nil, "v2")
-	turn()
+	require.Empty(t, upstream.takeAttempts())
+	x.AttemptEnded(firstReroute[0], choice.Served, nil, "v1")
+	runTurns()
+	loop.now = loop.now.Add(segmentInUsePause)
+	runTurns()
+	secondReroute := upstream.takeAttempts()
+	require.Len(t, secondReroute, 1)
+	require.Equal(t, "q.3", secondReroute[0].PartID)
+	require.NotEqual(t, firstReroute[0].ExtraFields, secondReroute[0].ExtraFields, "the second part asks for the other keys")
+	x.AttemptEnded(secondReroute[0], choice.Served, nil, "v2")
+	runTurns()
 	require.NotNil(t, final)
 	require.True(t, final.Complete)
 	require.Len(t, final.Hits, 2)
