--- a/internal/frame/frame.go
+++ b/internal/frame/frame.go
@@ -1,7 +1,7 @@
-// Package frame is the codec of the platform's leaf frames: the mixer and the
-// stand-in leaf servers both use it, so a change shows on both sides. It owns the
-// form of frames, calls and answers. It must never hold more of a frame than its
-// bound, or know what a call means.
+// Package frame encodes and decodes the platform's frames between the proxy and leaf
+// servers. The emulated leaf servers use it too, so a change affects both sides. It owns
+// the format of frames, calls and answers. It never buffers more of a frame than
+// MaxSize and does not interpret calls.
 package frame
 
 import (
@@ -14,31 +14,33 @@
 	"strings"
 )
 
-// Max bounds a frame: its letter and its rest, in bytes.
-const Max = 128 << 10
+// MaxSize is the largest size of a frame, in bytes: its type and its payload, without
+// the length prefix.
+const MaxSize = 128 << 10
 
-// Error is a frame, or a message in one, that can't be used.
+// Error describes a frame, or a message in one, that is malformed or too large.
 type Error struct{ Problem string }
 
 func (e *Error) Error() string { return e.Problem }
 
-func bad(format string, args ...any) error { return &Error{fmt.Sprintf(format, args...)} }
+func malformed(format string, args ...any) error { return &Error{fmt.Sprintf(format, args...)} }
 
-// Append appends a frame.
-func Append(b []byte, letter byte, rest []byte) []byte {
-	b = binary.BigEndian.AppendUint32(b, uint32(1+len(rest)))
-	return append(append(b, letter), rest...)
+// Append appends a frame of the given type to b.
+func Append(b []byte, frameType byte, payload []byte) []byte {
+	b = binary.BigEndian.AppendUint32(b, uint32(1+len(payload)))
+	return append(append(b, frameType), payload...)
 }
 
-// Read reads a frame.
-func Read(r *bufio.Reader) (letter byte, rest []byte, err error) {
+// Read reads a frame. It returns an *Error if the length of the frame is out of range,
+// and the reader's error otherwise.
+func Read(r *bufio.Reader) (frameType byte, payload []byte, err error) {
 	var size [4]byte
 	if _, err := io.ReadFull(r, size[:]); err != nil {
 		return 0, nil, err
 	}
 	n := binary.BigEndian.Uint32(size[:])
-	if n < 1 || n > Max {
-		return 0, nil, bad("length %d", n)
+	if n < 1 || n > MaxSize {
+		return 0, nil, malformed("frame length %d is out of range", n)
 	}
 	body := make([]byte, n)
 	if _, err := io.ReadFull(r, body); err != nil {
@@ -47,49 +49,50 @@
 	return body[0], body[1:], nil
 }
 
-// Part is one part of a call: Q carries one or more.
+// Part is one part of a call. A frame of type Q carries one or more parts.
 type Part struct {
 	ID      string
 	Shard   int
-	Options string // d=MILLISECONDS and more, by commas
+	Options string // comma-separated: d=MILLISECONDS and others
 	Text    string
 }
 
-// AppendPart appends a part's line and text to the rest of a Q.
+// AppendPart appends a part, its line and its text, to the payload of a Q frame.
 func AppendPart(b []byte, p Part) []byte {
 	return fmt.Appendf(b, "%s %d %s %d\n%s", p.ID, p.Shard, p.Options, len(p.Text), p.Text)
 }
 
-// ParseParts reads the rest of a Q.
-func ParseParts(rest []byte) ([]Part, error) {
-	var out []Part
-	for len(rest) > 0 {
-		line, more, ok := bytes.Cut(rest, []byte("\n"))
-		f := strings.Split(string(line), " ")
-		if !ok || len(f) != 4 || f[0] == "" {
-			return nil, bad("not a line of four fields")
+// ParseParts parses the payload of a Q frame.
+func ParseParts(payload []byte) ([]Part, error) {
+	var parts []Part
+	for len(payload) > 0 {
+		line, after, ok := bytes.Cut(payload, []byte("\n"))
+		fields := strings.Split(string(line), " ")
+		if !ok || len(fields) != 4 || fields[0] == "" {
+			return nil, malformed("the line of a part does not have four fields")
 		}
-		shard, err := strconv.ParseUint(f[1], 10, 31)
+		shard, err := strconv.ParseUint(fields[1], 10, 31)
 		if err != nil {
-			return nil, bad("shard %.20q", f[1])
+			return nil, malformed("invalid shard %.20q", fields[1])
 		}
-		n, err := strconv.ParseUint(f[3], 10, 31)
-		if err != nil || int(n) > len(more) {
-			return nil, bad("a text of %.20q bytes", f[3])
+		n, err := strconv.ParseUint(fields[3], 10, 31)
+		if err != nil || int(n) > len(after) {
+			return nil, malformed("invalid text length %.20q", fields[3])
 		}
-		out = append(out, Part{f[0], int(shard), f[2], string(more[:n])})
-		rest = more[n:]
+		parts = append(parts, Part{fields[0], int(shard), fields[2], string(after[:n])})
+		payload = after[n:]
 	}
-	if len(out) == 0 {
-		return nil, bad("a call without parts")
+	if len(parts) == 0 {
+		return nil, malformed("call without parts")
 	}
-	return out, nil
+	return parts, nil
 }
 
-// TimeoutMS is the number of milliseconds that a list gives, 0 where it gives none.
+// TimeoutMS returns the timeout among the options, in milliseconds, or 0 if there is
+// none that can be parsed.
 func (p Part) TimeoutMS() int {
-	for item := range strings.SplitSeq(p.Options, ",") {
-		if v, ok := strings.CutPrefix(item, "d="); ok {
+	for option := range strings.SplitSeq(p.Options, ",") {
+		if v, ok := strings.CutPrefix(option, "d="); ok {
 			n, err := strconv.Atoi(v)
 			if err == nil {
 				return n
@@ -99,30 +102,30 @@
 	return 0
 }
 
-// Answer is the rest of an A.
+// Answer is the payload of an A frame, the answer to one part.
 type Answer struct {
 	ID         string
 	Status     string // ok, err or busy
 	Score      uint64
-	LoadReport string // a load report, or -
+	LoadReport string // "-" if there is none
 	Value      []byte
 }
 
-// AppendAnswer appends the rest of an A.
+// AppendAnswer appends the payload of an A frame.
 func AppendAnswer(b []byte, a Answer) []byte {
 	return append(fmt.Appendf(b, "%s %s %d %s\n", a.ID, a.Status, a.Score, a.LoadReport), a.Value...)
 }
 
-// ParseAnswer reads the rest of an A.
-func ParseAnswer(rest []byte) (Answer, error) {
-	line, value, ok := bytes.Cut(rest, []byte("\n"))
-	f := strings.Split(string(line), " ")
-	if !ok || len(f) != 4 {
-		return Answer{}, bad("not a line of four fields")
+// ParseAnswer parses the payload of an A frame.
+func ParseAnswer(payload []byte) (Answer, error) {
+	line, value, ok := bytes.Cut(payload, []byte("\n"))
+	fields := strings.Split(string(line), " ")
+	if !ok || len(fields) != 4 {
+		return Answer{}, malformed("the line of an answer does not have four fields")
 	}
-	score, err := strconv.ParseUint(f[2], 10, 64)
-	if err != nil || f[1] != "ok" && f[1] != "err" && f[1] != "busy" {
-		return Answer{}, bad("end %.20q, score %.20q", f[1], f[2])
+	score, err := strconv.ParseUint(fields[2], 10, 64)
+	if err != nil || fields[1] != "ok" && fields[1] != "err" && fields[1] != "busy" {
+		return Answer{}, malformed("invalid status %.20q or score %.20q", fields[1], fields[2])
 	}
-	return Answer{f[0], f[1], score, f[3], value}, nil
+	return Answer{fields[0], fields[1], score, fields[3], value}, nil
 }
--- a/internal/frame/frame_test.go
+++ b/internal/frame/frame_test.go
@@ -8,44 +8,45 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestRound(t *testing.T) {
+func TestRoundTrip(t *testing.T) {
 	parts := []Part{{"q.3", 3, "d=240,t.gov=amman", "c41e\n77"}, {"q.9", 9, "d=1", ""}}
-	rest := AppendPart(AppendPart(nil, parts[0]), parts[1])
-	letter, got, err := Read(bufio.NewReader(bytes.NewReader(Append(nil, 'Q', rest))))
+	payload := AppendPart(AppendPart(nil, parts[0]), parts[1])
+	frameType, read, err := Read(bufio.NewReader(bytes.NewReader(Append(nil, 'Q', payload))))
 	require.NoError(t, err)
-	require.Equal(t, byte('Q'), letter)
-	back, err := ParseParts(got)
+	require.Equal(t, byte('Q'), frameType)
+	parsed, err := ParseParts(read)
 	require.NoError(t, err)
-	require.Equal(t, parts, back)
-	require.Equal(t, 240, back[0].TimeoutMS())
-	a := Answer{"q.3", "ok", 7, "inflight=1", []byte("v")}
-	again, err := ParseAnswer(AppendAnswer(nil, a))
+	require.Equal(t, parts, parsed)
+	require.Equal(t, 240, parsed[0].TimeoutMS())
+	answer := Answer{"q.3", "ok", 7, "inflight=1", []byte("v")}
+	parsedAnswer, err := ParseAnswer(AppendAnswer(nil, answer))
 	require.NoError(t, err)
-	require.Equal(t, a, again)
+	require.Equal(t, answer, parsedAnswer)
 }
 
-// Whatever comes: an error, or a message within its bounds that survives its form.
+// Any input gives an error or a message within the size limit that survives a round trip
+// through its encoding.
 func FuzzRead(f *testing.F) {
 	f.Add(Append(nil, 'Q', AppendPart(nil, Part{"q.3", 3, "d=240", "text"})))
 	f.Add(Append(nil, 'A', AppendAnswer(nil, Answer{"q.3", "ok", 1, "-", []byte("v")})))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		letter, rest, err := Read(bufio.NewReader(bytes.NewReader(b)))
+		frameType, payload, err := Read(bufio.NewReader(bytes.NewReader(b)))
 		if err != nil {
 			return
 		}
-		require.LessOrEqual(t, len(rest), Max)
-		_ = letter
-		if parts, err := ParseParts(rest); err == nil {
-			var again []byte
+		require.LessOrEqual(t, len(payload), MaxSize)
+		_ = frameType
+		if parts, err := ParseParts(payload); err == nil {
+			var encoded []byte
 			for _, p := range parts {
-				again = AppendPart(again, p)
+				encoded = AppendPart(encoded, p)
 			}
-			back, err := ParseParts(again)
+			parsed, err := ParseParts(encoded)
 			require.NoError(t, err)
-			require.Equal(t, parts, back)
+			require.Equal(t, parts, parsed)
 		}
-		if a, err := ParseAnswer(rest); err == nil {
-			_, err := ParseAnswer(AppendAnswer(nil, a))
+		if answer, err := ParseAnswer(payload); err == nil {
+			_, err := ParseAnswer(AppendAnswer(nil, answer))
 			require.NoError(t, err)
 		}
 	})
