--- a/internal/httpwire/httpwire.go
+++ b/internal/httpwire/httpwire.go
@@ -1,8 +1,8 @@
-// Package httpwire frames HTTP/1.1 messages for both sides, on net/textproto.
-// It owns the bounds of a message: the size of its head, the size of its body,
-// how its end is found and whether the connection outlives it. It must never
-// hold more of a message than its bounds, panic on a peer's bytes, or know what
-// a message means.
+// Package httpwire reads and writes HTTP/1.1 messages for servers and clients, on top of
+// net/textproto. It owns the framing of a message: the limits on the size of its head
+// and of its body, how the end of the body is found, and whether the connection is kept
+// alive after it. It never buffers more of a message than the limits allow, never panics
+// on input of a peer and does not interpret messages.
 package httpwire
 
 import (
@@ -17,15 +17,15 @@
 	"strings"
 )
 
-// The bounds of a message.
+// The default limits of a message, in bytes.
 const (
 	MaxBody = 64 << 10
 	MaxHead = 16 << 10
 
-	bodyStep = 16 << 10 // of a body that was announced, room is made for so much at a time
+	bodyStep = 16 << 10 // a body of known length is allocated in steps of this size
 )
 
-// Error is a message that can't be taken, with the status that says so.
+// Error describes a message that is rejected, with the status to answer it with.
 type Error struct {
 	Status int
 	Reason string
@@ -33,77 +33,79 @@
 
 func (e *Error) Error() string { return fmt.Sprintf("status %d: %s", e.Status, e.Reason) }
 
-func bad(format string, args ...any) error { return &Error{400, fmt.Sprintf(format, args...)} }
+func badRequest(format string, args ...any) error { return &Error{400, fmt.Sprintf(format, args...)} }
 
-// bounded lets only so much through until it is refilled: a peer that sends a
-// line or a head without end must not fill the memory.
-type bounded struct {
-	r    io.Reader
-	left int
+// limitedReader returns an Error once remaining bytes have been read; the caller resets
+// remaining for each phase of a message. It keeps a peer that sends an endless line or
+// head from exhausting the memory.
+type limitedReader struct {
+	r         io.Reader
+	remaining int
 }
 
-func (b *bounded) Read(p []byte) (int, error) {
-	if b.left <= 0 {
+func (l *limitedReader) Read(p []byte) (int, error) {
+	if l.remaining <= 0 {
 		return 0, &Error{413, "message too large"}
 	}
-	if len(p) > b.left {
-		p = p[:b.left]
+	if len(p) > l.remaining {
+		p = p[:l.remaining]
 	}
-	n, err := b.r.Read(p)
-	b.left -= n
+	n, err := l.r.Read(p)
+	l.remaining -= n
 	return n, err
 }
 
 // Reader reads the messages of one connection.
 type Reader struct {
-	limit            *bounded
+	limit            *limitedReader
 	buf              *bufio.Reader
 	text             *textproto.Reader
 	maxHead, maxBody int
 
-	// OnHead, if set, is called when a request's head has come and a body follows.
+	// OnHead, if not nil, is called when the head of a request has been read and a body follows.
 	OnHead func()
 }
 
-// NewReader reads messages from r, within MaxHead and MaxBody.
+// NewReader returns a Reader for r with the limits MaxHead and MaxBody.
 func NewReader(r io.Reader) *Reader { return NewReaderSize(r, 4096, MaxHead, MaxBody) }
 
-// NewReaderSize reads messages from r through a buffer of so many bytes, within bounds of
-// the caller's, in bytes.
+// NewReaderSize returns a Reader for r whose buffer has the given size, with the given
+// limits. All sizes are in bytes.
 func NewReaderSize(r io.Reader, buffer, maxHead, maxBody int) *Reader {
-	limit := &bounded{r: r}
+	limit := &limitedReader{r: r}
 	buf := bufio.NewReaderSize(limit, buffer)
 	return &Reader{limit: limit, buf: buf, text: textproto.NewReader(buf), maxHead: maxHead, maxBody: maxBody}
 }
 
-// SetLimits has other bounds count from the next message on, in bytes; 0: MaxHead, MaxBody.
+// SetLimits sets the limits for the messages from the next one on, in bytes. A limit of
+// 0 stands for MaxHead or MaxBody.
 func (r *Reader) SetLimits(maxHead, maxBody int) {
 	r.maxHead, r.maxBody = cmp.Or(maxHead, MaxHead), cmp.Or(maxBody, MaxBody)
-	r.limit.left = max(r.maxHead-r.buf.Buffered(), 0)
+	r.limit.remaining = max(r.maxHead-r.buf.Buffered(), 0)
 }
 
-// Buffered counts the bytes that came and belong to no message read so far.
+// Buffered returns the number of bytes received that do not belong to a message read so far.
 func (r *Reader) Buffered() int { return r.buf.Buffered() }
 
-// Await returns once the next message has begun; at the connection's end it
-// returns the reader's error.
+// Await returns nil once the first byte of the next message has been received. At the
+// end of the connection it returns the error of the underlying reader.
 func (r *Reader) Await() error {
-	r.limit.left = r.maxHead // body allows more once the head has told how much
+	r.limit.remaining = r.maxHead // body sets a further limit once the head has been read
 	_, err := r.buf.Peek(1)
 	return err
 }
 
-// Request is a request's head and body.
+// Request is the head and the body of a request.
 type Request struct {
 	Method, Path string
-	Target       string // the path with its query, as it came
+	Target       string // the path with its query, as received
 	Header       textproto.MIMEHeader
 	Body         []byte
 	KeepAlive    bool
 }
 
-// Request reads a request. cont, if set, is called before the body of a client
-// that waits to be told to go on.
+// Request reads a request. cont, if not nil, is called before the body is read if the
+// client has sent "Expect: 100-continue" and waits for the server to continue.
 func (r *Reader) Request(cont func() error) (*Request, error) {
 	line, err := r.start()
 	if err != nil {
@@ -112,47 +114,47 @@
 	if len(line) > r.maxHead {
 		return nil, &Error{413, "head too large"}
 	}
-	method, rest, ok := strings.Cut(line, " ")
-	target, proto, ok2 := strings.Cut(rest, " ")
-	if after, whole := strings.CutPrefix(target, "http://"); whole { // as a proxy sends it
+	method, rest, okMethod := strings.Cut(line, " ")
+	target, proto, okTarget := strings.Cut(rest, " ")
+	if after, absolute := strings.CutPrefix(target, "http://"); absolute { // absolute form, as sent to proxies
 		_, path, _ := strings.Cut(after, "/")
 		target = "/" + path
 	}
-	if !ok || !ok2 || !token(method) || !strings.HasPrefix(target, "/") || strings.Contains(proto, " ") {
-		return nil, bad("malformed request line")
+	if !okMethod || !okTarget || !isToken(method) || !strings.HasPrefix(target, "/") || strings.Contains(proto, " ") {
+		return nil, badRequest("malformed request line")
 	}
 	if proto != "HTTP/1.1" && proto != "HTTP/1.0" {
 		if strings.HasPrefix(proto, "HTTP/") {
 			return nil, &Error{505, "HTTP version not supported"}
 		}
-		return nil, bad("malformed request line")
+		return nil, badRequest("malformed request line")
 	}
-	q := &Request{Method: method, Target: target}
-	q.Path, _, _ = strings.Cut(target, "?")
-	if q.Header, err = r.head(); err != nil {
+	req := &Request{Method: method, Target: target}
+	req.Path, _, _ = strings.Cut(target, "?")
+	if req.Header, err = r.head(); err != nil {
 		return nil, err
 	}
-	if proto == "HTTP/1.1" && len(q.Header["Host"]) != 1 {
-		return nil, bad("one Host header is needed")
+	if proto == "HTTP/1.1" && len(req.Header["Host"]) != 1 {
+		return nil, badRequest("one Host header is needed")
 	}
-	q.KeepAlive = keepAlive(proto, q.Header)
-	length, chunked, err := framing(q.Header, r.maxBody)
+	req.KeepAlive = keepAlive(proto, req.Header)
+	length, chunked, err := framing(req.Header, r.maxBody)
 	if err != nil {
 		return nil, err
 	}
 	if r.OnHead != nil && (chunked || length > 0) {
 		r.OnHead()
 	}
-	if cont != nil && (chunked || length > 0) && strings.EqualFold(q.Header.Get("Expect"), "100-continue") {
+	if cont != nil && (chunked || length > 0) && strings.EqualFold(req.Header.Get("Expect"), "100-continue") {
 		if err := cont(); err != nil {
 			return nil, err
 		}
 	}
-	q.Body, err = r.body(max(length, 0), chunked)
-	return q, err
+	req.Body, err = r.body(max(length, 0), chunked)
+	return req, err
 }
 
-// Response is a response's status and body.
+// Response is the head and the body of a response.
 type Response struct {
 	Status    int
 	Header    textproto.MIMEHeader
@@ -163,8 +165,8 @@
 // Response reads the response to a GET.
 func (r *Reader) Response() (*Response, error) { return r.ResponseTo("GET") }
 
-// ResponseTo reads the response to a method.
-func (r *Reader) ResponseTo(to string) (*Response, error) {
+// ResponseTo reads the response to a request with the given method.
+func (r *Reader) ResponseTo(method string) (*Response, error) {
 	line, err := r.start()
 	if err != nil {
 		return nil, err
@@ -173,33 +175,33 @@
 	code, _, _ := strings.Cut(rest, " ")
 	status, err := strconv.Atoi(code)
 	if err != nil || !strings.HasPrefix(proto, "HTTP/1.") || status < 200 || status > 999 {
-		return nil, bad("malformed status line")
+		return nil, badRequest("malformed status line")
 	}
-	p := &Response{Status: status}
-	if p.Header, err = r.head(); err != nil {
+	resp := &Response{Status: status}
+	if resp.Header, err = r.head(); err != nil {
 		return nil, err
 	}
-	p.KeepAlive = keepAlive(proto, p.Header)
-	length, chunked, err := framing(p.Header, r.maxBody)
+	resp.KeepAlive = keepAlive(proto, resp.Header)
+	length, chunked, err := framing(resp.Header, r.maxBody)
 	if err != nil {
 		return nil, err
 	}
 	switch {
-	case status == 204 || status == 304 || to == "HEAD":
-	case length < 0 && !chunked: // ends with the connection
-		p.KeepAlive = false
-		r.limit.left = r.maxBody + 1
-		p.Body, err = io.ReadAll(io.LimitReader(r.buf, int64(r.maxBody)+1))
-		if err == nil && len(p.Body) > r.maxBody {
+	case status == 204 || status == 304 || method == "HEAD":
+	case length < 0 && !chunked: // the body extends to the end of the connection
+		resp.KeepAlive = false
+		r.limit.remaining = r.maxBody + 1
+		resp.Body, err = io.ReadAll(io.LimitReader(r.buf, int64(r.maxBody)+1))
+		if err == nil && len(resp.Body) > r.maxBody {
 			err = &Error{413, "body too large"}
 		}
 	default:
-		p.Body, err = r.body(max(length, 0), chunked)
+		resp.Body, err = r.body(max(length, 0), chunked)
 	}
-	return p, err
+	return resp, err
 }
 
-// start reads a start line; empty lines before it are passed over.
+// start reads the start line of a message and skips up to three empty lines before it.
 func (r *Reader) start() (string, error) {
 	for range 4 {
 		line, err := r.text.ReadLine()
@@ -207,15 +209,16 @@
 			return line, err
 		}
 	}
-	return "", bad("no start line")
+	return "", badRequest("no start line")
 }
 
+// head reads the header fields of a message, or its trailer fields.
 func (r *Reader) head() (textproto.MIMEHeader, error) {
 	h, err := r.text.ReadMIMEHeader()
 	var malformed textproto.ProtocolError
 	switch {
 	case errors.As(err, &malformed):
-		return nil, bad("malformed header")
+		return nil, badRequest("malformed header")
 	case err != nil && strings.Contains(err.Error(), "message too large"):
 		return nil, &Error{413, "head too large"}
 	case err != nil:
@@ -223,8 +226,8 @@
 	}
 	size := 0
 	for name, values := range h {
-		if !token(name) {
-			return nil, bad("malformed header name")
+		if !isToken(name) {
+			return nil, badRequest("malformed header name")
 		}
 		for _, v := range values {
 			size += len(name) + len(v)
@@ -236,7 +239,8 @@
 	return h, nil
 }
 
-func token(s string) bool {
+// isToken reports whether s is a token of RFC 9110.
+func isToken(s string) bool {
 	for i := range len(s) {
 		if c := s[i]; c <= ' ' || c >= 0x7f || strings.IndexByte("\"(),/:;<=>?@[\\]{}", c) >= 0 {
 			return false
@@ -245,6 +249,7 @@
 	return s != ""
 }
 
+// keepAlive reports whether the connection is kept alive after a message.
 func keepAlive(proto string, h textproto.MIMEHeader) bool {
 	keep := proto == "HTTP/1.1"
 	for _, v := range h["Connection"] {
@@ -260,13 +265,14 @@
 	return keep
 }
 
-// framing finds how a body ends: by a length (-1: none told) or by chunks. Two
-// ends at once, or two lengths, are how one message is made to look like two.
-func framing(h textproto.MIMEHeader, most int) (length int, chunked bool, err error) {
+// framing returns how the end of a body is found: by its length (-1 if the head has none)
+// or by chunks. A message with both, or with two lengths, is rejected, because it allows
+// request smuggling: two servers would disagree on where the message ends.
+func framing(h textproto.MIMEHeader, maxBody int) (length int, chunked bool, err error) {
 	lengths, codings := h["Content-Length"], h["Transfer-Encoding"]
 	if len(codings) > 0 {
 		if len(lengths) > 0 {
-			return 0, false, bad("both a length and a transfer coding")
+			return 0, false, badRequest("both a length and a transfer coding")
 		}
 		if len(codings) > 1 || !strings.EqualFold(strings.TrimSpace(codings[0]), "chunked") {
 			return 0, false, &Error{501, "transfer coding not supported"}
@@ -277,25 +283,26 @@
 		return -1, false, nil
 	}
 	if len(lengths) > 1 {
-		return 0, false, bad("two lengths")
+		return 0, false, badRequest("two lengths")
 	}
 	n, err := strconv.ParseUint(lengths[0], 10, 63)
-	if errors.Is(err, strconv.ErrRange) || err == nil && n > uint64(most) {
+	if errors.Is(err, strconv.ErrRange) || err == nil && n > uint64(maxBody) {
 		return 0, false, &Error{413, "body too large"}
 	}
 	if err != nil {
-		return 0, false, bad("malformed Content-Length")
+		return 0, false, badRequest("malformed Content-Length")
 	}
 	return int(n), false, nil
 }
 
+// body reads a body of known length or in chunks.
 func (r *Reader) body(length int, chunked bool) ([]byte, error) {
 	if !chunked {
 		if length == 0 {
 			return nil, nil
 		}
-		// Room is made for what has come, not for all that was announced.
-		r.limit.left = length
+		// Memory is allocated as the body arrives, not for the announced length at once.
+		r.limit.remaining = length
 		var body []byte
 		var err error
 		for at := 0; at < length && err == nil; {
@@ -310,7 +317,7 @@
 		}
 		return body, err
 	}
-	r.limit.left = 2 * r.maxBody // chunks of a few bytes each bring as much again
+	r.limit.remaining = 2 * r.maxBody // the framing of small chunks can double the size
 	var body []byte
 	for {
 		line, err := r.text.ReadLine()
@@ -323,7 +330,7 @@
 			return nil, &Error{413, "body too large"}
 		}
 		if err != nil {
-			return nil, bad("malformed chunk size")
+			return nil, badRequest("malformed chunk size")
 		}
 		if n == 0 {
 			_, err := r.head() // trailers
@@ -337,40 +344,41 @@
 		if end, err := r.text.ReadLine(); err != nil {
 			return nil, err
 		} else if end != "" {
-			return nil, bad("chunk longer than its size")
+			return nil, badRequest("chunk longer than its size")
 		}
 	}
 }
 
-var reasons = map[int]string{200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
+var reasonPhrases = map[int]string{200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
 	408: "Request Timeout", 413: "Content Too Large", 501: "Not Implemented", 502: "Bad Gateway",
 	503: "Service Unavailable", 504: "Gateway Timeout", 505: "HTTP Version Not Supported"}
 
-// StatusText is the words of a status.
+// StatusText returns the reason phrase of a status.
 func StatusText(status int) string {
-	if r := reasons[status]; r != "" {
-		return r
+	if phrase := reasonPhrases[status]; phrase != "" {
+		return phrase
 	}
 	return http.StatusText(status)
 }
 
-// Field is one header line.
+// Field is a header field.
 type Field struct{ Name, Value string }
 
-// AppendResponse appends a response of a known length.
-func AppendResponse(b []byte, status int, kind string, body []byte, keep bool, fields ...Field) []byte {
+// AppendResponse appends a response with a Content-Length. Without keepAlive it
+// has the field "Connection: close".
+func AppendResponse(b []byte, status int, contentType string, body []byte, keepAlive bool, fields ...Field) []byte {
 	b = fmt.Appendf(b, "HTTP/1.1 %d %s\r\nContent-Type: %s\r\nContent-Length: %d\r\n",
-		status, reasons[status], kind, len(body))
+		status, reasonPhrases[status], contentType, len(body))
 	for _, f := range fields {
 		b = fmt.Appendf(b, "%s: %s\r\n", f.Name, f.Value)
 	}
-	if !keep {
+	if !keepAlive {
 		b = append(b, "Connection: close\r\n"...)
 	}
 	return append(append(b, "\r\n"...), body...)
 }
 
-// AppendGet appends a request for a path.
+// AppendGet appends a GET request for a path.
 func AppendGet(b []byte, host, path string) []byte {
 	return fmt.Appendf(b, "GET %s HTTP/1.1\r\nHost: %s\r\nAccept: application/json\r\n\r\n", path, host)
 }
--- a/internal/httpwire/httpwire_test.go
+++ b/internal/httpwire/httpwire_test.go
@@ -1,7 +1,6 @@
 package httpwire
 
-// This file plays the bytes in testdata/ through the framing. It must never hold
-// a message of its own.
+// This file reads the messages in testdata/. Test messages belong there, not here.
 
 import (
 	"errors"
@@ -15,73 +14,75 @@
 	"github.com/stretchr/testify/require"
 )
 
-// say puts what a connection's bytes hold into one line, message by message.
-func say(raw string, response bool) string {
-	var said []string
+// describe reads all messages from the bytes of a connection and describes them in one line.
+func describe(raw string, response bool) string {
+	var descriptions []string
 	r := NewReader(strings.NewReader(raw))
 	for {
 		if err := r.Await(); err != nil {
-			return strings.Join(append(said, "end"), "; ")
+			return strings.Join(append(descriptions, "end"), "; ")
 		}
-		var text string
+		var description string
 		var err error
 		if response {
-			var p *Response
-			if p, err = r.Response(); err == nil {
-				text = fmt.Sprintf("%d %q keep=%t", p.Status, p.Body, p.KeepAlive)
+			var resp *Response
+			if resp, err = r.Response(); err == nil {
+				description = fmt.Sprintf("%d %q keep=%t", resp.Status, resp.Body, resp.KeepAlive)
 			}
 		} else {
-			var q *Request
-			if q, err = r.Request(nil); err == nil {
-				text = fmt.Sprintf("%s %s %q keep=%t", q.Method, q.Path, q.Body, q.KeepAlive)
+			var req *Request
+			if req, err = r.Request(nil); err == nil {
+				description = fmt.Sprintf("%s %s %q keep=%t", req.Method, req.Path, req.Body, req.KeepAlive)
 			}
 		}
-		var known *Error
+		var rejected *Error
 		switch {
-		case errors.As(err, &known):
-			return strings.Join(append(said, known.Error()), "; ")
+		case errors.As(err, &rejected):
+			return strings.Join(append(descriptions, rejected.Error()), "; ")
 		case errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF):
-			return strings.Join(append(said, "cut"), "; ")
+			return strings.Join(append(descriptions, "cut"), "; ")
 		case err != nil:
-			return strings.Join(append(said, "error "+err.Error()), "; ")
+			return strings.Join(append(descriptions, "error "+err.Error()), "; ")
 		}
-		said = append(said, text)
+		descriptions = append(descriptions, description)
 	}
 }
 
-// TestFraming plays the bytes in testdata/framing.txt: per case a line of what
-// it guards against, the bytes (`*N` behind a quoted text repeats it), the words.
+// TestFraming runs the cases in testdata/framing.txt. A case consists of a comment on what
+// it guards against, the bytes as quoted strings (`*N` after a string repeats it N times),
+// and the description expected.
 func TestFraming(t *testing.T) {
-	text, err := os.ReadFile("testdata/framing.txt")
+	file, err := os.ReadFile("testdata/framing.txt")
 	require.NoError(t, err)
-	for block := range strings.SplitSeq(strings.TrimSpace(string(text)), "\n\n") {
+	for block := range strings.SplitSeq(strings.TrimSpace(string(file)), "\n\n") {
 		lines := strings.Split(block, "\n")
 		require.GreaterOrEqual(t, len(lines), 3, block)
 		var raw strings.Builder
 		for _, line := range lines[1 : len(lines)-1] {
-			quoted, times, _ := strings.Cut(line, " *")
-			part, err := strconv.Unquote(quoted)
+			quoted, repeat, _ := strings.Cut(line, " *")
+			unquoted, err := strconv.Unquote(quoted)
 			require.NoError(t, err, block)
-			n, _ := strconv.Atoi(times)
-			raw.WriteString(strings.Repeat(part, max(n, 1)))
+			count, _ := strconv.Atoi(repeat)
+			raw.WriteString(strings.Repeat(unquoted, max(count, 1)))
 		}
-		require.Equal(t, lines[len(lines)-1], say(raw.String(), strings.HasPrefix(raw.String(), "HTTP/")), block)
+		require.Equal(t, lines[len(lines)-1], describe(raw.String(), strings.HasPrefix(raw.String(), "HTTP/")), block)
 	}
 }
 
-// FuzzReader feeds any bytes to both readers: none may panic or pass a bound.
+// FuzzReader reads any bytes as requests and as a response: neither may panic or exceed the
+// limits.
 func FuzzReader(f *testing.F) {
 	f.Fuzz(func(t *testing.T, raw string) {
 		r := NewReader(strings.NewReader(raw))
 		for r.Await() == nil {
-			q, err := r.Request(nil)
+			req, err := r.Request(nil)
 			if err != nil {
 				break
 			}
-			require.LessOrEqual(t, len(q.Body), MaxBody)
+			require.LessOrEqual(t, len(req.Body), MaxBody)
 		}
-		if p, err := NewReader(strings.NewReader(raw)).Response(); err == nil {
-			require.LessOrEqual(t, len(p.Body), MaxBody)
+		if resp, err := NewReader(strings.NewReader(raw)).Response(); err == nil {
+			require.LessOrEqual(t, len(resp.Body), MaxBody)
 		}
 	})
 }
