--- a/internal/front/gate/hardening_test.go
+++ b/internal/downstream/httpserver/lifecycle_test.go
@@ -1,4 +1,4 @@
-package gate_test
+package httpserver_test
 
 import (
 	"fmt"
@@ -49,7 +49,7 @@
 			So(body, ShouldEqual, "ok")
 		}
 		for range 1 + 3 { // a write behind the one that hangs would fail with it
-			So(<-heard, ShouldBeIn, choice.TurnedAway, choice.Served)
+			So(<-heard, ShouldBeIn, choice.Rejected, choice.Served)
 		}
 		long := s.Seen()[0]
 		So(long.Attempt, ShouldEqual, "long")
@@ -73,13 +73,13 @@
 		late, lateR := p.client()
 		fmt.Fprintf(c, "POST /book/1 HTTP/1.1\r\nHost: h\r\nX-Saddleport-Attempt-Id: in-hand\r\nX-Saddleport-Deadline-Ms: 4000\r\nContent-Length: 0\r\n\r\n")
 		<-reached
-		p.front.Refuse()
+		p.front.RejectRequests()
 		ans, _ := ask(t, late, lateR, "POST", "/book/2", "too-late", "x")
 		So(ans.StatusCode, ShouldEqual, 503)
 		So(ans.Header.Get("Retry-After"), ShouldNotBeEmpty)
 		So(ans.Close, ShouldBeTrue)
 		So(s.Seen(), ShouldHaveLength, 1)
-		p.front.CutShort()
+		p.front.ExpireRequests()
 		ans, err := http.ReadResponse(r, nil)
 		So(err, ShouldBeNil)
 		So(ans.StatusCode, ShouldEqual, 504) // it may have run
@@ -102,7 +102,7 @@
 		<-reached
 		began := time.Now()
 		c.Close()
-		So(<-ended, ShouldEqual, choice.CalledOff)
+		So(<-ended, ShouldEqual, choice.Cancelled)
 		So(time.Since(began), ShouldBeLessThan, 1500*time.Millisecond) // one that is late ends after 2 s
 		So(s.Seen(), ShouldHaveLength, 1)
 	})
--- a/internal/exchange/at_most_once_test.go
+++ b/internal/exchange/at_most_once_test.go
@@ -50,7 +50,7 @@
 		case !server.up:
 			s.x.AttemptEnded(a, choice.NoConnection, nil, "")
 		case s.rng.IntN(60) == 0:
-			s.x.AttemptEnded(a, choice.TurnedAway, nil, "")
+			s.x.AttemptEnded(a, choice.Rejected, nil, "")
 		default:
 			// The attempt is on the wire, canceled or not: a server that is up on its arrival executes it.
 			s.after(time.Duration(s.rng.IntN(3000))*time.Microsecond, func() {
@@ -119,9 +119,9 @@
 	const bookings, faultInterval = 100_000, 45
 	s := &simulation{manualLoop: manualLoop{time.Now()}, rng: rand.New(rand.NewPCG(1, 36)), servers: make(map[string]*simServer),
 		executions: make(map[string]int), running: make(map[*Attempt]*timer), started: make(map[*Attempt]bool)}
-	set := settings.Settings{Router: choice.Settings{Cells: 1, Width: 1, Shards: 1, Routers: 1, AttemptCap: 4, Resolution: 1000, BundleMax: 1, AskWithin: 10_000_000,
-		Cancel: true, ParallelTries: true, MaxRetryAfter: 1_000_000,
-		Classes: []choice.Class{{Name: "booking", Aim: 800_000, Deadline: 4_000_000, Need: 1, Floor: 1, Value: 1, Effect: choice.Unsafe, LateWorth: 0.4}}}}
+	set := settings.Settings{Router: choice.Settings{Cells: 1, Width: 1, Shards: 1, Routers: 1, AttemptCap: 4, Resolution: 1000, MaxPartsPerCall: 1, AskWithin: 10_000_000,
+		Cancel: true, ParallelAttempts: true, MaxRetryAfter: 1_000_000,
+		Classes: []choice.Class{{Name: "booking", LatencyTarget: 800_000, Deadline: 4_000_000, RequiredShare: 1, MinShare: 1, Value: 1, Effect: choice.Unsafe, LateValue: 0.4}}}}
 	router, err := choice.New(1, set.Router)
 	require.NoError(t, err)
 	s.x, err = NewOn(s, router, 1, set)
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -305,8 +305,8 @@
 // list need no conversion, and is monotonic from there.
 func NewOn(loop EventLoop, router Decider, seed uint64, set settings.Settings) (*Exchange, error) {
 	for _, c := range set.Router.Classes {
-		if c.Fetch > 0 {
-			return nil, fmt.Errorf("setting Classes: %s: Fetch %d: the protocol does not support a second step", c.Name, c.Fetch)
+		if c.FetchParts > 0 {
+			return nil, fmt.Errorf("setting Classes: %s: Fetch %d: the protocol does not support a second step", c.Name, c.FetchParts)
 		}
 	}
 	start := loop.Now()
@@ -563,7 +563,7 @@
 		droppedWeight = qs.hookState.droppedWeight
 	}
 	if droppedWeight > 0 {
-		if need := x.class(qs.class).Need; 1-droppedWeight < need {
+		if need := x.class(qs.class).RequiredShare; 1-droppedWeight < need {
 			scale = need / (1 - droppedWeight)
 		}
 	}
@@ -598,7 +598,7 @@
 	if qs.ended {
 		return
 	}
-	if class := x.class(qs.class); qs.routing != nil && qs.hookState == nil && class.Floor < class.Need && hookrule.Enough(class, qs.servedShare()) {
+	if class := x.class(qs.class); qs.routing != nil && qs.hookState == nil && class.MinShare < class.RequiredShare && hookrule.MeetsFloor(class, qs.servedShare()) {
 		x.answer(qs, false) // the parked parts were not served in time
 		return
 	}
@@ -614,7 +614,7 @@
 func (x *Exchange) retryAfter(class string) time.Duration {
 	for _, c := range x.settings.Router.Classes {
 		if c.Name == class {
-			return time.Duration(min(c.Aim/4, x.settings.Router.MaxRetryAfter)) * time.Microsecond
+			return time.Duration(min(c.LatencyTarget/4, x.settings.Router.MaxRetryAfter)) * time.Microsecond
 		}
 	}
 	return 0
@@ -627,7 +627,7 @@
 		x.send(now, a)
 	case choice.Cancel:
 		if p := x.parts[a.ID]; p != nil && a.Attempt < len(p.attempts) {
-			x.cancel(p.attempts[a.Attempt], choice.CalledOff)
+			x.cancel(p.attempts[a.Attempt], choice.Cancelled)
 		}
 	case choice.Answer:
 		if qs := x.queries[a.ID]; qs != nil && qs.routing != nil {
@@ -667,7 +667,7 @@
 		x.upstream.Fetch()
 	case choice.Log:
 		log.Info("decision", "text", a.Text)
-	case choice.Tell:
+	case choice.SendToPeer:
 		log.Warn("untold", "err", "this platform has no channel between mixers")
 	}
 }
@@ -696,7 +696,7 @@
 	// segment has moved, no time is left, the part has used up its attempts, or another
 	// attempt is in flight and the settings do not allow parallel attempts.
 	if p.query.ended || p.dropped || p.moved || timeout <= 0 || p.priorAttempts+len(p.attempts) > x.settings.Router.AttemptCap ||
-		p.inFlight > 1 && !x.settings.Router.ParallelTries {
+		p.inFlight > 1 && !x.settings.Router.ParallelAttempts {
 		x.Counters.Unsent.Add(1)
 		x.AttemptEnded(a, choice.NotSent, nil, "")
 		return
@@ -746,7 +746,7 @@
 	}
 	a.ended = true
 	x.stopTimer(a.deadlineTimer)
-	a.neverRan = v == choice.TurnedAway || v == choice.NoConnection || v == choice.NotSent
+	a.neverRan = v == choice.Rejected || v == choice.NoConnection || v == choice.NotSent
 	p := a.part
 	p.inFlight--
 	x.Counters.Outcomes[v].Add(1)
--- a/internal/exchange/hooks.go
+++ b/internal/exchange/hooks.go
@@ -187,7 +187,7 @@
 		if p.dropped || !slices.Contains(r.Drop, p.Shard) || class.Effect != choice.Safe {
 			continue
 		}
-		if !hookrule.Enough(class, 1-state.droppedWeight-p.Weight) {
+		if !hookrule.MeetsFloor(class, 1-state.droppedWeight-p.Weight) {
 			continue
 		}
 		p.dropped = true
@@ -201,7 +201,7 @@
 // the query again is safe, which is then unknown.
 func (x *Exchange) refuse(qs *queryState, reason string, retryAfter time.Duration) {
 	f := Final{Ending: Refused, RetryAfter: retryAfter, Reason: reason}
-	if !hookrule.Harmless(x.class(qs.class).Effect, mayHaveRun(qs)) {
+	if !hookrule.SafeToRefuse(x.class(qs.class).Effect, mayHaveRun(qs)) {
 		f = Final{Ending: Failed, Reason: reason}
 	}
 	x.finish(qs, f)
@@ -316,8 +316,8 @@
 	f, share := *state.answer, 0.0
 	f.Hits, share = qs.hits(), qs.servedShare()
 	if state.droppedWeight > 0 { // the router's mark does not account for dropped parts
-		f.Complete = f.Complete && hookrule.Whole(class, share)
-		if !hookrule.Enough(class, share) {
+		f.Complete = f.Complete && hookrule.MeetsNeed(class, share)
+		if !hookrule.MeetsFloor(class, share) {
 			x.refuse(qs, "too little is left of the answer", x.retryAfter(qs.class))
 			return
 		}
@@ -347,5 +347,5 @@
 			return c
 		}
 	}
-	return choice.Class{Need: 1, Floor: 1, Effect: choice.Unsafe}
+	return choice.Class{RequiredShare: 1, MinShare: 1, Effect: choice.Unsafe}
 }
--- a/internal/exchange/levels.go
+++ b/internal/exchange/levels.go
@@ -136,8 +136,8 @@
 // SetLevels enables levels of reduced service. It must be called before Run.
 func (x *Exchange) SetLevels(set LevelsSettings, each []LevelSettings) error {
 	micros := func(d time.Duration) int64 { return d.Microseconds() }
-	s := level.Settings{Evidence: micros(set.Evidence), Back: set.ExitRatio, Calm: micros(set.Calm), Stay: micros(set.MinStay), MostStay: micros(set.MaxStay), Trial: micros(set.Trial),
-		Worse: set.MaxRegression, LeastSeen: set.MinSamples}
+	s := level.Settings{Evidence: micros(set.Evidence), ExitRatio: set.ExitRatio, Calm: micros(set.Calm), MinStay: micros(set.MinStay), MaxStay: micros(set.MaxStay), Trial: micros(set.Trial),
+		MaxRegression: set.MaxRegression, MinSamples: set.MinSamples}
 	l := &levels{settings: set, reductions: []map[string]reduction{nil}, rng: rand.New(rand.NewPCG(x.hookSeed, 11)), servers: make(map[string]choice.Server), costs: []LevelCost{{Level: "full"}}}
 	for _, name := range set.Names {
 		i := slices.IndexFunc(each, func(e LevelSettings) bool { return e.Name == name })
@@ -153,7 +153,7 @@
 		v := level.Level{Name: name}
 		for k, bound := range []float64{each[i].Refused, each[i].Failed, each[i].SlowStart, each[i].CellsDown, each[i].Queue} {
 			if bound > 0 {
-				v.Enter = append(v.Enter, level.Cond{Signal: level.Names[k], Above: bound})
+				v.Enter = append(v.Enter, level.Condition{Signal: level.SignalNames[k], Above: bound})
 			}
 		}
 		if len(v.Enter) == 0 {
@@ -175,26 +175,26 @@
 	at := x.Micros(now)
 	sample := level.Signals{Queue: float64(l.queueDelay.Microseconds()) / 1000}
 	if l.queries >= minQueries && l.value > 0 {
-		sample.Asked, sample.Refused, sample.Failed = float64(l.queries), l.refused/l.value, l.failed/l.value
+		sample.QueryRate, sample.Refused, sample.Failed = float64(l.queries), l.refused/l.value, l.failed/l.value
 	}
 	usable, warmingUp := 0, 0
 	cells := make(map[int]bool)
 	for _, s := range l.servers {
 		usable++
 		cells[s.Cell] = true
-		if s.UpSince > 0 && at-s.UpSince < x.settings.Router.Cold {
+		if s.UpSince > 0 && at-s.UpSince < x.settings.Router.SlowStart {
 			warmingUp++
 		}
 	}
 	if usable > 0 {
-		sample.Cold = float64(warmingUp) / float64(usable)
-		sample.Unsound = 1 - float64(len(cells))/float64(max(x.settings.Router.Cells, 1))
+		sample.SlowStart = float64(warmingUp) / float64(usable)
+		sample.CellsDown = 1 - float64(len(cells))/float64(max(x.settings.Router.Cells, 1))
 	}
 	cost := &l.costs[l.state.Level()]
 	cost.Seconds += float64(at-l.sampledAt) / 1e6
 	l.sampledAt, l.signals = at, sample
 	l.queries, l.value, l.refused, l.failed, l.queueDelay = 0, 0, 0, 0, 0
-	if c, ok := l.state.Read(at, sample); ok {
+	if c, ok := l.state.Update(at, sample); ok {
 		x.recordLevelChange(c)
 	}
 }
@@ -202,12 +202,12 @@
 // recordLevelChange records, counts and logs a change of the level.
 func (x *Exchange) recordLevelChange(c level.Change) {
 	l := x.levels
-	if l.changes = append(l.changes, LevelChange{x.loop.Now(), l.state.Name(c.From), l.state.Name(c.To), c.Why}); len(l.changes) > maxLevelChanges {
+	if l.changes = append(l.changes, LevelChange{x.loop.Now(), l.state.Name(c.From), l.state.Name(c.To), c.Reason}); len(l.changes) > maxLevelChanges {
 		l.changes = slices.Delete(l.changes, 0, len(l.changes)-maxLevelChanges)
 	}
 	x.Counters.LevelChanges.Add(1)
 	x.Counters.Level.Store(int64(c.To))
-	log.Warn("level", "from", l.state.Name(c.From), "to", l.state.Name(c.To), "why", c.Why)
+	log.Warn("level", "from", l.state.Name(c.From), "to", l.state.Name(c.To), "why", c.Reason)
 }
 
 // degraded is how a level reduces the service of a query.
@@ -222,7 +222,7 @@
 func (x *Exchange) applyLevel(qs *queryState) bool {
 	l := x.levels
 	d := &degraded{level: l.state.Level()}
-	if l.state.Trying() && l.rng.Float64() < l.settings.TrialShare {
+	if l.state.TrialActive() && l.rng.Float64() < l.settings.TrialShare {
 		d.level, d.trial = d.level-1, true
 	}
 	qs.degraded = d
@@ -241,10 +241,10 @@
 		return false
 	}
 	class := x.class(qs.class)
-	if red.share >= 1 || class.Effect != choice.Safe || class.Floor >= class.Need || qs.routing != nil || qs.hookState != nil {
+	if red.share >= 1 || class.Effect != choice.Safe || class.MinShare >= class.RequiredShare || qs.routing != nil || qs.hookState != nil {
 		return true
 	}
-	if target := max(red.share, class.Floor); target < class.Need {
+	if target := max(red.share, class.MinShare); target < class.RequiredShare {
 		// Only the share that the router may settle for is lowered. The router still gets
 		// all parts, so that others can replace one that is overdue.
 		d.need = target
@@ -267,7 +267,7 @@
 			continue
 		}
 		rating := 2
-		if s.UpSince > 0 && at-s.UpSince < x.settings.Router.Cold {
+		if s.UpSince > 0 && at-s.UpSince < x.settings.Router.SlowStart {
 			rating = 1
 		}
 		cells[s.Cell] = max(cells[s.Cell], rating)
@@ -286,8 +286,8 @@
 // is, and the query fails if that share is below the class's minimum.
 func (x *Exchange) degradedFinal(qs *queryState, f Final) Final {
 	class, share := x.class(qs.class), qs.servedShare()
-	f.Complete = f.Complete && hookrule.Whole(class, share)
-	if !hookrule.Enough(class, share) {
+	f.Complete = f.Complete && hookrule.MeetsNeed(class, share)
+	if !hookrule.MeetsFloor(class, share) {
 		return Final{Ending: Failed}
 	}
 	return f
@@ -297,7 +297,7 @@
 // level.
 func (l *levels) recordEnding(x *Exchange, qs *queryState, f Final) {
 	class := x.class(qs.class)
-	late := x.loop.Now().Sub(qs.ReceivedAt).Microseconds() > class.Aim
+	late := x.loop.Now().Sub(qs.ReceivedAt).Microseconds() > class.LatencyTarget
 	l.queries++
 	l.value += class.Value
 	lost, earned := 0.0, class.Value
@@ -313,18 +313,18 @@
 		lost, earned = class.Value, 0
 		l.failed += class.Value
 	case late:
-		lost = class.Value * (1 - class.LateWorth)
+		lost = class.Value * (1 - class.LateValue)
 		earned -= lost
 		l.failed += lost
-	case !f.Complete && class.Need > 0:
-		earned *= min(qs.servedShare()/class.Need, 1) * class.Partial
+	case !f.Complete && class.RequiredShare > 0:
+		earned *= min(qs.servedShare()/class.RequiredShare, 1) * class.PartialValue
 		lost = class.Value - earned
 	}
 	if qs.degraded != nil {
 		cost := &l.costs[qs.degraded.level]
 		cost.value += class.Value
 		cost.earned += earned
-		l.state.Ended(qs.degraded.trial, class.Value, lost)
+		l.state.RecordQuery(qs.degraded.trial, class.Value, lost)
 	}
 }
 
@@ -412,10 +412,10 @@
 		}
 	}
 	r := &LevelReport{Level: l.state.Name(l.state.Level()), StayS: float64(l.state.Stay()) / 1e6, Signals: l.signals, Past: slices.Clone(l.changes)}
-	if l.state.Trying() {
+	if l.state.TrialActive() {
 		r.Trying = l.state.Name(l.state.Level() - 1)
 	}
-	if until := l.state.Pinned(); until > 0 {
+	if until := l.state.PinnedUntil(); until > 0 {
 		r.Pinned = x.loop.Now().Add(time.Duration(until-now) * time.Microsecond)
 	}
 	for _, c := range l.costs {
--- a/internal/exchange/segments.go
+++ b/internal/exchange/segments.go
@@ -44,7 +44,7 @@
 
 // routing is the state of a query that is routed by the map.
 type routing struct {
-	asks       []placement.Ask
+	asks       []placement.PartRequest
 	open       map[string]bool // ids of the query and its subqueries that are open at the router
 	subqueries int             // subqueries so far
 	parked     int             // parts that are parked
@@ -83,7 +83,7 @@
 	}
 	r := &routing{open: map[string]bool{qs.ID: true}}
 	for _, p := range qs.Parts {
-		r.asks = append(r.asks, placement.Ask{Segment: uint32(p.Shard), Range: p.Range, Weight: p.Weight})
+		r.asks = append(r.asks, placement.PartRequest{Segment: uint32(p.Shard), Range: p.Range, Weight: p.Weight})
 	}
 	targets, err := x.segmentRouting.current.Route(r.asks, x.segmentRouting.maxTargets)
 	if err != nil {
@@ -102,7 +102,7 @@
 func (x *Exchange) newTargetPart(qs *queryState, t *placement.Target, idSuffix string) *partState {
 	p := Part{Shard: int(t.Segment), Weight: t.Weight()}
 	if len(t.Shares) == 1 { // the target serves one part of the client: its key and cost apply
-		from := qs.Parts[t.Shares[0].Ask]
+		from := qs.Parts[t.Shares[0].Request]
 		p.Key, p.Hinted, p.Cost = from.Key, from.Hinted, from.Cost
 	}
 	wireID := qs.ID + "." + strconv.Itoa(p.Shard)
@@ -138,7 +138,7 @@
 // movedTo reports whether a server rejected a part because it does not have the segment,
 // and returns the server's epoch.
 func movedTo(p *partState, v choice.Verdict, load []choice.Reading) (epoch int64, ok bool) {
-	if p.target == nil || v != choice.TurnedAway {
+	if p.target == nil || v != choice.Rejected {
 		return 0, false
 	}
 	for _, r := range load {
@@ -162,8 +162,8 @@
 	if epoch > current {
 		s.source.RequestEpoch(epoch)
 	}
-	t := placement.Turned(p.moveRejections, epoch, current, time.Until(qs.deadline).Microseconds())
-	if t.GiveUp || p.priorAttempts+len(p.attempts) >= x.settings.Router.AttemptCap {
+	t := placement.AfterRejection(p.moveRejections, epoch, current, time.Until(qs.deadline).Microseconds())
+	if t.Abandon || p.priorAttempts+len(p.attempts) >= x.settings.Router.AttemptCap {
 		return
 	}
 	a.outcomeDeferred = true
@@ -173,7 +173,7 @@
 	}
 	s.parked[p] = true // bounded by the number of open queries
 	qs.routing.parked++
-	p.rerouteTimer = x.startTimer(x.loop.Now().Add(time.Duration(t.Pause)*time.Microsecond), func() { x.reroute(p) })
+	p.rerouteTimer = x.startTimer(x.loop.Now().Add(time.Duration(t.Delay)*time.Microsecond), func() { x.reroute(p) })
 }
 
 // reroute sends a parked part again, routed by the current map.
@@ -188,7 +188,7 @@
 	if qs.ended {
 		return
 	}
-	targets, err := s.current.Again(p.target, s.maxTargets)
+	targets, err := s.current.Reroute(p.target, s.maxTargets)
 	if err != nil || time.Until(qs.deadline) <= 0 {
 		x.reportDeferredOutcomes(p)
 		return
@@ -218,7 +218,7 @@
 		x.parts[n.id] = n
 		// A subquery needs all of its parts: their weights add up to what the class needs.
 		x.events = append(x.events, choice.Part{ID: n.id, Class: qs.class, Number: ev.Number, Key: n.Key,
-			Shard: n.routerShard(), Weight: class.Need * n.Weight / weight})
+			Shard: n.routerShard(), Weight: class.RequiredShare * n.Weight / weight})
 	}
 	x.post(func() {}) // requests another Turn because the caller may be in the middle of one
 }
@@ -312,12 +312,12 @@
 	}
 	class, share := x.class(qs.class), qs.servedShare()
 	switch {
-	case hookrule.Whole(class, share):
+	case hookrule.MeetsNeed(class, share):
 		x.answer(qs, true)
 	case len(qs.routing.open) > 0 || qs.routing.parked > 0:
-	case class.Floor < class.Need && hookrule.Enough(class, share):
+	case class.MinShare < class.RequiredShare && hookrule.MeetsFloor(class, share):
 		x.answer(qs, false)
-	case hookrule.Harmless(class.Effect, mayHaveRun(qs)):
+	case hookrule.SafeToRefuse(class.Effect, mayHaveRun(qs)):
 		x.finish(qs, Final{Ending: Refused, RetryAfter: max(qs.routing.retryAfter, x.retryAfter(qs.class))})
 	default:
 		x.finish(qs, Final{Ending: Failed})
@@ -376,7 +376,7 @@
 				continue
 			}
 			for _, s := range p.target.Shares {
-				if s.Ask != i {
+				if s.Request != i {
 					continue
 				}
 				if p.served && !p.dropped {
--- a/internal/exchange/segments_test.go
+++ b/internal/exchange/segments_test.go
@@ -43,8 +43,8 @@
 // have the same id on the wire and must not be in flight together.
 func TestSegmentsMergedAfterRejection(t *testing.T) {
 	loop := &manualLoop{now: time.Now()}
-	set := settings.Settings{Router: choice.Settings{Cells: 2, Width: 1, Shards: 2, Routers: 1, AttemptCap: 4, Resolution: 1000, BundleMax: 1, AskWithin: 10_000_000,
-		Classes: []choice.Class{{Name: "report", Aim: 5_000_000, Deadline: 20_000_000, Need: 1, Floor: 1, Value: 1}}}}
+	set := settings.Settings{Router: choice.Settings{Cells: 2, Width: 1, Shards: 2, Routers: 1, AttemptCap: 4, Resolution: 1000, MaxPartsPerCall: 1, AskWithin: 10_000_000,
+		Classes: []choice.Class{{Name: "report", LatencyTarget: 5_000_000, Deadline: 20_000_000, RequiredShare: 1, MinShare: 1, Value: 1}}}}
 	router, err := choice.New(1, set.Router)
 	require.NoError(t, err)
 	x, err := NewOn(loop, router, 1, set)
@@ -73,7 +73,7 @@
 	rejected := upstream.takeAttempts()
 	require.Len(t, rejected, 2)
 	for _, a := range rejected {
-		x.AttemptEnded(a, choice.TurnedAway, []choice.Reading{{Name: movedReading, Value: 2}}, "")
+		x.AttemptEnded(a, choice.Rejected, []choice.Reading{{Name: movedReading, Value: 2}}, "")
 	}
 	runTurns()
 	x.UpdateMap(merged)
--- a/internal/lab/virtual/link.go
+++ b/internal/lab/virtual/link.go
@@ -1,6 +1,6 @@
 package virtual
 
-// The connections of a mixer to a server, as internal/back keeps them.
+// The connections of a mixer to a server, as internal/upstream keeps them.
 
 import (
 	"fmt"
@@ -314,7 +314,7 @@
 	case model.Err:
 		m.x.AttemptEnded(f.a, choice.ServerError, nil, "")
 	default:
-		m.x.AttemptEnded(f.a, choice.TurnedAway, nil, "")
+		m.x.AttemptEnded(f.a, choice.Rejected, nil, "")
 	}
 }
 
--- a/internal/back/leaf.go
+++ b/internal/upstream/pool.go
@@ -1,4 +1,4 @@
-// Package back is the client side: it owns the connections to leaf servers, the
+// Package upstream is the client side: it owns the connections to leaf servers, the
 // frames on them, and where those servers are. It does
 // what the exchange asks and reports how it ended. It must never decide where a
 // part goes, send one twice, start anything on a server that has long been said
@@ -6,7 +6,7 @@
 //
 // This file holds the leaf connections; race.go opens those to a server that has
 // several addresses.
-package back
+package upstream
 
 import (
 	"bufio"
@@ -63,8 +63,8 @@
 	Run(stop <-chan struct{})
 }
 
-// Back is the client side. It implements exchange.Leaves.
-type Back struct {
+// Pool is the client side. It implements exchange.Leaves.
+type Pool struct {
 	Config
 	dial net.Dialer
 
@@ -84,7 +84,7 @@
 	conns   []*conn
 	waiting []*call // for a connection
 	dialing bool
-	seen    eyeballs.Memory // of its addresses, where it has several
+	seen    eyeballs.History // of its addresses, where it has several
 	// After a dial failed: no new dial before heldTill; misses in a row set how long.
 	heldTill time.Time
 	misses   int
@@ -128,7 +128,7 @@
 }
 
 type conn struct {
-	b      *Back
+	b      *Pool
 	s      *server
 	nc     net.Conn
 	addr   string
@@ -149,8 +149,8 @@
 }
 
 // New returns a client side that knows no server yet.
-func New(cfg Config) *Back {
-	b := &Back{Config: cfg, servers: make(map[string]*server), calls: make(map[*exchange.Attempt]*call)}
+func New(cfg Config) *Pool {
+	b := &Pool{Config: cfg, servers: make(map[string]*server), calls: make(map[*exchange.Attempt]*call)}
 	b.dial.Timeout = time.Duration(cfg.Settings.DialTimeout) * time.Microsecond
 	if b.dial.Timeout <= 0 {
 		b.dial.Timeout = dialFallback
@@ -159,7 +159,7 @@
 }
 
 // Run keeps the connections and the watch until stop is closed.
-func (b *Back) Run(stop <-chan struct{}) {
+func (b *Pool) Run(stop <-chan struct{}) {
 	go b.List.Run(stop)
 	tick := time.NewTicker(sweepEvery)
 	defer tick.Stop()
@@ -183,7 +183,7 @@
 // ---- What the exchange asks for.
 
 // Send starts attempts.
-func (b *Back) Send(attempts []*exchange.Attempt) {
+func (b *Pool) Send(attempts []*exchange.Attempt) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	defer b.together()()
@@ -196,7 +196,7 @@
 
 // Cancel ends the wait for an attempt: at once if its frame has not been begun,
 // else once the server has been told.
-func (b *Back) Cancel(a *exchange.Attempt, v choice.Verdict) {
+func (b *Pool) Cancel(a *exchange.Attempt, v choice.Verdict) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	k := b.calls[a]
@@ -216,7 +216,7 @@
 }
 
 // Probe tests a server.
-func (b *Back) Probe(name string) {
+func (b *Pool) Probe(name string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	k := &call{s: b.servers[name], begun: time.Now()}
@@ -233,7 +233,7 @@
 }
 
 // Release closes the idle connections to a server.
-func (b *Back) Release(name string) {
+func (b *Pool) Release(name string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if s := b.servers[name]; s != nil {
@@ -246,22 +246,22 @@
 }
 
 // Watch starts or ends the watch on the list.
-func (b *Back) Watch(on bool) { b.List.Watch(on) }
+func (b *Pool) Watch(on bool) { b.List.Watch(on) }
 
 // Fetch asks for the whole list once.
-func (b *Back) Fetch() { b.List.Fetch() }
+func (b *Pool) Fetch() { b.List.Fetch() }
 
 // ---- The list.
 
 // Failed implements targets.Taker.
-func (b *Back) Failed() {
+func (b *Pool) Failed() {
 	b.Exchange.Counters.ListFails.Add(1)
 	b.Exchange.UpdateServers(choice.List{Form: choice.Failed})
 }
 
 // Told implements targets.Taker: it takes a list for the connections and hands it to
 // the exchange.
-func (b *Back) Told(list choice.List, addrs targets.Addrs) {
+func (b *Pool) Told(list choice.List, addrs targets.Addrs) {
 	if list.Form != choice.Cached {
 		b.Exchange.Counters.Lists.Add(1)
 	}
@@ -300,7 +300,7 @@
 
 // mayStart notes from when on nothing may start on a server; since is how long ago
 // the news may have counted as told.
-func (b *Back) mayStart(s *server, ready bool, since choice.Micros) {
+func (b *Pool) mayStart(s *server, ready bool, since choice.Micros) {
 	if ready {
 		s.stopAt = time.Time{}
 	} else if s.stopAt.IsZero() {
@@ -314,7 +314,7 @@
 // place finds a call its connection, or has one opened. A connection on which
 // the same part was given up is passed over: a late answer to that would be
 // taken for this one's.
-func (b *Back) place(k *call) {
+func (b *Pool) place(k *call) {
 	s := k.s
 	if s == nil || s.drained() {
 		b.finish(k, choice.NotSent, nil, "")
@@ -367,7 +367,7 @@
 
 // open opens one connection to a server, unless one is being opened or there
 // are enough; what waits then waits for room.
-func (b *Back) open(s *server) {
+func (b *Pool) open(s *server) {
 	live := 0
 	for _, c := range s.conns {
 		if !c.silent {
@@ -400,7 +400,7 @@
 }
 
 // evict closes the leaf connection that has idled longest.
-func (b *Back) evict() bool {
+func (b *Pool) evict() bool {
 	var oldest *conn
 	for _, s := range b.servers {
 		for _, c := range s.conns {
@@ -415,14 +415,14 @@
 	return oldest != nil
 }
 
-func (b *Back) failWaiting(s *server, err error) {
+func (b *Pool) failWaiting(s *server, err error) {
 	b.Exchange.Counters.DialFails.Add(1)
 	log.Warn("dial-failed", "server", s.name, "addr", s.addr(), "waiting", len(s.waiting), "err", err)
 	b.noConnection(s)
 }
 
 // noConnection ends what waits for a connection to s: it never ran.
-func (b *Back) noConnection(s *server) {
+func (b *Pool) noConnection(s *server) {
 	failed := s.waiting
 	s.waiting = nil
 	for _, k := range failed {
@@ -430,7 +430,7 @@
 	}
 }
 
-func (b *Back) connect(s *server, addr string) {
+func (b *Pool) connect(s *server, addr string) {
 	nc, err := b.dial.Dial("tcp", addr)
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -464,7 +464,7 @@
 }
 
 // add takes a connection that has come up.
-func (b *Back) add(s *server, c *conn) {
+func (b *Pool) add(s *server, c *conn) {
 	c.b, c.s, c.ready, c.usedAt, c.heardAt = b, s, sync.NewCond(&b.mu), time.Now(), time.Now()
 	c.calls, c.stale = make(map[string]*call), make(map[string]time.Time)
 	s.conns = append(s.conns, c)
@@ -475,7 +475,7 @@
 }
 
 // pump places what has waited for a connection.
-func (b *Back) pump(s *server) {
+func (b *Pool) pump(s *server) {
 	ready := s.waiting
 	s.waiting = nil
 	defer b.together()()
@@ -486,8 +486,8 @@
 
 // together has what is placed until the end keep together, server by server, where
 // calls carry several parts.
-func (b *Back) together() (end func()) {
-	if b.sending != nil || b.Settings.Router.BundleMax <= 1 {
+func (b *Pool) together() (end func()) {
+	if b.sending != nil || b.Settings.Router.MaxPartsPerCall <= 1 {
 		return func() {}
 	}
 	b.sending = make(map[*server]*conn)
@@ -495,7 +495,7 @@
 }
 
 // finish ends a call, once.
-func (b *Back) finish(k *call, v choice.Verdict, load []choice.Reading, value string) {
+func (b *Pool) finish(k *call, v choice.Verdict, load []choice.Reading, value string) {
 	if k.done {
 		return
 	}
@@ -524,7 +524,7 @@
 // would all wait in vain, and their server would look dead for ever. It takes no
 // new calls, and ends with those that are still out.
 func (c *conn) unanswered(k *call, v choice.Verdict) {
-	if k.state == out && c.heardAt.Before(k.sentAt) && (v == choice.NoAnswer || v == choice.CalledOff) {
+	if k.state == out && c.heardAt.Before(k.sentAt) && (v == choice.NoAnswer || v == choice.Cancelled) {
 		c.unheard++
 		lasting := c.unheard >= mostUnheard && time.Since(c.heardAt) > c.b.dial.Timeout
 		// Called off because its query ended is as good as timed out, if it was late.
@@ -532,7 +532,7 @@
 		if !c.silent && (late || lasting) {
 			c.silent = true
 			if len(c.s.addrs) > 1 { // the next connection is tried elsewhere first
-				c.s.seen.Bad(c.addr, clock())
+				c.s.seen.RecordFailure(c.addr, clock())
 			}
 			c.b.Exchange.Counters.Unresponsive.Add(1)
 			log.Warn("leaf-silent", "server", c.s.name, "addr", c.addr, "parts", len(c.calls))
@@ -549,7 +549,7 @@
 }
 
 // sweep closes what has idled and forgets what can't come any more.
-func (b *Back) sweep() {
+func (b *Pool) sweep() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	keep := time.Duration(float64(b.Settings.Router.Keepalive)*idleShare) * time.Microsecond
@@ -688,7 +688,7 @@
 			c.b.finish(k, choice.NotSent, nil, "")
 		default:
 			if letter = i.letter; letter == 'Q' {
-				room = max(c.b.Settings.Router.BundleMax, 1)
+				room = max(c.b.Settings.Router.MaxPartsPerCall, 1)
 			}
 			if letter != 'X' {
 				k.state = writing
@@ -765,7 +765,7 @@
 	}
 }
 
-var ends = map[string]choice.Verdict{"ok": choice.Served, "err": choice.ServerError, "busy": choice.TurnedAway}
+var ends = map[string]choice.Verdict{"ok": choice.Served, "err": choice.ServerError, "busy": choice.Rejected}
 
 func (c *conn) answer(rest []byte) error {
 	a, err := frame.ParseAnswer(rest)
@@ -789,7 +789,7 @@
 		c.b.Exchange.Counters.LateAnswers.Add(1)
 		return nil
 	}
-	if v != choice.TurnedAway { // that may be asked again here
+	if v != choice.Rejected { // that may be asked again here
 		c.stale[a.ID] = time.Now().Add(copyFor)
 	}
 	c.b.finish(k, v, report(a.LoadReport), string(a.Value))
