--- a/internal/exchange/at_most_once_test.go
+++ b/internal/exchange/at_most_once_test.go
@@ -52,7 +52,7 @@
 		case s.rng.IntN(60) == 0:
 			s.x.AttemptEnded(a, choice.Rejected, nil, "")
 		default:
-			// The attempt is on the wire, canceled or not: a server that is up on its arrival executes it.
+			// The attempt is on the wire, cancelled or not: a server that is up on its arrival executes it.
 			s.after(time.Duration(s.rng.IntN(3000))*time.Microsecond, func() {
 				if !server.up || server.partitioned && s.rng.IntN(2) == 0 {
 					return
--- a/internal/exchange/counters.go
+++ b/internal/exchange/counters.go
@@ -31,7 +31,7 @@
 	Resets              atomic.Int64 // connections to leaf servers that ended with parts in flight
 	MalformedAnswers    atomic.Int64 // of these and of idle ones, closed because of an unusable answer
 	Unresponsive        atomic.Int64 // connections to leaf servers that became unresponsive
-	LateAnswers         atomic.Int64 // answers for attempts already canceled
+	LateAnswers         atomic.Int64 // answers for attempts already cancelled
 	Lists               atomic.Int64 // answers of the discovery service
 	ListFails           atomic.Int64
 
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -103,7 +103,7 @@
 	part          *partState
 	deadlineTimer *timer
 	ended         bool
-	canceling     bool // canceled; the upstream side will report the outcome
+	cancelling    bool // cancelled; the upstream side will report the outcome
 
 	outcomeDeferred bool // the attempt never ran, and the router has not been notified of that
 	awaitingHooks   bool // hooks are running; the upstream side does not have the attempt yet
@@ -127,7 +127,7 @@
 
 // Upstream is the side that talks to leaf servers. Its methods must not block. Each
 // attempt passed to Send must be reported to AttemptEnded exactly once, and within a few
-// seconds of Cancel at the latest. If the answer to a canceled attempt arrives anyway,
+// seconds of Cancel at the latest. If the answer to a cancelled attempt arrives anyway,
 // the attempt may be reported with the verdict of that answer.
 type Upstream interface {
 	Send([]*Attempt) // attempts of one moment, in order; parts for the same server may share a call
@@ -568,7 +568,7 @@
 		}
 	}
 	if ev.Least = q.MinShare; qs.degraded != nil {
-		ev.Least = qs.degraded.need
+		ev.Least = qs.degraded.minShare
 	}
 	at := len(x.events)
 	x.events = append(x.events, ev) // replaced below, once the parts are known: the query comes before its parts
@@ -636,7 +636,7 @@
 			x.answerDecided(qs, a.Whole)
 		} else if qs != nil {
 			f := Final{Ending: Answered, Complete: a.Whole, Hits: qs.hits()}
-			if qs.degraded != nil && qs.degraded.need > 0 {
+			if qs.degraded != nil && qs.degraded.minShare > 0 {
 				f = x.degradedFinal(qs, f)
 			}
 			x.finish(qs, f)
@@ -729,8 +729,8 @@
 		x.reportNeverRan(a)
 		return
 	}
-	if !a.ended && !a.canceling {
-		a.canceling = true
+	if !a.ended && !a.cancelling {
+		a.cancelling = true
 		if a.awaitingHooks { // the upstream side has not received the attempt and never will
 			x.AttemptEnded(a, choice.NotSent, nil, "")
 			return
--- a/internal/exchange/hooks.go
+++ b/internal/exchange/hooks.go
@@ -238,7 +238,7 @@
 	a.awaitingHooks = true
 	x.callHooks(qs, hookabi.Send, p, a.Index, func(r *hookabi.Result) {
 		a.awaitingHooks = false
-		if !x.applyResult(qs, p, r) || a.canceling {
+		if !x.applyResult(qs, p, r) || a.cancelling {
 			return
 		}
 		now := x.loop.Now()
--- a/internal/exchange/levels.go
+++ b/internal/exchange/levels.go
@@ -212,9 +212,9 @@
 
 // degraded is how a level reduces the service of a query.
 type degraded struct {
-	level int
-	trial bool    // the query takes part in the trial of a better level
-	need  float64 // share that the router may settle for; 0: only what the class needs
+	level    int
+	trial    bool    // the query takes part in the trial of a better level
+	minShare float64 // share that the router may settle for; 0: only the share that the class requires
 }
 
 // applyLevel reduces the service of a query as its level says, and reports whether the
@@ -247,7 +247,7 @@
 	if target := max(red.share, class.MinShare); target < class.RequiredShare {
 		// Only the share that the router may settle for is lowered. The router still gets
 		// all parts, so that others can replace one that is overdue.
-		d.need = target
+		d.minShare = target
 		// Parts of the least healthy cells are planned last.
 		health := l.shardHealth(x)
 		slices.SortStableFunc(qs.parts, func(a, b *partState) int { return health(b.Shard) - health(a.Shard) })
--- a/internal/exchange/segments.go
+++ b/internal/exchange/segments.go
@@ -44,7 +44,7 @@
 
 // routing is the state of a query that is routed by the map.
 type routing struct {
-	asks       []placement.PartRequest
+	requests   []placement.PartRequest
 	open       map[string]bool // ids of the query and its subqueries that are open at the router
 	subqueries int             // subqueries so far
 	parked     int             // parts that are parked
@@ -83,9 +83,9 @@
 	}
 	r := &routing{open: map[string]bool{qs.ID: true}}
 	for _, p := range qs.Parts {
-		r.asks = append(r.asks, placement.PartRequest{Segment: uint32(p.Shard), Range: p.Range, Weight: p.Weight})
+		r.requests = append(r.requests, placement.PartRequest{Segment: uint32(p.Shard), Range: p.Range, Weight: p.Weight})
 	}
-	targets, err := x.segmentRouting.current.Route(r.asks, x.segmentRouting.maxTargets)
+	targets, err := x.segmentRouting.current.Route(r.requests, x.segmentRouting.maxTargets)
 	if err != nil {
 		return err
 	}
@@ -368,7 +368,7 @@
 	}
 	returned := make(map[*partState]int) // the shard whose hit contains the value of the part
 	var out []Hit
-	for i, ask := range qs.Parts {
+	for i, requested := range qs.Parts {
 		var pieces []piece
 		missing := false
 		for _, p := range qs.parts {
@@ -394,19 +394,19 @@
 				pieces[k], pieces[k-1] = pieces[k-1], pieces[k]
 			}
 		}
-		hit := Hit{Shard: ask.Shard}
+		hit := Hit{Shard: requested.Shard}
 		var values []string
 		for _, pc := range pieces {
 			if missing {
 				hit.Covers = append(hit.Covers, pc.keys)
 			}
 			if shard, known := returned[pc.part]; known {
-				if shard != ask.Shard {
+				if shard != requested.Shard {
 					hit.AlsoIn = append(hit.AlsoIn, shard)
 				}
 				continue
 			}
-			returned[pc.part] = ask.Shard
+			returned[pc.part] = requested.Shard
 			values = append(values, pc.part.value)
 		}
 		hit.Value = strings.Join(values, "\n")
