--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -609,7 +609,7 @@
 	x.post(func() {})
 }
 
-// retryAfter returns when a client should retry a query of the class that the mixer
+// retryAfter returns when a client should retry a query of the class that the proxy
 // had no capacity for.
 func (x *Exchange) retryAfter(class string) time.Duration {
 	for _, c := range x.settings.Router.Classes {
@@ -668,7 +668,7 @@
 	case choice.Log:
 		log.Info("decision", "text", a.Text)
 	case choice.SendToPeer:
-		log.Warn("untold", "err", "this platform has no channel between mixers")
+		log.Warn("untold", "err", "this platform has no channel between proxies")
 	}
 }
 
--- a/internal/exchange/levels.go
+++ b/internal/exchange/levels.go
@@ -115,7 +115,7 @@
 	Why      string
 }
 
-// LevelCost is what a level has cost and saved since the start of the mixer.
+// LevelCost is what a level has cost and saved since the start of the proxy.
 type LevelCost struct {
 	Level    string
 	Seconds  float64
@@ -392,7 +392,7 @@
 func (x *Exchange) levelReport(pin string, span time.Duration, release bool) (*LevelReport, error) {
 	l := x.levels
 	if l == nil {
-		return nil, fmt.Errorf("this mixer has no levels: the setting levels in section [levels] is empty")
+		return nil, fmt.Errorf("this proxy has no levels: the setting levels in section [levels] is empty")
 	}
 	now := x.Micros(x.loop.Now())
 	if pin != "" {
--- a/internal/exchange/segments.go
+++ b/internal/exchange/segments.go
@@ -10,7 +10,7 @@
 //
 // A rejected part is sent again as part of a *subquery*: a further query to the router,
 // for the rerouted parts alone. The outcome of the rejected attempt is withheld from the
-// first query until the subquery has ended, because the router would abandon the whole
+// first query until the subquery has ended, because the router would abandon the entire
 // query if it learned the outcome immediately.
 
 import (
