--- a/internal/compat/wire_test.go
+++ b/internal/compat/wire_test.go
@@ -43,7 +43,7 @@
 	"server":              &registry.Server{},
 	"server-heartbeat":    &registry.Heartbeat{},
 	"heartbeat-answer":    &controlplane.HeartbeatResponse{},
-	"show":                &admin.Shown{},
+	"show":                &admin.Report{},
 	"replica-view":        &views.View{},
 	"replica-entry":       &chain.Entry{},
 	"core-enter":          &chain.UpdateRequest{},
--- a/internal/lab/measure/allow.go
+++ b/internal/lab/measure/allow.go
@@ -127,5 +127,5 @@
 	if err != nil {
 		panic(err) // texts and numbers always have a form
 	}
-	return rpc.Packed(b)
+	return rpc.CompressedSize(b)
 }
--- a/internal/lab/measure/capacity.go
+++ b/internal/lab/measure/capacity.go
@@ -170,7 +170,7 @@
 	body := config(p.ConfigBytes)
 	item := gossip.Entry{Key: "c", Version: 1 << 20, Value: body}
 	r, to := p.tell(w, rest, item)
-	packed := float64(rpc.Packed(body)) / float64(len(body))
+	packed := float64(rpc.CompressedSize(body)) / float64(len(body))
 	return r, r.Bytes * packed, to
 }
 
--- a/internal/node/admin/admin.go
+++ b/internal/node/admin/admin.go
@@ -31,8 +31,8 @@
 	Rows    [][]string `json:"rows"`
 }
 
-// Shown is what a running process holds.
-type Shown struct {
+// Report is what a running process holds.
+type Report struct {
 	Program string  `json:"program"`
 	Name    string  `json:"name"`
 	Up      string  `json:"up"`
@@ -41,7 +41,7 @@
 
 // ShowCall asks a running process what it holds. It is answered where only processes of the
 // system and the own machine can reach it.
-var ShowCall = rpc.Declare[rpc.Raw, Shown]("GET", "/Show", agentapi.MaxCallBytes, "`show`, on the same machine or from a core machine")
+var ShowCall = rpc.Declare[rpc.Raw, Report]("GET", "/Show", agentapi.MaxCallBytes, "`show`, on the same machine or from a core machine")
 
 // ShowAddr returns where a program answers show and explain.
 func ShowAddr(program string, b *nodesettings.Settings) string {
@@ -55,7 +55,7 @@
 }
 
 // Text formats what is shown as tables.
-func (s Shown) Text() string {
+func (s Report) Text() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s %s, up %s\n", s.Program, s.Name, s.Up)
 	for _, t := range s.Tables {
@@ -77,20 +77,20 @@
 
 // RegisterShow answers ShowCall.
 func RegisterShow(mux *http.ServeMux, program, name string, start time.Time, tables func(context.Context) ([]Table, error)) {
-	ShowCall.On(mux, func(ctx context.Context, _ rpc.Named, _ rpc.Raw) (Shown, error) {
+	ShowCall.Handle(mux, func(ctx context.Context, _ rpc.RequestInfo, _ rpc.Raw) (Report, error) {
 		t, err := tables(ctx)
-		return Shown{Program: program, Name: name, Up: time.Since(start).Round(time.Millisecond).String(), Tables: t}, err
+		return Report{Program: program, Name: name, Up: time.Since(start).Round(time.Millisecond).String(), Tables: t}, err
 	})
 }
 
 // ExplainCall asks a running process what it knows of one server or caller.
-var ExplainCall = rpc.Declare[rpc.Raw, Shown]("GET", "/Explain/{name}", agentapi.MaxCallBytes, "`explain`, on the same machine or from a core machine")
+var ExplainCall = rpc.Declare[rpc.Raw, Report]("GET", "/Explain/{name}", agentapi.MaxCallBytes, "`explain`, on the same machine or from a core machine")
 
 // RegisterExplain answers ExplainCall.
 func RegisterExplain(mux *http.ServeMux, program, name string, start time.Time, tables func(about string) ([]Table, error)) {
-	ExplainCall.On(mux, func(_ context.Context, who rpc.Named, _ rpc.Raw) (Shown, error) {
+	ExplainCall.Handle(mux, func(_ context.Context, who rpc.RequestInfo, _ rpc.Raw) (Report, error) {
 		t, err := tables(who.Name)
-		return Shown{Program: program, Name: name, Up: time.Since(start).Round(time.Millisecond).String(), Tables: t}, err
+		return Report{Program: program, Name: name, Up: time.Since(start).Round(time.Millisecond).String(), Tables: t}, err
 	})
 }
 
--- a/internal/node/agent/agent.go
+++ b/internal/node/agent/agent.go
@@ -36,7 +36,7 @@
 }
 
 // answer returns what changed since the proxy's last call, or waits until something does.
-func (f *feed) answer(ctx context.Context, _ rpc.Named, request agentapi.FeedRequest) (agentapi.FeedResponse, error) {
+func (f *feed) answer(ctx context.Context, _ rpc.RequestInfo, request agentapi.FeedRequest) (agentapi.FeedResponse, error) {
 	f.open.Add(1)
 	defer func() { f.lastAt.Store(f.node.Now()); f.open.Add(-1) }()
 	n := f.node
@@ -96,7 +96,7 @@
 		outliers.onUpdate(entry)
 	}
 	loopback, internal := http.NewServeMux(), http.NewServeMux()
-	agentapi.FeedCall.On(loopback, f.answer)
+	agentapi.FeedCall.Handle(loopback, f.answer)
 	n.Serve(internal)
 	outliers.serve(loopback, internal)
 	admin.RegisterShow(loopback, admin.Agent, settings.Name, n.StartedAt, outliers.tables)
--- a/internal/node/agent/outliers.go
+++ b/internal/node/agent/outliers.go
@@ -47,7 +47,7 @@
 // serve answers the proxy and the other agents.
 func (b *outlierAggregator) serve(loop, inner *http.ServeMux) {
 	b.quotas.serve(loop, inner)
-	agentapi.ReportEvidenceCall.On(loop, func(_ context.Context, _ rpc.Named, w agentapi.EvidenceReport) (rpc.Empty, error) {
+	agentapi.ReportEvidenceCall.Handle(loop, func(_ context.Context, _ rpc.RequestInfo, w agentapi.EvidenceReport) (rpc.Empty, error) {
 		b.node.Mu.Lock()
 		defer b.node.Mu.Unlock()
 		if c, known := b.node.Members.Holder(outlier.Role); known && c.Holder != b.node.Self.Addr {
@@ -60,11 +60,11 @@
 		b.addEvidence(b.node.Self.Addr, w.Evidence)
 		return rpc.Empty{}, nil
 	})
-	agentapi.ForwardEvidenceCall.On(inner, func(_ context.Context, _ rpc.Named, w agentapi.EvidenceReport) (rpc.Empty, error) {
+	agentapi.ForwardEvidenceCall.Handle(inner, func(_ context.Context, _ rpc.RequestInfo, w agentapi.EvidenceReport) (rpc.Empty, error) {
 		b.node.Mu.Lock()
 		defer b.node.Mu.Unlock()
 		if !b.addEvidence(w.From, w.Evidence) {
-			return rpc.Empty{}, rpc.Fail(http.StatusConflict, "the duty is another's")
+			return rpc.Empty{}, rpc.Errorf(http.StatusConflict, "the duty is another's")
 		}
 		return rpc.Empty{}, nil
 	})
@@ -73,7 +73,7 @@
 func (b *outlierAggregator) forward(to string, w agentapi.EvidenceReport) {
 	ctx, cancel := context.WithTimeout(context.Background(), agentapi.EvidenceTimeout)
 	defer cancel()
-	agentapi.ForwardEvidenceCall.Ask(ctx, b.node.Client, to, "", w) // lost: there is more of it soon
+	agentapi.ForwardEvidenceCall.Invoke(ctx, b.node.Client, to, "", w) // lost: there is more of it soon
 	b.node.Mu.Lock()
 	defer b.node.Mu.Unlock()
 	b.forwarding = false
--- a/internal/node/agent/quota.go
+++ b/internal/node/agent/quota.go
@@ -75,7 +75,7 @@
 }
 
 func (v *quotaService) serve(loop, inner *http.ServeMux) {
-	agentapi.ClaimCall.On(loop, func(ctx context.Context, _ rpc.Named, c agentapi.ClaimRequest) (agentapi.ClaimResponse, error) {
+	agentapi.ClaimCall.Handle(loop, func(ctx context.Context, _ rpc.RequestInfo, c agentapi.ClaimRequest) (agentapi.ClaimResponse, error) {
 		v.node.Mu.Lock()
 		v.updateHolder()
 		if v.lessor != nil {
@@ -85,15 +85,15 @@
 		holder, known := v.node.Members.Holder(outlier.Role)
 		v.node.Mu.Unlock()
 		if !known {
-			return agentapi.ClaimResponse{}, rpc.Fail(http.StatusServiceUnavailable, "no process is known to hold the lessor")
+			return agentapi.ClaimResponse{}, rpc.Errorf(http.StatusServiceUnavailable, "no process is known to hold the lessor")
 		}
-		return agentapi.ForwardClaimCall.Ask(ctx, v.node.Client, holder.Holder, "", agentapi.ClaimRequest{From: v.node.Self.Addr, Claims: c.Claims})
+		return agentapi.ForwardClaimCall.Invoke(ctx, v.node.Client, holder.Holder, "", agentapi.ClaimRequest{From: v.node.Self.Addr, Claims: c.Claims})
 	})
-	agentapi.ForwardClaimCall.On(inner, func(_ context.Context, _ rpc.Named, c agentapi.ClaimRequest) (agentapi.ClaimResponse, error) {
+	agentapi.ForwardClaimCall.Handle(inner, func(_ context.Context, _ rpc.RequestInfo, c agentapi.ClaimRequest) (agentapi.ClaimResponse, error) {
 		v.node.Mu.Lock()
 		defer v.node.Mu.Unlock()
 		if v.updateHolder(); v.lessor == nil {
-			return agentapi.ClaimResponse{}, rpc.Fail(http.StatusConflict, "the duty is another's")
+			return agentapi.ClaimResponse{}, rpc.Errorf(http.StatusConflict, "the duty is another's")
 		}
 		return agentapi.ClaimResponse{Grants: v.lessor.HandleClaims(v.node.Now(), c.From, v.proxyCount(), c.Claims)}, nil
 	})
--- a/internal/node/agent/show.go
+++ b/internal/node/agent/show.go
@@ -45,7 +45,7 @@
 		return []admin.Table{t}, nil
 	}
 	if !known {
-		return nil, rpc.Fail(http.StatusServiceUnavailable, "no process is known to hold the aggregator")
+		return nil, rpc.Errorf(http.StatusServiceUnavailable, "no process is known to hold the aggregator")
 	}
 	return []admin.Table{{Title: "holder of the aggregator", Columns: []string{"agent", "epoch"}, Rows: [][]string{{c.Holder, fmt.Sprint(lease.TermOf(c.Epoch))}}}}, nil
 }
--- a/internal/node/agentapi/quota.go
+++ b/internal/node/agentapi/quota.go
@@ -19,7 +19,7 @@
 
 var (
 	ClaimCall        = rpc.Declare[ClaimRequest, ClaimResponse]("POST", "/Allow.Claim", MaxReportBytes, "the proxy on the same machine") // from a proxy to its agent
-	ForwardClaimCall = rpc.Declare[ClaimRequest, ClaimResponse]("POST", "/Allow.Lease", MaxReportBytes, "every agent").Packed()          // from an agent to the one that holds the lessor
+	ForwardClaimCall = rpc.Declare[ClaimRequest, ClaimResponse]("POST", "/Allow.Lease", MaxReportBytes, "every agent").WithCompression() // from an agent to the one that holds the lessor
 )
 
 // AllowancesOf returns the allowances of a configuration.
--- a/internal/node/cli/commands.go
+++ b/internal/node/cli/commands.go
@@ -71,7 +71,7 @@
 }
 
 // ask asks a running process, where its settings or a flag say, and prints the answer.
-func ask(c *cobra.Command, program, file, addr string, asJSON bool, what func(ctx context.Context, via *rpc.Client, addr string) (admin.Shown, error)) error {
+func ask(c *cobra.Command, program, file, addr string, asJSON bool, what func(ctx context.Context, via *rpc.Client, addr string) (admin.Report, error)) error {
 	if addr == "" && file == "" {
 		return ErrNoAddress
 	}
@@ -103,8 +103,8 @@
 	cmd := &cobra.Command{Use: "show [TABLE]", Short: "Show what the running " + program + " holds: routes, servers, groups, view, versions", Args: cobra.MaximumNArgs(1),
 		Long: "Show what the running " + program + " holds. TABLE leaves the tables whose titles begin so, as in: show groups",
 		RunE: func(c *cobra.Command, args []string) error {
-			return ask(c, program, *file, addr, asJSON, func(ctx context.Context, via *rpc.Client, addr string) (admin.Shown, error) {
-				s, err := admin.ShowCall.Ask(ctx, via, addr, "", nil)
+			return ask(c, program, *file, addr, asJSON, func(ctx context.Context, via *rpc.Client, addr string) (admin.Report, error) {
+				s, err := admin.ShowCall.Invoke(ctx, via, addr, "", nil)
 				if err != nil || len(args) == 0 {
 					return s, err
 				}
@@ -133,8 +133,8 @@
 	var asJSON bool
 	cmd := &cobra.Command{Use: "explain NAME", Short: "Tell what the running " + program + " knows of one server (its id) or caller (its address): in use, suspected or ejected, and why", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			return ask(c, program, *file, addr, asJSON, func(ctx context.Context, via *rpc.Client, addr string) (admin.Shown, error) {
-				return admin.ExplainCall.Ask(ctx, via, addr, url.PathEscape(args[0]), nil)
+			return ask(c, program, *file, addr, asJSON, func(ctx context.Context, via *rpc.Client, addr string) (admin.Report, error) {
+				return admin.ExplainCall.Invoke(ctx, via, addr, url.PathEscape(args[0]), nil)
 			})
 		}}
 	cmd.Flags().StringVar(&addr, "addr", "", "where it answers; else as its settings file says")
--- a/internal/node/controlplane/handover.go
+++ b/internal/node/controlplane/handover.go
@@ -31,15 +31,15 @@
 		left, alone := c.leaveStatus(ctx)
 		switch {
 		case left:
-			events.HandedOver.Log("after", time.Since(begun).Round(time.Millisecond))
+			events.VoteHandedOver.Log("after", time.Since(begun).Round(time.Millisecond))
 			return
 		case alone && time.Now().After(standby):
-			events.NotHandedOver.Log("why", "nobody stands by to take this vote; the disk keeps it")
+			events.VoteNotHandedOver.Log("why", "nobody stands by to take this vote; the disk keeps it")
 			return
 		}
 		time.Sleep(handOverPollInterval)
 	}
-	events.NotHandedOver.Log("why", "the others have not agreed within the grace")
+	events.VoteNotHandedOver.Log("why", "the others have not agreed within the grace")
 }
 
 // leaveStatus reports whether this machine has left, and whether there is no learner for its
@@ -99,12 +99,12 @@
 	}
 	for _, addr := range others {
 		if to := control[addr]; to != "" {
-			o := rpc.Fail(http.StatusTemporaryRedirect, "this machine is out of touch with the core; %s is in touch", to)
-			o.Host = to
+			o := rpc.Errorf(http.StatusTemporaryRedirect, "this machine is out of touch with the core; %s is in touch", to)
+			o.RedirectHost = to
 			return o
 		}
 	}
-	o := rpc.Fail(http.StatusServiceUnavailable, "this machine is out of touch with the core")
-	o.Retry = retryAfter
+	o := rpc.Errorf(http.StatusServiceUnavailable, "this machine is out of touch with the core")
+	o.RetryAfter = retryAfter
 	return o
 }
--- a/internal/node/controlplane/heartbeat_bench_test.go
+++ b/internal/node/controlplane/heartbeat_bench_test.go
@@ -40,7 +40,7 @@
 			b.ResetTimer()
 			for i := 0; i < b.N; i++ {
 				beat := registry.Heartbeat{Service: "s1", Addr: "10.9.0.1:80", Zone: "z1", Revision: "v1", Capacity: 3, State: registry.LifecycleAvailable, Sequence: int64(i/servers + 1)}
-				if _, err := k.recordHeartbeat(rpc.Named{Name: names[i%servers]}, beat); err != nil {
+				if _, err := k.recordHeartbeat(rpc.RequestInfo{Name: names[i%servers]}, beat); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/node/controlplane/outbox.go
+++ b/internal/node/controlplane/outbox.go
@@ -24,7 +24,7 @@
 
 // messagesCall carries messages between control-plane machines (codec.EncodeBatch). The answer
 // only says that they arrived: what is lost is sent again by whoever waits for it.
-var messagesCall = rpc.Declare[rpc.Raw, rpc.Empty]("POST", "/Core.Mail", 4*agentapi.MaxCallBytes, "core processes").Packed()
+var messagesCall = rpc.Declare[rpc.Raw, rpc.Empty]("POST", "/Core.Mail", 4*agentapi.MaxCallBytes, "core processes").WithCompression()
 
 // outboxKey names one of the two outboxes of a machine. Large messages have their own, so that
 // heartbeats do not wait behind them.
@@ -146,7 +146,7 @@
 			panic("invariant: " + err.Error()) // each message has a form
 		}
 		ctx, cancel := context.WithTimeout(c.running, p.key.timeout())
-		messagesCall.Ask(ctx, c.node.Client, p.key.addr, "", body) // what is lost is sent again
+		messagesCall.Invoke(ctx, c.node.Client, p.key.addr, "", body) // what is lost is sent again
 		cancel()
 	}
 }
@@ -163,11 +163,11 @@
 
 // serveMessages answers the other control-plane machines.
 func (c *replicaRunner) serveMessages(mux *http.ServeMux) {
-	messagesCall.On(mux, func(ctx context.Context, who rpc.Named, body rpc.Raw) (rpc.Empty, error) {
+	messagesCall.Handle(mux, func(ctx context.Context, who rpc.RequestInfo, body rpc.Raw) (rpc.Empty, error) {
 		messages, unread, err := codec.DecodeBatch(body)
 		if err != nil {
 			events.MessageInvalid.Log("peer", who.Peer, "err", err)
-			return rpc.Empty{}, rpc.Fail(http.StatusBadRequest, "%v", err)
+			return rpc.Empty{}, rpc.Errorf(http.StatusBadRequest, "%v", err)
 		}
 		for _, err := range unread {
 			events.MessageInvalid.Log("peer", who.Peer, "err", err)
--- a/internal/node/controlplane/replica.go
+++ b/internal/node/controlplane/replica.go
@@ -42,10 +42,10 @@
 	ErrNoAnswer = errors.New("the chain has not answered in time")
 )
 
-// RefusedError is returned for a call that the chain refused for now.
-type RefusedError struct{ Reason string }
+// RejectedError is returned for a call that the chain refused for now.
+type RejectedError struct{ Reason string }
 
-func (e *RefusedError) Error() string { return e.Reason }
+func (e *RejectedError) Error() string { return e.Reason }
 
 // replicaRunner runs a replica.Machine. Its loop steps the machine; its disk goroutine writes
 // what a step wants written, and only then releases what the step wants sent and answered.
@@ -273,7 +273,7 @@
 	select {
 	case r := <-ch:
 		if !r.OK() {
-			return r, &RefusedError{r.Reason}
+			return r, &RejectedError{r.Reason}
 		}
 		return r, nil
 	case <-ctx.Done():
--- a/internal/node/controlplane/server.go
+++ b/internal/node/controlplane/server.go
@@ -36,7 +36,7 @@
 var (
 	heartbeatCall  = rpc.Declare[registry.Heartbeat, HeartbeatResponse]("POST", "/Instances.Heartbeat/{name}", 16<<10, "servers")
 	deregisterCall = rpc.Declare[rpc.Raw, rpc.Empty]("POST", "/Instances.Deregister/{name}", 16<<10, "servers")
-	replaceCall    = rpc.Declare[rpc.Raw, rpc.Empty]("POST", "/Config.Replace", agentapi.MaxCallBytes, "the operator").AtOnce(maxConcurrentUpdates)
+	replaceCall    = rpc.Declare[rpc.Raw, rpc.Empty]("POST", "/Config.Replace", agentapi.MaxCallBytes, "the operator").WithConcurrencyLimit(maxConcurrentUpdates)
 	describeCall   = rpc.Declare[rpc.Raw, rpc.Raw]("GET", "/Config.Describe", agentapi.MaxCallBytes, "the operator")
 )
 
@@ -98,10 +98,10 @@
 	k.Node.Serve(inner)
 	k.replica.serveMessages(inner)
 	admin.RegisterShow(inner, admin.ControlPlane, boot.Name, k.StartedAt, k.tables)
-	heartbeatCall.On(outer, k.handleHeartbeat)
-	deregisterCall.On(outer, k.handleDeregister)
-	replaceCall.On(outer, k.handleReplace)
-	describeCall.On(outer, k.handleDescribe)
+	heartbeatCall.Handle(outer, k.handleHeartbeat)
+	deregisterCall.Handle(outer, k.handleDeregister)
+	replaceCall.Handle(outer, k.handleReplace)
+	describeCall.Handle(outer, k.handleDescribe)
 	lnOuter, err := transport.Listen(ctx, boot.Control)
 	if err != nil {
 		return err
@@ -147,7 +147,7 @@
 		k.rememberServers()
 	}
 	for _, i := range k.registry.Tick(k.Now()) {
-		events.ServerSilent.Log("server", i.Key)
+		events.ServerUnresponsive.Log("server", i.Key)
 		k.PutLocked(i)
 	}
 }
@@ -209,7 +209,7 @@
 	}
 }
 
-func (k *server) handleHeartbeat(ctx context.Context, who rpc.Named, b registry.Heartbeat) (HeartbeatResponse, error) {
+func (k *server) handleHeartbeat(ctx context.Context, who rpc.RequestInfo, b registry.Heartbeat) (HeartbeatResponse, error) {
 	ans, err := k.recordHeartbeat(who, b)
 	if err == nil && b.State == registry.LifecycleDraining {
 		err = k.replica.requireQuorum(ctx)
@@ -219,7 +219,7 @@
 
 // handleDeregister takes the last call of a server. Machines that are not reached from here do
 // not hear of it; then it is not acknowledged, and the server calls another one.
-func (k *server) handleDeregister(ctx context.Context, who rpc.Named, _ rpc.Raw) (rpc.Empty, error) {
+func (k *server) handleDeregister(ctx context.Context, who rpc.RequestInfo, _ rpc.Raw) (rpc.Empty, error) {
 	events.ServerDeregistered.Log("server", who.Name)
 	k.Mu.Lock()
 	k.PutLocked(k.registry.HandleDeregister(who.Name))
@@ -230,7 +230,7 @@
 }
 
 // recordHeartbeat takes a heartbeat.
-func (k *server) recordHeartbeat(who rpc.Named, b registry.Heartbeat) (HeartbeatResponse, error) {
+func (k *server) recordHeartbeat(who rpc.RequestInfo, b registry.Heartbeat) (HeartbeatResponse, error) {
 	endpoint := k.heartbeatEndpoint(who.Name, b.Zone)
 	k.Mu.Lock()
 	defer k.Mu.Unlock()
@@ -238,7 +238,7 @@
 	update, changed, err := k.registry.HandleHeartbeat(k.Now(), who.Name, b, stored, known)
 	if err != nil {
 		events.HeartbeatInvalid.Log("server", who.Name, "peer", who.Peer, "err", err)
-		return HeartbeatResponse{}, rpc.Fail(http.StatusBadRequest, "%v", err)
+		return HeartbeatResponse{}, rpc.Errorf(http.StatusBadRequest, "%v", err)
 	}
 	if changed {
 		if !known {
@@ -276,13 +276,13 @@
 	return best.Control
 }
 
-func (k *server) handleReplace(ctx context.Context, who rpc.Named, raw rpc.Raw) (rpc.Empty, error) {
+func (k *server) handleReplace(ctx context.Context, who rpc.RequestInfo, raw rpc.Raw) (rpc.Empty, error) {
 	k.validating.Lock()
 	c, err := routeconfig.Parse(raw)
 	k.validating.Unlock()
 	if err != nil {
 		events.ConfigInvalid.Log("peer", who.Peer, "path", err)
-		return rpc.Empty{}, rpc.Fail(http.StatusBadRequest, "%v", err)
+		return rpc.Empty{}, rpc.Errorf(http.StatusBadRequest, "%v", err)
 	}
 	if err := k.replica.requireQuorum(ctx); err != nil {
 		return rpc.Empty{}, err
@@ -295,12 +295,12 @@
 	}
 	if r.Verdict == chain.UpdateConflict {
 		events.ConfigConflict.Log("revision", c.Revision, "peer", who.Peer)
-		return rpc.Empty{}, rpc.Fail(http.StatusConflict, "other content was taken under revision %d; this one is not in force", c.Revision)
+		return rpc.Empty{}, rpc.Errorf(http.StatusConflict, "other content was taken under revision %d; this one is not in force", c.Revision)
 	}
 	return rpc.Empty{}, nil
 }
 
-func (k *server) handleDescribe(ctx context.Context, _ rpc.Named, _ rpc.Raw) (rpc.Raw, error) {
+func (k *server) handleDescribe(ctx context.Context, _ rpc.RequestInfo, _ rpc.Raw) (rpc.Raw, error) {
 	if err := k.replica.requireQuorum(ctx); err != nil {
 		return nil, err
 	}
@@ -309,15 +309,15 @@
 		return nil, retryLater(err)
 	}
 	if r.Entry.Version == 0 {
-		return nil, rpc.Fail(http.StatusNotFound, "no configuration was ever acknowledged")
+		return nil, rpc.Errorf(http.StatusNotFound, "no configuration was ever acknowledged")
 	}
 	return r.Entry.Content, nil
 }
 
 // retryLater asks a caller to come again: what it asked for may have been done, or may yet
 // be.
-func retryLater(err error) *rpc.Outcome {
-	o := rpc.Fail(http.StatusServiceUnavailable, "%v", err)
-	o.Retry = retryAfter
+func retryLater(err error) *rpc.StatusError {
+	o := rpc.Errorf(http.StatusServiceUnavailable, "%v", err)
+	o.RetryAfter = retryAfter
 	return o
 }
--- a/internal/node/controlplane/store.go
+++ b/internal/node/controlplane/store.go
@@ -159,7 +159,7 @@
 		if err == nil {
 			return
 		}
-		events.DiskRefuses.Log("err", err)
+		events.DiskWriteFailed.Log("err", err)
 		select {
 		case <-ctx.Done():
 		case <-time.After(diskRetryInterval):
--- a/internal/node/controlplane/store_test.go
+++ b/internal/node/controlplane/store_test.go
@@ -26,7 +26,7 @@
 // its own counts for what it has promised.
 func TestDisk(t *testing.T) {
 	Convey("A core machine's disk", t, func() {
-		events.To(io.Discard)
+		events.SetOutput(io.Discard)
 		f := newTestMachines(t)
 		first := func() replica.Record {
 			s, r, err := openStore(f.settings(1, true))
@@ -129,7 +129,7 @@
 // it does not tell.
 func TestKnownAtOnce(t *testing.T) {
 	Convey("A core machine that starts alone", t, func() {
-		events.To(io.Discard)
+		events.SetOutput(io.Discard)
 		f := newTestMachines(t)
 		entry := func(version uint64) chain.Entry {
 			return chain.NewEntry(version, []byte(testConfiguration(int(version))))
@@ -172,7 +172,7 @@
 // it only once the disk has it: after a loss of power it might else be in force and unknown.
 func TestAnnouncedBehindDisk(t *testing.T) {
 	Convey("A configuration that a chain of one takes while its disk stalls", t, func() {
-		events.To(io.Discard)
+		events.SetOutput(io.Discard)
 		f := newTestMachines(t)
 		boot := f.settings(1, true)
 		boot.Seeds = boot.Seeds[:1]
--- a/internal/node/events/events.go
+++ b/internal/node/events/events.go
@@ -17,11 +17,11 @@
 
 // Event is one entry of the catalogue.
 type Event struct {
-	Number int
-	Name   string
-	Level  log.Level
-	Means  string // what has happened
-	Do     string // what an operator may do about it; "": nothing
+	Number      int
+	Name        string
+	Level       log.Level
+	Description string // what has happened
+	Action      string // what an operator may do about it; "": nothing
 
 	gate *gate
 }
@@ -41,11 +41,11 @@
 	std       = log.NewWithOptions(os.Stderr, log.Options{ReportTimestamp: true, TimeFormat: "2006-01-02T15:04:05.000Z07:00", Formatter: log.LogfmtFormatter})
 )
 
-// To sends the lines elsewhere, for tests.
-func To(w io.Writer) { std.SetOutput(w) }
+// SetOutput sends the lines elsewhere, for tests.
+func SetOutput(w io.Writer) { std.SetOutput(w) }
 
-// Level sets the least level that is written.
-func Level(text string) error {
+// SetLevel sets the least level that is written.
+func SetLevel(text string) error {
 	l, err := log.ParseLevel(text)
 	if err == nil {
 		std.SetLevel(l)
@@ -59,7 +59,7 @@
 			panic(fmt.Sprintf("event %d %s stands twice", number, name))
 		}
 	}
-	e := &Event{Number: number, Name: name, Level: level, Means: means, Do: do, gate: &gate{}}
+	e := &Event{Number: number, Name: name, Level: level, Description: means, Action: do, gate: &gate{}}
 	catalogue = append(catalogue, e)
 	return e
 }
@@ -98,7 +98,7 @@
 		"`saddlectl events` prints this page; a test holds it to the code.\n\n" +
 		"| number | event | level | what has happened | what to do |\n| --- | --- | --- | --- | --- |\n")
 	for _, e := range catalogue {
-		fmt.Fprintf(&b, "| %d | `%s` | %s | %s | %s |\n", e.Number, e.Name, e.Level, e.Means, e.Do)
+		fmt.Fprintf(&b, "| %d | `%s` | %s | %s | %s |\n", e.Number, e.Name, e.Level, e.Description, e.Action)
 	}
 	return b.String()
 }
--- a/internal/node/fleettest/fleet_test.go
+++ b/internal/node/fleettest/fleet_test.go
@@ -43,7 +43,7 @@
 }
 
 func NewFleet(t *testing.T) *fleet {
-	events.To(io.Discard)
+	events.SetOutput(io.Discard)
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	So(err, ShouldBeNil)
 	port := ln.Addr().(*net.TCPAddr).Port
@@ -180,7 +180,7 @@
 func (f *fleet) shows(program string, machine int, text string) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	s, err := admin.ShowCall.Ask(ctx, rpc.NewClient(time.Second), admin.ShowAddr(program, f.Boot(machine, false)), "", nil)
+	s, err := admin.ShowCall.Invoke(ctx, rpc.NewClient(time.Second), admin.ShowAddr(program, f.Boot(machine, false)), "", nil)
 	return err == nil && strings.Contains(s.Text(), text)
 }
 
@@ -329,7 +329,7 @@
 		var raw bytes.Buffer
 		So(json.Compact(&raw, []byte(Config(5, "v5"))), ShouldBeNil)
 		loop, given := http.NewServeMux(), make(chan agentapi.FeedRequest, 100)
-		agentapi.FeedCall.On(loop, func(ctx context.Context, _ rpc.Named, q agentapi.FeedRequest) (agentapi.FeedResponse, error) {
+		agentapi.FeedCall.Handle(loop, func(ctx context.Context, _ rpc.RequestInfo, q agentapi.FeedRequest) (agentapi.FeedResponse, error) {
 			given <- q
 			switch {
 			case len(q.Entries) > 0:
--- a/internal/node/peer/peer.go
+++ b/internal/node/peer/peer.go
@@ -33,7 +33,7 @@
 )
 
 var (
-	exchangeCall = rpc.Declare[gossip.ExchangeRequest, gossip.ExchangeResponse]("POST", "/Rumour.Pass", agentapi.MaxCallBytes, "every agent and core process").Packed()
+	exchangeCall = rpc.Declare[gossip.ExchangeRequest, gossip.ExchangeResponse]("POST", "/Rumour.Pass", agentapi.MaxCallBytes, "every agent and core process").WithCompression()
 	probeCall    = rpc.Declare[ProbeRequest, ProbeResponse]("POST", "/Ring.After", 4<<10, "every agent and core process")
 )
 
@@ -110,19 +110,19 @@
 
 // Serve answers the other processes.
 func (n *Node) Serve(mux *http.ServeMux) {
-	exchangeCall.On(mux, func(_ context.Context, _ rpc.Named, p gossip.ExchangeRequest) (gossip.ExchangeResponse, error) {
+	exchangeCall.Handle(mux, func(_ context.Context, _ rpc.RequestInfo, p gossip.ExchangeRequest) (gossip.ExchangeResponse, error) {
 		n.Mu.Lock()
 		defer n.Mu.Unlock()
 		return n.Members.HandleExchange(n.Now(), p), nil
 	})
-	probeCall.On(mux, func(ctx context.Context, _ rpc.Named, a ProbeRequest) (ProbeResponse, error) {
+	probeCall.Handle(mux, func(ctx context.Context, _ rpc.RequestInfo, a ProbeRequest) (ProbeResponse, error) {
 		n.Mu.Lock()
 		hears, try := n.Members.HandleProbe(n.Now(), a.Target)
 		n.Mu.Unlock()
 		if try {
 			ctx, cancel := context.WithTimeout(ctx, peerDialTimeout)
 			defer cancel()
-			ans, err := probeCall.Ask(ctx, n.Client, a.Target, "", ProbeRequest{Target: a.Target})
+			ans, err := probeCall.Invoke(ctx, n.Client, a.Target, "", ProbeRequest{Target: a.Target})
 			hears = err == nil && ans.Alive
 		}
 		return ProbeResponse{Alive: hears}, nil
@@ -225,7 +225,7 @@
 	defer n.calls.Done()
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	ans, err := probeCall.Ask(ctx, n.Client, q.To, "", ProbeRequest{Target: q.About})
+	ans, err := probeCall.Invoke(ctx, n.Client, q.To, "", ProbeRequest{Target: q.About})
 	n.Mu.Lock()
 	defer n.Mu.Unlock()
 	n.Members.HandleProbeResult(n.Now(), q, ans.Alive, err == nil)
@@ -240,7 +240,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, span)
 	defer cancel()
-	ans, err := exchangeCall.Ask(ctx, n.Client, o.To, "", o.Request)
+	ans, err := exchangeCall.Invoke(ctx, n.Client, o.To, "", o.Request)
 	n.Mu.Lock()
 	defer n.Mu.Unlock()
 	n.Members.HandleExchangeResult(n.Now(), o, ans, err == nil)
--- a/internal/node/proxy/outliers.go
+++ b/internal/node/proxy/outliers.go
@@ -175,7 +175,7 @@
 	}
 	if len(list) > 0 {
 		ask, cancel := context.WithTimeout(ctx, agentapi.EvidenceTimeout)
-		agentapi.ReportEvidenceCall.Ask(ask, f.proxy.client, f.proxy.settings.AgentAddr(), "", agentapi.EvidenceReport{Evidence: list}) // lost: there is more of it soon
+		agentapi.ReportEvidenceCall.Invoke(ask, f.proxy.client, f.proxy.settings.AgentAddr(), "", agentapi.EvidenceReport{Evidence: list}) // lost: there is more of it soon
 		cancel()
 	}
 	return more
--- a/internal/node/proxy/proxy.go
+++ b/internal/node/proxy/proxy.go
@@ -224,11 +224,11 @@
 		ask, cancel := context.WithTimeout(ctx, agentapi.FeedWait+5*time.Second)
 		stored, _ := t.store.Get(agentapi.ConfigurationKey)
 		f.ConfigVersion = stored.Version
-		ans, err := agentapi.FeedCall.Ask(ask, t.client, t.settings.AgentAddr(), "", f)
+		ans, err := agentapi.FeedCall.Invoke(ask, t.client, t.settings.AgentAddr(), "", f)
 		cancel()
 		if err != nil && ctx.Err() == nil && !away {
 			away = true
-			events.AgentAway.Log("err", err)
+			events.AgentUnreachable.Log("err", err)
 		}
 		if err != nil {
 			select {
@@ -239,7 +239,7 @@
 		}
 		if away {
 			away = false
-			events.AgentBack.Log()
+			events.AgentReachable.Log()
 		}
 		t.applyFeed(ans.Entries, ans.Incarnation != f.Incarnation)
 		f = agentapi.FeedRequest{Incarnation: ans.Incarnation, Since: ans.Seq}
--- a/internal/node/proxy/quota.go
+++ b/internal/node/proxy/quota.go
@@ -57,7 +57,7 @@
 	defer k.mu.Unlock()
 	ok, after := k.holder.Admit(k.now(), name)
 	if !ok {
-		events.AllowanceUsedUp.Log("allowance", name, "after", time.Duration(after*1000).Round(time.Millisecond))
+		events.QuotaExhausted.Log("allowance", name, "after", time.Duration(after*1000).Round(time.Millisecond))
 	}
 	return ok, time.Duration(after) * time.Microsecond
 }
@@ -90,7 +90,7 @@
 		return more
 	}
 	ask, cancel := context.WithTimeout(ctx, claimTimeout)
-	ans, err := agentapi.ClaimCall.Ask(ask, k.proxy.client, k.proxy.settings.AgentAddr(), "", agentapi.ClaimRequest{Claims: list})
+	ans, err := agentapi.ClaimCall.Invoke(ask, k.proxy.client, k.proxy.settings.AgentAddr(), "", agentapi.ClaimRequest{Claims: list})
 	cancel()
 	if err == nil { // otherwise the lease runs out, and the unleased share is left
 		k.mu.Lock()
--- a/internal/node/proxy/show.go
+++ b/internal/node/proxy/show.go
@@ -109,7 +109,7 @@
 	}
 	own, seen := watch.Describe(now, name)
 	if !seen && !listed {
-		return nil, rpc.Fail(http.StatusNotFound, "%s: no server or caller that was heard of here", about)
+		return nil, rpc.Errorf(http.StatusNotFound, "%s: no server or caller that was heard of here", about)
 	}
 	is := "in use"
 	switch ratio := f.ejections.Ratio(name); {
--- a/internal/node/proxy/shutdown.go
+++ b/internal/node/proxy/shutdown.go
@@ -46,7 +46,7 @@
 	for cut := false; t.downstream.Clients() > 0 && time.Now().Before(over.Add(answerMargin)); {
 		if !cut && !time.Now().Before(over) {
 			cut = true
-			events.CutShort.Log("open", t.exchange.Open())
+			events.GraceExpired.Log("open", t.exchange.Open())
 			t.downstream.ExpireRequests()
 		}
 		t.downstream.CloseIdle(idleCloseDelay)
--- a/internal/node/rpc/pack.go
+++ b/internal/node/rpc/pack.go
@@ -41,8 +41,8 @@
 	return packer.out.EncodeAll(body, make([]byte, 0, len(body)/4))
 }
 
-// Packed is how many bytes a body takes where calls are packed.
-func Packed(body []byte) int { return len(pack(http.Header{}, body)) }
+// CompressedSize is how many bytes a body takes where calls are packed.
+func CompressedSize(body []byte) int { return len(pack(http.Header{}, body)) }
 
 // unpack undoes it; what comes out is at most as large as a body may be.
 func unpack(head http.Header, body []byte, most int64) ([]byte, error) {
--- a/internal/node/rpc/rpc.go
+++ b/internal/node/rpc/rpc.go
@@ -28,17 +28,17 @@
 
 // Call declares a call: its path, which may end in a name in braces, and who may call it.
 type Call[Req, Ans any] struct {
-	Method string
-	Path   string
-	Most   int64  // bytes of a request's body, and of an answer's
-	Who    string // for the docs
-	packed bool   // bodies that are large go compressed, where the other side takes them
-	slots  chan struct{}
+	Method   string
+	Path     string
+	MaxBytes int64  // bytes of a request's body, and of an answer's
+	Callers  string // for the docs
+	packed   bool   // bodies that are large go compressed, where the other side takes them
+	slots    chan struct{}
 }
 
-// AtOnce bounds the calls that are answered at once. One more is refused with Retry-After, before
+// WithConcurrencyLimit bounds the calls that are answered at once. One more is refused with Retry-After, before
 // its body is read: so many bodies fit into the memory.
-func (c Call[Req, Ans]) AtOnce(n int) Call[Req, Ans] {
+func (c Call[Req, Ans]) WithConcurrencyLimit(n int) Call[Req, Ans] {
 	c.slots = make(chan struct{}, n)
 	return c
 }
@@ -56,9 +56,9 @@
 	}
 }
 
-// Packed has large bodies of the call go compressed. It is for calls between the system's
+// WithCompression has large bodies of the call go compressed. It is for calls between the system's
 // own processes: links between them are slow, and a configuration has many equal lines.
-func (c Call[Req, Ans]) Packed() Call[Req, Ans] {
+func (c Call[Req, Ans]) WithCompression() Call[Req, Ans] {
 	c.packed = true
 	return c
 }
@@ -70,7 +70,7 @@
 	var req Req
 	var ans Ans
 	declared = append(declared, fmt.Sprintf("| `%s %s` | %s | `%s` | `%s` | %d |", method, path, who, kind(req), kind(ans), most))
-	return Call[Req, Ans]{Method: method, Path: path, Most: most, Who: who}
+	return Call[Req, Ans]{Method: method, Path: path, MaxBytes: most, Callers: who}
 }
 
 func kind(v any) string {
@@ -86,19 +86,19 @@
 		"| call | who may call it | request | answer | bytes at most |\n| --- | --- | --- | --- | --- |\n" + strings.Join(declared, "\n") + "\n"
 }
 
-// Outcome is a status that is no 200, as a value.
-type Outcome struct {
-	Status int
-	Reason string
-	Host   string        // of a 307: the host:port where the same call is to go
-	Retry  time.Duration // Retry-After
+// StatusError is a status that is no 200, as a value.
+type StatusError struct {
+	Status       int
+	Reason       string
+	RedirectHost string        // of a 307: the host:port where the same call is to go
+	RetryAfter   time.Duration // Retry-After
 }
 
-func (o *Outcome) Error() string { return fmt.Sprintf("status %d: %s", o.Status, o.Reason) }
+func (o *StatusError) Error() string { return fmt.Sprintf("status %d: %s", o.Status, o.Reason) }
 
-// Fail makes an outcome.
-func Fail(status int, format string, args ...any) *Outcome {
-	return &Outcome{Status: status, Reason: fmt.Sprintf(format, args...)}
+// Errorf makes an outcome.
+func Errorf(status int, format string, args ...any) *StatusError {
+	return &StatusError{Status: status, Reason: fmt.Sprintf(format, args...)}
 }
 
 // Raw is a request or an answer whose bytes are carried as they are.
@@ -107,8 +107,8 @@
 // Empty is the body of an answer that says nothing but that the call was handled.
 type Empty struct{}
 
-// Named is the name that a call's path ends in, and who called.
-type Named struct {
+// RequestInfo is the name that a call's path ends in, and who called.
+type RequestInfo struct {
 	Name string
 	Peer string
 }
@@ -122,27 +122,27 @@
 	mostHead  = 8 << 10
 )
 
-// On has f answer a call.
-func (c Call[Req, Ans]) On(mux *http.ServeMux, f func(ctx context.Context, who Named, req Req) (Ans, error)) {
+// Handle has f answer a call.
+func (c Call[Req, Ans]) Handle(mux *http.ServeMux, f func(ctx context.Context, who RequestInfo, req Req) (Ans, error)) {
 	mux.HandleFunc(c.Method+" "+c.Path, func(w http.ResponseWriter, r *http.Request) {
 		leave, full := c.enter()
 		if full {
-			reply(w, r, &Outcome{Status: http.StatusServiceUnavailable, Reason: "too many such calls at once", Retry: fullRetry})
+			reply(w, r, &StatusError{Status: http.StatusServiceUnavailable, Reason: "too many such calls at once", RetryAfter: fullRetry})
 			return
 		}
 		defer leave()
-		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, c.Most))
+		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, c.MaxBytes))
 		if err != nil {
 			var large *http.MaxBytesError
 			if errors.As(err, &large) {
-				reply(w, r, Fail(http.StatusRequestEntityTooLarge, "more than %d bytes", c.Most))
+				reply(w, r, Errorf(http.StatusRequestEntityTooLarge, "more than %d bytes", c.MaxBytes))
 			} else {
-				reply(w, r, Fail(http.StatusBadRequest, "the body is incomplete"))
+				reply(w, r, Errorf(http.StatusBadRequest, "the body is incomplete"))
 			}
 			return
 		}
-		if body, err = unpack(r.Header, body, c.Most); err != nil {
-			reply(w, r, Fail(http.StatusBadRequest, "%v", err))
+		if body, err = unpack(r.Header, body, c.MaxBytes); err != nil {
+			reply(w, r, Errorf(http.StatusBadRequest, "%v", err))
 			return
 		}
 		var req Req
@@ -150,15 +150,15 @@
 			*raw = body
 		} else if len(body) > 0 {
 			if err := json.Unmarshal(body, &req); err != nil {
-				reply(w, r, Fail(http.StatusBadRequest, "%v", err))
+				reply(w, r, Errorf(http.StatusBadRequest, "%v", err))
 				return
 			}
 		}
-		ans, err := f(r.Context(), Named{Name: r.PathValue("name"), Peer: r.RemoteAddr}, req)
+		ans, err := f(r.Context(), RequestInfo{Name: r.PathValue("name"), Peer: r.RemoteAddr}, req)
 		if err != nil {
-			var out *Outcome
+			var out *StatusError
 			if !errors.As(err, &out) {
-				out = Fail(http.StatusServiceUnavailable, "%v", err)
+				out = Errorf(http.StatusServiceUnavailable, "%v", err)
 			}
 			reply(w, r, out)
 			return
@@ -166,7 +166,7 @@
 		text, ok := any(ans).(Raw)
 		if !ok {
 			if text, err = json.Marshal(ans); err != nil {
-				reply(w, r, Fail(http.StatusInternalServerError, "%v", err))
+				reply(w, r, Errorf(http.StatusInternalServerError, "%v", err))
 				return
 			}
 		}
@@ -179,12 +179,12 @@
 	})
 }
 
-func reply(w http.ResponseWriter, r *http.Request, o *Outcome) {
-	if o.Host != "" {
-		w.Header().Set("Location", "http://"+o.Host+r.URL.Path)
+func reply(w http.ResponseWriter, r *http.Request, o *StatusError) {
+	if o.RedirectHost != "" {
+		w.Header().Set("Location", "http://"+o.RedirectHost+r.URL.Path)
 	}
-	if o.Retry > 0 {
-		w.Header().Set("Retry-After", strconv.FormatFloat(o.Retry.Seconds(), 'f', -1, 64))
+	if o.RetryAfter > 0 {
+		w.Header().Set("Retry-After", strconv.FormatFloat(o.RetryAfter.Seconds(), 'f', -1, 64))
 	}
 	text := o.Reason + "\n"
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
@@ -193,8 +193,8 @@
 	io.WriteString(w, text)
 }
 
-// Ask calls a process at host:port.
-func (c Call[Req, Ans]) Ask(ctx context.Context, via *Client, addr, name string, req Req) (ans Ans, err error) {
+// Invoke calls a process at host:port.
+func (c Call[Req, Ans]) Invoke(ctx context.Context, via *Client, addr, name string, req Req) (ans Ans, err error) {
 	var body []byte
 	if raw, ok := any(req).(Raw); ok {
 		body = raw
@@ -220,16 +220,16 @@
 		return ans, Error.Wrap(err)
 	}
 	defer p.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(p.Body, c.Most+1))
+	text, err := io.ReadAll(io.LimitReader(p.Body, c.MaxBytes+1))
 	switch {
 	case err != nil:
 		return ans, Error.Wrap(err)
-	case int64(len(text)) > c.Most:
-		return ans, Error.New("%s: an answer of more than %d bytes", addr, c.Most)
+	case int64(len(text)) > c.MaxBytes:
+		return ans, Error.New("%s: an answer of more than %d bytes", addr, c.MaxBytes)
 	case p.StatusCode != http.StatusOK:
-		return ans, &Outcome{Status: p.StatusCode, Reason: string(bytes.TrimSpace(text[:min(len(text), 200)]))}
+		return ans, &StatusError{Status: p.StatusCode, Reason: string(bytes.TrimSpace(text[:min(len(text), 200)]))}
 	}
-	if text, err = unpack(p.Header, text, c.Most); err != nil {
+	if text, err = unpack(p.Header, text, c.MaxBytes); err != nil {
 		return ans, err
 	}
 	if raw, ok := any(&ans).(*Raw); ok {
--- a/internal/node/rpc/rpc_test.go
+++ b/internal/node/rpc/rpc_test.go
@@ -22,22 +22,22 @@
 func TestCalls(t *testing.T) {
 	Convey("Calls over loopback", t, func() {
 		plain := Declare[word, word]("POST", "/T.Plain/{name}", 64<<10, "tests")
-		packed := Declare[word, word]("POST", "/T.Packed", 64<<10, "tests").Packed()
+		packed := Declare[word, word]("POST", "/T.Packed", 64<<10, "tests").WithCompression()
 		raw := Declare[Raw, Raw]("POST", "/T.Raw", 1<<10, "tests")
 		mux, seen := http.NewServeMux(), make(chan http.Header, 9)
-		plain.On(mux, func(_ context.Context, who Named, w word) (word, error) {
+		plain.Handle(mux, func(_ context.Context, who RequestInfo, w word) (word, error) {
 			switch w.Text {
 			case "later":
-				o := Fail(503, "not now")
-				o.Retry = 250 * time.Millisecond
+				o := Errorf(503, "not now")
+				o.RetryAfter = 250 * time.Millisecond
 				return w, o
 			case "broken":
 				return w, errors.New("inside")
 			}
 			return word{who.Name + w.Text}, nil
 		})
-		packed.On(mux, func(_ context.Context, _ Named, w word) (word, error) { return word{w.Text + w.Text}, nil })
-		raw.On(mux, func(_ context.Context, _ Named, r Raw) (Raw, error) { return r, nil })
+		packed.Handle(mux, func(_ context.Context, _ RequestInfo, w word) (word, error) { return word{w.Text + w.Text}, nil })
+		raw.Handle(mux, func(_ context.Context, _ RequestInfo, r Raw) (Raw, error) { return r, nil })
 		ln, err := net.Listen("tcp4", "127.0.0.1:0")
 		So(err, ShouldBeNil)
 		ctx, cancel := context.WithCancel(context.Background())
@@ -64,22 +64,22 @@
 		}
 
 		Convey("carry a pair of types, and a name", func() {
-			ans, err := plain.Ask(ctx, via, addr, "me:", word{"x"})
+			ans, err := plain.Invoke(ctx, via, addr, "me:", word{"x"})
 			So(err, ShouldBeNil)
 			So(ans.Text, ShouldEqual, "me:x")
-			bytesBack, err := raw.Ask(ctx, via, addr, "", Raw("{ not : json"))
+			bytesBack, err := raw.Invoke(ctx, via, addr, "", Raw("{ not : json"))
 			So(err, ShouldBeNil)
 			So(string(bytesBack), ShouldEqual, "{ not : json")
 		})
 		Convey("tell an outcome as a value", func() {
-			_, err := plain.Ask(ctx, via, addr, "n", word{"later"})
-			var o *Outcome
+			_, err := plain.Invoke(ctx, via, addr, "n", word{"later"})
+			var o *StatusError
 			So(errors.As(err, &o), ShouldBeTrue)
 			So(o.Status, ShouldEqual, 503)
 			So(o.Reason, ShouldEqual, "not now")
 			_, _, head := post("/T.Plain/n", `{"t":"later"}`, nil)
 			So(head.Get("Retry-After"), ShouldEqual, "0.25")
-			_, err = plain.Ask(ctx, via, addr, "n", word{"broken"})
+			_, err = plain.Invoke(ctx, via, addr, "n", word{"broken"})
 			So(errors.As(err, &o), ShouldBeTrue)
 			So(o.Status, ShouldEqual, 503)
 		})
@@ -99,15 +99,15 @@
 			So(len(bomb), ShouldBeLessThan, 1<<10)
 			code, _, _ = post("/T.Packed", string(bomb), head)
 			So(code, ShouldEqual, 400)
-			_, err := packed.Ask(ctx, via, addr, "", word{strings.Repeat("x", 40<<10)})
+			_, err := packed.Invoke(ctx, via, addr, "", word{strings.Repeat("x", 40<<10)})
 			So(err.Error(), ShouldContainSubstring, "more than") // the answer is
 		})
 		Convey("go packed both ways where they are large, and only then", func() {
-			ans, err := packed.Ask(ctx, via, addr, "", word{strings.Repeat("ab", 4<<10)})
+			ans, err := packed.Invoke(ctx, via, addr, "", word{strings.Repeat("ab", 4<<10)})
 			So(err, ShouldBeNil)
 			So(ans.Text, ShouldEqual, strings.Repeat("ab", 8<<10))
 			So((<-seen).Get("Content-Encoding"), ShouldEqual, "zstd")
-			_, err = packed.Ask(ctx, via, addr, "", word{"ab"})
+			_, err = packed.Invoke(ctx, via, addr, "", word{"ab"})
 			So(err, ShouldBeNil)
 			So((<-seen).Get("Content-Encoding"), ShouldEqual, "")
 			code, text, head := post("/T.Packed", `{"t":"`+strings.Repeat("x", 2<<10)+`"}`, nil) // one that does not ask for it
@@ -118,12 +118,12 @@
 		Convey("end with who asks", func() {
 			gone, end := context.WithCancel(ctx)
 			end()
-			_, err := plain.Ask(gone, via, addr, "n", word{"x"})
+			_, err := plain.Invoke(gone, via, addr, "n", word{"x"})
 			So(err, ShouldNotBeNil)
 			cancel()
 			until := time.Now().Add(10 * time.Second)
 			for err = nil; err == nil && time.Now().Before(until); {
-				_, err = plain.Ask(context.Background(), via, addr, "n", word{"x"})
+				_, err = plain.Invoke(context.Background(), via, addr, "n", word{"x"})
 			}
 			So(err, ShouldNotBeNil)
 		})
@@ -133,9 +133,9 @@
 // What finds no slot is told to come again, and is not kept waiting; the others are answered.
 func TestSlots(t *testing.T) {
 	Convey("A call of which two may be answered at once", t, func() {
-		call := Declare[word, word]("POST", "/T.Slots", 1<<10, "tests").AtOnce(2)
+		call := Declare[word, word]("POST", "/T.Slots", 1<<10, "tests").WithConcurrencyLimit(2)
 		mux, in, release := http.NewServeMux(), make(chan struct{}, 9), make(chan struct{})
-		call.On(mux, func(_ context.Context, _ Named, w word) (word, error) {
+		call.Handle(mux, func(_ context.Context, _ RequestInfo, w word) (word, error) {
 			in <- struct{}{}
 			<-release
 			return w, nil
@@ -150,14 +150,14 @@
 		ended := make(chan error, 2)
 		for range 2 {
 			go func() {
-				_, err := call.Ask(ctx, via, ln.Addr().String(), "", word{"a"})
+				_, err := call.Invoke(ctx, via, ln.Addr().String(), "", word{"a"})
 				ended <- err
 			}()
 		}
 		<-in
 		<-in
-		_, err = call.Ask(ctx, via, ln.Addr().String(), "", word{"one too many"})
-		var out *Outcome
+		_, err = call.Invoke(ctx, via, ln.Addr().String(), "", word{"one too many"})
+		var out *StatusError
 		So(errors.As(err, &out), ShouldBeTrue)
 		So(out.Status, ShouldEqual, 503)
 		close(release)
--- a/internal/node/storage/storage.go
+++ b/internal/node/storage/storage.go
@@ -42,12 +42,12 @@
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
-	return OpenOn(files)
+	return OpenFiles(files)
 }
 
-// OpenOn opens the store on files of the caller's. One whose making was cut short never
+// OpenFiles opens the store on files of the caller's. One whose making was cut short never
 // contained anything: it is created again.
-func OpenOn(files storage.Storage) (*Store, error) {
+func OpenFiles(files storage.Storage) (*Store, error) {
 	db, err := leveldb.Open(files, options)
 	if errors.IsCorrupted(err) && neverCreated(files) {
 		db, err = leveldb.Open(files, options)
--- a/internal/node/storage/storage_test.go
+++ b/internal/node/storage/storage_test.go
@@ -221,7 +221,7 @@
 				if rng.IntN(4) == 0 {
 					d.left = rng.IntN(12) // while it is opened
 				}
-				s, err := OpenOn(d)
+				s, err := OpenFiles(d)
 				for err == nil {
 					tried++
 					value := bytes.Repeat([]byte(fmt.Sprintf("%08d", tried)), 1+rng.IntN(30_000))
@@ -240,7 +240,7 @@
 				}
 				losses++
 				d = after
-				s, err = OpenOn(d)
+				s, err = OpenFiles(d)
 				if err != nil {
 					t.Fatalf("seed %d: after a loss of power: %v", seed, err)
 				}
@@ -266,14 +266,14 @@
 	})
 	Convey("A disk that refuses writes says so, and keeps what it has", t, func() {
 		d := newDisk(rand.New(rand.NewPCG(1, 1)))
-		s, err := OpenOn(d)
+		s, err := OpenFiles(d)
 		So(err, ShouldBeNil)
 		So(s.Put(Entry{Key: "k", Value: []byte("v")}), ShouldBeNil)
 		d.full = true
 		So(s.Put(Entry{Key: "k", Value: []byte("w")}), ShouldNotBeNil)
 		s.Close()
 		d.full = false
-		s, err = OpenOn(d)
+		s, err = OpenFiles(d)
 		So(err, ShouldBeNil)
 		v, err := s.Get("k")
 		So(err, ShouldBeNil)
