--- a/internal/node/storage/storage.go
+++ b/internal/node/storage/storage.go
@@ -1,6 +1,7 @@
-// Package storage keeps the state of a control-plane machine on disk, in goleveldb. Every write is synced
-// before it returns: promises to other machines rest on what is stored. It never takes
-// a damaged store as an empty one, grow without a bound, or return before the disk has it.
+// Package storage stores the state of a control-plane machine on disk, in goleveldb. Every write is
+// synced before it returns, because the machine's promises to other machines depend on the stored
+// state. The package must never treat a damaged store as an empty one, grow without a bound, or
+// return from a write before the data is synced.
 package storage
 
 import (
@@ -18,38 +19,38 @@
 // Error is the class of all errors of this package.
 var Error = errs.Class("store")
 
-// Store is one open store. It is safe for concurrent use.
+// Store is an open key-value store. It is safe for concurrent use.
 type Store struct {
 	db    *leveldb.DB
 	files storage.Storage
 }
 
-const bufferBytes = 1 << 20 // of the memory table and of the block cache
+const bufferBytes = 1 << 20 // size of the write buffer, of the block cache and of a table
 
 var options = &opt.Options{
 	WriteBuffer: bufferBytes, BlockCacheCapacity: bufferBytes, OpenFilesCacheCapacity: 16, CompactionTableSize: bufferBytes,
 	Strict: opt.StrictJournalChecksum | opt.StrictBlockChecksum, ErrorIfMissing: false,
 }
 
-// Open opens the store below a data directory, made where there is none. A last entry
-// that was torn by a loss of power is dropped: it was never promised.
+// Open opens the store in the data directory dir and creates it if there is none. A last entry that
+// a loss of power cut off is dropped: its write never returned, so no promise depends on it.
 func Open(dir string) (*Store, error) {
-	at := filepath.Join(dir, "state")
-	if err := os.MkdirAll(at, 0o755); err != nil {
+	path := filepath.Join(dir, "state")
+	if err := os.MkdirAll(path, 0o755); err != nil {
 		return nil, Error.Wrap(err)
 	}
-	files, err := storage.OpenFile(at, false)
+	files, err := storage.OpenFile(path, false)
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
 	return OpenFiles(files)
 }
 
-// OpenFiles opens the store on files of the caller's. One whose making was cut short never
-// contained anything: it is created again.
+// OpenFiles opens the store on the given files and closes them if that fails. A store whose creation
+// was interrupted never contained data and is created again.
 func OpenFiles(files storage.Storage) (*Store, error) {
 	db, err := leveldb.Open(files, options)
-	if errors.IsCorrupted(err) && neverCreated(files) {
+	if errors.IsCorrupted(err) && clearUnfinished(files) {
 		db, err = leveldb.Open(files, options)
 	}
 	if err != nil {
@@ -59,9 +60,10 @@
 	return &Store{db: db, files: files}, nil
 }
 
-// neverCreated clears a store that has no entry point and never had a journal or a table: of
-// one that contained something there would be either.
-func neverCreated(files storage.Storage) bool {
+// clearUnfinished removes the files of a store whose creation was interrupted, and reports whether
+// it did. Such a store has neither a CURRENT file nor a journal or a table; a store that contained
+// data would have a journal or a table.
+func clearUnfinished(files storage.Storage) bool {
 	if _, err := files.GetMeta(); !os.IsNotExist(err) {
 		return false
 	}
@@ -69,8 +71,8 @@
 	if err != nil || len(existing) > 0 {
 		return false
 	}
-	rest, err := files.List(storage.TypeAll)
-	for _, fd := range rest {
+	leftover, err := files.List(storage.TypeAll)
+	for _, fd := range leftover {
 		if err == nil {
 			err = files.Remove(fd)
 		}
@@ -78,7 +80,7 @@
 	return err == nil
 }
 
-// Get returns the value of a key, nil if there is none.
+// Get returns the value of a key, or nil if the key does not exist.
 func (s *Store) Get(key string) ([]byte, error) {
 	v, err := s.db.Get([]byte(key), nil)
 	if err == leveldb.ErrNotFound {
@@ -87,13 +89,13 @@
 	return v, Error.Wrap(err)
 }
 
-// Entry is one thing to keep; no value: the key is dropped.
+// Entry is a key and its value. Writing an entry without a value deletes the key.
 type Entry struct {
 	Key   string
 	Value []byte
 }
 
-// Put writes entries, all or none, and returns once they are synced.
+// Put writes the entries atomically and returns once they are synced.
 func (s *Store) Put(entries ...Entry) error {
 	var b leveldb.Batch
 	for _, e := range entries {
@@ -106,22 +108,22 @@
 	return Error.Wrap(s.db.Write(&b, &opt.WriteOptions{Sync: true}))
 }
 
-// All returns the values of all keys with a prefix.
+// All returns the keys that begin with prefix, and their values.
 func (s *Store) All(prefix string) (map[string][]byte, error) {
-	it := s.db.NewIterator(util.BytesPrefix([]byte(prefix)), nil)
-	defer it.Release()
+	iterator := s.db.NewIterator(util.BytesPrefix([]byte(prefix)), nil)
+	defer iterator.Release()
 	out := make(map[string][]byte)
-	for it.Next() {
-		out[string(it.Key())] = append([]byte(nil), it.Value()...)
+	for iterator.Next() {
+		out[string(iterator.Key())] = append([]byte(nil), iterator.Value()...)
 	}
-	return out, Error.Wrap(it.Error())
+	return out, Error.Wrap(iterator.Error())
 }
 
-// Close ends the store.
+// Close closes the store and its files.
 func (s *Store) Close() error {
 	err := s.db.Close()
-	if also := s.files.Close(); err == nil {
-		err = also
+	if closeErr := s.files.Close(); err == nil {
+		err = closeErr
 	}
 	return Error.Wrap(err)
 }
--- a/internal/node/storage/storage_test.go
+++ b/internal/node/storage/storage_test.go
@@ -14,82 +14,82 @@
 	"github.com/syndtr/goleveldb/leveldb/storage"
 )
 
-// disk is files as a machine's disk keeps them over a loss of power: what was synced is
-// there; of later writes each is there, missing or torn, or all of them are gone; a file
-// that was never synced is there or not, and one that was removed may come back.
+// disk simulates the files of a machine across a loss of power. Synced data survives. Of the writes
+// after the last sync either each is complete, missing or torn, or all are lost. A file that was never
+// synced may be missing, and a removed file may reappear.
 type disk struct {
-	mu    sync.Mutex
-	rng   *rand.Rand
-	files map[storage.FileDesc]*file
-	gone  map[storage.FileDesc]*file // removed
-	meta  storage.FileDesc
-	left  int   // writes, syncs and names until the power goes; below 0: it does not
-	after *disk // what is there afterwards, once it has gone
-	full  bool  // it refuses writes
+	mu             sync.Mutex
+	rng            *rand.Rand
+	files          map[storage.FileDesc]*file
+	removed        map[storage.FileDesc]*file // durable files that were removed and may reappear
+	meta           storage.FileDesc
+	operationsLeft int   // writes, syncs, creations and renames until the loss of power; below 0: none occurs
+	afterPowerLoss *disk // the disk after the loss of power; nil before it
+	full           bool  // writes fail
 }
 
 type file struct {
 	synced  []byte
-	lasting bool
-	now     []byte
+	durable bool
+	content []byte
 	pending []write
 }
 
 type write struct {
-	at   int
-	data []byte
+	offset int
+	data   []byte
 }
 
 func newDisk(rng *rand.Rand) *disk {
-	return &disk{rng: rng, files: make(map[storage.FileDesc]*file), gone: make(map[storage.FileDesc]*file), left: -1}
+	return &disk{rng: rng, files: make(map[storage.FileDesc]*file), removed: make(map[storage.FileDesc]*file), operationsLeft: -1}
 }
 
-// step counts an operation, and takes the power when its time has come.
-func (d *disk) step() error {
-	if d.after != nil {
+// countOperation counts an operation. It returns an error when the disk is full or has lost power.
+func (d *disk) countOperation() error {
+	if d.afterPowerLoss != nil {
 		return io.ErrClosedPipe
 	}
 	if d.full {
 		return fmt.Errorf("no space")
 	}
-	if d.left == 0 {
-		d.after = d.lost()
+	if d.operationsLeft == 0 {
+		d.afterPowerLoss = d.simulatePowerLoss()
 		return io.ErrClosedPipe
 	}
-	d.left = max(d.left-1, -1)
+	d.operationsLeft = max(d.operationsLeft-1, -1)
 	return nil
 }
 
-func (d *disk) lost() *disk {
-	n := newDisk(d.rng)
-	n.meta = d.meta
-	all := d.rng.IntN(3) == 0
+func (d *disk) simulatePowerLoss() *disk {
+	next := newDisk(d.rng)
+	next.meta = d.meta
+	loseAll := d.rng.IntN(3) == 0
 	for fd, f := range d.files {
-		if !f.lasting && (all || d.rng.IntN(2) == 0) {
+		if !f.durable && (loseAll || d.rng.IntN(2) == 0) {
 			continue
 		}
-		is := bytes.Clone(f.synced)
+		restored := bytes.Clone(f.synced)
 		for _, w := range f.pending {
 			data := w.data
 			switch x := d.rng.IntN(3); {
-			case all || x == 0:
+			case loseAll || x == 0:
 				continue
 			case x == 1:
 				data = data[:d.rng.IntN(len(data)+1)]
 			}
-			for len(is) < w.at+len(data) {
-				is = append(is, 0)
+			for len(restored) < w.offset+len(data) {
+				restored = append(restored, 0)
 			}
-			copy(is[w.at:], data)
+			copy(restored[w.offset:], data)
 		}
-		n.files[fd] = &file{synced: is, now: bytes.Clone(is), lasting: true}
+		next.files[fd] = &file{synced: restored, content: bytes.Clone(restored), durable: true}
 	}
-	for fd, f := range d.gone {
-		if n.files[fd] == nil && d.rng.IntN(2) == 0 {
-			n.files[fd] = &file{synced: f.synced, now: bytes.Clone(f.synced), lasting: true}
+	for fd, f := range d.removed {
+		if next.files[fd] == nil && d.rng.IntN(2) == 0 {
+			next.files[fd] = &file{synced: f.synced, content: bytes.Clone(f.synced), durable: true}
 		}
 	}
-	return n
+	return next
 }
 
 type unlocker struct{}
@@ -103,7 +103,7 @@
 func (d *disk) SetMeta(fd storage.FileDesc) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if err := d.step(); err != nil {
+	if err := d.countOperation(); err != nil {
 		return err
 	}
 	d.meta = fd
@@ -141,7 +141,7 @@
 	if f == nil {
 		return nil, os.ErrNotExist
 	}
-	return reader{bytes.NewReader(bytes.Clone(f.now))}, nil
+	return reader{bytes.NewReader(bytes.Clone(f.content))}, nil
 }
 
 type writer struct {
@@ -152,7 +152,7 @@
 func (d *disk) Create(fd storage.FileDesc) (storage.Writer, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if err := d.step(); err != nil {
+	if err := d.countOperation(); err != nil {
 		return nil, err
 	}
 	f := &file{}
@@ -163,21 +163,21 @@
 func (w *writer) Write(p []byte) (int, error) {
 	w.d.mu.Lock()
 	defer w.d.mu.Unlock()
-	w.f.pending = append(w.f.pending, write{len(w.f.now), bytes.Clone(p)})
-	if err := w.d.step(); err != nil { // the write may have begun
+	w.f.pending = append(w.f.pending, write{len(w.f.content), bytes.Clone(p)})
+	if err := w.d.countOperation(); err != nil { // the write may have been executed in part
 		return 0, err
 	}
-	w.f.now = append(w.f.now, p...)
+	w.f.content = append(w.f.content, p...)
 	return len(p), nil
 }
 
 func (w *writer) Sync() error {
 	w.d.mu.Lock()
 	defer w.d.mu.Unlock()
-	if err := w.d.step(); err != nil {
+	if err := w.d.countOperation(); err != nil {
 		return err
 	}
-	w.f.synced, w.f.pending, w.f.lasting = bytes.Clone(w.f.now), nil, true
+	w.f.synced, w.f.pending, w.f.durable = bytes.Clone(w.f.content), nil, true
 	return nil
 }
 
@@ -186,11 +186,11 @@
 func (d *disk) Remove(fd storage.FileDesc) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if err := d.step(); err != nil {
+	if err := d.countOperation(); err != nil {
 		return err
 	}
-	if f := d.files[fd]; f != nil && f.lasting {
-		d.gone[fd] = f
+	if f := d.files[fd]; f != nil && f.durable {
+		d.removed[fd] = f
 	}
 	delete(d.files, fd)
 	return nil
@@ -199,7 +199,7 @@
 func (d *disk) Rename(from, to storage.FileDesc) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if err := d.step(); err != nil {
+	if err := d.countOperation(); err != nil {
 		return err
 	}
 	d.files[to] = d.files[from]
@@ -207,64 +207,64 @@
 	return nil
 }
 
-// What was put is there after any loss of power; what was being put is there whole or not
-// at all.
+// TestPowerLost checks that acknowledged writes survive any loss of power, and that a write in
+// progress is stored completely or not at all.
 func TestPowerLost(t *testing.T) {
-	Convey("Losses of power at every kind of moment", t, func() {
+	Convey("Losses of power at random operations", t, func() {
 		losses, inFlight := 0, 0
 		for seed := range uint64(60) {
 			rng := rand.New(rand.NewPCG(seed, 9))
-			d := newDisk(rand.New(rand.NewPCG(seed, 10))) // its own: the store writes from goroutines of its own
-			want, tried := 0, 0
+			d := newDisk(rand.New(rand.NewPCG(seed, 10))) // a separate generator: the store writes from its own goroutines
+			acknowledged, attempted := 0, 0
 			for range 12 {
-				d.left = 1 + rng.IntN(60)
+				d.operationsLeft = 1 + rng.IntN(60)
 				if rng.IntN(4) == 0 {
-					d.left = rng.IntN(12) // while it is opened
+					d.operationsLeft = rng.IntN(12) // while the store is opened
 				}
 				s, err := OpenFiles(d)
 				for err == nil {
-					tried++
-					value := bytes.Repeat([]byte(fmt.Sprintf("%08d", tried)), 1+rng.IntN(30_000))
+					attempted++
+					value := bytes.Repeat([]byte(fmt.Sprintf("%08d", attempted)), 1+rng.IntN(30_000))
 					if err = s.Put(Entry{Key: "a", Value: value}, Entry{Key: "b", Value: value[:8]}); err == nil {
-						want = tried
+						acknowledged = attempted
 					}
 				}
 				if s != nil {
 					s.Close()
 				}
 				d.mu.Lock()
-				after := d.after
+				afterPowerLoss := d.afterPowerLoss
 				d.mu.Unlock()
-				if after == nil {
-					t.Fatalf("seed %d: %v though there is power", seed, err)
+				if afterPowerLoss == nil {
+					t.Fatalf("seed %d: %v without a loss of power", seed, err)
 				}
 				losses++
-				d = after
+				d = afterPowerLoss
 				s, err = OpenFiles(d)
 				if err != nil {
-					t.Fatalf("seed %d: after a loss of power: %v", seed, err)
+					t.Fatalf("seed %d: open after a loss of power: %v", seed, err)
 				}
 				a, errA := s.Get("a")
 				b, errB := s.Get("b")
 				if errA != nil || errB != nil {
-					t.Fatalf("seed %d: %v %v", seed, errA, errB)
+					t.Fatalf("seed %d: get: %v, %v", seed, errA, errB)
 				}
-				have := 0
-				fmt.Sscanf(string(b), "%08d", &have)
-				if have != want && have != tried || len(a)%8 != 0 || len(a) >= 8 && !bytes.Equal(a[:8], b) || len(a) >= 8 && !bytes.Equal(a[len(a)-8:], b) {
-					t.Fatalf("seed %d: put %d, tried %d, there is %d", seed, want, tried, have)
+				stored := 0
+				fmt.Sscanf(string(b), "%08d", &stored)
+				if stored != acknowledged && stored != attempted || len(a)%8 != 0 || len(a) >= 8 && !bytes.Equal(a[:8], b) || len(a) >= 8 && !bytes.Equal(a[len(a)-8:], b) {
+					t.Fatalf("seed %d: acknowledged %d, attempted %d, stored %d", seed, acknowledged, attempted, stored)
 				}
-				if have == tried && have != want {
+				if stored == attempted && stored != acknowledged {
 					inFlight++
 				}
-				want, tried = have, have
+				acknowledged, attempted = stored, stored
 				s.Close()
 			}
 		}
 		So(losses, ShouldBeGreaterThan, 500)
-		So(inFlight, ShouldBeGreaterThan, 0) // what was not acknowledged may be there
+		So(inFlight, ShouldBeGreaterThan, 0) // an unacknowledged write may be stored
 	})
-	Convey("A disk that refuses writes says so, and keeps what it has", t, func() {
+	Convey("A full disk returns an error and keeps its data", t, func() {
 		d := newDisk(rand.New(rand.NewPCG(1, 1)))
 		s, err := OpenFiles(d)
 		So(err, ShouldBeNil)
@@ -280,7 +280,7 @@
 		So(string(v), ShouldBeIn, "v", "w")
 		s.Close()
 	})
-	Convey("The store stays small however much was put", t, func() {
+	Convey("The size of the store is bounded after many writes", t, func() {
 		dir := t.TempDir()
 		s, err := Open(dir)
 		So(err, ShouldBeNil)
