--- a/internal/node/events/events.go
+++ b/internal/node/events/events.go
@@ -1,7 +1,7 @@
-// Package events owns what the system's programs log: numbered events, each with its
-// place in the catalogue, written as lines of key=value by charmbracelet/log. It owns the
-// bound on lines that repeat. It must never log what the catalogue does not have, or grow
-// with what a peer sends.
+// Package events defines and logs the events of the system's programs: numbered events of a
+// catalogue, written as lines of key=value by charmbracelet/log. It limits the lines per second of
+// each event. The package must never log an event that is missing from the catalogue, and its memory
+// must not grow with the input of peers.
 package events
 
 import (
@@ -15,87 +15,89 @@
 	"github.com/charmbracelet/log"
 )
 
-// Event is one entry of the catalogue.
+// Event is an entry of the catalogue.
 type Event struct {
 	Number      int
 	Name        string
 	Level       log.Level
-	Description string // what has happened
-	Action      string // what an operator may do about it; "": nothing
+	Description string // what has happened, for operators
+	Action      string // what an operator may do about it; empty: nothing
 
-	gate *gate
+	limiter *rateLimiter
 }
 
-// gate bounds the lines of one event.
-type gate struct {
-	mu     sync.Mutex
-	at     time.Time
-	passed int
-	kept   int
+// rateLimiter limits the lines of one event to maxLinesPerSecond.
+type rateLimiter struct {
+	mu          sync.Mutex
+	windowStart time.Time
+	count       int
+	suppressed  int
 }
 
-const mostLines = 10 // a second, of one event
+const maxLinesPerSecond = 10 // of one event
 
 var (
 	catalogue []*Event
-	std       = log.NewWithOptions(os.Stderr, log.Options{ReportTimestamp: true, TimeFormat: "2006-01-02T15:04:05.000Z07:00", Formatter: log.LogfmtFormatter})
+	logger    = log.NewWithOptions(os.Stderr, log.Options{ReportTimestamp: true, TimeFormat: "2006-01-02T15:04:05.000Z07:00", Formatter: log.LogfmtFormatter})
 )
 
-// SetOutput sends the lines elsewhere, for tests.
-func SetOutput(w io.Writer) { std.SetOutput(w) }
+// SetOutput redirects the log lines; it is meant for tests.
+func SetOutput(w io.Writer) { logger.SetOutput(w) }
 
-// SetLevel sets the least level that is written.
+// SetLevel sets the minimum level of the lines that are written. It returns an error if the name of
+// the level is unknown.
 func SetLevel(text string) error {
 	l, err := log.ParseLevel(text)
 	if err == nil {
-		std.SetLevel(l)
+		logger.SetLevel(l)
 	}
 	return err
 }
 
-func add(number int, name string, level log.Level, means, do string) *Event {
+func register(number int, name string, level log.Level, description, action string) *Event {
 	for _, e := range catalogue {
 		if e.Number == number || e.Name == name {
-			panic(fmt.Sprintf("event %d %s stands twice", number, name))
+			panic(fmt.Sprintf("event %d %s is registered twice", number, name))
 		}
 	}
-	e := &Event{Number: number, Name: name, Level: level, Description: means, Action: do, gate: &gate{}}
+	e := &Event{Number: number, Name: name, Level: level, Description: description, Action: action, limiter: &rateLimiter{}}
 	catalogue = append(catalogue, e)
 	return e
 }
 
-// Log writes the event with pairs of key and value.
+// Log writes the event with alternating keys and values. Lines above the limit are dropped; the next
+// line that is written reports their number as unlogged.
 func (e *Event) Log(pairs ...any) {
-	g := e.gate
-	g.mu.Lock()
+	limiter := e.limiter
+	limiter.mu.Lock()
 	now := time.Now()
-	if now.Sub(g.at) >= time.Second {
-		g.at, g.passed = now, 0
+	if now.Sub(limiter.windowStart) >= time.Second {
+		limiter.windowStart, limiter.count = now, 0
 	}
-	g.passed++
-	over := g.passed > mostLines
-	kept := g.kept
-	if over {
-		g.kept++
+	limiter.count++
+	suppress := limiter.count > maxLinesPerSecond
+	suppressed := limiter.suppressed
+	if suppress {
+		limiter.suppressed++
 	} else {
-		g.kept = 0
+		limiter.suppressed = 0
 	}
-	g.mu.Unlock()
-	if over {
+	limiter.mu.Unlock()
+	if suppress {
 		return
 	}
-	if kept > 0 {
-		pairs = append(pairs, "unlogged", kept)
+	if suppressed > 0 {
+		pairs = append(pairs, "unlogged", suppressed)
 	}
-	std.Log(e.Level, e.Name, append([]any{"event", e.Number}, pairs...)...)
+	logger.Log(e.Level, e.Name, append([]any{"event", e.Number}, pairs...)...)
 }
 
-// Page prints the catalogue as the operators' page.
+// Page returns docs/operate/events.md, the table of all events.
 func Page() string {
 	var b strings.Builder
-	b.WriteString("# Events\n\nWhat `proxy`, `agent` and `controlplane` log, one line an event, `key=value`, on standard error.\n" +
-		"Of one event at most " + fmt.Sprint(mostLines) + " lines a second are written; `unlogged` counts those left out.\n" +
-		"`saddlectl events` prints this page; a test holds it to the code.\n\n" +
+	b.WriteString("# Events\n\nThe events that `proxy`, `agent` and `controlplane` log to standard error, one line per event, as `key=value`.\n" +
+		"At most " + fmt.Sprint(maxLinesPerSecond) + " lines per second are written of one event; `unlogged` counts the dropped ones.\n" +
+		"`saddlectl events` prints this page; a test compares it with the code.\n\n" +
 		"| number | event | level | what has happened | what to do |\n| --- | --- | --- | --- | --- |\n")
 	for _, e := range catalogue {
 		fmt.Fprintf(&b, "| %d | `%s` | %s | %s | %s |\n", e.Number, e.Name, e.Level, e.Description, e.Action)
