--- a/internal/node/admin/admin.go
+++ b/internal/node/admin/admin.go
@@ -1,5 +1,5 @@
-// Package admin holds what running processes tell on-call engineers: the calls behind show and
-// explain, and the tables that they answer.
+// Package admin defines the calls behind the commands show and explain, with which on-call engineers
+// inspect running processes, and the tables that these calls return.
 package admin
 
 import (
@@ -17,21 +17,21 @@
 	"saddleport/internal/node/rpc"
 )
 
-// The programs as they name themselves in logs and in what they show.
+// The names of the programs in logs and reports.
 const (
 	Proxy        = "proxy"
 	Agent        = "agent"
 	ControlPlane = "controlplane"
 )
 
-// Table is one part of what a running process shows.
+// Table is a section of a Report.
 type Table struct {
 	Title   string     `json:"title"`
 	Columns []string   `json:"head,omitempty"`
 	Rows    [][]string `json:"rows"`
 }
 
-// Report is what a running process holds.
+// Report describes the state of a running process.
 type Report struct {
 	Program string  `json:"program"`
 	Name    string  `json:"name"`
@@ -39,22 +39,22 @@
 	Tables  []Table `json:"tables"`
 }
 
-// ShowCall asks a running process what it holds. It is answered where only processes of the
-// system and the own machine can reach it.
-var ShowCall = rpc.Declare[rpc.Raw, Report]("GET", "/Show", agentapi.MaxCallBytes, "`show`, on the same machine or from a core machine")
+// ShowCall returns the report of a running process. It is served at addresses that only processes of
+// the system and of the same machine can reach.
+var ShowCall = rpc.Declare[rpc.Raw, Report]("GET", "/Show", agentapi.MaxCallBytes, "`show`, on the same machine or from a control-plane machine")
 
-// ShowAddr returns where a program answers show and explain.
-func ShowAddr(program string, b *nodesettings.Settings) string {
+// ShowAddr returns the host:port at which a program serves show and explain.
+func ShowAddr(program string, settings *nodesettings.Settings) string {
 	switch program {
 	case Proxy:
-		return net.JoinHostPort(b.LoopbackIP, strconv.Itoa(b.FirstPort+2))
+		return net.JoinHostPort(settings.LoopbackIP, strconv.Itoa(settings.FirstPort+2))
 	case Agent:
-		return b.AgentAddr()
+		return settings.AgentAddr()
 	}
-	return b.PeerAddr()
+	return settings.PeerAddr()
 }
 
-// Text formats what is shown as tables.
+// Text formats the report as text with aligned columns.
 func (s Report) Text() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s %s, up %s\n", s.Program, s.Name, s.Up)
@@ -64,8 +64,8 @@
 		if len(t.Columns) > 0 {
 			fmt.Fprintln(w, "  "+strings.Join(t.Columns, "\t"))
 		}
-		for _, r := range t.Rows {
-			fmt.Fprintln(w, "  "+strings.Join(r, "\t"))
+		for _, row := range t.Rows {
+			fmt.Fprintln(w, "  "+strings.Join(row, "\t"))
 		}
 		if len(t.Rows) == 0 {
 			fmt.Fprintln(w, "  none")
@@ -75,7 +75,7 @@
 	return b.String()
 }
 
-// RegisterShow answers ShowCall.
+// RegisterShow registers the handler of ShowCall.
 func RegisterShow(mux *http.ServeMux, program, name string, start time.Time, tables func(context.Context) ([]Table, error)) {
 	ShowCall.Handle(mux, func(ctx context.Context, _ rpc.RequestInfo, _ rpc.Raw) (Report, error) {
 		t, err := tables(ctx)
@@ -83,18 +83,18 @@
 	})
 }
 
-// ExplainCall asks a running process what it knows of one server or caller.
-var ExplainCall = rpc.Declare[rpc.Raw, Report]("GET", "/Explain/{name}", agentapi.MaxCallBytes, "`explain`, on the same machine or from a core machine")
+// ExplainCall returns the state that a running process stores about one server or caller.
+var ExplainCall = rpc.Declare[rpc.Raw, Report]("GET", "/Explain/{name}", agentapi.MaxCallBytes, "`explain`, on the same machine or from a control-plane machine")
 
-// RegisterExplain answers ExplainCall.
+// RegisterExplain registers the handler of ExplainCall.
 func RegisterExplain(mux *http.ServeMux, program, name string, start time.Time, tables func(about string) ([]Table, error)) {
-	ExplainCall.Handle(mux, func(_ context.Context, who rpc.RequestInfo, _ rpc.Raw) (Report, error) {
-		t, err := tables(who.Name)
+	ExplainCall.Handle(mux, func(_ context.Context, info rpc.RequestInfo, _ rpc.Raw) (Report, error) {
+		t, err := tables(info.Name)
 		return Report{Program: program, Name: name, Up: time.Since(start).Round(time.Millisecond).String(), Tables: t}, err
 	})
 }
 
-// FormatAge formats a number of microseconds.
+// FormatAge formats a duration in microseconds, rounded to 100 ms.
 func FormatAge(us int64) string {
 	return time.Duration(us * int64(time.Microsecond)).Round(100 * time.Millisecond).String()
 }
--- a/internal/node/peer/peer.go
+++ b/internal/node/peer/peer.go
@@ -1,5 +1,5 @@
-// Package peer runs what an agent and a control-plane process have in common: package member's
-// state machine and its calls to other processes. It decides nothing.
+// Package peer runs the part that agents and control-plane processes have in common: the state machine
+// of package member and its calls to other processes. All decisions are made by package member.
 package peer
 
 import (
@@ -25,54 +25,54 @@
 var OutlierRole = member.SingletonRole{Name: outlier.Role, ProcessKind: gossip.KindAgent}
 
 const (
-	callTimeout      = 900 * time.Millisecond // of a small call
-	largeCallTimeout = 4 * time.Second        // of a call that may carry large values: links may be slow
+	callTimeout      = 900 * time.Millisecond // for small calls
+	largeCallTimeout = 4 * time.Second        // for calls that may carry large values: links may be slow
 	peerDialTimeout  = 500 * time.Millisecond
-	aloneDelay       = 3 * time.Second        // without another process, before event 108
-	leaveTimeout     = 400 * time.Millisecond // of the last calls of a process that ends
+	noPeersDelay     = 3 * time.Second        // after the start; if no other process is known then, event 108 is logged
+	leaveTimeout     = 400 * time.Millisecond // for the last calls of a process that ends
 )
 
 var (
-	exchangeCall = rpc.Declare[gossip.ExchangeRequest, gossip.ExchangeResponse]("POST", "/Rumour.Pass", agentapi.MaxCallBytes, "every agent and core process").WithCompression()
-	probeCall    = rpc.Declare[ProbeRequest, ProbeResponse]("POST", "/Ring.After", 4<<10, "every agent and core process")
+	exchangeCall = rpc.Declare[gossip.ExchangeRequest, gossip.ExchangeResponse]("POST", "/Rumour.Pass", agentapi.MaxCallBytes, "agents and control-plane processes").WithCompression()
+	probeCall    = rpc.Declare[ProbeRequest, ProbeResponse]("POST", "/Ring.After", 4<<10, "agents and control-plane processes")
 )
 
-// ProbeRequest asks whether another process is heard of, or the called one itself.
+// ProbeRequest asks a process whether Target, which may be the process itself, is alive.
 type ProbeRequest struct {
 	Target string `json:"a"`
 }
 
-// ProbeResponse answers ProbeRequest.
+// ProbeResponse is the response to a ProbeRequest.
 type ProbeResponse struct {
 	Alive bool `json:"h"`
 }
 
-// OrphanedServersRole belongs to the control-plane process that tracks servers which no
-// machine tracks.
+// OrphanedServersRole belongs to the control-plane process that tracks the servers that no machine
+// tracks any more.
 var OrphanedServersRole = member.SingletonRole{Name: "orphans", ProcessKind: gossip.KindControlPlane}
 
-// Node runs a member.Machine: it makes the calls that the machine wants and answers those of
-// other processes.
+// Node runs a member.Machine: it makes the calls that the machine requests and handles those of other
+// processes.
 type Node struct {
-	Settings  *nodesettings.File
-	Self      gossip.Process
-	Client    *rpc.Client
-	StartedAt time.Time
-	OnUpdate  func(gossip.Entry) // called after an entry was stored, with Mu locked; may be nil
-	calls     sync.WaitGroup
+	Settings      *nodesettings.File
+	Self          gossip.Process
+	Client        *rpc.Client
+	StartedAt     time.Time
+	OnUpdate      func(gossip.Entry) // called after an entry was stored, with Mu locked; may be nil
+	callsInFlight sync.WaitGroup
 
 	Mu      sync.Mutex      // guards Members and Store
-	ctx     context.Context // of the calls; ends with Run
+	ctx     context.Context // context of outgoing calls; replaced when Run ends
 	Members *member.Machine
-	Store   *gossip.Store // of Members
-	Changed chan struct{} // closed at the next change of the store
-	wake    chan struct{} // the loop has something to do
+	Store   *gossip.Store // the store of Members
+	Changed chan struct{} // closed and replaced at each change of the store
+	wake    chan struct{} // signals Run to step the machine
 }
 
-// NewNode returns a node that knows itself alone.
-func NewNode(set *nodesettings.File, kind string) *Node {
-	boot := set.Current()
-	n := &Node{Settings: set, Client: rpc.NewClientFrom(boot.PeerSourceIP(), peerDialTimeout), StartedAt: time.Now(), Changed: make(chan struct{}), wake: make(chan struct{}, 1)}
+// NewNode returns a node that knows no other process yet.
+func NewNode(settings *nodesettings.File, kind string) *Node {
+	boot := settings.Current()
+	n := &Node{Settings: settings, Client: rpc.NewClientFrom(boot.PeerSourceIP(), peerDialTimeout), StartedAt: time.Now(), Changed: make(chan struct{}), wake: make(chan struct{}, 1)}
 	n.Self = gossip.Process{Addr: boot.PeerAddr(), Name: boot.Name, Kind: kind, Zone: boot.Zone, Region: boot.Region, Control: boot.Control}
 	n.Members = member.New(n.Now(), member.DefaultConfig(OrphanedServersRole, OutlierRole), n.Self, boot.SeedPeers(), rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	n.Members.OnUpdate = n.onUpdate
@@ -80,13 +80,14 @@
 	return n
 }
 
-// Now returns the clock of the machine, in microseconds.
+// Now returns the time since the start of the process, in microseconds: the clock of the machine.
 func (n *Node) Now() int64 { return time.Since(n.StartedAt).Microseconds() }
 
-// onUpdate is called for every entry that was stored. Mu must be locked.
-func (n *Node) onUpdate(i gossip.Entry) {
+// onUpdate calls OnUpdate and notifies the waiters of Changed after an entry was stored. Mu must be
+// locked.
+func (n *Node) onUpdate(entry gossip.Entry) {
 	if n.OnUpdate != nil {
-		n.OnUpdate(i)
+		n.OnUpdate(entry)
 	}
 	close(n.Changed)
 	n.Changed = make(chan struct{})
@@ -96,47 +97,47 @@
 	}
 }
 
-// PutLocked stores an entry of this process or of its proxy. Mu must be locked.
-func (n *Node) PutLocked(i gossip.Entry) { n.Members.Put(n.Now(), i) }
+// PutLocked stores and gossips an entry of this process or of its proxy. Mu must be locked.
+func (n *Node) PutLocked(entry gossip.Entry) { n.Members.Put(n.Now(), entry) }
 
-// Put stores entries of this process.
-func (n *Node) Put(items ...gossip.Entry) {
+// Put stores and gossips entries of this process.
+func (n *Node) Put(entries ...gossip.Entry) {
 	n.Mu.Lock()
 	defer n.Mu.Unlock()
-	for _, i := range items {
-		n.PutLocked(i)
+	for _, entry := range entries {
+		n.PutLocked(entry)
 	}
 }
 
-// Serve answers the other processes.
+// Serve registers the handlers of the calls of other processes.
 func (n *Node) Serve(mux *http.ServeMux) {
-	exchangeCall.Handle(mux, func(_ context.Context, _ rpc.RequestInfo, p gossip.ExchangeRequest) (gossip.ExchangeResponse, error) {
+	exchangeCall.Handle(mux, func(_ context.Context, _ rpc.RequestInfo, request gossip.ExchangeRequest) (gossip.ExchangeResponse, error) {
 		n.Mu.Lock()
 		defer n.Mu.Unlock()
-		return n.Members.HandleExchange(n.Now(), p), nil
+		return n.Members.HandleExchange(n.Now(), request), nil
 	})
-	probeCall.Handle(mux, func(ctx context.Context, _ rpc.RequestInfo, a ProbeRequest) (ProbeResponse, error) {
+	probeCall.Handle(mux, func(ctx context.Context, _ rpc.RequestInfo, request ProbeRequest) (ProbeResponse, error) {
 		n.Mu.Lock()
-		hears, try := n.Members.HandleProbe(n.Now(), a.Target)
+		alive, mustProbe := n.Members.HandleProbe(n.Now(), request.Target)
 		n.Mu.Unlock()
-		if try {
+		if mustProbe {
 			ctx, cancel := context.WithTimeout(ctx, peerDialTimeout)
 			defer cancel()
-			ans, err := probeCall.Invoke(ctx, n.Client, a.Target, "", ProbeRequest{Target: a.Target})
-			hears = err == nil && ans.Alive
+			ans, err := probeCall.Invoke(ctx, n.Client, request.Target, "", ProbeRequest{Target: request.Target})
+			alive = err == nil && ans.Alive
 		}
-		return ProbeResponse{Alive: hears}, nil
+		return ProbeResponse{Alive: alive}, nil
 	})
 }
 
-// Peers returns the other processes, of one kind or of any.
+// Peers returns the other processes of a kind; empty: of any kind.
 func (n *Node) Peers(kind string) []gossip.Process {
 	n.Mu.Lock()
 	defer n.Mu.Unlock()
 	return n.Members.Peers(kind)
 }
 
-// Reachable leaves out the peers that did not answer recently.
+// Reachable returns the processes of list that answered recently.
 func (n *Node) Reachable(list []gossip.Process) (out []gossip.Process) {
 	n.Mu.Lock()
 	defer n.Mu.Unlock()
@@ -149,18 +150,18 @@
 	return out
 }
 
-// Run steps the machine until ctx ends, then announces that the process ends and waits for its
-// calls.
+// Run steps the machine until ctx ends. It then announces that the process leaves and waits for its
+// calls in flight.
 func (n *Node) Run(ctx context.Context) {
 	n.Mu.Lock()
 	n.ctx = ctx
 	n.Mu.Unlock()
-	alone := time.AfterFunc(aloneDelay, func() {
+	noPeersTimer := time.AfterFunc(noPeersDelay, func() {
 		if len(n.Peers("")) == 0 {
 			events.NoPeers.Log("seeds", n.Settings.Current().Seeds)
 		}
 	})
-	defer alone.Stop()
+	defer noPeersTimer.Stop()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -175,44 +176,45 @@
 		now := n.Now()
 		n.Members.SetSeeds(n.Settings.Current().SeedPeers())
 		n.Members.Tick(now)
-		n.flushLocked()
+		n.processOutputLocked()
 		next := n.Members.NextTick()
 		n.Mu.Unlock()
 		timer.Reset(max(time.Duration(next-now)*time.Microsecond, time.Millisecond))
 	}
 }
 
-// flushLocked does what the machine wants done. Mu must be locked.
-func (n *Node) flushLocked() {
+// processOutputLocked logs the events of the machine and starts the calls that it requests. Mu must be
+// locked.
+func (n *Node) processOutputLocked() {
 	out := n.Members.TakeOutput()
-	for _, x := range out.Events {
-		switch x.Kind {
+	for _, event := range out.Events {
+		switch event.Kind {
 		case member.Joined:
 			events.Joined.Log("peers", len(n.Members.Peers("")))
 		case member.ProcessDead:
-			events.ProcessDead.Log("process", x.Process)
+			events.ProcessDead.Log("process", event.Process)
 		case member.ProcessGone:
-			events.ProcessGone.Log("process", x.Process)
+			events.ProcessGone.Log("process", event.Process)
 		case member.RoleTaken:
-			events.RoleTaken.Log("role", x.Role, "epoch", lease.TermOf(x.Epoch))
+			events.RoleTaken.Log("role", event.Role, "epoch", lease.TermOf(event.Epoch))
 		case member.RoleLost:
-			events.RoleLost.Log("role", x.Role, "epoch", lease.TermOf(x.Epoch), "to", x.Process)
+			events.RoleLost.Log("role", event.Role, "epoch", lease.TermOf(event.Epoch), "to", event.Process)
 		case member.KindAbsent:
-			events.KindAbsent.Log("kind", programOf(x.ProcessKind), "after_ms", n.Now()/1000)
+			events.KindAbsent.Log("kind", programOf(event.ProcessKind), "after_ms", n.Now()/1000)
 		case member.KindPresent:
-			events.KindPresent.Log("kind", programOf(x.ProcessKind), "count", x.Count)
+			events.KindPresent.Log("kind", programOf(event.ProcessKind), "count", event.Count)
 		}
 	}
-	n.calls.Add(len(out.Probes) + len(out.Calls))
-	for _, q := range out.Probes {
-		go n.probe(n.ctx, q)
+	n.callsInFlight.Add(len(out.Probes) + len(out.Calls))
+	for _, probe := range out.Probes {
+		go n.probe(n.ctx, probe)
 	}
-	for _, o := range out.Calls {
-		go n.exchange(n.ctx, o)
+	for _, call := range out.Calls {
+		go n.exchange(n.ctx, call)
 	}
 }
 
-// programOf returns the program that runs processes of a kind.
+// programOf returns the name of the program whose processes have this kind.
 func programOf(kind string) string {
 	if kind == gossip.KindControlPlane {
 		return admin.ControlPlane
@@ -220,41 +222,41 @@
 	return admin.Agent
 }
 
-// probe carries a probe of the failure detector.
-func (n *Node) probe(ctx context.Context, q failuredetector.Probe) {
-	defer n.calls.Done()
+// probe makes a call of the failure detector and reports its result.
+func (n *Node) probe(ctx context.Context, probe failuredetector.Probe) {
+	defer n.callsInFlight.Done()
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	ans, err := probeCall.Invoke(ctx, n.Client, q.To, "", ProbeRequest{Target: q.About})
+	ans, err := probeCall.Invoke(ctx, n.Client, probe.To, "", ProbeRequest{Target: probe.About})
 	n.Mu.Lock()
 	defer n.Mu.Unlock()
-	n.Members.HandleProbeResult(n.Now(), q, ans.Alive, err == nil)
+	n.Members.HandleProbeResult(n.Now(), probe, ans.Alive, err == nil)
 }
 
-// exchange carries gossip.
-func (n *Node) exchange(ctx context.Context, o gossip.OutboundCall) {
-	defer n.calls.Done()
-	span := callTimeout
-	if len(o.Request.Entries)+len(o.Request.Want) > 0 {
-		span = largeCallTimeout
+// exchange makes a gossip call and reports its result.
+func (n *Node) exchange(ctx context.Context, call gossip.OutboundCall) {
+	defer n.callsInFlight.Done()
+	timeout := callTimeout
+	if len(call.Request.Entries)+len(call.Request.Want) > 0 {
+		timeout = largeCallTimeout
 	}
-	ctx, cancel := context.WithTimeout(ctx, span)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	ans, err := exchangeCall.Invoke(ctx, n.Client, o.To, "", o.Request)
+	ans, err := exchangeCall.Invoke(ctx, n.Client, call.To, "", call.Request)
 	n.Mu.Lock()
 	defer n.Mu.Unlock()
-	n.Members.HandleExchangeResult(n.Now(), o, ans, err == nil)
-	n.flushLocked()
+	n.Members.HandleExchangeResult(n.Now(), call, ans, err == nil)
+	n.processOutputLocked()
 }
 
-// leave announces that this process ends, and waits for its calls.
+// leave announces that this process ends and waits for its calls in flight.
 func (n *Node) leave() {
 	ctx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
 	defer cancel()
 	n.Mu.Lock()
 	n.ctx = ctx
 	n.Members.AnnounceLeave(n.Now())
-	n.flushLocked()
+	n.processOutputLocked()
 	n.Mu.Unlock()
-	n.calls.Wait()
+	n.callsInFlight.Wait()
 }
--- a/internal/node/rpc/pack.go
+++ b/internal/node/rpc/pack.go
@@ -8,65 +8,65 @@
 )
 
 const (
-	coding    = "zstd"
-	packFrom  = 1 << 10 // bytes; what is smaller goes as it is
-	packSpan  = 256 << 10
-	codingsOf = "Content-Encoding"
+	zstdCoding      = "zstd"
+	minCompressSize = 1 << 10 // bytes; smaller bodies are sent uncompressed
+	compressWindow  = 256 << 10
+	contentEncoding = "Content-Encoding"
 )
 
-// The packer is made when it is first needed: most processes pack now and then only, and
-// its tables are large beside all else they hold.
-var packer struct {
+// codec holds the encoder and the decoder. Each is created when it is first needed: most processes
+// rarely compress, and the tables of the codec are large compared with their other memory.
+var codec struct {
 	sync.Mutex
-	in  *zstd.Decoder
-	out *zstd.Encoder
+	decoder *zstd.Decoder
+	encoder *zstd.Encoder
 }
 
-// pack compresses a body that is worth it, and says so in the head.
-func pack(head http.Header, body []byte) []byte {
-	if len(body) < packFrom {
+// compress compresses a body of at least minCompressSize bytes and sets its Content-Encoding header.
+func compress(header http.Header, body []byte) []byte {
+	if len(body) < minCompressSize {
 		return body
 	}
-	packer.Lock()
-	defer packer.Unlock()
-	if packer.out == nil {
+	codec.Lock()
+	defer codec.Unlock()
+	if codec.encoder == nil {
 		var err error
-		packer.out, err = zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1),
-			zstd.WithWindowSize(packSpan), zstd.WithLowerEncoderMem(true))
+		codec.encoder, err = zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1),
+			zstd.WithWindowSize(compressWindow), zstd.WithLowerEncoderMem(true))
 		if err != nil {
 			return body
 		}
 	}
-	head.Set(codingsOf, coding)
-	return packer.out.EncodeAll(body, make([]byte, 0, len(body)/4))
+	header.Set(contentEncoding, zstdCoding)
+	return codec.encoder.EncodeAll(body, make([]byte, 0, len(body)/4))
 }
 
-// CompressedSize is how many bytes a body takes where calls are packed.
-func CompressedSize(body []byte) int { return len(pack(http.Header{}, body)) }
+// CompressedSize returns the size of a body in a call with compression, in bytes.
+func CompressedSize(body []byte) int { return len(compress(http.Header{}, body)) }
 
-// unpack undoes it; what comes out is at most as large as a body may be.
-func unpack(head http.Header, body []byte, most int64) ([]byte, error) {
-	switch head.Get(codingsOf) {
+// decompress reverses compress. It returns an error if the result has more than maxBytes bytes.
+func decompress(header http.Header, body []byte, maxBytes int64) ([]byte, error) {
+	switch header.Get(contentEncoding) {
 	case "":
 		return body, nil
-	case coding:
+	case zstdCoding:
 	default:
-		return nil, Error.New("coding %.20q is not known", head.Get(codingsOf))
+		return nil, Error.New("content encoding %.20q is not supported", header.Get(contentEncoding))
 	}
-	packer.Lock()
-	defer packer.Unlock()
-	if packer.in == nil {
+	codec.Lock()
+	defer codec.Unlock()
+	if codec.decoder == nil {
 		var err error
-		packer.in, err = zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true), zstd.WithDecoderMaxMemory(mostUnpacked))
+		codec.decoder, err = zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true), zstd.WithDecoderMaxMemory(maxDecoderMemory))
 		if err != nil {
 			return nil, Error.Wrap(err)
 		}
 	}
-	text, err := packer.in.DecodeAll(body, nil)
-	if err == nil && int64(len(text)) > most {
-		err = Error.New("more than %d bytes", most)
+	text, err := codec.decoder.DecodeAll(body, nil)
+	if err == nil && int64(len(text)) > maxBytes {
+		err = Error.New("the decompressed body has more than %d bytes", maxBytes)
 	}
 	return text, Error.Wrap(err)
 }
 
-const mostUnpacked = 64 << 20
+const maxDecoderMemory = 64 << 20
--- a/internal/node/rpc/rpc.go
+++ b/internal/node/rpc/rpc.go
@@ -1,7 +1,7 @@
-// Package rpc is the one generic handler between processes: a call and its answer are a
-// pair of types, carried as JSON over HTTP/1.1. It owns the sizes, the deadlines and the
-// statuses of calls. It must never take a body over its bound, wait without a deadline, or
-// know what a call means.
+// Package rpc implements the calls between processes: a call is a pair of request and response
+// types, encoded as JSON over HTTP/1.1. The package enforces size limits and timeouts and maps
+// errors to HTTP status codes. It must never accept a body above its size limit, wait without a
+// deadline, or depend on the meaning of a call.
 package rpc
 
 import (
@@ -23,28 +23,28 @@
 	"saddleport/internal/transport"
 )
 
-// Error is the class of failed calls.
+// Error is the class of errors of failed calls, apart from StatusError.
 var Error = errs.Class("call")
 
-// Call declares a call: its path, which may end in a name in braces, and who may call it.
+// Call describes a call. Its path may end in a name in braces, as in /Explain/{name}.
 type Call[Req, Ans any] struct {
-	Method   string
-	Path     string
-	MaxBytes int64  // bytes of a request's body, and of an answer's
-	Callers  string // for the docs
-	packed   bool   // bodies that are large go compressed, where the other side takes them
-	slots    chan struct{}
+	Method     string
+	Path       string
+	MaxBytes   int64  // limit of a request body and of a response body
+	Callers    string // who may call it, for the documentation
+	compressed bool   // large bodies are compressed if the other side accepts that
+	slots      chan struct{}
 }
 
-// WithConcurrencyLimit bounds the calls that are answered at once. One more is refused with Retry-After, before
-// its body is read: so many bodies fit into the memory.
+// WithConcurrencyLimit limits the calls that are handled at the same time to n. Further calls are
+// rejected with Retry-After before their body is read, so that at most n bodies are in memory.
 func (c Call[Req, Ans]) WithConcurrencyLimit(n int) Call[Req, Ans] {
 	c.slots = make(chan struct{}, n)
 	return c
 }
 
-// enter takes a slot; full: there is none.
-func (c Call[Req, Ans]) enter() (leave func(), full bool) {
+// acquireSlot reserves a slot until release is called. full reports that no slot is free.
+func (c Call[Req, Ans]) acquireSlot() (release func(), full bool) {
 	if c.slots == nil {
 		return func() {}, false
 	}
@@ -56,93 +56,94 @@
 	}
 }
 
-// WithCompression has large bodies of the call go compressed. It is for calls between the system's
-// own processes: links between them are slow, and a configuration has many equal lines.
+// WithCompression compresses large bodies of the call. It is intended for calls between processes
+// of the system: the links between them are slow, and a configuration has many equal lines.
 func (c Call[Req, Ans]) WithCompression() Call[Req, Ans] {
-	c.packed = true
+	c.compressed = true
 	return c
 }
 
-var declared []string // a line of the docs' table each
+var declaredCalls []string // rows of the table that Page prints
 
-// Declare makes a call and puts it into the table of calls.
-func Declare[Req, Ans any](method, path string, most int64, who string) Call[Req, Ans] {
+// Declare returns a call and adds it to the table of calls.
+func Declare[Req, Ans any](method, path string, maxBytes int64, callers string) Call[Req, Ans] {
 	var req Req
 	var ans Ans
-	declared = append(declared, fmt.Sprintf("| `%s %s` | %s | `%s` | `%s` | %d |", method, path, who, kind(req), kind(ans), most))
-	return Call[Req, Ans]{Method: method, Path: path, MaxBytes: most, Callers: who}
+	declaredCalls = append(declaredCalls, fmt.Sprintf("| `%s %s` | %s | `%s` | `%s` | %d |", method, path, callers, typeName(req), typeName(ans), maxBytes))
+	return Call[Req, Ans]{Method: method, Path: path, MaxBytes: maxBytes, Callers: callers}
 }
 
-func kind(v any) string {
+func typeName(v any) string {
 	name := fmt.Sprintf("%T", v)
 	return name[strings.LastIndexByte(name, '.')+1:]
 }
 
-// Page prints the table of calls as the operators' page.
+// Page returns docs/operate/calls.md, the table of all declared calls.
 func Page() string {
-	sort.Strings(declared)
-	return "# Calls\n\nWhat the processes of the system answer, JSON over HTTP/1.1. `Raw` is a body carried as it is.\n" +
-		"`saddlectl calls` prints this page; a test holds it to the code.\n\n" +
-		"| call | who may call it | request | answer | bytes at most |\n| --- | --- | --- | --- | --- |\n" + strings.Join(declared, "\n") + "\n"
+	sort.Strings(declaredCalls)
+	return "# Calls\n\nThe calls that the processes of the system serve as JSON over HTTP/1.1. A `Raw` body is passed through unchanged.\n" +
+		"`saddlectl calls` prints this page; a test compares it with the code.\n\n" +
+		"| call | callers | request | response | maximum bytes |\n| --- | --- | --- | --- | --- |\n" + strings.Join(declaredCalls, "\n") + "\n"
 }
 
-// StatusError is a status that is no 200, as a value.
+// StatusError is the outcome of a call with a status other than 200.
 type StatusError struct {
 	Status       int
 	Reason       string
-	RedirectHost string        // of a 307: the host:port where the same call is to go
-	RetryAfter   time.Duration // Retry-After
+	RedirectHost string        // host:port to repeat the call at; only with status 307
+	RetryAfter   time.Duration // value of the Retry-After header; 0: no header
 }
 
-func (o *StatusError) Error() string { return fmt.Sprintf("status %d: %s", o.Status, o.Reason) }
+func (e *StatusError) Error() string { return fmt.Sprintf("status %d: %s", e.Status, e.Reason) }
 
-// Errorf makes an outcome.
+// Errorf returns a StatusError with a formatted reason.
 func Errorf(status int, format string, args ...any) *StatusError {
 	return &StatusError{Status: status, Reason: fmt.Sprintf(format, args...)}
 }
 
-// Raw is a request or an answer whose bytes are carried as they are.
+// Raw is a request or response body that is passed through unchanged.
 type Raw []byte
 
-// Empty is the body of an answer that says nothing but that the call was handled.
+// Empty is the response body of a call that returns only its status.
 type Empty struct{}
 
-// RequestInfo is the name that a call's path ends in, and who called.
+// RequestInfo holds the name at the end of a call's path and the caller's address.
 type RequestInfo struct {
 	Name string
 	Peer string
 }
 
 const (
-	readHead  = 2 * time.Second
-	readBody  = 5 * time.Second
-	writeTime = 5 * time.Second
-	idleTime  = 60 * time.Second
-	fullRetry = 300 * time.Millisecond // advice to a caller that finds no slot
-	mostHead  = 8 << 10
+	readHeaderTimeout  = 2 * time.Second
+	readTimeout        = 5 * time.Second
+	minWriteTimeout    = 5 * time.Second
+	idleTimeout        = 60 * time.Second
+	overloadRetryAfter = 300 * time.Millisecond // Retry-After for callers that find no free slot
+	maxHeaderBytes     = 8 << 10
 )
 
-// Handle has f answer a call.
-func (c Call[Req, Ans]) Handle(mux *http.ServeMux, f func(ctx context.Context, who RequestInfo, req Req) (Ans, error)) {
+// Handle registers the handler of the call. An error that is not a StatusError is returned to
+// the caller with status 503.
+func (c Call[Req, Ans]) Handle(mux *http.ServeMux, handler func(ctx context.Context, info RequestInfo, req Req) (Ans, error)) {
 	mux.HandleFunc(c.Method+" "+c.Path, func(w http.ResponseWriter, r *http.Request) {
-		leave, full := c.enter()
+		release, full := c.acquireSlot()
 		if full {
-			reply(w, r, &StatusError{Status: http.StatusServiceUnavailable, Reason: "too many such calls at once", RetryAfter: fullRetry})
+			writeError(w, r, &StatusError{Status: http.StatusServiceUnavailable, Reason: "too many concurrent calls of this kind", RetryAfter: overloadRetryAfter})
 			return
 		}
-		defer leave()
+		defer release()
 		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, c.MaxBytes))
 		if err != nil {
-			var large *http.MaxBytesError
-			if errors.As(err, &large) {
-				reply(w, r, Errorf(http.StatusRequestEntityTooLarge, "more than %d bytes", c.MaxBytes))
+			var tooLarge *http.MaxBytesError
+			if errors.As(err, &tooLarge) {
+				writeError(w, r, Errorf(http.StatusRequestEntityTooLarge, "the request body has more than %d bytes", c.MaxBytes))
 			} else {
-				reply(w, r, Errorf(http.StatusBadRequest, "the body is incomplete"))
+				writeError(w, r, Errorf(http.StatusBadRequest, "the request body is incomplete"))
 			}
 			return
 		}
-		if body, err = unpack(r.Header, body, c.MaxBytes); err != nil {
-			reply(w, r, Errorf(http.StatusBadRequest, "%v", err))
+		if body, err = decompress(r.Header, body, c.MaxBytes); err != nil {
+			writeError(w, r, Errorf(http.StatusBadRequest, "%v", err))
 			return
 		}
 		var req Req
@@ -150,28 +151,28 @@
 			*raw = body
 		} else if len(body) > 0 {
 			if err := json.Unmarshal(body, &req); err != nil {
-				reply(w, r, Errorf(http.StatusBadRequest, "%v", err))
+				writeError(w, r, Errorf(http.StatusBadRequest, "%v", err))
 				return
 			}
 		}
-		ans, err := f(r.Context(), RequestInfo{Name: r.PathValue("name"), Peer: r.RemoteAddr}, req)
+		ans, err := handler(r.Context(), RequestInfo{Name: r.PathValue("name"), Peer: r.RemoteAddr}, req)
 		if err != nil {
-			var out *StatusError
-			if !errors.As(err, &out) {
-				out = Errorf(http.StatusServiceUnavailable, "%v", err)
+			var status *StatusError
+			if !errors.As(err, &status) {
+				status = Errorf(http.StatusServiceUnavailable, "%v", err)
 			}
-			reply(w, r, out)
+			writeError(w, r, status)
 			return
 		}
 		text, ok := any(ans).(Raw)
 		if !ok {
 			if text, err = json.Marshal(ans); err != nil {
-				reply(w, r, Errorf(http.StatusInternalServerError, "%v", err))
+				writeError(w, r, Errorf(http.StatusInternalServerError, "%v", err))
 				return
 			}
 		}
-		if c.packed && r.Header.Get("Accept-Encoding") == coding {
-			text = pack(w.Header(), text)
+		if c.compressed && r.Header.Get("Accept-Encoding") == zstdCoding {
+			text = compress(w.Header(), text)
 		}
 		w.Header().Set("Content-Type", "application/json")
 		w.Header().Set("Content-Length", strconv.Itoa(len(text)))
@@ -179,22 +180,23 @@
 	})
 }
 
-func reply(w http.ResponseWriter, r *http.Request, o *StatusError) {
-	if o.RedirectHost != "" {
-		w.Header().Set("Location", "http://"+o.RedirectHost+r.URL.Path)
+func writeError(w http.ResponseWriter, r *http.Request, status *StatusError) {
+	if status.RedirectHost != "" {
+		w.Header().Set("Location", "http://"+status.RedirectHost+r.URL.Path)
 	}
-	if o.RetryAfter > 0 {
-		w.Header().Set("Retry-After", strconv.FormatFloat(o.RetryAfter.Seconds(), 'f', -1, 64))
+	if status.RetryAfter > 0 {
+		w.Header().Set("Retry-After", strconv.FormatFloat(status.RetryAfter.Seconds(), 'f', -1, 64))
 	}
-	text := o.Reason + "\n"
+	text := status.Reason + "\n"
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	w.Header().Set("Content-Length", strconv.Itoa(len(text)))
-	w.WriteHeader(o.Status)
+	w.WriteHeader(status.Status)
 	io.WriteString(w, text)
 }
 
-// Invoke calls a process at host:port.
-func (c Call[Req, Ans]) Invoke(ctx context.Context, via *Client, addr, name string, req Req) (ans Ans, err error) {
+// Invoke calls the process at addr, a host:port. name replaces the name in braces of the path. A
+// response with a status other than 200 is returned as a StatusError.
+func (c Call[Req, Ans]) Invoke(ctx context.Context, client *Client, addr, name string, req Req) (ans Ans, err error) {
 	var body []byte
 	if raw, ok := any(req).(Raw); ok {
 		body = raw
@@ -205,31 +207,31 @@
 	if i := bytes.IndexByte([]byte(path), '{'); i >= 0 {
 		path = path[:i] + name
 	}
-	head := http.Header{"Content-Type": {"application/json"}, "User-Agent": nil}
-	if c.packed {
-		head.Set("Accept-Encoding", coding)
-		body = pack(head, body)
+	header := http.Header{"Content-Type": {"application/json"}, "User-Agent": nil}
+	if c.compressed {
+		header.Set("Accept-Encoding", zstdCoding)
+		body = compress(header, body)
 	}
-	r, err := http.NewRequestWithContext(ctx, c.Method, "http://"+addr+path, bytes.NewReader(body))
+	request, err := http.NewRequestWithContext(ctx, c.Method, "http://"+addr+path, bytes.NewReader(body))
 	if err != nil {
 		return ans, Error.Wrap(err)
 	}
-	r.Header = head
-	p, err := via.http.Do(r)
+	request.Header = header
+	response, err := client.http.Do(request)
 	if err != nil {
 		return ans, Error.Wrap(err)
 	}
-	defer p.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(p.Body, c.MaxBytes+1))
+	defer response.Body.Close()
+	text, err := io.ReadAll(io.LimitReader(response.Body, c.MaxBytes+1))
 	switch {
 	case err != nil:
 		return ans, Error.Wrap(err)
 	case int64(len(text)) > c.MaxBytes:
-		return ans, Error.New("%s: an answer of more than %d bytes", addr, c.MaxBytes)
-	case p.StatusCode != http.StatusOK:
-		return ans, &StatusError{Status: p.StatusCode, Reason: string(bytes.TrimSpace(text[:min(len(text), 200)]))}
+		return ans, Error.New("%s: the response has more than %d bytes", addr, c.MaxBytes)
+	case response.StatusCode != http.StatusOK:
+		return ans, &StatusError{Status: response.StatusCode, Reason: string(bytes.TrimSpace(text[:min(len(text), 200)]))}
 	}
-	if text, err = unpack(p.Header, text, c.MaxBytes); err != nil {
+	if text, err = decompress(response.Header, text, c.MaxBytes); err != nil {
 		return ans, err
 	}
 	if raw, ok := any(&ans).(*Raw); ok {
@@ -239,42 +241,44 @@
 	return ans, Error.Wrap(json.Unmarshal(text, &ans))
 }
 
-// Client keeps connections to other processes, a bounded number.
+// Client makes calls to other processes over a limited pool of connections.
 type Client struct{ http *http.Client }
 
-// NewClient returns a client that dials within a time.
-func NewClient(dial time.Duration) *Client { return NewClientFrom("", dial) }
+// NewClient returns a client with a timeout for dialing.
+func NewClient(dialTimeout time.Duration) *Client { return NewClientFrom("", dialTimeout) }
 
-// NewClientFrom returns a client that calls from an address of this host; empty: any.
-func NewClientFrom(ip string, dial time.Duration) *Client {
-	dialer := transport.Dialer(dial)
+// NewClientFrom returns a client that uses ip as its source address; empty: any address of the host.
+func NewClientFrom(ip string, dialTimeout time.Duration) *Client {
+	dialer := transport.Dialer(dialTimeout)
 	if ip != "" {
 		dialer.LocalAddr = &net.TCPAddr{IP: net.ParseIP(ip)}
 	}
 	return &Client{http: &http.Client{
 		Transport: &http.Transport{DialContext: dialer.DialContext, MaxIdleConns: 64, MaxIdleConnsPerHost: 2,
-			MaxConnsPerHost: 8, IdleConnTimeout: idleTime / 2, DisableCompression: true, WriteBufferSize: 4 << 10,
+			MaxConnsPerHost: 8, IdleConnTimeout: idleTimeout / 2, DisableCompression: true, WriteBufferSize: 4 << 10,
 			ReadBufferSize: 4 << 10, ResponseHeaderTimeout: 10 * time.Second},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}}
 }
 
-// Close ends idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Serve answers calls on a listener until ctx ends.
-func Serve(ctx context.Context, ln net.Listener, h http.Handler, write time.Duration) error {
-	s := &http.Server{Handler: h, ReadHeaderTimeout: readHead, ReadTimeout: readBody, IdleTimeout: idleTime,
-		MaxHeaderBytes: mostHead, WriteTimeout: max(write, writeTime)}
+// Serve serves calls on a listener until ctx ends. It then returns without waiting; calls in flight
+// may take one more second before their connections are closed. writeTimeout is raised to
+// minWriteTimeout if it is shorter.
+func Serve(ctx context.Context, ln net.Listener, handler http.Handler, writeTimeout time.Duration) error {
+	server := &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout, ReadTimeout: readTimeout, IdleTimeout: idleTimeout,
+		MaxHeaderBytes: maxHeaderBytes, WriteTimeout: max(writeTimeout, minWriteTimeout)}
 	stop := context.AfterFunc(ctx, func() {
-		end, cancel := context.WithTimeout(context.Background(), time.Second)
+		shutdownCtx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
-		if s.Shutdown(end) != nil {
-			s.Close()
+		if server.Shutdown(shutdownCtx) != nil {
+			server.Close()
 		}
 	})
 	defer stop()
-	if err := s.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
+	if err := server.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
 		return Error.Wrap(err)
 	}
 	return nil
