--- a/internal/node/controlplane/handover.go
+++ b/internal/node/controlplane/handover.go
@@ -12,67 +12,67 @@
 
 const (
 	handOverPollInterval = 50 * time.Millisecond
-	handOverMargin       = 700 * time.Millisecond  // before the grace is over
-	standbyTimeout       = 2000 * time.Millisecond // for somebody to come that takes the vote
+	handOverMargin       = 700 * time.Millisecond  // kept free before the end of the grace period
+	standbyTimeout       = 2000 * time.Millisecond // time for a learner that can take over the vote to appear
 )
 
-// handOverVote makes this machine leave the voters before its process ends. It returns when
-// that is done, when there is no learner for the vote, or when the grace period is nearly
-// over.
+// handOverVote transfers this machine's vote to a learner before the process ends. It returns when
+// the transfer is complete, when no learner is available for standbyTimeout, or handOverMargin before
+// the end of the grace period.
 func (c *replicaRunner) handOverVote(grace time.Duration) {
-	begun := time.Now()
-	over, standby := begun.Add(grace-handOverMargin), begun.Add(standbyTimeout)
-	ctx, cancel := context.WithDeadline(context.Background(), over)
+	start := time.Now()
+	deadline, standbyDeadline := start.Add(grace-handOverMargin), start.Add(standbyTimeout)
+	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
-	if c.do(ctx, func() { c.process(c.replica.StartLeave(c.now())) }) != nil {
+	if c.runOnLoop(ctx, func() { c.processOutput(c.replica.StartLeave(c.now())) }) != nil {
 		return
 	}
-	for time.Now().Before(over) {
-		left, alone := c.leaveStatus(ctx)
+	for time.Now().Before(deadline) {
+		left, noSuccessor := c.leaveStatus(ctx)
 		switch {
 		case left:
-			events.VoteHandedOver.Log("after", time.Since(begun).Round(time.Millisecond))
+			events.VoteHandedOver.Log("after", time.Since(start).Round(time.Millisecond))
 			return
-		case alone && time.Now().After(standby):
-			events.VoteNotHandedOver.Log("why", "nobody stands by to take this vote; the disk keeps it")
+		case noSuccessor && time.Now().After(standbyDeadline):
+			events.VoteNotHandedOver.Log("why", "no learner is available to take over the vote; it stays with the disk")
 			return
 		}
 		time.Sleep(handOverPollInterval)
 	}
-	events.VoteNotHandedOver.Log("why", "the others have not agreed within the grace")
+	events.VoteNotHandedOver.Log("why", "the other members did not agree within the grace period")
 }
 
-// leaveStatus reports whether this machine has left, and whether there is no learner for its
-// vote.
-func (c *replicaRunner) leaveStatus(ctx context.Context) (left, alone bool) {
+// leaveStatus reports whether this machine has left the voters, and whether there is no learner that
+// can take over its vote. Both are false if the loop does not answer before ctx ends.
+func (c *replicaRunner) leaveStatus(ctx context.Context) (left, noSuccessor bool) {
 	done := make(chan struct{})
-	if c.do(ctx, func() {
-		left, alone = c.replica.HasLeft(c.now()), c.replica.Consensus.CannotHandOver(c.now())
+	if c.runOnLoop(ctx, func() {
+		left, noSuccessor = c.replica.HasLeft(c.now()), c.replica.Consensus.CannotHandOver(c.now())
 		close(done)
 	}) != nil {
 		return false, false
 	}
 	select {
 	case <-done:
-		return left, alone
+		return left, noSuccessor
 	case <-ctx.Done():
 		return false, false
 	}
 }
 
-// requireQuorum returns an error that sends a caller elsewhere if this machine has not heard a
-// majority recently: what it would answer may be outdated, and what it would take may be lost.
+// requireQuorum returns an error that redirects a caller to another machine if this machine has not
+// heard from a majority recently: its configuration may be outdated, and what it accepts may be lost.
 func (c *replicaRunner) requireQuorum(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, answerTimeout)
 	defer cancel()
-	var inTouch bool
-	var others []string
+	var hasQuorum bool
+	var peersWithQuorum []string
 	done := make(chan struct{})
-	err := c.do(ctx, func() {
+	err := c.runOnLoop(ctx, func() {
 		now := c.now()
-		inTouch = c.replica.Consensus.HasQuorum(now)
-		for _, x := range c.replica.Consensus.PeersWithQuorum(now) {
-			others = append(others, x.Addr)
+		hasQuorum = c.replica.Consensus.HasQuorum(now)
+		for _, member := range c.replica.Consensus.PeersWithQuorum(now) {
+			peersWithQuorum = append(peersWithQuorum, member.Addr)
 		}
 		close(done)
 	})
@@ -84,27 +84,27 @@
 	case <-ctx.Done():
 		return retryLater(ctx.Err())
 	}
-	if inTouch {
+	if hasQuorum {
 		return nil
 	}
-	return c.redirect(others)
+	return c.redirect(peersWithQuorum)
 }
 
-// redirect sends a caller to the first machine whose address for callers is known; if there is
-// none, asks it to come again.
-func (c *replicaRunner) redirect(others []string) error {
-	control := make(map[string]string)
+// redirect returns an error that redirects a caller to the first candidate whose address for callers
+// is known. If there is none, the error asks the caller to retry.
+func (c *replicaRunner) redirect(candidates []string) error {
+	controlAddrs := make(map[string]string)
 	for _, p := range c.node.Peers(gossip.KindControlPlane) {
-		control[p.Addr] = p.Control
+		controlAddrs[p.Addr] = p.Control
 	}
-	for _, addr := range others {
-		if to := control[addr]; to != "" {
-			o := rpc.Errorf(http.StatusTemporaryRedirect, "this machine is out of touch with the core; %s is in touch", to)
-			o.RedirectHost = to
-			return o
+	for _, addr := range candidates {
+		if target := controlAddrs[addr]; target != "" {
+			status := rpc.Errorf(http.StatusTemporaryRedirect, "this machine is out of touch with the control plane; call %s instead", target)
+			status.RedirectHost = target
+			return status
 		}
 	}
-	o := rpc.Errorf(http.StatusServiceUnavailable, "this machine is out of touch with the core")
-	o.RetryAfter = retryAfter
-	return o
+	status := rpc.Errorf(http.StatusServiceUnavailable, "this machine is out of touch with the control plane")
+	status.RetryAfter = retryAfter
+	return status
 }
--- a/internal/node/controlplane/heartbeat_bench_test.go
+++ b/internal/node/controlplane/heartbeat_bench_test.go
@@ -12,8 +12,8 @@
 	"saddleport/internal/node/rpc"
 )
 
-// BenchmarkHeartbeat is one heartbeat of a server at a core machine, without the HTTP round it,
-// by the number of agents that the machine knows of.
+// BenchmarkHeartbeat measures the handling of one heartbeat of a server by a control-plane machine,
+// without HTTP, depending on the number of agents that the machine knows.
 func BenchmarkHeartbeat(b *testing.B) {
 	for _, agents := range []int{60, 180, 600, 1800} {
 		b.Run(fmt.Sprint(agents), func(b *testing.B) {
@@ -22,15 +22,15 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			k := &server{Node: peer.NewNode(nodesettings.Fixed(boot), gossip.KindControlPlane)}
-			k.registry = registry.New(k.Self.Addr, 1<<40)
+			s := &server{Node: peer.NewNode(nodesettings.Fixed(boot), gossip.KindControlPlane)}
+			s.registry = registry.New(s.Self.Addr, 1<<40)
 			for i := range agents + 12 {
 				p := gossip.Process{Addr: fmt.Sprintf("10.2.%d.%d:7080", i/200, i%200), Kind: gossip.KindAgent, Zone: fmt.Sprint("z", i%7)}
 				if i < 12 {
 					p.Kind, p.Control = gossip.KindControlPlane, fmt.Sprintf("10.2.%d.%d:8047", i/200, i%200)
 				}
 				body, _ := json.Marshal(p)
-				k.Put(gossip.Entry{Key: gossip.ProcessPrefix + p.Addr, Version: 1, Value: body})
+				s.Put(gossip.Entry{Key: gossip.ProcessPrefix + p.Addr, Version: 1, Value: body})
 			}
 			servers := agents * 8700 / 1800 / 12
 			names := make([]string, servers)
@@ -39,8 +39,8 @@
 			}
 			b.ResetTimer()
 			for i := 0; i < b.N; i++ {
-				beat := registry.Heartbeat{Service: "s1", Addr: "10.9.0.1:80", Zone: "z1", Revision: "v1", Capacity: 3, State: registry.LifecycleAvailable, Sequence: int64(i/servers + 1)}
-				if _, err := k.recordHeartbeat(rpc.RequestInfo{Name: names[i%servers]}, beat); err != nil {
+				heartbeat := registry.Heartbeat{Service: "s1", Addr: "10.9.0.1:80", Zone: "z1", Revision: "v1", Capacity: 3, State: registry.LifecycleAvailable, Sequence: int64(i/servers + 1)}
+				if _, err := s.recordHeartbeat(rpc.RequestInfo{Name: names[i%servers]}, heartbeat); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/node/controlplane/machines_test.go
+++ b/internal/node/controlplane/machines_test.go
@@ -10,7 +10,7 @@
 	"saddleport/internal/node/nodesettings"
 )
 
-// testMachines are control-plane machines that have settings and are not run.
+// testMachines provides the settings of control-plane machines that are not run.
 type testMachines struct {
 	t    *testing.T
 	dirs map[int]string // data directories
@@ -21,7 +21,8 @@
 	return &testMachines{t: t, dirs: make(map[int]string)}
 }
 
-// settings returns a machine's settings; bootstrap: the whole system starts for the first time.
+// settings returns the settings of a machine. bootstrap states that the system starts for the first
+// time.
 func (m *testMachines) settings(machine int, bootstrap bool) *nodesettings.Settings {
 	m.t.Helper()
 	if m.dirs[machine] == "" {
@@ -38,7 +39,7 @@
 	return fmt.Sprintf(`{"revision":%d,"services":[{"name":"s","max_connections":76}],"routes":[{"hostname":"h","path_prefix":"/v/","route_type":"idempotent","timeout_ms":2000,"target_service":"s"}]}`, revision)
 }
 
-// waitUntil polls for a condition that a goroutine brings about.
+// waitUntil polls a condition for at most a minute, then fails the test.
 func waitUntil(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	tick := time.NewTicker(time.Millisecond)
@@ -47,7 +48,7 @@
 	for !condition() {
 		select {
 		case <-deadline:
-			t.Fatalf("%s did not come about within a minute", what)
+			t.Fatalf("%s: condition not met within a minute", what)
 		case <-tick.C:
 		}
 	}
--- a/internal/node/controlplane/outbox.go
+++ b/internal/node/controlplane/outbox.go
@@ -15,41 +15,43 @@
 )
 
 const (
-	messageTimeout    = 900 * time.Millisecond // for messages that are small
-	bulkTimeout       = 4 * time.Second        // for those that carry an entry: links may be thin
-	maxOutboxMessages = 128                    // messages that wait for one machine; the oldest go first
-	maxOutboxPeers    = 64                     // machines that are sent to at once, each by two outboxes
-	outboxIdleTimeout = time.Minute            // an outbox that was idle for so long is removed
+	messageTimeout    = 900 * time.Millisecond // for small messages
+	bulkTimeout       = 4 * time.Second        // for messages that carry an entry: links may be slow
+	maxOutboxMessages = 128                    // queued messages for one machine; the oldest are dropped first
+	maxOutboxPeers    = 64                     // machines that are sent to at the same time, each with two outboxes
+	outboxIdleTimeout = time.Minute            // an idle outbox is removed after this time
 )
 
-// messagesCall carries messages between control-plane machines (codec.EncodeBatch). The answer
-// only says that they arrived: what is lost is sent again by whoever waits for it.
-var messagesCall = rpc.Declare[rpc.Raw, rpc.Empty]("POST", "/Core.Mail", 4*agentapi.MaxCallBytes, "core processes").WithCompression()
+// messagesCall transfers messages between control-plane machines (codec.EncodeBatch). The response only
+// confirms receipt. The sender's state machine resends a lost message if it still needs an answer.
+var messagesCall = rpc.Declare[rpc.Raw, rpc.Empty]("POST", "/Core.Mail", 4*agentapi.MaxCallBytes, "control-plane processes").WithCompression()
 
-// outboxKey names one of the two outboxes of a machine. Large messages have their own, so that
-// heartbeats do not wait behind them.
+// outboxKey identifies one of the two outboxes of a machine. Messages that carry an entry are large and
+// have their own outbox, so that heartbeats do not wait behind them.
 type outboxKey struct {
 	addr string
 	bulk bool
 }
 
-func (l outboxKey) timeout() time.Duration {
-	if l.bulk {
+func (key outboxKey) timeout() time.Duration {
+	if key.bulk {
 		return bulkTimeout
 	}
 	return messageTimeout
 }
 
-// outbox holds the messages that wait for one machine.
+// outbox queues messages for one machine.
 type outbox struct {
 	key    outboxKey
 	mu     sync.Mutex
 	queue  []envelope.Message
-	closed bool // nobody carries it any more
+	closed bool // no goroutine sends its messages any more
 	ready  chan struct{}
 }
 
-func (o *outbox) put(msg envelope.Message) (taken bool) {
+// enqueue adds a message and drops the oldest one above maxOutboxMessages. It reports false if the
+// outbox is closed.
+func (o *outbox) enqueue(msg envelope.Message) (accepted bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.closed {
@@ -65,23 +67,24 @@
 	return true
 }
 
-// take returns what may go in one call.
-func (o *outbox) take() (batch []envelope.Message, more bool) {
+// nextBatch removes and returns the messages that fit into one call, at least one if any is queued, and
+// reports whether more are queued.
+func (o *outbox) nextBatch() (batch []envelope.Message, more bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	n, size := 0, 0
-	for n < len(o.queue) {
-		size += len(chain.ContentOf(o.queue[n].Body))
-		if n > 0 && size > agentapi.MaxCallBytes {
+	count, size := 0, 0
+	for count < len(o.queue) {
+		size += len(chain.ContentOf(o.queue[count].Body))
+		if count > 0 && size > agentapi.MaxCallBytes {
 			break
 		}
-		n++
+		count++
 	}
-	batch, o.queue = o.queue[:n:n], o.queue[n:]
+	batch, o.queue = o.queue[:count:count], o.queue[count:]
 	return batch, len(o.queue) > 0
 }
 
-// closeIfEmpty ends the outbox if nothing waits.
+// closeIfEmpty closes the outbox and returns true if no message is queued.
 func (o *outbox) closeIfEmpty() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -89,92 +92,94 @@
 	return o.closed
 }
 
-// enqueueMessages puts messages into the outboxes of their receivers.
-func (c *replicaRunner) enqueueMessages(list []envelope.Message) {
-	for _, msg := range list {
-		if p := c.outboxFor(outboxKey{msg.To.Addr, chain.ContentOf(msg.Body) != nil}); p != nil && !p.put(msg) {
-			if p = c.outboxFor(p.key); p != nil { // it has just been removed
-				p.put(msg)
+// enqueueMessages adds messages to the outboxes of their receivers.
+func (c *replicaRunner) enqueueMessages(messages []envelope.Message) {
+	for _, msg := range messages {
+		if box := c.outboxFor(outboxKey{msg.To.Addr, chain.ContentOf(msg.Body) != nil}); box != nil && !box.enqueue(msg) {
+			if box = c.outboxFor(box.key); box != nil { // the outbox has just been removed: use a new one
+				box.enqueue(msg)
 			}
 		}
 	}
 }
 
-// outboxFor returns an outbox; nil if there are too many.
-func (c *replicaRunner) outboxFor(l outboxKey) *outbox {
+// outboxFor returns the outbox of a key and creates it if needed. It returns nil if there are too many.
+func (c *replicaRunner) outboxFor(key outboxKey) *outbox {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if p := c.outboxes[l]; p != nil {
-		return p
+	if box := c.outboxes[key]; box != nil {
+		return box
 	}
 	if len(c.outboxes) >= 2*maxOutboxPeers {
 		return nil
 	}
-	p := &outbox{key: l, ready: make(chan struct{}, 1)}
-	c.outboxes[l] = p
+	box := &outbox{key: key, ready: make(chan struct{}, 1)}
+	c.outboxes[key] = box
 	c.outboxesDone.Add(1)
-	go c.runOutbox(p)
-	return p
+	go c.runOutbox(box)
+	return box
 }
 
-// runOutbox sends the messages of one outbox in order until nothing has come for long.
-func (c *replicaRunner) runOutbox(p *outbox) {
+// runOutbox sends the messages of one outbox in order until the outbox was idle for outboxIdleTimeout.
+func (c *replicaRunner) runOutbox(box *outbox) {
 	defer c.outboxesDone.Done()
 	idle := time.NewTimer(outboxIdleTimeout)
 	defer idle.Stop()
 	for {
 		select {
-		case <-c.running.Done():
+		case <-c.runCtx.Done():
 			return
 		case <-idle.C:
-			if c.removeOutbox(p) {
+			if c.removeIfEmpty(box) {
 				return
 			}
-		case <-p.ready:
-			c.sendAll(p)
+		case <-box.ready:
+			c.sendAll(box)
 		}
 		idle.Reset(outboxIdleTimeout)
 	}
 }
 
-func (c *replicaRunner) sendAll(p *outbox) {
-	for more := true; more && c.running.Err() == nil; {
+// sendAll sends the queued messages of an outbox, one call after another.
+func (c *replicaRunner) sendAll(box *outbox) {
+	for more := true; more && c.runCtx.Err() == nil; {
 		var batch []envelope.Message
-		batch, more = p.take()
+		batch, more = box.nextBatch()
 		body, err := codec.EncodeBatch(batch)
 		if err != nil {
-			panic("invariant: " + err.Error()) // each message has a form
+			panic("invariant: " + err.Error()) // every message type can be encoded
 		}
-		ctx, cancel := context.WithTimeout(c.running, p.key.timeout())
-		messagesCall.Invoke(ctx, c.node.Client, p.key.addr, "", body) // what is lost is sent again
+		ctx, cancel := context.WithTimeout(c.runCtx, box.key.timeout())
+		messagesCall.Invoke(ctx, c.node.Client, box.key.addr, "", body) // a lost message is resent by the state machine
 		cancel()
 	}
 }
 
-func (c *replicaRunner) removeOutbox(p *outbox) bool {
+// removeIfEmpty closes and removes an outbox without queued messages, and reports whether it did.
+func (c *replicaRunner) removeIfEmpty(box *outbox) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !p.closeIfEmpty() {
+	if !box.closeIfEmpty() {
 		return false
 	}
-	delete(c.outboxes, p.key)
+	delete(c.outboxes, box.key)
 	return true
 }
 
-// serveMessages answers the other control-plane machines.
+// serveMessages registers the handler of messagesCall.
 func (c *replicaRunner) serveMessages(mux *http.ServeMux) {
-	messagesCall.Handle(mux, func(ctx context.Context, who rpc.RequestInfo, body rpc.Raw) (rpc.Empty, error) {
+	messagesCall.Handle(mux, func(ctx context.Context, caller rpc.RequestInfo, body rpc.Raw) (rpc.Empty, error) {
 		messages, unread, err := codec.DecodeBatch(body)
 		if err != nil {
-			events.MessageInvalid.Log("peer", who.Peer, "err", err)
+			events.MessageInvalid.Log("peer", caller.Peer, "err", err)
 			return rpc.Empty{}, rpc.Errorf(http.StatusBadRequest, "%v", err)
 		}
 		for _, err := range unread {
-			events.MessageInvalid.Log("peer", who.Peer, "err", err)
+			events.MessageInvalid.Log("peer", caller.Peer, "err", err)
 		}
-		return rpc.Empty{}, c.do(ctx, func() {
+		return rpc.Empty{}, c.runOnLoop(ctx, func() {
 			for _, msg := range messages {
-				c.process(c.replica.Step(c.now(), msg))
+				c.processOutput(c.replica.Step(c.now(), msg))
 			}
 		})
 	})
--- a/internal/node/controlplane/replica.go
+++ b/internal/node/controlplane/replica.go
@@ -24,31 +24,31 @@
 )
 
 const (
-	replicaTick          = 100 * time.Millisecond
-	maxQueuedOutputs     = 1024 // outputs that wait for the disk
-	diskRetryInterval    = 200 * time.Millisecond
-	keyState             = "pact"
-	keyEntry             = "entry"
-	keyRememberedServers = "servers"
-	keyLastAcknowledged  = "known" // the last entry that was seen to be acknowledged
-	ViewKey              = "v"
-	answerTimeout        = 4 * time.Second
-	diskStallTime        = time.Second
+	replicaTick         = 100 * time.Millisecond
+	maxQueuedOutputs    = 1024 // outputs that wait for the disk
+	diskRetryInterval   = 200 * time.Millisecond
+	keyState            = "pact"
+	keyEntry            = "entry"
+	keyServers          = "servers"
+	keyLastAcknowledged = "known" // the last entry known to be acknowledged
+	ViewKey             = "v"
+	answerTimeout       = 4 * time.Second
+	diskStallTime       = time.Second
 )
 
-// Outcomes of a call of the replicated state. None of them says that nothing was done.
+// Errors of calls to the replicated state. With any of them the call may still have taken effect.
 var (
-	ErrStopping = errors.New("the process ends")
-	ErrNoAnswer = errors.New("the chain has not answered in time")
+	ErrStopping = errors.New("the process is stopping")
+	ErrNoAnswer = errors.New("the chain did not answer in time")
 )
 
-// RejectedError is returned for a call that the chain refused for now.
+// RejectedError is returned for a call that the chain rejected temporarily.
 type RejectedError struct{ Reason string }
 
 func (e *RejectedError) Error() string { return e.Reason }
 
-// replicaRunner runs a replica.Machine. Its loop steps the machine; its disk goroutine writes
-// what a step wants written, and only then releases what the step wants sent and answered.
+// replicaRunner runs a replica.Machine. Its loop steps the machine. Its disk goroutine writes the record
+// of each step and only then releases the messages and results of that step.
 type replicaRunner struct {
 	node    *peer.Node
 	dataDir string
@@ -57,57 +57,57 @@
 	commands         chan func()
 	done             chan struct{}
 	replica          *replica.Machine             // owned by the loop
-	callers          map[string]chan chain.Result // the same
-	announcedVersion uint64                       // of the configuration, or about to be; owned by the loop
-	announcedEpoch   uint64                       // of the view announced; the same
-	hadQuorum        bool                         // when it was last looked at; the same
+	pendingCalls     map[string]chan chain.Result // owned by the loop
+	announcedVersion uint64                       // of the configuration that is announced or queued to be; owned by the loop
+	announcedEpoch   uint64                       // of the announced view; owned by the loop
+	hadQuorum        bool                         // at the last check; owned by the loop
 
-	mu             sync.Mutex
-	queue          []diskJob
-	servers        []byte // to be written beside what promises rest on; nil: unchanged
-	diskWake       chan struct{}
-	writeStartedAt time.Time // when the write at hand began; zero: none is
-	outboxes       map[outboxKey]*outbox
-	outboxesDone   sync.WaitGroup
-	running        context.Context
+	mu               sync.Mutex
+	diskQueue        []diskJob
+	serversToPersist []byte // written with the next batch, no promise depends on it; nil: unchanged
+	diskWake         chan struct{}
+	writeStartedAt   time.Time // start of the current write; zero: no write is in progress
+	outboxes         map[outboxKey]*outbox
+	outboxesDone     sync.WaitGroup
+	runCtx           context.Context
 }
 
-// diskJob is the output of a step on its way through the disk.
+// diskJob is the output of a step that waits for its record to be written.
 type diskJob struct {
 	replica.Output
-	announce *chain.Entry // an entry that is known to be acknowledged; nil: none was before
+	announce *chain.Entry // an entry that has become known as acknowledged; nil: none
 }
 
-func nonce() string {
+func newNonce() string {
 	var b [6]byte
 	rand.Read(b[:])
 	return hex.EncodeToString(b[:])
 }
 
-func newReplicaRunner(n *peer.Node, boot *nodesettings.Settings) (*replicaRunner, error) {
-	disk, r, err := openStore(boot)
+func newReplicaRunner(node *peer.Node, boot *nodesettings.Settings) (*replicaRunner, error) {
+	store, record, err := openStore(boot)
 	if err != nil {
 		return nil, err
 	}
-	c := &replicaRunner{node: n, dataDir: boot.DataDir, store: disk, commands: make(chan func(), 256), done: make(chan struct{}),
-		callers: make(map[string]chan chain.Result), diskWake: make(chan struct{}, 1), outboxes: make(map[outboxKey]*outbox)}
-	c.replica = replica.New(c.now(), replica.DefaultConfig(boot.FaultTolerance), r, boot.SeedPeers(), nonce(), chain.Mutations{})
-	// What was acknowledged stays so: the proxies need not wait until the chain stands.
-	if raw, err := disk.Get(keyLastAcknowledged); err == nil && raw != nil {
-		var e chain.Entry
-		if json.Unmarshal(raw, &e) == nil {
-			c.announcedVersion = e.Version
-			c.announce(e)
+	c := &replicaRunner{node: node, dataDir: boot.DataDir, store: store, commands: make(chan func(), 256), done: make(chan struct{}),
+		pendingCalls: make(map[string]chan chain.Result), diskWake: make(chan struct{}, 1), outboxes: make(map[outboxKey]*outbox)}
+	c.replica = replica.New(c.now(), replica.DefaultConfig(boot.FaultTolerance), record, boot.SeedPeers(), newNonce(), chain.Mutations{})
+	// An acknowledged entry stays acknowledged: proxies can use it before the chain is established.
+	if raw, err := store.Get(keyLastAcknowledged); err == nil && raw != nil {
+		var entry chain.Entry
+		if json.Unmarshal(raw, &entry) == nil {
+			c.announcedVersion = entry.Version
+			c.announce(entry)
 		}
 	}
 	return c, nil
 }
 
-// now is the machine's clock, in microseconds; it starts above 0.
+// now returns the clock of the machine in microseconds. It is always above 0.
 func (c *replicaRunner) now() int64 { return c.node.Now() + 1 }
 
-// do runs f on the loop.
-func (c *replicaRunner) do(ctx context.Context, f func()) error {
+// runOnLoop queues f to run on the loop. It returns an error if ctx ends or the loop has ended first.
+func (c *replicaRunner) runOnLoop(ctx context.Context, f func()) error {
 	select {
 	case c.commands <- f:
 		return nil
@@ -118,26 +118,26 @@
 	}
 }
 
-// run steps the machine until ctx ends. A broken invariant ends the process.
+// run steps the machine until ctx ends. A violated invariant ends the process with exit status 2.
 func (c *replicaRunner) run(ctx context.Context) {
-	c.running = ctx
+	c.runCtx = ctx
 	defer func() {
 		if x := recover(); x != nil {
 			events.InvariantBroken.Log("what", fmt.Sprint(x))
 			os.Exit(2)
 		}
 	}()
-	var wait sync.WaitGroup
-	wait.Add(1)
-	go func() { defer wait.Done(); c.runDisk(ctx) }()
+	var diskDone sync.WaitGroup
+	diskDone.Add(1)
+	go func() { defer diskDone.Done(); c.runDisk(ctx) }()
 	tick := time.NewTicker(replicaTick)
 	defer tick.Stop()
-	c.process(replica.Output{})
+	c.processOutput(replica.Output{})
 	for {
 		select {
 		case <-ctx.Done():
 			close(c.done)
-			wait.Wait()
+			diskDone.Wait()
 			c.outboxesDone.Wait()
 			c.store.Close()
 			return
@@ -145,58 +145,61 @@
 			f()
 		case <-tick.C:
 			c.replica.Consensus.SetSeeds(c.seeds())
-			c.process(c.replica.Tick(c.now()))
+			c.processOutput(c.replica.Tick(c.now()))
 			c.logQuorumChange()
 		}
 	}
 }
 
-// logQuorumChange logs when the quorum is lost and when it is back. It is called on the loop.
+// logQuorumChange logs the loss and the return of the quorum. It must be called on the loop.
 func (c *replicaRunner) logQuorumChange() {
-	now := c.replica.Consensus.HasQuorum(c.now())
+	hasQuorum := c.replica.Consensus.HasQuorum(c.now())
 	switch {
-	case now && !c.hadQuorum:
+	case hasQuorum && !c.hadQuorum:
 		events.QuorumRegained.Log("epoch", c.announcedEpoch)
-	case !now && c.hadQuorum:
+	case !hasQuorum && c.hadQuorum:
 		events.QuorumLost.Log("epoch", c.announcedEpoch)
 	}
-	c.hadQuorum = now
+	c.hadQuorum = hasQuorum
 }
 
-// seeds returns where to ask for a vote: what the settings name and what gossip knows.
+// seeds returns the addresses to request a vote from: the seeds of the settings and, unless this
+// machine is a member with a quorum, the control-plane machines known by gossip.
 func (c *replicaRunner) seeds() []string {
 	seeds := c.node.Settings.Current().SeedPeers()
 	if !c.replica.Consensus.IsMember() || !c.replica.Consensus.HasQuorum(c.now()) {
-		for _, p := range c.node.Peers(gossip.KindControlPlane) {
-			if !slices.Contains(seeds, p.Addr) {
-				seeds = append(seeds, p.Addr)
+		for _, process := range c.node.Peers(gossip.KindControlPlane) {
+			if !slices.Contains(seeds, process.Addr) {
+				seeds = append(seeds, process.Addr)
 			}
 		}
 	}
 	return seeds
 }
 
-// process queues what a step returned, and announces the view. It is called on the loop.
-func (c *replicaRunner) process(out replica.Output) {
+// processOutput queues the output of a step for the disk and announces the view. It must be called on
+// the loop.
+func (c *replicaRunner) processOutput(out replica.Output) {
 	job := diskJob{Output: out, announce: c.newlyAcknowledged()}
 	if out.Persist != nil || len(out.Send) > 0 || len(out.Results) > 0 || job.announce != nil {
-		c.enqueue(job)
-		c.wake()
+		c.enqueueDisk(job)
+		c.wakeDisk()
 	}
 	c.announceView()
 }
 
-// enqueue makes an output wait for the disk. Behind a disk that stalls for long, messages are
-// dropped, as a network may do; what is to be written, announced and answered is not.
-func (c *replicaRunner) enqueue(job diskJob) {
+// enqueueDisk queues an output for the disk. If the queue is full because the disk stalls, messages are
+// dropped, as a network may do. Records, announcements and results are merged into the last output
+// and never dropped.
+func (c *replicaRunner) enqueueDisk(job diskJob) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.queue) < maxQueuedOutputs {
-		c.queue = append(c.queue, job)
+	if len(c.diskQueue) < maxQueuedOutputs {
+		c.diskQueue = append(c.diskQueue, job)
 		return
 	}
-	last := &c.queue[len(c.queue)-1]
-	last.Results = append(last.Results, job.Results...) // as many as wait at most
+	last := &c.diskQueue[len(c.diskQueue)-1]
+	last.Results = append(last.Results, job.Results...) // at most one for each waiting caller
 	if job.announce != nil {
 		last.announce = job.announce
 	}
@@ -209,8 +212,8 @@
 	last.Persist = job.Persist
 }
 
-// newlyAcknowledged returns the stored entry if it has become known to be acknowledged. It is
-// announced only behind the disk: the tail of a chain acknowledges what it is about to write.
+// newlyAcknowledged returns the stored entry if it has become known as acknowledged. The entry must be
+// written before it is announced: the tail of a chain acknowledges an entry before writing it.
 func (c *replicaRunner) newlyAcknowledged() *chain.Entry {
 	stored := c.replica.Chain.Stored()
 	if stored.Version <= c.announcedVersion || c.replica.Chain.Acknowledged() < stored.Version {
@@ -221,19 +224,19 @@
 }
 
 func (c *replicaRunner) announceView() {
-	v := c.replica.Consensus.View
-	if v.Epoch <= c.announcedEpoch {
+	view := c.replica.Consensus.View
+	if view.Epoch <= c.announcedEpoch {
 		return
 	}
-	c.announcedEpoch = v.Epoch
-	events.ViewChanged.Log("epoch", v.Epoch, "members", len(v.Members), "chain", fmt.Sprint(v.Chain), "member", c.replica.Consensus.IsMember())
-	if body, err := json.Marshal(v); err == nil {
-		c.node.Put(gossip.Entry{Key: ViewKey, Version: v.Epoch, Value: body})
+	c.announcedEpoch = view.Epoch
+	events.ViewChanged.Log("epoch", view.Epoch, "members", len(view.Members), "chain", fmt.Sprint(view.Chain), "member", c.replica.Consensus.IsMember())
+	if body, err := json.Marshal(view); err == nil {
+		c.node.Put(gossip.Entry{Key: ViewKey, Version: view.Epoch, Value: body})
 	}
 }
 
-// wake makes the disk goroutine look at the queue.
-func (c *replicaRunner) wake() {
+// wakeDisk signals the disk goroutine to check the queue.
+func (c *replicaRunner) wakeDisk() {
 	select {
 	case c.diskWake <- struct{}{}:
 	default:
@@ -241,37 +244,38 @@
 }
 
 // announce gossips an acknowledged configuration.
-func (c *replicaRunner) announce(e chain.Entry) {
-	if ch, err := routeconfig.Parse(e.Content); err == nil {
-		events.ConfigAcknowledged.Log("revision", ch.Revision)
-		c.node.Put(gossip.Entry{Key: agentapi.ConfigurationKey, Version: e.Version, Value: json.RawMessage(e.Content)})
+func (c *replicaRunner) announce(entry chain.Entry) {
+	if config, err := routeconfig.Parse(entry.Content); err == nil {
+		events.ConfigAcknowledged.Log("revision", config.Revision)
+		c.node.Put(gossip.Entry{Key: agentapi.ConfigurationKey, Version: entry.Version, Value: json.RawMessage(entry.Content)})
 	}
 }
 
-func (c *replicaRunner) deliver(list []chain.Result) {
-	for _, r := range list {
-		if ch := c.callers[r.ID]; ch != nil {
-			delete(c.callers, r.ID)
-			ch <- r
+func (c *replicaRunner) deliverResults(results []chain.Result) {
+	for _, r := range results {
+		if caller := c.pendingCalls[r.ID]; caller != nil {
+			delete(c.pendingCalls, r.ID)
+			caller <- r
 		}
 	}
 }
 
-// call steps the machine for a caller and waits for the result.
+// call runs step on the loop and waits for the result of the id that step returns. A rejected call
+// returns a RejectedError, and a result that is late by answerTimeout ErrNoAnswer.
 func (c *replicaRunner) call(ctx context.Context, step func(now int64) (string, replica.Output)) (chain.Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, answerTimeout)
 	defer cancel()
-	ch := make(chan chain.Result, 1)
-	err := c.do(ctx, func() {
+	result := make(chan chain.Result, 1)
+	err := c.runOnLoop(ctx, func() {
 		id, out := step(c.now())
-		c.callers[id] = ch
-		c.process(out)
+		c.pendingCalls[id] = result
+		c.processOutput(out)
 	})
 	if err != nil {
 		return chain.Result{}, err
 	}
 	select {
-	case r := <-ch:
+	case r := <-result:
 		if !r.OK() {
 			return r, &RejectedError{r.Reason}
 		}
--- a/internal/node/controlplane/server.go
+++ b/internal/node/controlplane/server.go
@@ -1,6 +1,6 @@
-// Package controlplane is the program that servers and operators call: it takes heartbeats and
-// configurations, runs the replicated state of package replica, and owns its disk. What a step of
-// the state wants sent or answered goes out only once what it wants written is synced.
+// Package controlplane is the program that servers and operators call. It accepts heartbeats and
+// configurations, runs the replicated state of package replica and owns its disk. Messages and results
+// of a step of that state are released only after the record of the step is synced.
 package controlplane
 
 import (
@@ -28,7 +28,8 @@
 	"saddleport/internal/transport"
 )
 
-// HeartbeatResponse answers a server's heartbeat.
+// HeartbeatResponse is the response to a heartbeat of a server. Endpoint is the address that the server
+// should send its heartbeats to; empty: the machine that it called.
 type HeartbeatResponse struct {
 	Endpoint string `json:"heartbeat_endpoint,omitempty"`
 }
@@ -41,84 +42,86 @@
 )
 
 const (
-	maxConcurrentUpdates = 16 // at once: twice what the operators' page names, each of mostCall at most
-	retryAfter           = 300 * time.Millisecond
-	silenceHeartbeats    = 3.5 // missed heartbeats until a server is silent
-	tickInterval         = 250 * time.Millisecond
-	orphanTicks          = 4                // ticks between looks at servers that nobody listens for
-	removeSilentAfter    = 10 * time.Minute // of silence
-	rememberTicks        = 8                // ticks between looks at what is to be remembered of servers
+	maxConcurrentUpdates    = 16 // twice the number in the operators' page; each is at most agentapi.MaxCallBytes
+	retryAfter              = 300 * time.Millisecond
+	missedHeartbeatsLimit   = 3.5 // heartbeat intervals without a heartbeat until a server counts as unresponsive
+	tickInterval            = 250 * time.Millisecond
+	orphanCheckTicks        = 4                // ticks between checks for servers that no machine tracks
+	removeUnresponsiveAfter = 10 * time.Minute // after the server became unresponsive
+	persistCheckTicks       = 8                // ticks between checks whether the tracked servers must be written to disk
 )
 
+// server handles the calls of servers and operators and runs the periodic work.
 type server struct {
 	*peer.Node
-	registry        *registry.Registry // under mu
-	rememberedJSON  []byte             // what is on disk of the servers tracked here; guarded by Mu
-	rememberedCount int                // how many they are
+	registry       *registry.Registry // guarded by Mu
+	persistedJSON  []byte             // the tracked servers as last queued for the disk; guarded by Mu
+	persistedCount int                // number of servers in persistedJSON
 
 	replica        *replicaRunner
-	validating     sync.Mutex // one configuration at a time: as a tree it takes many times its bytes
+	validating     sync.Mutex // one configuration at a time: parsed, it takes many times its encoded size
 	reachablePeers peerCache
 }
 
-// peerCache holds the control-plane machines that answer, looked up periodically: a heartbeat
-// must not cost more the more processes there are.
+// peerCache caches the reachable control-plane machines and refreshes them periodically, so that the
+// cost of a heartbeat does not grow with the number of processes.
 type peerCache struct {
-	mu   sync.Mutex
-	at   int64
-	list []gossip.Process
+	mu        sync.Mutex
+	updatedAt int64
+	peers     []gossip.Process
 }
 
 const peerCacheLifetime = 250_000 // microseconds
 
-func (k *server) controlPlanePeers() []gossip.Process {
-	k.reachablePeers.mu.Lock()
-	defer k.reachablePeers.mu.Unlock()
-	if now := k.Now(); k.reachablePeers.at == 0 || now-k.reachablePeers.at >= peerCacheLifetime {
-		k.reachablePeers.list, k.reachablePeers.at = k.Reachable(k.Peers(gossip.KindControlPlane)), max(now, 1)
+// controlPlanePeers returns the reachable control-plane machines, at most peerCacheLifetime old.
+func (s *server) controlPlanePeers() []gossip.Process {
+	s.reachablePeers.mu.Lock()
+	defer s.reachablePeers.mu.Unlock()
+	if now := s.Now(); s.reachablePeers.updatedAt == 0 || now-s.reachablePeers.updatedAt >= peerCacheLifetime {
+		s.reachablePeers.peers, s.reachablePeers.updatedAt = s.Reachable(s.Peers(gossip.KindControlPlane)), max(now, 1)
 	}
-	return k.reachablePeers.list
+	return s.reachablePeers.peers
 }
 
-// Run is the program: it serves until ctx ends, and then hands its vote over within the grace
+// Run runs the program until ctx ends. It then hands over the vote of this machine within the grace
 // period.
-func Run(ctx context.Context, set *nodesettings.File) error {
-	boot := set.Current()
-	k := &server{Node: peer.NewNode(set, gossip.KindControlPlane)}
-	k.registry = registry.New(k.Self.Addr, int64(silenceHeartbeats*float64(boot.HeartbeatInterval.Microseconds())))
-	k.OnUpdate = k.onUpdate
+func Run(ctx context.Context, settings *nodesettings.File) error {
+	boot := settings.Current()
+	s := &server{Node: peer.NewNode(settings, gossip.KindControlPlane)}
+	s.registry = registry.New(s.Self.Addr, int64(missedHeartbeatsLimit*float64(boot.HeartbeatInterval.Microseconds())))
+	s.OnUpdate = s.onUpdate
 	var err error
-	if k.replica, err = newReplicaRunner(k.Node, boot); err != nil {
+	if s.replica, err = newReplicaRunner(s.Node, boot); err != nil {
 		return err
 	}
-	for _, i := range k.replica.rememberedServers() {
-		k.Store.Put(k.Now(), i, 0, false) // each is silent soon unless it sends a heartbeat
+	for _, entry := range s.replica.loadServers() {
+		s.Store.Put(s.Now(), entry, 0, false) // each becomes unresponsive soon unless it sends a heartbeat
 	}
-	outer, inner := http.NewServeMux(), http.NewServeMux()
-	k.Node.Serve(inner)
-	k.replica.serveMessages(inner)
-	admin.RegisterShow(inner, admin.ControlPlane, boot.Name, k.StartedAt, k.tables)
-	heartbeatCall.Handle(outer, k.handleHeartbeat)
-	deregisterCall.Handle(outer, k.handleDeregister)
-	replaceCall.Handle(outer, k.handleReplace)
-	describeCall.Handle(outer, k.handleDescribe)
-	lnOuter, err := transport.Listen(ctx, boot.Control)
+	outerMux, innerMux := http.NewServeMux(), http.NewServeMux()
+	s.Node.Serve(innerMux)
+	s.replica.serveMessages(innerMux)
+	admin.RegisterShow(innerMux, admin.ControlPlane, boot.Name, s.StartedAt, s.tables)
+	heartbeatCall.Handle(outerMux, s.handleHeartbeat)
+	deregisterCall.Handle(outerMux, s.handleDeregister)
+	replaceCall.Handle(outerMux, s.handleReplace)
+	describeCall.Handle(outerMux, s.handleDescribe)
+	outerListener, err := transport.Listen(ctx, boot.Control)
 	if err != nil {
 		return err
 	}
-	lnInner, err := transport.Listen(ctx, boot.PeerListenAddr())
+	innerListener, err := transport.Listen(ctx, boot.PeerListenAddr())
 	if err != nil {
 		return err
 	}
-	life, end := context.WithCancel(context.Background()) // outlives ctx: the vote is handed over first
+	runCtx, stop := context.WithCancel(context.Background()) // outlives ctx: the vote is handed over before it ends
 	failed := make(chan error, 2)
-	go func() { failed <- rpc.Serve(life, lnOuter, outer, 10*time.Second) }()
-	go func() { failed <- rpc.Serve(life, lnInner, inner, 0) }()
-	var over sync.WaitGroup
-	over.Go(func() { k.Run(life) })
-	over.Go(func() { k.replica.run(life) })
-	defer func() { end(); over.Wait() }()
-	go set.Watch(life)
+	go func() { failed <- rpc.Serve(runCtx, outerListener, outerMux, 10*time.Second) }()
+	go func() { failed <- rpc.Serve(runCtx, innerListener, innerMux, 0) }()
+	var running sync.WaitGroup
+	running.Go(func() { s.Run(runCtx) })
+	running.Go(func() { s.replica.run(runCtx) })
+	defer func() { stop(); running.Wait() }()
+	go settings.Watch(runCtx)
 	events.Started.Log("program", admin.ControlPlane, "name", boot.Name, "control", boot.Control, "inner", boot.PeerAddr())
 	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
@@ -126,198 +129,202 @@
 		select {
 		case <-ctx.Done():
 			events.Stopping.Log()
-			k.replica.handOverVote(set.Current().Bounds.Grace)
+			s.replica.handOverVote(settings.Current().Bounds.Grace)
 			return nil
 		case err := <-failed:
 			return err
 		case <-tick.C:
-			k.maintain(ticks)
+			s.maintain(ticks)
 		}
 	}
 }
 
-// maintain finds servers that became silent, and does what else is due periodically.
-func (k *server) maintain(ticks int) {
-	k.Mu.Lock()
-	defer k.Mu.Unlock()
-	if ticks%orphanTicks == 0 {
-		k.adoptOrphans()
+// maintain does the periodic work: it reports servers that became unresponsive, adopts orphans and
+// persists the tracked servers.
+func (s *server) maintain(ticks int) {
+	s.Mu.Lock()
+	defer s.Mu.Unlock()
+	if ticks%orphanCheckTicks == 0 {
+		s.adoptOrphans()
 	}
-	if ticks%rememberTicks == rememberTicks-1 {
-		k.rememberServers()
+	if ticks%persistCheckTicks == persistCheckTicks-1 {
+		s.persistServers()
 	}
-	for _, i := range k.registry.Tick(k.Now()) {
-		events.ServerUnresponsive.Log("server", i.Key)
-		k.PutLocked(i)
+	for _, entry := range s.registry.Tick(s.Now()) {
+		events.ServerUnresponsive.Log("server", entry.Key)
+		s.PutLocked(entry)
 	}
 }
 
-// rememberServers writes the servers tracked here to the disk if they have changed. After a
-// loss of all processes they are known at once, not only when each has sent a heartbeat. Mu
-// must be locked.
-func (k *server) rememberServers() {
+// persistServers writes the servers that are tracked here to the disk if they have changed. After a loss
+// of all processes they are known immediately, not only when each has sent a heartbeat. Mu must be
+// locked.
+func (s *server) persistServers() {
 	var list []gossip.Entry
-	k.Store.RangeSorted(func(i gossip.Entry) {
-		if strings.HasPrefix(i.Key, registry.Prefix) && !i.Deleted() && k.registry.Tracks(strings.TrimPrefix(i.Key, registry.Prefix)) {
-			list = append(list, i)
+	s.Store.RangeSorted(func(entry gossip.Entry) {
+		if strings.HasPrefix(entry.Key, registry.Prefix) && !entry.Deleted() && s.registry.Tracks(strings.TrimPrefix(entry.Key, registry.Prefix)) {
+			list = append(list, entry)
 		}
 	})
 	raw, err := json.Marshal(list)
-	if err != nil || bytes.Equal(raw, k.rememberedJSON) {
+	if err != nil || bytes.Equal(raw, s.persistedJSON) {
 		return
 	}
-	k.rememberedJSON, k.rememberedCount = raw, len(list)
-	k.replica.rememberServers(raw)
+	s.persistedJSON, s.persistedCount = raw, len(list)
+	s.replica.persistServers(raw)
 }
 
-// adoptOrphans makes this machine track servers that no machine tracks any more: its own from
-// before a restart and, as a singleton role, those of machines that are gone. Mu must be locked.
-func (k *server) adoptOrphans() {
-	now := k.Now()
-	_, duty := k.Members.Holds(peer.OrphanedServersRole.Name)
-	hearers := map[string]bool{k.Self.Addr: true}
-	for _, p := range k.Members.Peers(gossip.KindControlPlane) {
-		hearers[p.Addr] = true
+// adoptOrphans makes this machine track servers that no machine tracks: its own from before a restart
+// and, if it holds OrphanedServersRole, those of machines that are gone. As the holder of that role it
+// also removes servers that were unresponsive for removeUnresponsiveAfter. Mu must be locked.
+func (s *server) adoptOrphans() {
+	now := s.Now()
+	_, holdsRole := s.Members.Holds(peer.OrphanedServersRole.Name)
+	livePeers := map[string]bool{s.Self.Addr: true}
+	for _, p := range s.Members.Peers(gossip.KindControlPlane) {
+		livePeers[p.Addr] = true
 	}
-	var long []gossip.Entry
-	k.Store.Range(func(i gossip.Entry, at int64) {
-		if i.Deleted() || !strings.HasPrefix(i.Key, registry.Prefix) {
+	var expired []gossip.Entry
+	s.Store.Range(func(entry gossip.Entry, since int64) {
+		if entry.Deleted() || !strings.HasPrefix(entry.Key, registry.Prefix) {
 			return
 		}
-		s, err := registry.Parse(i)
+		tracked, err := registry.Parse(entry)
 		switch {
 		case err != nil:
-		case s.State == registry.Unresponsive:
-			if duty && now-at > removeSilentAfter.Microseconds() {
-				long = append(long, i)
+		case tracked.State == registry.Unresponsive:
+			if holdsRole && now-since > removeUnresponsiveAfter.Microseconds() {
+				expired = append(expired, entry)
 			}
-		case s.Owner == k.Self.Addr, duty && !hearers[s.Owner]:
-			k.registry.Adopt(now, i)
+		case tracked.Owner == s.Self.Addr, holdsRole && !livePeers[tracked.Owner]:
+			s.registry.Adopt(now, entry)
 		}
 	})
-	for _, i := range long {
-		k.PutLocked(registry.RemovedEntry(i))
+	for _, entry := range expired {
+		s.PutLocked(registry.RemovedEntry(entry))
 	}
 }
 
-// onUpdate shows the registry what others have gossiped. Mu must be locked.
-func (k *server) onUpdate(i gossip.Entry) {
-	if len(i.Key) > 2 && i.Key[:2] == registry.Prefix {
-		if update, changed := k.registry.HandleUpdate(k.Now(), i); changed {
-			k.PutLocked(update)
+// onUpdate passes gossiped entries of servers to the registry. Mu must be locked.
+func (s *server) onUpdate(entry gossip.Entry) {
+	if len(entry.Key) > 2 && entry.Key[:2] == registry.Prefix {
+		if update, changed := s.registry.HandleUpdate(s.Now(), entry); changed {
+			s.PutLocked(update)
 		}
 	}
 }
 
-func (k *server) handleHeartbeat(ctx context.Context, who rpc.RequestInfo, b registry.Heartbeat) (HeartbeatResponse, error) {
-	ans, err := k.recordHeartbeat(who, b)
-	if err == nil && b.State == registry.LifecycleDraining {
-		err = k.replica.requireQuorum(ctx)
+// handleHeartbeat handles a heartbeat. One that reports draining is acknowledged only with a quorum.
+func (s *server) handleHeartbeat(ctx context.Context, caller rpc.RequestInfo, heartbeat registry.Heartbeat) (HeartbeatResponse, error) {
+	response, err := s.recordHeartbeat(caller, heartbeat)
+	if err == nil && heartbeat.State == registry.LifecycleDraining {
+		err = s.replica.requireQuorum(ctx)
 	}
-	return ans, err
+	return response, err
 }
 
-// handleDeregister takes the last call of a server. Machines that are not reached from here do
-// not hear of it; then it is not acknowledged, and the server calls another one.
-func (k *server) handleDeregister(ctx context.Context, who rpc.RequestInfo, _ rpc.Raw) (rpc.Empty, error) {
-	events.ServerDeregistered.Log("server", who.Name)
-	k.Mu.Lock()
-	k.PutLocked(k.registry.HandleDeregister(who.Name))
-	k.Mu.Unlock()
-	// Those that this machine does not reach do not hear of it: then it is not acknowledged, and
-	// the server calls another one.
-	return rpc.Empty{}, k.replica.requireQuorum(ctx)
+// handleDeregister handles the last call of a server. It is not acknowledged if this machine has no
+// quorum: machines that are unreachable from here would not learn of it, and the server calls another
+// machine instead.
+func (s *server) handleDeregister(ctx context.Context, caller rpc.RequestInfo, _ rpc.Raw) (rpc.Empty, error) {
+	events.ServerDeregistered.Log("server", caller.Name)
+	s.Mu.Lock()
+	s.PutLocked(s.registry.HandleDeregister(caller.Name))
+	s.Mu.Unlock()
+	// Machines that are unreachable from here do not learn of the deregistration. In that case it is not
+	// acknowledged, and the server calls another machine.
+	return rpc.Empty{}, s.replica.requireQuorum(ctx)
 }
 
-// recordHeartbeat takes a heartbeat.
-func (k *server) recordHeartbeat(who rpc.RequestInfo, b registry.Heartbeat) (HeartbeatResponse, error) {
-	endpoint := k.heartbeatEndpoint(who.Name, b.Zone)
-	k.Mu.Lock()
-	defer k.Mu.Unlock()
-	stored, known := k.Store.Get(registry.Prefix + who.Name)
-	update, changed, err := k.registry.HandleHeartbeat(k.Now(), who.Name, b, stored, known)
+// recordHeartbeat passes a heartbeat to the registry and gossips the change, if there is one.
+func (s *server) recordHeartbeat(caller rpc.RequestInfo, heartbeat registry.Heartbeat) (HeartbeatResponse, error) {
+	endpoint := s.heartbeatEndpoint(caller.Name, heartbeat.Zone)
+	s.Mu.Lock()
+	defer s.Mu.Unlock()
+	stored, known := s.Store.Get(registry.Prefix + caller.Name)
+	update, changed, err := s.registry.HandleHeartbeat(s.Now(), caller.Name, heartbeat, stored, known)
 	if err != nil {
-		events.HeartbeatInvalid.Log("server", who.Name, "peer", who.Peer, "err", err)
+		events.HeartbeatInvalid.Log("server", caller.Name, "peer", caller.Peer, "err", err)
 		return HeartbeatResponse{}, rpc.Errorf(http.StatusBadRequest, "%v", err)
 	}
 	if changed {
 		if !known {
-			events.ServerNew.Log("server", who.Name, "service", b.Service, "addr", b.Addr, "zone", b.Zone)
-		} else if b.State == registry.LifecycleDraining {
-			events.ServerDraining.Log("server", who.Name, "service", b.Service)
+			events.ServerNew.Log("server", caller.Name, "service", heartbeat.Service, "addr", heartbeat.Addr, "zone", heartbeat.Zone)
+		} else if heartbeat.State == registry.LifecycleDraining {
+			events.ServerDraining.Log("server", caller.Name, "service", heartbeat.Service)
 		}
-		k.PutLocked(update)
+		s.PutLocked(update)
 	}
 	return HeartbeatResponse{Endpoint: endpoint}, nil
 }
 
-// heartbeatEndpoint names the machine that a server is to send its heartbeats to: one of its
-// zone, otherwise of its region, the same one as long as the control plane stays as it is.
-// Empty: this one will do.
-func (k *server) heartbeatEndpoint(server, zone string) string {
-	region := k.Settings.Current().Regions[zone]
+// heartbeatEndpoint returns the address of the machine that a server should send its heartbeats to: one
+// of the zone of the server, otherwise of its region. The choice is stable as long as the set of
+// control-plane machines does not change. Empty: this machine.
+func (s *server) heartbeatEndpoint(server, zone string) string {
+	region := s.Settings.Current().Regions[zone]
 	distance := func(p gossip.Process) int { return nodesettings.Distance(p.Zone, p.Region, zone, region) }
-	best, shortest, highestHash := k.Self, distance(k.Self), uint64(0)
+	best, shortest, highestHash := s.Self, distance(s.Self), uint64(0)
 	if shortest == nodesettings.SameZone {
 		return ""
 	}
-	for _, p := range k.controlPlanePeers() {
+	for _, p := range s.controlPlanePeers() {
 		if p.Control == "" {
 			continue
 		}
 		d, hash := distance(p), xxhash.Sum64String(server+p.Addr)
-		if d < shortest || d == shortest && best.Addr != k.Self.Addr && hash > highestHash {
+		if d < shortest || d == shortest && best.Addr != s.Self.Addr && hash > highestHash {
 			best, shortest, highestHash = p, d, hash
 		}
 	}
-	if best.Addr == k.Self.Addr {
+	if best.Addr == s.Self.Addr {
 		return ""
 	}
 	return best.Control
 }
 
-func (k *server) handleReplace(ctx context.Context, who rpc.RequestInfo, raw rpc.Raw) (rpc.Empty, error) {
-	k.validating.Lock()
-	c, err := routeconfig.Parse(raw)
-	k.validating.Unlock()
+func (s *server) handleReplace(ctx context.Context, caller rpc.RequestInfo, raw rpc.Raw) (rpc.Empty, error) {
+	s.validating.Lock()
+	config, err := routeconfig.Parse(raw)
+	s.validating.Unlock()
 	if err != nil {
-		events.ConfigInvalid.Log("peer", who.Peer, "path", err)
+		events.ConfigInvalid.Log("peer", caller.Peer, "path", err)
 		return rpc.Empty{}, rpc.Errorf(http.StatusBadRequest, "%v", err)
 	}
-	if err := k.replica.requireQuorum(ctx); err != nil {
+	if err := s.replica.requireQuorum(ctx); err != nil {
 		return rpc.Empty{}, err
 	}
-	e := chain.NewEntry(uint64(c.Revision), raw)
-	r, err := k.replica.call(ctx, func(now int64) (string, replica.Output) { return k.replica.replica.Put(now, e) })
+	entry := chain.NewEntry(uint64(config.Revision), raw)
+	result, err := s.replica.call(ctx, func(now int64) (string, replica.Output) { return s.replica.replica.Put(now, entry) })
 	if err != nil {
-		events.ConfigNotDurable.Log("revision", c.Revision, "err", err)
+		events.ConfigNotDurable.Log("revision", config.Revision, "err", err)
 		return rpc.Empty{}, retryLater(err)
 	}
-	if r.Verdict == chain.UpdateConflict {
-		events.ConfigConflict.Log("revision", c.Revision, "peer", who.Peer)
-		return rpc.Empty{}, rpc.Errorf(http.StatusConflict, "other content was taken under revision %d; this one is not in force", c.Revision)
+	if result.Verdict == chain.UpdateConflict {
+		events.ConfigConflict.Log("revision", config.Revision, "peer", caller.Peer)
+		return rpc.Empty{}, rpc.Errorf(http.StatusConflict, "different content was accepted under revision %d before; this configuration is not in force", config.Revision)
 	}
 	return rpc.Empty{}, nil
 }
 
-func (k *server) handleDescribe(ctx context.Context, _ rpc.RequestInfo, _ rpc.Raw) (rpc.Raw, error) {
-	if err := k.replica.requireQuorum(ctx); err != nil {
+func (s *server) handleDescribe(ctx context.Context, _ rpc.RequestInfo, _ rpc.Raw) (rpc.Raw, error) {
+	if err := s.replica.requireQuorum(ctx); err != nil {
 		return nil, err
 	}
-	r, err := k.replica.call(ctx, func(now int64) (string, replica.Output) { return k.replica.replica.Get(now) })
+	result, err := s.replica.call(ctx, func(now int64) (string, replica.Output) { return s.replica.replica.Get(now) })
 	if err != nil {
 		return nil, retryLater(err)
 	}
-	if r.Entry.Version == 0 {
-		return nil, rpc.Errorf(http.StatusNotFound, "no configuration was ever acknowledged")
+	if result.Entry.Version == 0 {
+		return nil, rpc.Errorf(http.StatusNotFound, "no configuration has been acknowledged yet")
 	}
-	return r.Entry.Content, nil
+	return result.Entry.Content, nil
 }
 
-// retryLater asks a caller to come again: what it asked for may have been done, or may yet
-// be.
+// retryLater returns an error with status 503 that asks a caller to retry. The call may have taken
+// effect, or may still do so.
 func retryLater(err error) *rpc.StatusError {
-	o := rpc.Errorf(http.StatusServiceUnavailable, "%v", err)
-	o.RetryAfter = retryAfter
-	return o
+	status := rpc.Errorf(http.StatusServiceUnavailable, "%v", err)
+	status.RetryAfter = retryAfter
+	return status
 }
--- a/internal/node/controlplane/store.go
+++ b/internal/node/controlplane/store.go
@@ -20,96 +20,98 @@
 	"saddleport/internal/node/storage"
 )
 
-// Reasons not to trust what a disk holds.
+// Reasons not to trust the state on a disk.
 var (
-	ErrForeignState  = errors.New("the state belongs to another machine")
-	ErrOutdatedEntry = errors.New("the configuration is older than the view on disk requires")
+	ErrForeignState  = errors.New("the stored state belongs to another machine")
+	ErrOutdatedEntry = errors.New("the stored configuration is older than the stored view requires")
 )
 
-// openStore reads the disk. One that is empty although the system is not new, that cannot be
-// read, or that belongs to another machine counts as another disk: what it once stored and
-// promised is not known, and the machine has no vote until the others give it one.
+// openStore opens the store of this machine. A disk that is empty although the system is not new, that
+// cannot be read, or that belongs to another machine is treated as a new disk: its former contents and
+// promises are unknown, and the machine has no vote until the other members grant it one.
 func openStore(boot *nodesettings.Settings) (*storage.Store, replica.Record, error) {
-	s, r, err := readStore(boot)
-	if err == nil && r.State.Self == (views.Member{}) {
-		return initStore(s, boot, boot.Bootstrap && slices.Contains(boot.SeedPeers(), boot.PeerAddr()))
+	store, record, err := readStore(boot)
+	if err == nil && record.State.Self == (views.Member{}) {
+		return initStore(store, boot, boot.Bootstrap && slices.Contains(boot.SeedPeers(), boot.PeerAddr()))
 	}
 	if err == nil {
-		return s, r, nil
+		return store, record, nil
 	}
 	events.DiskDamaged.Log("dir", boot.DataDir, "err", err)
-	if s != nil {
-		s.Close()
+	if store != nil {
+		store.Close()
 	}
-	if err := setAside(boot.DataDir); err != nil {
-		return nil, r, err
+	if err := moveDamagedState(boot.DataDir); err != nil {
+		return nil, record, err
 	}
-	if s, err = storage.Open(boot.DataDir); err != nil {
-		return nil, r, err
+	if store, err = storage.Open(boot.DataDir); err != nil {
+		return nil, record, err
 	}
-	return initStore(s, boot, false)
+	return initStore(store, boot, false)
 }
 
-// setAside moves a state that is not trusted out of the way.
-func setAside(dir string) error {
-	aside := filepath.Join(dir, "damaged")
-	if err := os.RemoveAll(aside); err != nil {
+// moveDamagedState moves a state that is not trusted to the directory "damaged" and replaces the one
+// there.
+func moveDamagedState(dir string) error {
+	damaged := filepath.Join(dir, "damaged")
+	if err := os.RemoveAll(damaged); err != nil {
 		return err
 	}
-	if err := os.Rename(filepath.Join(dir, "state"), aside); err != nil && !os.IsNotExist(err) {
+	if err := os.Rename(filepath.Join(dir, "state"), damaged); err != nil && !os.IsNotExist(err) {
 		return err
 	}
 	return nil
 }
 
-// initStore gives an empty disk its name. founder: it belongs to the system's first view.
-func initStore(s *storage.Store, boot *nodesettings.Settings, founder bool) (*storage.Store, replica.Record, error) {
-	r := replica.Record{State: consensus.State{Self: views.Member{Addr: boot.PeerAddr(), DiskID: nonce()}}}
-	if founder {
-		r.State.View = consensus.InitialView(boot.SeedPeers())
-		if first := (views.Member{Addr: boot.PeerAddr(), DiskID: consensus.FirstDiskID}); r.State.View.Has(first) {
-			r.State.Self = first
+// initStore writes the identity of this machine to an empty disk. isFounder states that the machine
+// belongs to the first view of the system.
+func initStore(store *storage.Store, boot *nodesettings.Settings, isFounder bool) (*storage.Store, replica.Record, error) {
+	record := replica.Record{State: consensus.State{Self: views.Member{Addr: boot.PeerAddr(), DiskID: newNonce()}}}
+	if isFounder {
+		record.State.View = consensus.InitialView(boot.SeedPeers())
+		if first := (views.Member{Addr: boot.PeerAddr(), DiskID: consensus.FirstDiskID}); record.State.View.Has(first) {
+			record.State.Self = first
 		}
 	} else if !boot.Bootstrap {
-		events.DiskEmpty.Log("as", r.State.Self)
+		events.DiskEmpty.Log("as", record.State.Self)
 	}
-	return s, r, s.Put(storage.Entry{Key: keyState, Value: replica.EncodeState(r)})
+	return store, record, store.Put(storage.Entry{Key: keyState, Value: replica.EncodeState(record)})
 }
 
 func readStore(boot *nodesettings.Settings) (*storage.Store, replica.Record, error) {
-	var r replica.Record
-	s, err := storage.Open(boot.DataDir)
+	var record replica.Record
+	store, err := storage.Open(boot.DataDir)
 	if err != nil {
-		return nil, r, err
+		return nil, record, err
 	}
-	state, err := s.Get(keyState)
+	state, err := store.Get(keyState)
 	if err != nil || state == nil {
-		return s, r, err
+		return store, record, err
 	}
-	if r, err = replica.DecodeState(state); err != nil {
-		return s, r, err
+	if record, err = replica.DecodeState(state); err != nil {
+		return store, record, err
 	}
-	if own := boot.PeerAddr(); r.State.Self.Addr != own {
-		return s, r, fmt.Errorf("%w: its machine is at %s, and this one is at %s", ErrForeignState, r.State.Self.Addr, own)
+	if ownAddr := boot.PeerAddr(); record.State.Self.Addr != ownAddr {
+		return store, record, fmt.Errorf("%w: it belongs to %s, and this machine is %s", ErrForeignState, record.State.Self.Addr, ownAddr)
 	}
-	raw, err := s.Get(keyEntry)
+	raw, err := store.Get(keyEntry)
 	if err != nil {
-		return s, r, err
+		return store, record, err
 	}
 	if raw != nil {
-		r.Entry = &chain.Entry{}
-		if err := json.Unmarshal(raw, r.Entry); err != nil {
-			return s, r, err
+		record.Entry = &chain.Entry{}
+		if err := json.Unmarshal(raw, record.Entry); err != nil {
+			return store, record, err
 		}
 	}
-	if r.EntryBehindView() {
-		return s, r, ErrOutdatedEntry
+	if record.EntryBehindView() {
+		return store, record, ErrOutdatedEntry
 	}
-	return s, r, nil
+	return store, record, nil
 }
 
-// runDisk is the disk goroutine. What is queued is written together. A disk that refuses is
-// tried again, and nothing is sent, announced or answered until it has written.
+// runDisk is the disk goroutine. It writes all queued outputs in one batch. A failed write is retried,
+// and nothing of the batch is sent, announced or answered before the write succeeds.
 func (c *replicaRunner) runDisk(ctx context.Context) {
 	for {
 		select {
@@ -118,12 +120,12 @@
 		case <-c.diskWake:
 		}
 		c.mu.Lock()
-		batch, servers := c.queue, c.servers
-		c.queue, c.servers = nil, nil
+		batch, servers := c.diskQueue, c.serversToPersist
+		c.diskQueue, c.serversToPersist = nil, nil
 		c.writeStartedAt = time.Now()
 		c.mu.Unlock()
-		if record, dirty := recordOf(batch); dirty {
-			c.persistUntilDone(ctx, record)
+		if record, dirty := mergeRecords(batch); dirty {
+			c.persistWithRetry(ctx, record)
 		}
 		c.mu.Lock()
 		c.writeStartedAt = time.Time{}
@@ -131,15 +133,16 @@
 		if ctx.Err() != nil {
 			return
 		}
-		if servers != nil { // no promise rests on it: if it fails, the next change is written
-			c.store.Put(storage.Entry{Key: keyRememberedServers, Value: servers})
+		if servers != nil { // no promise depends on this write: after a failure, the next change is written
+			c.store.Put(storage.Entry{Key: keyServers, Value: servers})
 		}
-		c.release(ctx, batch)
+		c.releaseOutputs(ctx, batch)
 	}
 }
 
-// recordOf returns what a batch wants written, and whether it wants anything.
-func recordOf(batch []diskJob) (record replica.Record, dirty bool) {
+// mergeRecords combines the newest state and the newest entry of a batch into one record. dirty reports
+// whether the batch contains a record.
+func mergeRecords(batch []diskJob) (record replica.Record, dirty bool) {
 	for _, job := range batch {
 		if job.Persist == nil {
 			continue
@@ -152,8 +155,8 @@
 	return record, dirty
 }
 
-// persistUntilDone writes a record, again and again if the disk refuses, until ctx ends.
-func (c *replicaRunner) persistUntilDone(ctx context.Context, record replica.Record) {
+// persistWithRetry writes a record and retries until the write succeeds or ctx ends.
+func (c *replicaRunner) persistWithRetry(ctx context.Context, record replica.Record) {
 	for ctx.Err() == nil {
 		err := c.persist(record)
 		if err == nil {
@@ -164,20 +167,21 @@
 		case <-ctx.Done():
 		case <-time.After(diskRetryInterval):
 		}
-		if s, err := storage.Open(c.dataDir); err == nil { // a store that failed once takes no more writes
+		if reopened, err := storage.Open(c.dataDir); err == nil { // a store rejects all writes after one has failed
 			c.store.Close()
-			c.store = s
+			c.store = reopened
 		}
 	}
 }
 
-// release sends, answers and announces what has waited for the disk.
-func (c *replicaRunner) release(ctx context.Context, batch []diskJob) {
+// releaseOutputs sends the messages, delivers the results and announces the entry of a batch that was
+// written to disk.
+func (c *replicaRunner) releaseOutputs(ctx context.Context, batch []diskJob) {
 	var acknowledged *chain.Entry
 	for _, job := range batch {
 		c.enqueueMessages(job.Send)
 		if len(job.Results) > 0 {
-			c.do(ctx, func() { c.deliver(job.Results) })
+			c.runOnLoop(ctx, func() { c.deliverResults(job.Results) })
 		}
 		if job.announce != nil {
 			acknowledged = job.announce
@@ -186,16 +190,16 @@
 	if acknowledged == nil {
 		return
 	}
-	c.do(ctx, func() { c.announce(*acknowledged) })
-	if raw, err := json.Marshal(acknowledged); err == nil { // nothing rests on it, and it is large: last
+	c.runOnLoop(ctx, func() { c.announce(*acknowledged) })
+	if raw, err := json.Marshal(acknowledged); err == nil { // written last: no promise depends on it, and it is large
 		c.store.Put(storage.Entry{Key: keyLastAcknowledged, Value: raw})
 	}
 }
 
-func (c *replicaRunner) persist(r replica.Record) error {
-	entries := []storage.Entry{{Key: keyState, Value: replica.EncodeState(r)}}
-	if r.Entry != nil {
-		raw, err := json.Marshal(r.Entry)
+func (c *replicaRunner) persist(record replica.Record) error {
+	entries := []storage.Entry{{Key: keyState, Value: replica.EncodeState(record)}}
+	if record.Entry != nil {
+		raw, err := json.Marshal(record.Entry)
 		if err != nil {
 			return err
 		}
@@ -204,18 +208,18 @@
 	return c.store.Put(entries...)
 }
 
-// rememberServers has the tracked servers written to disk when there is time.
-func (c *replicaRunner) rememberServers(servers []byte) {
+// persistServers queues the tracked servers for the next write to disk.
+func (c *replicaRunner) persistServers(servers []byte) {
 	c.mu.Lock()
-	c.servers = servers
+	c.serversToPersist = servers
 	c.mu.Unlock()
-	c.wake()
+	c.wakeDisk()
 }
 
-// rememberedServers returns what was written of them.
-func (c *replicaRunner) rememberedServers() (list []gossip.Entry) {
-	if raw, err := c.store.Get(keyRememberedServers); err == nil && raw != nil {
-		json.Unmarshal(raw, &list)
+// loadServers returns the servers that persistServers wrote, or nil if there are none.
+func (c *replicaRunner) loadServers() (servers []gossip.Entry) {
+	if raw, err := c.store.Get(keyServers); err == nil && raw != nil {
+		json.Unmarshal(raw, &servers)
 	}
-	return list
+	return servers
 }
