--- a/internal/cluster/failuredetector/failuredetector.go
+++ b/internal/cluster/failuredetector/failuredetector.go
@@ -33,7 +33,7 @@
 
 // Probe is a call to one process about another, or about itself.
 type Probe struct {
-	To, About string
+	To, Target string
 }
 
 // Output is the result of a step.
@@ -172,13 +172,13 @@
 
 // HandleProbeResult takes the answer to a probe; answered is false if none came.
 func (d *Detector) HandleProbeResult(now int64, q Probe, alive, answered bool) {
-	w := d.watched[q.About]
+	w := d.watched[q.Target]
 	if w == nil || w.probedAt == 0 {
 		return
 	}
 	w.pendingAnswers--
 	switch {
-	case answered && q.To == q.About:
+	case answered && q.To == q.Target:
 		w.answeredItself = true
 	case answered && alive:
 		w.aliveElsewhere = true
@@ -199,10 +199,10 @@
 		if w.probedAt == 0 {
 			if now-w.lastHeardAt > d.suspectTimeout() && now >= w.nextProbeAt {
 				w.probedAt, w.aliveElsewhere, w.answeredItself, w.confirmations, w.pendingAnswers = now, false, false, 0, 1
-				out.Probes = append(out.Probes, Probe{To: addr, About: addr})
+				out.Probes = append(out.Probes, Probe{To: addr, Target: addr})
 				for _, other := range d.proberCandidates(addr, w.round) {
 					w.pendingAnswers++
-					out.Probes = append(out.Probes, Probe{To: other, About: addr})
+					out.Probes = append(out.Probes, Probe{To: other, Target: addr})
 				}
 			}
 			continue
--- a/internal/cluster/failuredetector/failuredetector_test.go
+++ b/internal/cluster/failuredetector/failuredetector_test.go
@@ -71,10 +71,10 @@
 				m.HandleProbeResult(n.now, q, false, false)
 				continue
 			}
-			hears, knows := n.ring[q.To].HandleProbe(n.now, q.About)
+			hears, knows := n.ring[q.To].HandleProbe(n.now, q.Target)
 			if !knows {
 				n.sent++
-				hears = n.reaches(q.To, q.About) && n.reaches(q.About, q.To)
+				hears = n.reaches(q.To, q.Target) && n.reaches(q.Target, q.To)
 			}
 			m.HandleProbeResult(n.now, q, hears, true)
 		}
--- a/internal/cluster/outlier/aggregator.go
+++ b/internal/cluster/outlier/aggregator.go
@@ -22,7 +22,7 @@
 	Seq       uint64    `json:"q"` // rises with each publication
 	Ejected   []Ejected `json:"p,omitempty"`
 	Requested []string  `json:"k,omitempty"` // members on which evidence is asked for, beside the ejected ones
-	By        string    `json:"b"`
+	Publisher string    `json:"b"`
 }
 
 // Empty reports whether an assignment names nobody.
@@ -105,7 +105,7 @@
 		if reporters++; g.Sketch.Score() > 0 {
 			slow++
 		}
-		of = max(of, g.Of)
+		of = max(of, g.ShardSize)
 	}
 	return all, reporters, slow, of
 }
@@ -122,7 +122,7 @@
 			of = n
 		}
 		count[k.shard] = max(count[k.shard], of)
-		score, middle, n := all.Score(), all.Middle(), all.Samples()
+		score, middle, n := all.Score(), all.Median(), all.Samples()
 		agree := c.cfg.EjectScore
 		if k.restoredAt != 0 && now-k.restoredAt < c.cfg.ProbationTime {
 			agree /= 2
@@ -206,7 +206,7 @@
 
 // Assignment returns what the aggregator has decided.
 func (c *Aggregator) Assignment(now int64) Assignment {
-	a := Assignment{Epoch: c.epoch, Seq: c.seq, By: c.by}
+	a := Assignment{Epoch: c.epoch, Seq: c.seq, Publisher: c.by}
 	for _, k := range sortedCandidates(c.candidates) {
 		if k.ejectedAt != 0 && len(a.Ejected) < maxEjected {
 			m := k.member
@@ -234,7 +234,7 @@
 	Proxy   string
 	Age     int64 // microseconds
 	Samples int
-	Middle  float64
+	Median  float64
 	Score   float64
 }
 
@@ -245,7 +245,7 @@
 		return nil
 	}
 	for from, g := range k.evidence {
-		out = append(out, Report{from, now - g.at, g.Sketch.Samples(), g.Sketch.Middle(), g.Sketch.Score()})
+		out = append(out, Report{from, now - g.at, g.Sketch.Samples(), g.Sketch.Median(), g.Sketch.Score()})
 	}
 	slices.SortFunc(out, func(a, b Report) int { return cmp.Compare(a.Proxy, b.Proxy) })
 	return out
--- a/internal/cluster/outlier/ejections.go
+++ b/internal/cluster/outlier/ejections.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// EjectedHere is a member that is ejected in one proxy.
-type EjectedHere struct {
+// ActiveEjection is a member that is ejected in one proxy.
+type ActiveEjection struct {
 	Ejected
 	Since     int64
 	LocalOnly bool // on this proxy's own evidence
@@ -14,8 +14,8 @@
 
 // Change is a member that was ejected, was restored, or is much slower or faster by now.
 type Change struct {
-	EjectedHere
-	Restored, Known bool
+	ActiveEjection
+	Restored, Updated bool
 }
 
 // sameRatio is the factor up to which two ratios count as one.
@@ -29,12 +29,12 @@
 	assignment Assignment
 	version    uint64
 	assignedAt int64 // when the aggregator was last heard; 0: never
-	ejected    map[string]EjectedHere
+	ejected    map[string]ActiveEjection
 }
 
 // NewEjections returns ejections in which nobody is ejected.
 func NewEjections(cfg Config) *Ejections {
-	return &Ejections{cfg: cfg, ejected: make(map[string]EjectedHere)}
+	return &Ejections{cfg: cfg, ejected: make(map[string]ActiveEjection)}
 }
 
 // Observe takes a published assignment under its version, and reports whether it is new.
@@ -54,8 +54,8 @@
 	return e.assignment, true
 }
 
-// Quiet reports that there is nothing to do until something comes in.
-func (e *Ejections) Quiet(now int64) bool {
+// Idle reports that there is nothing to do until something comes in.
+func (e *Ejections) Idle(now int64) bool {
 	said, counts := e.Assignment(now)
 	return len(e.ejected) == 0 && (!counts || said.Empty())
 }
@@ -63,18 +63,18 @@
 // Step brings the ejections in line with what was last published or, if nothing has been for
 // long, with the proxy's own evidence. members returns how many members a shard has.
 func (e *Ejections) Step(now int64, members func(shard string) int, own ...*Observer) (out []Change) {
-	want := make(map[string]EjectedHere)
+	want := make(map[string]ActiveEjection)
 	said, counts := e.Assignment(now)
 	if counts {
 		for _, m := range said.Ejected {
-			want[m.Name] = EjectedHere{Ejected: m, Since: e.assignedAt - m.Age}
+			want[m.Name] = ActiveEjection{Ejected: m, Since: e.assignedAt - m.Age}
 		}
 	}
 	e.addLocal(now, members, own, want)
 	for name, a := range e.ejected {
 		if _, stays := want[name]; !stays {
 			delete(e.ejected, name)
-			out = append(out, Change{EjectedHere: a, Restored: true})
+			out = append(out, Change{ActiveEjection: a, Restored: true})
 		}
 	}
 	for name, a := range want {
@@ -85,7 +85,7 @@
 			}
 		}
 		if e.ejected[name] = a; !known || a.Ratio != was.Ratio {
-			out = append(out, Change{EjectedHere: a, Known: known})
+			out = append(out, Change{ActiveEjection: a, Updated: known})
 		}
 	}
 	slices.SortFunc(out, func(a, b Change) int { return cmp.Compare(a.Name, b.Name) })
@@ -96,7 +96,7 @@
 // member of a shard of which most are not suspected, suspected for long, with a higher score
 // than the aggregator would need. It stays for an assignment's lifetime, since its evidence
 // dries up.
-func (e *Ejections) addLocal(now int64, members func(string) int, own []*Observer, want map[string]EjectedHere) {
+func (e *Ejections) addLocal(now int64, members func(string) int, own []*Observer, want map[string]ActiveEjection) {
 	taken, doubted := make(map[string]bool), make(map[string]int)
 	for _, a := range want {
 		taken[a.Shard] = true
@@ -119,7 +119,7 @@
 			continue
 		}
 		taken[o.Shard] = true
-		want[o.Name] = EjectedHere{Ejected: Ejected{Name: o.Name, Shard: o.Shard, Ratio: o.Middle, Reporters: 1, Samples: o.Samples}, Since: now, LocalOnly: true}
+		want[o.Name] = ActiveEjection{Ejected: Ejected{Name: o.Name, Shard: o.Shard, Ratio: o.Median, Reporters: 1, Samples: o.Samples}, Since: now, LocalOnly: true}
 	}
 }
 
@@ -128,11 +128,13 @@
 func (e *Ejections) Ratio(name string) float64 { return e.ejected[name].Ratio }
 
 // All returns the ejected members in the order of their shards and names.
-func (e *Ejections) All() []EjectedHere {
-	out := make([]EjectedHere, 0, len(e.ejected))
+func (e *Ejections) All() []ActiveEjection {
+	out := make([]ActiveEjection, 0, len(e.ejected))
 	for _, a := range e.ejected {
 		out = append(out, a)
 	}
-	slices.SortFunc(out, func(a, b EjectedHere) int { return cmp.Or(cmp.Compare(a.Shard, b.Shard), cmp.Compare(a.Name, b.Name)) })
+	slices.SortFunc(out, func(a, b ActiveEjection) int {
+		return cmp.Or(cmp.Compare(a.Shard, b.Shard), cmp.Compare(a.Name, b.Name))
+	})
 	return out
 }
--- a/internal/cluster/outlier/observer.go
+++ b/internal/cluster/outlier/observer.go
@@ -26,7 +26,7 @@
 	SampleLifetime       int64   // a sample counts for so long
 	SingleSampleLifetime int64   // of a single sample that speaks for slowness
 	RecentSpan           int64   // samples of so long are reported if nothing speaks for slowness,
-	FewSpan              int64   // or the last few of so long
+	LastSamplesSpan      int64   // or the last few of so long
 	ReportDelay          int64   // a suspicion is reported after so long: most are gone with the next answer
 	MedianWindow         int64   // the same of the peers' middle
 	MedianSampleInterval int64   // between two samples of one member that count for the peers' middle
@@ -52,7 +52,7 @@
 }
 
 // DefaultConfig is the configuration for service.
-var DefaultConfig = Config{SampleLifetime: 12_000_000, SingleSampleLifetime: 2_000_000, RecentSpan: 600_000, FewSpan: 5_000_000, ReportDelay: 300_000, MedianWindow: 10_000_000, MedianSampleInterval: 100_000, MinMedian: 3_000, MinMedianSamples: 20,
+var DefaultConfig = Config{SampleLifetime: 12_000_000, SingleSampleLifetime: 2_000_000, RecentSpan: 600_000, LastSamplesSpan: 5_000_000, ReportDelay: 300_000, MedianWindow: 10_000_000, MedianSampleInterval: 100_000, MinMedian: 3_000, MinMedianSamples: 20,
 	SuspectScore: 0.75, ReportInterval: 1_000_000, RequestScore: 1.5, EjectScore: 2.3, MinEjectSamples: 3, MaxEjectedShare: 0.34, EvidenceDelay: 400_000, EvidenceLifetime: 2_500_000, MinEjectionTime: 3_000_000, RestoreRatio: 1.7, MinRestoreSamples: 3,
 	NoEvidenceTimeout: 15_000_000, ProbationTime: 20_000_000, RenewInterval: 3_000_000, AssignmentLifetime: 10_000_000, LocalEjectDelay: 5_000_000, LocalScoreFactor: 2}
 
@@ -70,10 +70,10 @@
 
 // Evidence is what one proxy knows of one member.
 type Evidence struct {
-	Name   string `json:"n"`
-	Shard  string `json:"s"`
-	Of     int    `json:"o,omitempty"` // members of the shard that the mixer has seen
-	Sketch Sketch `json:"k"`
+	Name      string `json:"n"`
+	Shard     string `json:"s"`
+	ShardSize int    `json:"o,omitempty"` // members of the shard that the mixer has seen
+	Sketch    Sketch `json:"k"`
 }
 
 type kind struct {
@@ -283,7 +283,7 @@
 func (w *Observer) TakeEvidence(now int64, assignment Assignment) (out []Evidence) {
 	report := func(m *memberSamples, few int64) {
 		if k := w.sketch(now, m, few); k.Samples() > 0 {
-			out = append(out, Evidence{Name: m.name, Shard: m.shard, Of: w.shards[m.shard], Sketch: k})
+			out = append(out, Evidence{Name: m.name, Shard: m.shard, ShardSize: w.shards[m.shard], Sketch: k})
 		}
 	}
 	done := make(map[string]bool, len(assignment.Requested)+len(assignment.Ejected))
@@ -297,12 +297,12 @@
 		reportOnce(a.Name, w.cfg.SampleLifetime)
 	}
 	for _, name := range assignment.Requested {
-		reportOnce(name, w.cfg.FewSpan)
+		reportOnce(name, w.cfg.LastSamplesSpan)
 	}
 	if w.suspected > 0 {
 		for name, m := range w.seen {
 			if w.evaluate(now, m); m.suspectedAt != 0 && now-m.suspectedAt >= w.cfg.ReportDelay {
-				reportOnce(name, w.cfg.FewSpan)
+				reportOnce(name, w.cfg.LastSamplesSpan)
 			}
 		}
 	}
@@ -341,7 +341,7 @@
 // LocalView is a member as this proxy alone sees it.
 type LocalView struct {
 	Name, Shard  string
-	Middle       float64 // times its peers' middle
+	Median       float64 // times its peers' middle
 	Samples      int
 	Score        float64
 	SuspectedFor int64 // microseconds; 0: it is not suspected
@@ -354,8 +354,8 @@
 		return LocalView{}, false
 	}
 	score, _ := m.run(now, &w.cfg)
-	k := w.sketch(now, m, w.cfg.FewSpan)
-	o := LocalView{Name: name, Shard: m.shard, Middle: k.Middle(), Samples: k.Samples(), Score: score}
+	k := w.sketch(now, m, w.cfg.LastSamplesSpan)
+	o := LocalView{Name: name, Shard: m.shard, Median: k.Median(), Samples: k.Samples(), Score: score}
 	if m.suspectedAt != 0 {
 		o.SuspectedFor = max(now-m.suspectedAt, 1)
 	}
--- a/internal/cluster/outlier/outlier_test.go
+++ b/internal/cluster/outlier/outlier_test.go
@@ -283,7 +283,7 @@
 		So(json.Unmarshal(raw, &c), ShouldBeNil)
 		So(c.Samples(), ShouldEqual, 100)
 		So(c.Score(), ShouldAlmostEqual, a.Score(), 0.001)
-		So(c.Middle(), ShouldEqual, a.Middle())
+		So(c.Median(), ShouldEqual, a.Median())
 		for _, bad := range []string{`[1]`, `[0,1]`, `[1,0]`, `[99999,1]`, `[1,99999]`, `{}`} {
 			So(json.Unmarshal([]byte(bad), &c), ShouldNotBeNil)
 		}
--- a/internal/cluster/outlier/sketch.go
+++ b/internal/cluster/outlier/sketch.go
@@ -39,8 +39,8 @@
 // Samples counts the samples.
 func (s Sketch) Samples() int { return int(s.h.TotalCount()) }
 
-// Middle returns the median ratio; 0 if there are no samples.
-func (s Sketch) Middle() float64 {
+// Median returns the median ratio; 0 if there are no samples.
+func (s Sketch) Median() float64 {
 	if s.h.TotalCount() == 0 {
 		return 0
 	}
--- a/internal/cluster/quota/allowance.go
+++ b/internal/cluster/quota/allowance.go
@@ -35,10 +35,10 @@
 
 // Claim is a proxy's request for a lease.
 type Claim struct {
-	Name    string  `json:"n"`
-	Asked   float64 `json:"a"` // requests a second that were asked of it, admitted or not
-	Spent   float64 `json:"s"` // admitted since the last claim, for statistics
-	Current float64 `json:"h"` // the rate that it uses now: an answer may have been lost
+	Name     string  `json:"n"`
+	Demand   float64 `json:"a"` // requests a second that were asked of it, admitted or not
+	Admitted float64 `json:"s"` // admitted since the last claim, for statistics
+	Current  float64 `json:"h"` // the rate that it uses now: an answer may have been lost
 }
 
 // Grant is a lease. It lasts from the moment at which the claim was sent.
@@ -75,8 +75,8 @@
 	allowances  map[string]Allowance
 	leases      map[string]map[string]*leaseState // by allowance and proxy
 	proxyCounts recentMax                         // of proxies known
-	Spent       map[string]float64                // over all proxies, since this process holds the role
-	Asked       map[string]float64                // a second, over all proxies, recently
+	Admitted    map[string]float64                // over all proxies, since this process holds the role
+	Demand      map[string]float64                // a second, over all proxies, recently
 }
 
 const (
@@ -90,7 +90,7 @@
 // ago: nothing is granted for the duration of a lease.
 func NewLessor(now int64, cfg LeaseConfig, proxies int) *Lessor {
 	return &Lessor{cfg: cfg, since: now, proxyCounts: recentMax{{proxies, now}}, allowances: make(map[string]Allowance), leases: make(map[string]map[string]*leaseState),
-		Spent: make(map[string]float64), Asked: make(map[string]float64)}
+		Admitted: make(map[string]float64), Demand: make(map[string]float64)}
 }
 
 // SetAllowances sets the allowances of a configuration. Leases of one that became smaller run
@@ -103,7 +103,7 @@
 	for name := range b.leases {
 		if _, still := b.allowances[name]; !still {
 			delete(b.leases, name)
-			delete(b.Asked, name)
+			delete(b.Demand, name)
 		}
 	}
 }
@@ -128,10 +128,10 @@
 	b.ObserveProxies(now, proxies)
 	for _, c := range list[:min(len(list), maxAllowances)] {
 		s, known := b.allowances[c.Name]
-		if !known || math.IsNaN(c.Asked) || c.Asked < 0 || c.Asked > 1e9 || math.IsNaN(c.Spent) || c.Spent < 0 || c.Spent > 1e9 {
+		if !known || math.IsNaN(c.Demand) || c.Demand < 0 || c.Demand > 1e9 || math.IsNaN(c.Admitted) || c.Admitted < 0 || c.Admitted > 1e9 {
 			continue
 		}
-		b.Spent[c.Name] += c.Spent
+		b.Admitted[c.Name] += c.Admitted
 		out = append(out, Grant{Name: c.Name, Rate: b.grant(now, from, s, c)})
 	}
 	return out
@@ -151,7 +151,7 @@
 		l = &leaseState{}
 		all[from] = l
 	}
-	l.asked = c.Asked
+	l.asked = c.Demand
 	pool := s.Rate * (1 - b.cfg.UnleasedShare)
 	given, weight, asked := 0.0, 0.0, 0.0 // to the others
 	for name, o := range all {
@@ -164,12 +164,12 @@
 		}
 		given, weight, asked = given+o.current(now), weight+o.asked+b.cfg.ExtraWeight*s.Rate, asked+o.asked
 	}
-	b.Asked[s.Name] = asked + c.Asked
+	b.Demand[s.Name] = asked + c.Demand
 	l.previousRate, l.previousUntil = min(c.Current, s.Rate), l.until
 	if l.rate, l.until = 0, now; now-b.since < b.cfg.Duration {
 		return 0
 	}
-	mine := c.Asked + b.cfg.ExtraWeight*s.Rate
+	mine := c.Demand + b.cfg.ExtraWeight*s.Rate
 	l.rate = max(min(pool*mine/(mine+weight), pool-given), 0)
 	l.until = now + b.cfg.Duration
 	if l.rate > 0 && given+l.rate > pool*(1+roundingSlack) {
@@ -205,7 +205,7 @@
 }
 
 // Counts are a proxy's figures of one allowance since its start.
-type Counts struct{ Admitted, Refused int64 }
+type Counts struct{ Admitted, Rejected int64 }
 
 // Holder admits requests by a proxy's leases. It is not safe for concurrent use.
 type Holder struct {
@@ -285,7 +285,7 @@
 		x.counts.Admitted++
 		return true, 0
 	}
-	x.counts.Refused++
+	x.counts.Rejected++
 	return false, int64(math.Ceil((1-x.level)/h.rateOf(now, x)*1e6)) + 1
 }
 
@@ -336,7 +336,7 @@
 		if x.asking += (float64(x.asked)/span - x.asking) / 2; x.asked == 0 {
 			x.asking = 0 // who asked has gone elsewhere, and what is leased here is wanted there
 		}
-		c := Claim{Name: name, Asked: math.Round(x.asking*100) / 100, Spent: float64(x.spent)}
+		c := Claim{Name: name, Demand: math.Round(x.asking*100) / 100, Admitted: float64(x.spent)}
 		if now <= x.until {
 			c.Current = x.rate
 		}
--- a/internal/lab/measure/gossip.go
+++ b/internal/lab/measure/gossip.go
@@ -156,14 +156,14 @@
 	}
 	var hears, try bool
 	w.call(p, q.To, 40, func(x *proc) (any, int) {
-		hears, try = x.members.HandleProbe(w.now, q.About)
+		hears, try = x.members.HandleProbe(w.now, q.Target)
 		return nil, 12
 	}, func(_ any, ok bool) {
 		if !ok || !try {
 			answer(hears, ok)
 			return
 		}
-		w.call(w.byAddr[q.To], q.About, 40, func(*proc) (any, int) { return nil, 12 }, func(_ any, ok bool) { answer(ok, true) })
+		w.call(w.byAddr[q.To], q.Target, 40, func(*proc) (any, int) { return nil, 12 }, func(_ any, ok bool) { answer(ok, true) })
 	})
 }
 
--- a/internal/lab/measure/laggards.go
+++ b/internal/lab/measure/laggards.go
@@ -190,7 +190,7 @@
 	if w.hook != nil {
 		w.hook()
 	}
-	if f.watch.Suspected() > 0 || !f.groups.Quiet(w.now) {
+	if f.watch.Suspected() > 0 || !f.groups.Idle(w.now) {
 		f.looks = true
 		w.after(300*ms, func() { f.looks = false; w.look(f) })
 	}
--- a/internal/node/agent/show.go
+++ b/internal/node/agent/show.go
@@ -24,7 +24,7 @@
 	for _, s := range v.allowances {
 		rate, tills := v.lessor.Leased(now, s.Name)
 		t.Rows = append(t.Rows, []string{s.Name, fmt.Sprint(s.Rate), fmt.Sprintf("%.1f", rate), fmt.Sprint(tills),
-			fmt.Sprintf("%.1f", v.lessor.Asked[s.Name]), fmt.Sprintf("%.0f", v.lessor.Spent[s.Name])})
+			fmt.Sprintf("%.1f", v.lessor.Demand[s.Name]), fmt.Sprintf("%.0f", v.lessor.Admitted[s.Name])})
 	}
 	return t
 }
@@ -40,7 +40,7 @@
 	if reports, holds := b.role.Reports(b.node.Now(), about); holds {
 		t := admin.Table{Title: "evidence on " + about, Columns: []string{"proxy", "reported", "samples", "times its peers' middle", "score"}}
 		for _, w := range reports {
-			t.Rows = append(t.Rows, []string{w.Proxy, admin.FormatAge(w.Age) + " ago", fmt.Sprint(w.Samples), fmt.Sprintf("%.1f", w.Middle), fmt.Sprintf("%.1f", w.Score)})
+			t.Rows = append(t.Rows, []string{w.Proxy, admin.FormatAge(w.Age) + " ago", fmt.Sprint(w.Samples), fmt.Sprintf("%.1f", w.Median), fmt.Sprintf("%.1f", w.Score)})
 		}
 		return []admin.Table{t}, nil
 	}
@@ -61,7 +61,7 @@
 	for _, m := range a.Ejected {
 		t.Rows = append(t.Rows, []string{m.Name, m.Shard, fmt.Sprintf("%.1f", m.Ratio), fmt.Sprintf("%d proxies, %d samples", m.Reporters, m.Samples)})
 	}
-	by := a.By
+	by := a.Publisher
 	if by == "" {
 		by = "nobody yet"
 	}
--- a/internal/node/peer/peer.go
+++ b/internal/node/peer/peer.go
@@ -225,7 +225,7 @@
 	defer n.calls.Done()
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	ans, err := probeCall.Ask(ctx, n.Client, q.To, "", ProbeRequest{Target: q.About})
+	ans, err := probeCall.Ask(ctx, n.Client, q.To, "", ProbeRequest{Target: q.Target})
 	n.Mu.Lock()
 	defer n.Mu.Unlock()
 	n.Members.HandleProbeResult(n.Now(), q, ans.Alive, err == nil)
--- a/internal/node/proxy/outliers.go
+++ b/internal/node/proxy/outliers.go
@@ -164,7 +164,7 @@
 	list := append(f.servers.TakeEvidence(now, said), f.callers.TakeEvidence(now, said)...)
 	members := f.shardSizes()
 	changes := f.ejections.Step(now, func(shard string) int { return members[shard] }, f.servers, f.callers)
-	more = f.servers.Suspected()+f.callers.Suspected() > 0 || !f.ejections.Quiet(now)
+	more = f.servers.Suspected()+f.callers.Suspected() > 0 || !f.ejections.Idle(now)
 	f.changesApplied += len(changes)
 	if len(list) > 0 {
 		f.reportsSent++
@@ -197,7 +197,7 @@
 	list := choice.List{Form: choice.Delta}
 	callers := false
 	for _, c := range changes {
-		if c.Known {
+		if c.Updated {
 			events.EjectionChanged.Log("member", c.Name, "times", fmt.Sprintf("%.1f", c.Ratio))
 		} else if c.Restored {
 			events.Restored.Log("member", c.Name, "shard", c.Shard)
--- a/internal/node/proxy/show.go
+++ b/internal/node/proxy/show.go
@@ -27,7 +27,7 @@
 			lease = admin.FormatAge(h.Lease)
 		}
 		t.Rows = append(t.Rows, []string{h.Name, fmt.Sprint(h.Allowance.Rate), fmt.Sprint(h.Burst), fmt.Sprintf("%.2f", h.Rate), lease,
-			fmt.Sprintf("%.1f", h.Level), fmt.Sprint(h.Admitted), fmt.Sprint(h.Refused)})
+			fmt.Sprintf("%.1f", h.Level), fmt.Sprint(h.Admitted), fmt.Sprint(h.Rejected)})
 	}
 	return t
 }
@@ -66,7 +66,7 @@
 	return append(append([]admin.Table{routes, tier, count}, append(t.outliers.table(), t.quotas.table())...), peer.StoreTables(t.store)...), nil
 }
 
-func evidence(a outlier.EjectedHere) string {
+func evidence(a outlier.ActiveEjection) string {
 	if a.LocalOnly {
 		return "this proxy alone"
 	}
@@ -85,7 +85,7 @@
 	assignment, counts := f.ejections.Assignment(now)
 	publisher := "not heard of for over " + time.Duration(outlier.DefaultConfig.AssignmentLifetime*1000).String() + ": own evidence alone counts"
 	if counts {
-		publisher = assignment.By
+		publisher = assignment.Publisher
 	}
 	lanes := f.proxy.downstream.SlowLane
 	state := admin.Table{Title: "ejections: state", Columns: []string{"published by", "requested", "suspected here", "changes", "reports sent", "in the slow lane", "rejected there"},
@@ -119,7 +119,7 @@
 		is = "suspected"
 	}
 	what := admin.Table{Title: name, Columns: []string{"is", "shard", "last samples", "times its peers' middle", "score", "doubted for"},
-		Rows: [][]string{{is, own.Shard, fmt.Sprint(own.Samples), fmt.Sprintf("%.1f", own.Middle), fmt.Sprintf("%.1f", own.Score), admin.FormatAge(own.SuspectedFor)}}}
+		Rows: [][]string{{is, own.Shard, fmt.Sprint(own.Samples), fmt.Sprintf("%.1f", own.Median), fmt.Sprintf("%.1f", own.Score), admin.FormatAge(own.SuspectedFor)}}}
 	rule := admin.Table{Title: "by which rule", Rows: [][]string{{fmt.Sprintf("suspected here from score %g; ejected from %g of all proxies together, or locally from %g after %s",
 		outlier.DefaultConfig.SuspectScore, outlier.DefaultConfig.EjectScore, outlier.DefaultConfig.EjectScore*outlier.DefaultConfig.LocalScoreFactor, admin.FormatAge(outlier.DefaultConfig.LocalEjectDelay))}}}
 	out := []admin.Table{what, rule}
