--- a/internal/cluster/antientropy/antientropy_test.go
+++ b/internal/cluster/antientropy/antientropy_test.go
@@ -9,45 +9,45 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-func TestMend(t *testing.T) {
-	Convey("A copy found old is mended, not over and over, and never one that is newer", t, func() {
-		m := New(DefaultConfig)
-		So(m.ShouldRepair(1, "a", 3, 5), ShouldBeTrue)
-		So(m.ShouldRepair(2, "a", 3, 5), ShouldBeFalse)
-		So(m.ShouldRepair(1+DefaultConfig.RepairInterval, "a", 3, 5), ShouldBeTrue)
-		So(m.ShouldRepair(2+DefaultConfig.RepairInterval, "a", 5, 5), ShouldBeFalse) // mended
-		So(m.ShouldRepair(3+DefaultConfig.RepairInterval, "a", 5, 6), ShouldBeTrue)  // old again
-		So(m.ShouldRepair(3, "b", 9, 5), ShouldBeFalse)
+func TestRepair(t *testing.T) {
+	Convey("An outdated replica is repaired once per interval, and a newer one never", t, func() {
+		repairer := New(DefaultConfig)
+		So(repairer.ShouldRepair(1, "a", 3, 5), ShouldBeTrue)
+		So(repairer.ShouldRepair(2, "a", 3, 5), ShouldBeFalse)
+		So(repairer.ShouldRepair(1+DefaultConfig.RepairInterval, "a", 3, 5), ShouldBeTrue)
+		So(repairer.ShouldRepair(2+DefaultConfig.RepairInterval, "a", 5, 5), ShouldBeFalse) // up to date
+		So(repairer.ShouldRepair(3+DefaultConfig.RepairInterval, "a", 5, 6), ShouldBeTrue)  // outdated again
+		So(repairer.ShouldRepair(3, "b", 9, 5), ShouldBeFalse)
 		for i := range 4 * DefaultConfig.MaxTracked {
-			m.ShouldRepair(int64(i), fmt.Sprint(i), 1, 2)
+			repairer.ShouldRepair(int64(i), fmt.Sprint(i), 1, 2)
 		}
-		So(len(m.repairedAt), ShouldBeLessThanOrEqualTo, DefaultConfig.MaxTracked)
+		So(len(repairer.repairedAt), ShouldBeLessThanOrEqualTo, DefaultConfig.MaxTracked)
 	})
-	Convey("The sweep looks at each copy once a round, whoever comes and goes", t, func() {
+	Convey("The sweep checks each replica once per round while replicas are added and removed", t, func() {
 		rng := rand.New(rand.NewPCG(1, 1))
-		var copies []string
+		var replicas []string
 		for i := range 40 {
-			copies = append(copies, fmt.Sprintf("%03d", i*7))
+			replicas = append(replicas, fmt.Sprintf("%03d", i*7))
 		}
-		m := New(DefaultConfig)
-		looks := make(map[string]int)
+		repairer := New(DefaultConfig)
+		checks := make(map[string]int)
 		now := int64(0)
-		for m.Stats().Rounds < 4 {
-			if c, due := m.Sweep(now, copies); due {
-				looks[c]++
+		for repairer.Stats().Rounds < 4 {
+			if replica, due := repairer.Sweep(now, replicas); due {
+				checks[replica]++
 			}
 			now += DefaultConfig.SweepInterval
-			extra := fmt.Sprintf("%03d", 1+rng.IntN(250)/7*7)
-			if i := slices.Index(copies, extra); i >= 0 {
-				copies = slices.Delete(copies, i, i+1)
+			toggled := fmt.Sprintf("%03d", 1+rng.IntN(250)/7*7)
+			if i := slices.Index(replicas, toggled); i >= 0 {
+				replicas = slices.Delete(replicas, i, i+1)
 			} else {
-				copies = append(copies, extra)
+				replicas = append(replicas, toggled)
 			}
 		}
 		for i := range 40 {
-			So(looks[fmt.Sprintf("%03d", i*7)], ShouldBeBetweenOrEqual, 3, 5)
+			So(checks[fmt.Sprintf("%03d", i*7)], ShouldBeBetweenOrEqual, 3, 5)
 		}
-		_, due := m.Sweep(now-DefaultConfig.SweepInterval, copies)
+		_, due := repairer.Sweep(now-DefaultConfig.SweepInterval, replicas)
 		So(due, ShouldBeFalse)
 	})
 }
