--- a/internal/cluster/failuredetector/failuredetector.go
+++ b/internal/cluster/failuredetector/failuredetector.go
@@ -1,9 +1,10 @@
 // Package failuredetector decides which processes are dead. Each process sends heartbeats to a
-// few watchers that its position on a ring names: mostly of its own zone, one beyond it. A
-// watcher that misses heartbeats probes the watched process itself and asks its other
-// watchers; only what more than one of them observes counts as a death. It never believes a
-// single witness where there are two, what it sends does not grow with the number of
-// processes, and it only reports.
+// few watchers, which its position on a hash ring determines: most are in its own zone, one is
+// in another zone. A watcher that misses heartbeats probes the watched process and asks the
+// other watchers of that process; a death is reported only if more than one process observes it.
+// The package never relies on a single observer where there are two, the messages that a process
+// sends do not grow with the number of processes, and the package only reports deaths: it takes
+// no action.
 package failuredetector
 
 import (
@@ -14,180 +15,186 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Peer is a process of the ring.
+// Peer is a process on the ring.
 type Peer struct {
 	Addr, Zone string
 }
 
 // Config tunes a detector. Times are microseconds of the caller's clock.
 type Config struct {
-	Watchers          int   // of each process
-	HeartbeatInterval int64 // between two heartbeats of one process, which go to its watchers in turn
-	MissedHeartbeats  int64 // at one watcher, before it probes
-	ConfirmTimeout    int64 // the answers to a probe must have come by then
+	Watchers          int   // watchers of each process
+	HeartbeatInterval int64 // time between two heartbeats of one process, which go to its watchers in turn
+	MissedHeartbeats  int64 // heartbeats that one watcher misses before it probes
+	ConfirmTimeout    int64 // time within which the answers to probes must arrive
 }
 
-// DefaultConfig is the configuration for service: three watchers hear each process every 3 s;
-// a death is reported after 7 to 11 s.
+// DefaultConfig is the configuration used in production: each of the three watchers receives a
+// heartbeat of the process every 3 s; a death is reported after 7 to 11 s.
 var DefaultConfig = Config{Watchers: 3, HeartbeatInterval: 1_000_000, MissedHeartbeats: 2, ConfirmTimeout: 1_200_000}
 
-// Probe is a call to one process about another, or about itself.
+// Probe is a call to the process To that asks whether the process Target is alive. To and Target
+// may be the same process.
 type Probe struct {
 	To, Target string
 }
 
-// Output is the result of a step.
+// Output is the result of Tick.
 type Output struct {
 	Heartbeats []string // addresses to send a heartbeat to
-	Probes     []Probe  // calls whose answers come back by HandleProbeResult
-	Dead       []string // addresses
+	Probes     []Probe  // calls to make; each result must be passed to HandleProbeResult
+	Dead       []string // addresses of the processes that were found dead
 }
 
+// watchedPeer is the state of one process that this process watches.
 type watchedPeer struct {
-	lastHeardAt    int64 // last sign of life, or when watching began
-	nextProbeAt    int64 // no probe before; 0: as soon as it is silent
-	probedAt       int64 // 0: no probe is under way
-	round          int   // 0: its other watchers are asked; 1: processes of other zones, which are to try it
-	pendingAnswers int   // that have not come
-	confirmations  int   // other processes that do not hear it either
-	aliveElsewhere bool  // another process hears it
-	answeredItself bool  // it has answered the probe
+	lastHeardAt    int64 // last heartbeat or other sign of life, or when watching began
+	nextProbeAt    int64 // the peer is not probed before this time; 0: as soon as it is unresponsive
+	probedAt       int64 // when the current probes were sent; 0: no probe is in flight
+	probeRound     int   // 0: the peer's other watchers are asked; 1: processes of other zones, which are to call the peer
+	pendingAnswers int   // probes that have not been answered
+	confirmations  int   // other processes that do not hear from the peer either
+	aliveElsewhere bool  // another process hears from the peer
+	answeredItself bool  // the peer answered a probe
 }
 
+// ringMember is a process with its position on the ring.
 type ringMember struct {
 	Peer
 	position uint64
 }
 
-// Detector is the ring as one process sees it. It is not safe for concurrent use.
+// Detector is the failure detector of one process. It is not safe for concurrent use.
 type Detector struct {
 	cfg             Config
 	self            Peer
-	ring            []ringMember // by position, this process included
-	ownWatchers     []string     // this one's watchers
-	nextWatcher     int
+	ring            []ringMember // ordered by position; includes this process
+	ownWatchers     []string     // the watchers of this process
+	nextWatcher     int          // counts heartbeats; selects the watcher that the next one goes to
 	lastHeartbeatAt int64
 	watched         map[string]*watchedPeer
 }
 
-// New returns the detector of a process that knows itself alone.
+// New returns the detector of a process that knows no other process yet.
 func New(now int64, cfg Config, self Peer) *Detector {
-	m := &Detector{cfg: cfg, self: self, watched: make(map[string]*watchedPeer)}
-	m.SetPeers(now, nil)
-	return m
+	detector := &Detector{cfg: cfg, self: self, watched: make(map[string]*watchedPeer)}
+	detector.SetPeers(now, nil)
+	return detector
 }
 
+// ringPosition returns the position of a process on the ring.
 func ringPosition(addr string) uint64 { return xxhash.Sum64String(addr) }
 
-// SetPeers sets the other processes that are thought to be alive.
+// SetPeers sets the other processes that are believed to be alive.
 func (d *Detector) SetPeers(now int64, peers []Peer) {
 	d.ring = append(d.ring[:0], ringMember{d.self, ringPosition(d.self.Addr)})
-	for _, p := range peers {
-		if p.Addr != d.self.Addr {
-			d.ring = append(d.ring, ringMember{p, ringPosition(p.Addr)})
+	for _, peer := range peers {
+		if peer.Addr != d.self.Addr {
+			d.ring = append(d.ring, ringMember{peer, ringPosition(peer.Addr)})
 		}
 	}
 	slices.SortFunc(d.ring, func(a, b ringMember) int {
 		return cmp.Or(cmp.Compare(a.position, b.position), strings.Compare(a.Addr, b.Addr))
 	})
 	d.ownWatchers = d.watchersOf(d.self)
-	keep := make(map[string]bool)
-	for _, p := range d.ring {
-		if p.Addr != d.self.Addr && slices.Contains(d.watchersOf(p.Peer), d.self.Addr) {
-			keep[p.Addr] = true
-			if d.watched[p.Addr] == nil {
-				d.watched[p.Addr] = &watchedPeer{lastHeardAt: now}
+	stillWatched := make(map[string]bool)
+	for _, peer := range d.ring {
+		if peer.Addr != d.self.Addr && slices.Contains(d.watchersOf(peer.Peer), d.self.Addr) {
+			stillWatched[peer.Addr] = true
+			if d.watched[peer.Addr] == nil {
+				d.watched[peer.Addr] = &watchedPeer{lastHeardAt: now}
 			}
 		}
 	}
 	for addr := range d.watched {
-		if !keep[addr] {
+		if !stillWatched[addr] {
 			delete(d.watched, addr)
 		}
 	}
 }
 
-// watchersOf returns the watchers of a process: the next ones on the ring, all but one of its
-// own zone and one beyond it, since a zone may be lost at once; any others if these are too few.
-func (d *Detector) watchersOf(of Peer) (out []string) {
-	at := slices.IndexFunc(d.ring, func(p ringMember) bool { return p.Addr == of.Addr })
-	if at < 0 {
+// watchersOf returns the watchers of a process: the processes that follow it on the ring, all but
+// one from its own zone and one from another zone, because a complete zone may fail at once. If
+// there are too few of these, the next processes of any zone fill up the list.
+func (d *Detector) watchersOf(peer Peer) (watchers []string) {
+	index := slices.IndexFunc(d.ring, func(member ringMember) bool { return member.Addr == peer.Addr })
+	if index < 0 {
 		return nil
 	}
-	var rest []string
-	near, far := d.cfg.Watchers-1, 1
-	for i := 1; i < len(d.ring) && near+far > 0; i++ {
-		p := d.ring[(at+i)%len(d.ring)]
+	var others []string
+	sameZoneLeft, otherZoneLeft := d.cfg.Watchers-1, 1
+	for i := 1; i < len(d.ring) && sameZoneLeft+otherZoneLeft > 0; i++ {
+		member := d.ring[(index+i)%len(d.ring)]
 		switch {
-		case p.Zone == of.Zone && near > 0:
-			near--
-			out = append(out, p.Addr)
-		case p.Zone != of.Zone && far > 0:
-			far--
-			out = append(out, p.Addr)
+		case member.Zone == peer.Zone && sameZoneLeft > 0:
+			sameZoneLeft--
+			watchers = append(watchers, member.Addr)
+		case member.Zone != peer.Zone && otherZoneLeft > 0:
+			otherZoneLeft--
+			watchers = append(watchers, member.Addr)
 		default:
-			rest = append(rest, p.Addr)
+			others = append(others, member.Addr)
 		}
 	}
-	return append(out, rest[:min(len(rest), d.cfg.Watchers-len(out))]...)
+	return append(watchers, others[:min(len(others), d.cfg.Watchers-len(watchers))]...)
 }
 
 // Watchers returns the addresses that this process sends heartbeats to.
 func (d *Detector) Watchers() []string { return slices.Clone(d.ownWatchers) }
 
-// Watched returns the addresses that send their heartbeats here.
-func (d *Detector) Watched() (out []string) {
+// Watched returns the addresses of the processes that this process watches, sorted.
+func (d *Detector) Watched() (addrs []string) {
 	for addr := range d.watched {
-		out = append(out, addr)
+		addrs = append(addrs, addr)
 	}
-	slices.Sort(out)
-	return out
+	slices.Sort(addrs)
+	return addrs
 }
 
-// Observe takes any sign of life of a process.
+// Observe records a sign of life of a process: a heartbeat or any other message.
 func (d *Detector) Observe(now int64, addr string) {
-	if w := d.watched[addr]; w != nil {
-		*w = watchedPeer{lastHeardAt: now}
+	if watched := d.watched[addr]; watched != nil {
+		*watched = watchedPeer{lastHeardAt: now}
 	}
 }
 
-// suspectTimeout is how long a watched process may be silent before it is probed.
+// suspectTimeout returns how long a watched process may be unresponsive before it is probed.
 func (d *Detector) suspectTimeout() int64 {
 	return (d.cfg.MissedHeartbeats*int64(max(d.cfg.Watchers, 1)) + 1) * d.cfg.HeartbeatInterval
 }
 
-// HandleProbe answers a probe of another watcher: whether this process has heard of one within
-// the time that it would itself wait. A process that does not watch it does not know, and is
-// to try it.
-func (d *Detector) HandleProbe(now int64, about string) (alive, knows bool) {
-	if about == d.self.Addr {
+// HandleProbe answers a probe of another watcher: alive reports whether this process has heard
+// from the target within its own suspect timeout. knows is false if this process does not watch
+// the target; the caller then has to call the target to find out.
+func (d *Detector) HandleProbe(now int64, target string) (alive, knows bool) {
+	if target == d.self.Addr {
 		return true, true
 	}
-	w := d.watched[about]
-	if w == nil {
+	watched := d.watched[target]
+	if watched == nil {
 		return false, false
 	}
-	return now-w.lastHeardAt <= d.suspectTimeout(), true
+	return now-watched.lastHeardAt <= d.suspectTimeout(), true
 }
 
-// HandleProbeResult takes the answer to a probe; answered is false if none came.
-func (d *Detector) HandleProbeResult(now int64, q Probe, alive, answered bool) {
-	w := d.watched[q.Target]
-	if w == nil || w.probedAt == 0 {
+// HandleProbeResult records the result of a probe; answered is false if the call failed or timed
+// out.
+func (d *Detector) HandleProbeResult(now int64, probe Probe, alive, answered bool) {
+	watched := d.watched[probe.Target]
+	if watched == nil || watched.probedAt == 0 {
 		return
 	}
-	w.pendingAnswers--
+	watched.pendingAnswers--
 	switch {
-	case answered && q.To == q.Target:
-		w.answeredItself = true
+	case answered && probe.To == probe.Target:
+		watched.answeredItself = true
 	case answered && alive:
-		w.aliveElsewhere = true
+		watched.aliveElsewhere = true
 	case answered:
-		w.confirmations++
+		watched.confirmations++
 	}
 }
 
-// Tick sends heartbeats, probes silent processes, and reports dead ones.
+// Tick returns the heartbeats and probes to send now, and the processes found dead.
 func (d *Detector) Tick(now int64) (out Output) {
 	if len(d.ownWatchers) > 0 && now-d.lastHeartbeatAt >= d.cfg.HeartbeatInterval {
 		d.lastHeartbeatAt = now
@@ -195,52 +202,53 @@
 		out.Heartbeats = append(out.Heartbeats, d.ownWatchers[d.nextWatcher%len(d.ownWatchers)])
 	}
 	for _, addr := range d.Watched() {
-		w := d.watched[addr]
-		if w.probedAt == 0 {
-			if now-w.lastHeardAt > d.suspectTimeout() && now >= w.nextProbeAt {
-				w.probedAt, w.aliveElsewhere, w.answeredItself, w.confirmations, w.pendingAnswers = now, false, false, 0, 1
+		watched := d.watched[addr]
+		if watched.probedAt == 0 {
+			if now-watched.lastHeardAt > d.suspectTimeout() && now >= watched.nextProbeAt {
+				watched.probedAt, watched.aliveElsewhere, watched.answeredItself, watched.confirmations, watched.pendingAnswers = now, false, false, 0, 1
 				out.Probes = append(out.Probes, Probe{To: addr, Target: addr})
-				for _, other := range d.proberCandidates(addr, w.round) {
-					w.pendingAnswers++
-					out.Probes = append(out.Probes, Probe{To: other, Target: addr})
+				for _, prober := range d.proberCandidates(addr, watched.probeRound) {
+					watched.pendingAnswers++
+					out.Probes = append(out.Probes, Probe{To: prober, Target: addr})
 				}
 			}
 			continue
 		}
-		if w.pendingAnswers > 0 && now-w.probedAt < d.cfg.ConfirmTimeout {
+		if watched.pendingAnswers > 0 && now-watched.probedAt < d.cfg.ConfirmTimeout {
 			continue
 		}
-		noOtherWitness := w.pendingAnswers <= 1 && w.confirmations == 0 && len(d.proberCandidates(addr, 0))+len(d.proberCandidates(addr, 1)) == 0
+		noOtherWitness := watched.pendingAnswers <= 1 && watched.confirmations == 0 && len(d.proberCandidates(addr, 0))+len(d.proberCandidates(addr, 1)) == 0
 		switch {
-		case w.answeredItself: // it is alive, though its heartbeats do not arrive here
-			*w = watchedPeer{lastHeardAt: now}
-		case w.aliveElsewhere:
-			w.probedAt, w.nextProbeAt = 0, now+2*d.cfg.HeartbeatInterval
-		case w.confirmations > 0, noOtherWitness && now-w.lastHeardAt > 2*d.suspectTimeout():
+		case watched.answeredItself: // the peer is alive, although its heartbeats do not arrive here
+			*watched = watchedPeer{lastHeardAt: now}
+		case watched.aliveElsewhere:
+			watched.probedAt, watched.nextProbeAt = 0, now+2*d.cfg.HeartbeatInterval
+		case watched.confirmations > 0, noOtherWitness && now-watched.lastHeardAt > 2*d.suspectTimeout():
 			delete(d.watched, addr)
 			out.Dead = append(out.Dead, addr)
-		default: // nobody else has said anything: this one may be what is cut off
-			w.probedAt, w.nextProbeAt, w.round = 0, now+d.cfg.HeartbeatInterval, 1-w.round
+		default: // no other process has answered: this process may be the partitioned one
+			watched.probedAt, watched.nextProbeAt, watched.probeRound = 0, now+d.cfg.HeartbeatInterval, 1-watched.probeRound
 		}
 	}
 	return out
 }
 
-// proberCandidates returns the processes that are asked about a silent one: its other watchers
-// or, since these may be lost with it, processes of other zones.
-func (d *Detector) proberCandidates(addr string, round int) (out []string) {
-	at := slices.IndexFunc(d.ring, func(p ringMember) bool { return p.Addr == addr })
-	if at < 0 {
+// proberCandidates returns the processes that are asked about an unresponsive one: in round 0 its
+// other watchers; in round 1, because these may have failed together with it, processes of other
+// zones.
+func (d *Detector) proberCandidates(addr string, round int) (candidates []string) {
+	index := slices.IndexFunc(d.ring, func(member ringMember) bool { return member.Addr == addr })
+	if index < 0 {
 		return nil
 	}
-	of := d.ring[at]
+	peer := d.ring[index]
 	if round == 0 {
-		return slices.DeleteFunc(d.watchersOf(of.Peer), func(o string) bool { return o == d.self.Addr })
+		return slices.DeleteFunc(d.watchersOf(peer.Peer), func(watcher string) bool { return watcher == d.self.Addr })
 	}
-	for i := 1; i < len(d.ring) && len(out) < d.cfg.Watchers; i++ {
-		if p := d.ring[(at+i)%len(d.ring)]; p.Zone != of.Zone && p.Addr != d.self.Addr {
-			out = append(out, p.Addr)
+	for i := 1; i < len(d.ring) && len(candidates) < d.cfg.Watchers; i++ {
+		if member := d.ring[(index+i)%len(d.ring)]; member.Zone != peer.Zone && member.Addr != d.self.Addr {
+			candidates = append(candidates, member.Addr)
 		}
 	}
-	return out
+	return candidates
 }
--- a/internal/cluster/failuredetector/failuredetector_test.go
+++ b/internal/cluster/failuredetector/failuredetector_test.go
@@ -11,152 +11,153 @@
 
 const second = int64(1_000_000)
 
-// net is processes on a ring in virtual time: beats and questions arrive at once or not
-// at all, and a death that one tells is known to all at the next step.
-type net struct {
-	rng   *rand.Rand
-	peers []Peer
-	ring  map[string]*Detector
-	up    map[string]bool
-	cut   map[[2]string]bool // one way
-	loss  float64
-	now   int64
-	dead  map[string]int64 // told, when
-	known int
-	sent  int
+// testNetwork runs the detectors of several processes in virtual time. Heartbeats and probes
+// arrive at once or not at all; a death that one detector reports is known to all processes at
+// the next step.
+type testNetwork struct {
+	rng          *rand.Rand
+	peers        []Peer
+	detectors    map[string]*Detector
+	alive        map[string]bool
+	blocked      map[[2]string]bool // by sender and receiver: one direction
+	lossRate     float64
+	now          int64
+	deadAt       map[string]int64 // when the process was reported dead
+	reportedDead int
+	sent         int
 }
 
-func newNet(seed uint64, zones, each int) *net {
-	n := &net{rng: rand.New(rand.NewPCG(seed, 1)), ring: make(map[string]*Detector), up: make(map[string]bool), cut: make(map[[2]string]bool), dead: make(map[string]int64)}
-	for z := range zones {
-		for i := range each {
-			p := Peer{fmt.Sprintf("10.%d.0.%d:7080", z, i), fmt.Sprint("z", z)}
-			n.peers = append(n.peers, p)
-			n.ring[p.Addr] = New(0, DefaultConfig, p)
-			n.up[p.Addr] = true
+func newNetwork(seed uint64, zones, perZone int) *testNetwork {
+	network := &testNetwork{rng: rand.New(rand.NewPCG(seed, 1)), detectors: make(map[string]*Detector), alive: make(map[string]bool), blocked: make(map[[2]string]bool), deadAt: make(map[string]int64)}
+	for zone := range zones {
+		for i := range perZone {
+			peer := Peer{fmt.Sprintf("10.%d.0.%d:7080", zone, i), fmt.Sprint("z", zone)}
+			network.peers = append(network.peers, peer)
+			network.detectors[peer.Addr] = New(0, DefaultConfig, peer)
+			network.alive[peer.Addr] = true
 		}
 	}
-	n.know()
-	return n
+	network.updatePeers()
+	return network
 }
 
-func (n *net) know() {
-	live := slices.DeleteFunc(slices.Clone(n.peers), func(p Peer) bool { return n.dead[p.Addr] != 0 })
-	for _, m := range n.ring {
-		m.SetPeers(n.now, live)
+func (network *testNetwork) updatePeers() {
+	alive := slices.DeleteFunc(slices.Clone(network.peers), func(p Peer) bool { return network.deadAt[p.Addr] != 0 })
+	for _, detector := range network.detectors {
+		detector.SetPeers(network.now, alive)
 	}
 }
 
-func (n *net) reaches(a, b string) bool {
-	return n.up[a] && n.up[b] && !n.cut[[2]string{a, b}] && n.rng.Float64() >= n.loss
+func (network *testNetwork) delivers(from, to string) bool {
+	return network.alive[from] && network.alive[to] && !network.blocked[[2]string{from, to}] && network.rng.Float64() >= network.lossRate
 }
 
-func (n *net) step() {
-	n.now += second / 2
-	for _, p := range n.peers {
-		if !n.up[p.Addr] || n.dead[p.Addr] != 0 {
+func (network *testNetwork) step() {
+	network.now += second / 2
+	for _, peer := range network.peers {
+		if !network.alive[peer.Addr] || network.deadAt[peer.Addr] != 0 {
 			continue
 		}
-		m := n.ring[p.Addr]
-		out := m.Tick(n.now)
+		detector := network.detectors[peer.Addr]
+		out := detector.Tick(network.now)
 		for _, to := range out.Heartbeats {
-			n.sent++
-			if n.reaches(p.Addr, to) {
-				n.ring[to].Observe(n.now, p.Addr)
+			network.sent++
+			if network.delivers(peer.Addr, to) {
+				network.detectors[to].Observe(network.now, peer.Addr)
 			}
 		}
-		for _, q := range out.Probes {
-			n.sent++
-			if !n.reaches(p.Addr, q.To) || !n.reaches(q.To, p.Addr) {
-				m.HandleProbeResult(n.now, q, false, false)
+		for _, probe := range out.Probes {
+			network.sent++
+			if !network.delivers(peer.Addr, probe.To) || !network.delivers(probe.To, peer.Addr) {
+				detector.HandleProbeResult(network.now, probe, false, false)
 				continue
 			}
-			hears, knows := n.ring[q.To].HandleProbe(n.now, q.Target)
+			heard, knows := network.detectors[probe.To].HandleProbe(network.now, probe.Target)
 			if !knows {
-				n.sent++
-				hears = n.reaches(q.To, q.Target) && n.reaches(q.Target, q.To)
+				network.sent++
+				heard = network.delivers(probe.To, probe.Target) && network.delivers(probe.Target, probe.To)
 			}
-			m.HandleProbeResult(n.now, q, hears, true)
+			detector.HandleProbeResult(network.now, probe, heard, true)
 		}
-		for _, d := range out.Dead {
-			n.dead[d] = n.now
+		for _, addr := range out.Dead {
+			network.deadAt[addr] = network.now
 		}
 	}
-	if len(n.dead) != n.known {
-		n.known = len(n.dead)
-		n.know()
+	if len(network.deadAt) != network.reportedDead {
+		network.reportedDead = len(network.deadAt)
+		network.updatePeers()
 	}
 }
 
-func (n *net) run(seconds int64) {
-	for end := n.now + seconds*second; n.now < end; {
-		n.step()
+func (network *testNetwork) run(seconds int64) {
+	for end := network.now + seconds*second; network.now < end; {
+		network.step()
 	}
 }
 
 func TestRing(t *testing.T) {
-	Convey("Each beats at a few, one of them in another zone, whatever their number", t, func() {
-		for _, each := range []int{1, 2, 5, 50} {
-			n := newNet(1, 6, each)
-			for _, p := range n.peers {
-				w := n.ring[p.Addr].Watchers()
-				So(w, ShouldHaveLength, 3)
-				So(slices.Compact(slices.Sorted(slices.Values(w))), ShouldHaveLength, 3)
-				far := slices.IndexFunc(w, func(a string) bool { return a[:5] != p.Addr[:5] })
-				So(far, ShouldBeGreaterThanOrEqualTo, 0)
+	Convey("Each process has three watchers, one of them in another zone, at any cluster size", t, func() {
+		for _, perZone := range []int{1, 2, 5, 50} {
+			network := newNetwork(1, 6, perZone)
+			for _, peer := range network.peers {
+				watchers := network.detectors[peer.Addr].Watchers()
+				So(watchers, ShouldHaveLength, 3)
+				So(slices.Compact(slices.Sorted(slices.Values(watchers))), ShouldHaveLength, 3)
+				otherZone := slices.IndexFunc(watchers, func(addr string) bool { return addr[:5] != peer.Addr[:5] })
+				So(otherZone, ShouldBeGreaterThanOrEqualTo, 0)
 			}
-			n.run(30)
-			So(len(n.dead), ShouldEqual, 0)
-			So(n.sent, ShouldBeLessThanOrEqualTo, 31*len(n.peers))
+			network.run(30)
+			So(len(network.deadAt), ShouldEqual, 0)
+			So(network.sent, ShouldBeLessThanOrEqualTo, 31*len(network.peers))
 		}
 	})
-	Convey("A process that dies is told of within 15 s, no other is", t, func() {
+	Convey("A dead process is reported within 15 s, and no other process is", t, func() {
 		worst := int64(0)
 		for seed := range uint64(40) {
-			n := newNet(seed, 3, 5)
-			n.run(10)
-			x := n.peers[n.rng.IntN(len(n.peers))].Addr
-			n.up[x] = false
-			at := n.now
-			n.run(15)
-			So(n.dead[x], ShouldNotEqual, 0)
-			So(len(n.dead), ShouldEqual, 1)
-			worst = max(worst, n.dead[x]-at)
+			network := newNetwork(seed, 3, 5)
+			network.run(10)
+			victim := network.peers[network.rng.IntN(len(network.peers))].Addr
+			network.alive[victim] = false
+			failedAt := network.now
+			network.run(15)
+			So(network.deadAt[victim], ShouldNotEqual, 0)
+			So(len(network.deadAt), ShouldEqual, 1)
+			worst = max(worst, network.deadAt[victim]-failedAt)
 		}
 		So(worst, ShouldBeLessThanOrEqualTo, 11*second)
 	})
-	Convey("A zone that is lost whole is told of, though its processes watch one another", t, func() {
+	Convey("A complete zone that fails is reported, although its processes watch one another", t, func() {
 		for seed := range uint64(20) {
-			n := newNet(seed, 3, 6)
-			n.run(10)
-			for _, p := range n.peers {
-				if p.Zone == "z1" {
-					n.up[p.Addr] = false
+			network := newNetwork(seed, 3, 6)
+			network.run(10)
+			for _, peer := range network.peers {
+				if peer.Zone == "z1" {
+					network.alive[peer.Addr] = false
 				}
 			}
-			n.run(30)
-			So(len(n.dead), ShouldEqual, 6)
+			network.run(30)
+			So(len(network.deadAt), ShouldEqual, 6)
 		}
 	})
-	Convey("One that is cut off calls nobody dead, nor does a tenth of messages lost", t, func() {
+	Convey("Neither a partitioned process nor a loss of a tenth of the messages causes a false report", t, func() {
 		for seed := range uint64(40) {
-			n := newNet(seed, 3, 5)
-			n.loss = 0.1
-			x := n.peers[n.rng.IntN(len(n.peers))].Addr
-			for _, p := range n.peers { // it hears nobody, everybody hears it
-				n.cut[[2]string{p.Addr, x}] = true
+			network := newNetwork(seed, 3, 5)
+			network.lossRate = 0.1
+			victim := network.peers[network.rng.IntN(len(network.peers))].Addr
+			for _, peer := range network.peers { // the victim receives nothing; the others receive its messages
+				network.blocked[[2]string{peer.Addr, victim}] = true
 			}
-			n.run(60)
-			So(len(n.dead), ShouldEqual, 0)
+			network.run(60)
+			So(len(network.deadAt), ShouldEqual, 0)
 		}
 	})
-	Convey("Alone with one other there is no second witness: it is given twice the time", t, func() {
-		n := newNet(1, 1, 2)
-		n.run(5)
-		n.up[n.peers[1].Addr] = false
-		n.run(12)
-		So(len(n.dead), ShouldEqual, 0)
-		n.run(14)
-		So(len(n.dead), ShouldEqual, 1)
+	Convey("With only two processes there is no second observer, and the timeout is doubled", t, func() {
+		network := newNetwork(1, 1, 2)
+		network.run(5)
+		network.alive[network.peers[1].Addr] = false
+		network.run(12)
+		So(len(network.deadAt), ShouldEqual, 0)
+		network.run(14)
+		So(len(network.deadAt), ShouldEqual, 1)
 	})
 }
