--- a/internal/cluster/gossip/gossip_test.go
+++ b/internal/cluster/gossip/gossip_test.go
@@ -8,80 +8,80 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-func item(key string, rank uint64, body string) Entry {
-	return Entry{Key: key, Version: rank, Value: []byte(body)}
+func newTestEntry(key string, version uint64, value string) Entry {
+	return Entry{Key: key, Version: version, Value: []byte(value)}
 }
 
-func TestBook(t *testing.T) {
-	Convey("The higher rank counts, whatever the order", t, func() {
-		b := NewStore()
-		So(b.Put(1, item("k", 5, `1`), 2, true), ShouldBeTrue)
-		So(b.Put(2, item("k", 4, `0`), 2, true), ShouldBeFalse)
-		So(b.Put(3, item("k", 5, `9`), 2, true), ShouldBeFalse)
-		got, _ := b.Get("k")
+func TestStore(t *testing.T) {
+	Convey("The entry with the higher version wins, in any order of arrival", t, func() {
+		store := NewStore()
+		So(store.Put(1, newTestEntry("k", 5, `1`), 2, true), ShouldBeTrue)
+		So(store.Put(2, newTestEntry("k", 4, `0`), 2, true), ShouldBeFalse)
+		So(store.Put(3, newTestEntry("k", 5, `9`), 2, true), ShouldBeFalse)
+		got, _ := store.Get("k")
 		So(string(got.Value), ShouldEqual, "1")
-		So(b.Put(4, Entry{Key: "k", Version: 6}, 2, true), ShouldBeTrue)
-		got, known := b.Get("k")
+		So(store.Put(4, Entry{Key: "k", Version: 6}, 2, true), ShouldBeTrue)
+		got, known := store.Get("k")
 		So(known && got.Deleted(), ShouldBeTrue)
-		b.PurgeTombstones(4 + tombstoneLifetime + 1)
-		So(b.Len(), ShouldEqual, 0)
+		store.PurgeTombstones(4 + tombstoneLifetime + 1)
+		So(store.Len(), ShouldEqual, 0)
 	})
-	Convey("Since tells what changed, each key once", t, func() {
-		b := NewStore()
+	Convey("ChangedSince returns each changed key once", t, func() {
+		store := NewStore()
 		for i := range 500 {
-			b.Put(int64(i), item(fmt.Sprint(i%7), uint64(i), `1`), 0, false)
+			store.Put(int64(i), newTestEntry(fmt.Sprint(i%7), uint64(i), `1`), 0, false)
 		}
-		So(b.ChangedSince(0), ShouldHaveLength, 7)
-		at := b.Seq()
-		b.Put(999, item("3", 999, `2`), 0, false)
-		So(b.ChangedSince(at), ShouldHaveLength, 1)
-		So(b.ChangedSince(b.Seq()), ShouldBeEmpty)
+		So(store.ChangedSince(0), ShouldHaveLength, 7)
+		seq := store.Seq()
+		store.Put(999, newTestEntry("3", 999, `2`), 0, false)
+		So(store.ChangedSince(seq), ShouldHaveLength, 1)
+		So(store.ChangedSince(store.Seq()), ShouldBeEmpty)
 	})
-	Convey("News is passed on so often, wide news to other zones once, and large news by its rank", t, func() {
-		b := NewStore()
-		b.Put(1, item("small", 1, `1`), 2, true)
-		b.Put(1, item("large", 1, `"`+string(make([]byte, maxInlineValue))+`"`), 2, false)
-		near, wide := b.TakePending()
-		So(near.Inline, ShouldHaveLength, 1)
-		So(near.Advertised, ShouldHaveLength, 1)
-		So(wide.Inline, ShouldHaveLength, 1)
-		near, wide = b.TakePending()
-		So(near.Empty(), ShouldBeFalse)
-		So(wide.Empty(), ShouldBeTrue)
-		So(b.NothingPending(), ShouldBeTrue)
-		So(b.Missing([]EntryVersion{{"small", 1}, {"small", 2}, {"x", 1}}), ShouldResemble, []string{"small", "x"})
+	Convey("An entry is forwarded a limited number of times, to other zones once, and a large one only as its version", t, func() {
+		store := NewStore()
+		store.Put(1, newTestEntry("small", 1, `1`), 2, true)
+		store.Put(1, newTestEntry("large", 1, `"`+string(make([]byte, maxInlineValue))+`"`), 2, false)
+		sameZone, otherZones := store.TakePending()
+		So(sameZone.Inline, ShouldHaveLength, 1)
+		So(sameZone.Advertised, ShouldHaveLength, 1)
+		So(otherZones.Inline, ShouldHaveLength, 1)
+		sameZone, otherZones = store.TakePending()
+		So(sameZone.Empty(), ShouldBeFalse)
+		So(otherZones.Empty(), ShouldBeTrue)
+		So(store.NothingPending(), ShouldBeTrue)
+		So(store.Missing([]EntryVersion{{"small", 1}, {"small", 2}, {"x", 1}}), ShouldResemble, []string{"small", "x"})
 	})
-	Convey("Two books that compare digests hold the same, and equal ones say nothing", t, func() {
+	Convey("Two stores that compare digests converge, and equal stores exchange nothing", t, func() {
 		rng := rand.New(rand.NewPCG(3, 4))
 		for range 200 {
-			a, b := NewStore(), NewStore()
+			local, remote := NewStore(), NewStore()
 			for i := range 80 {
-				x := item(fmt.Sprint(rng.IntN(60)), rng.Uint64N(9)+1, `1`)
-				if x.Version > 7 { // of one rank there is one value
-					x.Value = nil
+				entry := newTestEntry(fmt.Sprint(rng.IntN(60)), rng.Uint64N(9)+1, `1`)
+				if entry.Version > 7 { // equal versions of a key must have equal values
+					entry.Value = nil
 				}
-				[]*Store{a, b}[rng.IntN(2)].Put(int64(i), x, 1, false)
+				[]*Store{local, remote}[rng.IntN(2)].Put(int64(i), entry, 1, false)
 			}
-			for range 2 { // a asks b, as processes do
-				marks, buckets := b.VersionsWhereDifferent(a.Digest())
-				news, want := a.Diff(marks, buckets)
-				for _, x := range news {
-					b.Put(99, x, 1, false)
+			for range 2 { // local calls remote, as two processes would
+				versions, buckets := remote.VersionsWhereDifferent(local.Digest())
+				newer, want := local.Diff(versions, buckets)
+				for _, entry := range newer {
+					remote.Put(99, entry, 1, false)
 				}
-				for _, x := range b.GetAll(want) {
-					a.Put(99, x, 1, false)
+				for _, entry := range remote.GetAll(want) {
+					local.Put(99, entry, 1, false)
 				}
 			}
-			if a.Digest() != b.Digest() {
+			if local.Digest() != remote.Digest() {
 				t.Fatal("digests still differ")
 			}
-			marks, buckets := b.VersionsWhereDifferent(a.Digest())
-			if len(marks)+len(buckets) > 0 {
-				t.Fatal("equal books have something to say")
+			versions, buckets := remote.VersionsWhereDifferent(local.Digest())
+			if len(versions)+len(buckets) > 0 {
+				t.Fatal("equal stores report differences")
 			}
-			a.RangeSorted(func(x Entry) {
-				if y, known := b.Get(x.Key); !x.Deleted() && (!known || y.Version != x.Version) {
-					t.Fatalf("%v and %v", x, y)
+			local.RangeSorted(func(entry Entry) {
+				if other, known := remote.Get(entry.Key); !entry.Deleted() && (!known || other.Version != entry.Version) {
+					t.Fatalf("%v in the local store and %v in the remote one", entry, other)
 				}
 			})
 		}
--- a/internal/cluster/gossip/gossiper.go
+++ b/internal/cluster/gossip/gossiper.go
@@ -1,7 +1,7 @@
 package gossip
 
-// The gossip of one process with the others. It owns no connection: the calls to make come out
-// of TakeCalls, and their outcomes come back by HandleResponse.
+// This file contains the gossip protocol of one process with the others. It opens no connections:
+// TakeCalls returns the calls to make, and HandleResponse receives their results.
 
 import (
 	"encoding/json"
@@ -20,92 +20,95 @@
 	Control string `json:"c,omitempty"`
 }
 
-// The kinds of processes as they stand on the wire. The values are the names that the programs
-// had in the first releases, and stay: processes of two releases talk to each other.
+// The kinds of processes as encoded on the wire. The values are the names that the programs had in
+// the first releases. They must not change, because processes of two releases communicate with
+// each other.
 const (
 	KindAgent        = "echo" // the agent beside a proxy
 	KindControlPlane = "keel" // a control-plane process
 )
 
-// ProcessPrefix begins the keys of processes. An odd version, or no value, means that the
-// process is thought to be dead; a process that is alive answers with the next even version.
+// ProcessPrefix is the prefix of the keys of processes. An odd version or an empty value means
+// that the process is believed to be dead; a process that is alive refutes this by publishing the
+// next even version.
 const ProcessPrefix = "p/"
 
-// initialVersion is the version of a process that nothing is known of. An odd version, or no
-// value, means that the process is thought to be dead; a process that is alive answers with
-// the next even one.
-const initialVersion = 2 // of a process that nothing is known of
+// initialVersion is the version of the entry of a process that has just started. It is even, so
+// the process counts as alive (see ProcessPrefix).
+const initialVersion = 2
 
-// ExchangeRequest is what one process sends another.
+// ExchangeRequest is the message that one process sends to another.
 type ExchangeRequest struct {
 	From     string         `json:"f"`
 	Entries  []Entry        `json:"n,omitempty"`
-	Versions []EntryVersion `json:"m,omitempty"` // of entries that are too large to be sent unasked
-	Checksum uint64         `json:"s,omitempty"` // of the caller's whole store; 0: not sent
+	Versions []EntryVersion `json:"m,omitempty"` // entries that are too large to be sent without a request
+	Checksum uint64         `json:"s,omitempty"` // of the caller's complete store; 0: not sent
 	Digest   *Digest        `json:"d,omitempty"` // of the caller's store
-	Want     []string       `json:"a,omitempty"` // keys
+	Want     []string       `json:"a,omitempty"` // keys of requested entries
 }
 
-// ExchangeResponse answers ExchangeRequest.
+// ExchangeResponse is the response to an ExchangeRequest.
 type ExchangeResponse struct {
-	Differs  bool           `json:"x,omitempty"` // the checksums do
-	Want     []string       `json:"w,omitempty"`
-	Versions []EntryVersion `json:"m,omitempty"`
-	Buckets  []int          `json:"b,omitempty"`
-	Entries  []Entry        `json:"n,omitempty"`
+	Differs  bool           `json:"x,omitempty"` // the checksums of the two stores differ
+	Want     []string       `json:"w,omitempty"` // keys of requested entries
+	Versions []EntryVersion `json:"m,omitempty"` // of the responder's entries in Buckets
+	Buckets  []int          `json:"b,omitempty"` // buckets in which the digests differ
+	Entries  []Entry        `json:"n,omitempty"` // entries that the request asked for
 }
 
-// OutboundCall is a call to make. Its outcome must come back by HandleResponse, once.
+// OutboundCall is a call to make. Its result must be passed to HandleResponse exactly once.
 type OutboundCall struct {
 	ID      uint64
 	To      string
 	Request ExchangeRequest
 }
 
-// Config tunes a gossiper. Times are microseconds of the caller's clock.
+// Config configures a gossiper. Times are microseconds of the caller's clock.
 type Config struct {
-	Fanout           int   // peers of the own zone that the entries of one message go to
-	MaxTransmits     int   // messages that an entry is sent in from one process
-	GossipInterval   int64 // between two messages of entries
-	JoinRetryMin     int64 // between two attempts to reach the seeds, at first
-	JoinRetryMax     int64 // and at most
-	RejoinInterval   int64 // between two draws of lost processes to call
-	PeerBackoff      int64 // a peer that did not answer is left alone for so long, times its failures
-	PeerBackoffMax   int64 // at most
-	MaxCallsInFlight int   // further calls are dropped; the next comparison makes up for them
+	Fanout           int   // number of peers in this zone that each message of entries is sent to
+	MaxTransmits     int   // number of messages in which one process forwards an entry
+	GossipInterval   int64 // time between two messages of entries
+	JoinRetryMin     int64 // initial time between two attempts to reach the seeds
+	JoinRetryMax     int64 // maximum time between two attempts to reach the seeds
+	RejoinInterval   int64 // time between two selections of lost processes to call
+	PeerBackoff      int64 // backoff of a peer that did not answer, per consecutive failure
+	PeerBackoffMax   int64 // maximum backoff of a peer
+	MaxCallsInFlight int   // further calls are dropped; the next comparison of stores repairs what they would have sent
 }
 
-// DefaultConfig is the configuration for service.
+// DefaultConfig is the configuration used in production.
 var DefaultConfig = Config{Fanout: 2, MaxTransmits: 2, GossipInterval: 100_000, JoinRetryMin: 60_000, JoinRetryMax: 2_000_000, RejoinInterval: 500_000, PeerBackoff: 1_000_000, PeerBackoffMax: 8_000_000,
 	MaxCallsInFlight: 64}
 
+// peerBackoff is the backoff of a peer that did not answer.
 type peerBackoff struct {
-	failures int64
-	until    int64
+	failures int64 // consecutive
+	until    int64 // no entries are forwarded to the peer before this time
 }
 
-// callPurpose says what a call is for.
+// callPurpose is the purpose of a call.
 type callPurpose int
 
 const (
-	pushUpdate      callPurpose = iota // new entries for one process; the next of the alternates if it fails
-	pushWanted                         // entries that were asked for
-	compareChecksum                    // one checksum
-	compareDigest                      // a digest by bucket
-	exchangeEntries                    // what either side lacks
+	pushUpdate      callPurpose = iota // sends new entries to one process, or to the next alternate if the call fails
+	pushWanted                         // sends entries that the peer requested
+	compareChecksum                    // compares one checksum of each store
+	compareDigest                      // compares digests by bucket
+	exchangeEntries                    // sends the entries that the peer lacks and requests those that this process lacks
 )
 
+// callState is a call in flight.
 type callState struct {
 	purpose    callPurpose
 	to         string
-	alternates []string // of give: who else would do
-	update     Update
+	alternates []string // for pushUpdate: addresses to try next if the call fails
+	update     Update   // for pushUpdate
 }
 
-// Gossiper is the gossip of one process. It is not safe for concurrent use.
+// Gossiper runs the gossip protocol of one process. It is not safe for concurrent use.
 type Gossiper struct {
 	Store    *Store
-	OnUpdate func(Entry) // called after an entry was stored; may be nil
+	OnUpdate func(Entry) // called after each entry that was stored; may be nil
 
 	cfg      Config
 	self     Process
@@ -115,37 +118,38 @@
 	backoffs map[string]peerBackoff
 	inFlight map[uint64]callState
 	lost     lostPeers
-	leaving  bool // its end was announced: it does not refute that
+	leaving  bool // AnnounceLeave was called: the process does not refute its own tombstone
 	lastID   uint64
 	outbox   []OutboundCall
 
 	nextJoinAt, joinInterval, nextGossipAt, nextRejoinAt int64
-	differencesFound                                     int // by comparisons
+	differencesFound                                     int // by comparisons of stores
 }
 
-// New returns the gossiper of a process that knows itself and some addresses to ask.
+// New returns the gossiper of a process that knows only itself and the seeds.
 func New(now int64, cfg Config, self Process, seeds []string, rng *rand.Rand) *Gossiper {
-	t := &Gossiper{Store: NewStore(), cfg: cfg, self: self, rng: rng, seeds: seeds, peers: make(map[string]Process),
+	gossiper := &Gossiper{Store: NewStore(), cfg: cfg, self: self, rng: rng, seeds: seeds, peers: make(map[string]Process),
 		backoffs: make(map[string]peerBackoff), inFlight: make(map[uint64]callState), lost: newLostPeers(), joinInterval: cfg.JoinRetryMin}
-	t.Put(now, t.selfEntry(initialVersion), true)
-	return t
+	gossiper.Put(now, gossiper.selfEntry(initialVersion), true)
+	return gossiper
 }
 
+// selfEntry returns the entry that describes this process.
 func (g *Gossiper) selfEntry(version uint64) Entry {
-	body, err := json.Marshal(g.self)
+	value, err := json.Marshal(g.self)
 	if err != nil {
-		panic(err) // a struct of texts always has a form
+		panic(err) // unreachable: a struct of strings can always be encoded
 	}
-	return Entry{Key: ProcessPrefix + g.self.Addr, Version: version, Value: body}
+	return Entry{Key: ProcessPrefix + g.self.Addr, Version: version, Value: value}
 }
 
-// AnnounceLeave informs the others that this process ends.
+// AnnounceLeave publishes that this process shuts down.
 func (g *Gossiper) AnnounceLeave(now int64) {
 	g.leaving = true
 	g.MarkDead(now, g.self.Addr)
 }
 
-// MarkDead announces that a process is gone. One that is alive refutes it.
+// MarkDead publishes that a process is dead. A process that is alive refutes it.
 func (g *Gossiper) MarkDead(now int64, addr string) {
 	key := ProcessPrefix + addr
 	if stored, known := g.Store.Get(key); known && !stored.Deleted() {
@@ -153,156 +157,162 @@
 	}
 }
 
-// Put stores an entry of this process or of another, to be passed on, and reports whether it
-// was newer.
-func (g *Gossiper) Put(now int64, i Entry, allZones bool) bool {
-	if i.Key == ProcessPrefix+g.self.Addr && i.Deleted() && !g.leaving { // we live
-		i = g.selfEntry((i.Version/2 + 1) * 2)
+// Put stores an entry of this process or of another one, queues it for forwarding, and reports
+// whether it was newer than the stored one. A tombstone of this process is refuted, unless
+// AnnounceLeave was called.
+func (g *Gossiper) Put(now int64, entry Entry, allZones bool) bool {
+	if entry.Key == ProcessPrefix+g.self.Addr && entry.Deleted() && !g.leaving { // this process is alive
+		entry = g.selfEntry((entry.Version/2 + 1) * 2)
 		allZones = true
 	}
-	return g.apply(now, i, allZones)
+	return g.apply(now, entry, allZones)
 }
 
-func (g *Gossiper) apply(now int64, i Entry, allZones bool) bool {
-	if !g.Store.Put(now, i, g.cfg.MaxTransmits, allZones) {
+// apply stores an entry and updates the peers and the lost peers.
+func (g *Gossiper) apply(now int64, entry Entry, allZones bool) bool {
+	if !g.Store.Put(now, entry, g.cfg.MaxTransmits, allZones) {
 		return false
 	}
-	if addr, is := strings.CutPrefix(i.Key, ProcessPrefix); is && addr != g.self.Addr {
-		p := Process{Addr: addr}
-		if i.Deleted() || json.Unmarshal(i.Value, &p) != nil {
+	if addr, isProcess := strings.CutPrefix(entry.Key, ProcessPrefix); isProcess && addr != g.self.Addr {
+		process := Process{Addr: addr}
+		if entry.Deleted() || json.Unmarshal(entry.Value, &process) != nil {
 			delete(g.peers, addr)
 			g.lost.add(now, addr)
 		} else {
-			g.peers[addr] = p
+			g.peers[addr] = process
 			g.lost.remove(addr)
-			delete(g.backoffs, addr) // it has answered someone
+			delete(g.backoffs, addr) // another process has received an answer from it
 		}
 	}
 	if g.OnUpdate != nil {
-		g.OnUpdate(i)
+		g.OnUpdate(entry)
 	}
 	return true
 }
 
-// SetSeeds sets the addresses to ask while no other process is known.
+// SetSeeds sets the addresses to call while no other process is known.
 func (g *Gossiper) SetSeeds(addrs []string) { g.seeds = addrs }
 
-// Peers returns the other processes, of one kind or of any, ordered by address.
+// Peers returns the other processes that are believed to be alive, ordered by address. An empty
+// kind selects all kinds.
 func (g *Gossiper) Peers(kind string) []Process {
-	out := make([]Process, 0, len(g.peers))
-	for _, p := range g.peers {
-		if kind == "" || p.Kind == kind {
-			out = append(out, p)
+	peers := make([]Process, 0, len(g.peers))
+	for _, peer := range g.peers {
+		if kind == "" || peer.Kind == kind {
+			peers = append(peers, peer)
 		}
 	}
-	slices.SortFunc(out, func(a, b Process) int { return strings.Compare(a.Addr, b.Addr) })
-	return out
+	slices.SortFunc(peers, func(a, b Process) int { return strings.Compare(a.Addr, b.Addr) })
+	return peers
 }
 
-// Reachable reports whether a peer answered its last call, or its backoff is over.
+// Reachable reports whether a peer is not in backoff: it answered the last call, or its backoff is
+// over.
 func (g *Gossiper) Reachable(now int64, addr string) bool { return now >= g.backoffs[addr].until }
 
-// DifferencesFound counts the differences that comparisons have found.
+// DifferencesFound returns the number of checksum comparisons that found a difference.
 func (g *Gossiper) DifferencesFound() int { return g.differencesFound }
 
 // checksum summarizes the store; it is never 0.
 func (g *Gossiper) checksum() uint64 {
-	s := uint64(0)
-	for _, x := range g.Store.Digest() {
-		s = s*0x9E3779B97F4A7C15 + x
+	sum := uint64(0)
+	for _, bucketHash := range g.Store.Digest() {
+		sum = sum*0x9E3779B97F4A7C15 + bucketHash
 	}
-	return s | 1
+	return sum | 1
 }
 
-// HandleRequest answers another process.
-func (g *Gossiper) HandleRequest(now int64, p ExchangeRequest) ExchangeResponse {
-	delete(g.backoffs, p.From)
-	for _, i := range p.Entries {
-		g.Put(now, i, false)
+// HandleRequest processes the request of another process and returns the response.
+func (g *Gossiper) HandleRequest(now int64, request ExchangeRequest) ExchangeResponse {
+	delete(g.backoffs, request.From)
+	for _, entry := range request.Entries {
+		g.Put(now, entry, false)
 	}
-	ans := ExchangeResponse{Want: g.Store.Missing(p.Versions), Entries: g.Store.GetAll(p.Want)}
-	if p.Checksum != 0 && p.Digest == nil {
-		ans.Differs = p.Checksum != g.checksum()
+	response := ExchangeResponse{Want: g.Store.Missing(request.Versions), Entries: g.Store.GetAll(request.Want)}
+	if request.Checksum != 0 && request.Digest == nil {
+		response.Differs = request.Checksum != g.checksum()
 	}
-	if p.Digest != nil {
-		ans.Versions, ans.Buckets = g.Store.VersionsWhereDifferent(*p.Digest)
+	if request.Digest != nil {
+		response.Versions, response.Buckets = g.Store.VersionsWhereDifferent(*request.Digest)
 	}
-	return ans
+	return response
 }
 
-func (g *Gossiper) startCall(k callState, p ExchangeRequest) {
+// startCall queues a call, unless the maximum number of calls is in flight.
+func (g *Gossiper) startCall(call callState, request ExchangeRequest) {
 	if len(g.inFlight) >= g.cfg.MaxCallsInFlight {
-		return // what is not said now is found by the next comparison
+		return // the next comparison of stores finds what is not sent now
 	}
 	g.lastID++
-	p.From = g.self.Addr
-	g.inFlight[g.lastID] = k
-	g.outbox = append(g.outbox, OutboundCall{ID: g.lastID, To: k.to, Request: p})
+	request.From = g.self.Addr
+	g.inFlight[g.lastID] = call
+	g.outbox = append(g.outbox, OutboundCall{ID: g.lastID, To: call.to, Request: request})
 }
 
-// TakeCalls returns the calls to make.
+// TakeCalls returns and removes the queued calls, which the caller must make.
 func (g *Gossiper) TakeCalls() []OutboundCall {
-	out := g.outbox
+	calls := g.outbox
 	g.outbox = nil
-	return out
+	return calls
 }
 
-// HandleResponse takes the outcome of a call.
-func (g *Gossiper) HandleResponse(now int64, id uint64, ans ExchangeResponse, ok bool) {
-	k, known := g.inFlight[id]
+// HandleResponse processes the result of a call; ok is false if the call failed.
+func (g *Gossiper) HandleResponse(now int64, id uint64, response ExchangeResponse, ok bool) {
+	call, known := g.inFlight[id]
 	if !known {
 		return
 	}
 	delete(g.inFlight, id)
 	if !ok {
-		r := g.backoffs[k.to]
-		r.failures++
-		r.until = now + min(r.failures*g.cfg.PeerBackoff, g.cfg.PeerBackoffMax)
-		g.backoffs[k.to] = r
-		if k.purpose == pushUpdate && len(k.alternates) > 0 {
-			k.to, k.alternates = k.alternates[0], k.alternates[1:]
-			g.startCall(k, ExchangeRequest{Entries: k.update.Inline, Versions: k.update.Advertised})
+		backoff := g.backoffs[call.to]
+		backoff.failures++
+		backoff.until = now + min(backoff.failures*g.cfg.PeerBackoff, g.cfg.PeerBackoffMax)
+		g.backoffs[call.to] = backoff
+		if call.purpose == pushUpdate && len(call.alternates) > 0 {
+			call.to, call.alternates = call.alternates[0], call.alternates[1:]
+			g.startCall(call, ExchangeRequest{Entries: call.update.Inline, Versions: call.update.Advertised})
 		}
 		return
 	}
-	delete(g.backoffs, k.to)
-	for _, i := range ans.Entries {
-		g.Put(now, i, false)
+	delete(g.backoffs, call.to)
+	for _, entry := range response.Entries {
+		g.Put(now, entry, false)
 	}
-	switch k.purpose {
+	switch call.purpose {
 	case pushUpdate:
-		if len(ans.Want) > 0 {
-			g.startCall(callState{purpose: pushWanted, to: k.to}, ExchangeRequest{Entries: g.Store.GetAll(ans.Want)})
+		if len(response.Want) > 0 {
+			g.startCall(callState{purpose: pushWanted, to: call.to}, ExchangeRequest{Entries: g.Store.GetAll(response.Want)})
 		}
 	case compareChecksum:
-		if ans.Differs {
+		if response.Differs {
 			g.differencesFound++
-			g.CompareDigests(k.to)
+			g.CompareDigests(call.to)
 		}
 	case compareDigest:
-		if len(ans.Buckets) == 0 {
+		if len(response.Buckets) == 0 {
 			return
 		}
-		if newer, want := g.Store.Diff(ans.Versions, ans.Buckets); len(newer)+len(want) > 0 {
-			g.startCall(callState{purpose: exchangeEntries, to: k.to}, ExchangeRequest{Entries: newer, Want: want})
+		if newer, want := g.Store.Diff(response.Versions, response.Buckets); len(newer)+len(want) > 0 {
+			g.startCall(callState{purpose: exchangeEntries, to: call.to}, ExchangeRequest{Entries: newer, Want: want})
 		}
 	}
 }
 
-// CompareChecksums finds out with one checksum whether a peer holds the same entries, and if
-// not, which entries either side lacks.
+// CompareChecksums sends one checksum to a peer to find out whether both store the same entries. If
+// they do not, CompareDigests follows.
 func (g *Gossiper) CompareChecksums(addr string) {
 	g.startCall(callState{purpose: compareChecksum, to: addr}, ExchangeRequest{Checksum: g.checksum()})
 }
 
-// CompareDigests brings two processes to the same entries.
+// CompareDigests sends the digest to a peer; as a result each process receives the entries that
+// it lacks.
 func (g *Gossiper) CompareDigests(addr string) {
-	sums := g.Store.Digest()
-	g.startCall(callState{purpose: compareDigest, to: addr}, ExchangeRequest{Digest: &sums})
+	digest := g.Store.Digest()
+	g.startCall(callState{purpose: compareDigest, to: addr}, ExchangeRequest{Digest: &digest})
 }
 
-// Tick asks the seeds while no other process is known, calls lost processes now and then, and
-// passes entries on.
+// Tick calls the seeds while no other process is known, occasionally calls lost processes, and
+// forwards pending entries.
 func (g *Gossiper) Tick(now int64) {
 	if len(g.peers) == 0 && now >= g.nextJoinAt {
 		g.nextJoinAt, g.joinInterval = now+g.joinInterval, min(g.joinInterval*3/2, g.cfg.JoinRetryMax)
@@ -323,45 +333,46 @@
 	g.sendPending(now)
 }
 
-// NextTick returns when Tick has something to do; 0: when something comes in.
+// NextTick returns the time of the next due action of Tick; 0 if nothing is due before the next
+// event.
 func (g *Gossiper) NextTick() int64 {
 	next := int64(0)
-	due := func(at int64) {
+	wakeAt := func(at int64) {
 		if at = max(at, 1); next == 0 || at < next {
 			next = at
 		}
 	}
 	if len(g.peers) == 0 {
-		due(g.nextJoinAt)
+		wakeAt(g.nextJoinAt)
 	}
 	if !g.Store.NothingPending() {
-		due(g.nextGossipAt)
+		wakeAt(g.nextGossipAt)
 	}
 	if g.hasRejoinCandidates() {
-		due(g.nextRejoinAt)
+		wakeAt(g.nextRejoinAt)
 	}
 	return next
 }
 
-// sendPending passes pending entries on: to some processes of this zone, and what began here
-// to one process of every other zone, where it is passed on in turn. Traffic between zones is
-// expensive.
+// sendPending forwards pending entries to a few processes of this zone. Entries that originate in
+// this process are also sent to one process of every other zone, which forwards them within its
+// zone: traffic between zones is expensive.
 func (g *Gossiper) sendPending(now int64) {
 	sameZone, otherZones := g.Store.TakePending()
-	zones := make(map[string][]string)
-	for _, p := range g.Peers("") {
-		if g.Reachable(now, p.Addr) {
-			zones[p.Zone] = append(zones[p.Zone], p.Addr)
+	addrsByZone := make(map[string][]string)
+	for _, peer := range g.Peers("") {
+		if g.Reachable(now, peer.Addr) {
+			addrsByZone[peer.Zone] = append(addrsByZone[peer.Zone], peer.Addr)
 		}
 	}
-	names := make([]string, 0, len(zones))
-	for zone, addrs := range zones {
-		names = append(names, zone)
+	zones := make([]string, 0, len(addrsByZone))
+	for zone, addrs := range addrsByZone {
+		zones = append(zones, zone)
 		slices.Sort(addrs)
 	}
-	slices.Sort(names)
-	for _, zone := range names {
-		addrs := zones[zone]
+	slices.Sort(zones)
+	for _, zone := range zones {
+		addrs := addrsByZone[zone]
 		g.rng.Shuffle(len(addrs), func(i, j int) { addrs[i], addrs[j] = addrs[j], addrs[i] })
 		if zone != g.self.Zone {
 			g.push(otherZones, addrs[:min(len(addrs), 3)])
@@ -373,19 +384,19 @@
 	}
 }
 
-// push sends an update to the first of some processes that answers.
-func (g *Gossiper) push(m Update, to []string) {
-	if !m.Empty() {
-		g.startCall(callState{purpose: pushUpdate, to: to[0], alternates: to[1:], update: m}, ExchangeRequest{Entries: m.Inline, Versions: m.Advertised})
+// push sends an update to the first of the targets that answers.
+func (g *Gossiper) push(update Update, targets []string) {
+	if !update.Empty() {
+		g.startCall(callState{purpose: pushUpdate, to: targets[0], alternates: targets[1:], update: update}, ExchangeRequest{Entries: update.Inline, Versions: update.Advertised})
 	}
 }
 
-// Purge removes old tombstones, backoffs that are over, and processes that were lost long ago.
+// Purge removes old tombstones, expired backoffs, and processes that were lost long ago.
 func (g *Gossiper) Purge(now int64) {
 	g.Store.PurgeTombstones(now)
 	g.lost.expire(now)
-	for addr, r := range g.backoffs {
-		if now > r.until+g.cfg.PeerBackoffMax {
+	for addr, backoff := range g.backoffs {
+		if now > backoff.until+g.cfg.PeerBackoffMax {
 			delete(g.backoffs, addr)
 		}
 	}
--- a/internal/cluster/gossip/rejoin.go
+++ b/internal/cluster/gossip/rejoin.go
@@ -1,78 +1,78 @@
 package gossip
 
-// How processes find each other again that believed each other dead. A process sends heartbeats
-// and entries only to those that it thinks alive; so two groups that have declared each other
-// dead, and a process that has started anew among others that have forgotten it, would stay
-// apart for good. Hence each process calls, now and then, one that it has lost or that the
-// settings name.
+// This file reconnects processes that believed each other dead. A process sends heartbeats and
+// entries only to processes that it believes to be alive. Two groups that have declared each other
+// dead would therefore stay partitioned forever, and so would a restarted process among others
+// that have forgotten it. To prevent this, each process occasionally calls processes that it has
+// lost or that the settings name as seeds.
 
 import "slices"
 
 const (
-	maxLostPeers     = 256                   // that are remembered; the one lost longest ago is forgotten first
-	lostFullRate     = 600 * 1_000_000       // microseconds: as long as this a lost process is called at the full rate
-	lostForgotten    = 24 * 3600 * 1_000_000 // microseconds: then it is forgotten
-	rejoinCallsOfAll = 2                     // to each lost process, from all processes together, in an interval
-	rejoinCallsOfOne = 3                     // from one process in an interval, at most
+	maxLostPeers             = 256                   // maximum number that is remembered; the one that was lost first is removed first
+	lostFullRatePeriod       = 600 * 1_000_000       // microseconds after the loss during which a process is called at the full rate
+	lostPeerLifetime         = 24 * 3600 * 1_000_000 // microseconds after the loss until the process is forgotten
+	rejoinCallsTotal         = 2                     // calls to each lost process per interval, from all processes together
+	maxRejoinCallsPerProcess = 3                     // calls per interval from one process
 )
 
-// lostPeers remembers the processes that were announced to be gone, and since when. It
-// outlives their tombstones in the store. It is not safe for concurrent use.
+// lostPeers records the processes that were reported dead or have left, and since when. A record
+// outlives the tombstone of the process in the store. It is not safe for concurrent use.
 type lostPeers struct {
-	since map[string]int64 // by address
+	since map[string]int64 // time of the loss, by address
 }
 
 func newLostPeers() lostPeers { return lostPeers{since: make(map[string]int64)} }
 
-// add notes that a process was announced to be gone.
+// add records that a process was reported dead or has left.
 func (l lostPeers) add(now int64, addr string) {
 	if _, known := l.since[addr]; known {
 		return
 	}
 	if len(l.since) >= maxLostPeers {
-		l.forgetOldest()
+		l.removeOldest()
 	}
 	l.since[addr] = now
 }
 
-func (l lostPeers) forgetOldest() {
+// removeOldest removes the process that was lost first; ties are broken by address.
+func (l lostPeers) removeOldest() {
 	oldest := ""
-	for addr, at := range l.since {
-		if oldest == "" || at < l.since[oldest] || at == l.since[oldest] && addr < oldest {
+	for addr, lostAt := range l.since {
+		if oldest == "" || lostAt < l.since[oldest] || lostAt == l.since[oldest] && addr < oldest {
 			oldest = addr
 		}
 	}
 	delete(l.since, oldest)
 }
 
-// remove notes that a process is alive.
+// remove records that a process is alive.
 func (l lostPeers) remove(addr string) { delete(l.since, addr) }
 
-// expire forgets those that were lost long ago.
+// expire removes the processes that were lost longer ago than lostPeerLifetime.
 func (l lostPeers) expire(now int64) {
-	for addr, at := range l.since {
-		if now-at >= lostForgotten {
+	for addr, lostAt := range l.since {
+		if now-lostAt >= lostPeerLifetime {
 			delete(l.since, addr)
 		}
 	}
 }
 
-// weight is how often a lost process is called, as a share of the full rate. It falls with the
-// time since the loss, for most of those will not come back.
+// weight returns the fraction of the full rate at which a lost process is called. It decreases with
+// the time since the loss, because most processes that were lost long ago do not return.
 func (l lostPeers) weight(now int64, addr string) float64 {
 	age := now - l.since[addr]
-	if age <= lostFullRate {
+	if age <= lostFullRatePeriod {
 		return 1
 	}
-	return lostFullRate / float64(age)
+	return lostFullRatePeriod / float64(age)
 }
 
-// LostPeers counts the processes that were announced to be gone and are still called now and
-// then.
+// LostPeers returns the number of lost processes that are still called occasionally.
 func (g *Gossiper) LostPeers() int { return len(g.lost.since) }
 
-// rejoinCandidates returns the addresses that are called although nothing is known to be alive
-// there: lost processes and seeds, ordered, each with its weight.
+// rejoinCandidates returns the addresses to call although no process is known to be alive there:
+// lost processes and seeds, sorted, each with its weight.
 func (g *Gossiper) rejoinCandidates(now int64) (addrs []string, weights map[string]float64) {
 	weights = make(map[string]float64, len(g.lost.since)+len(g.seeds))
 	for addr := range g.lost.since {
@@ -80,7 +80,7 @@
 	}
 	for _, addr := range g.seeds {
 		if _, alive := g.peers[addr]; !alive && addr != g.self.Addr {
-			weights[addr] = 1 // the settings say that it exists
+			weights[addr] = 1 // seeds are configured, so they are called at the full rate
 		}
 	}
 	for addr := range weights {
@@ -90,7 +90,7 @@
 	return addrs, weights
 }
 
-// hasRejoinCandidates reports whether rejoin has anyone to call.
+// hasRejoinCandidates reports whether there are any rejoin candidates.
 func (g *Gossiper) hasRejoinCandidates() bool {
 	if len(g.lost.since) > 0 {
 		return true
@@ -101,19 +101,20 @@
 	})
 }
 
-// rejoin compares stores with some processes that are not known to be alive. Each of them is drawn
-// with a probability of a few in as many as there are processes here, so that all of these together
-// call it a few times an interval, however many they are.
+// rejoin compares stores with some of the rejoin candidates. Each candidate of weight 1 is selected
+// with probability rejoinCallsTotal divided by the number of known processes including this one,
+// so that all processes together call it rejoinCallsTotal times per interval, independently of
+// their number.
 func (g *Gossiper) rejoin(now int64) {
 	if now < g.nextRejoinAt {
 		return
 	}
 	g.nextRejoinAt = now + g.cfg.RejoinInterval
 	addrs, weights := g.rejoinCandidates(now)
-	share := rejoinCallsOfAll / float64(len(g.peers)+1)
-	drawn := slices.DeleteFunc(addrs, func(addr string) bool { return g.rng.Float64() >= weights[addr]*share })
-	g.rng.Shuffle(len(drawn), func(i, j int) { drawn[i], drawn[j] = drawn[j], drawn[i] })
-	for _, addr := range drawn[:min(len(drawn), rejoinCallsOfOne)] {
+	probability := rejoinCallsTotal / float64(len(g.peers)+1)
+	selected := slices.DeleteFunc(addrs, func(addr string) bool { return g.rng.Float64() >= weights[addr]*probability })
+	g.rng.Shuffle(len(selected), func(i, j int) { selected[i], selected[j] = selected[j], selected[i] })
+	for _, addr := range selected[:min(len(selected), maxRejoinCallsPerProcess)] {
 		g.CompareDigests(addr)
 	}
 }
--- a/internal/cluster/gossip/rejoin_test.go
+++ b/internal/cluster/gossip/rejoin_test.go
@@ -16,11 +16,11 @@
 	return Entry{Key: ProcessPrefix + addr, Version: version, Value: []byte(`{"z":"z"}`)}
 }
 
-// callsTo counts the calls of some intervals by address.
-func callsTo(g *Gossiper, from, intervals int64) map[string]int {
+// callsTo counts the calls during a number of intervals by address. All calls fail.
+func callsTo(g *Gossiper, start, intervals int64) map[string]int {
 	calls := make(map[string]int)
 	for i := range intervals {
-		now := from + i*g.cfg.RejoinInterval
+		now := start + i*g.cfg.RejoinInterval
 		g.Tick(now)
 		for _, call := range g.TakeCalls() {
 			calls[call.To]++
@@ -31,7 +31,7 @@
 }
 
 func TestRejoinRate(t *testing.T) {
-	Convey("A lost process is called as often by a few processes as by many", t, func() {
+	Convey("The call rate to a lost process does not depend on the number of processes", t, func() {
 		const intervals = 4000
 		for _, processes := range []int{9, 30, 300} {
 			g := newTestGossiper("self")
@@ -43,46 +43,46 @@
 			g.Store.TakePending()
 			g.Store.TakePending()
 			g.TakeCalls()
-			byAll := float64(callsTo(g, 1, intervals/4)["lost"]*processes) / (intervals / 4)
-			So(byAll, ShouldBeBetween, rejoinCallsOfAll*0.5, rejoinCallsOfAll*1.6)
+			callsPerInterval := float64(callsTo(g, 1, intervals/4)["lost"]*processes) / (intervals / 4)
+			So(callsPerInterval, ShouldBeBetween, rejoinCallsTotal*0.5, rejoinCallsTotal*1.6)
 		}
 	})
-	Convey("More lost processes than one calls in an interval do not make it call more", t, func() {
+	Convey("Calls per interval are limited, however many processes are lost", t, func() {
 		g := newTestGossiper("self")
 		for i := range 50 {
 			g.Put(1, processEntry(fmt.Sprint("lost", i), initialVersion), false)
 			g.MarkDead(1, fmt.Sprint("lost", i))
 		}
 		g.Tick(g.cfg.RejoinInterval)
-		So(len(g.TakeCalls()), ShouldBeLessThanOrEqualTo, rejoinCallsOfOne+1)
+		So(len(g.TakeCalls()), ShouldBeLessThanOrEqualTo, maxRejoinCallsPerProcess+1)
 	})
 }
 
 func TestRejoinCandidates(t *testing.T) {
-	Convey("Who is called", t, func() {
+	Convey("A rejoin candidate", t, func() {
 		g := newTestGossiper("self", "seed", "self")
 		weightOf := func(now int64, addr string) float64 { _, weights := g.rejoinCandidates(now); return weights[addr] }
-		Convey("is a seed that is not known to be alive, at any time, and not this process", func() {
+		Convey("is any seed except this process, at the full rate, until it is known to be alive", func() {
 			So(weightOf(1, "seed"), ShouldEqual, 1)
-			So(weightOf(1+10*lostFullRate, "seed"), ShouldEqual, 1)
+			So(weightOf(1+10*lostFullRatePeriod, "seed"), ShouldEqual, 1)
 			So(weightOf(1, "self"), ShouldEqual, 0)
 			g.Put(2, processEntry("seed", initialVersion), false)
 			So(weightOf(3, "seed"), ShouldEqual, 0)
 			So(g.hasRejoinCandidates(), ShouldBeFalse)
 		})
-		Convey("is a lost process, rarely after a long time, also when its tombstone is gone", func() {
+		Convey("is a lost process, at a falling rate, even after its tombstone is purged", func() {
 			g.Put(2, processEntry("seed", initialVersion), false)
 			g.Put(2, processEntry("peer", initialVersion), false)
 			g.MarkDead(3, "peer")
 			So(weightOf(4, "peer"), ShouldEqual, 1)
-			g.Purge(3 + 2*lostFullRate)
+			g.Purge(3 + 2*lostFullRatePeriod)
 			_, known := g.Store.Get(ProcessPrefix + "peer")
 			So(known, ShouldBeFalse)
-			So(weightOf(3+2*lostFullRate, "peer"), ShouldEqual, 0.5)
-			g.Purge(3 + lostForgotten)
+			So(weightOf(3+2*lostFullRatePeriod, "peer"), ShouldEqual, 0.5)
+			g.Purge(3 + lostPeerLifetime)
 			So(g.LostPeers(), ShouldEqual, 0)
 		})
-		Convey("are no more than are remembered, and the latest lost are", func() {
+		Convey("is one of the most recently lost processes, of which a limited number is remembered", func() {
 			for i := range maxLostPeers + 10 {
 				g.Put(int64(i), processEntry(fmt.Sprint("p", i), initialVersion+1), false)
 				g.apply(int64(i), Entry{Key: ProcessPrefix + fmt.Sprint("p", i), Version: initialVersion + 3}, false)
@@ -95,7 +95,7 @@
 }
 
 func TestOwnDeath(t *testing.T) {
-	Convey("A process refutes that it is gone, but not once it has announced its end itself", t, func() {
+	Convey("A process refutes its own tombstone, unless it has announced that it leaves", t, func() {
 		g := newTestGossiper("self")
 		key := ProcessPrefix + "self"
 		g.Put(1, Entry{Key: key, Version: initialVersion + 1}, false)
@@ -104,11 +104,11 @@
 		So(own.Version, ShouldEqual, uint64(initialVersion+2))
 		g.AnnounceLeave(2)
 		own, _ = g.Store.Get(key)
-		g.Put(3, own, false) // it comes back from another process
+		g.Put(3, own, false) // as another process sends it back
 		own, _ = g.Store.Get(key)
 		So(own.Deleted(), ShouldBeTrue)
 	})
-	Convey("A process that answers someone again is called again at once", t, func() {
+	Convey("A process that has answered another process leaves backoff at once", t, func() {
 		g := newTestGossiper("self")
 		g.Put(1, processEntry("peer", initialVersion), false)
 		g.CompareChecksums("peer")
--- a/internal/cluster/gossip/store.go
+++ b/internal/cluster/gossip/store.go
@@ -1,7 +1,8 @@
-// Package gossip spreads versioned entries to all processes. It owns the store (of two values
-// of a key the one with the higher version wins), what is passed on to whom, and how two
-// processes find by digests which entries one of them lacks (anti-entropy). It never goes back
-// to a lower version, does no I/O, and does not send what the other side was seen to store.
+// Package gossip spreads versioned entries to all processes. It contains the entry store, in
+// which the value with the higher version replaces the other one, decides which entries are
+// forwarded to which process, and lets two processes find by digests the entries that one of them
+// lacks (anti-entropy). It never replaces an entry by one with a lower version, does no I/O, and
+// does not send entries that the other process is known to store.
 package gossip
 
 import (
@@ -17,32 +18,33 @@
 type Entry struct {
 	Key     string          `json:"k"`
 	Version uint64          `json:"r"`
-	Value   json.RawMessage `json:"b,omitempty"` // nothing: the key is gone
+	Value   json.RawMessage `json:"b,omitempty"` // empty: the key was deleted
 }
 
 // Deleted reports whether the entry is a tombstone.
-func (i Entry) Deleted() bool { return len(i.Value) == 0 }
+func (e Entry) Deleted() bool { return len(e.Value) == 0 }
 
-// Buckets is the number of parts of a digest.
+// Buckets is the number of buckets of a digest.
 const Buckets = 32
 
-// Digest summarizes a store, by bucket. Two stores with equal digests hold the same keys at
-// the same versions; tombstones do not count.
+// Digest contains a hash of the entries of a store for each bucket of keys. Two stores with equal
+// digests contain the same keys at the same versions; tombstones are not included.
 type Digest [Buckets]uint64
 
 const (
 	maxEntries           = 20_000
 	maxInlineValue       = 2048        // bytes; larger values are advertised by version and fetched
-	maxPendingPerMessage = 512         // entries of one message
+	maxPendingPerMessage = 512         // entries in one message
 	tombstoneLifetime    = 120_000_000 // microseconds
 )
 
+// storedEntry is an entry together with the state of its dissemination.
 type storedEntry struct {
 	Entry
-	seq           uint64 // number of the store's change that brought it
+	seq           uint64 // sequence number of the change that stored this version
 	changedAt     int64  // microseconds of the caller's clock
-	transmitsLeft int    // times that it may still be passed on
-	allZones      bool   // it is passed on to every zone, not only to this process's own
+	transmitsLeft int    // number of messages in which the entry is still to be forwarded
+	allZones      bool   // the entry is forwarded to every zone, not only within the zone of this process
 }
 
 // Store holds the entries of one process. It is not safe for concurrent use.
@@ -50,94 +52,98 @@
 	entries    map[string]*storedEntry
 	seq        uint64
 	digest     Digest
-	pending    []string // keys that are still passed on
-	changeLog  []string // keys in the order of their changes; outdated ones are compacted now and then
-	changeSeqs []uint64
+	pending    []string // keys whose entries are still to be forwarded
+	changeLog  []string // keys in the order of their changes; superseded elements are removed by compact
+	changeSeqs []uint64 // sequence numbers of the elements of changeLog
 }
 
 // NewStore returns an empty store.
 func NewStore() *Store { return &Store{entries: make(map[string]*storedEntry)} }
 
+// bucket returns the digest bucket of a key.
 func bucket(key string) int { return int(xxhash.Sum64String(key) % Buckets) }
 
-func entryHash(i Entry) uint64 {
-	if i.Deleted() {
+// entryHash returns what an entry contributes to the digest; a tombstone contributes nothing.
+func entryHash(entry Entry) uint64 {
+	if entry.Deleted() {
 		return 0
 	}
-	var d xxhash.Digest
-	d.Reset()
-	d.WriteString(i.Key)
-	d.WriteString("\x00")
-	d.WriteString(strconv.FormatUint(i.Version, 16))
-	return d.Sum64()
+	var hash xxhash.Digest
+	hash.Reset()
+	hash.WriteString(entry.Key)
+	hash.WriteString("\x00")
+	hash.WriteString(strconv.FormatUint(entry.Version, 16))
+	return hash.Sum64()
 }
 
-// Put stores an entry and reports whether it was newer than the stored one. transmits is
-// how many times it is passed on from here; allZones, whether to every zone or only to this
-// process's own.
-func (s *Store) Put(now int64, i Entry, transmits int, allZones bool) bool {
-	h := s.entries[i.Key]
-	if h != nil && i.Version <= h.Version {
+// Put stores an entry and reports whether it was newer than the stored one. transmits is the
+// number of messages in which this process forwards the entry; allZones selects whether it is
+// forwarded to every zone or only within the zone of this process. Put rejects a new key if the
+// store is full, and a tombstone of an unknown key that is not to be forwarded.
+func (s *Store) Put(now int64, entry Entry, transmits int, allZones bool) bool {
+	stored := s.entries[entry.Key]
+	if stored != nil && entry.Version <= stored.Version {
 		return false
 	}
-	if h == nil {
-		if i.Deleted() && transmits == 0 || len(s.entries) >= maxEntries {
+	if stored == nil {
+		if entry.Deleted() && transmits == 0 || len(s.entries) >= maxEntries {
 			return false
 		}
-		h = &storedEntry{}
-		s.entries[i.Key] = h
+		stored = &storedEntry{}
+		s.entries[entry.Key] = stored
 	} else {
-		s.digest[bucket(i.Key)] ^= entryHash(h.Entry)
+		s.digest[bucket(entry.Key)] ^= entryHash(stored.Entry)
 	}
-	if h.transmitsLeft == 0 && transmits > 0 {
-		s.pending = append(s.pending, i.Key)
+	if stored.transmitsLeft == 0 && transmits > 0 {
+		s.pending = append(s.pending, entry.Key)
 	}
 	s.seq++
-	h.Entry, h.seq, h.changedAt, h.transmitsLeft, h.allZones = i, s.seq, now, transmits, allZones
-	s.digest[bucket(i.Key)] ^= entryHash(i)
-	s.changeLog, s.changeSeqs = append(s.changeLog, i.Key), append(s.changeSeqs, s.seq)
+	stored.Entry, stored.seq, stored.changedAt, stored.transmitsLeft, stored.allZones = entry, s.seq, now, transmits, allZones
+	s.digest[bucket(entry.Key)] ^= entryHash(entry)
+	s.changeLog, s.changeSeqs = append(s.changeLog, entry.Key), append(s.changeSeqs, s.seq)
 	if len(s.changeLog) > 2*len(s.entries)+64 {
 		s.compact()
 	}
 	return true
 }
 
+// compact removes the superseded elements of the change log.
 func (s *Store) compact() {
-	at := 0
+	kept := 0
 	for i, key := range s.changeLog {
-		if h := s.entries[key]; h != nil && h.seq == s.changeSeqs[i] {
-			s.changeLog[at], s.changeSeqs[at] = key, s.changeSeqs[i]
-			at++
+		if stored := s.entries[key]; stored != nil && stored.seq == s.changeSeqs[i] {
+			s.changeLog[kept], s.changeSeqs[kept] = key, s.changeSeqs[i]
+			kept++
 		}
 	}
-	s.changeLog, s.changeSeqs = s.changeLog[:at], s.changeSeqs[:at]
+	s.changeLog, s.changeSeqs = s.changeLog[:kept], s.changeSeqs[:kept]
 }
 
 // Get returns the entry of a key.
 func (s *Store) Get(key string) (Entry, bool) {
-	if h := s.entries[key]; h != nil {
-		return h.Entry, true
+	if stored := s.entries[key]; stored != nil {
+		return stored.Entry, true
 	}
 	return Entry{}, false
 }
 
-// Seq counts the changes of the store.
+// Seq returns the number of changes of the store so far.
 func (s *Store) Seq() uint64 { return s.seq }
 
-// ChangedSince returns the entries that changed after a count of changes, oldest first.
+// ChangedSince returns the entries that changed after the sequence number seq, oldest change
+// first.
 func (s *Store) ChangedSince(seq uint64) []Entry {
 	from, _ := slices.BinarySearch(s.changeSeqs, seq+1)
-	var out []Entry
+	var entries []Entry
 	for i := from; i < len(s.changeLog); i++ {
-		if h := s.entries[s.changeLog[i]]; h != nil && h.seq == s.changeSeqs[i] {
-			out = append(out, h.Entry)
+		if stored := s.entries[s.changeLog[i]]; stored != nil && stored.seq == s.changeSeqs[i] {
+			entries = append(entries, stored.Entry)
 		}
 	}
-	return out
+	return entries
 }
 
-// RangeSorted calls f with all entries in the order of their keys. f must not change the
-// store.
+// RangeSorted calls f for each entry in the order of the keys. f must not change the store.
 func (s *Store) RangeSorted(f func(Entry)) {
 	keys := make([]string, 0, len(s.entries))
 	for key := range s.entries {
@@ -149,72 +155,73 @@
 	}
 }
 
-// Range calls f with all entries in any order, and when each changed. f must not change the
-// store.
-func (s *Store) Range(f func(i Entry, at int64)) {
-	for _, h := range s.entries {
-		f(h.Entry, h.changedAt)
+// Range calls f for each entry, in no particular order, with the time of its last change. f must
+// not change the store.
+func (s *Store) Range(f func(entry Entry, changedAt int64)) {
+	for _, stored := range s.entries {
+		f(stored.Entry, stored.changedAt)
 	}
 }
 
-// Remove drops a key as if it had never been stored.
+// Remove removes a key without leaving a tombstone.
 func (s *Store) Remove(key string) {
-	if h := s.entries[key]; h != nil {
-		s.digest[bucket(key)] ^= entryHash(h.Entry)
+	if stored := s.entries[key]; stored != nil {
+		s.digest[bucket(key)] ^= entryHash(stored.Entry)
 		delete(s.entries, key)
 	}
 }
 
-// Len counts the keys, tombstones included.
+// Len returns the number of keys, including tombstones.
 func (s *Store) Len() int { return len(s.entries) }
 
-// Update holds the entries for one message. Large values are advertised by their versions, and
-// the receiver asks for them.
+// Update contains the entries for one message. Entries with large values are only advertised by
+// their versions; the receiver requests those that it lacks.
 type Update struct {
 	Inline     []Entry
 	Advertised []EntryVersion
 }
 
-// Empty reports whether there is nothing in an update.
-func (m Update) Empty() bool { return len(m.Inline)+len(m.Advertised) == 0 }
+// Empty reports whether the update contains no entries.
+func (u Update) Empty() bool { return len(u.Inline)+len(u.Advertised) == 0 }
 
-func (m *Update) add(i Entry) {
-	if len(i.Value) > maxInlineValue {
-		m.Advertised = append(m.Advertised, EntryVersion{i.Key, i.Version})
+func (u *Update) add(entry Entry) {
+	if len(entry.Value) > maxInlineValue {
+		u.Advertised = append(u.Advertised, EntryVersion{entry.Key, entry.Version})
 	} else {
-		m.Inline = append(m.Inline, i)
+		u.Inline = append(u.Inline, entry)
 	}
 }
 
-// TakePending returns the entries to pass on and counts them as passed on once: all of them
-// for this process's own zone, and those for all zones for one process of every other zone. An
-// entry goes to the other zones once.
+// TakePending returns the entries to forward in the next message and counts one transmission for
+// each of them. sameZone contains all of them and is meant for processes of this zone;
+// otherZones contains those with allZones set and is meant for one process of every other zone.
+// An entry is returned in otherZones only once.
 func (s *Store) TakePending() (sameZone, otherZones Update) {
-	rest := s.pending[:0]
-	n := 0
+	remaining := s.pending[:0]
+	taken := 0
 	for _, key := range s.pending {
-		h := s.entries[key]
-		if h == nil || h.transmitsLeft <= 0 {
+		stored := s.entries[key]
+		if stored == nil || stored.transmitsLeft <= 0 {
 			continue
 		}
-		if n++; n > maxPendingPerMessage {
-			rest = append(rest, key)
+		if taken++; taken > maxPendingPerMessage {
+			remaining = append(remaining, key)
 			continue
 		}
-		sameZone.add(h.Entry)
-		if h.allZones {
-			otherZones.add(h.Entry)
-			h.allZones = false
+		sameZone.add(stored.Entry)
+		if stored.allZones {
+			otherZones.add(stored.Entry)
+			stored.allZones = false
 		}
-		if h.transmitsLeft--; h.transmitsLeft > 0 {
-			rest = append(rest, key)
+		if stored.transmitsLeft--; stored.transmitsLeft > 0 {
+			remaining = append(remaining, key)
 		}
 	}
-	s.pending = rest
+	s.pending = remaining
 	return sameZone, otherZones
 }
 
-// NothingPending reports whether there is nothing to pass on.
+// NothingPending reports whether there are no entries to forward.
 func (s *Store) NothingPending() bool { return len(s.pending) == 0 }
 
 // EntryVersion is a key with its version.
@@ -223,56 +230,57 @@
 	Version uint64 `json:"r"`
 }
 
-// Missing returns the keys of which newer versions are named than the store holds.
+// Missing returns the keys of those versions that are newer than what the store contains.
 func (s *Store) Missing(versions []EntryVersion) (want []string) {
-	for _, m := range versions {
-		if h := s.entries[m.Key]; h == nil || h.Version < m.Version {
-			want = append(want, m.Key)
+	for _, advertised := range versions {
+		if stored := s.entries[advertised.Key]; stored == nil || stored.Version < advertised.Version {
+			want = append(want, advertised.Key)
 		}
 	}
 	return want
 }
 
-// GetAll returns the entries of keys.
-func (s *Store) GetAll(keys []string) (out []Entry) {
+// GetAll returns the entries of the given keys; unknown keys are skipped.
+func (s *Store) GetAll(keys []string) (entries []Entry) {
 	for _, key := range keys {
-		if h := s.entries[key]; h != nil {
-			out = append(out, h.Entry)
+		if stored := s.entries[key]; stored != nil {
+			entries = append(entries, stored.Entry)
 		}
 	}
-	return out
+	return entries
 }
 
 // Digest returns the digest of the store.
 func (s *Store) Digest() Digest { return s.digest }
 
-// VersionsWhereDifferent lists the entries in the buckets in which two digests differ.
-func (s *Store) VersionsWhereDifferent(theirs Digest) (versions []EntryVersion, buckets []int) {
+// VersionsWhereDifferent compares the digest of the store with a remote one. It returns the
+// versions of the store's entries in the buckets that differ, ordered by key, and these buckets.
+func (s *Store) VersionsWhereDifferent(remote Digest) (versions []EntryVersion, buckets []int) {
 	differs := [Buckets]bool{}
-	for i := range theirs {
-		if differs[i] = theirs[i] != s.digest[i]; differs[i] {
+	for i := range remote {
+		if differs[i] = remote[i] != s.digest[i]; differs[i] {
 			buckets = append(buckets, i)
 		}
 	}
 	if len(buckets) == 0 {
 		return nil, nil
 	}
-	for key, h := range s.entries {
+	for key, stored := range s.entries {
 		if differs[bucket(key)] {
-			versions = append(versions, EntryVersion{key, h.Version})
+			versions = append(versions, EntryVersion{key, stored.Version})
 		}
 	}
-	slices.SortFunc(versions, func(a, s EntryVersion) int { return cmp.Compare(a.Key, s.Key) })
+	slices.SortFunc(versions, func(a, b EntryVersion) int { return cmp.Compare(a.Key, b.Key) })
 	return versions, buckets
 }
 
-// Diff compares the store with the versions that another process holds in some buckets. It
-// returns the entries of which the store holds the newer version, and the keys of which the
-// other process does.
+// Diff compares the store with the versions that another process stores in the given buckets. It
+// returns the entries of which this store has the newer version, and the keys of which the other
+// process has the newer version.
 func (s *Store) Diff(versions []EntryVersion, buckets []int) (newer []Entry, want []string) {
 	remote := make(map[string]uint64, len(versions))
-	for _, m := range versions {
-		remote[m.Key] = m.Version
+	for _, entry := range versions {
+		remote[entry.Key] = entry.Version
 	}
 	selected := [Buckets]bool{}
 	for _, i := range buckets {
@@ -280,32 +288,32 @@
 			selected[i] = true
 		}
 	}
-	for key, h := range s.entries {
+	for key, stored := range s.entries {
 		if !selected[bucket(key)] {
 			continue
 		}
 		version, known := remote[key]
 		switch {
-		case known && version > h.Version:
+		case known && version > stored.Version:
 			want = append(want, key)
-		case !known && h.Deleted(), known && version == h.Version:
+		case !known && stored.Deleted(), known && version == stored.Version:
 		default:
-			newer = append(newer, h.Entry)
+			newer = append(newer, stored.Entry)
 		}
 		delete(remote, key)
 	}
 	for key := range remote {
 		want = append(want, key)
 	}
-	slices.SortFunc(newer, func(a, s Entry) int { return cmp.Compare(a.Key, s.Key) })
+	slices.SortFunc(newer, func(a, b Entry) int { return cmp.Compare(a.Key, b.Key) })
 	slices.Sort(want)
 	return newer, want
 }
 
-// PurgeTombstones removes keys that were deleted long ago.
+// PurgeTombstones removes the tombstones that are older than tombstoneLifetime.
 func (s *Store) PurgeTombstones(now int64) {
-	for key, h := range s.entries {
-		if h.Deleted() && now-h.changedAt > tombstoneLifetime {
+	for key, stored := range s.entries {
+		if stored.Deleted() && now-stored.changedAt > tombstoneLifetime {
 			delete(s.entries, key)
 		}
 	}
