--- a/internal/cluster/quota/allowance_test.go
+++ b/internal/cluster/quota/allowance_test.go
@@ -10,207 +10,208 @@
 
 const sec = int64(1_000_000)
 
-// mixers is tills before banks, on a clock of the test's; claims take a while and may be lost.
-type mixersOf struct {
-	t      *testing.T
-	rng    *rand.Rand
-	now    int64
-	stated Allowance
-	tills  []*Holder
-	side   []int // of each mixer: which bank it reaches; below 0: none
-	banks  []*Lessor
-	loss   float64
-	mail   []func() bool // does it once it is due
-	spent  []int64       // when requests were admitted
-	asked  int
+// simulation runs the holders of several proxies and one or two lessors in virtual time. Claims and
+// grants are delayed and may be lost.
+type simulation struct {
+	t            *testing.T
+	rng          *rand.Rand
+	now          int64
+	allowance    Allowance
+	holders      []*Holder
+	sides        []int // by proxy: the lessor that the proxy reaches; negative: none
+	lessors      []*Lessor
+	lossRate     float64
+	pendingCalls []func() bool // each delivers its claims and grants when due, and then returns true
+	admittedAt   []int64       // when requests were admitted
+	requests     int
 }
 
-func newMixers(t *testing.T, n int, s Allowance, seed uint64) *mixersOf {
-	m := &mixersOf{t: t, rng: rand.New(rand.NewPCG(seed, 37)), now: 100 * sec, stated: s, side: make([]int, n)}
-	m.banks = []*Lessor{m.bank(), nil}
-	for range n {
-		m.tills = append(m.tills, m.till())
+func newSimulation(t *testing.T, proxies int, allowance Allowance, seed uint64) *simulation {
+	s := &simulation{t: t, rng: rand.New(rand.NewPCG(seed, 37)), now: 100 * sec, allowance: allowance, sides: make([]int, proxies)}
+	s.lessors = []*Lessor{s.newLessor(), nil}
+	for range proxies {
+		s.holders = append(s.holders, s.newHolder())
 	}
-	return m
+	return s
 }
 
-func (m *mixersOf) bank() *Lessor {
-	b := NewLessor(m.now, DefaultLeaseConfig, len(m.side)) // it was there before
-	b.SetAllowances([]Allowance{m.stated})
-	return b
+func (s *simulation) newLessor() *Lessor {
+	lessor := NewLessor(s.now, DefaultLeaseConfig, len(s.sides)) // the process knew all proxies before it took the role over
+	lessor.SetAllowances([]Allowance{s.allowance})
+	return lessor
 }
 
-func (m *mixersOf) till() *Holder {
-	t := NewHolder(DefaultLeaseConfig)
-	t.SetAllowances(m.now, []Allowance{m.stated})
-	t.SetProxies(len(m.side))
-	return t
+func (s *simulation) newHolder() *Holder {
+	holder := NewHolder(DefaultLeaseConfig)
+	holder.SetAllowances(s.now, []Allowance{s.allowance})
+	holder.SetProxies(len(s.sides))
+	return holder
 }
 
-func (m *mixersOf) reached(side int) (n int) {
-	for _, s := range m.side {
-		if s == side {
+func (s *simulation) proxiesOn(side int) (n int) {
+	for _, other := range s.sides {
+		if other == side {
 			n++
 		}
 	}
 	return n
 }
 
-// play has requests come at a rate to mixers that pick tells.
-func (m *mixersOf) play(d int64, rate float64, pick func() int) {
+// run advances the clock by d and sends requests at a rate to the proxies that pickProxy selects.
+func (s *simulation) run(d int64, rate float64, pickProxy func() int) {
 	const step = sec / 100
-	for end := m.now + d; m.now < end; m.now += step {
-		for n := rate / 100; n > m.rng.Float64(); n-- {
-			m.asked++
-			if ok, after := m.tills[pick()].Admit(m.now, m.stated.Name); ok {
-				m.spent = append(m.spent, m.now)
-			} else if after <= 0 {
-				m.t.Fatal("a refusal that does not tell when to come back")
+	for end := s.now + d; s.now < end; s.now += step {
+		for n := rate / 100; n > s.rng.Float64(); n-- {
+			s.requests++
+			if ok, retryAfter := s.holders[pickProxy()].Admit(s.now, s.allowance.Name); ok {
+				s.admittedAt = append(s.admittedAt, s.now)
+			} else if retryAfter <= 0 {
+				s.t.Fatal("a request was rejected without a time to retry")
 			}
 		}
-		for i, t := range m.tills {
-			if !t.Due(m.now) {
+		for i, holder := range s.holders {
+			if !holder.Due(s.now) {
 				continue
 			}
-			sent, claims, side := m.now, t.TakeClaims(m.now), m.side[i]
-			if side < 0 || m.banks[side] == nil || m.rng.Float64() < m.loss {
+			sent, claims, side := s.now, holder.TakeClaims(s.now), s.sides[i]
+			if side < 0 || s.lessors[side] == nil || s.rng.Float64() < s.lossRate {
 				continue
 			}
-			arrives := m.now + m.rng.Int64N(60_000)
-			back := arrives + m.rng.Int64N(60_000)
-			lost := m.rng.Float64() < m.loss
+			arrives := s.now + s.rng.Int64N(60_000)
+			returns := arrives + s.rng.Int64N(60_000)
+			lost := s.rng.Float64() < s.lossRate
 			var grants []Grant
-			asked := false
-			m.mail = append(m.mail, func() bool {
-				if !asked && m.now >= arrives && m.banks[side] != nil {
-					grants, asked = m.banks[side].HandleClaims(m.now, fmt.Sprint("m", i), m.reached(side), claims), true
+			delivered := false
+			s.pendingCalls = append(s.pendingCalls, func() bool {
+				if !delivered && s.now >= arrives && s.lessors[side] != nil {
+					grants, delivered = s.lessors[side].HandleClaims(s.now, fmt.Sprint("m", i), s.proxiesOn(side), claims), true
 				}
-				if m.now < back {
+				if s.now < returns {
 					return false
 				}
-				if asked && !lost && m.tills[i] == t {
-					t.HandleGrants(m.now, sent, grants)
+				if delivered && !lost && s.holders[i] == holder {
+					holder.HandleGrants(s.now, sent, grants)
 				}
 				return true
 			})
 		}
-		for side, b := range m.banks {
-			if b != nil {
-				b.ObserveProxies(m.now, m.reached(side))
+		for side, lessor := range s.lessors {
+			if lessor != nil {
+				lessor.ObserveProxies(s.now, s.proxiesOn(side))
 			}
 		}
-		rest := m.mail[:0]
-		for _, f := range m.mail {
-			if !f() {
-				rest = append(rest, f)
+		remaining := s.pendingCalls[:0]
+		for _, call := range s.pendingCalls {
+			if !call() {
+				remaining = append(remaining, call)
 			}
 		}
-		m.mail = rest
+		s.pendingCalls = remaining
 	}
 }
 
-// worst is the most that was admitted in any ten seconds since a time.
-func (m *mixersOf) worst(from int64) (most int) {
-	i := 0
-	for j, at := range m.spent {
-		for m.spent[i] <= at-10*sec {
-			i++
+// maxInTenSeconds returns the highest number of requests admitted in any ten seconds since a time.
+func (s *simulation) maxInTenSeconds(since int64) (count int) {
+	first := 0
+	for last, at := range s.admittedAt {
+		for s.admittedAt[first] <= at-10*sec {
+			first++
 		}
-		if at >= from && m.spent[i] >= from {
-			most = max(most, j-i+1)
+		if at >= since && s.admittedAt[first] >= since {
+			count = max(count, last-first+1)
 		}
 	}
-	return most
+	return count
 }
 
 func TestAllowance(t *testing.T) {
-	stated := Allowance{Name: "billing", Rate: 50, Burst: 25}
-	bound := func(n int) int { return 500 + 25 + n } // a rate's ten seconds, a burst, and a request of each mixer
-	Convey("Ten times the allowance is held to it by all mixers together", t, func() {
-		for _, n := range []int{1, 9, 60} {
-			for name, pick := range map[string]func(*mixersOf) func() int{
-				"evenly":     func(m *mixersOf) func() int { return func() int { return m.rng.IntN(n) } },
-				"all on one": func(*mixersOf) func() int { return func() int { return 0 } },
-				"hopping":    func(m *mixersOf) func() int { return func() int { return int(m.now/(4*sec)) % n } },
+	allowance := Allowance{Name: "billing", Rate: 50, Burst: 25}
+	bound := func(proxies int) int { return 500 + 25 + proxies } // the rate for ten seconds, a burst, and one request per proxy
+	Convey("Demand of ten times the allowance is limited to the allowance over all proxies", t, func() {
+		for _, proxies := range []int{1, 9, 60} {
+			for name, pickProxy := range map[string]func(*simulation) func() int{
+				"evenly":     func(s *simulation) func() int { return func() int { return s.rng.IntN(proxies) } },
+				"all on one": func(*simulation) func() int { return func() int { return 0 } },
+				"hopping":    func(s *simulation) func() int { return func() int { return int(s.now/(4*sec)) % proxies } },
 			} {
-				m := newMixers(t, n, stated, uint64(n))
-				from := m.now
-				m.play(60*sec, 500, pick(m))
-				most, mean := m.worst(from), float64(len(m.spent))/60
-				t.Logf("%2d mixers, %-10s: %d in the worst 10 s, %.1f a second of %.0f", n, name, most, mean, stated.Rate)
-				So(most, ShouldBeLessThanOrEqualTo, bound(n))
+				s := newSimulation(t, proxies, allowance, uint64(proxies))
+				start := s.now
+				s.run(60*sec, 500, pickProxy(s))
+				maxAdmitted, mean := s.maxInTenSeconds(start), float64(len(s.admittedAt))/60
+				t.Logf("%2d proxies, %-10s: at most %d admitted in 10 s, on average %.1f per second of %.0f", proxies, name, maxAdmitted, mean, allowance.Rate)
+				So(maxAdmitted, ShouldBeLessThanOrEqualTo, bound(proxies))
 				if name == "evenly" || name == "all on one" {
-					So(mean, ShouldBeBetween, 0.75*stated.Rate, 1.02*stated.Rate)
+					So(mean, ShouldBeBetween, 0.75*allowance.Rate, 1.02*allowance.Rate)
 				}
 			}
 		}
 	})
-	Convey("What is asked within the allowance is hardly ever refused", t, func() {
-		m := newMixers(t, 9, Allowance{Name: "billing", Rate: 50, Burst: 100}, 5)
-		m.play(10*sec, 30, func() int { return m.rng.IntN(9) })
-		before, asked := len(m.spent), m.asked
-		m.play(60*sec, 30, func() int { return m.rng.IntN(9) })
-		So(float64(len(m.spent)-before)/float64(m.asked-asked), ShouldBeGreaterThan, 0.95)
+	Convey("Demand within the allowance is rarely rejected", t, func() {
+		s := newSimulation(t, 9, Allowance{Name: "billing", Rate: 50, Burst: 100}, 5)
+		s.run(10*sec, 30, func() int { return s.rng.IntN(9) })
+		admittedBefore, requestsBefore := len(s.admittedAt), s.requests
+		s.run(60*sec, 30, func() int { return s.rng.IntN(9) })
+		So(float64(len(s.admittedAt)-admittedBefore)/float64(s.requests-requestsBefore), ShouldBeGreaterThan, 0.95)
 	})
-	Convey("Under troubles the bound holds; while cut in two, that of both sides after a minute", t, func() {
+	Convey("The limit holds under random faults, including partitions shorter than ProxyMemory", t, func() {
 		for seed := range uint64(40) {
-			n := 2 + int(seed)%12
-			m := newMixers(t, n, stated, seed)
-			from := m.now
-			m.loss = 0.1
+			proxies := 2 + int(seed)%12
+			s := newSimulation(t, proxies, allowance, seed)
+			start := s.now
+			s.lossRate = 0.1
 			for range 12 {
-				switch m.rng.IntN(4) {
-				case 0: // the holder dies; another follows a while after, with nothing
-					m.banks[0] = nil
-					m.play(m.rng.Int64N(5*sec), 500, func() int { return m.rng.IntN(n) })
-					m.banks[0] = m.bank()
-				case 1: // a mixer starts anew
-					m.tills[m.rng.IntN(n)] = m.till()
-				case 2: // cut in two, each with a bank
-					m.banks[1] = m.bank()
-					for i := range m.side {
-						m.side[i] = m.rng.IntN(2)
+				switch s.rng.IntN(4) {
+				case 0: // the lessor dies; later another one starts without state
+					s.lessors[0] = nil
+					s.run(s.rng.Int64N(5*sec), 500, func() int { return s.rng.IntN(proxies) })
+					s.lessors[0] = s.newLessor()
+				case 1: // a proxy restarts
+					s.holders[s.rng.IntN(proxies)] = s.newHolder()
+				case 2: // the network is partitioned, with a lessor on each side
+					s.lessors[1] = s.newLessor()
+					for i := range s.sides {
+						s.sides[i] = s.rng.IntN(2)
 					}
-					m.side[0], m.side[1] = 0, 1 // who holds a bank is on its side
-					m.play(m.rng.Int64N(20*sec), 500, func() int { return m.rng.IntN(n) })
-					for i := range m.side {
-						m.side[i] = 0
+					s.sides[0], s.sides[1] = 0, 1 // the proxies of the lessors' own processes
+					s.run(s.rng.Int64N(20*sec), 500, func() int { return s.rng.IntN(proxies) })
+					for i := range s.sides {
+						s.sides[i] = 0
 					}
-					m.banks[1] = nil
-				case 3: // one reaches nobody
-					m.side[m.rng.IntN(n)] = -1
+					s.lessors[1] = nil
+				case 3: // one proxy reaches no lessor
+					s.sides[s.rng.IntN(proxies)] = -1
 				}
-				m.play(m.rng.Int64N(6*sec), 500, func() int { return m.rng.IntN(n) })
-				for i := range m.side {
-					m.side[i] = 0
+				s.run(s.rng.Int64N(6*sec), 500, func() int { return s.rng.IntN(proxies) })
+				for i := range s.sides {
+					s.sides[i] = 0
 				}
 			}
-			if most := m.worst(from); most > bound(n) {
-				t.Fatalf("seed %d: %d admitted in ten seconds by %d mixers", seed, most, n)
+			if maxAdmitted := s.maxInTenSeconds(start); maxAdmitted > bound(proxies) {
+				t.Fatalf("seed %d: %d requests admitted in ten seconds by %d proxies", seed, maxAdmitted, proxies)
 			}
 		}
 	})
-	Convey("A mixer that reaches no bank goes on with its part of the floor", t, func() {
-		m := newMixers(t, 9, stated, 3)
-		m.play(10*sec, 500, func() int { return 0 })
-		m.side[0] = -1
-		before := len(m.spent)
-		m.play(20*sec, 500, func() int { return 0 })
-		So(len(m.spent)-before, ShouldBeBetween, 5, int(3*stated.Rate)+30)
+	Convey("A proxy that reaches no lessor keeps its part of the unleased share", t, func() {
+		s := newSimulation(t, 9, allowance, 3)
+		s.run(10*sec, 500, func() int { return 0 })
+		s.sides[0] = -1
+		admittedBefore := len(s.admittedAt)
+		s.run(20*sec, 500, func() int { return 0 })
+		So(len(s.admittedAt)-admittedBefore, ShouldBeBetween, 5, int(3*allowance.Rate)+30)
 	})
-	Convey("An allowance that is changed or gone counts at once", t, func() {
-		m := newMixers(t, 3, stated, 4)
-		m.play(10*sec, 500, func() int { return m.rng.IntN(3) })
-		less := Allowance{Name: "billing", Rate: 5, Burst: 5}
-		for _, till := range m.tills {
-			till.SetAllowances(m.now, []Allowance{less})
+	Convey("A changed or removed allowance takes effect at once", t, func() {
+		s := newSimulation(t, 3, allowance, 4)
+		s.run(10*sec, 500, func() int { return s.rng.IntN(3) })
+		reduced := Allowance{Name: "billing", Rate: 5, Burst: 5}
+		for _, holder := range s.holders {
+			holder.SetAllowances(s.now, []Allowance{reduced})
 		}
-		m.banks[0].SetAllowances([]Allowance{less})
-		from := m.now
-		m.play(20*sec, 500, func() int { return m.rng.IntN(3) })
-		So(m.worst(from), ShouldBeLessThan, 75)
-		m.tills[0].SetAllowances(m.now, nil)
-		ok, _ := m.tills[0].Admit(m.now, "billing")
+		s.lessors[0].SetAllowances([]Allowance{reduced})
+		start := s.now
+		s.run(20*sec, 500, func() int { return s.rng.IntN(3) })
+		So(s.maxInTenSeconds(start), ShouldBeLessThan, 75)
+		s.holders[0].SetAllowances(s.now, nil)
+		ok, _ := s.holders[0].Admit(s.now, "billing")
 		So(ok, ShouldBeTrue)
 	})
 }
--- a/internal/cluster/quota/recentmax_test.go
+++ b/internal/cluster/quota/recentmax_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// The largest count of the window counts, and no longer than that.
+// Guards against a maximum that is lost within the window or that outlasts it.
 func TestRecentMax(t *testing.T) {
 	const window = 10
 	var counts recentMax
@@ -11,7 +11,7 @@
 		n, want int
 	}{{0, 5, 5}, {1, 3, 5}, {2, 4, 5}, {10, 2, 5}, {11, 2, 4}, {13, 2, 2}, {14, 9, 9}, {24, 1, 9}, {25, 1, 1}} {
 		if got := counts.observe(step.now, window, step.n); got != step.want {
-			t.Errorf("at %d with %d: %d; want %d", step.now, step.n, got, step.want)
+			t.Errorf("observe at %d with count %d = %d; want %d", step.now, step.n, got, step.want)
 		}
 	}
 }
