--- a/internal/cluster/outlier/ejections.go
+++ b/internal/cluster/outlier/ejections.go
@@ -5,48 +5,50 @@
 	"slices"
 )
 
-// ActiveEjection is a member that is ejected in one proxy.
+// ActiveEjection is a member whose ejection is in force in one proxy.
 type ActiveEjection struct {
 	Ejected
 	Since     int64
-	LocalOnly bool // on this proxy's own evidence
+	LocalOnly bool // the ejection is based on this proxy's own evidence only
 }
 
-// Change is a member that was ejected, was restored, or is much slower or faster by now.
+// Change is a change of the ejections in force: a member was ejected, was restored (Restored), or is
+// still ejected with a much higher or lower latency ratio (Updated).
 type Change struct {
 	ActiveEjection
 	Restored, Updated bool
 }
 
-// sameRatio is the factor up to which two ratios count as one.
-const sameRatio = 1.5 // times another: so far two ratios count as one
+// sameRatio is the factor within which two latency ratios count as equal.
+const sameRatio = 1.5
 
-// Ejections is what is in force in one proxy: what the aggregator publishes as long as it
-// renews it; otherwise what the proxy's own evidence says, by a stricter rule. It is not safe
-// for concurrent use.
+// Ejections is the set of ejections in force in one proxy. It contains the assignment that the
+// aggregator publishes, as long as the aggregator renews it, and ejections by the proxy's own
+// evidence, under a stricter rule. It is not safe for concurrent use.
 type Ejections struct {
 	cfg        Config
 	assignment Assignment
 	version    uint64
-	assignedAt int64 // when the aggregator was last heard; 0: never
+	assignedAt int64 // when an assignment was last received; 0: never
 	ejected    map[string]ActiveEjection
 }
 
-// NewEjections returns ejections in which nobody is ejected.
+// NewEjections returns a set without any ejections.
 func NewEjections(cfg Config) *Ejections {
 	return &Ejections{cfg: cfg, ejected: make(map[string]ActiveEjection)}
 }
 
-// Observe takes a published assignment under its version, and reports whether it is new.
-func (e *Ejections) Observe(now int64, version uint64, a Assignment) bool {
+// Observe stores a published assignment with its version and reports whether it is newer than the
+// stored one.
+func (e *Ejections) Observe(now int64, version uint64, assignment Assignment) bool {
 	if version <= e.version {
 		return false
 	}
-	e.version, e.assignment, e.assignedAt = version, a, now
+	e.version, e.assignment, e.assignedAt = version, assignment, now
 	return true
 }
 
-// Assignment returns what was last published, if that is still valid.
+// Assignment returns the last published assignment, and whether it is still valid.
 func (e *Ejections) Assignment(now int64) (Assignment, bool) {
 	if e.assignedAt == 0 || now-e.assignedAt > e.cfg.AssignmentLifetime {
 		return Assignment{}, false
@@ -54,87 +56,89 @@
 	return e.assignment, true
 }
 
-// Idle reports that there is nothing to do until something comes in.
+// Idle reports whether there are no ejections in force or to apply. Step then has nothing to do unless a
+// member is suspected.
 func (e *Ejections) Idle(now int64) bool {
-	said, counts := e.Assignment(now)
-	return len(e.ejected) == 0 && (!counts || said.Empty())
+	assignment, valid := e.Assignment(now)
+	return len(e.ejected) == 0 && (!valid || assignment.Empty())
 }
 
-// Step brings the ejections in line with what was last published or, if nothing has been for
-// long, with the proxy's own evidence. members returns how many members a shard has.
-func (e *Ejections) Step(now int64, members func(shard string) int, own ...*Observer) (out []Change) {
-	want := make(map[string]ActiveEjection)
-	said, counts := e.Assignment(now)
-	if counts {
-		for _, m := range said.Ejected {
-			want[m.Name] = ActiveEjection{Ejected: m, Since: e.assignedAt - m.Age}
+// Step updates the ejections from the last valid assignment and from the proxy's own evidence, and
+// returns what changed, ordered by name. members returns the number of members of a shard.
+func (e *Ejections) Step(now int64, members func(shard string) int, observers ...*Observer) (changes []Change) {
+	wanted := make(map[string]ActiveEjection)
+	assignment, valid := e.Assignment(now)
+	if valid {
+		for _, ejected := range assignment.Ejected {
+			wanted[ejected.Name] = ActiveEjection{Ejected: ejected, Since: e.assignedAt - ejected.Age}
 		}
 	}
-	e.addLocal(now, members, own, want)
-	for name, a := range e.ejected {
-		if _, stays := want[name]; !stays {
+	e.addLocal(now, members, observers, wanted)
+	for name, ejection := range e.ejected {
+		if _, stillEjected := wanted[name]; !stillEjected {
 			delete(e.ejected, name)
-			out = append(out, Change{ActiveEjection: a, Restored: true})
+			changes = append(changes, Change{ActiveEjection: ejection, Restored: true})
 		}
 	}
-	for name, a := range want {
-		was, known := e.ejected[name]
+	for name, ejection := range wanted {
+		previous, known := e.ejected[name]
 		if known {
-			if a.Since = was.Since; a.Ratio < was.Ratio*sameRatio && was.Ratio < a.Ratio*sameRatio {
-				a.Ratio = was.Ratio // it is as it was
+			if ejection.Since = previous.Since; ejection.Ratio < previous.Ratio*sameRatio && previous.Ratio < ejection.Ratio*sameRatio {
+				ejection.Ratio = previous.Ratio // keep the former ratio, so that no change is reported
 			}
 		}
-		if e.ejected[name] = a; !known || a.Ratio != was.Ratio {
-			out = append(out, Change{ActiveEjection: a, Updated: known})
+		if e.ejected[name] = ejection; !known || ejection.Ratio != previous.Ratio {
+			changes = append(changes, Change{ActiveEjection: ejection, Updated: known})
 		}
 	}
-	slices.SortFunc(out, func(a, b Change) int { return cmp.Compare(a.Name, b.Name) })
-	return out
+	slices.SortFunc(changes, func(a, b Change) int { return cmp.Compare(a.Name, b.Name) })
+	return changes
 }
 
-// addLocal adds what this proxy's own evidence says and the aggregator has not taken up: one
-// member of a shard of which most are not suspected, suspected for long, with a higher score
-// than the aggregator would need. It stays for an assignment's lifetime, since its evidence
-// dries up.
-func (e *Ejections) addLocal(now int64, members func(string) int, own []*Observer, want map[string]ActiveEjection) {
-	taken, doubted := make(map[string]bool), make(map[string]int)
-	for _, a := range want {
-		taken[a.Shard] = true
+// addLocal adds ejections by this proxy's own evidence, on which the aggregator has not acted: at most
+// one member of a shard in which no member is ejected and the majority is not suspected. The member
+// must have been suspected for LocalEjectDelay, with a higher score than the aggregator requires.
+// The ejection lasts for the lifetime of an assignment, because an ejected member receives too few
+// requests for new evidence.
+func (e *Ejections) addLocal(now int64, members func(string) int, observers []*Observer, wanted map[string]ActiveEjection) {
+	shardTaken, suspectsByShard := make(map[string]bool), make(map[string]int)
+	for _, ejection := range wanted {
+		shardTaken[ejection.Shard] = true
 	}
-	for name, a := range e.ejected {
-		if a.LocalOnly && !taken[a.Shard] && now-a.Since < e.cfg.AssignmentLifetime {
-			want[name], taken[a.Shard] = a, true
+	for name, ejection := range e.ejected {
+		if ejection.LocalOnly && !shardTaken[ejection.Shard] && now-ejection.Since < e.cfg.AssignmentLifetime {
+			wanted[name], shardTaken[ejection.Shard] = ejection, true
 		}
 	}
-	var doubts []LocalView
-	for _, w := range own {
-		doubts = append(doubts, w.suspects(now)...)
+	var suspects []LocalView
+	for _, observer := range observers {
+		suspects = append(suspects, observer.suspects(now)...)
 	}
-	for _, o := range doubts {
-		doubted[o.Shard]++
+	for _, suspect := range suspects {
+		suspectsByShard[suspect.Shard]++
 	}
-	for _, o := range doubts {
-		n := members(o.Shard)
-		if taken[o.Shard] || n < 3 || 2*doubted[o.Shard] > n || o.SuspectedFor < e.cfg.LocalEjectDelay || o.Score < e.cfg.EjectScore*e.cfg.LocalScoreFactor {
+	for _, suspect := range suspects {
+		shardSize := members(suspect.Shard)
+		if shardTaken[suspect.Shard] || shardSize < 3 || 2*suspectsByShard[suspect.Shard] > shardSize || suspect.SuspectedFor < e.cfg.LocalEjectDelay || suspect.Score < e.cfg.EjectScore*e.cfg.LocalScoreFactor {
 			continue
 		}
-		taken[o.Shard] = true
-		want[o.Name] = ActiveEjection{Ejected: Ejected{Name: o.Name, Shard: o.Shard, Ratio: o.Median, Reporters: 1, Samples: o.Samples}, Since: now, LocalOnly: true}
+		shardTaken[suspect.Shard] = true
+		wanted[suspect.Name] = ActiveEjection{Ejected: Ejected{Name: suspect.Name, Shard: suspect.Shard, Ratio: suspect.Median, Reporters: 1, Samples: suspect.Samples}, Since: now, LocalOnly: true}
 	}
 }
 
-// Ratio returns the latency of an ejected member as a multiple of its peers' median; 0: it is
-// not ejected.
+// Ratio returns the latency of an ejected member as a multiple of its peers' median, and 0 if the
+// member is not ejected.
 func (e *Ejections) Ratio(name string) float64 { return e.ejected[name].Ratio }
 
-// All returns the ejected members in the order of their shards and names.
+// All returns the ejected members, ordered by shard and name.
 func (e *Ejections) All() []ActiveEjection {
-	out := make([]ActiveEjection, 0, len(e.ejected))
+	ejections := make([]ActiveEjection, 0, len(e.ejected))
 	for _, a := range e.ejected {
-		out = append(out, a)
+		ejections = append(ejections, a)
 	}
-	slices.SortFunc(out, func(a, b ActiveEjection) int {
+	slices.SortFunc(ejections, func(a, b ActiveEjection) int {
 		return cmp.Or(cmp.Compare(a.Shard, b.Shard), cmp.Compare(a.Name, b.Name))
 	})
-	return out
+	return ejections
 }
--- a/internal/cluster/outlier/observer.go
+++ b/internal/cluster/outlier/observer.go
@@ -1,11 +1,11 @@
-// Package outlier finds members that are much slower than their peers, among servers and among
-// callers, by the evidence of all proxies together. An Observer is one proxy's own evidence,
-// from the answers and bytes that it sees anyway. An Aggregator merges the evidence of all
-// proxies and decides who is ejected. Ejections is what is in force in one proxy. None of them
-// sends a probe, moves a request or reads a clock, and a shard is never emptied: at most a
-// share of it is ejected, and if most of it is slow nobody is.
+// Package outlier detects members, among servers and among callers, that are much slower than their
+// peers, by the evidence of all proxies together. An Observer collects the evidence of one proxy
+// from the answers and bytes that the proxy handles anyway. An Aggregator merges the evidence of all
+// proxies and decides which members are ejected. Ejections is the set of ejections in force in one
+// proxy. None of these types sends probes, redirects requests or reads a clock. A shard is never
+// emptied: at most a share of it is ejected, and no member is ejected if the majority is slow.
 //
-// All times are microseconds of the caller's steady clock.
+// All times are microseconds of the caller's monotonic clock.
 package outlier
 
 import (
@@ -16,122 +16,127 @@
 )
 
 const (
-	slowRatio   = 2.5 // times the peers' middle: from there on a sample speaks for slowness
-	mostFor     = 0.8 // weight of one sample, at most
-	mostAgainst = 1.0 // and against
+	slowRatio    = 2.5 // multiple of the peers' median from which a sample indicates slowness
+	maxSlowScore = 0.8 // maximum score of one slow sample
+	maxFastScore = 1.0 // maximum amount that one fast sample subtracts
 )
 
-// Config tunes the machines.
+// Config configures Observer, Aggregator and Ejections.
 type Config struct {
-	SampleLifetime       int64   // a sample counts for so long
-	SingleSampleLifetime int64   // of a single sample that speaks for slowness
-	RecentSpan           int64   // samples of so long are reported if nothing speaks for slowness,
-	LastSamplesSpan      int64   // or the last few of so long
-	ReportDelay          int64   // a suspicion is reported after so long: most are gone with the next answer
-	MedianWindow         int64   // the same of the peers' middle
-	MedianSampleInterval int64   // between two samples of one member that count for the peers' middle
-	MinMedian            int64   // the peers' middle counts as this at least
-	MinMedianSamples     int     // samples of a kind before its middle is one
-	SuspectScore         float64 // score from which a proxy reports its evidence
-	ReportInterval       int64   // evidence that has not changed is reported again after so long
-	RequestScore         float64 // score of all proxies together from which evidence is requested of the others
-	EjectScore           float64 // score of all proxies together from which a member is ejected
-	MinEjectSamples      int     // samples for that
-	MaxEjectedShare      float64 // of a shard that may be ejected
-	EvidenceDelay        int64   // after the first suspicion: time for the others' evidence to come
-	EvidenceLifetime     int64   // evidence that was reported longer ago does not count
-	MinEjectionTime      int64   // a member stays ejected at least for so long
-	RestoreRatio         float64 // its middle, from which it is prompt again
-	MinRestoreSamples    int     // samples for that
-	NoEvidenceTimeout    int64   // without evidence of slowness for so long it is tried
-	ProbationTime        int64   // after its return: half the score does
-	RenewInterval        int64   // between two publications of an unchanged assignment
-	AssignmentLifetime   int64   // an assignment that was not renewed for so long is void
-	LocalEjectDelay      int64   // a suspicion that no aggregator takes up for so long is acted on locally
-	LocalScoreFactor     float64 // factor on EjectScore for a proxy that acts alone
+	SampleLifetime       int64   // time for which a sample counts
+	SingleSampleLifetime int64   // time for which a slow sample counts if the sample before it was not slow
+	RecentSpan           int64   // age up to which all samples of a member are reported if they do not indicate slowness
+	LastSamplesSpan      int64   // age up to which at least the last minRecentSamples of such a member are reported
+	ReportDelay          int64   // delay until a suspicion is reported; most suspicions end with the next answer
+	MedianWindow         int64   // window of the peers' median, which covers the current and the previous window
+	MedianSampleInterval int64   // minimum time between two samples of one member that count for the peers' median
+	MinMedian            int64   // lower bound of the peers' median
+	MinMedianSamples     int     // samples of a kind that are required for a median
+	SuspectScore         float64 // score from which a proxy suspects a member and reports its evidence
+	ReportInterval       int64   // time after which unchanged evidence is reported again
+	RequestScore         float64 // score over all proxies from which evidence is requested from the other proxies
+	EjectScore           float64 // score over all proxies from which a member is ejected
+	MinEjectSamples      int     // samples that are required for an ejection
+	MaxEjectedShare      float64 // maximum share of a shard that may be ejected
+	EvidenceDelay        int64   // time between the request for evidence and the decision, in which the evidence of the other proxies arrives
+	EvidenceLifetime     int64   // time for which reported evidence counts
+	MinEjectionTime      int64   // minimum duration of an ejection
+	RestoreRatio         float64 // median ratio up to which an ejected member counts as recovered
+	MinRestoreSamples    int     // samples that are required for a restoration by RestoreRatio
+	NoEvidenceTimeout    int64   // time without evidence of slowness after which an ejected member is restored on trial
+	ProbationTime        int64   // time after a restoration during which half of EjectScore suffices
+	RenewInterval        int64   // time between two publications of an unchanged assignment
+	AssignmentLifetime   int64   // time after which an assignment that was not renewed becomes invalid
+	LocalEjectDelay      int64   // time after which a proxy ejects a suspected member locally if the aggregator has not
+	LocalScoreFactor     float64 // factor on EjectScore for a local ejection
 }
 
-// DefaultConfig is the configuration for service.
+// DefaultConfig is the configuration used in production.
 var DefaultConfig = Config{SampleLifetime: 12_000_000, SingleSampleLifetime: 2_000_000, RecentSpan: 600_000, LastSamplesSpan: 5_000_000, ReportDelay: 300_000, MedianWindow: 10_000_000, MedianSampleInterval: 100_000, MinMedian: 3_000, MinMedianSamples: 20,
 	SuspectScore: 0.75, ReportInterval: 1_000_000, RequestScore: 1.5, EjectScore: 2.3, MinEjectSamples: 3, MaxEjectedShare: 0.34, EvidenceDelay: 400_000, EvidenceLifetime: 2_500_000, MinEjectionTime: 3_000_000, RestoreRatio: 1.7, MinRestoreSamples: 3,
 	NoEvidenceTimeout: 15_000_000, ProbationTime: 20_000_000, RenewInterval: 3_000_000, AssignmentLifetime: 10_000_000, LocalEjectDelay: 5_000_000, LocalScoreFactor: 2}
 
-// Callers is the shard that all callers belong to.
+// Callers is the name of the shard that contains all callers.
 const Callers = "callers"
 
-// Sample is one answer, or one wait that was given up.
+// Sample is the latency of one answer, or of one attempt that ended without an answer.
 type Sample struct {
-	Name     string // of the server, or of the caller
+	Name     string // name of the server or caller
 	Shard    string
-	Kind     string // what is alike in all but the member: its middle is what a sample is measured by
+	Kind     string // samples of one kind differ only in the member; each is compared with the kind's median
 	Latency  int64  // microseconds
-	Complete bool   // otherwise it would have taken longer
+	Complete bool   // false: no complete answer arrived, and Latency is a lower bound
 }
 
-// Evidence is what one proxy knows of one member.
+// Evidence is the evidence of one proxy on one member.
 type Evidence struct {
 	Name      string `json:"n"`
 	Shard     string `json:"s"`
-	ShardSize int    `json:"o,omitempty"` // members of the shard that the mixer has seen
+	ShardSize int    `json:"o,omitempty"` // members of the shard that the proxy has seen
 	Sketch    Sketch `json:"k"`
 }
 
-type kind struct {
-	half [2]*hdrhistogram.Histogram
-	now  int
-	from int64
-	mid  int64 // the middle when it was last looked at
-	due  int   // samples until the next look
+// kindStats maintains the median latency of a kind of samples, over the current and the previous
+// window.
+type kindStats struct {
+	windows            [2]*hdrhistogram.Histogram
+	current            int // index of the current window
+	windowStart        int64
+	median             int64 // as of the last update; 0: none
+	samplesUntilUpdate int   // samples until the median is computed again
 }
 
-// memberSamples is a member with its last samples, as a ring.
+// memberSamples is a member with a ring buffer of its last samples.
 type memberSamples struct {
-	name, shard string
-	last        [ringSize]sample
-	n           int   // samples so far
-	suspectedAt int64 // 0: it is not suspected
-	since       int64 // when it was first seen
-	basisAt     int64 // when a sample of it last counted for its kind's middle
+	name, shard    string
+	ring           [ringSize]sample
+	count          int   // number of samples so far
+	suspectedAt    int64 // 0: not suspected
+	firstSeenAt    int64
+	medianSampleAt int64 // when a sample of this member last counted for the median of its kind
 }
 
+// sample is a latency ratio, as a cell of a sketch, with its time.
 type sample struct {
 	at   int64
 	cell int64
 }
 
 const (
-	ringSize  = 16
-	fewRecent = 4 // samples are recent, however old within the span
+	ringSize         = 16
+	minRecentSamples = 4 // number of last samples that are reported regardless of RecentSpan
 )
 
-func (m *memberSamples) at() int64 {
-	if m.n == 0 {
-		return m.since
+// lastSeenAt returns the time of the last sample, or the time at which the member was first seen.
+func (m *memberSamples) lastSeenAt() int64 {
+	if m.count == 0 {
+		return m.firstSeenAt
 	}
-	return m.last[(m.n-1)%ringSize].at
+	return m.ring[(m.count-1)%ringSize].at
 }
 
-// back calls f with the samples that still count, the last one first, until it has enough.
-func (m *memberSamples) back(now, span int64, f func(sample) bool) {
-	for i := m.n - 1; i >= max(m.n-ringSize, 0); i-- {
-		if x := m.last[i%ringSize]; now-x.at > span || !f(x) {
+// forEachRecent calls f for the samples that are not older than span, latest first, until f returns
+// false.
+func (m *memberSamples) forEachRecent(now, span int64, f func(sample) bool) {
+	for i := m.count - 1; i >= max(m.count-ringSize, 0); i-- {
+		if x := m.ring[i%ringSize]; now-x.at > span || !f(x) {
 			return
 		}
 	}
 }
 
-// run is the run of last samples that speaks most for slowness, as its score and length:
-// what came before a change says nothing of what is now.
-// One sample alone is soon out of date: a heavy tail's, most likely.
-func (m *memberSamples) run(now int64, cfg *Config) (score float64, length int) {
+// worstRun returns the score and the length of the run of latest samples with the highest score.
+// Earlier samples are ignored, because they were taken before the member's latency changed. A single
+// slow sample expires sooner, because it most likely belongs to the tail of the distribution.
+func (m *memberSamples) worstRun(now int64, cfg *Config) (score float64, length int) {
 	span := cfg.SampleLifetime
-	if m.n < 2 || speaksOf(m.last[(m.n-2+ringSize)%ringSize].cell) <= 0 {
+	if m.count < 2 || cellScore(m.ring[(m.count-2+ringSize)%ringSize].cell) <= 0 {
 		span = cfg.SingleSampleLifetime
 	}
 	sum, n := 0.0, 0
-	m.back(now, span, func(x sample) bool {
+	m.forEachRecent(now, span, func(x sample) bool {
 		n++
-		if sum += speaksOf(x.cell); sum > score {
+		if sum += cellScore(x.cell); sum > score {
 			score, length = sum, n
 		}
 		return true
@@ -139,134 +144,136 @@
 	return score, length
 }
 
-// Observer is one proxy's own evidence. It is not safe for concurrent use.
+// Observer collects the evidence of one proxy. It is not safe for concurrent use.
 type Observer struct {
-	cfg          Config
-	kinds        map[string]*kind
-	seen         map[string]*memberSamples
-	shards       map[string]int // members seen, by shard
-	suspected    int
-	reportedAt   int64
-	reportedMark int // what was reported last
-	Dropped      int // samples that found no room
+	cfg                 Config
+	kinds               map[string]*kindStats
+	members             map[string]*memberSamples
+	shardSizes          map[string]int // number of members seen, by shard
+	suspected           int
+	reportedAt          int64
+	reportedFingerprint int // of the evidence that was reported last
+	Dropped             int // samples dropped because of maxMembers
 }
 
 const (
-	maxMembers  = 8192
-	maxKinds    = 512
-	maxReported = 48 // members of one message
-	medianEvery = 16 // samples
-	maxLatency  = 1 << 26
-	expirySpans = 10 // spans: a member not seen for so long is forgotten
+	maxMembers       = 8192
+	maxKinds         = 512
+	maxReported      = 48      // members in one message
+	samplesPerMedian = 16      // samples of a kind between two updates of its median
+	maxLatency       = 1 << 26 // microseconds; higher latencies count as this
+	expiryFactor     = 10      // a member that was not seen for this multiple of SampleLifetime is removed
 )
 
 // NewObserver returns an observer without samples.
 func NewObserver(cfg Config) *Observer {
-	return &Observer{cfg: cfg, kinds: make(map[string]*kind), seen: make(map[string]*memberSamples), shards: make(map[string]int)}
+	return &Observer{cfg: cfg, kinds: make(map[string]*kindStats), members: make(map[string]*memberSamples), shardSizes: make(map[string]int)}
 }
 
-// middle adds a sample to its kind and returns the kind's median; 0: there is none yet. Each
-// member counts only now and then: otherwise one that answers a lot would be its own measure.
-func (w *Observer) middle(now int64, s Sample, m *memberSamples) int64 {
-	k := w.kinds[s.Kind]
-	if k == nil {
-		if len(w.kinds) >= maxKinds {
-			for name, old := range w.kinds {
-				if now-old.from > 2*w.cfg.MedianWindow {
-					delete(w.kinds, name)
+// median adds a sample to its kind and returns the median of the kind, or 0 if there are too few
+// samples. Samples of one member count at most once per MedianSampleInterval: otherwise a member with
+// many answers would be compared mainly with itself.
+func (o *Observer) median(now int64, s Sample, member *memberSamples) int64 {
+	stats := o.kinds[s.Kind]
+	if stats == nil {
+		if len(o.kinds) >= maxKinds {
+			for name, stats := range o.kinds {
+				if now-stats.windowStart > 2*o.cfg.MedianWindow {
+					delete(o.kinds, name)
 				}
 			}
-			if len(w.kinds) >= maxKinds {
+			if len(o.kinds) >= maxKinds {
 				return 0
 			}
 		}
-		k = &kind{from: now}
-		for i := range k.half {
-			k.half[i] = hdrhistogram.New(1, maxLatency, 1)
+		stats = &kindStats{windowStart: now}
+		for i := range stats.windows {
+			stats.windows[i] = hdrhistogram.New(1, maxLatency, 1)
 		}
-		w.kinds[s.Kind] = k
+		o.kinds[s.Kind] = stats
 	}
-	if now-k.from >= w.cfg.MedianWindow {
-		k.now, k.from = 1-k.now, now
-		k.half[k.now].Reset()
+	if now-stats.windowStart >= o.cfg.MedianWindow {
+		stats.current, stats.windowStart = 1-stats.current, now
+		stats.windows[stats.current].Reset()
 	}
-	if now-m.basisAt < w.cfg.MedianSampleInterval {
-		return k.mid
+	if now-member.medianSampleAt < o.cfg.MedianSampleInterval {
+		return stats.median
 	}
-	if s.Complete || s.Latency > k.mid {
-		m.basisAt = now
-		k.half[k.now].RecordValue(min(max(s.Latency, 1), maxLatency))
+	if s.Complete || s.Latency > stats.median {
+		member.medianSampleAt = now
+		stats.windows[stats.current].RecordValue(min(max(s.Latency, 1), maxLatency))
 	}
-	if k.due--; k.due <= 0 {
-		k.due, k.mid = medianEvery, 0
-		both := hdrhistogram.New(1, maxLatency, 1)
-		both.Merge(k.half[0])
-		both.Merge(k.half[1])
-		if n := int(both.TotalCount()); n >= w.cfg.MinMedianSamples {
-			k.mid = max(both.ValueAtQuantile(50), w.cfg.MinMedian)
+	if stats.samplesUntilUpdate--; stats.samplesUntilUpdate <= 0 {
+		stats.samplesUntilUpdate, stats.median = samplesPerMedian, 0
+		merged := hdrhistogram.New(1, maxLatency, 1)
+		merged.Merge(stats.windows[0])
+		merged.Merge(stats.windows[1])
+		if n := int(merged.TotalCount()); n >= o.cfg.MinMedianSamples {
+			stats.median = max(merged.ValueAtQuantile(50), o.cfg.MinMedian)
 		} else {
-			k.due = w.cfg.MinMedianSamples - n
+			stats.samplesUntilUpdate = o.cfg.MinMedianSamples - n
 		}
 	}
-	return k.mid
+	return stats.median
 }
 
-// Record takes a sample, and reports whether its member is suspected.
-func (w *Observer) Record(now int64, s Sample) bool {
-	m := w.seen[s.Name]
-	if m == nil {
-		if len(w.seen) >= maxMembers {
-			w.Expire(now)
+// Record adds a sample and reports whether its member is suspected.
+func (o *Observer) Record(now int64, s Sample) bool {
+	member := o.members[s.Name]
+	if member == nil {
+		if len(o.members) >= maxMembers {
+			o.Expire(now)
 		}
-		if len(w.seen) >= maxMembers {
-			w.Dropped++
+		if len(o.members) >= maxMembers {
+			o.Dropped++
 			return false
 		}
-		m = &memberSamples{name: s.Name, shard: s.Shard, basisAt: now - w.cfg.MedianSampleInterval, since: now}
-		w.seen[s.Name] = m
-		w.shards[s.Shard]++
+		member = &memberSamples{name: s.Name, shard: s.Shard, medianSampleAt: now - o.cfg.MedianSampleInterval, firstSeenAt: now}
+		o.members[s.Name] = member
+		o.shardSizes[s.Shard]++
 	}
-	mid := w.middle(now, s, m)
-	if mid == 0 {
+	median := o.median(now, s, member)
+	if median == 0 {
 		return false
 	}
-	ratio := float64(max(s.Latency, 1)) / float64(mid)
+	ratio := float64(max(s.Latency, 1)) / float64(median)
 	if !s.Complete && ratio < slowRatio {
-		return false // it would have taken longer; how long, nobody knows
+		return false // the actual latency is unknown, so the sample does not prove that the member is fast
 	}
-	m.last[m.n%ringSize] = sample{now, cell(ratio)}
-	m.n++
-	if ratio >= slowRatio || m.suspectedAt != 0 { // else nothing new speaks for slowness
-		w.evaluate(now, m)
+	member.ring[member.count%ringSize] = sample{now, cellOf(ratio)}
+	member.count++
+	if ratio >= slowRatio || member.suspectedAt != 0 { // otherwise the sample cannot raise a suspicion
+		o.evaluate(now, member)
 	}
-	return m.suspectedAt != 0
+	return member.suspectedAt != 0
 }
 
-func (w *Observer) evaluate(now int64, m *memberSamples) {
-	score, _ := m.run(now, &w.cfg)
-	switch doubted := score >= w.cfg.SuspectScore; {
-	case doubted && m.suspectedAt == 0:
-		m.suspectedAt = now
-		w.suspected++
-	case !doubted && m.suspectedAt != 0 && score < w.cfg.SuspectScore/2: // hysteresis
-		m.suspectedAt = 0
-		w.suspected--
+// evaluate updates whether a member is suspected.
+func (o *Observer) evaluate(now int64, member *memberSamples) {
+	score, _ := member.worstRun(now, &o.cfg)
+	switch suspected := score >= o.cfg.SuspectScore; {
+	case suspected && member.suspectedAt == 0:
+		member.suspectedAt = now
+		o.suspected++
+	case !suspected && member.suspectedAt != 0 && score < o.cfg.SuspectScore/2: // hysteresis
+		member.suspectedAt = 0
+		o.suspected--
 	}
 }
 
-// sketch returns what is reported of a member: the run of samples that speaks for slowness, or
-// else the last samples.
-func (w *Observer) sketch(now int64, m *memberSamples, few int64) Sketch {
+// sketch returns the samples of a member to report: the run of samples that indicates slowness or, if
+// there is none, the latest samples, which are not older than maxAge.
+func (o *Observer) sketch(now int64, member *memberSamples, maxAge int64) Sketch {
 	out := newSketch()
-	score, length := m.run(now, &w.cfg)
-	most := length
-	if score < w.cfg.SuspectScore/2 {
-		most = ringSize
+	score, length := member.worstRun(now, &o.cfg)
+	limit := length
+	if score < o.cfg.SuspectScore/2 {
+		limit = ringSize
 	}
 	n := 0
-	m.back(now, w.cfg.SampleLifetime, func(x sample) bool {
+	member.forEachRecent(now, o.cfg.SampleLifetime, func(x sample) bool {
 		n++
-		if old := now - x.at; n > most || score < w.cfg.SuspectScore/2 && (old > few || n > fewRecent && old > w.cfg.RecentSpan) {
+		if age := now - x.at; n > limit || score < o.cfg.SuspectScore/2 && (age > maxAge || n > minRecentSamples && age > o.cfg.RecentSpan) {
 			return false
 		}
 		out.add(x.cell)
@@ -275,105 +282,106 @@
 	return out
 }
 
-// Suspected counts the members suspected here.
-func (w *Observer) Suspected() int { return w.suspected }
+// Suspected returns the number of members that this proxy suspects.
+func (o *Observer) Suspected() int { return o.suspected }
 
-// TakeEvidence returns the evidence on the members that are suspected here and on those that
-// were asked for: worst first, a bounded number; nothing if it was reported a moment ago.
-func (w *Observer) TakeEvidence(now int64, assignment Assignment) (out []Evidence) {
-	report := func(m *memberSamples, few int64) {
-		if k := w.sketch(now, m, few); k.Samples() > 0 {
-			out = append(out, Evidence{Name: m.name, Shard: m.shard, ShardSize: w.shards[m.shard], Sketch: k})
+// TakeEvidence returns the evidence on the members that this proxy suspects and on those that the
+// assignment ejects or requests, highest score first and at most maxReported of them. It returns nil
+// if unchanged evidence was reported less than ReportInterval ago.
+func (o *Observer) TakeEvidence(now int64, assignment Assignment) (out []Evidence) {
+	report := func(member *memberSamples, maxAge int64) {
+		if sketch := o.sketch(now, member, maxAge); sketch.Samples() > 0 {
+			out = append(out, Evidence{Name: member.name, Shard: member.shard, ShardSize: o.shardSizes[member.shard], Sketch: sketch})
 		}
 	}
 	done := make(map[string]bool, len(assignment.Requested)+len(assignment.Ejected))
-	reportOnce := func(name string, few int64) {
-		if m := w.seen[name]; m != nil && !done[name] {
+	reportOnce := func(name string, maxAge int64) {
+		if member := o.members[name]; member != nil && !done[name] {
 			done[name] = true
-			report(m, few)
+			report(member, maxAge)
 		}
 	}
-	for _, a := range assignment.Ejected { // it is seldom used: all samples since its ejection count
-		reportOnce(a.Name, w.cfg.SampleLifetime)
+	for _, ejected := range assignment.Ejected { // an ejected member receives few requests, so all its unexpired samples are reported
+		reportOnce(ejected.Name, o.cfg.SampleLifetime)
 	}
 	for _, name := range assignment.Requested {
-		reportOnce(name, w.cfg.LastSamplesSpan)
+		reportOnce(name, o.cfg.LastSamplesSpan)
 	}
-	if w.suspected > 0 {
-		for name, m := range w.seen {
-			if w.evaluate(now, m); m.suspectedAt != 0 && now-m.suspectedAt >= w.cfg.ReportDelay {
-				reportOnce(name, w.cfg.LastSamplesSpan)
+	if o.suspected > 0 {
+		for name, member := range o.members {
+			if o.evaluate(now, member); member.suspectedAt != 0 && now-member.suspectedAt >= o.cfg.ReportDelay {
+				reportOnce(name, o.cfg.LastSamplesSpan)
 			}
 		}
 	}
 	slices.SortFunc(out, func(a, b Evidence) int {
 		return cmp.Or(cmp.Compare(b.Sketch.Score(), a.Sketch.Score()), cmp.Compare(a.Name, b.Name))
 	})
-	mark := 0
-	for _, e := range out {
-		mark += len(e.Name) + 100*w.seen[e.Name].n
+	fingerprint := 0
+	for _, evidence := range out {
+		fingerprint += len(evidence.Name) + 100*o.members[evidence.Name].count
 	}
-	if mark == w.reportedMark && now-w.reportedAt < w.cfg.ReportInterval {
+	if fingerprint == o.reportedFingerprint && now-o.reportedAt < o.cfg.ReportInterval {
 		return nil
 	}
-	w.reportedMark, w.reportedAt = mark, now
+	o.reportedFingerprint, o.reportedAt = fingerprint, now
 	return out[:min(len(out), maxReported)]
 }
 
-// Members counts the members of a shard that were seen recently.
-func (w *Observer) Members(shard string) int { return w.shards[shard] }
+// Members returns the number of members of a shard that were seen recently.
+func (o *Observer) Members(shard string) int { return o.shardSizes[shard] }
 
-// Expire removes members that were not seen for long.
-func (w *Observer) Expire(now int64) {
-	for name, m := range w.seen {
-		if now-m.at() > expirySpans*w.cfg.SampleLifetime {
-			if m.suspectedAt != 0 {
-				w.suspected--
+// Expire removes the members that were not seen for expiryFactor times SampleLifetime.
+func (o *Observer) Expire(now int64) {
+	for name, member := range o.members {
+		if now-member.lastSeenAt() > expiryFactor*o.cfg.SampleLifetime {
+			if member.suspectedAt != 0 {
+				o.suspected--
 			}
-			if w.shards[m.shard]--; w.shards[m.shard] <= 0 {
-				delete(w.shards, m.shard)
+			if o.shardSizes[member.shard]--; o.shardSizes[member.shard] <= 0 {
+				delete(o.shardSizes, member.shard)
 			}
-			delete(w.seen, name)
+			delete(o.members, name)
 		}
 	}
 }
 
-// LocalView is a member as this proxy alone sees it.
+// LocalView is the state of a member according to the evidence of this proxy alone.
 type LocalView struct {
 	Name, Shard  string
-	Median       float64 // times its peers' middle
+	Median       float64 // median latency as a multiple of the peers' median
 	Samples      int
 	Score        float64
-	SuspectedFor int64 // microseconds; 0: it is not suspected
+	SuspectedFor int64 // microseconds; 0: not suspected
 }
 
-// Describe returns what is known here of one member.
-func (w *Observer) Describe(now int64, name string) (LocalView, bool) {
-	m := w.seen[name]
-	if m == nil {
+// Describe returns the state of one member, and false if the member is unknown.
+func (o *Observer) Describe(now int64, name string) (LocalView, bool) {
+	member := o.members[name]
+	if member == nil {
 		return LocalView{}, false
 	}
-	score, _ := m.run(now, &w.cfg)
-	k := w.sketch(now, m, w.cfg.LastSamplesSpan)
-	o := LocalView{Name: name, Shard: m.shard, Median: k.Median(), Samples: k.Samples(), Score: score}
-	if m.suspectedAt != 0 {
-		o.SuspectedFor = max(now-m.suspectedAt, 1)
+	score, _ := member.worstRun(now, &o.cfg)
+	sketch := o.sketch(now, member, o.cfg.LastSamplesSpan)
+	view := LocalView{Name: name, Shard: member.shard, Median: sketch.Median(), Samples: sketch.Samples(), Score: score}
+	if member.suspectedAt != 0 {
+		view.SuspectedFor = max(now-member.suspectedAt, 1)
 	}
-	return o, true
+	return view, true
 }
 
-// suspects returns the members suspected here, worst first.
-func (w *Observer) suspects(now int64) (out []LocalView) {
-	if w.suspected == 0 {
+// suspects returns the members that this proxy suspects, highest score first.
+func (o *Observer) suspects(now int64) (out []LocalView) {
+	if o.suspected == 0 {
 		return nil
 	}
-	for name, m := range w.seen {
-		if m.suspectedAt == 0 {
+	for name, member := range o.members {
+		if member.suspectedAt == 0 {
 			continue
 		}
-		if w.evaluate(now, m); m.suspectedAt != 0 {
-			o, _ := w.Describe(now, name)
-			out = append(out, o)
+		if o.evaluate(now, member); member.suspectedAt != 0 {
+			view, _ := o.Describe(now, name)
+			out = append(out, view)
 		}
 	}
 	slices.SortFunc(out, func(a, b LocalView) int { return cmp.Or(cmp.Compare(b.Score, a.Score), cmp.Compare(a.Name, b.Name)) })
--- a/internal/cluster/outlier/role.go
+++ b/internal/cluster/outlier/role.go
@@ -1,93 +1,94 @@
 package outlier
 
-// Role is the name of the singleton role of the aggregator.
+// Role is the name of the singleton role of the aggregator as other processes know it.
 const Role = "herd"
 
 const (
-	termShift     = 40 // of a version: the term above, the sequence and a hash below
+	termShift     = 40 // a version consists of the term in the high bits, the sequence number and a hash
 	sequenceShift = 16
-	epochHashBits = 32 // the part of an epoch that is its holder's mark
+	epochHashBits = 32 // low bits of an epoch, which contain a hash of its holder
 )
 
-// VersionOf orders assignments: by the role's term, then by publication. The hash keeps apart
-// the publications of two holders that each believe to follow the same one.
-func VersionOf(a Assignment) uint64 {
-	return a.Epoch>>epochHashBits<<termShift | a.Seq&(1<<(termShift-sequenceShift)-1)<<sequenceShift | a.Epoch&(1<<sequenceShift-1)
+// VersionOf returns a version that orders assignments by the term of the role and then by sequence
+// number. The hash distinguishes publications of two processes that both believe to have succeeded
+// the same holder.
+func VersionOf(assignment Assignment) uint64 {
+	return assignment.Epoch>>epochHashBits<<termShift | assignment.Seq&(1<<(termShift-sequenceShift)-1)<<sequenceShift | assignment.Epoch&(1<<sequenceShift-1)
 }
 
-// AggregatorRole is the aggregator in a process that may hold its role. It is not safe for
+// AggregatorRole runs the aggregator in a process that may hold the role. It is not safe for
 // concurrent use.
 type AggregatorRole struct {
 	cfg        Config
 	self       string
 	aggregator *Aggregator // nil: another process holds the role
 	epoch      uint64
-	last       Assignment
+	published  Assignment
 	version    uint64
 }
 
-// NewAggregatorRole returns the role of a process.
+// NewAggregatorRole returns the aggregator role of a process that does not hold it yet.
 func NewAggregatorRole(cfg Config, self string) *AggregatorRole {
 	return &AggregatorRole{cfg: cfg, self: self}
 }
 
-// Observe takes an assignment that was gossiped.
-func (s *AggregatorRole) Observe(version uint64, a Assignment) {
-	if version > s.version {
-		s.version, s.last = version, a
+// Observe records an assignment that was received by gossip, if it is newer than the recorded one.
+func (r *AggregatorRole) Observe(version uint64, assignment Assignment) {
+	if version > r.version {
+		r.version, r.published = version, assignment
 	}
 }
 
-// SetHolder sets whether the process holds the role, and under which epoch. A new holder
-// starts from what was last published.
-func (s *AggregatorRole) SetHolder(now int64, epoch uint64, holds bool) {
+// SetHolder sets whether the process holds the role, and under which epoch. A new holder starts from
+// the last published assignment.
+func (r *AggregatorRole) SetHolder(now int64, epoch uint64, holds bool) {
 	switch {
 	case !holds:
-		s.aggregator = nil
-	case s.aggregator == nil || s.epoch != epoch:
-		s.epoch, s.aggregator = epoch, NewAggregator(now, s.cfg, s.self, epoch, s.last)
+		r.aggregator = nil
+	case r.aggregator == nil || r.epoch != epoch:
+		r.epoch, r.aggregator = epoch, NewAggregator(now, r.cfg, r.self, epoch, r.published)
 	}
 }
 
-// AddEvidence takes a proxy's evidence; false: this process does not hold the role.
-func (s *AggregatorRole) AddEvidence(now int64, from string, list []Evidence) bool {
-	if s.aggregator == nil {
+// AddEvidence records the evidence of a proxy. It returns false if this process does not hold the role.
+func (r *AggregatorRole) AddEvidence(now int64, proxy string, list []Evidence) bool {
+	if r.aggregator == nil {
 		return false
 	}
-	s.aggregator.AddEvidence(now, from, list)
+	r.aggregator.AddEvidence(now, proxy, list)
 	return true
 }
 
 // Busy reports whether there are candidates.
-func (s *AggregatorRole) Busy() bool { return s.aggregator != nil && len(s.aggregator.candidates) > 0 }
+func (r *AggregatorRole) Busy() bool { return r.aggregator != nil && len(r.aggregator.candidates) > 0 }
 
-// Step decides, and returns what is to be gossiped, if anything is.
-func (s *AggregatorRole) Step(now int64, proxies int, members func(shard string) int) (a Assignment, version uint64, publish bool) {
-	if s.aggregator == nil {
-		return a, 0, false
+// Step runs Aggregator.Step and returns the assignment and version to gossip, if publish is true.
+func (r *AggregatorRole) Step(now int64, proxies int, members func(shard string) int) (assignment Assignment, version uint64, publish bool) {
+	if r.aggregator == nil {
+		return assignment, 0, false
 	}
-	if a, publish = s.aggregator.Step(now, proxies, members); publish {
-		version = VersionOf(a)
-		s.Observe(version, a)
+	if assignment, publish = r.aggregator.Step(now, proxies, members); publish {
+		version = VersionOf(assignment)
+		r.Observe(version, assignment)
 	}
-	return a, version, publish
+	return assignment, version, publish
 }
 
-// Counts returns the ejections and restorations under this aggregator.
-func (s *AggregatorRole) Counts() (apart, back int) {
-	if s.aggregator == nil {
+// Counts returns the number of ejections and restorations by this aggregator.
+func (r *AggregatorRole) Counts() (ejections, restorations int) {
+	if r.aggregator == nil {
 		return 0, 0
 	}
-	return s.aggregator.Ejections, s.aggregator.Restorations
+	return r.aggregator.Ejections, r.aggregator.Restorations
 }
 
-// Last returns the last assignment that this process has heard of.
-func (s *AggregatorRole) Last() Assignment { return s.last }
+// Last returns the latest assignment that this process knows.
+func (r *AggregatorRole) Last() Assignment { return r.published }
 
 // Reports returns the evidence on a member, if this process holds the role.
-func (s *AggregatorRole) Reports(now int64, name string) (out []Report, holds bool) {
-	if s.aggregator == nil {
+func (r *AggregatorRole) Reports(now int64, name string) (reports []Report, holds bool) {
+	if r.aggregator == nil {
 		return nil, false
 	}
-	return s.aggregator.Reports(now, name), true
+	return r.aggregator.Reports(now, name), true
 }
--- a/internal/cluster/outlier/sketch.go
+++ b/internal/cluster/outlier/sketch.go
@@ -9,85 +9,88 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Sketch is a histogram of latencies as multiples of the peers' median, with an error of at
-// most a tenth. Sketches of several proxies are merged by adding.
+// Sketch is a histogram of latencies as multiples of the peers' median, with a relative error of at
+// most a tenth. Sketches of several proxies are merged by adding their counts.
 type Sketch struct{ h *hdrhistogram.Histogram }
 
 const (
-	fine      = 16   // steps of a ratio of one
-	mostRatio = 256  // a ratio above counts as that
-	mostCells = 96   // of a sketch that is sent
-	mostOfOne = 4096 // samples of one cell that are sent
+	cellsPerUnit = 16   // cells for a ratio of one
+	maxRatio     = 256  // higher ratios count as this
+	maxCells     = 96   // cells of an encoded sketch
+	maxCellCount = 4096 // samples in one cell of an encoded sketch
 )
 
-// ErrInvalidSketch is returned for a sketch that another process cannot have written.
+// ErrInvalidSketch is returned for an encoded sketch that MarshalJSON cannot have written.
 var ErrInvalidSketch = errors.New("invalid sketch")
 
-func newSketch() Sketch { return Sketch{hdrhistogram.New(1, fine*mostRatio, 1)} }
+func newSketch() Sketch { return Sketch{hdrhistogram.New(1, cellsPerUnit*maxRatio, 1)} }
 
-func cell(ratio float64) int64 {
-	return int64(min(max(math.Round(ratio*fine), 1), fine*mostRatio))
+// cellOf returns the histogram cell of a latency ratio.
+func cellOf(ratio float64) int64 {
+	return int64(min(max(math.Round(ratio*cellsPerUnit), 1), cellsPerUnit*maxRatio))
 }
 
-func (s Sketch) add(c int64) { s.h.RecordValue(c) }
+func (s Sketch) add(cell int64) { s.h.RecordValue(cell) }
 
-func speaksOf(c int64) float64 { return speaks(float64(c) / fine) }
+// cellScore returns the score of a sample in a cell.
+func cellScore(cell int64) float64 { return sampleScore(float64(cell) / cellsPerUnit) }
 
-// Merge adds another sketch's samples.
-func (s Sketch) Merge(o Sketch) { s.h.Merge(o.h) }
+// Merge adds the samples of another sketch.
+func (s Sketch) Merge(other Sketch) { s.h.Merge(other.h) }
 
-// Samples counts the samples.
+// Samples returns the number of samples.
 func (s Sketch) Samples() int { return int(s.h.TotalCount()) }
 
-// Median returns the median ratio; 0 if there are no samples.
+// Median returns the median ratio, or 0 if there are no samples.
 func (s Sketch) Median() float64 {
 	if s.h.TotalCount() == 0 {
 		return 0
 	}
-	return float64(s.h.ValueAtQuantile(50)) / fine
+	return float64(s.h.ValueAtQuantile(50)) / cellsPerUnit
 }
 
-// Score weighs all samples: a slow one counts for slowness, any other against it, and none
-// alone for much. Scores add up over proxies as the sketches do.
+// Score returns the sum of the scores of all samples: slow samples add to it, all others subtract, and
+// no single sample changes it much. The score of a merged sketch is the sum of the scores.
 func (s Sketch) Score() (sum float64) {
 	for _, bar := range s.h.Distribution() {
 		if bar.Count > 0 {
-			sum += float64(bar.Count) * speaks(float64(bar.From+bar.To)/2/fine)
+			sum += float64(bar.Count) * sampleScore(float64(bar.From+bar.To)/2/cellsPerUnit)
 		}
 	}
 	return sum
 }
 
-// speaks is the weight of one sample: the logarithm of the ratio beyond what is slow, within
-// bounds, so that one answer of a heavy tail weighs no more than a fast one against it.
-func speaks(ratio float64) float64 {
-	return min(max(math.Log(max(ratio, 1.0/fine)/slowRatio), -mostAgainst), mostFor)
+// sampleScore returns the score of one sample: the logarithm of its ratio to slowRatio, limited so
+// that one answer from a heavy tail does not outweigh a fast one.
+func sampleScore(ratio float64) float64 {
+	return min(max(math.Log(max(ratio, 1.0/cellsPerUnit)/slowRatio), -maxFastScore), maxSlowScore)
 }
 
-// MarshalJSON writes a sketch as cells and counts in turn.
+// MarshalJSON encodes a sketch as a list of alternating cells and counts.
 func (s Sketch) MarshalJSON() ([]byte, error) {
 	out := []int64{}
 	for _, bar := range s.h.Distribution() {
-		if bar.Count > 0 && len(out) < 2*mostCells {
+		if bar.Count > 0 && len(out) < 2*maxCells {
 			out = append(out, bar.From, bar.Count)
 		}
 	}
 	return json.Marshal(out)
 }
 
-// UnmarshalJSON reads what MarshalJSON writes, within bounds.
+// UnmarshalJSON decodes the output of MarshalJSON and checks its bounds. The error of an invalid
+// sketch wraps ErrInvalidSketch.
 func (s *Sketch) UnmarshalJSON(raw []byte) error {
 	var in []int64
 	if err := json.Unmarshal(raw, &in); err != nil {
 		return err
 	}
-	if len(in)%2 != 0 || len(in) > 2*mostCells {
-		return fmt.Errorf("%d numbers: %w", len(in), ErrInvalidSketch)
+	if len(in)%2 != 0 || len(in) > 2*maxCells {
+		return fmt.Errorf("odd or excessive list length %d: %w", len(in), ErrInvalidSketch)
 	}
 	*s = newSketch()
 	for i := 0; i < len(in); i += 2 {
-		if in[i] < 1 || in[i] > fine*mostRatio || in[i+1] < 1 || in[i+1] > mostOfOne {
-			return fmt.Errorf("cell %d with %d samples: %w", in[i], in[i+1], ErrInvalidSketch)
+		if in[i] < 1 || in[i] > cellsPerUnit*maxRatio || in[i+1] < 1 || in[i+1] > maxCellCount {
+			return fmt.Errorf("cell %d with %d samples is out of range: %w", in[i], in[i+1], ErrInvalidSketch)
 		}
 		if err := s.h.RecordValues(in[i], in[i+1]); err != nil {
 			return err
--- a/internal/cluster/quota/retrybudget.go
+++ b/internal/cluster/quota/retrybudget.go
@@ -1,7 +1,8 @@
 // Package quota divides limits among proxies without a call per request: the slack of the retry
-// budget, a number of retries per window that does not depend on the request rate (RetryBudget), and
-// the allowances of callers, which one agent leases (Lessor) and each proxy spends (Holder). The shares of all proxies never add up to more than the limit over any
-// window, as long as each proxy knows at least half of the live proxies.
+// budget, a number of retries per window that does not depend on the request rate (RetryBudget),
+// and the allowances of callers, which one agent leases (Lessor) and each proxy spends (Holder).
+// The shares of all proxies never add up to more than the limit over any window, as long as each
+// proxy knows at least half of the live proxies.
 package quota
 
 import "math"
