--- a/internal/downstream/downstream.go
+++ b/internal/downstream/downstream.go
@@ -1,7 +1,8 @@
-// Package downstream is the server side whatever the protocol: it owns the listener and
-// the client connections, their pace and their ends. What a request means is its
-// Protocol's, one folder each (platform, gate). It must never decide what becomes of
-// a query, end a connection that is owed an answer, or let one client hold up another.
+// Package downstream is the server side of the proxy, whatever the protocol: it owns the
+// listener and the client connections, their timeouts and when they are closed. What a
+// request means is up to the Protocol; each protocol has a folder of its own (platform,
+// httpserver). This package must never decide what becomes of a query, close a connection
+// whose request is still to be answered, or let one client block another.
 package downstream
 
 import (
@@ -18,166 +19,169 @@
 )
 
 const (
-	writeTime   = 5 * time.Second // for an answer
-	lingerTime  = 500 * time.Millisecond
-	silentTime  = 250 * time.Millisecond // a client that has said nothing for so long is the first to make room
-	acceptPause = 10 * time.Millisecond
-	roomPause   = 20 * time.Millisecond
+	writeTimeout     = 5 * time.Second // for a response
+	lingerTimeout    = 500 * time.Millisecond
+	silentAfter      = 250 * time.Millisecond // a client that has sent no request for so long is the first to be evicted
+	acceptRetryDelay = 10 * time.Millisecond
+	slotPollInterval = 20 * time.Millisecond
 )
 
 var log = logs.For("front")
 
-// Protocol is what a request means, and how its answer looks.
+// Protocol defines what a request means and what its response looks like.
 type Protocol interface {
-	// Serve answers one request that came whole, its first byte at the time told, and
-	// tells whether the connection goes on.
+	// Serve answers one complete request, whose first byte arrived at the given time. It
+	// reports whether the connection stays open.
 	Serve(c *Conn, q *httpwire.Request, at time.Time) (keep bool)
 }
 
-// Config is what the server side is told at its start.
+// Config configures the server side.
 type Config struct {
 	Exchange   *exchange.Exchange
 	Protocol   Protocol
-	MaxClients int       // connections at once
-	SoftLimit  int       // beyond so many, one at rest ends for each that comes or comes to rest; 0: none does
-	SlowLane   *SlowLane // nil: all callers are alike
+	MaxClients int       // open connections at once
+	SoftLimit  int       // above so many connections, an idle one is closed whenever another opens or becomes idle; 0: no soft limit
+	SlowLane   *SlowLane // nil: slow callers are not kept apart
 	Limits     Limits
 }
 
-// Limits is how long clients may take, and how much they may send.
+// Limits bounds how long clients may take and how much they may send.
 type Limits struct {
-	FirstRequest time.Duration // for a connection's first request, whole, from its start on
-	Request      time.Duration // for any later request, from its first byte on
+	FirstRequest time.Duration // for the complete first request of a connection, from the accept on
+	Request      time.Duration // for the complete request of any later one, from its first byte on
 	Idle         time.Duration // between requests
-	Body         time.Duration // for a body, once its head has come; 0: the times above are for both
+	Body         time.Duration // for a body, from the end of its head on; 0: the timeouts above cover head and body
 	MaxHead      int           // bytes; 0: httpwire.MaxHead
 	MaxBody      int           // bytes; 0: httpwire.MaxBody
 }
 
-// DefaultLimits is the pace for service. A client that says nothing, or does not end what
-// it says, is owed an end within 3 s; one without an open request may be closed
-// after 2 s.
+// DefaultLimits are the limits in service. The connection of a client that sends nothing, or
+// does not complete its request, must be closed within 3 s; one without a request in progress
+// may be closed after 2 s.
 var DefaultLimits = Limits{FirstRequest: 2 * time.Second, Request: 2 * time.Second, Idle: 3 * time.Second}
 
-// Server is the server side.
+// Server is the server side: a listener and its client connections.
 type Server struct {
 	Config
-	stopping atomic.Bool   // not ready
-	closing  atomic.Bool   // each answer ends its connection
-	refusing atomic.Bool   // no further request is taken
-	cut      chan struct{} // closed when what is in hand is to end at once
-	cutOnce  sync.Once
-	pace     atomic.Pointer[Limits]
-
-	mu     sync.Mutex
-	conns  map[*Conn]struct{}
-	active time.Time // when the last query came
-	busy   int       // connections with a request in hand
-	room   chan struct{}
+	notReady           atomic.Bool
+	closeAfterResponse atomic.Bool
+	rejecting          atomic.Bool   // every further request is rejected
+	expired            chan struct{} // closed when the requests in flight are to end at once
+	expireOnce         sync.Once
+	limits             atomic.Pointer[Limits]
+
+	mu          sync.Mutex
+	conns       map[*Conn]struct{}
+	lastQueryAt time.Time
+	inFlight    int // connections with a request in flight
+	slots       chan struct{}
 }
 
 // Conn is a client's connection.
 type Conn struct {
-	f       *Server
-	nc      net.Conn
-	r       *httpwire.Reader
-	idleAt  time.Time     // since when it waits for a request; zero: it has one in hand
-	asked   bool          // a whole request has come
-	queried bool          // so has a query that could be read
-	closing bool          // its wait is about to be ended
-	caller  string        // whose it is, with lanes
-	inTook  time.Duration // that its last request took to come in
+	server       *Server
+	nc           net.Conn
+	reader       *httpwire.Reader
+	idleSince    time.Time     // when it began to wait for a request; zero: a request is in flight
+	requested    bool          // a complete request has arrived
+	queried      bool          // a well-formed query has arrived
+	closePending bool          // the read deadline that closes it while it is idle is set
+	caller       string        // IP address of the client; only set with a slow lane
+	readTook     time.Duration // how long the last request took to arrive
 }
 
 // New returns a server side.
 func New(cfg Config) *Server {
-	f := &Server{Config: cfg, conns: make(map[*Conn]struct{}), room: make(chan struct{}, cfg.MaxClients), cut: make(chan struct{})}
-	f.SetLimits(cfg.Limits)
-	return f
+	s := &Server{Config: cfg, conns: make(map[*Conn]struct{}), slots: make(chan struct{}, cfg.MaxClients), expired: make(chan struct{})}
+	s.SetLimits(cfg.Limits)
+	return s
 }
 
-// SetLimits has another pace count, for requests that begin from now on.
-func (f *Server) SetLimits(p Limits) { f.pace.Store(&p) }
+// SetLimits replaces the limits for requests that begin from now on.
+func (s *Server) SetLimits(l Limits) { s.limits.Store(&l) }
 
 // Serve accepts connections until the listener is closed.
-func (f *Server) Serve(ln net.Listener) error {
+func (s *Server) Serve(ln net.Listener) error {
 	for {
-		// Connections that find no room wait unaccepted: a descriptor too many
-		// would cost more than their wait does.
-		f.waitRoom()
+		// Connections beyond MaxClients wait in the accept queue: running out of file
+		// descriptors would cost more than their wait does.
+		s.acquireSlot()
 		nc, err := ln.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return nil
 		}
 		if err != nil {
-			<-f.room
+			<-s.slots
 			log.Warn("accept-failed", "err", err)
-			time.Sleep(acceptPause)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
-		c := &Conn{f: f, nc: nc, r: httpwire.NewReader(nc), idleAt: time.Now()}
-		if !f.SlowLane.enter(c) {
-			nc.Close() // unread: its client asks again elsewhere
-			<-f.room
-			f.mu.Lock()
-			f.evict(4) // one of the lane's that rests: the next finds room
-			f.mu.Unlock()
+		c := &Conn{server: s, nc: nc, reader: httpwire.NewReader(nc), idleSince: time.Now()}
+		if !s.SlowLane.admit(c) {
+			nc.Close() // nothing has been read: the client repeats its request elsewhere
+			<-s.slots
+			s.mu.Lock()
+			s.evict(4) // closes an idle connection of the slow lane, so that the next one is admitted
+			s.mu.Unlock()
 			continue
 		}
-		f.mu.Lock()
-		f.conns[c] = struct{}{}
-		f.tidy()
-		f.mu.Unlock()
-		f.Exchange.Counters.Accepted.Add(1)
-		f.Exchange.Counters.Clients.Add(1)
+		s.mu.Lock()
+		s.conns[c] = struct{}{}
+		s.enforceSoftLimit()
+		s.mu.Unlock()
+		s.Exchange.Counters.Accepted.Add(1)
+		s.Exchange.Counters.Clients.Add(1)
 		go c.serve()
 	}
 }
 
-// waitRoom returns once one more connection may be had.
-func (f *Server) waitRoom() {
+// acquireSlot returns once one more connection may be accepted.
+func (s *Server) acquireSlot() {
 	select {
-	case f.room <- struct{}{}:
+	case s.slots <- struct{}{}:
 		return
 	default:
 	}
 	for {
-		f.mu.Lock()
-		f.evict(0)
-		f.mu.Unlock()
+		s.mu.Lock()
+		s.evict(0)
+		s.mu.Unlock()
 		select {
-		case f.room <- struct{}{}:
+		case s.slots <- struct{}{}:
 			return
-		case <-time.After(roomPause):
+		case <-time.After(slotPollInterval):
 		}
 	}
 }
 
-// evict ends the wait of the connection that has waited longest for a request,
-// or for the rest of one: a client that says nothing must not keep others out. One
-// that never asked goes first, but not before its request can have come; then one
-// that only asked for the mixer's state, or nonsense; then one that rests between
-// queries, whose client asks again elsewhere. By age alone, clients that ask once and
-// stay would drive out those that go on asking.
-// Under f.mu; rank 0 is any, 1 none that has just come.
-func (f *Server) evict(rank int) {
+// evict closes the connection that has waited longest for a request or for the rest of one,
+// so that a silent client does not keep others out. Connections of slow callers go first.
+// Next come those that have sent no request, once silentAfter has passed in which the
+// request could have arrived; then those that only asked for the mixer's state or sent
+// malformed queries; then those that are idle between queries, whose client can repeat its
+// request elsewhere. By age alone, clients that send one query and stay connected would
+// displace those that go on querying.
+//
+// Only connections above the given rank are closed: with rank 0 any idle connection, with 1
+// none that has just been accepted. s.mu must be held.
+func (s *Server) evict(rank int) {
 	var oldest *Conn
-	for c := range f.conns {
-		if c.idleAt.IsZero() {
+	for c := range s.conns {
+		if c.idleSince.IsZero() {
 			continue
 		}
 		r := 1
-		switch silent := time.Since(c.idleAt) > silentTime; {
-		case f.SlowLane.slow(c):
+		switch silent := time.Since(c.idleSince) > silentAfter; {
+		case s.SlowLane.isSlow(c):
 			r = 5
-		case !c.asked && silent:
+		case !c.requested && silent:
 			r = 4
-		case c.asked && !c.queried:
+		case c.requested && !c.queried:
 			r = 3
 		case c.queried:
 			r = 2
 		}
-		if r > rank || r == rank && oldest != nil && c.idleAt.Before(oldest.idleAt) {
+		if r > rank || r == rank && oldest != nil && c.idleSince.Before(oldest.idleSince) {
 			oldest, rank = c, r
 		}
 	}
@@ -186,131 +190,135 @@
 	}
 }
 
-// tidy keeps few connections at rest. The other side holds only so many to us, and
-// clients that ask once and keep their connection use them up: no new client would
-// get through, though there was room here. Under f.mu.
-func (f *Server) tidy() {
-	if f.SoftLimit > 0 && len(f.conns) > f.SoftLimit {
-		f.evict(1)
+// enforceSoftLimit bounds the number of idle connections. The other side allows only so many
+// connections to this process, and clients that send one request and keep their connection
+// would use them up: no new client would get through although this process had capacity.
+// s.mu must be held.
+func (s *Server) enforceSoftLimit() {
+	if s.SoftLimit > 0 && len(s.conns) > s.SoftLimit {
+		s.evict(1)
 	}
 }
 
-// MarkNotReady makes the mixer not ready. It goes on serving, on the connections that are
-// open too: their clients may have nowhere else to go yet.
-func (f *Server) MarkNotReady() { f.stopping.Store(true) }
+// MarkNotReady makes the readiness check fail. Requests are still served, also on open
+// connections: their clients may have no other server to go to yet.
+func (s *Server) MarkNotReady() { s.notReady.Store(true) }
 
-// CloseAfterResponses has each answer tell its client that the connection ends.
-func (f *Server) CloseAfterResponses() { f.closing.Store(true) }
+// CloseAfterResponses makes every response from now on announce that its connection closes.
+func (s *Server) CloseAfterResponses() { s.closeAfterResponse.Store(true) }
 
-// RejectRequests has each request that is read from now on turned away: it might not be finished
-// any more.
-func (f *Server) RejectRequests() {
-	f.closing.Store(true)
-	f.refusing.Store(true)
+// RejectRequests rejects each request that is read from now on, because it might not be
+// finished before the process ends.
+func (s *Server) RejectRequests() {
+	s.closeAfterResponse.Store(true)
+	s.rejecting.Store(true)
 }
 
-// ExpireRequests ends what is in hand: its clients are answered as if its time were up.
-func (f *Server) ExpireRequests() { f.cutOnce.Do(func() { close(f.cut) }) }
+// ExpireRequests ends the requests in flight: their clients are answered as if the deadline
+// had passed.
+func (s *Server) ExpireRequests() { s.expireOnce.Do(func() { close(s.expired) }) }
 
-// Clients counts the connections of clients.
-func (f *Server) Clients() int {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return len(f.conns)
+// Clients returns the number of client connections.
+func (s *Server) Clients() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return len(s.conns)
 }
 
-// QuietFor tells whether no query has come for so long and nothing is in hand.
-func (f *Server) QuietFor(span time.Duration) bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.busy == 0 && time.Since(f.active) >= span
+// QuietFor reports whether no query has arrived within the span and no request is in flight.
+func (s *Server) QuietFor(span time.Duration) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.inFlight == 0 && time.Since(s.lastQueryAt) >= span
 }
 
-// CloseIdle ends the wait on idle connections after a last chance for a request
-// that is on its way.
-func (f *Server) CloseIdle(chance time.Duration) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for c := range f.conns {
-		if !c.idleAt.IsZero() && !c.closing {
-			c.closing = true
-			c.nc.SetReadDeadline(time.Now().Add(chance))
+// CloseIdle closes idle connections after the delay, within which a request that is on its
+// way may still arrive.
+func (s *Server) CloseIdle(delay time.Duration) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for c := range s.conns {
+		if !c.idleSince.IsZero() && !c.closePending {
+			c.closePending = true
+			c.nc.SetReadDeadline(time.Now().Add(delay))
 		}
 	}
 }
 
-// begin and Rest note whether a connection has a whole request in hand. Until it
-// has, the connection may be closed: the client sends the request again.
+// begin records that a complete request has arrived on the connection. Until then the
+// connection may be closed, because the client sends the request again. MarkIdle is its
+// counterpart.
 func (c *Conn) begin() {
-	c.f.mu.Lock()
-	defer c.f.mu.Unlock()
-	if !c.idleAt.IsZero() {
-		c.idleAt, c.asked = time.Time{}, true
-		c.f.busy++
+	c.server.mu.Lock()
+	defer c.server.mu.Unlock()
+	if !c.idleSince.IsZero() {
+		c.idleSince, c.requested = time.Time{}, true
+		c.server.inFlight++
 	}
 }
 
-// MarkIdle has the connection wait for its next request: from now on it may be closed.
+// MarkIdle makes the connection wait for its next request. From now on it may be closed.
 func (c *Conn) MarkIdle() {
-	c.f.mu.Lock()
-	defer c.f.mu.Unlock()
-	if !c.closing { // else its last chance is already running
-		c.nc.SetReadDeadline(time.Now().Add(c.f.pace.Load().Idle))
+	c.server.mu.Lock()
+	defer c.server.mu.Unlock()
+	if !c.closePending { // otherwise CloseIdle has set the deadline
+		c.nc.SetReadDeadline(time.Now().Add(c.server.limits.Load().Idle))
 	}
-	if c.idleAt.IsZero() {
-		c.idleAt = time.Now()
-		c.f.busy--
-		c.f.tidy()
+	if c.idleSince.IsZero() {
+		c.idleSince = time.Now()
+		c.server.inFlight--
+		c.server.enforceSoftLimit()
 	}
 }
 
-// serve takes the requests of one connection, one after another.
+// serve reads and answers the requests of a connection, one after another.
 func (c *Conn) serve() {
 	defer func() {
 		c.MarkIdle()
 		c.nc.Close()
-		c.f.mu.Lock()
-		delete(c.f.conns, c)
-		c.f.mu.Unlock()
-		c.f.SlowLane.leave(c)
-		c.f.Exchange.Counters.Clients.Add(-1)
-		<-c.f.room
+		c.server.mu.Lock()
+		delete(c.server.conns, c)
+		c.server.mu.Unlock()
+		c.server.SlowLane.release(c)
+		c.server.Exchange.Counters.Clients.Add(-1)
+		<-c.server.slots
 	}()
-	c.nc.SetReadDeadline(c.idleAt.Add(c.f.pace.Load().FirstRequest)) // nothing else writes idleAt before begin
+	c.nc.SetReadDeadline(c.idleSince.Add(c.server.limits.Load().FirstRequest)) // nothing else writes idleSince before begin
 	for {
-		if c.r.Await() != nil {
+		if c.reader.Await() != nil {
 			return
 		}
-		at, pace := time.Now(), c.f.pace.Load()
-		c.r.Bound(pace.MaxHead, pace.MaxBody)
-		if c.asked || pace.Body > 0 { // else the first request has its time already
-			c.nc.SetReadDeadline(at.Add(pace.Request))
+		at, limits := time.Now(), c.server.limits.Load()
+		c.reader.Bound(limits.MaxHead, limits.MaxBody)
+		if c.requested || limits.Body > 0 { // otherwise the deadline of the first request is already set
+			c.nc.SetReadDeadline(at.Add(limits.Request))
 		}
-		if c.r.Headed = nil; pace.Body > 0 {
-			c.r.Headed = func() { c.nc.SetReadDeadline(time.Now().Add(pace.Body)) }
+		if c.reader.Headed = nil; limits.Body > 0 {
+			c.reader.Headed = func() { c.nc.SetReadDeadline(time.Now().Add(limits.Body)) }
 		}
-		q, err := c.r.Request(func() error {
+		q, err := c.reader.Request(func() error {
 			if !c.WriteBytes([]byte("HTTP/1.1 100 Continue\r\n\r\n")) {
 				return io.ErrClosedPipe
 			}
 			return nil
 		})
 		if err != nil {
-			c.inTook = time.Since(at)
+			c.readTook = time.Since(at)
 			c.reject(err)
 			return
 		}
-		c.inTook = time.Since(at)
+		c.readTook = time.Since(at)
 		c.begin()
-		if !c.f.Protocol.Serve(c, q, at) {
+		if !c.server.Protocol.Serve(c, q, at) {
 			return
 		}
 		c.MarkIdle()
 	}
 }
 
-// reject answers a request that could not be read, where anybody is there to be
-// answered, and reads on for a moment: closed at once, the answer might be lost.
+// reject answers a request that could not be read, unless the connection is gone. After that
+// it discards incoming bytes for a moment: if the connection were closed at once, the
+// response might be lost.
 func (c *Conn) reject(err error) {
 	var known *httpwire.Error
 	var timeout net.Error
@@ -322,82 +330,85 @@
 	default:
 		return
 	}
-	c.f.Exchange.Counters.Malformed.Add(1)
+	c.server.Exchange.Counters.Malformed.Add(1)
 	log.Warn("bad-request", "peer", c.nc.RemoteAddr(), "status", known.Status, "err", known.Reason)
-	if c.WriteText(known.Status, known.Reason+"\n", false); late { // it has all been read
+	if c.WriteText(known.Status, known.Reason+"\n", false); late { // everything that arrived has been read
 		return
 	}
 	if tcp, ok := c.nc.(*net.TCPConn); ok {
 		tcp.CloseWrite()
 	}
-	c.nc.SetReadDeadline(time.Now().Add(lingerTime))
+	c.nc.SetReadDeadline(time.Now().Add(lingerTimeout))
 	io.Copy(io.Discard, io.LimitReader(c.nc, 4*httpwire.MaxBody))
 }
 
-// WriteText answers with a text, and tells whether the connection goes on.
+// WriteText answers with a plain text and reports whether the connection stays open.
 func (c *Conn) WriteText(status int, text string, keep bool, fields ...httpwire.Field) bool {
 	return c.WriteBytes(httpwire.AppendResponse(nil, status, "text/plain; charset=utf-8", []byte(text), keep, fields...)) && keep
 }
 
-// WriteBytes writes bytes within the time that a write may take. With lanes, one that is held up
-// is told of as soon as that is seen, and again at its end.
+// WriteBytes writes b within the write timeout and reports whether that succeeded. With a
+// slow lane, a write that blocks longer than slowWriteAfter is reported to SlowLane.Observe
+// as soon as that is noticed, and again when the write ends.
 func (c *Conn) WriteBytes(b []byte) bool {
-	begun, within := time.Now(), writeTime
-	if c.f.SlowLane != nil {
-		c.nc.SetWriteDeadline(begun.Add(heldTime))
+	begun, timeout := time.Now(), writeTimeout
+	if c.server.SlowLane != nil {
+		c.nc.SetWriteDeadline(begun.Add(slowWriteAfter))
 		n, err := c.nc.Write(b)
-		c.f.SlowLane.took(c, begun)
-		var held net.Error
-		if err == nil || !errors.As(err, &held) || !held.Timeout() {
+		c.server.SlowLane.observe(c, begun)
+		var blocked net.Error
+		if err == nil || !errors.As(err, &blocked) || !blocked.Timeout() {
 			return err == nil
 		}
-		b, within = b[n:], c.f.SlowLane.within(c)
-		defer c.f.SlowLane.took(c, begun)
+		b, timeout = b[n:], c.server.SlowLane.writeTimeout(c)
+		defer c.server.SlowLane.observe(c, begun)
 	}
-	c.nc.SetWriteDeadline(begun.Add(within))
+	c.nc.SetWriteDeadline(begun.Add(timeout))
 	_, err := c.nc.Write(b)
 	return err == nil
 }
 
-// Peer is the client's address.
+// Peer returns the client's address.
 func (c *Conn) Peer() net.Addr { return c.nc.RemoteAddr() }
 
-// Closing tells whether each answer is to end its connection.
-func (c *Conn) Closing() bool { return c.f.closing.Load() }
+// Closing reports whether each response is to end its connection.
+func (c *Conn) Closing() bool { return c.server.closeAfterResponse.Load() }
 
-// NotReady tells whether the mixer is on its way out.
-func (c *Conn) NotReady() bool { return c.f.stopping.Load() }
+// NotReady reports whether the process is shutting down and its readiness check must fail.
+func (c *Conn) NotReady() bool { return c.server.notReady.Load() }
 
-// Rejecting tells whether no further request is taken.
-func (c *Conn) Rejecting() bool { return c.f.refusing.Load() }
+// Rejecting reports whether every further request is rejected.
+func (c *Conn) Rejecting() bool { return c.server.rejecting.Load() }
 
-// NoteActivity notes that a query has come, readable or not.
+// NoteActivity records when a query arrived, whether well-formed or not.
 func (c *Conn) NoteActivity(at time.Time) {
-	c.f.mu.Lock()
-	defer c.f.mu.Unlock()
-	c.f.active = at
+	c.server.mu.Lock()
+	defer c.server.mu.Unlock()
+	c.server.lastQueryAt = at
 }
 
-// NoteQuery notes that the connection has brought a query that could be read.
+// NoteQuery records that a well-formed query has arrived on the connection.
 func (c *Conn) NoteQuery() {
-	c.f.mu.Lock()
-	defer c.f.mu.Unlock()
+	c.server.mu.Lock()
+	defer c.server.mu.Unlock()
 	c.queried = true
 }
 
-// RunQuery hands a query in and waits for its end, the client's, or the process's. A
-// client's next request may come meanwhile; it is left unread until this one is answered.
+// RunQuery submits a query to the exchange, waits for its result and passes that to answer.
+// The wait ends early when the client leaves or the requests in flight are expired. The
+// client's next request may arrive meanwhile; it is left unread until this one is answered.
+// RunQuery reports whether the connection stays open.
 func (c *Conn) RunQuery(q *exchange.Query, keep bool, answer func(f exchange.Final, keep bool) bool) bool {
 	final := make(chan exchange.Final, 1)
 	q.Done = func(f exchange.Final) { final <- f }
 	c.nc.SetReadDeadline(time.Time{})
 	next := make(chan error, 1)
-	c.f.Exchange.Take(q)
-	go func() { next <- c.r.Await() }()
+	c.server.Exchange.Take(q)
+	go func() { next <- c.reader.Await() }()
 	f, gone := c.await(q, final, next)
-	keep = keep && !c.f.closing.Load() && !c.f.SlowLane.crowded(c)
+	keep = keep && !c.server.closeAfterResponse.Load() && !c.server.SlowLane.overLimit(c)
 	if gone || !answer(f, keep) || !keep {
-		c.nc.SetReadDeadline(time.Now()) // frees the goroutine that waits for a request
+		c.nc.SetReadDeadline(time.Now()) // ends the goroutine that waits for the next request
 		<-next
 		return false
 	}
@@ -405,9 +416,9 @@
 	return <-next == nil
 }
 
-// await waits for a query's end, and tells whether its client has gone before.
+// await waits for the end of a query and reports whether its client left before that.
 func (c *Conn) await(q *exchange.Query, final chan exchange.Final, next chan error) (f exchange.Final, gone bool) {
-	cut := c.f.cut
+	expired := c.server.expired
 	for {
 		select {
 		case f = <-final:
@@ -415,12 +426,12 @@
 		case err := <-next:
 			next <- nil
 			if err != nil {
-				c.f.Exchange.Left(q)
+				c.server.Exchange.Left(q)
 				return <-final, true
 			}
-			next = nil // the next request is there, and waits
-		case <-cut:
-			c.f.Exchange.Left(q)
+			next = nil // the next request has arrived and waits in the reader
+		case <-expired:
+			c.server.Exchange.Left(q)
 			if f = <-final; f.Ending == exchange.Gone {
 				f.Ending = exchange.Expired
 			}
--- a/internal/downstream/platform/platform.go
+++ b/internal/downstream/platform/platform.go
@@ -1,6 +1,6 @@
-// Package platform is the server side's protocol in service: the platform's form of
-// queries and answers. It turns requests into the exchange's queries and finals into
-// responses. It must never answer 429 or 503 for anything but a refusal.
+// Package platform is the downstream protocol of the mixer in service: queries and answers in
+// the platform's format. It turns HTTP requests into queries of the exchange and their results
+// into responses. It must never answer 429 or 503 for anything but a rejected query.
 package platform
 
 import (
@@ -21,15 +21,15 @@
 )
 
 const (
-	badPause    = 50 * time.Millisecond // after a bad query: it may come again and again
-	weightSlack = 0.01                  // shares that are rounded may miss 1 by this
-	// A request may have waited so long for this program, unseen, on a core that
-	// others share; its client counts from when it sent. At most this share of
-	// its patience is set aside for that.
-	unseen      = 30 * time.Millisecond
-	unseenShare = 10
-	maxPatience = time.Minute // a query is not held for longer, whatever its client says
-	maxID       = 128
+	malformedDelay  = 50 * time.Millisecond // after a malformed query, because a client may repeat it again and again
+	weightTolerance = 0.01                  // the sum of rounded weights may differ from 1 by this much
+	// A request may have waited up to readDelay for this process to be scheduled on a shared
+	// core, while its client measures from the time of sending. That much is subtracted from
+	// the client's timeout, but at most one part in readDelayDivisor of it.
+	readDelay        = 30 * time.Millisecond
+	readDelayDivisor = 10
+	maxTimeout       = time.Minute // upper bound on a query's timeout, whatever its client asks for
+	maxIDLength      = 128
 )
 
 var log = logs.For("front")
@@ -37,15 +37,15 @@
 // Protocol implements downstream.Protocol.
 type Protocol struct {
 	Exchange *exchange.Exchange
-	Shards   int  // 0: not told
-	Segments bool // shards are segments of a map, and parts may name ranges of keys
-	Classes  map[string]bool
-	Ready    func() bool   // beside all else; nil: at once
-	Members  func() string // what /-/members answers; nil: there is no such path
+	Shards   int             // 0: unknown
+	Segments bool            // shards are segments of a placement map, and parts may name key ranges
+	Classes  map[string]bool // nil: any class is accepted
+	Ready    func() bool     // a further condition of readiness; nil: none
+	Members  func() string   // body of /-/members; nil: the path does not exist
 }
 
-// Serve answers one request and tells whether the connection goes on.
-func (f *Protocol) Serve(c *downstream.Conn, q *httpwire.Request, at time.Time) bool {
+// Serve answers one request and reports whether the connection stays open.
+func (p *Protocol) Serve(c *downstream.Conn, q *httpwire.Request, at time.Time) bool {
 	keep := q.KeepAlive && !c.Closing()
 	method := "GET"
 	if q.Path == "/api" {
@@ -54,7 +54,7 @@
 	switch q.Path {
 	case "/api", "/-/ready", "/-/healthy", "/-/counters":
 	case "/-/members":
-		if f.Members == nil {
+		if p.Members == nil {
 			return c.WriteText(404, "no such path\n", keep)
 		}
 	default:
@@ -68,25 +68,25 @@
 		if c.NotReady() {
 			return c.WriteText(503, "stopping\n", false)
 		}
-		if f.Ready != nil && !f.Ready() {
+		if p.Ready != nil && !p.Ready() {
 			return c.WriteText(503, "nothing is known of segments or servers yet\n", keep)
 		}
 		return c.WriteText(200, "ready\n", keep)
 	case "/-/healthy":
 		return c.WriteText(200, "healthy\n", keep)
 	case "/-/members":
-		return c.WriteText(200, f.Members()+"\n", keep)
+		return c.WriteText(200, p.Members()+"\n", keep)
 	case "/-/counters":
-		return c.WriteText(200, f.Exchange.Counters.String()+"\n", keep)
+		return c.WriteText(200, p.Exchange.Counters.String()+"\n", keep)
 	}
 	c.NoteActivity(at)
-	query, err := f.query(q, at)
+	query, err := p.query(q, at)
 	if err != nil {
-		f.Exchange.Counters.Malformed.Add(1)
+		p.Exchange.Counters.Malformed.Add(1)
 		log.Warn("bad-query", "peer", c.Peer(), "err", err)
 		if keep = c.WriteText(400, err.Error()+"\n", keep); keep {
-			c.MarkIdle() // what it waits here is its own time, and it may be closed meanwhile
-			time.Sleep(badPause)
+			c.MarkIdle() // the delay counts as idle time, so the connection may be closed meanwhile
+			time.Sleep(malformedDelay)
 		}
 		return keep
 	}
@@ -94,16 +94,16 @@
 	return c.RunQuery(query, q.KeepAlive, func(final exchange.Final, keep bool) bool { return answer(c, final, keep) })
 }
 
-// answer writes a query's final answer. 429 and 503 promise that asking again
-// does no harm, so nothing but a refusal may use them.
+// answer writes the response to a query that has ended. 429 and 503 promise the client that it
+// may safely repeat the query, so only a rejected query may get them.
 func answer(c *downstream.Conn, f exchange.Final, keep bool) bool {
 	var fields []httpwire.Field
 	for _, n := range f.Notes {
 		fields = append(fields, httpwire.Field{Name: "X-Note-" + n.Name, Value: n.Value})
 	}
-	because := "\n"
+	reason := "\n"
 	if f.Reason != "" {
-		because = ": " + f.Reason + "\n"
+		reason = ": " + f.Reason + "\n"
 	}
 	switch f.Ending {
 	case exchange.Answered:
@@ -140,39 +140,39 @@
 		return c.WriteBytes(httpwire.AppendResponse(nil, 200, "application/json", body, keep, fields...))
 	case exchange.Refused:
 		if f.RetryAfter > 0 {
-			after := strconv.FormatFloat(f.RetryAfter.Seconds(), 'f', -1, 64)
-			fields = append(fields, httpwire.Field{Name: "Retry-After", Value: after})
+			retryAfter := strconv.FormatFloat(f.RetryAfter.Seconds(), 'f', -1, 64)
+			fields = append(fields, httpwire.Field{Name: "Retry-After", Value: retryAfter})
 		}
-		c.WriteText(503, "refused"+because, keep, fields...)
+		c.WriteText(503, "refused"+reason, keep, fields...)
 	case exchange.Expired:
 		c.WriteText(504, "time is up\n", keep, fields...)
 	default:
-		c.WriteText(502, "failed"+because, keep, fields...)
+		c.WriteText(502, "failed"+reason, keep, fields...)
 	}
 	return keep
 }
 
-// query reads a query out of a request.
-func (f *Protocol) query(r *httpwire.Request, at time.Time) (*exchange.Query, error) {
+// query parses a request into a query. Its error is the body of the 400 response.
+func (p *Protocol) query(r *httpwire.Request, at time.Time) (*exchange.Query, error) {
 	q := &exchange.Query{ID: r.Header.Get("X-Trace-Id"), Class: r.Header.Get("X-Qos"),
 		Tenant: r.Header.Get("X-Customer"), Key: r.Header.Get("X-Object"),
 		Repeat: r.Header.Get("X-Second-Try") == "1", TakenAt: at}
-	if !printable(q.ID) {
+	if !validID(q.ID) {
 		return nil, errors.New("X-Trace-Id: not a printable word of 1 to 128 characters")
 	}
-	if f.Classes != nil && !f.Classes[q.Class] {
+	if p.Classes != nil && !p.Classes[q.Class] {
 		return nil, errors.New("X-Qos: not the name of a class")
 	}
-	patience, err := span(r.Header.Get("X-Expires-In"))
+	timeout, err := parseTimeout(r.Header.Get("X-Expires-In"))
 	if err != nil {
 		return nil, err
 	}
-	q.Patience = patience - min(unseen, patience/unseenShare)
-	doc := gjson.ParseBytes(r.Body)
-	if !gjson.ValidBytes(r.Body) || !doc.IsObject() {
+	q.Patience = timeout - min(readDelay, timeout/readDelayDivisor)
+	body := gjson.ParseBytes(r.Body)
+	if !gjson.ValidBytes(r.Body) || !body.IsObject() {
 		return nil, errors.New("body: not a JSON object")
 	}
-	text, shards := doc.Get("q"), doc.Get("shards")
+	text, shards := body.Get("q"), body.Get("shards")
 	if text.Type != gjson.String {
 		return nil, errors.New("q: not a string")
 	}
@@ -185,7 +185,7 @@
 		shard, weight, cost := e.Get("shard"), e.Get("weight"), e.Get("cost")
 		n := shard.Int()
 		if shard.Type != gjson.Number || shard.Num != math.Trunc(shard.Num) || shard.Num < 0 || n < 0 || n > math.MaxInt32 ||
-			f.Shards > 0 && n >= int64(f.Shards) {
+			p.Shards > 0 && n >= int64(p.Shards) {
 			return nil, errors.New("shard: not the number of a shard")
 		}
 		if seen[int(n)] {
@@ -196,42 +196,43 @@
 			return nil, errors.New("weight: not a share")
 		}
 		sum += weight.Num
-		p := exchange.Part{Shard: int(n), Weight: weight.Num, Key: e.Get("key").String()}
-		if f.Segments {
-			p.Range = placement.Range{From: e.Get("from").String(), To: e.Get("to").String()}
-			if p.Key != "" && p.Range == (placement.Range{}) { // one key: from it to the next one that could be
-				p.Range = placement.Range{From: p.Key, To: p.Key + "\x00"}
+		part := exchange.Part{Shard: int(n), Weight: weight.Num, Key: e.Get("key").String()}
+		if p.Segments {
+			part.Range = placement.Range{From: e.Get("from").String(), To: e.Get("to").String()}
+			if part.Key != "" && part.Range == (placement.Range{}) { // a single key is the range up to its immediate successor
+				part.Range = placement.Range{From: part.Key, To: part.Key + "\x00"}
 			}
-			if len(p.Range.From) > placement.MaxKey || len(p.Range.To) > placement.MaxKey {
+			if len(part.Range.From) > placement.MaxKey || len(part.Range.To) > placement.MaxKey {
 				return nil, errors.New("key: more than 128 bytes")
 			}
 		}
-		if cost.Type == gjson.Number && cost.Num >= 0 && cost.Num < float64(maxPatience.Microseconds()) {
-			p.Hinted, p.Cost = true, choice.Micros(cost.Num)
+		if cost.Type == gjson.Number && cost.Num >= 0 && cost.Num < float64(maxTimeout.Microseconds()) {
+			part.Hinted, part.Cost = true, choice.Micros(cost.Num)
 		}
-		q.Parts = append(q.Parts, p)
+		q.Parts = append(q.Parts, part)
 	}
 	if len(q.Parts) == 0 {
 		return nil, errors.New("shards: empty")
 	}
-	if math.Abs(sum-1) > weightSlack {
+	if math.Abs(sum-1) > weightTolerance {
 		return nil, errors.New("weights: do not add up to 1")
 	}
 	return q, nil
 }
 
-// printable tells whether an id can stand in a frame's line.
-func printable(id string) bool {
+// validID reports whether an id can be written in the line of a frame.
+func validID(id string) bool {
 	for i := range len(id) {
 		if id[i] <= ' ' || id[i] >= 0x7f {
 			return false
 		}
 	}
-	return id != "" && len(id) <= maxID
+	return id != "" && len(id) <= maxIDLength
 }
 
-// span reads X-Expires-In: a whole number and m for milliseconds or u for microseconds.
-func span(s string) (time.Duration, error) {
+// parseTimeout parses X-Expires-In: a decimal number followed by m for milliseconds or u for
+// microseconds. The result is at most maxTimeout.
+func parseTimeout(s string) (time.Duration, error) {
 	unit := time.Duration(0)
 	if s != "" {
 		unit = map[byte]time.Duration{'m': time.Millisecond, 'u': time.Microsecond}[s[len(s)-1]]
@@ -240,8 +241,8 @@
 		return 0, errors.New("X-Expires-In: neither m nor u behind a number")
 	}
 	n, err := strconv.ParseFloat(s[:len(s)-1], 64)
-	if err != nil || strings.Trim(s[:len(s)-1], "0123456789.") != "" || n <= 0 { // "Inf" and "0x1p3" are numbers to ParseFloat
+	if err != nil || strings.Trim(s[:len(s)-1], "0123456789.") != "" || n <= 0 { // ParseFloat accepts "Inf" and "0x1p3" too
 		return 0, errors.New("X-Expires-In: not a number of units")
 	}
-	return time.Duration(min(n*float64(unit), float64(maxPatience))), nil
+	return time.Duration(min(n*float64(unit), float64(maxTimeout))), nil
 }
--- a/internal/downstream/slowlane.go
+++ b/internal/downstream/slowlane.go
@@ -7,124 +7,132 @@
 	"time"
 )
 
-// SlowLane keeps callers that read or send slowly to a bounded part of the connections, a
-// lane of their own: they may fill that one, and no other caller waits for room. Who is
-// slow is told from outside. It must never end a connection that has a request in hand.
+// SlowLane limits callers that read or send slowly to a bounded number of connections, so
+// that they can exhaust only that and no other caller has to wait for a free connection. A
+// caller is a client IP address. Which callers are slow is decided elsewhere and set with
+// SetSlow. SlowLane must never close a connection that has a request in flight. A nil
+// *SlowLane admits every connection and treats no caller as slow.
 type SlowLane struct {
 	MaxConns int // connections that all slow callers together may have
-	// Observe is told how long a caller's part of a turn took: its request to come in or its
-	// answer to go out, whichever was longer. It must not block.
+	// Observe receives how long the caller took to send a request or to accept its response,
+	// whichever was longer. It must not block.
 	Observe func(caller string, took time.Duration)
 
-	Rejected atomic.Int64 // connections ended unread, for the lane was full
-	mu       sync.Mutex
-	apart    map[string]bool
-	conns    map[string]int // by caller
-	all      int
-	in       int // connections in the lane
+	Rejected      atomic.Int64 // connections closed unread because the lane was full
+	mu            sync.Mutex
+	slow          map[string]bool
+	connsByCaller map[string]int
+	conns         int
+	slowConns     int // connections in the lane
 }
 
 const (
-	heldTime = 250 * time.Millisecond // a write that is not over by then is held up by its caller
-	laneTime = 10 * time.Second       // for an answer to a slow caller that keeps to its lane: it is told of within that again
+	slowWriteAfter   = 250 * time.Millisecond // a write that has not completed by then is blocked by its caller
+	slowWriteTimeout = 10 * time.Second       // for a response to a slow caller while the lane is within its limit; Observe learns of it again at its end
 )
 
-// mostOfAll is the part of all connections from which a caller is never set apart: it is
-// no one caller, or there is nobody to be held up by it.
-const mostOfAll = 3 // one in so many
+// exemptDivisor exempts a caller from the slow lane while it has more than one in so many of
+// all connections and there are fewer than so many callers: such an address stands for more
+// than one client, or there is nobody whom it could block.
+const exemptDivisor = 3
 
-// SetSlow says which callers are slow. One that most of the traffic comes from is left.
+// SetSlow replaces the set of slow callers and returns how many of them were taken in. A
+// caller that most connections come from is left out (exemptDivisor).
 func (l *SlowLane) SetSlow(callers map[string]bool) (taken int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.apart, l.in = make(map[string]bool, len(callers)), 0
+	l.slow, l.slowConns = make(map[string]bool, len(callers)), 0
 	for name := range callers {
-		if n := l.conns[name]; n*mostOfAll > l.all && len(l.conns) < mostOfAll {
+		if n := l.connsByCaller[name]; n*exemptDivisor > l.conns && len(l.connsByCaller) < exemptDivisor {
 			continue
 		}
-		l.apart[name] = true
-		l.in += l.conns[name]
+		l.slow[name] = true
+		l.slowConns += l.connsByCaller[name]
 	}
-	return len(l.apart)
+	return len(l.slow)
 }
 
-// InUse counts the connections in the lane.
+// InUse returns the number of connections in the lane.
 func (l *SlowLane) InUse() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.in
+	return l.slowConns
 }
 
-// enter takes a connection; false: it is a slow caller's, and the lane is full.
-func (l *SlowLane) enter(c *Conn) bool {
+// admit counts a new connection. It reports false if the caller is slow and the lane is full.
+func (l *SlowLane) admit(c *Conn) bool {
 	if l == nil {
 		return true
 	}
 	c.caller, _, _ = net.SplitHostPort(c.nc.RemoteAddr().String())
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.apart[c.caller] {
-		if l.in >= l.MaxConns {
+	if l.slow[c.caller] {
+		if l.slowConns >= l.MaxConns {
 			l.Rejected.Add(1)
 			return false
 		}
-		l.in++
+		l.slowConns++
 	}
-	if l.conns == nil {
-		l.conns = make(map[string]int)
+	if l.connsByCaller == nil {
+		l.connsByCaller = make(map[string]int)
 	}
-	l.conns[c.caller]++
-	l.all++
+	l.connsByCaller[c.caller]++
+	l.conns++
 	return true
 }
 
-func (l *SlowLane) leave(c *Conn) {
+// release removes a closed connection from the counts.
+func (l *SlowLane) release(c *Conn) {
 	if l == nil {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.apart[c.caller] {
-		l.in--
+	if l.slow[c.caller] {
+		l.slowConns--
 	}
-	if l.conns[c.caller]--; l.conns[c.caller] <= 0 {
-		delete(l.conns, c.caller)
+	if l.connsByCaller[c.caller]--; l.connsByCaller[c.caller] <= 0 {
+		delete(l.connsByCaller, c.caller)
 	}
-	l.all--
+	l.conns--
 }
 
-func (l *SlowLane) slow(c *Conn) bool {
+// isSlow reports whether a connection belongs to a slow caller.
+func (l *SlowLane) isSlow(c *Conn) bool {
 	if l == nil {
 		return false
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.apart[c.caller]
+	return l.slow[c.caller]
 }
 
-// crowded tells whether a connection is one too many of the lane's: it ends with its answer.
-func (l *SlowLane) crowded(c *Conn) bool {
+// overLimit reports whether a connection is in the lane while the lane has more than MaxConns
+// connections. Such a connection closes after its response.
+func (l *SlowLane) overLimit(c *Conn) bool {
 	if l == nil {
 		return false
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.in > l.MaxConns && l.apart[c.caller]
+	return l.slowConns > l.MaxConns && l.slow[c.caller]
 }
 
-// within is the time that an answer may take that is held up: in the lane there is time.
-func (l *SlowLane) within(c *Conn) time.Duration {
+// writeTimeout returns the timeout of a response whose write is blocked. It is longer in the
+// lane, unless the lane is over its limit.
+func (l *SlowLane) writeTimeout(c *Conn) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.apart[c.caller] && l.in <= l.MaxConns {
-		return laneTime
+	if l.slow[c.caller] && l.slowConns <= l.MaxConns {
+		return slowWriteTimeout
 	}
-	return writeTime
+	return writeTimeout
 }
 
-// took tells of a turn whose answer began to go out then.
-func (l *SlowLane) took(c *Conn, begun time.Time) {
+// observe reports an exchange of request and response whose write began at begun.
+func (l *SlowLane) observe(c *Conn, begun time.Time) {
 	if l != nil && l.Observe != nil {
-		l.Observe(c.caller, max(c.inTook, time.Since(begun)))
+		l.Observe(c.caller, max(c.readTook, time.Since(begun)))
 	}
 }
