--- a/internal/downstream/httpserver/allowance_test.go
+++ b/internal/downstream/httpserver/allowance_test.go
@@ -16,32 +16,32 @@
 	"saddleport/internal/lab/standin"
 )
 
-// Who is turned away has had nothing of it done: not one of 100,000 refusals reached a
-// server, and every booking that was admitted ran once.
+// A request that exceeds its caller's allowance does not run, not even in part: none of 100,000
+// rejected requests reaches a server, and every admitted one runs once.
 func TestTurnedAway(t *testing.T) {
-	Convey("Requests beyond their caller's allowance", t, func() {
+	Convey("Requests beyond their caller's allowance are rejected before they reach a server", t, func() {
 		p := newProxy(t, nil)
-		p.charter(strings.Replace(four, `"revision":1`, `"revision":2,"allowances":[{"name":"billing","header":"X-Desk","value":"billing","rate":5}]`, 1))
-		s := p.stand("one", "i-one", func(int, standin.Seen) standin.Reply { return standin.Reply{Body: "booked"} })
-		var asked, admitted atomic.Int64
-		p.gate.Allow = func(name string) (bool, time.Duration) {
+		p.configure(strings.Replace(testConfig, `"revision":1`, `"revision":2,"allowances":[{"name":"billing","header":"X-Desk","value":"billing","rate":5}]`, 1))
+		s := p.startServer("one", "i-one", func(int, standin.Seen) standin.Reply { return standin.Reply{Body: "booked"} })
+		var checked, admitted atomic.Int64
+		p.handler.Allow = func(name string) (bool, time.Duration) {
 			require.Equal(t, "billing", name)
-			if asked.Add(1)%100 == 0 {
+			if checked.Add(1)%100 == 0 {
 				admitted.Add(1)
 				return true, 0
 			}
 			return false, 420 * time.Millisecond
 		}
-		c, r := p.client()
-		ans, _ := ask(t, c, r, "POST", "/book/1", "b0", "body") // another caller's: nobody counts it
+		c, r := p.connect()
+		ans, _ := send(t, c, r, "POST", "/book/1", "b0", "body") // from another caller, so the allowance does not apply
 		So(ans.StatusCode, ShouldEqual, 200)
 		const clients, each = 8, 12_700
-		var wait sync.WaitGroup
-		var refused, full, wrong atomic.Int64
+		var running sync.WaitGroup
+		var rejected, full, wrong atomic.Int64
 		for n := range clients {
-			wait.Add(1)
+			running.Add(1)
 			go func() {
-				defer wait.Done()
+				defer running.Done()
 				c, err := net.Dial("tcp4", p.addr)
 				require.NoError(t, err)
 				defer c.Close()
@@ -50,7 +50,7 @@
 				for i := range each {
 					fmt.Fprintf(c, "POST /book/1 HTTP/1.1\r\nHost: h\r\nX-Desk: billing\r\nX-Saddleport-Attempt-Id: a%d-%d\r\nX-Saddleport-Deadline-Ms: 60000\r\nContent-Length: 4\r\n\r\nbody", n, i)
 					text, length := "", 0
-					for { // the head by lines: a hundred thousand answers are to be read soon
+					for { // reads the head by lines, which is fast enough for a hundred thousand responses
 						line, err := r.ReadString('\n')
 						require.NoError(t, err)
 						if line == "\r\n" {
@@ -63,8 +63,8 @@
 					require.NoError(t, err)
 					switch {
 					case strings.HasPrefix(text, "HTTP/1.1 429 ") && strings.Contains(text, "Retry-After: 0.42\r\n"):
-						refused.Add(1)
-					case strings.HasPrefix(text, "HTTP/1.1 503 "): // admitted, and there was no room: a promise too
+						rejected.Add(1)
+					case strings.HasPrefix(text, "HTTP/1.1 503 "): // admitted, but there was no capacity; this also promises that the request has not run
 						full.Add(1)
 					case !strings.HasPrefix(text, "HTTP/1.1 200 "):
 						wrong.Add(1)
@@ -72,9 +72,9 @@
 				}
 			}()
 		}
-		wait.Wait()
+		running.Wait()
 		So(wrong.Load(), ShouldEqual, 0)
-		So(refused.Load(), ShouldBeGreaterThanOrEqualTo, 100_000)
+		So(rejected.Load(), ShouldBeGreaterThanOrEqualTo, 100_000)
 		seen := make(map[string]int)
 		for _, x := range s.Seen() {
 			seen[x.Attempt]++
@@ -86,7 +86,7 @@
 				t.Fatalf("%s ran %d times", id, n)
 			}
 		}
-		c, r = p.client()
+		c, r = p.connect()
 		fmt.Fprintf(c, "GET /look/1 HTTP/1.1\r\nHost: h\r\nX-Desk: billing\r\nX-Saddleport-Attempt-Id: z\r\n\r\n")
 		_, err := r.ReadString('\n')
 		So(err, ShouldBeNil)
--- a/internal/downstream/httpserver/httpserver.go
+++ b/internal/downstream/httpserver/httpserver.go
@@ -1,8 +1,8 @@
-// Package httpserver is the server side's protocol in the system: HTTP/1.1 requests on routes
-// of the configuration in force. It owns how a request becomes a query of the exchange,
-// how parts are merged into one answer, and what the client is told. It must never answer
-// 429 or 503 for a request that may have run, put parts of two versions of the
-// configuration into one answer, or hold back an answer that is due.
+// Package httpserver is the system's downstream protocol: HTTP/1.1 requests on the routes of
+// the configuration in force. It owns how a request becomes a query of the exchange, how
+// parts are merged into one response, and what the client receives. It must never answer 429
+// or 503 for a request that may have run, combine parts of two versions of the configuration
+// in one response, or delay a response that is due.
 package httpserver
 
 import (
@@ -21,37 +21,37 @@
 )
 
 const (
-	headID       = "X-Saddleport-Attempt-Id"
-	headDeadline = "X-Saddleport-Deadline-Ms"
-	headTarget   = "X-Saddleport-Target-Instance"
-	headStamps   = "X-Saddleport-Part-Signatures"
-	headMissing  = "X-Saddleport-Missing-Parts"
+	headerAttemptID      = "X-Saddleport-Attempt-Id"
+	headerDeadline       = "X-Saddleport-Deadline-Ms"
+	headerTarget         = "X-Saddleport-Target-Instance"
+	headerPartSignatures = "X-Saddleport-Part-Signatures"
+	headerMissingParts   = "X-Saddleport-Missing-Parts"
 
-	mostPatience = 5 * time.Minute
-	maxID        = 200
-	recordBytes  = 16
-	lateRetry    = 250 * time.Millisecond // advice where there is no configuration yet
-	endingRetry  = 50 * time.Millisecond  // advice of a process that ends: others are there
-	mostAfter    = 30 * time.Second       // advice to a caller whose allowance is used up
-	shareOfTime  = 0.02                   // of a client's patience, set aside for the way back
+	maxDeadline        = 5 * time.Minute
+	maxAttemptIDLength = 200
+	recordSize         = 16
+	defaultRetryAfter  = 250 * time.Millisecond // while there is no configuration, and where the exchange gives no time
+	shutdownRetryAfter = 50 * time.Millisecond  // from a process that is shutting down: other proxies are available
+	maxRetryAfter      = 30 * time.Second       // for a caller whose allowance is used up
+	responseReserve    = 0.02                   // fraction of a client's deadline reserved for the transfer of the response
 )
 
 // Handler implements downstream.Protocol.
 type Handler struct {
 	Exchange *exchange.Exchange
-	Unrouted atomic.Int64 // requests that no route is for
-	// Allow takes a request off an allowance, or tells when one may be admitted; nil: there
-	// are no allowances.
+	Unrouted atomic.Int64 // requests that match no route
+	// Allow takes a request from an allowance. If the allowance is used up, it returns the
+	// time after which a request may be admitted. nil: there are no allowances.
 	Allow func(name string) (ok bool, after time.Duration)
 
 	plan   atomic.Pointer[Plan]
-	number atomic.Int64
+	number atomic.Int64 // of the last request that got an id here
 }
 
-// SetPlan puts a plan in force for the requests that come from now on.
+// SetPlan puts a plan in force for the requests that arrive from now on.
 func (g *Handler) SetPlan(p *Plan) { g.plan.Store(p) }
 
-// Plan returns the plan in force; nil: there is none yet.
+// Plan returns the plan in force, or nil if there is none yet.
 func (g *Handler) Plan() *Plan { return g.plan.Load() }
 
 // Serve implements downstream.Protocol.
@@ -59,11 +59,11 @@
 	keep := r.KeepAlive && !c.Closing()
 	c.NoteActivity(at)
 	if c.Rejecting() {
-		return c.WriteText(503, "this process is about to end\n", false, retry(endingRetry))
+		return c.WriteText(503, "this process is about to end\n", false, retryAfter(shutdownRetryAfter))
 	}
 	p := g.plan.Load()
 	if p == nil {
-		return c.WriteText(503, "no configuration yet\n", keep, retry(lateRetry))
+		return c.WriteText(503, "no configuration yet\n", keep, retryAfter(defaultRetryAfter))
 	}
 	route := p.Config.MatchRoute(r.Header.Get("Host"), r.Path)
 	if route == nil {
@@ -72,24 +72,25 @@
 	}
 	c.NoteQuery()
 	if len(p.Config.Allowances) > 0 && g.Allow != nil {
-		// Before anything of it is sent: who is turned away here has had nothing of it done.
+		// The allowance is checked before anything is sent, so a request that is rejected here
+		// has not run, not even in part.
 		if a := p.Config.MatchAllowance(route, r.Header.Get); a != nil {
 			if ok, after := g.Allow(a.Name); !ok {
-				after = min(after, mostAfter)
-				return c.WriteText(429, fmt.Sprintf("not done: the allowance %s (%g requests a second) is used up; come back in %.1f s\n", a.Name, a.Rate, after.Seconds()), keep, retry(after))
+				after = min(after, maxRetryAfter)
+				return c.WriteText(429, fmt.Sprintf("not done: the allowance %s (%g requests a second) is used up; come back in %.1f s\n", a.Name, a.Rate, after.Seconds()), keep, retryAfter(after))
 			}
 		}
 	}
-	l := p.lanes[route]
-	q := &exchange.Query{ID: r.Header.Get(headID), Class: l.class, TakenAt: at, Gather: len(route.FanoutServices) > 0,
+	l := p.targets[route]
+	q := &exchange.Query{ID: r.Header.Get(headerAttemptID), Class: l.class, TakenAt: at, Gather: len(route.FanoutServices) > 0,
 		Once: !route.Idempotent, Least: route.MinSuccessRatio}
-	if q.ID == "" || len(q.ID) > maxID {
+	if q.ID == "" || len(q.ID) > maxAttemptIDLength {
 		q.ID = "~" + strconv.FormatInt(g.number.Add(1), 10)
 	}
 	if q.Patience = route.Timeout; true {
-		if ms, err := strconv.ParseFloat(r.Header.Get(headDeadline), 64); err == nil && ms >= 0 {
-			told := time.Duration(min(ms, float64(mostPatience.Milliseconds())) * float64(time.Millisecond))
-			q.Patience = min(q.Patience, told-time.Duration(float64(told)*shareOfTime))
+		if ms, err := strconv.ParseFloat(r.Header.Get(headerDeadline), 64); err == nil && ms >= 0 {
+			requested := time.Duration(min(ms, float64(maxDeadline.Milliseconds())) * float64(time.Millisecond))
+			q.Patience = min(q.Patience, requested-time.Duration(float64(requested)*responseReserve))
 		}
 	}
 	if q.Gather {
@@ -102,38 +103,40 @@
 		q.Class = l.classes[i]
 		q.Parts = []exchange.Part{{Shard: l.shards[i], Weight: 1}}
 	}
-	q.Text = request(r, q.ID)
+	q.Text = upstreamRequest(r, q.ID)
 	return c.RunQuery(q, r.KeepAlive, func(f exchange.Final, keep bool) bool {
 		if f.Ending == exchange.Answered {
 			if q.Gather {
-				return c.WriteBytes(merge(f.Hits, len(q.Parts), route.ResultLimit, keep))
+				return c.WriteBytes(mergeParts(f.Hits, len(q.Parts), route.ResultLimit, keep))
 			}
-			return c.WriteBytes(closing(f.Hits[0].Value, keep))
+			return c.WriteBytes(completeHead(f.Hits[0].Value, keep))
 		}
 		return g.fail(c, f, keep)
 	})
 }
 
-func retry(after time.Duration) httpwire.Field {
+func retryAfter(after time.Duration) httpwire.Field {
 	return httpwire.Field{Name: "Retry-After", Value: strconv.FormatFloat(after.Seconds(), 'f', -1, 64)}
 }
 
-// fail answers a request that has no answer: with 503 and a time to come back where it
-// has not run and never will, else with what its server said, or 502 or 504.
+// fail answers a request that ended without success. If the request has not run and never
+// will, the response is 503 with Retry-After. Otherwise it is the response of the server, or
+// 502 or 504.
 func (g *Handler) fail(c *downstream.Conn, f exchange.Final, keep bool) bool {
 	switch {
 	case !f.Ran && f.Ending != exchange.Gone:
-		return c.WriteText(503, "refused\n", keep, retry(cmp.Or(f.RetryAfter, lateRetry)))
+		return c.WriteText(503, "refused\n", keep, retryAfter(cmp.Or(f.RetryAfter, defaultRetryAfter)))
 	case f.Failure != "":
-		return c.WriteBytes(closing(f.Failure, keep))
+		return c.WriteBytes(completeHead(f.Failure, keep))
 	case f.Ending == exchange.Expired:
 		return c.WriteText(504, "time is up\n", keep)
 	}
 	return c.WriteText(502, "failed\n", keep)
 }
 
-// closing ends the head of an answer that a server gave.
-func closing(value string, keep bool) []byte {
+// completeHead completes the head of a response from a server: if the connection is not kept,
+// it adds Connection: close.
+func completeHead(value string, keep bool) []byte {
 	at := strings.Index(value, "\r\n\r\n") + 2
 	b := make([]byte, 0, len(value)+24)
 	b = append(b, value[:at]...)
@@ -143,34 +146,36 @@
 	return append(b, value[at:]...)
 }
 
-// merge makes one answer of the parts that are in: the greatest records, falling.
-func merge(hits []exchange.Hit, parts, limit int, keep bool) []byte {
-	stamps := make([]string, 0, len(hits))
+// mergeParts builds one response from the parts that have been answered: at most limit
+// records, the greatest first.
+func mergeParts(hits []exchange.Hit, parts, limit int, keep bool) []byte {
+	signatures := make([]string, 0, len(hits))
 	var records []string
 	for _, h := range hits {
-		stamp, body, _ := strings.Cut(h.Value, "\n")
-		stamps = append(stamps, stamp)
-		for ; len(body) >= recordBytes; body = body[recordBytes:] {
-			records = append(records, body[:recordBytes])
+		signature, body, _ := strings.Cut(h.Value, "\n")
+		signatures = append(signatures, signature)
+		for ; len(body) >= recordSize; body = body[recordSize:] {
+			records = append(records, body[:recordSize])
 		}
 	}
 	slices.SortFunc(records, func(a, b string) int { return cmp.Compare(b, a) })
 	records = records[:min(len(records), max(limit, 0))]
-	fields := []httpwire.Field{{Name: headStamps, Value: strings.Join(stamps, ", ")}}
+	fields := []httpwire.Field{{Name: headerPartSignatures, Value: strings.Join(signatures, ", ")}}
 	if missing := parts - len(hits); missing > 0 {
-		fields = append(fields, httpwire.Field{Name: headMissing, Value: strconv.Itoa(missing)})
+		fields = append(fields, httpwire.Field{Name: headerMissingParts, Value: strconv.Itoa(missing)})
 	}
 	return httpwire.AppendResponse(nil, 200, "application/octet-stream", []byte(strings.Join(records, "")), keep, fields...)
 }
 
-// Of one connection only, or told anew for each send.
-var dropped = map[string]bool{"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Te": true, "Trailer": true,
+// notForwarded are the request headers that are not passed on: hop-by-hop headers, and those
+// that are set anew for each send.
+var notForwarded = map[string]bool{"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Te": true, "Trailer": true,
 	"Transfer-Encoding": true, "Upgrade": true, "Content-Length": true, "Expect": true, "Host": true,
-	headID: true, headDeadline: true, headTarget: true}
+	headerAttemptID: true, headerDeadline: true, headerTarget: true}
 
-// request writes what a server is sent, but for what each send adds to the head:
-// "...\r\n" + "\r\n" + body.
-func request(r *httpwire.Request, id string) string {
+// upstreamRequest serializes the request for a server, without the headers that each send
+// adds at the end of its head: "...\r\n" + "\r\n" + body.
+func upstreamRequest(r *httpwire.Request, id string) string {
 	var b strings.Builder
 	b.Grow(len(r.Body) + len(r.Target) + 256)
 	field := func(name, value string) {
@@ -185,17 +190,17 @@
 	b.WriteString(" HTTP/1.1\r\n")
 	field("Host", r.Header.Get("Host"))
 	if id[0] != '~' {
-		field(headID, id)
+		field(headerAttemptID, id)
 	}
-	var own []string
+	var connectionOptions []string
 	for _, v := range r.Header["Connection"] {
 		for option := range strings.SplitSeq(v, ",") {
-			own = append(own, strings.TrimSpace(option))
+			connectionOptions = append(connectionOptions, strings.TrimSpace(option))
 		}
 	}
 	names := make([]string, 0, len(r.Header))
 	for name := range r.Header {
-		if !dropped[name] && !slices.ContainsFunc(own, func(o string) bool { return strings.EqualFold(o, name) }) {
+		if !notForwarded[name] && !slices.ContainsFunc(connectionOptions, func(o string) bool { return strings.EqualFold(o, name) }) {
 			names = append(names, name)
 		}
 	}
--- a/internal/downstream/httpserver/httpserver_test.go
+++ b/internal/downstream/httpserver/httpserver_test.go
@@ -23,18 +23,20 @@
 	"saddleport/internal/upstream/httpclient"
 )
 
-// proxy is a proxy on loopback: the front, the exchange and the back, without an agent.
+// proxy is a proxy on loopback addresses without an agent: the server side, the exchange and the
+// client side.
 type proxy struct {
-	t       testing.TB
-	addr    string
-	x       *exchange.Exchange
-	back    *httpclient.Pool
-	gate    *httpserver.Handler
-	front   *downstream.Server
-	numbers httpserver.ShardNumbers
-	servers map[string]*standin.Server // by service: the last that was added
+	t            testing.TB
+	addr         string
+	exchange     *exchange.Exchange
+	pool         *httpclient.Pool
+	handler      *httpserver.Handler
+	downstream   *downstream.Server
+	shardNumbers httpserver.ShardNumbers
+	servers      map[string]*standin.Server // the server that was added last, by service
 }
 
+// newProxy starts a proxy. If change is not nil, it may modify the settings.
 func newProxy(t testing.TB, change func(*choice.Settings)) *proxy {
 	set := settings.Settings{MostHeld: 10_000, Router: choice.Settings{ClassesLater: true, Cells: httpserver.MaxShards, Width: 1,
 		BundleMax: 1, Resolution: 1000, Cancel: true, ParallelTries: true, MaxRetryAfter: 1_000_000, AttemptCap: 8,
@@ -45,47 +47,50 @@
 	}
 	x, err := exchange.New(1, set)
 	require.NoError(t, err)
-	p := &proxy{t: t, x: x, gate: &httpserver.Handler{Exchange: x}, back: httpclient.New(httpclient.Config{Exchange: x, MaxConns: 500}),
+	p := &proxy{t: t, exchange: x, handler: &httpserver.Handler{Exchange: x}, pool: httpclient.New(httpclient.Config{Exchange: x, MaxConns: 500}),
 		servers: make(map[string]*standin.Server)}
-	p.front = downstream.New(downstream.Config{Exchange: x, Protocol: p.gate, MaxClients: 500,
+	p.downstream = downstream.New(downstream.Config{Exchange: x, Protocol: p.handler, MaxClients: 500,
 		Limits: downstream.Limits{FirstRequest: time.Minute, Request: time.Minute, Idle: time.Minute}})
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	p.addr = ln.Addr().String()
 	ctx, cancel := context.WithCancel(context.Background())
 	stop := make(chan struct{})
-	go x.Run(p.back, stop)
-	go p.back.Run(ctx)
-	go p.front.Serve(ln)
+	go x.Run(p.pool, stop)
+	go p.pool.Run(ctx)
+	go p.downstream.Serve(ln)
 	t.Cleanup(func() { ln.Close(); close(stop); cancel() })
 	return p
 }
 
-func (p *proxy) charter(text string) {
+// configure puts the configuration in text in force.
+func (p *proxy) configure(text string) {
 	c, err := routeconfig.Parse([]byte(text))
 	require.NoError(p.t, err)
-	plan, err := httpserver.NewPlan(c, &p.numbers)
+	plan, err := httpserver.NewPlan(c, &p.shardNumbers)
 	require.NoError(p.t, err)
-	p.x.Retune(plan.Classes)
-	p.gate.SetPlan(plan)
-	p.front.SetLimits(httpserver.LimitsFrom(c.Limits))
+	p.exchange.Retune(plan.Classes)
+	p.handler.SetPlan(plan)
+	p.downstream.SetLimits(httpserver.LimitsFrom(c.Limits))
 }
 
-func (p *proxy) server(service string, s *standin.Server) {
+// addServer adds a server to a service.
+func (p *proxy) addServer(service string, s *standin.Server) {
 	p.servers[service] = s
-	n, err := p.numbers.Of(service)
+	n, err := p.shardNumbers.Of(service)
 	require.NoError(p.t, err)
-	p.back.UpdateServers([]httpclient.Server{{ID: s.ID, Addr: s.Addr}})
-	p.x.Listed(choice.List{Servers: []choice.Server{{ID: s.ID, Zone: "z", Cell: n, State: choice.Ready, Scale: 3}}})
+	p.pool.UpdateServers([]httpclient.Server{{ID: s.ID, Addr: s.Addr}})
+	p.exchange.Listed(choice.List{Servers: []choice.Server{{ID: s.ID, Zone: "z", Cell: n, State: choice.Ready, Scale: 3}}})
 }
 
-const four = `{"revision":1,"services":[{"name":"a"},{"name":"b"},{"name":"c"},{"name":"d"},{"name":"one"}],"routes":[
+// testConfig has a fan-out route, a non-idempotent route and an idempotent one.
+const testConfig = `{"revision":1,"services":[{"name":"a"},{"name":"b"},{"name":"c"},{"name":"d"},{"name":"one"}],"routes":[
  {"hostname":"h","path_prefix":"/all/","route_type":"idempotent","timeout_ms":2500,"target_latency_ms":250,"fanout_services":["a","b","c","d"],"max_attempts":2,"result_limit":3,"min_success_ratio":0.5},
  {"hostname":"h","path_prefix":"/book/","route_type":"non_idempotent","timeout_ms":4000,"target_latency_ms":800,"target_service":"one","max_attempts":1},
  {"hostname":"h","path_prefix":"/look/","route_type":"idempotent","timeout_ms":4000,"target_latency_ms":800,"target_service":"one","max_attempts":2}]}`
 
-// ask sends one request on a connection and reads its answer.
-func ask(t testing.TB, c net.Conn, r *bufio.Reader, method, target, id, body string) (*http.Response, string) {
+// send sends one request on a connection and reads the response.
+func send(t testing.TB, c net.Conn, r *bufio.Reader, method, target, id, body string) (*http.Response, string) {
 	text := fmt.Sprintf("%s %s HTTP/1.1\r\nHost: h\r\nX-Saddleport-Attempt-Id: %s\r\nX-Saddleport-Deadline-Ms: 2000\r\n", method, target, id)
 	if body != "" {
 		text += fmt.Sprintf("Content-Length: %d\r\n", len(body))
@@ -99,22 +104,22 @@
 	return p, string(b)
 }
 
-// BenchmarkGather is one request to so many shards: the client and the servers are in the
-// same process, so what a part costs the proxy is less than this tells.
+// BenchmarkGather measures one request that is sent to a number of shards. The client and the
+// servers run in the same process, so the proxy's cost of a part is lower than the result.
 func BenchmarkGather(b *testing.B) {
 	for _, shards := range []int{4, 16, 64, 140} {
-		b.Run(fmt.Sprint(shards), func(b *testing.B) { gather(b, shards) })
+		b.Run(fmt.Sprint(shards), func(b *testing.B) { benchmarkGather(b, shards) })
 	}
 }
 
-func gather(b *testing.B, shards int) {
+func benchmarkGather(b *testing.B, shards int) {
 	p := newProxy(b, nil)
 	names := make([]string, shards)
 	services := make([]string, shards)
 	for i := range names {
 		names[i], services[i] = fmt.Sprintf(`"s%d"`, i), fmt.Sprintf(`{"name":"s%d"}`, i)
 	}
-	p.charter(`{"revision":1,"services":[` + strings.Join(services, ",") + `],"routes":[{"hostname":"h","path_prefix":"/all/","route_type":"idempotent",` +
+	p.configure(`{"revision":1,"services":[` + strings.Join(services, ",") + `],"routes":[{"hostname":"h","path_prefix":"/all/","route_type":"idempotent",` +
 		`"timeout_ms":2500,"target_latency_ms":250,"max_attempts":2,"result_limit":3,"min_success_ratio":0.5,"fanout_services":[` + strings.Join(names, ",") + `]}]}`)
 	for shard := range shards {
 		for i := range 2 {
@@ -123,7 +128,7 @@
 			})
 			require.NoError(b, err)
 			b.Cleanup(s.Close)
-			p.server(fmt.Sprintf("s%d", shard), s)
+			p.addServer(fmt.Sprintf("s%d", shard), s)
 		}
 	}
 	c, err := net.Dial("tcp4", p.addr)
@@ -133,7 +138,7 @@
 	b.ReportAllocs()
 	b.ResetTimer()
 	for i := 0; i < b.N; i++ {
-		ans, body := ask(b, c, r, "GET", "/all/x", fmt.Sprint("id", i), "")
+		ans, body := send(b, c, r, "GET", "/all/x", fmt.Sprint("id", i), "")
 		if ans.StatusCode != 200 || len(body) != 48 {
 			b.Fatal(ans.Status, body, ans.Header)
 		}
--- a/internal/downstream/httpserver/plan.go
+++ b/internal/downstream/httpserver/plan.go
@@ -1,6 +1,7 @@
 package httpserver
 
-// What a configuration means to the exchange: classes, and the numbers of services.
+// This file prepares a configuration for the exchange: it derives classes from routes and
+// numbers the services.
 
 import (
 	"cmp"
@@ -13,42 +14,45 @@
 	"saddleport/internal/downstream"
 )
 
-// Plan is a configuration made ready for requests. It does not change.
+// Plan is a configuration prepared for serving requests. It is immutable.
 type Plan struct {
 	Config  *routeconfig.Config
 	Classes []choice.Class
 
-	lanes map[*routeconfig.Route]*lane
+	targets map[*routeconfig.Route]*routeTargets
 }
 
-// lane is a route made ready: its shards by number, or the services that it is divided
-// over, each with the class of what goes there.
-type lane struct {
-	class   string
-	shards  []int
-	classes []string
-	upTo    []float64 // rising to 1: the shares of the services
+// routeTargets are the shards that a route sends to. A route with fan-out sends a part to
+// each shard and has one class. Any other route sends each request to one of its services,
+// drawn by weight, and has a class for each service.
+type routeTargets struct {
+	class      string
+	shards     []int
+	classes    []string
+	cumulative []float64 // cumulative weights of the services, rising to 1
 }
 
-func (l *lane) pick(x float64) int {
-	for i, u := range l.upTo {
+// pick returns the index of the service that x, a number in [0, 1), falls to.
+func (l *routeTargets) pick(x float64) int {
+	for i, u := range l.cumulative {
 		if x < u {
 			return i
 		}
 	}
-	return len(l.upTo) - 1
+	return len(l.cumulative) - 1
 }
 
-// ShardNumbers numbers services. A number is kept for as long as the process lives; there are
-// at most MostShards.
+// ShardNumbers assigns a shard number to each service. A service keeps its number for the
+// lifetime of the process; there are at most MaxShards.
 type ShardNumbers struct {
 	numbers map[string]int
 }
 
-// MaxShards bounds the services that one process can number.
+// MaxShards is the number of services that one process can number.
 const MaxShards = 4096
 
-// Of returns a service's number.
+// Of returns the number of a service and assigns one if it has none. It fails if MaxShards
+// services have numbers already.
 func (s *ShardNumbers) Of(service string) (int, error) {
 	if s.numbers == nil {
 		s.numbers = make(map[string]int)
@@ -56,7 +60,7 @@
 	n, known := s.numbers[service]
 	if !known {
 		if len(s.numbers) >= MaxShards {
-			return 0, fmt.Errorf("more than %d services since the start", MaxShards)
+			return 0, fmt.Errorf("more than %d services since the start of the process", MaxShards)
 		}
 		n = len(s.numbers)
 		s.numbers[service] = n
@@ -64,23 +68,23 @@
 	return n, nil
 }
 
-const milliseconds = 1000 // of the decisions' clock
+const milliseconds = 1000 // in choice.Micros
 
 const (
-	lateWorth   = 0.4               // of the worth: what an answer after its aim is taken to earn, which nobody tells
-	aimOfTime   = 0.2               // of a route's timeout: its aim where none is told
-	startCap    = 8                 // attempts at most, whatever a route says
-	aimMargin   = 0.08              // of the aim: a client counts from before its request came until after its answer has
-	leastMargin = 10 * milliseconds // at least so much
-	valueOfRank = 4
+	lateValue             = 0.4               // fraction of its value that an answer after the latency target is taken to earn; configurations do not state it
+	defaultTargetFraction = 0.2               // of a route's timeout: the latency target of a route that states none
+	maxAttempts           = 8                 // upper bound on the attempts that a route may set
+	targetMargin          = 0.08              // of the latency target, subtracted from it: a client measures from before its request arrives until after its response does
+	minTargetMargin       = 10 * milliseconds // lower bound on that margin
+	halfValuePriority     = 4                 // a class of this priority has half the value of one of priority 0
 )
 
-// NewPlan makes a plan of a configuration.
+// NewPlan prepares a configuration and numbers its services.
 func NewPlan(c *routeconfig.Config, numbers *ShardNumbers) (*Plan, error) {
-	p := &Plan{Config: c, lanes: make(map[*routeconfig.Route]*lane, len(c.Routes))}
+	p := &Plan{Config: c, targets: make(map[*routeconfig.Route]*routeTargets, len(c.Routes))}
 	classes := make(map[string]choice.Class)
 	for _, r := range c.Routes {
-		l := &lane{}
+		l := &routeTargets{}
 		if len(r.FanoutServices) > 0 {
 			for _, service := range r.FanoutServices {
 				n, err := numbers.Of(service)
@@ -89,13 +93,13 @@
 				}
 				l.shards = append(l.shards, n)
 			}
-			l.class = class(classes, r, r.FanoutServices)
+			l.class = classFor(classes, r, r.FanoutServices)
 		} else {
 			sum := 0.0
 			for _, b := range r.Backends {
 				sum += b.Weight
 			}
-			at := 0.0
+			cumulative := 0.0
 			for _, b := range r.Backends {
 				if b.Weight <= 0 {
 					continue
@@ -104,13 +108,13 @@
 				if err != nil {
 					return nil, err
 				}
-				at += b.Weight / sum
+				cumulative += b.Weight / sum
 				l.shards = append(l.shards, n)
-				l.upTo = append(l.upTo, at)
-				l.classes = append(l.classes, class(classes, r, []string{b.Service}))
+				l.cumulative = append(l.cumulative, cumulative)
+				l.classes = append(l.classes, classFor(classes, r, []string{b.Service}))
 			}
 		}
-		p.lanes[r] = l
+		p.targets[r] = l
 	}
 	for _, c := range classes {
 		p.Classes = append(p.Classes, c)
@@ -119,32 +123,35 @@
 	return p, nil
 }
 
-// class finds the class of what a route sends to services. Routes that ask the same of
-// the same services share one, and with it what is learned: of hundreds of routes none
-// would see enough by itself. A changed timeout keeps it.
-func class(classes map[string]choice.Class, r *routeconfig.Route, services []string) string {
-	aim := cmp.Or(r.TargetLatency.Microseconds(), choice.Micros(float64(r.Timeout.Microseconds())*aimOfTime))
+// classFor returns the name of the class of the requests that a route sends to the services,
+// and adds the class to classes or updates its deadline. Routes with the same requirements
+// and services share a class, and so what is learned about it: of hundreds of routes, none
+// would see enough requests by itself. The timeout is not part of the name, so a class
+// outlives a change of it.
+func classFor(classes map[string]choice.Class, r *routeconfig.Route, services []string) string {
+	target := cmp.Or(r.TargetLatency.Microseconds(), choice.Micros(float64(r.Timeout.Microseconds())*defaultTargetFraction))
 	sorted := slices.Clone(services)
 	slices.Sort(sorted)
-	name := fmt.Sprintf("%t|%d|%d|%g|%d|%s", r.Idempotent, aim, r.MaxAttempts, r.MinSuccessRatio, r.Priority, strings.Join(sorted, ","))
+	name := fmt.Sprintf("%t|%d|%d|%g|%d|%s", r.Idempotent, target, r.MaxAttempts, r.MinSuccessRatio, r.Priority, strings.Join(sorted, ","))
 	c, known := classes[name]
 	if !known {
-		c = choice.Class{Name: name, Aim: aim - min(max(choice.Micros(aimMargin*float64(aim)), leastMargin), aim/2), Effect: choice.Unsafe, LateWorth: lateWorth, Need: 1, Floor: 1, Partial: 1,
-			Value: valueOfRank / float64(valueOfRank+max(r.Priority, 0)), Attempts: min(r.MaxAttempts, startCap)}
+		c = choice.Class{Name: name, Aim: target - min(max(choice.Micros(targetMargin*float64(target)), minTargetMargin), target/2), Effect: choice.Unsafe, LateWorth: lateValue, Need: 1, Floor: 1, Partial: 1,
+			Value: halfValuePriority / float64(halfValuePriority+max(r.Priority, 0)), Attempts: min(r.MaxAttempts, maxAttempts)}
 		if r.Idempotent {
 			c.Effect = choice.Safe
 		}
 		if len(r.FanoutServices) > 0 {
-			c.Floor, c.Power = r.MinSuccessRatio, 2 // the worth goes by the square of the share that is in
+			c.Floor, c.Power = r.MinSuccessRatio, 2 // the value grows with the square of the answered fraction
 		}
 	}
-	c.Deadline = max(c.Deadline, r.Timeout.Microseconds(), aim)
+	c.Deadline = max(c.Deadline, r.Timeout.Microseconds(), target)
 	classes[name] = c
 	return name
 }
 
-// LimitsFrom is what a configuration's limits mean to the front: a client has the time of a head
-// for its head, and as long as it may rest for its body.
+// LimitsFrom converts the limits of a configuration into those of the server side: the idle
+// timeout also bounds a connection's first request and the transfer of a body, and the header
+// timeout bounds a head.
 func LimitsFrom(l routeconfig.Limits) downstream.Limits {
 	return downstream.Limits{FirstRequest: l.IdleTimeout, Request: l.HeaderTimeout, Idle: l.IdleTimeout, Body: l.IdleTimeout, MaxHead: l.MaxHeaderBytes, MaxBody: l.MaxBodyBytes}
 }
--- a/tools/soakmutants/main.go
+++ b/tools/soakmutants/main.go
@@ -39,7 +39,7 @@
 	{"sent-twice", "a write is handled as if it were idempotent",
 		"internal/downstream/httpserver/plan.go", "if r.Idempotent {\n", "if r.Idempotent || r.MaxAttempts > 0 {\n"},
 	{"answer-swapped", "one in a hundred answers is that of the request before",
-		"internal/downstream/httpserver/httpserver.go", "\t\t\treturn c.WriteBytes(closing(f.Hits[0].Value, keep))\n", "\t\t\tanswer := f.Hits[0].Value\n\t\t\tif before, is := last.Swap(answer).(string); is && g.number.Add(1)%100 == 0 {\n\t\t\t\tanswer = before\n\t\t\t}\n\t\t\treturn c.WriteBytes(closing(answer, keep))\n"},
+		"internal/downstream/httpserver/httpserver.go", "\t\t\treturn c.WriteBytes(completeHead(f.Hits[0].Value, keep))\n", "\t\t\tanswer := f.Hits[0].Value\n\t\t\tif before, is := last.Swap(answer).(string); is && g.number.Add(1)%100 == 0 {\n\t\t\t\tanswer = before\n\t\t\t}\n\t\t\treturn c.WriteBytes(completeHead(answer, keep))\n"},
 	{"records-unordered", "the records of a gathered answer are not merged by their order",
 		"internal/downstream/httpserver/httpserver.go", "return cmp.Compare(b, a) })", "return 0 })"},
 	{"connection-closed", "one in two hundred connections is closed while its request is at a server",
