--- a/internal/upstream/httpclient/answer.go
+++ b/internal/upstream/httpclient/answer.go
@@ -1,6 +1,6 @@
 package httpclient
 
-// What an answer says.
+// This file evaluates the answers of servers.
 
 import (
 	"sort"
@@ -12,33 +12,33 @@
 )
 
 const (
-	headID    = "X-Saddleport-Attempt-Id"
-	headStamp = "X-Saddleport-Response-Signature"
-	headNot   = "X-Saddleport-Not-Executed"
-	headLoad  = "X-Saddleport-Instance-Load"
+	headerAttemptID   = "X-Saddleport-Attempt-Id"
+	headerSignature   = "X-Saddleport-Response-Signature"
+	headerNotExecuted = "X-Saddleport-Not-Executed"
+	headerLoad        = "X-Saddleport-Instance-Load"
 )
 
-// judge tells what an answer to the request of an id is. Its value is what the server
-// side passes on: of a part of a gathered answer the stamp, a line feed and the records;
-// of any other the whole answer but for the end of its head.
+// evaluate returns the verdict on the answer to the request with the given id, and the value that
+// is passed on to the server side. For a part of a gathered query the value is the signature, a
+// line feed and the records. For any other query it is the answer as forward writes it.
 //
-// Only an answer that says so proves that a request did not run. A success counts only
-// with its stamp, under the id of the request, and unencoded.
-func judge(p *httpwire.Response, id string, gather bool) (choice.Verdict, string) {
-	own := p.Header.Get(headID) == id
-	if !own { // an answer that does not name the request says nothing of it, not even that it failed
+// A request counts as not run only if the answer states that. A success counts only with a
+// signature, under the id of the request, and without a content encoding.
+func evaluate(p *httpwire.Response, id string, gather bool) (choice.Verdict, string) {
+	matches := p.Header.Get(headerAttemptID) == id
+	if !matches { // without the request's id the answer says nothing about the request, not even that it failed
 		return choice.ServerError, ""
 	}
-	if p.Header.Get(headNot) != "" || p.Status == 421 {
+	if p.Header.Get(headerNotExecuted) != "" || p.Status == 421 {
 		return choice.TurnedAway, ""
 	}
-	stamp := p.Header.Get(headStamp)
+	signature := p.Header.Get(headerSignature)
 	if p.Status >= 200 && p.Status < 300 {
-		if stamp == "" || p.Header.Get("Content-Encoding") != "" {
+		if signature == "" || p.Header.Get("Content-Encoding") != "" {
 			return choice.ServerError, ""
 		}
 		if gather {
-			return choice.Served, stamp + "\n" + string(p.Body)
+			return choice.Served, signature + "\n" + string(p.Body)
 		}
 		return choice.Served, forward(p)
 	}
@@ -46,21 +46,22 @@
 		return choice.ServerError, ""
 	}
 	switch p.Status {
-	case 408, 429, 503: // to the client these would promise that it did not run
+	case 408, 429, 503: // to the client these would promise that the request did not run
 		return choice.ServerError, ""
 	}
 	if p.Status >= 400 && p.Status < 500 {
-		return choice.Served, forward(p) // the server's word on the request
+		return choice.Served, forward(p) // the server's final response to the request
 	}
 	return choice.ServerError, forward(p)
 }
 
-// Of one connection only, or told anew.
-var dropped = map[string]bool{"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Te": true, "Trailer": true,
-	"Transfer-Encoding": true, "Upgrade": true, "Content-Length": true, headLoad: true}
+// notForwarded are the response headers that are not passed on: hop-by-hop headers, those that
+// are set anew, and the load report.
+var notForwarded = map[string]bool{"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Te": true, "Trailer": true,
+	"Transfer-Encoding": true, "Upgrade": true, "Content-Length": true, headerLoad: true}
 
-// forward writes an answer for the client, up to where its head may be added to:
-// "...\r\n" + "\r\n" + body.
+// forward serializes an answer for the client: "...\r\n" + "\r\n" + body. The server side may
+// add headers at the end of the head.
 func forward(p *httpwire.Response) string {
 	var b strings.Builder
 	b.Grow(len(p.Body) + 256)
@@ -71,7 +72,7 @@
 	b.WriteString("\r\n")
 	names := make([]string, 0, len(p.Header))
 	for name := range p.Header {
-		if !dropped[name] {
+		if !notForwarded[name] {
 			names = append(names, name)
 		}
 	}
@@ -94,8 +95,8 @@
 	return b.String()
 }
 
-// report reads a server's load: running, waiting, slots.
-func report(s string) []choice.Reading {
+// parseLoad parses the load report of a server: RUNNING,WAITING,SLOTS.
+func parseLoad(s string) []choice.Reading {
 	if s == "" {
 		return nil
 	}
--- a/internal/upstream/httpclient/httpclient.go
+++ b/internal/upstream/httpclient/httpclient.go
@@ -1,8 +1,8 @@
 // Package httpclient is the client side for servers that speak HTTP/1.1: it owns the
-// connections to them, one request at a time on each. It does what the exchange asks and
-// reports how it ended. It must never decide where a part goes, send one twice, take
-// bytes for an answer that were not meant for the request that waits, or let one silent
-// server hold up another.
+// connections to them, each of which carries one request at a time. It carries out what the
+// exchange asks for and reports how each attempt ended. It must never decide which server a
+// part goes to, send a part twice, accept bytes as an answer that were not meant for the
+// pending request, or let one unresponsive server block another.
 package httpclient
 
 import (
@@ -23,44 +23,45 @@
 )
 
 const (
-	dialTime     = 400 * time.Millisecond // a connection that is not up by then has failed
-	dialHoldMost = 2 * time.Second        // the longest a server whose dials fail is not dialed
-	writeTime    = 500 * time.Millisecond // a write that takes longer ends its connection
-	directWrite  = 8 << 10                // bytes that an idle connection is sure to take at once
-	staleTime    = 2 * time.Second        // so long may an answer to a part given up hold its connection
-	abandonTime  = 250 * time.Millisecond // so long a server may still answer a client that has left
-	idleTime     = 30 * time.Second       // a connection that rests longer is closed
-	onceRest     = 3 * time.Second        // a request that can't be repeated takes no connection that rested longer
-	idleMargin   = 700 * time.Millisecond // before the time that its server states
-	sweepEvery   = time.Second
-	mostAnswer   = 1 << 20 // bytes of an answer's body
-	mostHead     = 16 << 10
-	readBuffer   = 2 << 10
-	mostStray    = 2 // answers to other tries passed over on one connection
+	dialTimeout          = 400 * time.Millisecond
+	maxDialBackoff       = 2 * time.Second        // the longest pause between dials to a server whose dials fail
+	writeTimeout         = 500 * time.Millisecond // a write that takes longer ends its connection
+	directWriteSize      = 8 << 10                // bytes that an idle connection accepts without blocking
+	lateAnswerWait       = 2 * time.Second        // how long a connection waits for the answer to a cancelled attempt
+	abandonDelay         = 250 * time.Millisecond // how long a server may still answer a request whose client has left
+	idleTimeout          = 30 * time.Second       // a connection that has been idle longer is closed
+	nonIdempotentMaxIdle = 3 * time.Second        // a non-idempotent request uses no connection that has been idle longer
+	keepAliveMargin      = 700 * time.Millisecond // subtracted from the keep-alive time that a server states
+	sweepInterval        = time.Second
+	maxAnswerBody        = 1 << 20 // bytes
+	maxAnswerHead        = 16 << 10
+	readBufferSize       = 2 << 10
+	maxStrayAnswers      = 2 // answers to other attempts that are skipped on one connection
 )
 
-// Config is what the client side is told at its start.
+// Config configures the client side.
 type Config struct {
 	Exchange  *exchange.Exchange
-	MaxConns  int // connections at once to all servers
+	MaxConns  int // open connections to all servers together
 	Mutations Mutations
 }
 
-// Mutations leaves rules out on purpose, so that a checker can show that it finds each.
+// Mutations disables rules on purpose, so that a checker can show that it detects the violation
+// of each.
 type Mutations struct {
-	AnyID        bool // an answer is taken for the request that waits, whatever it names
+	AnyID        bool // an answer is accepted for the pending request whatever id it carries
 	LostIsUnsent bool // a reset or a close counts as proof that a request has not run
-	ReuseEarly   bool // a connection is used again though a request is not yet written whole
+	ReuseEarly   bool // a connection is reused before its request is completely written
 }
 
-// Server is what is told of a server.
+// Server is the state of a server.
 type Server struct {
 	ID, Addr string
 	Gone     bool
-	MaxConns int // this mixer's part of what the server takes; 0: not told
+	MaxConns int // this proxy's share of the connections that the server accepts; 0: unknown
 }
 
-// Pool is the client side. It implements exchange.Leaves.
+// Pool holds the connections to all servers. It implements exchange.Leaves.
 type Pool struct {
 	Config
 	dial *net.Dialer
@@ -73,458 +74,472 @@
 
 type server struct {
 	Server
-	conns    []*conn // the one that rested last is last
-	waiting  []*call
-	dialing  int
-	misses   int
-	heldTill time.Time
+	conns         []*conn // the one that became idle last is last
+	waiting       []*call
+	dialing       int
+	dialFailures  int
+	dialNotBefore time.Time
 }
 
+// call is an attempt and the connection that carries it.
 type call struct {
-	a    *exchange.Attempt
-	s    *server
-	c    *conn // nil: it waits for one
-	off  bool  // nobody waits for its answer any more, which still says how its server is
-	done bool
+	attempt   *exchange.Attempt
+	server    *server
+	conn      *conn // nil: it waits for a connection
+	cancelled bool  // its answer is no longer needed, but still shows the state of the server
+	done      bool
 }
 
 type conn struct {
-	b       *Pool
-	s       *server
+	pool    *Pool
+	server  *server
 	nc      net.Conn
-	r       *httpwire.Reader
-	call    *call     // whose answer is awaited; nil: none is, or its part was not answered in time
-	busy    bool      // an answer is awaited
-	writing bool      // the request is not yet written whole
-	gather  bool      // of the request that is out
-	method  string    // the same
-	id      string    // the same
-	sentAt  time.Time // the same
-	used    bool      // it has carried an answer
-	restAt  time.Time // since when it rests
-	until   time.Time // when its server may close it; zero: not told
-	closed  bool
-	leaving bool // it takes no further request
+	reader  *httpwire.Reader
+	call    *call // the call of the request in flight; nil: no request is in flight, or its call has ended
+	busy    bool  // an answer is pending
+	writing bool  // the request is not completely written yet
+	// Of the request in flight.
+	gather bool
+	method string
+	id     string
+	sentAt time.Time
+
+	used           bool // it has carried an answer
+	idleSince      time.Time
+	keepAliveUntil time.Time // when its server may close it; zero: unknown
+	closed         bool
+	draining       bool // it accepts no further request
 }
 
-// New returns a client side that knows no server yet.
+// New returns a pool that knows no server yet.
 func New(cfg Config) *Pool {
-	return &Pool{Config: cfg, dial: transport.Dialer(dialTime), servers: make(map[string]*server),
+	return &Pool{Config: cfg, dial: transport.Dialer(dialTimeout), servers: make(map[string]*server),
 		calls: make(map[*exchange.Attempt]*call)}
 }
 
-// Run keeps the connections until ctx ends.
-func (b *Pool) Run(ctx context.Context) {
-	tick := time.NewTicker(sweepEvery)
+// Run maintains the connections until ctx is done.
+func (p *Pool) Run(ctx context.Context) {
+	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			b.mu.Lock()
-			defer b.mu.Unlock()
-			for _, s := range b.servers {
+			p.mu.Lock()
+			defer p.mu.Unlock()
+			for _, s := range p.servers {
 				for _, c := range slices.Clone(s.conns) {
-					c.end(choice.ConnectionLost)
+					c.closeWith(choice.ConnectionLost)
 				}
 			}
 			return
 		case <-tick.C:
-			b.sweep()
+			p.sweep()
 		}
 	}
 }
 
-// Told takes news of servers, before the exchange hears of them.
-func (b *Pool) UpdateServers(list []Server) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// UpdateServers applies changes of servers. It is called before the exchange learns of them.
+func (p *Pool) UpdateServers(list []Server) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	for _, t := range list {
-		s := b.servers[t.ID]
+		s := p.servers[t.ID]
 		switch {
 		case t.Gone && s == nil:
 		case t.Gone:
 			s.Gone = true
 			for _, c := range slices.Clone(s.conns) {
-				if c.leaving = true; !c.busy {
-					c.end(choice.ConnectionLost)
+				if c.draining = true; !c.busy {
+					c.closeWith(choice.ConnectionLost)
 				}
 			}
-			b.noConnection(s)
-			b.forget(s)
+			p.failUnconnected(s)
+			p.forget(s)
 		case s == nil:
-			b.servers[t.ID] = &server{Server: t}
+			p.servers[t.ID] = &server{Server: t}
 		default:
 			s.Server = t
 		}
 	}
 }
 
-func (b *Pool) forget(s *server) {
-	if s.Gone && len(s.conns) == 0 && s.dialing == 0 && b.servers[s.ID] == s {
-		delete(b.servers, s.ID)
+// forget removes a server that is gone once it has no connection.
+func (p *Pool) forget(s *server) {
+	if s.Gone && len(s.conns) == 0 && s.dialing == 0 && p.servers[s.ID] == s {
+		delete(p.servers, s.ID)
 	}
 }
 
-// ---- What the exchange asks for.
+// ---- Requests of the exchange.
 
-// Send starts attempts.
-func (b *Pool) Send(attempts []*exchange.Attempt) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// Send starts the attempts.
+func (p *Pool) Send(attempts []*exchange.Attempt) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	for _, a := range attempts {
-		k := &call{a: a, s: b.servers[a.Server]}
-		b.calls[a] = k
-		b.place(k)
+		k := &call{attempt: a, server: p.servers[a.Server]}
+		p.calls[a] = k
+		p.assign(k)
 	}
 }
 
-// GiveUp ends the wait for an attempt. Its connection stays taken until the answer has
-// come: closed, it would cost another one. One that is called off ends with that answer,
-// so that a server that is late beside another is told from one that is silent; without
-// an answer, within staleTime.
-func (b *Pool) GiveUp(a *exchange.Attempt, v choice.Verdict) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	k := b.calls[a]
+// GiveUp cancels an attempt. Its connection stays busy until the answer arrives, because
+// closing it would cost a new connection. With the verdict CalledOff the attempt ends with
+// that answer, which distinguishes a server that is only slower than another from an
+// unresponsive one; without an answer it ends soon after lateAnswerWait.
+func (p *Pool) GiveUp(a *exchange.Attempt, v choice.Verdict) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	k := p.calls[a]
 	if k == nil {
 		return
 	}
-	if v == choice.CalledOff && k.c != nil {
-		k.off = true
+	if v == choice.CalledOff && k.conn != nil {
+		k.cancelled = true
 		if a.Abandoned() && !a.Once() {
-			time.AfterFunc(abandonTime, func() { b.abandon(k) })
+			time.AfterFunc(abandonDelay, func() { p.abandon(k) })
 		}
 		return
 	}
-	if k.c == nil && v == choice.NoAnswer { // it was never sent, so it never ran
+	if k.conn == nil && v == choice.NoAnswer { // never sent, so it has not run
 		v = choice.NotSent
 	}
-	b.finish(k, v, nil, "")
+	p.finish(k, v, nil, "")
 }
 
 // abandon closes the connection of an attempt whose client has left and which has not been
-// answered since: the server need not work on.
-func (b *Pool) abandon(k *call) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if !k.done && k.c.call == k {
-		k.c.end(choice.CalledOff)
+// answered since, so that the server need not continue working on it.
+func (p *Pool) abandon(k *call) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if !k.done && k.conn.call == k {
+		k.conn.closeWith(choice.CalledOff)
 	}
 }
 
-// Probe implements exchange.Leaves: the decisions send none here.
-func (b *Pool) Probe(name string) { b.Exchange.Probed(name, 0, choice.NotSent, nil) }
+// Probe implements exchange.Leaves. The decisions send no probes to HTTP servers.
+func (p *Pool) Probe(name string) { p.Exchange.Probed(name, 0, choice.NotSent, nil) }
 
 // Release closes the idle connections to a server.
-func (b *Pool) Release(name string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if s := b.servers[name]; s != nil {
+func (p *Pool) Release(name string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if s := p.servers[name]; s != nil {
 		for _, c := range slices.Clone(s.conns) {
 			if !c.busy {
-				c.end(choice.ConnectionLost)
+				c.closeWith(choice.ConnectionLost)
 			}
 		}
 	}
 }
 
-// Watch and Fetch implement exchange.Leaves: what there is of servers comes by itself.
-func (b *Pool) Watch(bool) {}
+// Watch implements exchange.Leaves. It does nothing, because UpdateServers delivers the changes
+// of servers unasked.
+func (p *Pool) Watch(bool) {}
 
-// Fetch is as Watch.
-func (b *Pool) Fetch() {}
+// Fetch implements exchange.Leaves. It does nothing, like Watch.
+func (p *Pool) Fetch() {}
 
-// ---- Under b.mu.
+// ---- Helpers that require p.mu.
 
-func (b *Pool) place(k *call) {
-	s := k.s
+// assign sends a call on the connection that became idle last, or queues the call and opens one.
+func (p *Pool) assign(k *call) {
+	s := k.server
 	if s == nil || s.Gone {
-		b.finish(k, choice.NotSent, nil, "")
+		p.finish(k, choice.NotSent, nil, "")
 		return
 	}
 	now := time.Now()
 	for i := len(s.conns) - 1; i >= 0; i-- {
 		c := s.conns[i]
-		if c.busy || c.leaving {
+		if c.busy || c.draining {
 			continue
 		}
-		if !c.until.IsZero() && now.After(c.until) {
-			c.end(choice.ConnectionLost)
+		if !c.keepAliveUntil.IsZero() && now.After(c.keepAliveUntil) {
+			c.closeWith(choice.ConnectionLost)
 			continue
 		}
-		if k.a.Once() && now.Sub(c.restAt) > onceRest {
-			break // the others have rested longer still
+		if k.attempt.Once() && now.Sub(c.idleSince) > nonIdempotentMaxIdle {
+			break // the others have been idle even longer
 		}
 		c.send(k, now)
 		return
 	}
 	s.waiting = append(s.waiting, k)
-	b.open(s)
+	p.openConn(s)
 }
 
-// open opens a connection for what waits, unless enough are on their way.
-func (b *Pool) open(s *server) {
+// openConn dials a connection for the waiting calls, unless enough are being dialed.
+func (p *Pool) openConn(s *server) {
 	if s.dialing >= len(s.waiting) || s.MaxConns > 0 && len(s.conns)+s.dialing >= s.MaxConns {
 		return
 	}
-	if len(s.conns) == 0 && time.Now().Before(s.heldTill) {
-		b.noConnection(s)
+	if len(s.conns) == 0 && time.Now().Before(s.dialNotBefore) {
+		p.failUnconnected(s)
 		return
 	}
-	if b.conns >= b.MaxConns {
+	if p.conns >= p.MaxConns {
 		if len(s.conns) == 0 {
-			b.noConnection(s)
+			p.failUnconnected(s)
 		}
 		return
 	}
 	s.dialing++
-	b.conns++
-	b.Exchange.Counters.Dials.Add(1)
-	go b.connect(s, s.Addr)
+	p.conns++
+	p.Exchange.Counters.Dials.Add(1)
+	go p.dialConn(s, s.Addr)
 }
 
-func (b *Pool) connect(s *server, addr string) {
-	nc, err := b.dial.Dial("tcp4", addr)
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// dialConn dials a server at an address, for the calls that wait for a connection.
+func (p *Pool) dialConn(s *server, addr string) {
+	nc, err := p.dial.Dial("tcp4", addr)
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	s.dialing--
 	if err != nil || s.Gone || s.Addr != addr {
-		b.conns--
+		p.conns--
 		if err == nil {
 			nc.Close()
 		} else {
-			b.Exchange.Counters.DialFails.Add(1)
-			s.misses++
-			hold := dialTime
-			for i := 1; i < s.misses && hold < dialHoldMost; i++ {
-				hold *= 2
+			p.Exchange.Counters.DialFails.Add(1)
+			s.dialFailures++
+			backoff := dialTimeout
+			for i := 1; i < s.dialFailures && backoff < maxDialBackoff; i++ {
+				backoff *= 2
 			}
-			s.heldTill = time.Now().Add(min(hold, dialHoldMost))
+			s.dialNotBefore = time.Now().Add(min(backoff, maxDialBackoff))
 		}
-		b.noConnection(s)
-		b.forget(s)
+		p.failUnconnected(s)
+		p.forget(s)
 		return
 	}
-	s.misses, s.heldTill = 0, time.Time{}
-	c := &conn{b: b, s: s, nc: nc, r: httpwire.NewReaderOf(nc, readBuffer, mostHead, mostAnswer), restAt: time.Now()}
+	s.dialFailures, s.dialNotBefore = 0, time.Time{}
+	c := &conn{pool: p, server: s, nc: nc, reader: httpwire.NewReaderOf(nc, readBufferSize, maxAnswerHead, maxAnswerBody), idleSince: time.Now()}
 	s.conns = append(s.conns, c)
-	b.Exchange.Counters.Leaves.Add(1)
-	go c.read()
-	b.pump(s)
+	p.Exchange.Counters.Leaves.Add(1)
+	go c.readLoop()
+	p.assignWaiting(s)
 }
 
-// pump sends what waits on connections that rest.
-func (b *Pool) pump(s *server) {
+// assignWaiting sends the waiting calls on idle connections.
+func (p *Pool) assignWaiting(s *server) {
 	waiting := s.waiting
 	s.waiting = nil
 	for _, k := range waiting {
-		b.place(k)
+		p.assign(k)
 	}
 }
 
-func (b *Pool) noConnection(s *server) {
+// failUnconnected ends the calls that wait for a connection to s. They have not run.
+func (p *Pool) failUnconnected(s *server) {
 	failed := s.waiting
 	s.waiting = nil
 	for _, k := range failed {
-		b.finish(k, choice.NoConnection, nil, "")
+		p.finish(k, choice.NoConnection, nil, "")
 	}
 }
 
-// finish ends a call, once.
-func (b *Pool) finish(k *call, v choice.Verdict, load []choice.Reading, value string) {
+// finish ends a call and reports its outcome. A call that has ended already stays as it is.
+func (p *Pool) finish(k *call, v choice.Verdict, load []choice.Reading, value string) {
 	if k.done {
 		return
 	}
 	k.done = true
-	delete(b.calls, k.a)
-	if k.c == nil && k.s != nil {
-		k.s.waiting = slices.DeleteFunc(k.s.waiting, func(o *call) bool { return o == k })
+	delete(p.calls, k.attempt)
+	if k.conn == nil && k.server != nil {
+		k.server.waiting = slices.DeleteFunc(k.server.waiting, func(o *call) bool { return o == k })
 	}
-	if k.c != nil && k.c.call == k {
-		k.c.call = nil
+	if k.conn != nil && k.conn.call == k {
+		k.conn.call = nil
 	}
-	b.Exchange.Ended(k.a, v, load, value)
+	p.Exchange.Ended(k.attempt, v, load, value)
 }
 
-func (b *Pool) sweep() {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// sweep closes connections that wait too long for the answer to a call that was cancelled or has
+// ended, and connections that have been idle too long.
+func (p *Pool) sweep() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	now := time.Now()
-	for _, s := range b.servers {
+	for _, s := range p.servers {
 		for _, c := range slices.Clone(s.conns) {
 			switch {
-			case c.busy && (c.call == nil || c.call.off) && now.Sub(c.sentAt) > staleTime:
-				c.end(choice.CalledOff)
-			case !c.busy && (now.Sub(c.restAt) > idleTime || !c.until.IsZero() && now.After(c.until)):
-				c.end(choice.ConnectionLost)
+			case c.busy && (c.call == nil || c.call.cancelled) && now.Sub(c.sentAt) > lateAnswerWait:
+				c.closeWith(choice.CalledOff)
+			case !c.busy && (now.Sub(c.idleSince) > idleTimeout || !c.keepAliveUntil.IsZero() && now.After(c.keepAliveUntil)):
+				c.closeWith(choice.ConnectionLost)
 			}
 		}
 	}
 }
 
-// send writes a request on a connection that rests.
+// send writes a request on an idle connection.
 func (c *conn) send(k *call, now time.Time) {
-	a := k.a
+	a := k.attempt
 	at := strings.Index(a.Text, "\r\n\r\n") + 2
 	ms := max(a.Until.Sub(now).Milliseconds(), 1)
-	buf := make([]byte, 0, len(a.Text)+96+len(c.s.ID))
+	buf := make([]byte, 0, len(a.Text)+96+len(c.server.ID))
 	buf = append(buf, a.Text[:at]...)
 	buf = append(buf, "X-Saddleport-Deadline-Ms: "...)
 	buf = strconv.AppendInt(buf, ms, 10)
 	buf = append(buf, "\r\nX-Saddleport-Target-Instance: "...)
-	buf = append(buf, c.s.ID...)
+	buf = append(buf, c.server.ID...)
 	buf = append(buf, "\r\n"...)
 	buf = append(buf, a.Text[at:]...)
-	k.c, c.call, c.busy, c.sentAt, c.gather = c, k, true, now, a.Gather()
+	k.conn, c.call, c.busy, c.sentAt, c.gather = c, k, true, now, a.Gather()
 	c.method, _, _ = strings.Cut(a.Text[:at], " ")
 	c.id = a.QueryID()
-	head := bytes.Index(buf, []byte("\r\n\r\n")) + 4
-	c.nc.SetWriteDeadline(now.Add(writeTime))
-	if len(buf) <= directWrite {
+	headSize := bytes.Index(buf, []byte("\r\n\r\n")) + 4
+	c.nc.SetWriteDeadline(now.Add(writeTimeout))
+	if len(buf) <= directWriteSize {
 		n, err := c.nc.Write(buf)
-		c.wrote(n >= head, err)
+		c.noteWritten(n >= headSize, err)
 		return
 	}
 	c.writing = true
 	go func() {
 		n, err := c.nc.Write(buf)
-		c.b.mu.Lock()
-		defer c.b.mu.Unlock()
+		c.pool.mu.Lock()
+		defer c.pool.mu.Unlock()
 		c.writing = false
-		c.wrote(n >= head, err)
+		c.noteWritten(n >= headSize, err)
 	}()
 }
 
-// wrote ends a connection that could not take a request whole. Without its whole head the
-// server can't have run it; with it, nothing is known.
-func (c *conn) wrote(head bool, err error) {
+// noteWritten closes a connection on which a request could not be written completely. A server that
+// did not receive the complete head cannot have run the request. With the complete head, it is
+// unknown whether the request ran.
+func (c *conn) noteWritten(headWritten bool, err error) {
 	switch {
 	case err == nil:
-	case head:
-		c.end(choice.ConnectionLost)
+	case headWritten:
+		c.closeWith(choice.ConnectionLost)
 	default:
-		c.end(choice.NoConnection)
+		c.closeWith(choice.NoConnection)
 	}
 }
 
-// end closes a connection; what is out on it ends with the verdict.
-func (c *conn) end(v choice.Verdict) {
+// closeWith closes a connection. The call in flight on it ends with the verdict.
+func (c *conn) closeWith(v choice.Verdict) {
 	if c.closed {
 		return
 	}
 	c.closed = true
 	c.nc.Close()
-	b, s := c.b, c.s
-	b.conns--
-	b.Exchange.Counters.Leaves.Add(-1)
+	p, s := c.pool, c.server
+	p.conns--
+	p.Exchange.Counters.Leaves.Add(-1)
 	s.conns = slices.DeleteFunc(s.conns, func(o *conn) bool { return o == c })
 	if c.call != nil {
 		if v == choice.ConnectionLost {
-			b.Exchange.Counters.Resets.Add(1)
-			if b.Mutations.LostIsUnsent {
+			p.Exchange.Counters.Resets.Add(1)
+			if p.Mutations.LostIsUnsent {
 				v = choice.NoConnection
 			}
 		}
-		b.finish(c.call, v, nil, "")
+		p.finish(c.call, v, nil, "")
 	}
 	if len(s.waiting) > 0 {
-		b.open(s)
+		p.openConn(s)
 	}
-	b.forget(s)
+	p.forget(s)
 }
 
-// rest has a connection wait for its next request, or ends it.
-func (c *conn) rest(keep bool) {
-	c.busy, c.call, c.used, c.restAt = false, nil, true, time.Now()
-	if !keep || c.leaving {
-		c.end(choice.ConnectionLost)
+// release makes a connection idle after an answer, or closes it. An idle connection takes the next
+// waiting call.
+func (c *conn) release(keep bool) {
+	c.busy, c.call, c.used, c.idleSince = false, nil, true, time.Now()
+	if !keep || c.draining {
+		c.closeWith(choice.ConnectionLost)
 		return
 	}
-	// Behind the others: the one that rested last is used first, and what is not needed
-	// grows old and is closed.
-	if i := slices.Index(c.s.conns, c); i >= 0 {
-		c.s.conns = append(slices.Delete(c.s.conns, i, i+1), c)
+	// It goes to the end of the list: the connection that became idle last is used first, so
+	// that connections that are not needed reach idleTimeout and are closed.
+	if i := slices.Index(c.server.conns, c); i >= 0 {
+		c.server.conns = append(slices.Delete(c.server.conns, i, i+1), c)
 	}
-	if len(c.s.waiting) > 0 {
-		k := c.s.waiting[0]
-		c.s.waiting = c.s.waiting[1:]
-		c.send(k, c.restAt)
+	if len(c.server.waiting) > 0 {
+		k := c.server.waiting[0]
+		c.server.waiting = c.server.waiting[1:]
+		c.send(k, c.idleSince)
 	}
 }
 
-// ---- The goroutine of a connection.
+// ---- The read goroutine of a connection.
 
-func (c *conn) read() {
-	for stray := 0; ; {
-		err := c.r.Await()
-		c.b.mu.Lock()
+// readLoop handles incoming answers until the connection is closed.
+func (c *conn) readLoop() {
+	for strayAnswers := 0; ; {
+		err := c.reader.Await()
+		c.pool.mu.Lock()
 		method, busy := c.method, c.busy
-		if err == nil && !busy { // bytes that nobody asked for
-			c.b.Exchange.Counters.Spoilt.Add(1)
-			err = errors.New("stray bytes")
+		if err == nil && !busy { // no answer is pending
+			c.pool.Exchange.Counters.Spoilt.Add(1)
+			err = errors.New("bytes arrived while no answer was pending")
 		}
 		if err != nil {
-			c.end(choice.ConnectionLost)
-			c.b.mu.Unlock()
+			c.closeWith(choice.ConnectionLost)
+			c.pool.mu.Unlock()
 			return
 		}
-		c.b.mu.Unlock()
-		p, err := c.r.ResponseTo(method)
-		c.b.mu.Lock()
+		c.pool.mu.Unlock()
+		response, err := c.reader.ResponseTo(method)
+		c.pool.mu.Lock()
 		if c.closed {
-			c.b.mu.Unlock()
+			c.pool.mu.Unlock()
 			return
 		}
-		if err == nil && stray < mostStray {
-			if id := p.Header.Get(headID); id != "" && id != c.id && !c.b.Mutations.AnyID {
-				// A second answer to an earlier request, in the place of this one's, which
-				// may still follow. It belongs to nobody.
-				stray++
-				c.leaving = true
-				c.b.Exchange.Counters.Late.Add(1)
-				c.b.mu.Unlock()
+		if err == nil && strayAnswers < maxStrayAnswers {
+			if id := response.Header.Get(headerAttemptID); id != "" && id != c.id && !c.pool.Mutations.AnyID {
+				// This is a second answer to an earlier request. The answer to the pending one
+				// may still follow. No call waits for this one.
+				strayAnswers++
+				c.draining = true
+				c.pool.Exchange.Counters.Late.Add(1)
+				c.pool.mu.Unlock()
 				continue
 			}
 		}
-		// An answer may come before the request is written whole: what another one wrote would
-		// then stand where the rest of its body is due.
-		keep := err == nil && p.KeepAlive && c.r.Buffered() == 0 && (!c.writing || c.b.Mutations.ReuseEarly)
+		// An answer may arrive before the request is completely written. The server would then
+		// read the next request on the connection as the rest of the body.
+		keep := err == nil && response.KeepAlive && c.reader.Buffered() == 0 && (!c.writing || c.pool.Mutations.ReuseEarly)
 		v, value := choice.ServerError, ""
 		var load []choice.Reading
 		switch {
 		case err != nil:
-			var known *httpwire.Error
-			if v = choice.ConnectionLost; errors.As(err, &known) {
+			var malformed *httpwire.Error
+			if v = choice.ConnectionLost; errors.As(err, &malformed) {
 				v = choice.ServerError
-				c.b.Exchange.Counters.Spoilt.Add(1)
+				c.pool.Exchange.Counters.Spoilt.Add(1)
 			}
 		default:
-			c.until = lasts(p, time.Now())
+			c.keepAliveUntil = keepAliveEnd(response, time.Now())
 			id := c.id
-			if c.b.Mutations.AnyID {
-				id = p.Header.Get(headID)
+			if c.pool.Mutations.AnyID {
+				id = response.Header.Get(headerAttemptID)
 			}
-			v, value = judge(p, id, c.gather)
-			load = report(p.Header.Get(headLoad))
+			v, value = evaluate(response, id, c.gather)
+			load = parseLoad(response.Header.Get(headerLoad))
 		}
 		if c.call != nil {
-			c.b.finish(c.call, v, load, value)
+			c.pool.finish(c.call, v, load, value)
 		}
-		c.rest(keep)
+		c.release(keep)
 		closed := c.closed
-		c.b.mu.Unlock()
+		c.pool.mu.Unlock()
 		if closed {
 			return
 		}
 	}
 }
 
-// lasts tells until when a server said to keep a connection; zero: it did not.
-func lasts(p *httpwire.Response, now time.Time) time.Time {
+// keepAliveEnd returns the time until which the connection may be used by the Keep-Alive header
+// of an answer, less keepAliveMargin. It is zero if the header gives no timeout.
+func keepAliveEnd(p *httpwire.Response, now time.Time) time.Time {
 	for option := range strings.SplitSeq(p.Header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(option), "=")
 		if n, err := strconv.ParseFloat(value, 64); err == nil && strings.EqualFold(name, "timeout") && n >= 0 && n < 1e6 {
-			return now.Add(max(time.Duration(n*float64(time.Second))-idleMargin, 0))
+			return now.Add(max(time.Duration(n*float64(time.Second))-keepAliveMargin, 0))
 		}
 	}
 	return time.Time{}
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -1,10 +1,10 @@
-// Package upstream is the client side: it owns the connections to leaf servers, the
-// frames on them, and where those servers are. It does
-// what the exchange asks and reports how it ended. It must never decide where a
-// part goes, send one twice, start anything on a server that has long been said
-// to drain, or let one silent server hold up another.
+// Package upstream is the client side of the mixer: it owns the connections to leaf servers,
+// the frames on them, and the addresses of those servers. It carries out what the exchange
+// asks for and reports how each attempt ended. It must never decide which server a part goes
+// to, send a part twice, start anything on a server whose drain grace period is over, or let
+// one unresponsive server block another.
 //
-// This file holds the leaf connections; race.go opens those to a server that has
+// This file holds the pool of connections; race.go opens connections to a server that has
 // several addresses.
 package upstream
 
@@ -30,40 +30,40 @@
 )
 
 const (
-	writeTime    = time.Second            // a write that takes longer ends its connection
-	probeTime    = time.Second            // a probe that takes longer has failed
-	connsEach    = 4                      // connections to one server that take calls
-	connsSpread  = 2                      // so many are used before one carries two calls at a time
-	connsMost    = 12                     // with those that fell silent and still have calls out
-	mostUnheard  = 3                      // calls called off in a row with nothing heard, before a connection counts as silent
-	drainMargin  = 500 * time.Millisecond // a send must have left so long before the grace is over
-	staleFor     = 30 * time.Second       // so long may an answer to a part given up still come
-	copyFor      = 2 * time.Second        // so long may a second copy of an answer still come
-	sweepEvery   = 500 * time.Millisecond
-	dialFallback = 250 * time.Millisecond // where the settings tell no time for it
-	dialHoldMost = 2 * time.Second        // the longest a server whose dials fail is not dialed
-	idleShare    = 0.9                    // of the servers' idle time: ours is over first
+	writeTimeout          = time.Second            // a write that takes longer ends its connection
+	probeTimeout          = time.Second            // a probe that takes longer has failed
+	maxLiveConns          = 4                      // connections to one server that accept calls
+	spreadConns           = 2                      // while fewer are live, a call that must share a connection opens another one
+	maxConnsPerServer     = 12                     // including unresponsive connections that still have calls in flight
+	maxUnanswered         = 3                      // calls cancelled in a row without an answer, before a connection counts as unresponsive
+	drainMargin           = 500 * time.Millisecond // a send must have left so long before the drain grace period ends
+	cancelledAnswerWindow = 30 * time.Second       // how long an answer to a cancelled part may still arrive
+	duplicateAnswerWindow = 2 * time.Second        // how long a duplicate of an answer may still arrive
+	sweepInterval         = 500 * time.Millisecond
+	defaultDialTimeout    = 250 * time.Millisecond // if the settings give none
+	maxDialBackoff        = 2 * time.Second        // the longest pause between dials to a server whose dials fail
+	idleFraction          = 0.9                    // of the servers' idle timeout, so that this side closes an idle connection first
 )
 
 var log = logs.For("back")
 
-// Config is what the client side is told at its start.
+// Config configures the client side.
 type Config struct {
 	Exchange *exchange.Exchange
 	Settings settings.Settings
 	List     Lister
-	Stagger  time.Duration // between tries of a server's addresses; 0: 250 ms
-	MaxConns int           // leaf connections at once, those being opened included
+	Stagger  time.Duration // delay between connection attempts to a server's addresses; 0: 250 ms
+	MaxConns int           // open leaf connections, including those being opened
 }
 
-// Lister is where the list of servers comes from; what it says comes by Told.
+// Lister is the source of the list of servers. It delivers lists by calling Told and Failed.
 type Lister interface {
 	Watch(on bool)
 	Fetch()
 	Run(stop <-chan struct{})
 }
 
-// Pool is the client side. It implements exchange.Leaves.
+// Pool holds the connections to all leaf servers. It implements exchange.Leaves.
 type Pool struct {
 	Config
 	dial net.Dialer
@@ -73,21 +73,22 @@
 	calls   map[*exchange.Attempt]*call
 	conns   int // open or being opened
 
-	// While parts of one moment are placed: where those for a server went so far.
-	sending map[*server]*conn
+	// The connection that each server's parts went to so far, while parts that were sent
+	// together are assigned; otherwise nil.
+	batchConns map[*server]*conn
 }
 
 type server struct {
-	name    string
-	addrs   []string  // the first is the one that logs name
-	stopAt  time.Time // when nothing may start any more; zero: serving
-	conns   []*conn
-	waiting []*call // for a connection
-	dialing bool
-	seen    eyeballs.Memory // of its addresses, where it has several
-	// After a dial failed: no new dial before heldTill; misses in a row set how long.
-	heldTill time.Time
-	misses   int
+	name        string
+	addrs       []string  // logs name the first one
+	drainedAt   time.Time // from then on no call may start; zero: the server is not draining
+	conns       []*conn
+	waiting     []*call // calls without a connection
+	dialing     bool
+	addrHistory eyeballs.Memory // of connection attempts, if the server has several addresses
+	// After failed dials, no connection is dialed before dialNotBefore.
+	dialNotBefore time.Time
+	dialFailures  int // in a row
 }
 
 func (s *server) addr() string {
@@ -97,471 +98,478 @@
 	return s.addrs[0]
 }
 
-// at tells whether the server is said to be at an address.
-func (s *server) at(addr string) bool { return slices.Contains(s.addrs, addr) }
+// hasAddr reports whether addr is one of the server's current addresses.
+func (s *server) hasAddr(addr string) bool { return slices.Contains(s.addrs, addr) }
 
-type state int
+type callState int
 
 const (
-	waiting state = iota // for a connection
-	queued               // on a connection, not begun
-	writing
-	out // its last byte is written
+	callWaiting callState = iota // for a connection
+	callQueued                   // on a connection, its frame not begun
+	callWriting
+	callSent // its frame is written completely
 )
 
-// call is one frame that wants an answer: an attempt or, with none, a probe.
+// call is a frame that expects an answer: an attempt or, with a nil attempt, a probe.
 type call struct {
-	a       *exchange.Attempt
-	s       *server
-	c       *conn
-	state   state
-	begun   time.Time
-	sentAt  time.Time // when its frame was written
-	gaveUp  bool
-	verdict choice.Verdict // with gaveUp: how it ends once the server is told
-	done    bool
+	attempt   *exchange.Attempt
+	server    *server
+	conn      *conn
+	state     callState
+	begun     time.Time
+	sentAt    time.Time // when its frame was written
+	cancelled bool
+	verdict   choice.Verdict // if cancelled: how the call ends once the cancellation is written
+	done      bool
 }
 
-type item struct {
-	letter byte
-	call   *call
+// message is a call in the write queue of a connection, with the type of its frame.
+type message struct {
+	kind byte
+	call *call
 }
 
 type conn struct {
-	b      *Pool
-	s      *server
-	nc     net.Conn
-	addr   string
-	in     *bufio.Reader // nil: nothing has been read yet
-	ready  *sync.Cond
-	queue  []item
-	calls  map[string]*call     // attempts by part id, until ended or given up in writing
-	stale  map[string]time.Time // parts ended here, until when an answer to them may still come
-	probes []*call              // in the order of their frames
-	usedAt time.Time
-
-	heardAt time.Time // the last whole answer
-	unheard int       // calls ended in vain since
-	silent  bool      // takes no new calls
-
-	closed bool
-	spoilt bool // something came on it that is no answer
-}
-
-// New returns a client side that knows no server yet.
+	pool     *Pool
+	server   *server
+	nc       net.Conn
+	addr     string
+	reader   *bufio.Reader // nil: nothing has been read yet
+	wake     *sync.Cond    // signalled when queue or closed changes
+	queue    []message
+	calls    map[string]*call     // attempts by part id, until they end or their cancellation is written
+	ended    map[string]time.Time // parts that ended on this connection, until when an answer to them may still arrive
+	probes   []*call              // in the order of their frames
+	lastUsed time.Time
+
+	lastAnswerAt time.Time // of a complete answer
+	unanswered   int       // calls that ended without an answer since then
+	unresponsive bool      // accepts no new calls
+
+	closed    bool
+	malformed bool // it was closed because of a malformed answer
+}
+
+// New returns a pool that knows no server yet.
 func New(cfg Config) *Pool {
-	b := &Pool{Config: cfg, servers: make(map[string]*server), calls: make(map[*exchange.Attempt]*call)}
-	b.dial.Timeout = time.Duration(cfg.Settings.DialTimeout) * time.Microsecond
-	if b.dial.Timeout <= 0 {
-		b.dial.Timeout = dialFallback
+	p := &Pool{Config: cfg, servers: make(map[string]*server), calls: make(map[*exchange.Attempt]*call)}
+	p.dial.Timeout = time.Duration(cfg.Settings.DialTimeout) * time.Microsecond
+	if p.dial.Timeout <= 0 {
+		p.dial.Timeout = defaultDialTimeout
 	}
-	return b
+	return p
 }
 
-// Run keeps the connections and the watch until stop is closed.
-func (b *Pool) Run(stop <-chan struct{}) {
-	go b.List.Run(stop)
-	tick := time.NewTicker(sweepEvery)
+// Run maintains the connections and runs the lister until stop is closed.
+func (p *Pool) Run(stop <-chan struct{}) {
+	go p.List.Run(stop)
+	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-stop:
-			b.mu.Lock()
-			defer b.mu.Unlock()
-			for _, s := range b.servers {
+			p.mu.Lock()
+			defer p.mu.Unlock()
+			for _, s := range p.servers {
 				for _, c := range slices.Clone(s.conns) {
-					c.fail(nil)
+					c.closeWith(nil)
 				}
 			}
 			return
 		case <-tick.C:
-			b.sweep()
+			p.sweep()
 		}
 	}
 }
 
-// ---- What the exchange asks for.
+// ---- Requests of the exchange.
 
-// Send starts attempts.
-func (b *Pool) Send(attempts []*exchange.Attempt) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	defer b.together()()
+// Send starts the attempts.
+func (p *Pool) Send(attempts []*exchange.Attempt) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	defer p.batchSends()()
 	for _, a := range attempts {
-		k := &call{a: a, s: b.servers[a.Server], begun: time.Now()}
-		b.calls[a] = k
-		b.place(k)
+		k := &call{attempt: a, server: p.servers[a.Server], begun: time.Now()}
+		p.calls[a] = k
+		p.assign(k)
 	}
 }
 
-// GiveUp ends the wait for an attempt: at once if its frame has not been begun,
-// else once the server has been told.
-func (b *Pool) GiveUp(a *exchange.Attempt, v choice.Verdict) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	k := b.calls[a]
-	if k == nil || k.gaveUp {
+// GiveUp cancels an attempt: at once if its frame has not been begun, otherwise once the
+// cancellation has been written to the server.
+func (p *Pool) GiveUp(a *exchange.Attempt, v choice.Verdict) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	k := p.calls[a]
+	if k == nil || k.cancelled {
 		return
 	}
-	k.gaveUp, k.verdict = true, v
+	k.cancelled, k.verdict = true, v
 	switch k.state {
-	case waiting, queued:
-		if v == choice.NoAnswer { // it was never sent, so it never ran
+	case callWaiting, callQueued:
+		if v == choice.NoAnswer { // never sent, so it has not run
 			v = choice.NotSent
 		}
-		b.finish(k, v, nil, "")
-	case out:
-		k.c.push(item{'X', k})
+		p.finish(k, v, nil, "")
+	case callSent:
+		k.conn.enqueue(message{'X', k})
 	}
 }
 
-// Probe tests a server.
-func (b *Pool) Probe(name string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	k := &call{s: b.servers[name], begun: time.Now()}
-	if k.s == nil {
-		b.Exchange.Probed(name, 0, choice.NotSent, nil)
+// Probe sends a probe to a server.
+func (p *Pool) Probe(name string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	k := &call{server: p.servers[name], begun: time.Now()}
+	if k.server == nil {
+		p.Exchange.Probed(name, 0, choice.NotSent, nil)
 		return
 	}
-	b.place(k)
-	time.AfterFunc(probeTime, func() {
-		b.mu.Lock()
-		defer b.mu.Unlock()
-		b.finish(k, choice.NoAnswer, nil, "")
+	p.assign(k)
+	time.AfterFunc(probeTimeout, func() {
+		p.mu.Lock()
+		defer p.mu.Unlock()
+		p.finish(k, choice.NoAnswer, nil, "")
 	})
 }
 
 // Release closes the idle connections to a server.
-func (b *Pool) Release(name string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if s := b.servers[name]; s != nil {
+func (p *Pool) Release(name string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if s := p.servers[name]; s != nil {
 		for _, c := range slices.Clone(s.conns) {
 			if c.idle() {
-				c.fail(nil)
+				c.closeWith(nil)
 			}
 		}
 	}
 }
 
-// Watch starts or ends the watch on the list.
-func (b *Pool) Watch(on bool) { b.List.Watch(on) }
+// Watch starts or stops watching the list.
+func (p *Pool) Watch(on bool) { p.List.Watch(on) }
 
-// Fetch asks for the whole list once.
-func (b *Pool) Fetch() { b.List.Fetch() }
+// Fetch requests the complete list once.
+func (p *Pool) Fetch() { p.List.Fetch() }
 
-// ---- The list.
+// ---- The list of servers.
 
 // Failed implements targets.Taker.
-func (b *Pool) Failed() {
-	b.Exchange.Counters.ListFails.Add(1)
-	b.Exchange.Listed(choice.List{Form: choice.Failed})
+func (p *Pool) Failed() {
+	p.Exchange.Counters.ListFails.Add(1)
+	p.Exchange.Listed(choice.List{Form: choice.Failed})
 }
 
-// Told implements targets.Taker: it takes a list for the connections and hands it to
-// the exchange.
-func (b *Pool) Told(list choice.List, addrs targets.Addrs) {
+// Told implements targets.Taker: it applies a list to the connections and passes it to the
+// exchange.
+func (p *Pool) Told(list choice.List, addrs targets.Addrs) {
 	if list.Form != choice.Cached {
-		b.Exchange.Counters.Lists.Add(1)
+		p.Exchange.Counters.Lists.Add(1)
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	named := make(map[string]bool, len(list.Servers))
 	for _, row := range list.Servers {
 		named[row.ID] = true
-		s := b.servers[row.ID]
+		s := p.servers[row.ID]
 		if s == nil {
 			s = &server{name: row.ID}
-			b.servers[row.ID] = s
+			p.servers[row.ID] = s
 		}
 		if a := addrs[row.ID]; len(a) > 0 && a[0] != "" {
 			s.addrs = a
 		}
-		b.mayStart(s, row.State == choice.Ready, list.Since)
+		p.updateDrain(s, row.State == choice.Ready, list.Since)
 	}
 	if list.Form != choice.Delta {
-		for name, s := range b.servers {
+		for name, s := range p.servers {
 			if !named[name] {
-				b.mayStart(s, false, list.Since)
+				p.updateDrain(s, false, list.Since)
 			}
 		}
 	}
-	for name, s := range b.servers { // gone for long, with nothing left
+	for name, s := range p.servers { // removed from the list, drained, and without calls or connections
 		if s.drained() && !named[name] && len(s.conns) == 0 && len(s.waiting) == 0 && !s.dialing {
-			delete(b.servers, name)
+			delete(p.servers, name)
 		}
 	}
 	if len(list.Servers) > 0 || list.Form != choice.Delta {
 		log.Info("list", "form", int(list.Form), "version", list.Version, "entries", len(list.Servers))
 	}
-	b.Exchange.Listed(list)
+	p.Exchange.Listed(list)
 }
 
-// mayStart notes from when on nothing may start on a server; since is how long ago
-// the news may have counted as told.
-func (b *Pool) mayStart(s *server, ready bool, since choice.Micros) {
+// updateDrain sets the time from which no call may start on a server. A ready server has none;
+// for any other it is drainMargin before the drain grace period ends, which may have begun as
+// long ago as since says.
+func (p *Pool) updateDrain(s *server, ready bool, since choice.Micros) {
 	if ready {
-		s.stopAt = time.Time{}
-	} else if s.stopAt.IsZero() {
-		grace := time.Duration(b.Settings.Router.DrainGrace) * time.Microsecond
-		s.stopAt = time.Now().Add(max(grace-drainMargin-time.Duration(since)*time.Microsecond, 0))
+		s.drainedAt = time.Time{}
+	} else if s.drainedAt.IsZero() {
+		grace := time.Duration(p.Settings.Router.DrainGrace) * time.Microsecond
+		s.drainedAt = time.Now().Add(max(grace-drainMargin-time.Duration(since)*time.Microsecond, 0))
 	}
 }
 
-// ---- Under b.mu.
+// ---- Helpers that require p.mu.
 
-// place finds a call its connection, or has one opened. A connection on which
-// the same part was given up is passed over: a late answer to that would be
-// taken for this one's.
-func (b *Pool) place(k *call) {
-	s := k.s
+// assign assigns a call to a connection, or queues the call and opens one. A connection on
+// which the same part has ended is skipped: a late answer to the earlier call would be taken
+// for the answer to this one.
+func (p *Pool) assign(k *call) {
+	s := k.server
 	if s == nil || s.drained() {
-		b.finish(k, choice.NotSent, nil, "")
+		p.finish(k, choice.NotSent, nil, "")
 		return
 	}
-	// The one with the fewest calls: what hangs on a connection that fell silent, or
-	// that a spoilt answer ends, should be little, and what is left should tell the
-	// decisions that the server is well.
+	// The connection with the fewest calls is used: few calls should be lost with a connection
+	// that becomes unresponsive or is closed for a malformed answer, and the calls on the other
+	// connections should show the decisions that the server is healthy.
 	var best *conn
-	live, with := 0, b.sending[s] // parts of one moment keep together, to share a frame
+	live, batched := 0, p.batchConns[s] // parts sent together use one connection, to share a frame
 	for _, c := range s.conns {
-		if c.silent || !s.at(c.addr) || b.Settings.StreamsPerConn > 0 && len(c.calls) >= b.Settings.StreamsPerConn {
+		if c.unresponsive || !s.hasAddr(c.addr) || p.Settings.StreamsPerConn > 0 && len(c.calls) >= p.Settings.StreamsPerConn {
 			continue
 		}
 		live++
-		if k.a != nil {
-			if _, stale := c.stale[k.a.PartID]; stale || c.calls[k.a.PartID] != nil {
+		if k.attempt != nil {
+			if _, ended := c.ended[k.attempt.PartID]; ended || c.calls[k.attempt.PartID] != nil {
 				continue
 			}
 		}
-		if best == nil || c == with || best != with && len(c.calls) < len(best.calls) {
+		if best == nil || c == batched || best != batched && len(c.calls) < len(best.calls) {
 			best = c
 		}
 	}
 	if best != nil {
-		if b.sending != nil {
-			b.sending[s] = best
+		if p.batchConns != nil {
+			p.batchConns[s] = best
 		}
-		if best != with && len(best.calls) > 0 && live < connsSpread && b.conns < b.MaxConns*3/4 {
-			b.open(s) // for the calls to come
+		if best != batched && len(best.calls) > 0 && live < spreadConns && p.conns < p.MaxConns*3/4 {
+			p.openConn(s) // for later calls
 		}
-		letter := byte('P')
-		if b.Settings.PullReports {
-			letter = 'L'
+		kind := byte('P')
+		if p.Settings.PullReports {
+			kind = 'L'
 		}
-		if k.a != nil {
-			letter = 'Q'
-			best.calls[k.a.PartID] = k
+		if k.attempt != nil {
+			kind = 'Q'
+			best.calls[k.attempt.PartID] = k
 		}
-		k.c, k.state = best, queued
-		best.push(item{letter, k})
+		k.conn, k.state = best, callQueued
+		best.enqueue(message{kind, k})
 		return
 	}
-	k.c, k.state = nil, waiting
+	k.conn, k.state = nil, callWaiting
 	s.waiting = append(s.waiting, k)
-	b.open(s)
+	p.openConn(s)
 }
 
-func (s *server) drained() bool { return !s.stopAt.IsZero() && !time.Now().Before(s.stopAt) }
+func (s *server) drained() bool { return !s.drainedAt.IsZero() && !time.Now().Before(s.drainedAt) }
 
-// open opens one connection to a server, unless one is being opened or there
-// are enough; what waits then waits for room.
-func (b *Pool) open(s *server) {
+// openConn dials a connection to a server, unless one is being dialed or there are enough. If
+// there are enough, waiting calls wait until one of them can take a call.
+func (p *Pool) openConn(s *server) {
 	live := 0
 	for _, c := range s.conns {
-		if !c.silent {
+		if !c.unresponsive {
 			live++
 		}
 	}
-	if s.dialing || live >= connsEach || len(s.conns) >= connsMost {
+	if s.dialing || live >= maxLiveConns || len(s.conns) >= maxConnsPerServer {
 		return
 	}
-	if live == 0 && time.Now().Before(s.heldTill) {
-		// Its last dial failed just now: what waits for it is told at once that there is no
-		// connection, rather than after another dial's time (docs/results/standing.md, zone).
-		b.noConnection(s)
+	if live == 0 && time.Now().Before(s.dialNotBefore) {
+		// Its last dial has just failed: the waiting calls fail at once for lack of a connection,
+		// rather than after another dial timeout (docs/results/standing.md, zone).
+		p.failUnconnected(s)
 		return
 	}
-	if b.conns >= b.MaxConns && !b.evict() {
+	if p.conns >= p.MaxConns && !p.evictIdle() {
 		if len(s.conns) == 0 {
-			b.failWaiting(s, errors.New("no descriptor left for a connection"))
+			p.failWaitingCalls(s, errors.New("no descriptor left for a connection"))
 		}
 		return
 	}
 	s.dialing = true
 	if len(s.addrs) > 1 || strings.HasPrefix(s.addr(), unixPrefix) {
-		b.race(s)
+		p.startRace(s)
 		return
 	}
-	b.conns++
-	b.Exchange.Counters.Dials.Add(1)
-	go b.connect(s, s.addr())
+	p.conns++
+	p.Exchange.Counters.Dials.Add(1)
+	go p.dialConn(s, s.addr())
 }
 
-// evict closes the leaf connection that has idled longest.
-func (b *Pool) evict() bool {
+// evictIdle closes the leaf connection that has been idle longest. It reports whether there
+// was an idle connection.
+func (p *Pool) evictIdle() bool {
 	var oldest *conn
-	for _, s := range b.servers {
+	for _, s := range p.servers {
 		for _, c := range s.conns {
-			if c.idle() && (oldest == nil || c.usedAt.Before(oldest.usedAt)) {
+			if c.idle() && (oldest == nil || c.lastUsed.Before(oldest.lastUsed)) {
 				oldest = c
 			}
 		}
 	}
 	if oldest != nil {
-		oldest.fail(nil)
+		oldest.closeWith(nil)
 	}
 	return oldest != nil
 }
 
-func (b *Pool) failWaiting(s *server, err error) {
-	b.Exchange.Counters.DialFails.Add(1)
+// failWaitingCalls ends the calls that wait for a connection to s after it could not be opened.
+func (p *Pool) failWaitingCalls(s *server, err error) {
+	p.Exchange.Counters.DialFails.Add(1)
 	log.Warn("dial-failed", "server", s.name, "addr", s.addr(), "waiting", len(s.waiting), "err", err)
-	b.noConnection(s)
+	p.failUnconnected(s)
 }
 
-// noConnection ends what waits for a connection to s: it never ran.
-func (b *Pool) noConnection(s *server) {
+// failUnconnected ends the calls that wait for a connection to s. They have not run.
+func (p *Pool) failUnconnected(s *server) {
 	failed := s.waiting
 	s.waiting = nil
 	for _, k := range failed {
-		b.finish(k, choice.NoConnection, nil, "")
+		p.finish(k, choice.NoConnection, nil, "")
 	}
 }
 
-func (b *Pool) connect(s *server, addr string) {
-	nc, err := b.dial.Dial("tcp", addr)
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// dialConn dials a server at an address, for the calls that wait for a connection.
+func (p *Pool) dialConn(s *server, addr string) {
+	nc, err := p.dial.Dial("tcp", addr)
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	s.dialing = false
-	if err != nil || !s.at(addr) {
-		b.conns--
+	if err != nil || !s.hasAddr(addr) {
+		p.conns--
 		if nc != nil {
 			nc.Close()
 		}
 		if err != nil {
-			s.misses++
-			s.heldTill = time.Now().Add(dialHold(b.dial.Timeout, s.misses))
-			b.failWaiting(s, err)
-		} else { // it has moved meanwhile
-			b.pump(s)
+			s.dialFailures++
+			s.dialNotBefore = time.Now().Add(dialBackoff(p.dial.Timeout, s.dialFailures))
+			p.failWaitingCalls(s, err)
+		} else { // the address has changed meanwhile
+			p.assignWaiting(s)
 		}
 		return
 	}
-	s.misses, s.heldTill = 0, time.Time{}
-	b.add(s, &conn{nc: nc, addr: addr})
+	s.dialFailures, s.dialNotBefore = 0, time.Time{}
+	p.addConn(s, &conn{nc: nc, addr: addr})
 }
 
-// dialHold is how long no new dial goes to a server after misses failed dials in a
-// row: the dial time, doubled with each further miss, at most dialHoldMost.
-func dialHold(dial time.Duration, misses int) time.Duration {
-	hold := dial
-	for i := 1; i < misses && hold < dialHoldMost; i++ {
-		hold *= 2
+// dialBackoff returns the pause before the next dial to a server, after a number of failed
+// dials in a row: the dial timeout, doubled with each further failure, at most maxDialBackoff.
+func dialBackoff(timeout time.Duration, dialFailures int) time.Duration {
+	backoff := timeout
+	for i := 1; i < dialFailures && backoff < maxDialBackoff; i++ {
+		backoff *= 2
 	}
-	return min(hold, dialHoldMost)
+	return min(backoff, maxDialBackoff)
 }
 
-// add takes a connection that has come up.
-func (b *Pool) add(s *server, c *conn) {
-	c.b, c.s, c.ready, c.usedAt, c.heardAt = b, s, sync.NewCond(&b.mu), time.Now(), time.Now()
-	c.calls, c.stale = make(map[string]*call), make(map[string]time.Time)
+// addConn starts using a connection that has been established.
+func (p *Pool) addConn(s *server, c *conn) {
+	c.pool, c.server, c.wake, c.lastUsed, c.lastAnswerAt = p, s, sync.NewCond(&p.mu), time.Now(), time.Now()
+	c.calls, c.ended = make(map[string]*call), make(map[string]time.Time)
 	s.conns = append(s.conns, c)
-	b.Exchange.Counters.Leaves.Add(1)
-	go c.write()
-	go c.read()
-	b.pump(s)
+	p.Exchange.Counters.Leaves.Add(1)
+	go c.writeLoop()
+	go c.readLoop()
+	p.assignWaiting(s)
 }
 
-// pump places what has waited for a connection.
-func (b *Pool) pump(s *server) {
+// assignWaiting assigns the calls that waited for a connection.
+func (p *Pool) assignWaiting(s *server) {
 	ready := s.waiting
 	s.waiting = nil
-	defer b.together()()
+	defer p.batchSends()()
 	for _, k := range ready {
-		b.place(k)
+		p.assign(k)
 	}
 }
 
-// together has what is placed until the end keep together, server by server, where
-// calls carry several parts.
-func (b *Pool) together() (end func()) {
-	if b.sending != nil || b.Settings.Router.BundleMax <= 1 {
+// batchSends makes the calls to a server that are assigned until end is called share one
+// connection, if a frame may carry several parts.
+func (p *Pool) batchSends() (end func()) {
+	if p.batchConns != nil || p.Settings.Router.BundleMax <= 1 {
 		return func() {}
 	}
-	b.sending = make(map[*server]*conn)
-	return func() { b.sending = nil }
+	p.batchConns = make(map[*server]*conn)
+	return func() { p.batchConns = nil }
 }
 
-// finish ends a call, once.
-func (b *Pool) finish(k *call, v choice.Verdict, load []choice.Reading, value string) {
+// finish ends a call and reports its outcome. A call that has ended already stays as it is.
+func (p *Pool) finish(k *call, v choice.Verdict, load []choice.Reading, value string) {
 	if k.done {
 		return
 	}
 	k.done = true
-	if k.state == waiting && k.s != nil {
-		k.s.waiting = slices.DeleteFunc(k.s.waiting, func(o *call) bool { return o == k })
+	if k.state == callWaiting && k.server != nil {
+		k.server.waiting = slices.DeleteFunc(k.server.waiting, func(o *call) bool { return o == k })
 	}
-	if k.a == nil {
-		b.Exchange.Probed(k.s.name, time.Since(k.begun), v, load)
+	if k.attempt == nil {
+		p.Exchange.Probed(k.server.name, time.Since(k.begun), v, load)
 		return
 	}
-	delete(b.calls, k.a)
-	if k.c != nil && k.c.calls[k.a.PartID] == k {
-		delete(k.c.calls, k.a.PartID)
-		k.c.unanswered(k, v)
-	}
-	b.Exchange.Ended(k.a, v, load, value)
-	if k.c != nil && len(k.s.waiting) > 0 { // there is room on a connection
-		b.pump(k.s)
-	}
-}
-
-// unanswered notes that a call ended with nothing heard since it went out. A
-// connection can fall silent, or stop in the middle of an answer, while its server
-// is well and the system says nothing: parts that are put on it again and again
-// would all wait in vain, and their server would look dead for ever. It takes no
-// new calls, and ends with those that are still out.
-func (c *conn) unanswered(k *call, v choice.Verdict) {
-	if k.state == out && c.heardAt.Before(k.sentAt) && (v == choice.NoAnswer || v == choice.CalledOff) {
-		c.unheard++
-		lasting := c.unheard >= mostUnheard && time.Since(c.heardAt) > c.b.dial.Timeout
-		// Called off because its query ended is as good as timed out, if it was late.
-		late := v == choice.NoAnswer || 2*time.Since(k.sentAt) > k.a.Until.Sub(k.sentAt)
-		if !c.silent && (late || lasting) {
-			c.silent = true
-			if len(c.s.addrs) > 1 { // the next connection is tried elsewhere first
-				c.s.seen.Bad(c.addr, clock())
+	delete(p.calls, k.attempt)
+	if k.conn != nil && k.conn.calls[k.attempt.PartID] == k {
+		delete(k.conn.calls, k.attempt.PartID)
+		k.conn.noteUnanswered(k, v)
+	}
+	p.Exchange.Ended(k.attempt, v, load, value)
+	if k.conn != nil && len(k.server.waiting) > 0 { // a connection can take another call
+		p.assignWaiting(k.server)
+	}
+}
+
+// noteUnanswered is called when a call ends. It counts the calls that timed out or were
+// cancelled without any answer on the connection since they were sent. A connection can become
+// unresponsive, or stop in the middle of an answer, while its server is healthy and the
+// operating system reports no error: every part sent on it would wait in vain, and the server
+// would look dead for ever. An unresponsive connection accepts no new calls and is closed once
+// the calls in flight on it have ended.
+func (c *conn) noteUnanswered(k *call, v choice.Verdict) {
+	if k.state == callSent && c.lastAnswerAt.Before(k.sentAt) && (v == choice.NoAnswer || v == choice.CalledOff) {
+		c.unanswered++
+		lasting := c.unanswered >= maxUnanswered && time.Since(c.lastAnswerAt) > c.pool.dial.Timeout
+		// A call that was cancelled because its query ended counts as timed out if it was late.
+		late := v == choice.NoAnswer || 2*time.Since(k.sentAt) > k.attempt.Until.Sub(k.sentAt)
+		if !c.unresponsive && (late || lasting) {
+			c.unresponsive = true
+			if len(c.server.addrs) > 1 { // the next connection is dialed to another address first
+				c.server.addrHistory.Bad(c.addr, clock())
 			}
-			c.b.Exchange.Counters.Silent.Add(1)
-			log.Warn("leaf-silent", "server", c.s.name, "addr", c.addr, "parts", len(c.calls))
+			c.pool.Exchange.Counters.Silent.Add(1)
+			log.Warn("leaf-silent", "server", c.server.name, "addr", c.addr, "parts", len(c.calls))
 		}
 	}
-	if c.silent && !c.closed && c.idle() {
-		c.fail(nil)
+	if c.unresponsive && !c.closed && c.idle() {
+		c.closeWith(nil)
 	}
 }
 
-// heard notes that a whole answer has come.
-func (c *conn) heard() {
-	c.usedAt, c.heardAt, c.unheard = time.Now(), time.Now(), 0
+// noteAnswer records that a complete answer has arrived.
+func (c *conn) noteAnswer() {
+	c.lastUsed, c.lastAnswerAt, c.unanswered = time.Now(), time.Now(), 0
 }
 
-// sweep closes what has idled and forgets what can't come any more.
-func (b *Pool) sweep() {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	keep := time.Duration(float64(b.Settings.Router.Keepalive)*idleShare) * time.Microsecond
-	for _, s := range b.servers {
+// sweep closes connections that have been idle too long and forgets ended parts whose answers
+// can no longer arrive.
+func (p *Pool) sweep() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	keep := time.Duration(float64(p.Settings.Router.Keepalive)*idleFraction) * time.Microsecond
+	for _, s := range p.servers {
 		for _, c := range slices.Clone(s.conns) {
-			if c.idle() && (!s.at(c.addr) || keep > 0 && time.Since(c.usedAt) > keep) {
-				c.fail(nil)
+			if c.idle() && (!s.hasAddr(c.addr) || keep > 0 && time.Since(c.lastUsed) > keep) {
+				c.closeWith(nil)
 				continue
 			}
-			for id, until := range c.stale {
+			for id, until := range c.ended {
 				if time.Now().After(until) {
-					delete(c.stale, id)
+					delete(c.ended, id)
 				}
 			}
 		}
@@ -570,251 +578,259 @@
 
 func (c *conn) idle() bool { return len(c.calls) == 0 && len(c.queue) == 0 && len(c.probes) == 0 }
 
-func (c *conn) push(i item) {
-	c.queue = append(c.queue, i)
-	c.ready.Signal()
+func (c *conn) enqueue(m message) {
+	c.queue = append(c.queue, m)
+	c.wake.Signal()
 }
 
-// fail closes a connection and ends what was out on it; err is nil where the
-// close is ours. What had not been begun goes to another connection.
-func (c *conn) fail(err error) {
+// closeWith closes a connection and ends the calls in flight on it. err is nil if this side chose
+// to close it. Calls whose frame had not been begun move to another connection.
+func (c *conn) closeWith(err error) {
 	if c.closed {
 		return
 	}
 	c.closed = true
 	c.nc.Close()
-	c.ready.Signal()
-	b, s := c.b, c.s
-	b.conns--
-	b.Exchange.Counters.Leaves.Add(-1)
+	c.wake.Signal()
+	p, s := c.pool, c.server
+	p.conns--
+	p.Exchange.Counters.Leaves.Add(-1)
 	s.conns = slices.DeleteFunc(s.conns, func(o *conn) bool { return o == c })
-	var told *spoiltError
-	if c.spoilt = errors.As(err, &told); c.spoilt {
-		b.Exchange.Counters.Spoilt.Add(1)
+	var cause *malformedError
+	if c.malformed = errors.As(err, &cause); c.malformed {
+		p.Exchange.Counters.Spoilt.Add(1)
 	}
 	if err != nil && len(c.calls) > 0 {
-		b.Exchange.Counters.Resets.Add(1)
+		p.Exchange.Counters.Resets.Add(1)
 		log.Warn("leaf-lost", "server", s.name, "addr", c.addr, "parts", len(c.calls), "err", err)
 	}
-	var again []*call
-	for _, i := range c.queue {
-		if i.letter != 'X' && !i.call.done {
-			again = append(again, i.call)
+	var unsent []*call
+	for _, m := range c.queue {
+		if m.kind != 'X' && !m.call.done {
+			unsent = append(unsent, m.call)
 		}
 	}
 	c.queue = nil
 	for _, k := range c.calls {
-		if k.state == out {
-			c.lose(k)
+		if k.state == callSent {
+			c.finishLost(k)
 		}
 	}
 	for _, k := range c.probes {
-		b.finish(k, choice.ConnectionLost, nil, "")
+		p.finish(k, choice.ConnectionLost, nil, "")
 	}
-	for _, k := range again {
-		b.place(k)
+	for _, k := range unsent {
+		p.assign(k)
 	}
 }
 
-// lose ends a call whose frame was written whole when its connection ended. If
-// we ended it for what the server said, the server erred; neither the process nor
-// the way to it is down.
-func (c *conn) lose(k *call) {
+// finishLost ends a call whose frame was completely written when its connection was closed. If
+// the connection was closed because of a malformed answer, the verdict is a server error:
+// neither the server process nor the network path to it is down.
+func (c *conn) finishLost(k *call) {
 	v := choice.ConnectionLost
-	if c.spoilt {
+	if c.malformed {
 		v = choice.ServerError
 	}
-	if k.gaveUp {
+	if k.cancelled {
 		v = k.verdict
 	}
-	c.b.finish(k, v, nil, "")
+	c.pool.finish(k, v, nil, "")
 }
 
-// ---- The two goroutines of a connection.
+// ---- The write and read goroutines of a connection.
 
-func (c *conn) write() {
-	b := c.b
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// writeLoop writes queued messages until the connection is closed.
+func (c *conn) writeLoop() {
+	p := c.pool
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	for {
 		for len(c.queue) == 0 && !c.closed {
-			c.ready.Wait()
+			c.wake.Wait()
 		}
 		if c.closed {
 			return
 		}
-		letter, calls := c.next()
+		kind, calls := c.nextFrame()
 		if len(calls) == 0 {
 			continue
 		}
 		var rest []byte
 		for _, k := range calls {
-			switch letter {
+			switch kind {
 			case 'Q':
-				ms := max((time.Until(k.a.Until)+time.Millisecond-1)/time.Millisecond, 1)
-				rest = frame.AppendPart(rest, frame.Part{ID: k.a.PartID, Shard: k.a.Shard,
-					List: "d=" + strconv.FormatInt(int64(ms), 10) + k.a.Extra, Text: k.a.Text})
+				ms := max((time.Until(k.attempt.Until)+time.Millisecond-1)/time.Millisecond, 1)
+				rest = frame.AppendPart(rest, frame.Part{ID: k.attempt.PartID, Shard: k.attempt.Shard,
+					List: "d=" + strconv.FormatInt(int64(ms), 10) + k.attempt.Extra, Text: k.attempt.Text})
 			case 'X':
-				rest = append(rest, k.a.PartID...)
+				rest = append(rest, k.attempt.PartID...)
 			default:
 				c.probes = append(c.probes, k)
 			}
 		}
-		c.usedAt = time.Now()
-		b.mu.Unlock()
-		c.nc.SetWriteDeadline(time.Now().Add(writeTime))
-		_, err := c.nc.Write(frame.Append(nil, letter, rest))
-		b.mu.Lock()
+		c.lastUsed = time.Now()
+		p.mu.Unlock()
+		c.nc.SetWriteDeadline(time.Now().Add(writeTimeout))
+		_, err := c.nc.Write(frame.Append(nil, kind, rest))
+		p.mu.Lock()
 		for _, k := range calls {
-			c.written(letter, k, err)
+			c.noteWritten(kind, k, err)
 		}
 		if err != nil {
-			c.fail(err)
+			c.closeWith(err)
 		}
 	}
 }
 
-// next takes from the queue what makes one frame: one message, or the calls that
-// come in a row up to the number that may share one. A server that has long been
-// said to drain gets none: they waited too long.
-func (c *conn) next() (letter byte, calls []*call) {
-	room := 1
-	for len(c.queue) > 0 && len(calls) < room && (len(calls) == 0 || c.queue[0].letter == letter) {
-		i := c.queue[0]
+// nextFrame removes the messages of one frame from the queue: one message, or consecutive
+// attempts up to the number of parts that a frame may carry. Calls to a server whose drain grace period
+// is over have waited too long and end as not sent.
+func (c *conn) nextFrame() (kind byte, calls []*call) {
+	maxCalls := 1
+	for len(c.queue) > 0 && len(calls) < maxCalls && (len(calls) == 0 || c.queue[0].kind == kind) {
+		m := c.queue[0]
 		c.queue = c.queue[1:]
-		switch k := i.call; {
+		switch k := m.call; {
 		case k.done:
-		case i.letter != 'X' && c.s.drained():
-			c.b.finish(k, choice.NotSent, nil, "")
+		case m.kind != 'X' && c.server.drained():
+			c.pool.finish(k, choice.NotSent, nil, "")
 		default:
-			if letter = i.letter; letter == 'Q' {
-				room = max(c.b.Settings.Router.BundleMax, 1)
+			if kind = m.kind; kind == 'Q' {
+				maxCalls = max(c.pool.Settings.Router.BundleMax, 1)
 			}
-			if letter != 'X' {
-				k.state = writing
+			if kind != 'X' {
+				k.state = callWriting
 			}
 			calls = append(calls, k)
 		}
 	}
-	return letter, calls
+	return kind, calls
 }
 
-// written notes what has become of a message. One that could not be written
-// whole was never handed over, so what it asked for never ran.
-func (c *conn) written(letter byte, k *call, err error) {
+// noteWritten records the outcome of writing a message. If an attempt was not written
+// completely, the server cannot have read it, so it has not run.
+func (c *conn) noteWritten(kind byte, k *call, err error) {
 	switch {
-	case err != nil && letter == 'X' || k.done: // fail ends the one, the other has ended
+	case err != nil && kind == 'X' || k.done: // closeWith ends a call whose cancellation was not written; a done call needs nothing
 	case err != nil:
-		c.b.finish(k, choice.NoConnection, nil, "")
-	case letter == 'X':
-		c.stale[k.a.PartID] = time.Now().Add(staleFor)
-		c.b.finish(k, k.verdict, nil, "")
+		c.pool.finish(k, choice.NoConnection, nil, "")
+	case kind == 'X':
+		c.ended[k.attempt.PartID] = time.Now().Add(cancelledAnswerWindow)
+		c.pool.finish(k, k.verdict, nil, "")
 	case c.closed:
-		c.lose(k)
+		c.finishLost(k)
 	default:
-		k.state, k.sentAt = out, time.Now()
-		if k.gaveUp {
-			c.push(item{'X', k})
+		k.state, k.sentAt = callSent, time.Now()
+		if k.cancelled {
+			c.enqueue(message{'X', k})
 		}
 	}
 }
 
-func (c *conn) read() {
-	r := c.in
+// readLoop handles incoming frames until the connection fails.
+func (c *conn) readLoop() {
+	r := c.reader
 	if r == nil {
 		r = bufio.NewReader(c.nc)
 	}
 	for {
-		err := c.frame(r)
+		err := c.handleFrame(r)
 		if err != nil {
-			c.b.mu.Lock()
-			c.fail(err)
-			c.b.mu.Unlock()
+			c.pool.mu.Lock()
+			c.closeWith(err)
+			c.pool.mu.Unlock()
 			return
 		}
 	}
 }
 
-// spoiltError is an answer that can't be used. Which part it was for is not to
-// be known, nor whether what follows can be read: the connection must end.
-type spoiltError struct{ what string }
+// malformedError is an answer that cannot be used. It is unknown which part it was for and
+// whether the bytes after it can be parsed, so the connection must be closed.
+type malformedError struct{ what string }
 
-func (e *spoiltError) Error() string { return "spoilt answer: " + e.what }
+func (e *malformedError) Error() string { return "malformed answer: " + e.what }
 
-func spoilt(format string, args ...any) error { return &spoiltError{fmt.Sprintf(format, args...)} }
+func malformedf(format string, args ...any) error {
+	return &malformedError{fmt.Sprintf(format, args...)}
+}
 
-// frame reads one frame and does what it says.
-func (c *conn) frame(r *bufio.Reader) error {
-	letter, rest, err := frame.Read(r)
-	var malformed *frame.Error
-	if errors.As(err, &malformed) {
-		return spoilt("%s", malformed.What)
+// handleFrame reads and handles one frame.
+func (c *conn) handleFrame(r *bufio.Reader) error {
+	kind, rest, err := frame.Read(r)
+	var frameErr *frame.Error
+	if errors.As(err, &frameErr) {
+		return malformedf("%s", frameErr.What)
 	}
 	if err != nil {
 		return err
 	}
-	switch letter {
+	switch kind {
 	case 'A':
-		return c.answer(rest)
+		return c.handleAnswer(rest)
 	case 'P', 'L':
-		return c.probed(rest)
+		return c.handleProbe(rest)
 	case 'E':
 		return fmt.Errorf("refused frame: %.80q", rest)
 	default:
-		return spoilt("letter %q", letter)
+		return malformedf("unknown frame type %q", kind)
 	}
 }
 
-var ends = map[string]choice.Verdict{"ok": choice.Served, "err": choice.ServerError, "busy": choice.TurnedAway}
+// verdicts maps the end that an answer states to the verdict on its attempt.
+var verdicts = map[string]choice.Verdict{"ok": choice.Served, "err": choice.ServerError, "busy": choice.TurnedAway}
 
-func (c *conn) answer(rest []byte) error {
+// handleAnswer handles the answer to an attempt.
+func (c *conn) handleAnswer(rest []byte) error {
 	a, err := frame.ParseAnswer(rest)
 	if err != nil {
-		return spoilt("%v", err)
+		return malformedf("%v", err)
 	}
-	v := ends[a.End]
+	v := verdicts[a.End]
 	if v == choice.Served && (len(a.Value) == 0 || !utf8.Valid(a.Value)) {
-		return spoilt("a value of %d bytes that is no text", len(a.Value))
+		return malformedf("the value of %d bytes is empty or not UTF-8", len(a.Value))
 	}
-	c.b.mu.Lock()
-	defer c.b.mu.Unlock()
-	c.heard()
+	c.pool.mu.Lock()
+	defer c.pool.mu.Unlock()
+	c.noteAnswer()
 	k := c.calls[a.ID]
-	if k == nil || k.state != writing && k.state != out {
-		// An answer to a part given up here was on its way, or comes twice. Any other
-		// was for a part that is out and would wait for it in vain.
-		if _, ended := c.stale[a.ID]; !ended {
-			return spoilt("id %.80q of no part", a.ID)
-		}
-		c.b.Exchange.Counters.Late.Add(1)
+	if k == nil || k.state != callWriting && k.state != callSent {
+		// An answer to a part that was cancelled on this connection may have been under way, and
+		// an answer may be duplicated. Any other answer was meant for a part in flight, which
+		// would wait for it in vain.
+		if _, ended := c.ended[a.ID]; !ended {
+			return malformedf("no part has the id %.80q", a.ID)
+		}
+		c.pool.Exchange.Counters.Late.Add(1)
 		return nil
 	}
-	if v != choice.TurnedAway { // that may be asked again here
-		c.stale[a.ID] = time.Now().Add(copyFor)
+	if v != choice.TurnedAway { // a rejected part may be sent again on this connection
+		c.ended[a.ID] = time.Now().Add(duplicateAnswerWindow)
 	}
-	c.b.finish(k, v, report(a.Report), string(a.Value))
+	c.pool.finish(k, v, parseLoad(a.Report), string(a.Value))
 	return nil
 }
 
-func (c *conn) probed(rest []byte) error {
-	c.b.mu.Lock()
-	defer c.b.mu.Unlock()
-	c.heard()
+// handleProbe handles the answer to the oldest probe.
+func (c *conn) handleProbe(rest []byte) error {
+	c.pool.mu.Lock()
+	defer c.pool.mu.Unlock()
+	c.noteAnswer()
 	if len(c.probes) == 0 {
-		return spoilt("to no probe")
+		return malformedf("there is no probe to answer")
 	}
 	k := c.probes[0]
 	c.probes = c.probes[1:]
 	if string(rest) == "err" {
-		c.b.finish(k, choice.ServerError, nil, "")
+		c.pool.finish(k, choice.ServerError, nil, "")
 	} else {
-		c.b.finish(k, choice.Served, report(string(rest)), "")
+		c.pool.finish(k, choice.Served, parseLoad(string(rest)), "")
 	}
 	return nil
 }
 
-// report reads a load report; what it does not understand is passed over.
-func report(s string) []choice.Reading {
+// parseLoad parses a load report: pairs NAME=NUMBER. Pairs that are malformed are ignored.
+func parseLoad(s string) []choice.Reading {
 	var load []choice.Reading
 	for pair := range strings.SplitSeq(s, ",") {
 		name, value, ok := strings.Cut(pair, "=")
--- a/internal/upstream/race.go
+++ b/internal/upstream/race.go
@@ -1,9 +1,10 @@
 package upstream
 
-// This file opens connections to a server that has several addresses, or a Unix
-// socket. It owns the tries; core/eyeballs has their order. It must never put a part
-// on a connection before its address has answered, nor on two: the tries carry a
-// probe each and nothing else, and all but the winner are closed with that.
+// This file opens connections to a server that has several addresses, or a Unix socket. It
+// makes the connection attempts; core/eyeballs decides their order. It must never put a part
+// on a connection before its address has answered a probe, nor put a part on two connections:
+// the attempts carry one probe each and nothing else, and all connections but the winner's are
+// closed after it.
 
 import (
 	"bufio"
@@ -22,118 +23,121 @@
 	defaultStagger = 250 * time.Millisecond // RFC 8305, section 8
 )
 
-// race begins a race for a connection. Under b.mu.
-func (b *Pool) race(s *server) {
-	r := &race{b: b, s: s, Race: eyeballs.New(s.seen.Order(s.addrs, clock()), b.stagger().Microseconds())}
+// startRace begins a race between the addresses of a server. p.mu must be held.
+func (p *Pool) startRace(s *server) {
+	r := &race{pool: p, server: s, Race: eyeballs.New(s.addrHistory.Order(s.addrs, clock()), p.stagger().Microseconds())}
 	r.step()
 }
 
-func (b *Pool) stagger() time.Duration {
-	if b.Stagger > 0 {
-		return b.Stagger
+func (p *Pool) stagger() time.Duration {
+	if p.Stagger > 0 {
+		return p.Stagger
 	}
 	return defaultStagger
 }
 
-// begun is where the clock of the addresses' memory starts.
-var begun = time.Now()
+// clockStart is the origin of the clock that the address histories use.
+var clockStart = time.Now()
 
-func clock() eyeballs.Micros { return time.Since(begun).Microseconds() + 1 }
+func clock() eyeballs.Micros { return time.Since(clockStart).Microseconds() + 1 }
 
-// race is one race. All of it is under b.mu.
+// race is a race between connection attempts to the addresses of one server. pool.mu guards it.
 type race struct {
-	b *Pool
-	s *server
+	pool   *Pool
+	server *server
 	*eyeballs.Race
 	timer *time.Timer
-	err   error // of the last try that failed
+	err   error // of the last attempt that failed
 }
 
-// step begins what is due.
+// step starts the attempts that are due and sets the timer for the next one. If every attempt
+// has failed, it ends the calls that wait for the connection.
 func (r *race) step() {
-	b := r.b
+	p := r.pool
 	for addr, ok := r.Step(clock()); ok; addr, ok = r.Step(clock()) {
-		if b.conns >= b.MaxConns && !b.evict() {
+		if p.conns >= p.MaxConns && !p.evictIdle() {
 			r.err = errors.New("no descriptor left for a connection")
 			r.Failed(addr)
 			continue
 		}
-		b.conns++
-		b.Exchange.Counters.Dials.Add(1)
-		go r.try(addr)
+		p.conns++
+		p.Exchange.Counters.Dials.Add(1)
+		go r.connect(addr)
 	}
 	if r.timer != nil {
 		r.timer.Stop()
 	}
 	if due := r.Due(); due > 0 {
 		r.timer = time.AfterFunc(time.Duration(due-clock())*time.Microsecond, func() {
-			b.mu.Lock()
-			defer b.mu.Unlock()
+			p.mu.Lock()
+			defer p.mu.Unlock()
 			r.step()
 		})
 	}
-	if r.Over && r.s.dialing && r.Winner == "" {
-		r.s.dialing = false
-		b.failWaiting(r.s, r.err)
+	if r.Over && r.server.dialing && r.Winner == "" {
+		r.server.dialing = false
+		p.failWaitingCalls(r.server, r.err)
 	}
 }
 
-// try opens a connection and has its address answer a probe.
-func (r *race) try(addr string) {
-	b := r.b
-	nc, answers, err := b.greet(addr)
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// connect opens a connection to an address, waits for the answer to a probe and enters the
+// result in the race. The winner's connection is added to the pool.
+func (r *race) connect(addr string) {
+	p := r.pool
+	nc, reader, err := p.dialAndProbe(addr)
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	if err != nil {
-		b.conns--
-		if !r.Over { // else it may have been cut short
-			r.s.seen.Bad(addr, clock())
-			log.Warn("address-failed", "server", r.s.name, "addr", addr, "err", err)
+		p.conns--
+		if !r.Over { // otherwise the attempt may have been interrupted
+			r.server.addrHistory.Bad(addr, clock())
+			log.Warn("address-failed", "server", r.server.name, "addr", addr, "err", err)
 		}
 		r.err = err
 		r.Failed(addr)
 		r.step()
 		return
 	}
-	r.s.seen.Good(addr, clock())
+	r.server.addrHistory.Good(addr, clock())
 	if !r.Ready(addr) {
-		b.conns--
+		p.conns--
 		nc.Close()
 		return
 	}
 	if r.timer != nil {
 		r.timer.Stop()
 	}
-	r.s.dialing = false
-	if !r.s.at(addr) { // it has moved meanwhile
-		b.conns--
+	r.server.dialing = false
+	if !r.server.hasAddr(addr) { // the address has changed meanwhile
+		p.conns--
 		nc.Close()
-		b.pump(r.s)
+		p.assignWaiting(r.server)
 		return
 	}
-	b.add(r.s, &conn{nc: nc, addr: addr, in: answers})
+	p.addConn(r.server, &conn{nc: nc, addr: addr, reader: reader})
 }
 
-// Reachable tells whether a server answers a probe at any of its addresses. What it
-// opens for that counts as a connection, and is closed.
-func (b *Pool) Reachable(addrs []string) bool {
+// Reachable reports whether a server answers a probe at any of its addresses. The connections
+// that it opens for that count towards MaxConns and are closed afterwards. Without enough free
+// connections it reports false.
+func (p *Pool) Reachable(addrs []string) bool {
 	for _, addr := range addrs {
-		b.mu.Lock()
-		room := b.conns < b.MaxConns*3/4
-		if room {
-			b.conns++
+		p.mu.Lock()
+		free := p.conns < p.MaxConns*3/4
+		if free {
+			p.conns++
 		}
-		b.mu.Unlock()
-		if !room {
+		p.mu.Unlock()
+		if !free {
 			return false
 		}
-		nc, _, err := b.greet(addr)
+		nc, _, err := p.dialAndProbe(addr)
 		if err == nil {
 			nc.Close()
 		}
-		b.mu.Lock()
-		b.conns--
-		b.mu.Unlock()
+		p.mu.Lock()
+		p.conns--
+		p.mu.Unlock()
 		if err == nil {
 			return true
 		}
@@ -141,33 +145,33 @@
 	return false
 }
 
-// greet opens a connection and waits for the answer to a probe, for the dial time in
-// all: an address that accepts and then hangs does not get a part.
-func (b *Pool) greet(addr string) (net.Conn, *bufio.Reader, error) {
-	until := time.Now().Add(b.dial.Timeout)
+// dialAndProbe opens a connection and waits for the answer to a probe, both within one dial
+// timeout, so that an address that accepts connections but never answers gets no part.
+func (p *Pool) dialAndProbe(addr string) (net.Conn, *bufio.Reader, error) {
+	until := time.Now().Add(p.dial.Timeout)
 	network := "tcp"
 	if path, local := strings.CutPrefix(addr, unixPrefix); local {
 		network, addr = "unix", path
 	}
-	nc, err := b.dial.Dial(network, addr)
+	nc, err := p.dial.Dial(network, addr)
 	if err != nil {
 		return nil, nil, err
 	}
 	fail := func(err error) (net.Conn, *bufio.Reader, error) {
 		nc.Close()
-		return nil, nil, fmt.Errorf("accepted, but a probe: %w", err)
+		return nil, nil, fmt.Errorf("the address accepted a connection, but its probe failed: %w", err)
 	}
 	nc.SetDeadline(until)
 	if _, err := nc.Write(frame.Append(nil, 'P', nil)); err != nil {
 		return fail(err)
 	}
-	in := bufio.NewReader(nc)
-	switch letter, _, err := frame.Read(in); {
+	reader := bufio.NewReader(nc)
+	switch kind, _, err := frame.Read(reader); {
 	case err != nil:
 		return fail(err)
-	case letter != 'P':
-		return fail(fmt.Errorf("answered by %q", letter))
+	case kind != 'P':
+		return fail(fmt.Errorf("it was answered with frame type %q", kind))
 	}
 	nc.SetDeadline(time.Time{})
-	return nc, in, nil
+	return nc, reader, nil
 }
--- a/internal/upstream/race_test.go
+++ b/internal/upstream/race_test.go
@@ -1,7 +1,7 @@
 package upstream
 
-// Servers with several addresses, on loopback sockets: what arrives is counted for
-// every part.
+// These tests run servers with several addresses on loopback sockets and count for every part
+// where it arrived.
 
 import (
 	"bufio"
@@ -21,16 +21,17 @@
 	"saddleport/internal/source/targets"
 )
 
-// stand is a stand-in server at several addresses. Each counts the parts that arrive.
-type stand struct {
-	t     *testing.T
-	mu    sync.Mutex
-	parts map[string][]string // by id: the addresses that it came to
-	hold  chan struct{}       // nil: parts are answered at once; else once it is closed
-	seen  chan string         // where held parts arrived
+// testServer is a stand-in for a leaf server that listens at several addresses and records the
+// parts that arrive at each.
+type testServer struct {
+	t       *testing.T
+	mu      sync.Mutex
+	parts   map[string][]string // by id: the addresses where it arrived
+	release chan struct{}       // nil: parts are answered at once; otherwise once it is closed
+	arrived chan string         // addresses where delayed parts arrived
 }
 
-func (s *stand) listen(network, addr string, greet func()) string {
+func (s *testServer) listen(network, addr string, onProbe func()) string {
 	ln, err := net.Listen(network, addr)
 	if err != nil {
 		s.t.Skipf("%s %s: %v", network, addr, err)
@@ -46,37 +47,37 @@
 			if err != nil {
 				return
 			}
-			go s.serve(at, nc, greet)
+			go s.serve(at, nc, onProbe)
 		}
 	}()
 	return at
 }
 
-func (s *stand) serve(at string, nc net.Conn, greet func()) {
+func (s *testServer) serve(at string, nc net.Conn, onProbe func()) {
 	defer nc.Close()
 	r := bufio.NewReader(nc)
 	for {
-		letter, rest, err := frame.Read(r)
+		kind, rest, err := frame.Read(r)
 		if err != nil {
 			return
 		}
-		switch letter {
+		switch kind {
 		case 'P':
-			if greet == nil { // it has accepted, and hangs
+			if onProbe == nil { // the address accepts connections but never answers
 				continue
 			}
-			greet()
+			onProbe()
 			nc.Write(frame.Append(nil, 'P', []byte("ok")))
 		case 'Q':
 			parts, _ := frame.ParseParts(rest)
 			for _, p := range parts {
 				s.mu.Lock()
 				s.parts[p.ID] = append(s.parts[p.ID], at)
-				hold := s.hold
+				release := s.release
 				s.mu.Unlock()
-				if hold != nil {
-					s.seen <- at
-					<-hold
+				if release != nil {
+					s.arrived <- at
+					<-release
 				}
 				nc.Write(frame.Append(nil, 'A', frame.AppendAnswer(nil, frame.Answer{ID: p.ID, End: "ok", Report: "-", Value: []byte("v")})))
 			}
@@ -84,34 +85,34 @@
 	}
 }
 
-// ask sends so many queries of one part through a whole exchange, and wants each
-// answered; it returns the addresses that parts came to.
-func (s *stand) ask(b *Pool, x *exchange.Exchange, n int) map[string]int {
+// runQueries sends n queries of one part through an exchange and requires that each is answered
+// and that each part arrived once. It returns the number of parts by address.
+func (s *testServer) runQueries(p *Pool, x *exchange.Exchange, n int) map[string]int {
 	s.t.Helper()
-	var all sync.WaitGroup
-	room := make(chan struct{}, 3) // within the window that a server has at the start
+	var queries sync.WaitGroup
+	slots := make(chan struct{}, 3) // within the initial window of a server
 	for i := range n {
-		all.Add(1)
-		room <- struct{}{}
+		queries.Add(1)
+		slots <- struct{}{}
 		x.Take(&exchange.Query{ID: fmt.Sprintf("%016x", i), Class: "book", Text: "t", TakenAt: time.Now(), Patience: 20 * time.Second,
 			Parts: []exchange.Part{{Shard: 0, Weight: 1}}, Done: func(f exchange.Final) {
 				if f.Ending != exchange.Answered || !f.Whole {
 					s.t.Errorf("query %d ended as %d", i, f.Ending)
 				}
-				<-room
-				all.Done()
+				<-slots
+				queries.Done()
 			}})
 	}
-	all.Wait()
+	queries.Wait()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	at := make(map[string]int)
+	partsAt := make(map[string]int)
 	require.Len(s.t, s.parts, n)
-	for id, where := range s.parts {
-		require.Len(s.t, where, 1, "part %s arrived at %v", id, where)
-		at[where[0]]++
+	for id, addrs := range s.parts {
+		require.Len(s.t, addrs, 1, "part %s arrived at %v", id, addrs)
+		partsAt[addrs[0]]++
 	}
-	return at
+	return partsAt
 }
 
 type noList struct{}
@@ -120,96 +121,99 @@
 func (noList) Fetch()                   {}
 func (noList) Run(stop <-chan struct{}) { <-stop }
 
-func mixer(t *testing.T, addrs []string, stagger time.Duration) (*Pool, *exchange.Exchange) {
+// newTestPool returns a running pool and exchange with one server at the given addresses.
+func newTestPool(t *testing.T, addrs []string, stagger time.Duration) (*Pool, *exchange.Exchange) {
 	set := settings.Settings{Router: choice.Settings{Cells: 1, Width: 1, Shards: 1, Routers: 1, AttemptCap: 1, Resolution: 1000, DrainGrace: 2_000_000, AskWithin: 10_000_000,
 		Classes: []choice.Class{{Name: "book", Aim: 10_000_000, Deadline: 20_000_000, Need: 1, Floor: 1, Value: 1, Effect: choice.Unsafe}}}, DialTimeout: 300_000}
 	x, err := exchange.New(1, set)
 	require.NoError(t, err)
-	b := New(Config{Exchange: x, Settings: set, List: noList{}, Stagger: stagger, MaxConns: 64})
-	b.Told(choice.List{Form: choice.Full, Version: 1, Servers: []choice.Server{{ID: "s", State: choice.Ready, Scale: 1}}}, targets.Addrs{"s": addrs})
+	p := New(Config{Exchange: x, Settings: set, List: noList{}, Stagger: stagger, MaxConns: 64})
+	p.Told(choice.List{Form: choice.Full, Version: 1, Servers: []choice.Server{{ID: "s", State: choice.Ready, Scale: 1}}}, targets.Addrs{"s": addrs})
 	stop := make(chan struct{})
 	done := make(chan struct{})
-	go func() { x.Run(b, stop); close(done) }()
-	go b.Run(stop)
+	go func() { x.Run(p, stop); close(done) }()
+	go p.Run(stop)
 	t.Cleanup(func() { close(stop); <-done })
-	return b, x
+	return p, x
 }
 
-func newStand(t *testing.T) *stand { return &stand{t: t, parts: make(map[string][]string)} }
+func newTestServer(t *testing.T) *testServer {
+	return &testServer{t: t, parts: make(map[string][]string)}
+}
 
-// The nearest first: a Unix socket, then IPv6.
+// The preferred address family is tried first: a Unix socket, then IPv6.
 func TestNearestFirst(t *testing.T) {
-	s := newStand(t)
-	now := func() {}
-	v4, v6 := s.listen("tcp4", "127.0.0.1:0", now), s.listen("tcp6", "[::1]:0", now)
-	local := s.listen("unix", filepath.Join(t.TempDir(), "s"), now)
-	b, x := mixer(t, []string{v4, v6, local}, 10*time.Second)
-	require.Equal(t, map[string]int{local: 40}, s.ask(b, x, 40))
+	s := newTestServer(t)
+	answerAtOnce := func() {}
+	v4, v6 := s.listen("tcp4", "127.0.0.1:0", answerAtOnce), s.listen("tcp6", "[::1]:0", answerAtOnce)
+	local := s.listen("unix", filepath.Join(t.TempDir(), "s"), answerAtOnce)
+	p, x := newTestPool(t, []string{v4, v6, local}, 10*time.Second)
+	require.Equal(t, map[string]int{local: 40}, s.runQueries(p, x, 40))
 }
 
-// An address that accepts and then hangs gets no part; the others do.
+// An address that accepts connections and then hangs gets no part. The other addresses do.
 func TestHangingAddress(t *testing.T) {
-	s := newStand(t)
-	hung, well := s.listen("unix", filepath.Join(t.TempDir(), "s"), nil), s.listen("tcp4", "127.0.0.1:0", func() {})
-	b, x := mixer(t, []string{well, hung}, 10*time.Millisecond)
-	require.Equal(t, map[string]int{well: 40}, s.ask(b, x, 40))
+	s := newTestServer(t)
+	hanging, healthy := s.listen("unix", filepath.Join(t.TempDir(), "s"), nil), s.listen("tcp4", "127.0.0.1:0", func() {})
+	p, x := newTestPool(t, []string{healthy, hanging}, 10*time.Millisecond)
+	require.Equal(t, map[string]int{healthy: 40}, s.runQueries(p, x, 40))
 }
 
-// A dead address holds nothing up: the next is tried at once.
+// A dead address causes no delay: the next one is tried at once.
 func TestDeadAddress(t *testing.T) {
-	s := newStand(t)
+	s := newTestServer(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	dead := ln.Addr().String()
 	ln.Close()
-	well := s.listen("tcp4", "127.0.0.1:0", func() {})
-	b, x := mixer(t, []string{dead, well}, 10*time.Second)
-	require.Equal(t, map[string]int{well: 40}, s.ask(b, x, 40))
+	healthy := s.listen("tcp4", "127.0.0.1:0", func() {})
+	p, x := newTestPool(t, []string{dead, healthy}, 10*time.Second)
+	require.Equal(t, map[string]int{healthy: 40}, s.runQueries(p, x, 40))
 }
 
-// The fallback starts just as the first address answers: both answer their probes at
-// the same moment, over and over. One wins, and no part comes twice.
+// The second connection attempt starts while the first address is still answering, so that both
+// answer their probes at the same moment, in ten rounds. One wins, and no part arrives twice.
 func TestBothAnswerAtOnce(t *testing.T) {
 	for round := range 10 {
-		s := newStand(t)
+		s := newTestServer(t)
 		var both sync.WaitGroup
 		both.Add(2)
-		meet := sync.OnceFunc(func() {})
-		once := func() func() {
-			first := sync.OnceFunc(both.Done)
-			return func() { first(); both.Wait(); meet() }
+		synchronized := sync.OnceFunc(func() {})
+		waitForBoth := func() func() {
+			arrived := sync.OnceFunc(both.Done)
+			return func() { arrived(); both.Wait(); synchronized() }
 		}
-		a, c := s.listen("tcp4", "127.0.0.1:0", once()), s.listen("tcp4", "127.0.0.1:0", once())
-		b, x := mixer(t, []string{a, c}, 10*time.Millisecond)
-		at := s.ask(b, x, 20)
-		require.Equal(t, 20, at[a]+at[c], "round %d", round)
+		a, c := s.listen("tcp4", "127.0.0.1:0", waitForBoth()), s.listen("tcp4", "127.0.0.1:0", waitForBoth())
+		p, x := newTestPool(t, []string{a, c}, 10*time.Millisecond)
+		partsAt := s.runQueries(p, x, 20)
+		require.Equal(t, 20, partsAt[a]+partsAt[c], "round %d", round)
 	}
 }
 
-// A server that is registered under its name with another address while parts are out:
-// what is out is answered where it is, what is new goes to the new address, and each
+// A server is registered again under its name with another address while a part is in flight.
+// That part is answered at the old address, a new part goes to the new address, and each part
 // arrives once.
-func TestMoves(t *testing.T) {
-	s := newStand(t)
-	one, two := s.listen("tcp4", "127.0.0.1:0", func() {}), s.listen("tcp4", "127.0.0.1:0", func() {})
-	b, x := mixer(t, []string{one}, 0)
-	s.hold, s.seen = make(chan struct{}), make(chan string, 8)
+func TestServerChangesAddress(t *testing.T) {
+	s := newTestServer(t)
+	first, second := s.listen("tcp4", "127.0.0.1:0", func() {}), s.listen("tcp4", "127.0.0.1:0", func() {})
+	p, x := newTestPool(t, []string{first}, 0)
+	s.release, s.arrived = make(chan struct{}), make(chan string, 8)
 	finals := make(chan exchange.Final, 8)
-	take := func(i int) {
-		x.Take(&exchange.Query{ID: fmt.Sprintf("held%012x", i), Class: "book", Text: "t", TakenAt: time.Now(), Patience: 20 * time.Second,
+	submit := func(i int) {
+		x.Take(&exchange.Query{ID: fmt.Sprintf("part%012x", i), Class: "book", Text: "t", TakenAt: time.Now(), Patience: 20 * time.Second,
 			Parts: []exchange.Part{{Shard: 0, Weight: 1}}, Done: func(f exchange.Final) { finals <- f }})
 	}
-	take(0)
-	require.Equal(t, one, <-s.seen)
-	b.Told(choice.List{Form: choice.Delta, Version: 2, Servers: []choice.Server{{ID: "s", State: choice.Ready, Scale: 1}}}, targets.Addrs{"s": {two}})
-	take(1)
-	require.Equal(t, two, <-s.seen)
-	close(s.hold)
+	submit(0)
+	require.Equal(t, first, <-s.arrived)
+	p.Told(choice.List{Form: choice.Delta, Version: 2, Servers: []choice.Server{{ID: "s", State: choice.Ready, Scale: 1}}}, targets.Addrs{"s": {second}})
+	submit(1)
+	require.Equal(t, second, <-s.arrived)
+	close(s.release)
 	for range 2 {
 		require.Equal(t, exchange.Answered, (<-finals).Ending)
 	}
 	require.Len(t, s.parts, 2)
-	for id, where := range s.parts {
-		require.Len(t, where, 1, id)
+	for id, addrs := range s.parts {
+		require.Len(t, addrs, 1, id)
 	}
 }
