--- a/internal/downstream/downstream.go
+++ b/internal/downstream/downstream.go
@@ -21,7 +21,7 @@
 const (
 	writeTimeout     = 5 * time.Second // for a response
 	lingerTimeout    = 500 * time.Millisecond
-	silentAfter      = 250 * time.Millisecond // a client that has sent no request for so long is the first to be evicted
+	requestGrace     = 250 * time.Millisecond // a connection without a request is not preferred for eviction before that
 	acceptRetryDelay = 10 * time.Millisecond
 	slotPollInterval = 20 * time.Millisecond
 )
@@ -47,10 +47,10 @@
 
 // Limits bounds how long clients may take and how much they may send.
 type Limits struct {
-	FirstRequest time.Duration // for the complete first request of a connection, from the accept on
-	Request      time.Duration // for the complete request of any later one, from its first byte on
+	FirstRequest time.Duration // for the first request to arrive completely, from when the connection was accepted
+	Request      time.Duration // for a later request to arrive completely, from its first byte on
 	Idle         time.Duration // between requests
-	Body         time.Duration // for a body, from the end of its head on; 0: the timeouts above cover head and body
+	Body         time.Duration // for a body to arrive completely, from the end of the head on; 0: FirstRequest and Request cover head and body
 	MaxHead      int           // bytes; 0: httpwire.MaxHead
 	MaxBody      int           // bytes; 0: httpwire.MaxBody
 }
@@ -155,11 +155,11 @@
 }
 
 // evict closes the connection that has waited longest for a request or for the rest of one,
-// so that a silent client does not keep others out. Connections of slow callers go first.
-// Next come those that have sent no request, once silentAfter has passed in which the
-// request could have arrived; then those that only asked for the mixer's state or sent
-// malformed queries; then those that are idle between queries, whose client can repeat its
-// request elsewhere. By age alone, clients that send one query and stay connected would
+// so that clients that send nothing do not keep others out. Connections of slow callers go
+// first. Next come those that have sent no request for longer than requestGrace, within which
+// a first request may still arrive; then those that only asked for the state of this process
+// or sent malformed queries; then those that are idle between queries, whose clients can send
+// the next query elsewhere. By age alone, clients that send one query and stay connected would
 // displace those that go on querying.
 //
 // Only connections above the given rank are closed: with rank 0 any idle connection, with 1
@@ -171,10 +171,10 @@
 			continue
 		}
 		r := 1
-		switch silent := time.Since(c.idleSince) > silentAfter; {
+		switch overdue := time.Since(c.idleSince) > requestGrace; {
 		case s.SlowLane.isSlow(c):
 			r = 5
-		case !c.requested && silent:
+		case !c.requested && overdue:
 			r = 4
 		case c.requested && !c.queried:
 			r = 3
--- a/internal/downstream/httpserver/httpserver.go
+++ b/internal/downstream/httpserver/httpserver.go
@@ -49,43 +49,43 @@
 }
 
 // SetPlan puts a plan in force for the requests that arrive from now on.
-func (g *Handler) SetPlan(p *Plan) { g.plan.Store(p) }
+func (h *Handler) SetPlan(p *Plan) { h.plan.Store(p) }
 
 // Plan returns the plan in force, or nil if there is none yet.
-func (g *Handler) Plan() *Plan { return g.plan.Load() }
+func (h *Handler) Plan() *Plan { return h.plan.Load() }
 
 // Serve implements downstream.Protocol.
-func (g *Handler) Serve(c *downstream.Conn, r *httpwire.Request, at time.Time) bool {
+func (h *Handler) Serve(c *downstream.Conn, r *httpwire.Request, at time.Time) bool {
 	keep := r.KeepAlive && !c.Closing()
 	c.NoteActivity(at)
 	if c.Rejecting() {
 		return c.WriteText(503, "this process is about to end\n", false, retryAfter(shutdownRetryAfter))
 	}
-	p := g.plan.Load()
+	p := h.plan.Load()
 	if p == nil {
 		return c.WriteText(503, "no configuration yet\n", keep, retryAfter(defaultRetryAfter))
 	}
 	route := p.Config.MatchRoute(r.Header.Get("Host"), r.Path)
 	if route == nil {
-		g.Unrouted.Add(1)
+		h.Unrouted.Add(1)
 		return c.WriteText(404, "no such route\n", keep)
 	}
 	c.NoteQuery()
-	if len(p.Config.Allowances) > 0 && g.Allow != nil {
+	if len(p.Config.Allowances) > 0 && h.Allow != nil {
 		// The allowance is checked before anything is sent, so a request that is rejected here
 		// has not run, not even in part.
 		if a := p.Config.MatchAllowance(route, r.Header.Get); a != nil {
-			if ok, after := g.Allow(a.Name); !ok {
+			if ok, after := h.Allow(a.Name); !ok {
 				after = min(after, maxRetryAfter)
 				return c.WriteText(429, fmt.Sprintf("not done: the allowance %s (%g requests a second) is used up; come back in %.1f s\n", a.Name, a.Rate, after.Seconds()), keep, retryAfter(after))
 			}
 		}
 	}
-	l := p.targets[route]
-	q := &exchange.Query{ID: r.Header.Get(headerAttemptID), Class: l.class, TakenAt: at, Gather: len(route.FanoutServices) > 0,
+	targets := p.targets[route]
+	q := &exchange.Query{ID: r.Header.Get(headerAttemptID), Class: targets.class, TakenAt: at, Gather: len(route.FanoutServices) > 0,
 		Once: !route.Idempotent, Least: route.MinSuccessRatio}
 	if q.ID == "" || len(q.ID) > maxAttemptIDLength {
-		q.ID = "~" + strconv.FormatInt(g.number.Add(1), 10)
+		q.ID = "~" + strconv.FormatInt(h.number.Add(1), 10)
 	}
 	if q.Patience = route.Timeout; true {
 		if ms, err := strconv.ParseFloat(r.Header.Get(headerDeadline), 64); err == nil && ms >= 0 {
@@ -94,14 +94,14 @@
 		}
 	}
 	if q.Gather {
-		q.Parts = make([]exchange.Part, len(l.shards))
-		for i, shard := range l.shards {
-			q.Parts[i] = exchange.Part{Shard: shard, Weight: 1 / float64(len(l.shards))}
+		q.Parts = make([]exchange.Part, len(targets.shards))
+		for i, shard := range targets.shards {
+			q.Parts[i] = exchange.Part{Shard: shard, Weight: 1 / float64(len(targets.shards))}
 		}
 	} else {
-		i := l.pick(rand.Float64())
-		q.Class = l.classes[i]
-		q.Parts = []exchange.Part{{Shard: l.shards[i], Weight: 1}}
+		i := targets.pick(rand.Float64())
+		q.Class = targets.classes[i]
+		q.Parts = []exchange.Part{{Shard: targets.shards[i], Weight: 1}}
 	}
 	q.Text = upstreamRequest(r, q.ID)
 	return c.RunQuery(q, r.KeepAlive, func(f exchange.Final, keep bool) bool {
@@ -111,7 +111,7 @@
 			}
 			return c.WriteBytes(completeHead(f.Hits[0].Value, keep))
 		}
-		return g.fail(c, f, keep)
+		return h.fail(c, f, keep)
 	})
 }
 
@@ -122,7 +122,7 @@
 // fail answers a request that ended without success. If the request has not run and never
 // will, the response is 503 with Retry-After. Otherwise it is the response of the server, or
 // 502 or 504.
-func (g *Handler) fail(c *downstream.Conn, f exchange.Final, keep bool) bool {
+func (h *Handler) fail(c *downstream.Conn, f exchange.Final, keep bool) bool {
 	switch {
 	case !f.Ran && f.Ending != exchange.Gone:
 		return c.WriteText(503, "refused\n", keep, retryAfter(cmp.Or(f.RetryAfter, defaultRetryAfter)))
--- a/internal/downstream/httpserver/plan.go
+++ b/internal/downstream/httpserver/plan.go
@@ -33,13 +33,13 @@
 }
 
 // pick returns the index of the service that x, a number in [0, 1), falls to.
-func (l *routeTargets) pick(x float64) int {
-	for i, u := range l.cumulative {
+func (t *routeTargets) pick(x float64) int {
+	for i, u := range t.cumulative {
 		if x < u {
 			return i
 		}
 	}
-	return len(l.cumulative) - 1
+	return len(t.cumulative) - 1
 }
 
 // ShardNumbers assigns a shard number to each service. A service keeps its number for the
@@ -84,16 +84,16 @@
 	p := &Plan{Config: c, targets: make(map[*routeconfig.Route]*routeTargets, len(c.Routes))}
 	classes := make(map[string]choice.Class)
 	for _, r := range c.Routes {
-		l := &routeTargets{}
+		targets := &routeTargets{}
 		if len(r.FanoutServices) > 0 {
 			for _, service := range r.FanoutServices {
 				n, err := numbers.Of(service)
 				if err != nil {
 					return nil, err
 				}
-				l.shards = append(l.shards, n)
+				targets.shards = append(targets.shards, n)
 			}
-			l.class = classFor(classes, r, r.FanoutServices)
+			targets.class = classFor(classes, r, r.FanoutServices)
 		} else {
 			sum := 0.0
 			for _, b := range r.Backends {
@@ -109,12 +109,12 @@
 					return nil, err
 				}
 				cumulative += b.Weight / sum
-				l.shards = append(l.shards, n)
-				l.cumulative = append(l.cumulative, cumulative)
-				l.classes = append(l.classes, classFor(classes, r, []string{b.Service}))
+				targets.shards = append(targets.shards, n)
+				targets.cumulative = append(targets.cumulative, cumulative)
+				targets.classes = append(targets.classes, classFor(classes, r, []string{b.Service}))
 			}
 		}
-		p.targets[r] = l
+		p.targets[r] = targets
 	}
 	for _, c := range classes {
 		p.Classes = append(p.Classes, c)
--- a/internal/downstream/httpserver/requests_test.go
+++ b/internal/downstream/httpserver/requests_test.go
@@ -277,8 +277,8 @@
 		first, err := http.ReadResponse(r1, nil)
 		So(err, ShouldBeNil)
 		So(first.StatusCode, ShouldEqual, 200)
-		for _, stamp := range strings.Split(first.Header.Get("X-Saddleport-Part-Signatures"), ", ") {
-			So(stamp, ShouldEndWith, ".old")
+		for _, signature := range strings.Split(first.Header.Get("X-Saddleport-Part-Signatures"), ", ") {
+			So(signature, ShouldEndWith, ".old")
 		}
 		So(len(p.servers["e"].Seen()), ShouldEqual, 1)
 	})
--- a/internal/downstream/platform/platform.go
+++ b/internal/downstream/platform/platform.go
@@ -1,4 +1,4 @@
-// Package platform is the downstream protocol of the mixer in service: queries and answers in
+// Package platform is the downstream protocol of the proxy in service: queries and answers in
 // the platform's format. It turns HTTP requests into queries of the exchange and their results
 // into responses. It must never answer 429 or 503 for anything but a rejected query.
 package platform
--- a/internal/upstream/dialbackoff_test.go
+++ b/internal/upstream/dialbackoff_test.go
@@ -1,7 +1,7 @@
 package upstream
 
 // These tests check that a server whose dial has failed is not dialed again at once, and that
-// calls to it fail without a wait until then. They use loopback sockets. A dead address is one
+// calls to it fail immediately until then. They use loopback sockets. A dead address is one
 // whose listener was closed, so dials to it are refused.
 
 import (
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -1,4 +1,4 @@
-// Package upstream is the client side of the mixer: it owns the connections to leaf servers,
+// Package upstream is the client side of the proxy: it owns the connections to leaf servers,
 // the frames on them, and the addresses of those servers. It carries out what the exchange
 // asks for and reports how each attempt ended. It must never decide which server a part goes
 // to, send a part twice, start anything on a server whose drain grace period is over, or let
