--- a/choice/calls_test.go
+++ b/choice/batching_test.go
@@ -10,7 +10,7 @@
 // its own and a shard is held by three cells in a row.
 func ring(t *testing.T, cells int, change func(*Settings)) *rig {
 	return listed(t, 1, func(s *Settings) {
-		s.Cells, s.Width, s.Shards, s.BundleMax, s.PerCallWork = cells, 3, 4*cells, 16, 80*ms
+		s.Cells, s.Width, s.Shards, s.MaxPartsPerCall, s.PerCallWork = cells, 3, 4*cells, 16, 80*ms
 		if change != nil {
 			change(s)
 		}
@@ -62,18 +62,18 @@
 	rng := rand.New(rand.NewPCG(7, 7))
 	for round := range 400 {
 		cells := 4 + rng.IntN(10)
-		g := ring(t, cells, func(s *Settings) { s.BundleMax = 1 + rng.IntN(4); s.Width = 1 + rng.IntN(min(4, cells)) })
+		g := ring(t, cells, func(s *Settings) { s.MaxPartsPerCall = 1 + rng.IntN(4); s.Width = 1 + rng.IntN(min(4, cells)) })
 		for _, s := range g.r.servers {
 			switch rng.IntN(6) {
 			case 0:
-				s.out = int(s.window)
+				s.reserved = int(s.window)
 			case 1:
 				s.State = Draining
 			case 2:
-				s.blame = 2
+				s.faultLevel = 2
 			}
 		}
-		shards := rng.Perm(g.r.set.Shards)[:1+rng.IntN(9)]
+		shards := rng.Perm(g.r.settings.Shards)[:1+rng.IntN(9)]
 		class := []string{"all", "some", "unsafe"}[rng.IntN(3)]
 		_, evs := g.ask(class, shards...)
 		acts := g.step(evs...)
@@ -86,8 +86,8 @@
 				t.Fatalf("round %d: part %s went out twice at once", round, s.ID)
 			}
 			seen[s.ID] = true
-			if (to.Cell-shards[at]%cells+cells)%cells >= g.r.set.Width {
-				t.Fatalf("round %d: shard %d went to cell %d of %d, width %d", round, shards[at], to.Cell, cells, g.r.set.Width)
+			if (to.Cell-shards[at]%cells+cells)%cells >= g.r.settings.Width {
+				t.Fatalf("round %d: shard %d went to cell %d of %d, width %d", round, shards[at], to.Cell, cells, g.r.settings.Width)
 			}
 		}
 		if class != "some" && len(seen) != 0 && len(seen) != len(shards) {
@@ -100,7 +100,7 @@
 func TestColdServerGetsNoMoreByACall(t *testing.T) {
 	g := ring(t, 10, nil)
 	g.step(List{Form: Delta, Servers: []Server{{ID: "c2-0", Cell: 2, State: Ready, Scale: 1, UpSince: g.now}}})
-	g.r.servers["c2-0"].saved = 1
+	g.r.servers["c2-0"].slowStartTokens = 1
 	_, evs := g.ask("all", 0, 1, 2)
 	if got := calls(g.step(evs...)); got["c2-0"] > 1 {
 		t.Fatalf("a cold server was sent %d parts at once, want one at most", got["c2-0"])
@@ -177,13 +177,13 @@
 	for mid, want := range map[Micros]bool{100 * ms: true, 400 * ms: false} {
 		g := ring(t, 10, nil)
 		c := g.r.classes["all"]
-		c.mid, c.high, c.seen = float64(mid), float64(mid)+1, 50
+		c.median, c.upperQuantile, c.latencySamples = float64(mid), float64(mid)+1, 50
 		_, evs := g.ask("all", 0)
 		if n := len(of[Send](g.step(evs...))); n != 1 {
 			t.Fatalf("%d parts sent, want 1", n)
 		}
 		if got := len(of[Send](g.later(800*ms))) > 0; got != want {
-			t.Fatalf("middle part %d ms of an aim of %d: second copies %v, want %v", mid/ms, c.Aim/ms, got, want)
+			t.Fatalf("middle part %d ms of an aim of %d: second copies %v, want %v", mid/ms, c.LatencyTarget/ms, got, want)
 		}
 	}
 }
--- a/internal/core/placement/reshape.go
+++ b/internal/core/placement/reshape.go
@@ -37,10 +37,10 @@
 	Planned Step = iota
 	Copying
 	Fencing
-	Cut
+	Cutover
 	Retiring
 	Done
-	Undoing
+	RollingBack
 	Aborted
 )
 
@@ -50,34 +50,34 @@
 
 // Reshape is one reshape. All of it is to be stored.
 type Reshape struct {
-	ID      int64
-	Step    Step
-	Sources []Segment
-	Targets []Segment
-	Copied  bool // a copy is at the new owners
-	Fenced  bool // the old owners said that they are fenced and idle
-	Final   bool // the copy made after that is at the new owners
-	Active  bool // the new owners said that they accept
-	Out     bool // the map has been published
-	Dropped bool // the old data, or the copies, are gone
+	ID          int64
+	Step        Step
+	Sources     []Segment
+	Targets     []Segment
+	Copied      bool // a copy is at the new owners
+	Fenced      bool // the old owners said that they are fenced and idle
+	FinalCopied bool // the copy made after that is at the new owners
+	Activated   bool // the new owners said that they accept
+	Published   bool // the map has been published
+	Dropped     bool // the old data, or the copies, are gone
 }
 
 // Doing is what a reshape wants done.
-type Doing int
+type Action int
 
 // What may be wanted.
 const (
-	Nothing  Doing = iota
-	Copy           // copy the keys to the new owners
-	Fence          // have the old owners fenced, and wait until nothing runs there
-	CopyLast       // copy what has come since, the old owners being fenced
-	Activate       // have the new owners accept at the new epoch
-	Publish        // publish the map
-	Drop           // drop the data at the old owners
-	Unfence        // have the old owners accept again, and drop the copies
+	Nothing   Action = iota
+	Copy             // copy the keys to the new owners
+	Fence            // have the old owners fenced, and wait until nothing runs there
+	CopyFinal        // copy what has come since, the old owners being fenced
+	Activate         // have the new owners accept at the new epoch
+	Publish          // publish the map
+	Drop             // drop the data at the old owners
+	Unfence          // have the old owners accept again, and drop the copies
 )
 
-func (d Doing) String() string {
+func (d Action) String() string {
 	return [...]string{"nothing", "copy", "fence", "copy-last", "activate", "publish", "drop", "unfence"}[d]
 }
 
@@ -85,16 +85,16 @@
 // reshaping: one segment is in one reshape.
 func (m *Map) Plan(id int64, sources []uint32, targets []Segment, busy func(uint32) bool) (*Reshape, error) {
 	if len(sources) == 0 || len(targets) == 0 {
-		return nil, bad(name("plan"), "nothing to reshape")
+		return nil, invalid(label("plan"), "nothing to reshape")
 	}
 	r := &Reshape{ID: id, Targets: slices.Clone(targets)}
 	for _, s := range sources {
-		held, known := m.segment(s)
+		held, known := m.segmentByID(s)
 		if !known {
-			return nil, bad(name("plan"), "segment %d is not in force", s)
+			return nil, invalid(label("plan"), "segment %d is not in force", s)
 		}
 		if busy(s) {
-			return nil, bad(held.Range, "segment %d is being reshaped", s)
+			return nil, invalid(held.Range, "segment %d is being reshaped", s)
 		}
 		r.Sources = append(r.Sources, held)
 	}
@@ -103,27 +103,27 @@
 	for _, list := range [][]Segment{r.Sources, r.Targets} {
 		for i := 1; i < len(list); i++ {
 			if list[i-1].To == "" || list[i-1].To != list[i].From {
-				return nil, bad(list[i].Range, "does not lie beside %v", list[i-1].Range)
+				return nil, invalid(list[i].Range, "does not lie beside %v", list[i-1].Range)
 			}
 		}
 	}
 	first, last := r.Sources[0], r.Sources[len(r.Sources)-1]
 	if r.Targets[0].From != first.From || r.Targets[len(r.Targets)-1].To != last.To {
-		return nil, bad(Range{first.From, last.To}, "the new segments do not hold the same keys")
+		return nil, invalid(Range{first.From, last.To}, "the new segments do not hold the same keys")
 	}
 	for _, t := range r.Targets {
 		if len(m.cells[t.Cell]) == 0 {
-			return nil, bad(t.Range, "cell %d names no server", t.Cell)
+			return nil, invalid(t.Range, "cell %d names no server", t.Cell)
 		}
 		if old, held, known := m.Range(t.ID); known && (!held || old != t.Range) {
-			return nil, bad(t.Range, "segment %d held %v once", t.ID, old)
+			return nil, invalid(t.Range, "segment %d held %v once", t.ID, old)
 		}
 	}
 	return r, nil
 }
 
 // Do is what is wanted next. Told must be told once it is done.
-func (r *Reshape) Do() Doing {
+func (r *Reshape) NextAction() Action {
 	switch r.Step {
 	case Copying:
 		return Copy
@@ -131,23 +131,23 @@
 		if !r.Fenced {
 			return Fence
 		}
-		return CopyLast
-	case Cut:
-		if !r.Active {
+		return CopyFinal
+	case Cutover:
+		if !r.Activated {
 			return Activate
 		}
 		return Publish
 	case Retiring:
 		return Drop
-	case Undoing:
+	case RollingBack:
 		return Unfence
 	}
 	return Nothing
 }
 
 // Told notes that something wanted has been done, and takes the next step.
-func (r *Reshape) Told(d Doing) {
-	if d != r.Do() {
+func (r *Reshape) Completed(d Action) {
+	if d != r.NextAction() {
 		return // an answer to what was asked before: nothing new
 	}
 	switch d {
@@ -155,12 +155,12 @@
 		r.Copied, r.Step = true, Fencing
 	case Fence:
 		r.Fenced = true
-	case CopyLast:
-		r.Final, r.Step = true, Cut
+	case CopyFinal:
+		r.FinalCopied, r.Step = true, Cutover
 	case Activate:
-		r.Active = true
+		r.Activated = true
 	case Publish:
-		r.Out, r.Step = true, Retiring
+		r.Published, r.Step = true, Retiring
 	case Drop:
 		r.Dropped, r.Step = true, Done
 	case Unfence:
@@ -182,8 +182,8 @@
 	case Planned:
 		r.Step = Aborted
 	case Copying, Fencing:
-		r.Step = Undoing
-	case Undoing, Aborted:
+		r.Step = RollingBack
+	case RollingBack, Aborted:
 	default:
 		return fmt.Errorf("reshape %d is %v: it can only go on", r.ID, r.Step)
 	}
@@ -191,7 +191,7 @@
 }
 
 // Over tells whether nothing is left to do.
-func (r *Reshape) Over() bool { return r.Step == Done || r.Step == Aborted }
+func (r *Reshape) Finished() bool { return r.Step == Done || r.Step == Aborted }
 
 // Update is the change of the map that a reshape publishes.
 func (r *Reshape) Update(base int64) *Update {
--- a/internal/downstream/downstream.go
+++ b/internal/downstream/downstream.go
@@ -129,8 +129,8 @@
 		s.conns[c] = struct{}{}
 		s.enforceSoftLimit()
 		s.mu.Unlock()
-		s.Exchange.Counters.Accepted.Add(1)
-		s.Exchange.Counters.Clients.Add(1)
+		s.Exchange.Counters.ClientConnsAccepted.Add(1)
+		s.Exchange.Counters.ClientConns.Add(1)
 		go c.serve()
 	}
 }
@@ -280,7 +280,7 @@
 		delete(c.server.conns, c)
 		c.server.mu.Unlock()
 		c.server.SlowLane.release(c)
-		c.server.Exchange.Counters.Clients.Add(-1)
+		c.server.Exchange.Counters.ClientConns.Add(-1)
 		<-c.server.slots
 	}()
 	c.nc.SetReadDeadline(c.idleSince.Add(c.server.limits.Load().FirstRequest)) // nothing else writes idleSince before begin
@@ -289,12 +289,12 @@
 			return
 		}
 		at, limits := time.Now(), c.server.limits.Load()
-		c.reader.Bound(limits.MaxHead, limits.MaxBody)
+		c.reader.SetLimits(limits.MaxHead, limits.MaxBody)
 		if c.requested || limits.Body > 0 { // otherwise the deadline of the first request is already set
 			c.nc.SetReadDeadline(at.Add(limits.Request))
 		}
-		if c.reader.Headed = nil; limits.Body > 0 {
-			c.reader.Headed = func() { c.nc.SetReadDeadline(time.Now().Add(limits.Body)) }
+		if c.reader.OnHead = nil; limits.Body > 0 {
+			c.reader.OnHead = func() { c.nc.SetReadDeadline(time.Now().Add(limits.Body)) }
 		}
 		q, err := c.reader.Request(func() error {
 			if !c.WriteBytes([]byte("HTTP/1.1 100 Continue\r\n\r\n")) {
@@ -330,7 +330,7 @@
 	default:
 		return
 	}
-	c.server.Exchange.Counters.Malformed.Add(1)
+	c.server.Exchange.Counters.MalformedRequests.Add(1)
 	log.Warn("bad-request", "peer", c.nc.RemoteAddr(), "status", known.Status, "err", known.Reason)
 	if c.WriteText(known.Status, known.Reason+"\n", false); late { // everything that arrived has been read
 		return
@@ -403,7 +403,7 @@
 	q.Done = func(f exchange.Final) { final <- f }
 	c.nc.SetReadDeadline(time.Time{})
 	next := make(chan error, 1)
-	c.server.Exchange.Take(q)
+	c.server.Exchange.Submit(q)
 	go func() { next <- c.reader.Await() }()
 	f, gone := c.await(q, final, next)
 	keep = keep && !c.server.closeAfterResponse.Load() && !c.server.SlowLane.overLimit(c)
@@ -426,13 +426,13 @@
 		case err := <-next:
 			next <- nil
 			if err != nil {
-				c.server.Exchange.Left(q)
+				c.server.Exchange.ClientLeft(q)
 				return <-final, true
 			}
 			next = nil // the next request has arrived and waits in the reader
 		case <-expired:
-			c.server.Exchange.Left(q)
-			if f = <-final; f.Ending == exchange.Gone {
+			c.server.Exchange.ClientLeft(q)
+			if f = <-final; f.Ending == exchange.ClientGone {
 				f.Ending = exchange.Expired
 			}
 			return f, false
--- a/internal/downstream/httpserver/httpserver.go
+++ b/internal/downstream/httpserver/httpserver.go
@@ -82,18 +82,18 @@
 		}
 	}
 	targets := p.targets[route]
-	q := &exchange.Query{ID: r.Header.Get(headerAttemptID), Class: targets.class, TakenAt: at, Gather: len(route.FanoutServices) > 0,
-		Once: !route.Idempotent, Least: route.MinSuccessRatio}
+	q := &exchange.Query{ID: r.Header.Get(headerAttemptID), Class: targets.class, ReceivedAt: at, FanOut: len(route.FanoutServices) > 0,
+		NonIdempotent: !route.Idempotent, MinShare: route.MinSuccessRatio}
 	if q.ID == "" || len(q.ID) > maxAttemptIDLength {
 		q.ID = "~" + strconv.FormatInt(h.number.Add(1), 10)
 	}
-	if q.Patience = route.Timeout; true {
+	if q.Timeout = route.Timeout; true {
 		if ms, err := strconv.ParseFloat(r.Header.Get(headerDeadline), 64); err == nil && ms >= 0 {
 			requested := time.Duration(min(ms, float64(maxDeadline.Milliseconds())) * float64(time.Millisecond))
-			q.Patience = min(q.Patience, requested-time.Duration(float64(requested)*responseReserve))
+			q.Timeout = min(q.Timeout, requested-time.Duration(float64(requested)*responseReserve))
 		}
 	}
-	if q.Gather {
+	if q.FanOut {
 		q.Parts = make([]exchange.Part, len(targets.shards))
 		for i, shard := range targets.shards {
 			q.Parts[i] = exchange.Part{Shard: shard, Weight: 1 / float64(len(targets.shards))}
@@ -106,7 +106,7 @@
 	q.Text = upstreamRequest(r, q.ID)
 	return c.RunQuery(q, r.KeepAlive, func(f exchange.Final, keep bool) bool {
 		if f.Ending == exchange.Answered {
-			if q.Gather {
+			if q.FanOut {
 				return c.WriteBytes(mergeParts(f.Hits, len(q.Parts), route.ResultLimit, keep))
 			}
 			return c.WriteBytes(completeHead(f.Hits[0].Value, keep))
@@ -124,10 +124,10 @@
 // 502 or 504.
 func (h *Handler) fail(c *downstream.Conn, f exchange.Final, keep bool) bool {
 	switch {
-	case !f.Ran && f.Ending != exchange.Gone:
+	case !f.MayHaveRun && f.Ending != exchange.ClientGone:
 		return c.WriteText(503, "refused\n", keep, retryAfter(cmp.Or(f.RetryAfter, defaultRetryAfter)))
-	case f.Failure != "":
-		return c.WriteBytes(completeHead(f.Failure, keep))
+	case f.FailureValue != "":
+		return c.WriteBytes(completeHead(f.FailureValue, keep))
 	case f.Ending == exchange.Expired:
 		return c.WriteText(504, "time is up\n", keep)
 	}
--- a/internal/downstream/httpserver/httpserver_test.go
+++ b/internal/downstream/httpserver/httpserver_test.go
@@ -39,9 +39,9 @@
 // newProxy starts a proxy. If change is not nil, it may modify the settings.
 func newProxy(t testing.TB, change func(*choice.Settings)) *proxy {
 	set := settings.Settings{MostHeld: 10_000, Router: choice.Settings{ClassesLater: true, Cells: httpserver.MaxShards, Width: 1,
-		BundleMax: 1, Resolution: 1000, Cancel: true, ParallelTries: true, MaxRetryAfter: 1_000_000, AttemptCap: 8,
-		Keepalive: 30_000_000, Routers: 1, ExtraBudget: true, ExtraByShard: true, ExtraRatio: 0.2, ExtraSpare: 20,
-		ExtraWindow: 10_000_000}}
+		MaxPartsPerCall: 1, Resolution: 1000, Cancel: true, ParallelAttempts: true, MaxRetryAfter: 1_000_000, AttemptCap: 8,
+		Keepalive: 30_000_000, Routers: 1, RetryBudget: true, RetryBudgetPerShard: true, RetryBudgetRatio: 0.2, RetryBudgetMin: 20,
+		RetryBudgetWindow: 10_000_000}}
 	if change != nil {
 		change(&set.Router)
 	}
@@ -69,7 +69,7 @@
 	require.NoError(p.t, err)
 	plan, err := httpserver.NewPlan(c, &p.shardNumbers)
 	require.NoError(p.t, err)
-	p.exchange.Retune(plan.Classes)
+	p.exchange.UpdateClasses(plan.Classes)
 	p.handler.SetPlan(plan)
 	p.downstream.SetLimits(httpserver.LimitsFrom(c.Limits))
 }
@@ -80,7 +80,7 @@
 	n, err := p.shardNumbers.Of(service)
 	require.NoError(p.t, err)
 	p.pool.UpdateServers([]httpclient.Server{{ID: s.ID, Addr: s.Addr}})
-	p.exchange.Listed(choice.List{Servers: []choice.Server{{ID: s.ID, Zone: "z", Cell: n, State: choice.Ready, Scale: 3}}})
+	p.exchange.UpdateServers(choice.List{Servers: []choice.Server{{ID: s.ID, Zone: "z", Cell: n, State: choice.Ready, Scale: 3}}})
 }
 
 // testConfig has a fan-out route, a non-idempotent route and an idempotent one.
--- a/internal/downstream/httpserver/lifecycle_test.go
+++ b/internal/downstream/httpserver/lifecycle_test.go
@@ -37,7 +37,7 @@
 		}
 		s.Window.Store(8 << 10)
 		verdicts := make(chan choice.Verdict, 99)
-		p.exchange.Heard = func(h exchange.Heard) { verdicts <- h.Verdict }
+		p.exchange.OnAttemptEnd = func(h exchange.AttemptResult) { verdicts <- h.Verdict }
 		t.Cleanup(s.Close)
 		p.addServer("one", s)
 		c, _ := p.connect()
@@ -50,7 +50,7 @@
 			So(body, ShouldEqual, "ok")
 		}
 		for range 1 + 3 { // a write queued behind the blocked one would fail with it
-			So(<-verdicts, ShouldBeIn, choice.TurnedAway, choice.Served)
+			So(<-verdicts, ShouldBeIn, choice.Rejected, choice.Served)
 		}
 		long := s.Seen()[0]
 		So(long.Attempt, ShouldEqual, "long")
@@ -98,12 +98,12 @@
 		})
 		defer close(hold)
 		ended := make(chan choice.Verdict, 9)
-		p.exchange.Heard = func(h exchange.Heard) { ended <- h.Verdict }
+		p.exchange.OnAttemptEnd = func(h exchange.AttemptResult) { ended <- h.Verdict }
 		fmt.Fprintf(c, "GET /look/1 HTTP/1.1\r\nHost: h\r\nX-Saddleport-Attempt-Id: left\r\nX-Saddleport-Deadline-Ms: 4000\r\n\r\n")
 		<-reached
 		began := time.Now()
 		c.Close()
-		So(<-ended, ShouldEqual, choice.CalledOff)
+		So(<-ended, ShouldEqual, choice.Cancelled)
 		So(time.Since(began), ShouldBeLessThan, 1500*time.Millisecond) // an attempt that is only late would end after 2 s
 		So(s.Seen(), ShouldHaveLength, 1)
 	})
--- a/internal/downstream/httpserver/plan.go
+++ b/internal/downstream/httpserver/plan.go
@@ -135,13 +135,13 @@
 	name := fmt.Sprintf("%t|%d|%d|%g|%d|%s", r.Idempotent, target, r.MaxAttempts, r.MinSuccessRatio, r.Priority, strings.Join(sorted, ","))
 	c, known := classes[name]
 	if !known {
-		c = choice.Class{Name: name, Aim: target - min(max(choice.Micros(targetMargin*float64(target)), minTargetMargin), target/2), Effect: choice.Unsafe, LateWorth: lateValue, Need: 1, Floor: 1, Partial: 1,
+		c = choice.Class{Name: name, LatencyTarget: target - min(max(choice.Micros(targetMargin*float64(target)), minTargetMargin), target/2), Effect: choice.Unsafe, LateValue: lateValue, RequiredShare: 1, MinShare: 1, PartialValue: 1,
 			Value: halfValuePriority / float64(halfValuePriority+max(r.Priority, 0)), Attempts: min(r.MaxAttempts, maxAttempts)}
 		if r.Idempotent {
 			c.Effect = choice.Safe
 		}
 		if len(r.FanoutServices) > 0 {
-			c.Floor, c.Power = r.MinSuccessRatio, 2 // the value grows with the square of the answered fraction
+			c.MinShare, c.PartialExponent = r.MinSuccessRatio, 2 // the value grows with the square of the answered fraction
 		}
 	}
 	c.Deadline = max(c.Deadline, r.Timeout.Microseconds(), target)
--- a/internal/downstream/httpserver/requests_test.go
+++ b/internal/downstream/httpserver/requests_test.go
@@ -252,7 +252,7 @@
 		So(body, ShouldNotContainSubstring, "z")
 	})
 	Convey("When the services of a route change, each response is of one version and requests in flight finish", t, func() {
-		p := newProxy(t, func(s *choice.Settings) { s.ExtraSpare = 0 })
+		p := newProxy(t, func(s *choice.Settings) { s.RetryBudgetMin = 0 })
 		p.configure(testConfig)
 		hold, reached := make(chan struct{}), make(chan struct{}, 99)
 		for _, name := range []string{"a", "b", "c", "d"} {
@@ -338,8 +338,8 @@
 		seen := 0
 		failing := func(int, standin.Seen) standin.Reply { return standin.Reply{Status: 500} }
 		var servers []*standin.Server
-		first := newProxy(t, func(s *choice.Settings) { s.ExtraRatio, s.ExtraSpare, s.Routers = ratio, slack/2, 2 })
-		second := newProxy(t, func(s *choice.Settings) { s.ExtraRatio, s.ExtraSpare, s.Routers = ratio, slack/2, 2 })
+		first := newProxy(t, func(s *choice.Settings) { s.RetryBudgetRatio, s.RetryBudgetMin, s.Routers = ratio, slack/2, 2 })
+		second := newProxy(t, func(s *choice.Settings) { s.RetryBudgetRatio, s.RetryBudgetMin, s.Routers = ratio, slack/2, 2 })
 		first.configure(testConfig)
 		second.configure(testConfig)
 		for i := range 4 {
@@ -396,8 +396,8 @@
 func TestLateAnswers(t *testing.T) {
 	Convey("With two servers of a service, one of them slow", t, func() {
 		p := newProxy(t, nil)
-		outcomes := make(chan exchange.Heard, 1000)
-		p.exchange.Heard = func(h exchange.Heard) { outcomes <- h }
+		outcomes := make(chan exchange.AttemptResult, 1000)
+		p.exchange.OnAttemptEnd = func(h exchange.AttemptResult) { outcomes <- h }
 		p.configure(testConfig)
 		hold := make(chan struct{})
 		var arrivals atomic.Int64 // arrivals of the request whose first attempt is delayed
@@ -424,11 +424,11 @@
 			late := <-outcomes
 			So(late.Verdict, ShouldEqual, choice.Served)
 			So(late.Server, ShouldNotEqual, quick.Server)
-			So(late.Took, ShouldBeGreaterThan, quick.Took)
+			So(late.Latency, ShouldBeGreaterThan, quick.Latency)
 		})
 		Convey("the unresponsive server's attempt ends as cancelled", func() {
 			defer close(hold)
-			So((<-outcomes).Verdict, ShouldEqual, choice.CalledOff)
+			So((<-outcomes).Verdict, ShouldEqual, choice.Cancelled)
 		})
 	})
 }
--- a/internal/hook/trial.go
+++ b/internal/hook/trial.go
@@ -29,7 +29,7 @@
 func (l *Loader) Trial(s *Set, q *hookabi.View) ([]Step, string) {
 	classes := l.Classes
 	if len(classes) == 0 {
-		classes = []choice.Class{{Name: q.Class, Effect: choice.Safe, Need: 1}}
+		classes = []choice.Class{{Name: q.Class, Effect: choice.Safe, RequiredShare: 1}}
 	}
 	rules := hookrule.New(classes)
 	var steps []Step
@@ -113,7 +113,7 @@
 			v.Share += v.Parts[i].Weight
 		}
 	}
-	v.Whole = v.Share >= 1-hookrule.Slack
+	v.Whole = v.Share >= 1-hookrule.ShareTolerance
 	if why := at(hookabi.Answer, -1); why != "" {
 		return steps, "refused or failed: " + why
 	}
--- a/internal/upstream/httpclient/answer.go
+++ b/internal/upstream/httpclient/answer.go
@@ -30,7 +30,7 @@
 		return choice.ServerError, ""
 	}
 	if p.Header.Get(headerNotExecuted) != "" || p.Status == 421 {
-		return choice.TurnedAway, ""
+		return choice.Rejected, ""
 	}
 	signature := p.Header.Get(headerSignature)
 	if p.Status >= 200 && p.Status < 300 {
@@ -68,7 +68,7 @@
 	b.WriteString("HTTP/1.1 ")
 	b.WriteString(strconv.Itoa(p.Status))
 	b.WriteString(" ")
-	b.WriteString(httpwire.Reason(p.Status))
+	b.WriteString(httpwire.StatusText(p.Status))
 	b.WriteString("\r\n")
 	names := make([]string, 0, len(p.Header))
 	for name := range p.Header {
--- a/internal/upstream/httpclient/httpclient.go
+++ b/internal/upstream/httpclient/httpclient.go
@@ -61,7 +61,7 @@
 	MaxConns int // this proxy's share of the connections that the server accepts; 0: unknown
 }
 
-// Pool holds the connections to all servers. It implements exchange.Leaves.
+// Pool holds the connections to all servers. It implements exchange.Upstream.
 type Pool struct {
 	Config
 	dial *net.Dialer
@@ -183,20 +183,20 @@
 	}
 }
 
-// GiveUp cancels an attempt. Its connection stays busy until the answer arrives, because
-// closing it would cost a new connection. With the verdict CalledOff the attempt ends with
+// Cancel cancels an attempt. Its connection stays busy until the answer arrives, because
+// closing it would cost a new connection. With the verdict Cancelled the attempt ends with
 // that answer, which distinguishes a server that is only slower than another from an
 // unresponsive one; without an answer it ends soon after lateAnswerWait.
-func (p *Pool) GiveUp(a *exchange.Attempt, v choice.Verdict) {
+func (p *Pool) Cancel(a *exchange.Attempt, v choice.Verdict) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	k := p.calls[a]
 	if k == nil {
 		return
 	}
-	if v == choice.CalledOff && k.conn != nil {
+	if v == choice.Cancelled && k.conn != nil {
 		k.cancelled = true
-		if a.Abandoned() && !a.Once() {
+		if a.Abandoned() && !a.NonIdempotent() {
 			time.AfterFunc(abandonDelay, func() { p.abandon(k) })
 		}
 		return
@@ -213,12 +213,12 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !k.done && k.conn.call == k {
-		k.conn.closeWith(choice.CalledOff)
+		k.conn.closeWith(choice.Cancelled)
 	}
 }
 
-// Probe implements exchange.Leaves. The decisions send no probes to HTTP servers.
-func (p *Pool) Probe(name string) { p.Exchange.Probed(name, 0, choice.NotSent, nil) }
+// Probe implements exchange.Upstream. The decisions send no probes to HTTP servers.
+func (p *Pool) Probe(name string) { p.Exchange.ProbeEnded(name, 0, choice.NotSent, nil) }
 
 // Release closes the idle connections to a server.
 func (p *Pool) Release(name string) {
@@ -233,11 +233,11 @@
 	}
 }
 
-// Watch implements exchange.Leaves. It does nothing, because UpdateServers delivers the changes
+// Watch implements exchange.Upstream. It does nothing, because UpdateServers delivers the changes
 // of servers unasked.
 func (p *Pool) Watch(bool) {}
 
-// Fetch implements exchange.Leaves. It does nothing, like Watch.
+// Fetch implements exchange.Upstream. It does nothing, like Watch.
 func (p *Pool) Fetch() {}
 
 // ---- Helpers that require p.mu.
@@ -259,7 +259,7 @@
 			c.closeWith(choice.ConnectionLost)
 			continue
 		}
-		if k.attempt.Once() && now.Sub(c.idleSince) > nonIdempotentMaxIdle {
+		if k.attempt.NonIdempotent() && now.Sub(c.idleSince) > nonIdempotentMaxIdle {
 			break // the others have been idle even longer
 		}
 		c.send(k, now)
@@ -314,9 +314,9 @@
 		return
 	}
 	s.dialFailures, s.dialNotBefore = 0, time.Time{}
-	c := &conn{pool: p, server: s, nc: nc, reader: httpwire.NewReaderOf(nc, readBufferSize, maxAnswerHead, maxAnswerBody), idleSince: time.Now()}
+	c := &conn{pool: p, server: s, nc: nc, reader: httpwire.NewReaderSize(nc, readBufferSize, maxAnswerHead, maxAnswerBody), idleSince: time.Now()}
 	s.conns = append(s.conns, c)
-	p.Exchange.Counters.Leaves.Add(1)
+	p.Exchange.Counters.ServerConns.Add(1)
 	go c.readLoop()
 	p.assignWaiting(s)
 }
@@ -352,7 +352,7 @@
 	if k.conn != nil && k.conn.call == k {
 		k.conn.call = nil
 	}
-	p.Exchange.Ended(k.attempt, v, load, value)
+	p.Exchange.AttemptEnded(k.attempt, v, load, value)
 }
 
 // sweep closes connections that wait too long for the answer to a call that was cancelled or has
@@ -365,7 +365,7 @@
 		for _, c := range slices.Clone(s.conns) {
 			switch {
 			case c.busy && (c.call == nil || c.call.cancelled) && now.Sub(c.sentAt) > lateAnswerWait:
-				c.closeWith(choice.CalledOff)
+				c.closeWith(choice.Cancelled)
 			case !c.busy && (now.Sub(c.idleSince) > idleTimeout || !c.keepAliveUntil.IsZero() && now.After(c.keepAliveUntil)):
 				c.closeWith(choice.ConnectionLost)
 			}
@@ -377,7 +377,7 @@
 func (c *conn) send(k *call, now time.Time) {
 	a := k.attempt
 	at := strings.Index(a.Text, "\r\n\r\n") + 2
-	ms := max(a.Until.Sub(now).Milliseconds(), 1)
+	ms := max(a.Deadline.Sub(now).Milliseconds(), 1)
 	buf := make([]byte, 0, len(a.Text)+96+len(c.server.ID))
 	buf = append(buf, a.Text[:at]...)
 	buf = append(buf, "X-Saddleport-Deadline-Ms: "...)
@@ -386,7 +386,7 @@
 	buf = append(buf, c.server.ID...)
 	buf = append(buf, "\r\n"...)
 	buf = append(buf, a.Text[at:]...)
-	k.conn, c.call, c.busy, c.sentAt, c.gather = c, k, true, now, a.Gather()
+	k.conn, c.call, c.busy, c.sentAt, c.gather = c, k, true, now, a.FanOut()
 	c.method, _, _ = strings.Cut(a.Text[:at], " ")
 	c.id = a.QueryID()
 	headSize := bytes.Index(buf, []byte("\r\n\r\n")) + 4
@@ -428,7 +428,7 @@
 	c.nc.Close()
 	p, s := c.pool, c.server
 	p.conns--
-	p.Exchange.Counters.Leaves.Add(-1)
+	p.Exchange.Counters.ServerConns.Add(-1)
 	s.conns = slices.DeleteFunc(s.conns, func(o *conn) bool { return o == c })
 	if c.call != nil {
 		if v == choice.ConnectionLost {
@@ -474,7 +474,7 @@
 		c.pool.mu.Lock()
 		method, busy := c.method, c.busy
 		if err == nil && !busy { // no answer is pending
-			c.pool.Exchange.Counters.Spoilt.Add(1)
+			c.pool.Exchange.Counters.MalformedAnswers.Add(1)
 			err = errors.New("bytes arrived while no answer was pending")
 		}
 		if err != nil {
@@ -495,7 +495,7 @@
 				// may still follow. No call waits for this one.
 				strayAnswers++
 				c.draining = true
-				c.pool.Exchange.Counters.Late.Add(1)
+				c.pool.Exchange.Counters.LateAnswers.Add(1)
 				c.pool.mu.Unlock()
 				continue
 			}
@@ -510,7 +510,7 @@
 			var malformed *httpwire.Error
 			if v = choice.ConnectionLost; errors.As(err, &malformed) {
 				v = choice.ServerError
-				c.pool.Exchange.Counters.Spoilt.Add(1)
+				c.pool.Exchange.Counters.MalformedAnswers.Add(1)
 			}
 		default:
 			c.keepAliveUntil = keepAliveEnd(response, time.Now())
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -63,7 +63,7 @@
 	Run(stop <-chan struct{})
 }
 
-// Pool holds the connections to all leaf servers. It implements exchange.Leaves.
+// Pool holds the connections to all leaf servers. It implements exchange.Upstream.
 type Pool struct {
 	Config
 	dial net.Dialer
@@ -85,7 +85,7 @@
 	conns       []*conn
 	waiting     []*call // calls without a connection
 	dialing     bool
-	addrHistory eyeballs.Memory // of connection attempts, if the server has several addresses
+	addrHistory eyeballs.History // of connection attempts, if the server has several addresses
 	// After failed dials, no connection is dialed before dialNotBefore.
 	dialNotBefore time.Time
 	dialFailures  int // in a row
@@ -196,9 +196,9 @@
 	}
 }
 
-// GiveUp cancels an attempt: at once if its frame has not been begun, otherwise once the
+// Cancel cancels an attempt: at once if its frame has not been begun, otherwise once the
 // cancellation has been written to the server.
-func (p *Pool) GiveUp(a *exchange.Attempt, v choice.Verdict) {
+func (p *Pool) Cancel(a *exchange.Attempt, v choice.Verdict) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	k := p.calls[a]
@@ -223,7 +223,7 @@
 	defer p.mu.Unlock()
 	k := &call{server: p.servers[name], begun: time.Now()}
 	if k.server == nil {
-		p.Exchange.Probed(name, 0, choice.NotSent, nil)
+		p.Exchange.ProbeEnded(name, 0, choice.NotSent, nil)
 		return
 	}
 	p.assign(k)
@@ -258,7 +258,7 @@
 // Failed implements targets.Taker.
 func (p *Pool) Failed() {
 	p.Exchange.Counters.ListFails.Add(1)
-	p.Exchange.Listed(choice.List{Form: choice.Failed})
+	p.Exchange.UpdateServers(choice.List{Form: choice.Failed})
 }
 
 // Told implements targets.Taker: it applies a list to the connections and passes it to the
@@ -297,7 +297,7 @@
 	if len(list.Servers) > 0 || list.Form != choice.Delta {
 		log.Info("list", "form", int(list.Form), "version", list.Version, "entries", len(list.Servers))
 	}
-	p.Exchange.Listed(list)
+	p.Exchange.UpdateServers(list)
 }
 
 // updateDrain sets the time from which no call may start on a server. A ready server has none;
@@ -474,7 +474,7 @@
 	c.pool, c.server, c.wake, c.lastUsed, c.lastAnswerAt = p, s, sync.NewCond(&p.mu), time.Now(), time.Now()
 	c.calls, c.ended = make(map[string]*call), make(map[string]time.Time)
 	s.conns = append(s.conns, c)
-	p.Exchange.Counters.Leaves.Add(1)
+	p.Exchange.Counters.ServerConns.Add(1)
 	go c.writeLoop()
 	go c.readLoop()
 	p.assignWaiting(s)
@@ -493,7 +493,7 @@
 // batchSends makes the calls to a server that are assigned until end is called share one
 // connection, if a frame may carry several parts.
 func (p *Pool) batchSends() (end func()) {
-	if p.batchConns != nil || p.Settings.Router.BundleMax <= 1 {
+	if p.batchConns != nil || p.Settings.Router.MaxPartsPerCall <= 1 {
 		return func() {}
 	}
 	p.batchConns = make(map[*server]*conn)
@@ -510,7 +510,7 @@
 		k.server.waiting = slices.DeleteFunc(k.server.waiting, func(o *call) bool { return o == k })
 	}
 	if k.attempt == nil {
-		p.Exchange.Probed(k.server.name, time.Since(k.begun), v, load)
+		p.Exchange.ProbeEnded(k.server.name, time.Since(k.begun), v, load)
 		return
 	}
 	delete(p.calls, k.attempt)
@@ -518,7 +518,7 @@
 		delete(k.conn.calls, k.attempt.PartID)
 		k.conn.noteUnanswered(k, v)
 	}
-	p.Exchange.Ended(k.attempt, v, load, value)
+	p.Exchange.AttemptEnded(k.attempt, v, load, value)
 	if k.conn != nil && len(k.server.waiting) > 0 { // a connection can take another call
 		p.assignWaiting(k.server)
 	}
@@ -531,17 +531,17 @@
 // would look dead for ever. An unresponsive connection accepts no new calls and is closed once
 // the calls in flight on it have ended.
 func (c *conn) noteUnanswered(k *call, v choice.Verdict) {
-	if k.state == callSent && c.lastAnswerAt.Before(k.sentAt) && (v == choice.NoAnswer || v == choice.CalledOff) {
+	if k.state == callSent && c.lastAnswerAt.Before(k.sentAt) && (v == choice.NoAnswer || v == choice.Cancelled) {
 		c.unanswered++
 		lasting := c.unanswered >= maxUnanswered && time.Since(c.lastAnswerAt) > c.pool.dial.Timeout
 		// A call that was cancelled because its query ended counts as timed out if it was late.
-		late := v == choice.NoAnswer || 2*time.Since(k.sentAt) > k.attempt.Until.Sub(k.sentAt)
+		late := v == choice.NoAnswer || 2*time.Since(k.sentAt) > k.attempt.Deadline.Sub(k.sentAt)
 		if !c.unresponsive && (late || lasting) {
 			c.unresponsive = true
 			if len(c.server.addrs) > 1 { // the next connection is dialed to another address first
-				c.server.addrHistory.Bad(c.addr, clock())
+				c.server.addrHistory.RecordFailure(c.addr, clock())
 			}
-			c.pool.Exchange.Counters.Silent.Add(1)
+			c.pool.Exchange.Counters.Unresponsive.Add(1)
 			log.Warn("leaf-silent", "server", c.server.name, "addr", c.addr, "parts", len(c.calls))
 		}
 	}
@@ -594,11 +594,11 @@
 	c.wake.Signal()
 	p, s := c.pool, c.server
 	p.conns--
-	p.Exchange.Counters.Leaves.Add(-1)
+	p.Exchange.Counters.ServerConns.Add(-1)
 	s.conns = slices.DeleteFunc(s.conns, func(o *conn) bool { return o == c })
 	var cause *malformedError
 	if c.malformed = errors.As(err, &cause); c.malformed {
-		p.Exchange.Counters.Spoilt.Add(1)
+		p.Exchange.Counters.MalformedAnswers.Add(1)
 	}
 	if err != nil && len(c.calls) > 0 {
 		p.Exchange.Counters.Resets.Add(1)
@@ -660,9 +660,9 @@
 		for _, k := range calls {
 			switch kind {
 			case 'Q':
-				ms := max((time.Until(k.attempt.Until)+time.Millisecond-1)/time.Millisecond, 1)
+				ms := max((time.Until(k.attempt.Deadline)+time.Millisecond-1)/time.Millisecond, 1)
 				rest = frame.AppendPart(rest, frame.Part{ID: k.attempt.PartID, Shard: k.attempt.Shard,
-					List: "d=" + strconv.FormatInt(int64(ms), 10) + k.attempt.Extra, Text: k.attempt.Text})
+					Options: "d=" + strconv.FormatInt(int64(ms), 10) + k.attempt.ExtraFields, Text: k.attempt.Text})
 			case 'X':
 				rest = append(rest, k.attempt.PartID...)
 			default:
@@ -697,7 +697,7 @@
 			c.pool.finish(k, choice.NotSent, nil, "")
 		default:
 			if kind = m.kind; kind == 'Q' {
-				maxCalls = max(c.pool.Settings.Router.BundleMax, 1)
+				maxCalls = max(c.pool.Settings.Router.MaxPartsPerCall, 1)
 			}
 			if kind != 'X' {
 				k.state = callWriting
@@ -760,7 +760,7 @@
 	kind, rest, err := frame.Read(r)
 	var frameErr *frame.Error
 	if errors.As(err, &frameErr) {
-		return malformedf("%s", frameErr.What)
+		return malformedf("%s", frameErr.Problem)
 	}
 	if err != nil {
 		return err
@@ -778,7 +778,7 @@
 }
 
 // verdicts maps the end that an answer states to the verdict on its attempt.
-var verdicts = map[string]choice.Verdict{"ok": choice.Served, "err": choice.ServerError, "busy": choice.TurnedAway}
+var verdicts = map[string]choice.Verdict{"ok": choice.Served, "err": choice.ServerError, "busy": choice.Rejected}
 
 // handleAnswer handles the answer to an attempt.
 func (c *conn) handleAnswer(rest []byte) error {
@@ -786,7 +786,7 @@
 	if err != nil {
 		return malformedf("%v", err)
 	}
-	v := verdicts[a.End]
+	v := verdicts[a.Status]
 	if v == choice.Served && (len(a.Value) == 0 || !utf8.Valid(a.Value)) {
 		return malformedf("the value of %d bytes is empty or not UTF-8", len(a.Value))
 	}
@@ -801,13 +801,13 @@
 		if _, ended := c.ended[a.ID]; !ended {
 			return malformedf("no part has the id %.80q", a.ID)
 		}
-		c.pool.Exchange.Counters.Late.Add(1)
+		c.pool.Exchange.Counters.LateAnswers.Add(1)
 		return nil
 	}
-	if v != choice.TurnedAway { // a rejected part may be sent again on this connection
+	if v != choice.Rejected { // a rejected part may be sent again on this connection
 		c.ended[a.ID] = time.Now().Add(duplicateAnswerWindow)
 	}
-	c.pool.finish(k, v, parseLoad(a.Report), string(a.Value))
+	c.pool.finish(k, v, parseLoad(a.LoadReport), string(a.Value))
 	return nil
 }
 
--- a/internal/upstream/race.go
+++ b/internal/upstream/race.go
@@ -19,7 +19,7 @@
 )
 
 const (
-	unixPrefix     = eyeballs.Unix
+	unixPrefix     = eyeballs.UnixPrefix
 	defaultStagger = 250 * time.Millisecond // RFC 8305, section 8
 )
 
@@ -74,7 +74,7 @@
 			r.step()
 		})
 	}
-	if r.Over && r.server.dialing && r.Winner == "" {
+	if r.Finished && r.server.dialing && r.Winner == "" {
 		r.server.dialing = false
 		p.failWaitingCalls(r.server, r.err)
 	}
@@ -89,8 +89,8 @@
 	defer p.mu.Unlock()
 	if err != nil {
 		p.conns--
-		if !r.Over { // otherwise the attempt may have been interrupted
-			r.server.addrHistory.Bad(addr, clock())
+		if !r.Finished { // otherwise the attempt may have been interrupted
+			r.server.addrHistory.RecordFailure(addr, clock())
 			log.Warn("address-failed", "server", r.server.name, "addr", addr, "err", err)
 		}
 		r.err = err
@@ -98,8 +98,8 @@
 		r.step()
 		return
 	}
-	r.server.addrHistory.Good(addr, clock())
-	if !r.Ready(addr) {
+	r.server.addrHistory.RecordSuccess(addr, clock())
+	if !r.Connected(addr) {
 		p.conns--
 		nc.Close()
 		return
--- a/internal/upstream/race_test.go
+++ b/internal/upstream/race_test.go
@@ -79,7 +79,7 @@
 					s.arrived <- at
 					<-release
 				}
-				nc.Write(frame.Append(nil, 'A', frame.AppendAnswer(nil, frame.Answer{ID: p.ID, End: "ok", Report: "-", Value: []byte("v")})))
+				nc.Write(frame.Append(nil, 'A', frame.AppendAnswer(nil, frame.Answer{ID: p.ID, Status: "ok", LoadReport: "-", Value: []byte("v")})))
 			}
 		}
 	}
@@ -94,9 +94,9 @@
 	for i := range n {
 		queries.Add(1)
 		slots <- struct{}{}
-		x.Take(&exchange.Query{ID: fmt.Sprintf("%016x", i), Class: "book", Text: "t", TakenAt: time.Now(), Patience: 20 * time.Second,
+		x.Submit(&exchange.Query{ID: fmt.Sprintf("%016x", i), Class: "book", Text: "t", ReceivedAt: time.Now(), Timeout: 20 * time.Second,
 			Parts: []exchange.Part{{Shard: 0, Weight: 1}}, Done: func(f exchange.Final) {
-				if f.Ending != exchange.Answered || !f.Whole {
+				if f.Ending != exchange.Answered || !f.Complete {
 					s.t.Errorf("query %d ended as %d", i, f.Ending)
 				}
 				<-slots
@@ -124,7 +124,7 @@
 // newTestPool returns a running pool and exchange with one server at the given addresses.
 func newTestPool(t *testing.T, addrs []string, stagger time.Duration) (*Pool, *exchange.Exchange) {
 	set := settings.Settings{Router: choice.Settings{Cells: 1, Width: 1, Shards: 1, Routers: 1, AttemptCap: 1, Resolution: 1000, DrainGrace: 2_000_000, AskWithin: 10_000_000,
-		Classes: []choice.Class{{Name: "book", Aim: 10_000_000, Deadline: 20_000_000, Need: 1, Floor: 1, Value: 1, Effect: choice.Unsafe}}}, DialTimeout: 300_000}
+		Classes: []choice.Class{{Name: "book", LatencyTarget: 10_000_000, Deadline: 20_000_000, RequiredShare: 1, MinShare: 1, Value: 1, Effect: choice.Unsafe}}}, DialTimeout: 300_000}
 	x, err := exchange.New(1, set)
 	require.NoError(t, err)
 	p := New(Config{Exchange: x, Settings: set, List: noList{}, Stagger: stagger, MaxConns: 64})
@@ -200,7 +200,7 @@
 	s.release, s.arrived = make(chan struct{}), make(chan string, 8)
 	finals := make(chan exchange.Final, 8)
 	submit := func(i int) {
-		x.Take(&exchange.Query{ID: fmt.Sprintf("part%012x", i), Class: "book", Text: "t", TakenAt: time.Now(), Patience: 20 * time.Second,
+		x.Submit(&exchange.Query{ID: fmt.Sprintf("part%012x", i), Class: "book", Text: "t", ReceivedAt: time.Now(), Timeout: 20 * time.Second,
 			Parts: []exchange.Part{{Shard: 0, Weight: 1}}, Done: func(f exchange.Final) { finals <- f }})
 	}
 	submit(0)
--- a/tools/soakmutants/main.go
+++ b/tools/soakmutants/main.go
@@ -59,7 +59,7 @@
 // second is the other change of mutants that take two.
 var second = map[string]mutant{
 	"stale-read": {file: "internal/node/controlplane/replica.go", old: "chain.Mutations{}", replaced: "chain.Mutations{StaleRead: true}"},
-	"sent-twice": {file: "internal/downstream/httpserver/httpserver.go", old: "Once: !route.Idempotent,", replaced: "Once: false,"},
+	"sent-twice": {file: "internal/downstream/httpserver/httpserver.go", old: "NonIdempotent: !route.Idempotent,", replaced: "NonIdempotent: false,"},
 }
 
 var errText = errors.New("the text to replace is not there once: the mutant is out of date")
