--- a/internal/upstream/httpclient/answer.go
+++ b/internal/upstream/httpclient/answer.go
@@ -19,12 +19,12 @@
 )
 
 // evaluate returns the verdict on the answer to the request with the given id, and the value that
-// is passed on to the server side. For a part of a gathered query the value is the signature, a
+// is passed on to the server side. For a part of a fan-out query the value is the signature, a
 // line feed and the records. For any other query it is the answer as forward writes it.
 //
 // A request counts as not run only if the answer states that. A success counts only with a
 // signature, under the id of the request, and without a content encoding.
-func evaluate(p *httpwire.Response, id string, gather bool) (choice.Verdict, string) {
+func evaluate(p *httpwire.Response, id string, fanOut bool) (choice.Verdict, string) {
 	matches := p.Header.Get(headerAttemptID) == id
 	if !matches { // without the request's id the answer says nothing about the request, not even that it failed
 		return choice.ServerError, ""
@@ -37,12 +37,12 @@
 		if signature == "" || p.Header.Get("Content-Encoding") != "" {
 			return choice.ServerError, ""
 		}
-		if gather {
+		if fanOut {
 			return choice.Served, signature + "\n" + string(p.Body)
 		}
 		return choice.Served, forward(p)
 	}
-	if gather {
+	if fanOut {
 		return choice.ServerError, ""
 	}
 	switch p.Status {
--- a/internal/upstream/httpclient/httpclient.go
+++ b/internal/upstream/httpclient/httpclient.go
@@ -99,7 +99,7 @@
 	busy    bool  // an answer is pending
 	writing bool  // the request is not completely written yet
 	// Of the request in flight.
-	gather bool
+	fanOut bool
 	method string
 	id     string
 	sentAt time.Time
@@ -386,7 +386,7 @@
 	buf = append(buf, c.server.ID...)
 	buf = append(buf, "\r\n"...)
 	buf = append(buf, a.Text[at:]...)
-	k.conn, c.call, c.busy, c.sentAt, c.gather = c, k, true, now, a.FanOut()
+	k.conn, c.call, c.busy, c.sentAt, c.fanOut = c, k, true, now, a.FanOut()
 	c.method, _, _ = strings.Cut(a.Text[:at], " ")
 	c.id = a.QueryID()
 	headSize := bytes.Index(buf, []byte("\r\n\r\n")) + 4
@@ -518,7 +518,7 @@
 			if c.pool.Mutations.AnyID {
 				id = response.Header.Get(headerAttemptID)
 			}
-			v, value = evaluate(response, id, c.gather)
+			v, value = evaluate(response, id, c.fanOut)
 			load = parseLoad(response.Header.Get(headerLoad))
 		}
 		if c.call != nil {
