--- a/internal/downstream/downstream.go
+++ b/internal/downstream/downstream.go
@@ -163,7 +163,7 @@
 // displace those that go on querying.
 //
 // Only connections above the given rank are closed: with rank 0 any idle connection, with 1
-// none that has just been accepted. s.mu must be held.
+// none that has just been accepted, with 4 only those of slow callers. s.mu must be locked.
 func (s *Server) evict(rank int) {
 	var oldest *Conn
 	for c := range s.conns {
@@ -193,7 +193,7 @@
 // enforceSoftLimit bounds the number of idle connections. The other side allows only so many
 // connections to this process, and clients that send one request and keep their connection
 // would use them up: no new client would get through although this process had capacity.
-// s.mu must be held.
+// s.mu must be locked.
 func (s *Server) enforceSoftLimit() {
 	if s.SoftLimit > 0 && len(s.conns) > s.SoftLimit {
 		s.evict(1)
--- a/internal/downstream/httpserver/lifecycle_test.go
+++ b/internal/downstream/httpserver/lifecycle_test.go
@@ -37,7 +37,7 @@
 		}
 		s.Window.Store(8 << 10)
 		verdicts := make(chan choice.Verdict, 99)
-		p.exchange.OnAttemptEnd = func(h exchange.AttemptResult) { verdicts <- h.Verdict }
+		p.exchange.OnAttemptEnd = func(result exchange.AttemptResult) { verdicts <- result.Verdict }
 		t.Cleanup(s.Close)
 		p.addServer("one", s)
 		c, _ := p.connect()
@@ -98,7 +98,7 @@
 		})
 		defer close(hold)
 		ended := make(chan choice.Verdict, 9)
-		p.exchange.OnAttemptEnd = func(h exchange.AttemptResult) { ended <- h.Verdict }
+		p.exchange.OnAttemptEnd = func(result exchange.AttemptResult) { ended <- result.Verdict }
 		fmt.Fprintf(c, "GET /look/1 HTTP/1.1\r\nHost: h\r\nX-Saddleport-Attempt-Id: left\r\nX-Saddleport-Deadline-Ms: 4000\r\n\r\n")
 		<-reached
 		began := time.Now()
--- a/internal/downstream/httpserver/requests_test.go
+++ b/internal/downstream/httpserver/requests_test.go
@@ -397,7 +397,7 @@
 	Convey("With two servers of a service, one of them slow", t, func() {
 		p := newProxy(t, nil)
 		outcomes := make(chan exchange.AttemptResult, 1000)
-		p.exchange.OnAttemptEnd = func(h exchange.AttemptResult) { outcomes <- h }
+		p.exchange.OnAttemptEnd = func(result exchange.AttemptResult) { outcomes <- result }
 		p.configure(testConfig)
 		hold := make(chan struct{})
 		var arrivals atomic.Int64 // arrivals of the request whose first attempt is delayed
--- a/internal/upstream/race.go
+++ b/internal/upstream/race.go
@@ -23,7 +23,7 @@
 	defaultStagger = 250 * time.Millisecond // RFC 8305, section 8
 )
 
-// startRace begins a race between the addresses of a server. p.mu must be held.
+// startRace begins a race between the addresses of a server. p.mu must be locked.
 func (p *Pool) startRace(s *server) {
 	r := &race{pool: p, server: s, Race: eyeballs.New(s.addrHistory.Order(s.addrs, clock()), p.stagger().Microseconds())}
 	r.step()
