--- a/internal/core/placement/model_test.go
+++ b/internal/core/placement/model_test.go
@@ -1,14 +1,14 @@
 package placement
 
-// An explicit-state check of the argument in docs/design/segments.md: one key whose
-// segment moves from cell 0 to cell 1, two bookings of it by mixers that may send
-// anywhere, a network that delays, reorders and loses, orders that come any number
-// of times, and crashes of the coordinator and both owners at every step. In all
-// states that can be reached, the key has run once at most, and a booking that was
-// told it never ran has not.
+// An explicit-state model check of the argument in docs/design/segments.md: one key
+// whose segment moves from cell 0 to cell 1, two bookings of it by proxies that may
+// send to either cell, a network that delays, reorders and loses messages, orders that
+// are delivered any number of times, and crashes of the coordinator and both owners at
+// every step. In every reachable state the key has run at most once, and a booking that
+// was rejected as never run has not run.
 //
-// The owners and the reshape are the package's own code. Each way of leaving the
-// care out must be found.
+// The owners and the reshape are the package's own code. For each omitted safeguard the
+// check must find a violation.
 
 import (
 	"fmt"
@@ -22,54 +22,54 @@
 
 const key = "k"
 
-var whole = Range{}
+var allKeys = Range{}
 
-// orders are what the coordinator has ever sent: each may arrive at any time, again
-// and again, or never.
-type orders struct{ copied, last, fence, activate, drop, unfence bool }
+// orders are the orders that the coordinator has sent so far: each may be delivered
+// at any time, repeatedly, or never.
+type orders struct{ firstCopy, finalCopy, fence, activate, drop, unfence bool }
 
-// acks are what the owners have ever answered.
-type acks struct{ copied, fence, last, activate, drop, unfence bool }
+// acks are the acknowledgements that the owners have sent so far.
+type acks struct{ firstCopy, fence, finalCopy, activate, drop, unfence bool }
 
-// booking is one query's.
+// booking is the booking of one query.
 type booking struct {
-	where int  // -1: not out; else on its way to that owner
-	sends int  // left
-	ran   bool // it had its effect
-	told  bool // the mixer was told that it never ran, by its last attempt
-	lost  bool // may have run: never sent again
+	target    int  // the owner that the current attempt is on its way to; -1: none
+	sendsLeft int  // attempts left
+	ran       bool // the booking took effect
+	rejected  bool // the last attempt was rejected as never run
+	uncertain bool // may have run: must not be sent again
 }
 
-type world struct {
-	reshape Reshape
-	sent    orders
-	acked   acks
-	copies  []string // copies on their way or come: what they hold
-	lasts   []string
-	owners  [2]*Owner
-	books   [2]booking
-	runs    int
+type modelState struct {
+	reshape     Reshape
+	sent        orders
+	acked       acks
+	copies      []string // copies sent or stored, by their contents
+	finalCopies []string
+	owners      [2]*Owner
+	bookings    [2]booking
+	runs        int
 }
 
-// fault is a way of leaving care out.
-type fault int
+// omission is a safeguard that is left out.
+type omission int
 
 const (
-	none          fault = iota
-	noFence             // the old owner books on
-	noWait              // the fence counts as up while a booking runs
-	earlyLast           // the last copy is made before the fence
-	activateEarly       // the new owner accepts before the last copy
-	abortLate           // a reshape is taken back after its cut
-	resend              // a mixer sends again what may have run
-	forgetful           // the last copy does not come in
+	none           omission = iota
+	noFence                 // the old owner keeps accepting bookings
+	noWait                  // the fence counts as complete while a booking is running
+	earlyFinalCopy          // the final copy is made before the fence
+	earlyActivate           // the new owner accepts requests before the final copy
+	lateAbort               // a reshape is aborted after its cutover
+	resend                  // a proxy resends a booking that may have run
+	lostFinalCopy           // the final copy is acknowledged without being stored
 )
 
-func (w *world) clone() *world {
-	n := *w
-	n.reshape.Sources, n.reshape.Targets = w.reshape.Sources, w.reshape.Targets
-	n.copies, n.lasts = slices.Clone(w.copies), slices.Clone(w.lasts)
-	for i, o := range w.owners {
+func (s *modelState) clone() *modelState {
+	n := *s
+	n.reshape.Sources, n.reshape.Targets = s.reshape.Sources, s.reshape.Targets
+	n.copies, n.finalCopies = slices.Clone(s.copies), slices.Clone(s.finalCopies)
+	for i, o := range s.owners {
 		c := *o
 		c.Pieces, c.Booked, c.Running, c.RolledBack = slices.Clone(o.Pieces), maps.Clone(o.Booked), maps.Clone(o.Running), maps.Clone(o.RolledBack)
 		n.owners[i] = &c
@@ -77,166 +77,166 @@
 	return &n
 }
 
-func (w *world) id() string {
+func (s *modelState) id() string {
 	var b strings.Builder
-	r := w.reshape
-	// %q: a copy that holds nothing is not no copy.
-	fmt.Fprintf(&b, "%d %v %v %v %v %v %v %v %v %q %q %v %d", r.Step, r.Copied, r.Fenced, r.FinalCopied, r.Activated, r.Published, r.Dropped, w.sent, w.acked,
-		w.copies, w.lasts, w.books, w.runs)
-	for _, o := range w.owners {
+	r := s.reshape
+	// %q distinguishes an empty copy from no copy.
+	fmt.Fprintf(&b, "%d %v %v %v %v %v %v %v %v %q %q %v %d", r.Step, r.Copied, r.Fenced, r.FinalCopied, r.Activated, r.Published, r.Dropped, s.sent, s.acked,
+		s.copies, s.finalCopies, s.bookings, s.runs)
+	for _, o := range s.owners {
 		fmt.Fprint(&b, o.Pieces, o.Booked, o.Running, o.RolledBack)
 	}
 	return b.String()
 }
 
-type move struct {
-	what string
-	do   func(*world)
+type transition struct {
+	name  string
+	apply func(*modelState)
 }
 
-// moves are all that may happen next.
-func (w *world) moves(f fault) (out []move) {
-	add := func(what string, do func(*world)) { out = append(out, move{what, do}) }
+// transitions returns everything that may happen next.
+func (s *modelState) transitions(omit omission) (out []transition) {
+	add := func(name string, apply func(*modelState)) { out = append(out, transition{name, apply}) }
 	old, new := 0, 1
-	// The coordinator. It stores before it sends, so a crash loses nothing that it
-	// will not send again; acks it has not read yet it may read after.
-	switch d := w.reshape.NextAction(); d {
+	// The coordinator stores its step before it sends, so a crash loses only what it
+	// will send again; it may read pending acknowledgements after the restart.
+	switch action := s.reshape.NextAction(); action {
 	case Copy:
-		add("orders the copy", func(n *world) { n.sent.copied = true })
-		if w.acked.copied {
-			add("hears of the copy", func(n *world) { n.reshape.Completed(Copy) })
+		add("orders the copy", func(n *modelState) { n.sent.firstCopy = true })
+		if s.acked.firstCopy {
+			add("learns of the copy", func(n *modelState) { n.reshape.Completed(Copy) })
 		}
 	case Fence:
-		add("orders the fence", func(n *world) { n.sent.fence = true })
-		if f == earlyLast {
-			add("orders the last copy", func(n *world) { n.sent.last = true })
+		add("orders the fence", func(n *modelState) { n.sent.fence = true })
+		if omit == earlyFinalCopy {
+			add("orders the final copy", func(n *modelState) { n.sent.finalCopy = true })
 		}
-		if w.acked.fence {
-			add("hears of the fence", func(n *world) { n.reshape.Completed(Fence) })
+		if s.acked.fence {
+			add("learns of the fence", func(n *modelState) { n.reshape.Completed(Fence) })
 		}
 	case CopyFinal:
-		add("orders the last copy", func(n *world) { n.sent.last = true })
-		if w.acked.last || f == activateEarly {
-			add("hears of the last copy", func(n *world) { n.reshape.Completed(CopyFinal) })
+		add("orders the final copy", func(n *modelState) { n.sent.finalCopy = true })
+		if s.acked.finalCopy || omit == earlyActivate {
+			add("learns of the final copy", func(n *modelState) { n.reshape.Completed(CopyFinal) })
 		}
 	case Activate:
-		add("orders the cut", func(n *world) { n.sent.activate = true })
-		if w.acked.activate {
-			add("hears of the cut", func(n *world) { n.reshape.Completed(Activate) })
+		add("orders the activation", func(n *modelState) { n.sent.activate = true })
+		if s.acked.activate {
+			add("learns of the activation", func(n *modelState) { n.reshape.Completed(Activate) })
 		}
 	case Publish:
-		add("publishes", func(n *world) { n.reshape.Completed(Publish) })
+		add("publishes", func(n *modelState) { n.reshape.Completed(Publish) })
 	case Drop:
-		add("orders the drop", func(n *world) { n.sent.drop = true })
-		if w.acked.drop {
-			add("hears of the drop", func(n *world) { n.reshape.Completed(Drop) })
+		add("orders the drop", func(n *modelState) { n.sent.drop = true })
+		if s.acked.drop {
+			add("learns of the drop", func(n *modelState) { n.reshape.Completed(Drop) })
 		}
 	case Unfence:
-		add("orders the undoing", func(n *world) { n.sent.unfence = true })
-		if w.acked.unfence {
-			add("hears of the undoing", func(n *world) { n.reshape.Completed(Unfence) })
+		add("orders the rollback", func(n *modelState) { n.sent.unfence = true })
+		if s.acked.unfence {
+			add("learns of the rollback", func(n *modelState) { n.reshape.Completed(Unfence) })
 		}
 	}
-	if r := w.reshape; r.Abort() == nil && r.Step != w.reshape.Step {
-		add("aborts", func(n *world) { _ = n.reshape.Abort() })
-	} else if f == abortLate && w.reshape.Step == Cutover {
-		add("aborts late", func(n *world) { n.reshape.Step = RollingBack })
+	if r := s.reshape; r.Abort() == nil && r.Step != s.reshape.Step {
+		add("aborts", func(n *modelState) { _ = n.reshape.Abort() })
+	} else if omit == lateAbort && s.reshape.Step == Cutover {
+		add("aborts late", func(n *modelState) { n.reshape.Step = RollingBack })
 	}
-	// Orders that arrive.
-	if w.sent.copied {
-		add("old copies", func(n *world) {
-			b, _ := n.owners[old].CopyOut(1, whole, false)
-			n.copies = with(n.copies, b[key])
+	// Delivered orders.
+	if s.sent.firstCopy {
+		add("old owner makes the copy", func(n *modelState) {
+			b, _ := n.owners[old].CopyOut(1, allKeys, false)
+			n.copies = insertSorted(n.copies, b[key])
 		})
 	}
-	for _, c := range w.copies {
-		add("copy comes in", func(n *world) {
-			n.owners[new].CopyIn(1, whole, holding(c))
-			n.acked.copied = true
+	for _, c := range s.copies {
+		add("copy is stored", func(n *modelState) {
+			n.owners[new].CopyIn(1, allKeys, bookedBy(c))
+			n.acked.firstCopy = true
 		})
 	}
-	if w.sent.fence {
-		add("old is fenced", func(n *world) {
-			up := n.owners[old].Fence(1, whole)
-			if f == noWait {
+	if s.sent.fence {
+		add("old owner is fenced", func(n *modelState) {
+			up := n.owners[old].Fence(1, allKeys)
+			if omit == noWait {
 				up = true
 			}
 			n.acked.fence = n.acked.fence || up
 		})
 	}
-	if w.sent.last {
-		add("old copies the last", func(n *world) {
-			b, ok := n.owners[old].CopyOut(1, whole, f != earlyLast && f != noWait)
+	if s.sent.finalCopy {
+		add("old owner makes the final copy", func(n *modelState) {
+			b, ok := n.owners[old].CopyOut(1, allKeys, omit != earlyFinalCopy && omit != noWait)
 			if ok {
-				n.lasts = with(n.lasts, b[key])
+				n.finalCopies = insertSorted(n.finalCopies, b[key])
 			}
 		})
 	}
-	for _, c := range w.lasts {
-		add("last copy comes in", func(n *world) {
-			if f != forgetful {
-				n.owners[new].CopyIn(1, whole, holding(c))
+	for _, c := range s.finalCopies {
+		add("final copy is stored", func(n *modelState) {
+			if omit != lostFinalCopy {
+				n.owners[new].CopyIn(1, allKeys, bookedBy(c))
 			}
-			n.acked.last = true
+			n.acked.finalCopy = true
 		})
 	}
-	if w.sent.activate {
-		add("new accepts", func(n *world) {
-			n.owners[new].Activate(1, whole, 2)
+	if s.sent.activate {
+		add("new owner accepts", func(n *modelState) {
+			n.owners[new].Activate(1, allKeys, 2)
 			n.acked.activate = true
 		})
 	}
-	if w.sent.drop {
-		add("old drops", func(n *world) {
-			n.owners[old].Drop(1, whole, 2)
+	if s.sent.drop {
+		add("old owner drops", func(n *modelState) {
+			n.owners[old].Drop(1, allKeys, 2)
 			n.acked.drop = true
 		})
 	}
-	if w.sent.unfence {
-		add("undone", func(n *world) {
-			n.owners[old].Unfence(1, whole)
-			n.owners[new].DiscardCopies(1, whole)
+	if s.sent.unfence {
+		add("both owners roll back", func(n *modelState) {
+			n.owners[old].Unfence(1, allKeys)
+			n.owners[new].DiscardCopies(1, allKeys)
 			n.acked.unfence = true
 		})
 	}
-	// Bookings. Mixers may hold any map: they send anywhere.
-	for i, b := range w.books {
-		if b.where < 0 && b.sends > 0 && !b.ran && (!b.lost || f == resend) && (b.told || b.sends == 2) {
+	// Bookings. Proxies may use any map, so they send to either owner.
+	for i, b := range s.bookings {
+		if b.target < 0 && b.sendsLeft > 0 && !b.ran && (!b.uncertain || omit == resend) && (b.rejected || b.sendsLeft == 2) {
 			for to := range 2 {
-				add(fmt.Sprintf("booking %d goes to owner %d", i, to), func(n *world) {
-					n.books[i].where, n.books[i].sends, n.books[i].told = to, b.sends-1, false
+				add(fmt.Sprintf("booking %d is sent to owner %d", i, to), func(n *modelState) {
+					n.bookings[i].target, n.bookings[i].sendsLeft, n.bookings[i].rejected = to, b.sendsLeft-1, false
 				})
 			}
 		}
-		if b.where >= 0 {
-			add(fmt.Sprintf("booking %d is lost", i), func(n *world) { n.books[i].where, n.books[i].lost = -1, true })
-			add(fmt.Sprintf("booking %d arrives", i), func(n *world) {
-				switch n.owners[b.where].Begin(key, fmt.Sprint(i)) {
+		if b.target >= 0 {
+			add(fmt.Sprintf("booking %d is lost", i), func(n *modelState) { n.bookings[i].target, n.bookings[i].uncertain = -1, true })
+			add(fmt.Sprintf("booking %d is delivered", i), func(n *modelState) {
+				switch n.owners[b.target].Begin(key, fmt.Sprint(i)) {
 				case Accepted:
-					n.books[i].lost = true // until it is heard of again it may have run
+					n.bookings[i].uncertain = true // until the outcome is known it may have run
 				case AlreadyBooked:
-					n.books[i].lost = true // answered: it is booked
+					n.bookings[i].uncertain = true // acknowledged as booked
 				default:
-					n.books[i].told = true
+					n.bookings[i].rejected = true
 				}
-				n.books[i].where = -1
+				n.bookings[i].target = -1
 			})
 		}
 	}
 	for o := range 2 {
-		if q := w.owners[o].Running[key]; q != "" {
-			add(fmt.Sprintf("owner %d stores booking %s", o, q), func(n *world) {
+		if q := s.owners[o].Running[key]; q != "" {
+			add(fmt.Sprintf("owner %d stores booking %s", o, q), func(n *modelState) {
 				n.owners[o].End(key)
 				n.runs++
-				n.books[q[0]-'0'].ran = true
+				n.bookings[q[0]-'0'].ran = true
 			})
-			add(fmt.Sprintf("owner %d dies", o), func(n *world) { n.owners[o].Crash() })
+			add(fmt.Sprintf("owner %d crashes", o), func(n *modelState) { n.owners[o].Crash() })
 		}
 	}
 	return out
 }
 
-func with(list []string, s string) []string {
+func insertSorted(list []string, s string) []string {
 	if slices.Contains(list, s) {
 		return list
 	}
@@ -245,51 +245,51 @@
 	return list
 }
 
-func holding(q string) map[string]string {
+func bookedBy(q string) map[string]string {
 	if q == "" {
 		return nil
 	}
 	return map[string]string{key: q}
 }
 
-// explore visits all states and returns how many, and the way to one that breaks
-// the rule.
-func explore(f fault) (states int, trace []string) {
-	start := &world{reshape: Reshape{ID: 1, Step: Copying, Sources: []Segment{{ID: 7, Cell: 0}}, Targets: []Segment{{ID: 7, Cell: 1}}}}
+// explore visits all reachable states. It returns their number and, if a state
+// violates the rule, the transitions that lead to it.
+func explore(omit omission) (states int, trace []string) {
+	start := &modelState{reshape: Reshape{ID: 1, Step: Copying, Sources: []Segment{{ID: 7, Cell: 0}}, Targets: []Segment{{ID: 7, Cell: 1}}}}
 	start.owners[0], start.owners[1] = NewOwner(1, Segment{ID: 7}), NewOwner(1)
-	start.owners[0].NoFence = f == noFence
-	for i := range start.books {
-		start.books[i] = booking{where: -1, sends: 2}
+	start.owners[0].NoFence = omit == noFence
+	for i := range start.bookings {
+		start.bookings[i] = booking{target: -1, sendsLeft: 2}
 	}
 	type step struct {
 		from string
 		what string
 	}
 	seen := map[string]step{start.id(): {}}
-	queue := []*world{start}
+	queue := []*modelState{start}
 	for len(queue) > 0 {
-		w := queue[0]
+		current := queue[0]
 		queue = queue[1:]
-		id := w.id()
-		for _, m := range w.moves(f) {
-			n := w.clone()
-			m.do(n)
-			to := n.id()
+		id := current.id()
+		for _, t := range current.transitions(omit) {
+			next := current.clone()
+			t.apply(next)
+			to := next.id()
 			if _, known := seen[to]; known {
 				continue
 			}
-			seen[to] = step{id, m.what}
-			broken := n.runs > 1
-			for _, b := range n.books {
-				broken = broken || b.told && b.ran
+			seen[to] = step{id, t.name}
+			violated := next.runs > 1
+			for _, b := range next.bookings {
+				violated = violated || b.rejected && b.ran
 			}
-			if broken {
+			if violated {
 				for at := to; seen[at].what != ""; at = seen[at].from {
 					trace = append([]string{seen[at].what}, trace...)
 				}
 				return len(seen), trace
 			}
-			queue = append(queue, n)
+			queue = append(queue, next)
 		}
 	}
 	return len(seen), nil
@@ -298,20 +298,19 @@
 func TestAtMostOnceAcrossAMove(t *testing.T) {
 	states, trace := explore(none)
 	require.Empty(t, trace, strings.Join(trace, "\n"))
-	require.Greater(t, states, 5000, "a check that looks at little finds little")
-	t.Logf("%d states, none of which breaks the rule", states)
+	require.Greater(t, states, 5000, "the check must cover enough states")
+	t.Logf("%d states, none of which violates the rule", states)
 }
 
-// With the fence out, or any other care, the check finds the way to a key that ran
-// twice.
+// For each omitted safeguard the check finds the transitions to a key that ran twice.
 func TestModelFindsWhatIsLeftOut(t *testing.T) {
-	for name, f := range map[string]fault{"no fence": noFence, "fence does not wait": noWait, "last copy before the fence": earlyLast,
-		"new owner accepts early": activateEarly, "aborted after the cut": abortLate, "last copy is lost": forgetful} {
+	for name, omit := range map[string]omission{"no fence": noFence, "fence does not wait": noWait, "final copy before the fence": earlyFinalCopy,
+		"new owner accepts early": earlyActivate, "aborted after the cutover": lateAbort, "final copy is lost": lostFinalCopy} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			states, trace := explore(f)
+			states, trace := explore(omit)
 			require.NotEmpty(t, trace, "%d states", states)
-			t.Logf("%d states; the shortest way:\n%s", states, strings.Join(trace, "\n"))
+			t.Logf("%d states; shortest trace:\n%s", states, strings.Join(trace, "\n"))
 		})
 	}
 }
--- a/internal/core/placement/overlaymap.go
+++ b/internal/core/placement/overlaymap.go
@@ -2,16 +2,16 @@
 
 import "maps"
 
-// layered is a map by id that shares most of itself with the one it was made from:
-// changes lie in a small layer over a base that is never written again.
+// overlayMap is a map by id that shares most of its entries with the map that it was
+// copied from: changes are kept in a small overlay over a base that is never modified.
 type overlayMap[V any] struct {
 	base    map[uint32]V
 	overlay map[uint32]V
-	deleted map[uint32]bool // of the base
+	deleted map[uint32]bool // ids deleted from the base
 	size    int
 }
 
-const maxOverlay = 1024 // entries of the layer, then the base is made anew
+const maxOverlay = 1024 // entries in overlay and deleted; above, copy builds a new base
 
 func (l *overlayMap[V]) get(id uint32) (v V, ok bool) {
 	if v, ok = l.overlay[id]; ok {
@@ -24,7 +24,7 @@
 	return v, ok
 }
 
-// copy returns one that can be changed without changing this one.
+// copy returns a copy that can be modified without affecting l.
 func (l *overlayMap[V]) copy() overlayMap[V] {
 	n := overlayMap[V]{base: l.base, overlay: maps.Clone(l.overlay), deleted: maps.Clone(l.deleted), size: l.size}
 	if len(n.overlay)+len(n.deleted) > maxOverlay {
@@ -59,7 +59,7 @@
 	}
 	l.size--
 	delete(l.overlay, id)
-	if _, below := l.base[id]; below {
+	if _, inBase := l.base[id]; inBase {
 		l.deleted[id] = true
 	}
 }
--- a/internal/core/placement/owner.go
+++ b/internal/core/placement/owner.go
@@ -1,9 +1,10 @@
 package placement
 
-// Owner is what one cell of servers holds, and what it may do with it: the other
-// side of a reshape. The stand-in servers use it, and the model that checks the
-// argument. All that it holds counts as stored: a server that dies comes back with
-// it, and what ran without having been stored had no effect.
+// Owner is the state of one cell of servers during reshapes: the ranges that the cell
+// stores and what it may do with them. The emulated servers use it, and so does the
+// model checker of the at-most-once argument. All of its state counts as durable: a
+// server that crashes restarts with it, and a booking that ran without having been
+// stored had no effect.
 
 import (
 	"slices"
@@ -15,34 +16,34 @@
 
 // The modes.
 const (
-	Owned    Mode = iota // it reads and books
-	Fenced               // it reads; bookings are turned away, and never ran
-	Incoming             // copies come in; nothing may be done with them yet
+	Owned    Mode = iota // accepts reads and bookings
+	Fenced               // accepts reads; bookings are rejected without having run
+	Incoming             // receives copies; accepts nothing yet
 )
 
 func (m Mode) String() string { return [...]string{"own", "fenced", "incoming"}[m] }
 
-// Piece is a range that a cell holds, all of it in one mode.
+// Piece is a range that a cell stores in one mode.
 type Piece struct {
 	Range
 	Mode    Mode
-	Epoch   int64 // from which it holds it so
-	Reshape int64 // the newest that touched it
+	Epoch   int64 // since which the piece has been in this mode
+	Reshape int64 // the newest reshape that changed the piece
 }
 
 // Owner is one cell's state.
 type Owner struct {
-	Pieces     []Piece           // by range, none overlapping
-	Booked     map[string]string // key: the query whose booking ran
-	Running    map[string]string // begun and not stored: by key
-	RolledBack map[int64]bool    // reshapes that were undone here: their orders count no more
-	Epoch      int64             // the newest that it has heard of
+	Pieces     []Piece           // sorted by range, without overlaps
+	Booked     map[string]string // key to the query whose booking ran
+	Running    map[string]string // key to the query whose booking has begun and is not stored yet
+	RolledBack map[int64]bool    // reshapes rolled back at this cell: their orders are ignored
+	Epoch      int64             // the newest epoch that the cell knows
 
-	// NoFence leaves the fence out: for drills that must be caught.
+	// NoFence disables the fence, for drills in which the violation must be detected.
 	NoFence bool
 }
 
-// NewOwner returns a cell that holds these segments.
+// NewOwner returns a cell that owns these segments.
 func NewOwner(epoch int64, segments ...Segment) *Owner {
 	o := &Owner{Booked: make(map[string]string), Running: make(map[string]string), RolledBack: make(map[int64]bool), Epoch: epoch}
 	for _, s := range segments {
@@ -52,19 +53,19 @@
 	return o
 }
 
-// Word is what a server says to a part.
+// Result is a server's response to a part.
 type Result int
 
-// The words.
+// The results.
 const (
-	Accepted      Result = iota // it does what was asked
-	AlreadyBooked               // booking: it ran before; nothing runs
-	NotOwned                    // it does not hold that: never ran
-	WritesFenced                // it holds it and may not book at this moment: never ran
-	Conflict                    // booking: another one of that key is running: never ran
+	Accepted      Result = iota // the request is carried out
+	AlreadyBooked               // booking: ran before, so nothing runs now
+	NotOwned                    // the cell does not own the range; never ran
+	WritesFenced                // booking: the cell is fenced for now; never ran
+	Conflict                    // booking: another booking of the key is running; never ran
 )
 
-// piece is the piece that holds a key.
+// pieceOf returns the piece that contains key, or nil.
 func (o *Owner) pieceOf(key string) *Piece {
 	for i := range o.Pieces {
 		if o.Pieces[i].Contains(key) {
@@ -74,7 +75,7 @@
 	return nil
 }
 
-// Begin begins a booking of a key for a query.
+// Begin starts the booking of a key for a query.
 func (o *Owner) Begin(key, query string) Result {
 	p := o.pieceOf(key)
 	switch {
@@ -91,7 +92,7 @@
 	return Accepted
 }
 
-// End stores a booking that was begun, with its effect, in one.
+// End stores a booking that was started, together with its effect.
 func (o *Owner) End(key string) {
 	if q := o.Running[key]; q != "" {
 		o.Booked[key] = q
@@ -99,10 +100,10 @@
 	}
 }
 
-// Crash loses what was not stored.
+// Crash loses every booking that was not stored.
 func (o *Owner) Crash() { clear(o.Running) }
 
-// Reads tells whether all of a range may be read here.
+// CanRead returns Accepted if the whole range may be read at this cell, else NotOwned.
 func (o *Owner) CanRead(r Range) Result {
 	at := r.From
 	for _, p := range o.Pieces {
@@ -117,8 +118,8 @@
 	return NotOwned
 }
 
-// cut splits pieces where a range begins and ends.
-func (o *Owner) splitAt(r Range) {
+// splitAtBounds splits the pieces that contain a bound of r.
+func (o *Owner) splitAtBounds(r Range) {
 	for _, at := range []string{r.From, r.To} {
 		for i := range o.Pieces {
 			if p := o.Pieces[i]; at != "" && p.Contains(at) && p.From != at {
@@ -131,7 +132,7 @@
 	}
 }
 
-// tidy puts pieces in order and joins those that are alike.
+// normalize sorts the pieces and joins adjacent ones that differ only in their range.
 func (o *Owner) normalize() {
 	slices.SortFunc(o.Pieces, func(a, b Piece) int {
 		switch {
@@ -153,7 +154,7 @@
 	o.Pieces = out
 }
 
-// Idle tells whether no booking runs in a range.
+// Idle reports whether no booking is running in a range.
 func (o *Owner) Idle(r Range) bool {
 	for key := range o.Running {
 		if r.Contains(key) {
@@ -163,14 +164,14 @@
 	return true
 }
 
-// Fence turns bookings in a range away from now on. It tells whether that is so and
-// nothing runs there any more: only then is the fence up. An order of a reshape
-// that has been undone here, or is past its cut, changes nothing.
+// Fence rejects bookings in a range from now on. It reports whether the fence is
+// complete: bookings are rejected and none is running any more. An order of a reshape
+// that was rolled back at this cell, or is past its cutover, has no effect.
 func (o *Owner) Fence(reshape int64, r Range) bool {
 	if o.RolledBack[reshape] {
 		return false
 	}
-	o.splitAt(r)
+	o.splitAtBounds(r)
 	for i := range o.Pieces {
 		if p := &o.Pieces[i]; r.Covers(p.Range) && p.Mode == Owned && p.Reshape < reshape {
 			p.Mode, p.Reshape = Fenced, reshape
@@ -179,7 +180,7 @@
 	return o.NoFence || o.Idle(r)
 }
 
-// Unfence undoes a reshape at an old owner.
+// Unfence rolls a reshape back at an old owner.
 func (o *Owner) Unfence(reshape int64, r Range) {
 	o.RolledBack[reshape] = true
 	for i := range o.Pieces {
@@ -190,8 +191,8 @@
 	o.normalize()
 }
 
-// CopyOut is what has been booked in a range. Where it must be the last copy, it is
-// none unless the fence of the reshape is up.
+// CopyOut returns the bookings of a range. The final copy (last) is refused unless the
+// fence of the reshape is complete.
 func (o *Owner) CopyOut(reshape int64, r Range, last bool) (booked map[string]string, ok bool) {
 	if last && !o.NoFence {
 		for _, p := range o.Pieces {
@@ -212,8 +213,8 @@
 	return booked, true
 }
 
-// CopyIn takes a copy. What is known already stays: a copy that comes late brings
-// nothing back.
+// CopyIn stores a copy. Known bookings are kept, so a delayed copy cannot restore an
+// old state.
 func (o *Owner) CopyIn(reshape int64, r Range, booked map[string]string) {
 	if o.RolledBack[reshape] {
 		return
@@ -223,26 +224,26 @@
 			o.Booked[key] = q
 		}
 	}
-	held := false
+	stored := false
 	for _, p := range o.Pieces {
 		if _, both := p.Range.Intersect(r); both {
-			held = true
+			stored = true
 		}
 	}
-	if !held {
+	if !stored {
 		o.Pieces = append(o.Pieces, Piece{Range: r, Mode: Incoming, Reshape: reshape})
 		o.normalize()
 	}
 }
 
-// Activate has the cell accept all in a range from an epoch on. Once is enough: an
-// order that comes again, after a later reshape, changes nothing.
+// Activate lets the cell accept everything in a range as of an epoch. It is
+// idempotent: an order repeated after a later reshape has no effect.
 func (o *Owner) Activate(reshape int64, r Range, epoch int64) {
 	if o.RolledBack[reshape] {
 		return
 	}
 	o.Epoch = max(o.Epoch, epoch)
-	o.splitAt(r)
+	o.splitAtBounds(r)
 	for i := range o.Pieces {
 		if p := &o.Pieces[i]; r.Covers(p.Range) && p.Reshape == reshape && p.Mode != Owned {
 			p.Mode, p.Epoch = Owned, epoch
@@ -251,20 +252,20 @@
 	o.normalize()
 }
 
-// Drop drops what a reshape took away from the cell: what it fenced here and did
-// not give to this cell again.
+// Drop deletes what a reshape moved away from the cell: the pieces that the reshape
+// fenced here and did not assign to this cell again.
 func (o *Owner) Drop(reshape int64, r Range, epoch int64) {
 	o.Epoch = max(o.Epoch, epoch)
 	o.dropPieces(reshape, r, Fenced)
 }
 
-// Forget undoes a reshape at a new owner: the copies go.
+// DiscardCopies rolls a reshape back at a new owner by deleting the copies.
 func (o *Owner) DiscardCopies(reshape int64, r Range) {
 	o.RolledBack[reshape] = true
 	o.dropPieces(reshape, r, Incoming)
 }
 
-// lose drops the pieces that a reshape has in a mode, with what is booked there.
+// dropPieces deletes the pieces of a reshape that are in a mode, with their bookings.
 func (o *Owner) dropPieces(reshape int64, r Range, mode Mode) {
 	o.Pieces = slices.DeleteFunc(o.Pieces, func(p Piece) bool {
 		if !r.Covers(p.Range) || p.Mode != mode || p.Reshape != reshape {
--- a/internal/core/placement/placement.go
+++ b/internal/core/placement/placement.go
@@ -1,13 +1,14 @@
-// Package placement decides where keys live: a versioned map from ranges of keys to
-// segments, and from those to cells of servers. It is pure: no I/O, no clock, no
-// goroutine; a Map is never changed once it is made, so it can be read from
-// anywhere. Keys are texts in their byte order; a range holds From and all up to To,
-// which it does not hold. An empty To is the end of all keys.
+// Package placement decides which servers store which keys: a versioned map from
+// key ranges to segments, and from segments to cells of servers. It is pure: no I/O,
+// no clock, no goroutine. A Map is immutable once built, so any goroutine may read it
+// without a lock. Keys are strings in byte order. A range includes From and excludes
+// To; an empty To means the end of the key space.
 //
-// The map's rules are those of range-partitioned stores (Bigtable, section 5.1;
-// Spanner's directories): the segments in force cover all keys, once each. Each
-// change is a new epoch. What a segment held is fixed by its id for ever, so a client
-// that names one by an old map can still be understood, for as long as it is kept.
+// The map follows the rules of range-partitioned stores (Bigtable, section 5.1;
+// Spanner's directories): the active segments cover every key exactly once. Each
+// change creates a new epoch. A segment id always means the same key range, so a
+// client that names a segment from an old map is understood for as long as the
+// retired segment is remembered.
 package placement
 
 import (
@@ -16,32 +17,32 @@
 	"sort"
 )
 
-// The bounds of a map.
+// Limits of a map.
 const (
 	MaxKey      = 128     // bytes of a key
-	MaxSegments = 1 << 20 // in force
-	MaxRetired  = 1 << 16 // kept for clients with old maps; the oldest are forgotten first
+	MaxSegments = 1 << 20 // active segments
+	MaxRetired  = 1 << 16 // retired segments kept for clients with old maps; the oldest are dropped first
 	MaxCells    = 1 << 16
 )
 
-// Range is a range of keys.
+// Range is the half-open key range [From, To).
 type Range struct {
 	From string `json:"from"`
 	To   string `json:"to"`
 }
 
-// Below tells whether a key is below the end of a range.
+// beforeEnd reports whether key sorts before the end of a range, to.
 func beforeEnd(key, to string) bool { return to == "" || key < to }
 
-// Holds tells whether a key is in the range.
+// Contains reports whether key is in the range.
 func (r Range) Contains(key string) bool { return key >= r.From && beforeEnd(key, r.To) }
 
-// Covers tells whether all of o is in r.
+// Covers reports whether r contains all of o.
 func (r Range) Covers(o Range) bool {
 	return o.From >= r.From && (r.To == "" || o.To != "" && o.To <= r.To)
 }
 
-// Cut is what r and o have in common; ok is false where that is nothing.
+// Intersect returns the keys that are in both r and o; ok is false if there are none.
 func (r Range) Intersect(o Range) (c Range, ok bool) {
 	c = Range{max(r.From, o.From), r.To}
 	if c.To == "" || o.To != "" && o.To < c.To {
@@ -62,54 +63,55 @@
 	return "[" + from + ", " + to + ")"
 }
 
-// Empty tells whether a range holds nothing.
+// Empty reports whether the range contains no key.
 func (r Range) Empty() bool { return r.To != "" && r.From >= r.To }
 
-// Segment is a segment in force.
+// Segment is an active segment: a key range and the cell that stores it.
 type Segment struct {
 	ID uint32 `json:"id"`
 	Range
 	Cell  int   `json:"cell"`
-	Since int64 `json:"since"` // the epoch at which it came, or came to its cell
+	Since int64 `json:"since"` // the epoch at which the segment was created or moved to its cell
 }
 
 func (s Segment) String() string {
 	return fmt.Sprintf("%d %v on cell %d since %d", s.ID, s.Range, s.Cell, s.Since)
 }
 
-// Cell is a group of servers that hold the same segments.
+// Cell is a group of servers that store the same segments.
 type Cell struct {
 	ID      int      `json:"cell"`
 	Servers []string `json:"servers"`
 }
 
-// Update is a whole map, or the changes from one epoch to a later one.
+// Update is a complete map (Base 0) or the changes from epoch Base to Epoch.
 type Update struct {
 	Epoch    int64     `json:"epoch"`
-	Base     int64     `json:"base"` // the epoch it follows on; 0: it is a whole map
+	Base     int64     `json:"base"` // the epoch that the changes apply to; 0: a complete map
 	Segments []Segment `json:"segments"`
-	Removed  []uint32  `json:"removed"` // retired; whole: those that the feed still remembers
-	Retired  []Segment `json:"retired"` // whole: what they were
-	Cells    []Cell    `json:"cells"`   // whole: all; else those that changed
+	Removed  []uint32  `json:"removed"` // ids of retired segments; complete map: those that the feed still remembers
+	Retired  []Segment `json:"retired"` // complete map: the ranges of the retired segments
+	Cells    []Cell    `json:"cells"`   // complete map: all cells; otherwise the changed ones
 }
 
-// Map is a map at one epoch. A nil *Map knows nothing.
+// Map is the placement map at one epoch. A nil *Map is an empty map at epoch 0.
 type Map struct {
 	epoch        int64
-	segments     []Segment          // by From
-	starts       overlayMap[string] // by id: where it begins
+	segments     []Segment          // sorted by From
+	starts       overlayMap[string] // segment id to the segment's From
 	cells        map[int][]string
 	retired      overlayMap[Range]
-	retiredOrder []uint32 // of retired, the oldest first
+	retiredOrder []uint32 // keys of retired, the oldest first
 }
 
-// The ways in which an update is refused.
+// Errors with which Apply rejects an update.
 type (
-	// OldError is an update to an epoch that is held already, or was.
+	// StaleError rejects an update whose epoch is not newer than the map's.
 	StaleError struct{ Have, Got int64 }
-	// GapError is a change that does not follow on what is held: the whole is wanted.
+	// GapError rejects changes that are based on another epoch than the map's; the
+	// caller must fetch a complete map.
 	GapError struct{ Have, Base int64 }
-	// BadError is a map that can't be; At names the range or the segment.
+	// InvalidError rejects a map that breaks a rule. At names the range or the segment.
 	InvalidError struct{ At, Problem string }
 )
 
@@ -117,7 +119,7 @@
 	return fmt.Sprintf("epoch %d is not newer than %d", e.Got, e.Have)
 }
 func (e *GapError) Error() string {
-	return fmt.Sprintf("follows on epoch %d, and %d is held", e.Base, e.Have)
+	return fmt.Sprintf("update is based on epoch %d, but the current epoch is %d", e.Base, e.Have)
 }
 func (e *InvalidError) Error() string { return e.At + ": " + e.Problem }
 
@@ -129,7 +131,7 @@
 
 func (n label) String() string { return string(n) }
 
-// Epoch is the map's epoch, 0 for none.
+// Epoch returns the map's epoch; 0 for a nil map.
 func (m *Map) Epoch() int64 {
 	if m == nil {
 		return 0
@@ -137,7 +139,7 @@
 	return m.epoch
 }
 
-// Len is how many segments are in force.
+// Len returns the number of active segments.
 func (m *Map) Len() int {
 	if m == nil {
 		return 0
@@ -145,7 +147,7 @@
 	return len(m.segments)
 }
 
-// Segments are those in force, by range. The caller must not change them.
+// Segments returns the active segments, sorted by range. The caller must not modify them.
 func (m *Map) Segments() []Segment {
 	if m == nil {
 		return nil
@@ -153,7 +155,7 @@
 	return m.segments
 }
 
-// Servers are those of a cell.
+// Servers returns the servers of a cell.
 func (m *Map) Servers(cell int) []string {
 	if m == nil {
 		return nil
@@ -161,12 +163,14 @@
 	return m.cells[cell]
 }
 
-// Cells are how many there are, and Retired how many segments of the past are kept.
-func (m *Map) Cells() int   { return len(m.cells) }
+// Cells returns the number of cells.
+func (m *Map) Cells() int { return len(m.cells) }
+
+// Retired returns the number of retired segments that are remembered.
 func (m *Map) Retired() int { return m.retired.size }
 
-// Apply returns the map after an update. The map itself stays as it is, and so it
-// does where the update is refused.
+// Apply returns the map that results from an update. m itself is never modified. An
+// error means that the update is rejected and m remains valid.
 func (m *Map) Apply(u *Update) (*Map, error) {
 	if u.Epoch <= m.Epoch() {
 		return nil, &StaleError{m.Epoch(), u.Epoch}
@@ -186,7 +190,7 @@
 		n.retired = n.retired.copy()
 	}
 	if u.Base != 0 && len(u.Cells) == 0 {
-		n.cells = m.cells // never written once a map is made
+		n.cells = m.cells // shared: cells are never modified once a map is built
 	} else {
 		n.cells = make(map[int][]string, len(u.Cells))
 		if u.Base != 0 {
@@ -208,13 +212,13 @@
 	if u.Base == 0 {
 		n.segments = slices.Clone(u.Segments)
 		slices.SortFunc(n.segments, byFrom)
-		if m != nil { // what is not in force any more is of the past
-			now := make(map[uint32]bool, len(u.Segments))
+		if m != nil { // segments that the new map no longer contains are retired
+			active := make(map[uint32]bool, len(u.Segments))
 			for _, s := range u.Segments {
-				now[s.ID] = true
+				active[s.ID] = true
 			}
 			for _, s := range m.segments {
-				if !now[s.ID] {
+				if !active[s.ID] {
 					n.retire(s.ID, s.Range)
 				}
 			}
@@ -235,54 +239,54 @@
 	return int(a.ID) - int(b.ID)
 }
 
-// check looks at an update by itself.
+// validate checks an update on its own, without the map that it applies to.
 func validate(u *Update) error {
 	if len(u.Segments) > MaxSegments || len(u.Removed) > MaxSegments || len(u.Retired) > MaxRetired || len(u.Cells) > MaxCells {
-		return invalid(label("update"), "larger than a map may be")
+		return invalid(label("update"), "exceeds the limits of a map")
 	}
 	seen := make(map[uint32]bool, len(u.Segments))
 	for _, s := range u.Segments {
 		if seen[s.ID] {
-			return invalid(s.Range, "segment %d stands twice", s.ID)
+			return invalid(s.Range, "segment %d is listed twice", s.ID)
 		}
 		seen[s.ID] = true
 		if s.Empty() {
-			return invalid(s.Range, "segment %d holds nothing", s.ID)
+			return invalid(s.Range, "segment %d has an empty range", s.ID)
 		}
 		if len(s.From) > MaxKey || len(s.To) > MaxKey {
-			return invalid(s.Range, "segment %d: a key of more than %d bytes", s.ID, MaxKey)
+			return invalid(s.Range, "segment %d: key longer than %d bytes", s.ID, MaxKey)
 		}
 	}
 	for _, id := range u.Removed {
 		if seen[id] && u.Base != 0 {
-			return invalid(label("update"), "segment %d comes and goes", id)
+			return invalid(label("update"), "segment %d is both added and removed", id)
 		}
 	}
 	return nil
 }
 
-// change takes the segments of m with the update's over them.
+// applyDelta fills n.segments with the segments of m, changed as the update says.
 func (n *Map) applyDelta(m *Map, u *Update) error {
-	gone := make(map[uint32]bool, len(u.Removed)+len(u.Segments))
+	replaced := make(map[uint32]bool, len(u.Removed)+len(u.Segments))
 	for _, id := range u.Removed {
-		s, held := m.segmentByID(id)
-		if !held {
-			return invalid(label("update"), "segment %d goes, and is not held", id)
+		s, active := m.segmentByID(id)
+		if !active {
+			return invalid(label("update"), "segment %d is removed but not active", id)
 		}
-		gone[id] = true
+		replaced[id] = true
 		n.retire(id, s.Range)
 	}
 	for _, s := range u.Segments {
-		gone[s.ID] = true
+		replaced[s.ID] = true
 	}
 	added := slices.Clone(u.Segments)
 	slices.SortFunc(added, byFrom)
 	n.segments = make([]Segment, 0, len(m.segments)+len(added))
-	for _, s := range m.segments { // a merge of two sorted lists
+	for _, s := range m.segments { // merges two sorted lists
 		for len(added) > 0 && byFrom(added[0], s) < 0 {
 			n.segments, added = append(n.segments, added[0]), added[1:]
 		}
-		if !gone[s.ID] {
+		if !replaced[s.ID] {
 			n.segments = append(n.segments, s)
 		}
 	}
@@ -301,12 +305,13 @@
 	}
 }
 
-// verify tells whether the segments cover all keys once, each on a cell that has
-// servers, and none under an id that meant something else. Of a change only what it
-// brings can have a wrong id or cell, unless cells changed too.
+// verify checks that the segments cover every key exactly once, that each is on a
+// cell with servers, and that no id stood for another range before. In a delta only
+// the segments of the update itself can have a wrong id or cell, unless cells changed
+// too.
 func (n *Map) verify(m *Map, u *Update) error {
 	if len(n.segments) == 0 {
-		return invalid(Range{}, "no segment holds it")
+		return invalid(Range{}, "not covered by any segment")
 	}
 	if len(n.segments) > MaxSegments {
 		return invalid(label("update"), "more than %d segments", MaxSegments)
@@ -316,30 +321,30 @@
 		s := &n.segments[i]
 		switch {
 		case !open || s.From < at:
-			return invalid(Range{s.From, at}, "segments %d and %d both hold it", n.segments[i-1].ID, s.ID)
+			return invalid(Range{s.From, at}, "covered by both segment %d and segment %d", n.segments[i-1].ID, s.ID)
 		case s.From > at:
-			return invalid(Range{at, s.From}, "no segment holds it")
+			return invalid(Range{at, s.From}, "not covered by any segment")
 		case len(u.Cells) > 0 && len(n.cells[s.Cell]) == 0:
-			return invalid(s.Range, "segment %d is on cell %d, which names no server", s.ID, s.Cell)
+			return invalid(s.Range, "segment %d is on cell %d, which has no servers", s.ID, s.Cell)
 		}
 		at, open = s.To, s.To != ""
 	}
 	if open {
-		return invalid(Range{at, ""}, "no segment holds it")
+		return invalid(Range{at, ""}, "not covered by any segment")
 	}
 	for _, s := range u.Segments {
 		if len(n.cells[s.Cell]) == 0 {
-			return invalid(s.Range, "segment %d is on cell %d, which names no server", s.ID, s.Cell)
+			return invalid(s.Range, "segment %d is on cell %d, which has no servers", s.ID, s.Cell)
 		}
-		if r, was := n.retired.get(s.ID); was {
+		if r, wasRetired := n.retired.get(s.ID); wasRetired {
 			if r != s.Range {
-				return invalid(s.Range, "segment %d held %v once", s.ID, r)
+				return invalid(s.Range, "segment %d was retired with range %v", s.ID, r)
 			}
-			n.retired.remove(s.ID) // a reshape that was taken back
+			n.retired.remove(s.ID) // a reshape was reverted
 			n.retiredOrder = slices.DeleteFunc(n.retiredOrder, func(id uint32) bool { return id == s.ID })
 		}
-		if old, held := m.segmentByID(s.ID); held && old.Range != s.Range {
-			return invalid(s.Range, "segment %d held %v before", s.ID, old.Range)
+		if old, active := m.segmentByID(s.ID); active && old.Range != s.Range {
+			return invalid(s.Range, "segment %d already has range %v", s.ID, old.Range)
 		}
 	}
 	if u.Base == 0 {
@@ -359,7 +364,7 @@
 	return nil
 }
 
-// segment finds a segment in force by its id.
+// segmentByID returns the active segment with this id.
 func (m *Map) segmentByID(id uint32) (Segment, bool) {
 	if m == nil {
 		return Segment{}, false
@@ -371,7 +376,7 @@
 	return m.segments[m.indexOf(from)], true
 }
 
-// Lookup finds the segment that holds a key: O(log n).
+// Lookup returns the segment that contains key, in O(log n).
 func (m *Map) Lookup(key string) (Segment, bool) {
 	if m.Len() == 0 {
 		return Segment{}, false
@@ -379,13 +384,13 @@
 	return m.segments[m.indexOf(key)], true
 }
 
-// at is the index of the segment that holds a key.
+// indexOf returns the index of the segment that contains key.
 func (m *Map) indexOf(key string) int {
 	return sort.Search(len(m.segments), func(i int) bool { return m.segments[i].From > key }) - 1
 }
 
-// Range is what a segment holds, or held before it was retired.
-func (m *Map) Range(id uint32) (r Range, inForce, known bool) {
+// Range returns the key range of a segment, also of a retired one that is remembered.
+func (m *Map) Range(id uint32) (r Range, active, known bool) {
 	if m == nil {
 		return r, false, false
 	}
@@ -396,7 +401,7 @@
 	return r, false, known
 }
 
-// Over are the segments in force that a range touches.
+// Overlapping returns the active segments that intersect r.
 func (m *Map) Overlapping(r Range) []Segment {
 	if m.Len() == 0 || r.Empty() {
 		return nil
--- a/internal/core/placement/placement_test.go
+++ b/internal/core/placement/placement_test.go
@@ -12,7 +12,7 @@
 
 var cells = []Cell{{0, []string{"a"}}, {1, []string{"b", "c"}}}
 
-func first(t testing.TB) *Map {
+func initialMap(t testing.TB) *Map {
 	m, err := (*Map)(nil).Apply(&Update{Epoch: 5, Cells: cells, Segments: []Segment{
 		{ID: 2, Range: Range{"amman", "irbid"}, Cell: 1}, {ID: 1, Range: Range{"", "amman"}}, {ID: 3, Range: Range{"irbid", ""}}}})
 	require.NoError(t, err)
@@ -20,7 +20,7 @@
 }
 
 func TestApply(t *testing.T) {
-	m := first(t)
+	m := initialMap(t)
 	s, ok := m.Lookup("karak")
 	require.True(t, ok)
 	require.EqualValues(t, 3, s.ID)
@@ -34,38 +34,38 @@
 	n, err := m.Apply(split)
 	require.NoError(t, err)
 	require.Equal(t, 4, n.Len())
-	require.Equal(t, 3, m.Len(), "the old map is as it was")
-	r, inForce, known := n.Range(2)
+	require.Equal(t, 3, m.Len(), "the old map is unchanged")
+	r, active, known := n.Range(2)
 	require.Equal(t, Range{"amman", "irbid"}, r)
-	require.True(t, known && !inForce)
+	require.True(t, known && !active)
 
-	// Taken back: the same id may come again for the same range.
-	back, err := n.Apply(&Update{Epoch: 7, Base: 6, Removed: []uint32{4, 5}, Segments: []Segment{{ID: 2, Range: Range{"amman", "irbid"}}}})
+	// After a rollback the same id may return for the same range.
+	reverted, err := n.Apply(&Update{Epoch: 7, Base: 6, Removed: []uint32{4, 5}, Segments: []Segment{{ID: 2, Range: Range{"amman", "irbid"}}}})
 	require.NoError(t, err)
-	_, inForce, _ = back.Range(2)
-	require.True(t, inForce)
+	_, active, _ = reverted.Range(2)
+	require.True(t, active)
 }
 
-func TestRefused(t *testing.T) {
+func TestApplyRejects(t *testing.T) {
 	for name, c := range map[string]struct {
 		u    Update
 		want string
 	}{
-		"old":       {Update{Epoch: 5}, "epoch 5 is not newer than 5"},
-		"gap":       {Update{Epoch: 9, Base: 7}, "follows on epoch 7, and 5 is held"},
-		"hole":      {Update{Epoch: 6, Base: 5, Removed: []uint32{2}}, "[amman, irbid): no segment holds it"},
-		"hole end":  {Update{Epoch: 6, Base: 5, Removed: []uint32{3}}, "[irbid, end): no segment holds it"},
-		"overlap":   {Update{Epoch: 6, Base: 5, Segments: []Segment{{ID: 9, Range: Range{"b", "c"}}}}, "[b, irbid): segments 2 and 9 both hold it"},
-		"no server": {Update{Epoch: 6, Base: 5, Segments: []Segment{{ID: 2, Range: Range{"amman", "irbid"}, Cell: 7}}}, "[amman, irbid): segment 2 is on cell 7, which names no server"},
-		"cell goes": {Update{Epoch: 6, Base: 5, Cells: []Cell{{1, nil}}}, "[amman, irbid): segment 2 is on cell 1, which names no server"},
-		"id reused": {Update{Epoch: 6, Base: 5, Removed: []uint32{2}, Segments: []Segment{{ID: 3, Range: Range{"amman", ""}}}}, "[amman, end): segment 3 held [irbid, end) before"},
-		"twice":     {Update{Epoch: 6, Base: 5, Segments: []Segment{{ID: 8, Range: Range{"x", "y"}}, {ID: 8, Range: Range{"x", "y"}}}}, "[x, y): segment 8 stands twice"},
-		"empty":     {Update{Epoch: 6, Base: 5, Segments: []Segment{{ID: 8, Range: Range{"y", "x"}}}}, "[y, x): segment 8 holds nothing"},
-		"unknown":   {Update{Epoch: 6, Base: 5, Removed: []uint32{77}}, "update: segment 77 goes, and is not held"},
-		"nothing":   {Update{Epoch: 6, Cells: cells}, "[start, end): no segment holds it"},
+		"old":          {Update{Epoch: 5}, "epoch 5 is not newer than 5"},
+		"gap":          {Update{Epoch: 9, Base: 7}, "update is based on epoch 7, but the current epoch is 5"},
+		"hole":         {Update{Epoch: 6, Base: 5, Removed: []uint32{2}}, "[amman, irbid): not covered by any segment"},
+		"hole end":     {Update{Epoch: 6, Base: 5, Removed: []uint32{3}}, "[irbid, end): not covered by any segment"},
+		"overlap":      {Update{Epoch: 6, Base: 5, Segments: []Segment{{ID: 9, Range: Range{"b", "c"}}}}, "[b, irbid): covered by both segment 2 and segment 9"},
+		"no server":    {Update{Epoch: 6, Base: 5, Segments: []Segment{{ID: 2, Range: Range{"amman", "irbid"}, Cell: 7}}}, "[amman, irbid): segment 2 is on cell 7, which has no servers"},
+		"cell removed": {Update{Epoch: 6, Base: 5, Cells: []Cell{{1, nil}}}, "[amman, irbid): segment 2 is on cell 1, which has no servers"},
+		"id reused":    {Update{Epoch: 6, Base: 5, Removed: []uint32{2}, Segments: []Segment{{ID: 3, Range: Range{"amman", ""}}}}, "[amman, end): segment 3 already has range [irbid, end)"},
+		"twice":        {Update{Epoch: 6, Base: 5, Segments: []Segment{{ID: 8, Range: Range{"x", "y"}}, {ID: 8, Range: Range{"x", "y"}}}}, "[x, y): segment 8 is listed twice"},
+		"empty":        {Update{Epoch: 6, Base: 5, Segments: []Segment{{ID: 8, Range: Range{"y", "x"}}}}, "[y, x): segment 8 has an empty range"},
+		"unknown":      {Update{Epoch: 6, Base: 5, Removed: []uint32{77}}, "update: segment 77 is removed but not active"},
+		"nothing":      {Update{Epoch: 6, Cells: cells}, "[start, end): not covered by any segment"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			m := first(t)
+			m := initialMap(t)
 			_, err := m.Apply(&c.u)
 			require.EqualError(t, err, c.want)
 			require.EqualValues(t, 5, m.Epoch())
@@ -73,9 +73,9 @@
 	}
 }
 
-// A client that is epochs behind names what has split, merged and moved since.
+// A client with a map several epochs old requests segments that were split, merged and moved since.
 func TestRoute(t *testing.T) {
-	m := first(t)
+	m := initialMap(t)
 	m, err := m.Apply(&Update{Epoch: 6, Base: 5, Removed: []uint32{1, 2}, Segments: []Segment{
 		{ID: 4, Range: Range{"", "aqaba"}, Cell: 1}, {ID: 5, Range: Range{"aqaba", "irbid"}}}})
 	require.NoError(t, err)
@@ -101,34 +101,34 @@
 	require.ErrorContains(t, err, "no map")
 }
 
-// Ten thousand parts that find out at once ask one question; failures make it rarer.
+// Ten thousand parts that notice an outdated map at once cause one request; failures back off.
 func TestRefresh(t *testing.T) {
 	r := Refresh{MinInterval: 50e3, MaxBackoff: 2e6}
-	asked := 0
+	requests := 0
 	for range 10000 {
 		if r.ObserveEpoch(1000, 7, 5) == 0 {
-			asked++
+			requests++
 		}
 	}
-	require.Equal(t, 1, asked)
+	require.Equal(t, 1, requests)
 	require.EqualValues(t, 9999, r.Suppressed)
 	r.FetchDone(5)
-	require.EqualValues(t, 51000, r.ObserveEpoch(2000, 7, 5), "not before its time")
+	require.EqualValues(t, 51000, r.ObserveEpoch(2000, 7, 5), "not before the minimum interval has passed")
 	for now := int64(0); now < 60e6; now += 1000 {
 		if r.ObserveEpoch(now, 7, 5) == 0 {
-			asked++
+			requests++
 			r.FetchDone(5)
 		}
 	}
-	require.Less(t, asked, 45)
+	require.Less(t, requests, 45)
 	require.EqualValues(t, -1, r.ObserveEpoch(61e6, 7, 7))
 	require.True(t, AfterRejection(MaxRejections+1, 9, 5, 1e6).Abandon)
 	require.EqualValues(t, 15000, AfterRejection(1, 5, 5, 1e6).Delay)
 	require.EqualValues(t, 400000, AfterRejection(1, 9, 5, 1e6).Delay)
 }
 
-// Whatever is split, merged and moved, by however old a client: each key that is
-// asked for is in one target's ranges, once, and the weights stay.
+// For any sequence of splits, merges and moves and a client map of any age, each
+// requested key is in exactly one target's ranges and the weights add up to 1.
 func TestReshapesKeepEveryKey(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		keys := []string{"a", "b", "c", "d", "e", "f", "g", "h"}
@@ -149,7 +149,7 @@
 			var targets []Segment
 			at := span.From
 			for _, k := range keys {
-				if k > at && span.Contains(k) && rapid.Bool().Draw(t, "cut at "+k) {
+				if k > at && span.Contains(k) && rapid.Bool().Draw(t, "split at "+k) {
 					targets = append(targets, Segment{ID: next, Range: Range{at, k}, Cell: int(next % 2)})
 					at, next = k, next+1
 				}
@@ -181,13 +181,13 @@
 					if r.Contains(k) {
 						n++
 						if in, _ := m.Lookup(k); in.ID != target.Segment || in.Cell != target.Cell {
-							t.Fatalf("%q goes to segment %d, and %d holds it", k, target.Segment, in.ID)
+							t.Fatalf("%q is routed to segment %d, but segment %d contains it", k, target.Segment, in.ID)
 						}
 					}
 				}
 			}
 			if want := map[bool]int{true: 1}[s.Contains(k)]; n != want {
-				t.Fatalf("%q is asked for %d times, not %d", k, n, want)
+				t.Fatalf("%q is in %d targets, want %d", k, n, want)
 			}
 		}
 		for _, target := range got {
@@ -200,29 +200,29 @@
 }
 
 func TestPlan(t *testing.T) {
-	m := first(t)
+	m := initialMap(t)
 	free := func(uint32) bool { return false }
 	_, err := m.Plan(1, []uint32{2}, []Segment{{ID: 9, Range: Range{"amman", "b"}}}, free)
-	require.ErrorContains(t, err, "do not hold the same keys")
+	require.ErrorContains(t, err, "do not cover the same keys")
 	_, err = m.Plan(1, []uint32{1, 3}, []Segment{{ID: 9}}, free)
-	require.ErrorContains(t, err, "does not lie beside")
+	require.ErrorContains(t, err, "is not adjacent to")
 	_, err = m.Plan(1, []uint32{2}, []Segment{{ID: 2, Range: Range{"amman", "irbid"}, Cell: 9}}, free)
-	require.ErrorContains(t, err, "cell 9 names no server")
+	require.ErrorContains(t, err, "cell 9 has no servers")
 	_, err = m.Plan(1, []uint32{2}, []Segment{{ID: 2, Range: Range{"amman", "irbid"}}}, func(id uint32) bool { return id == 2 })
-	require.ErrorContains(t, err, "segment 2 is being reshaped")
+	require.ErrorContains(t, err, "segment 2 is already being reshaped")
 	r, err := m.Plan(1, []uint32{2}, []Segment{{ID: 2, Range: Range{"amman", "irbid"}, Cell: 0}}, free)
 	require.NoError(t, err)
-	var did []string
+	var actions []string
 	for r.Start(); !r.Finished(); {
-		did = append(did, r.NextAction().String())
+		actions = append(actions, r.NextAction().String())
 		r.Completed(r.NextAction())
 	}
-	require.Equal(t, []string{"copy", "fence", "copy-last", "activate", "publish", "drop"}, did)
+	require.Equal(t, []string{"copy", "fence", "copy-last", "activate", "publish", "drop"}, actions)
 	require.Error(t, r.Abort())
-	for stop := range 3 { // taken back from each step before the cut
+	for steps := range 3 { // aborted at each step before the cutover
 		r, _ := m.Plan(2, []uint32{2}, []Segment{{ID: 2, Range: Range{"amman", "irbid"}, Cell: 0}}, free)
 		r.Start()
-		for range stop {
+		for range steps {
 			r.Completed(r.NextAction())
 		}
 		require.NoError(t, r.Abort())
@@ -232,8 +232,8 @@
 	}
 }
 
-// sized makes a map of n segments over 5,000 servers.
-func sized(n int) *Update {
+// mapWithSegments returns a complete map of n segments over 5,000 servers.
+func mapWithSegments(n int) *Update {
 	u := &Update{Epoch: 1}
 	for c := range 2500 {
 		u.Cells = append(u.Cells, Cell{c, []string{fmt.Sprintf("s-%d-0", c), fmt.Sprintf("s-%d-1", c)}})
@@ -254,7 +254,7 @@
 func BenchmarkLookup(b *testing.B) {
 	for _, n := range []int{1000, 10000, 100000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			u := sized(n)
+			u := mapWithSegments(n)
 			m, err := (*Map)(nil).Apply(u)
 			require.NoError(b, err)
 			r := rand.New(rand.NewPCG(1, 2))
@@ -275,7 +275,7 @@
 func BenchmarkDelta(b *testing.B) {
 	for _, n := range []int{1000, 10000, 100000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			m, err := (*Map)(nil).Apply(sized(n))
+			m, err := (*Map)(nil).Apply(mapWithSegments(n))
 			require.NoError(b, err)
 			b.ReportAllocs()
 			b.ResetTimer()
@@ -290,10 +290,10 @@
 	}
 }
 
-func BenchmarkWhole(b *testing.B) {
+func BenchmarkCompleteMap(b *testing.B) {
 	for _, n := range []int{1000, 10000, 100000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			u := sized(n)
+			u := mapWithSegments(n)
 			b.ReportAllocs()
 			for range b.N {
 				if _, err := (*Map)(nil).Apply(u); err != nil {
--- a/internal/core/placement/refresh.go
+++ b/internal/core/placement/refresh.go
@@ -1,25 +1,26 @@
 package placement
 
-// When the feed is asked, and how long a part waits for a newer map. Times are
-// microseconds on the caller's clock.
+// When the feed is polled out of schedule, and how long a part waits for a newer map.
+// Times are microseconds on the caller's clock.
 
-// Refresh decides when to ask the feed for news out of turn: many parts may find
-// out at once that their map is old, and the feed must hear one question.
+// Refresh decides when to poll the feed ahead of schedule. Many parts may find out at
+// the same time that their map is outdated; the feed must receive one request for all
+// of them.
 type Refresh struct {
-	MinInterval int64 // between two questions
-	MaxBackoff  int64 // after failures the pause doubles up to this
+	MinInterval int64 // between two requests
+	MaxBackoff  int64 // limit of Backoff, which doubles after each unsuccessful request
 
-	WantedEpoch int64 // the newest epoch that a server has named
-	FetchedAt   int64 // when the last question went out
+	WantedEpoch int64 // the newest epoch that any server reported
+	FetchedAt   int64 // when the last request was sent
 	Fetching    bool
 	Backoff     int64
-	Suppressed  int64 // questions that were not asked, for one was out or had just been
-	Unsatisfied int   // answers in a row that did not bring what is wanted
-	Started     bool
+	Suppressed  int64 // requests not sent because one was in flight or too recent
+	Unsatisfied int   // consecutive responses older than WantedEpoch
+	Started     bool  // a request has been sent
 }
 
-// Want notes that a server named an epoch beyond the map's, and tells when the
-// feed is to be asked: 0 for now, a time to come, or -1 for not at all.
+// ObserveEpoch records that a server reported an epoch; have is the map's. It returns
+// when to poll the feed: 0 for now, a later time, or -1 for not at all.
 func (r *Refresh) ObserveEpoch(now, epoch, have int64) (at int64) {
 	r.WantedEpoch = max(r.WantedEpoch, epoch)
 	if have >= r.WantedEpoch {
@@ -37,7 +38,7 @@
 	return 0
 }
 
-// Came notes the end of a question, and what is held now.
+// FetchDone records the end of a request; have is the map's epoch after it.
 func (r *Refresh) FetchDone(have int64) {
 	r.Fetching = false
 	if have >= r.WantedEpoch {
@@ -48,28 +49,30 @@
 	r.Backoff = min(max(2*r.Backoff, r.MinInterval), r.MaxBackoff)
 }
 
-// MostTurns is how often one part may be turned away for not being held before it
-// counts as failed.
+// MaxRejections is how often one part may be rejected by servers that do not store its
+// range before the part counts as failed.
 const MaxRejections = 6
 
-// Turn is what to do with a part that a server turned away because it does not
-// hold it.
+// Retry says how to continue with a part that a server rejected because it does not
+// store the part's range.
 type Retry struct {
-	Delay   int64 // before it is routed again, microseconds; a newer map ends it
+	Delay   int64 // before the part is routed again, microseconds; a newer map ends it early
 	Abandon bool
 }
 
-// Turned decides for the n-th time (from 1) that a part was turned away. server is
-// the epoch that the server named, have the map's. A server that is ahead means
-// that our map is old: a newer one is on its way, wait for it. One that is not
-// means that a cut is going on, or that somebody lies: try again soon, then seldom.
+// AfterRejection decides how to continue after the n-th rejection (from 1) of a part.
+// server is the epoch that the server reported, have the map's, left the time until
+// the query's deadline. A server with a newer epoch means that this map is outdated
+// and a newer one is on its way, so the part waits for it. Otherwise a cutover is in
+// progress or a server reports a wrong epoch: the part is retried soon, then with
+// backoff.
 func AfterRejection(n int, server, have, left int64) Retry {
-	pause := int64(15000) << min(n-1, 5)
+	delay := int64(15000) << min(n-1, 5)
 	if server > have {
-		pause = 400000
+		delay = 400000
 	}
 	if n > MaxRejections || left <= 0 {
 		return Retry{Abandon: true}
 	}
-	return Retry{Delay: min(pause, left/2)}
+	return Retry{Delay: min(delay, left/2)}
 }
--- a/internal/core/placement/reshape.go
+++ b/internal/core/placement/reshape.go
@@ -1,27 +1,28 @@
 package placement
 
-// Reshapes: splits, merges and moves, as one machine. A reshape replaces segments
-// that lie side by side (Sources) by others that hold the same keys (Targets). A
-// move has one of each, the same but for the cell.
+// Reshapes: splits, merges and moves, as one state machine. A reshape replaces
+// adjacent segments (Sources) by others that cover the same keys (Targets). A move has
+// one of each, which differ only in the cell.
 //
-//	Planned -> Copying -> Fencing -> Cut -> Retiring -> Done
-//	   \________\___________\-> Undoing -> Aborted
+//	Planned -> Copying -> Fencing -> Cutover -> Retiring -> Done
+//	   \________\___________\-> RollingBack -> Aborted
 //
-// The coordinator stores Step before it does what Do says; what Do says may be done
-// any number of times. So one that dies anywhere goes on from what it stored.
+// The coordinator stores Step before it performs what NextAction returns, and every
+// action is idempotent. So a coordinator that crashes at any point resumes from what it
+// stored.
 //
-//	step      old owners            new owners          map
-//	Planned   accept all            know nothing        old
-//	Copying   accept all            take copies         old
-//	Fencing   reads; turn bookings  take what is left   old
-//	          away (never ran)
-//	Cut       turn all away         accept all          new: published once they accept
-//	Retiring  drop the data         accept all          new
-//	Undoing   accept all again      drop the copies     old
+//	step         old owners             new owners           map
+//	Planned      accept everything      know nothing         old
+//	Copying      accept everything      receive copies       old
+//	Fencing      accept reads; reject   receive the rest     old
+//	             bookings (never ran)
+//	Cutover      reject everything      accept everything    new: published once they accept
+//	Retiring     delete the data        accept everything    new
+//	RollingBack  accept everything      delete the copies    old
 //
-// The one rule that at-most-once rests on: no new owner accepts a booking before
-// every old owner has said that it is fenced and that nothing runs there, and the
-// last copy was made after that. From Cut on there is no way back: a booking may
+// At-most-once execution rests on one rule: no new owner accepts a booking before every
+// old owner has reported that it is fenced with no booking running, and the final copy
+// was made after that. From Cutover on a reshape can't be rolled back: a booking may
 // have run at the new owners.
 
 import (
@@ -29,7 +30,7 @@
 	"slices"
 )
 
-// Step is how far a reshape has come.
+// Step is the progress of a reshape.
 type Step int
 
 // The steps.
@@ -48,39 +49,42 @@
 	return [...]string{"planned", "copying", "fencing", "cut", "retiring", "done", "undoing", "aborted"}[s]
 }
 
-// Reshape is one reshape. All of it is to be stored.
+// Reshape is one reshape. The coordinator stores all of its fields.
 type Reshape struct {
 	ID          int64
 	Step        Step
 	Sources     []Segment
 	Targets     []Segment
-	Copied      bool // a copy is at the new owners
-	Fenced      bool // the old owners said that they are fenced and idle
-	FinalCopied bool // the copy made after that is at the new owners
-	Activated   bool // the new owners said that they accept
+	Copied      bool // the first copy is stored at the new owners
+	Fenced      bool // the old owners reported that they are fenced and idle
+	FinalCopied bool // the copy made after that is stored at the new owners
+	Activated   bool // the new owners reported that they accept requests
 	Published   bool // the map has been published
-	Dropped     bool // the old data, or the copies, are gone
+	Dropped     bool // the old data, or the copies of a rollback, are deleted
 }
 
-// Doing is what a reshape wants done.
+// Action is what the coordinator must do next for a reshape.
 type Action int
 
-// What may be wanted.
+// The actions.
 const (
 	Nothing   Action = iota
 	Copy             // copy the keys to the new owners
-	Fence            // have the old owners fenced, and wait until nothing runs there
-	CopyFinal        // copy what has come since, the old owners being fenced
-	Activate         // have the new owners accept at the new epoch
+	Fence            // fence the old owners and wait until no booking runs there
+	CopyFinal        // copy what was booked since the first copy, with the old owners fenced
+	Activate         // let the new owners accept requests at the new epoch
 	Publish          // publish the map
-	Drop             // drop the data at the old owners
-	Unfence          // have the old owners accept again, and drop the copies
+	Drop             // delete the data at the old owners
+	Unfence          // let the old owners accept bookings again and delete the copies
 )
 
-func (d Action) String() string {
-	return [...]string{"nothing", "copy", "fence", "copy-last", "activate", "publish", "drop", "unfence"}[d]
+func (a Action) String() string {
+	return [...]string{"nothing", "copy", "fence", "copy-last", "activate", "publish", "drop", "unfence"}[a]
 }
 
+// Plan creates a reshape of active segments. busy reports whether a segment is in
+// another reshape: each segment is in one reshape at a time.
+
 // Plan makes a reshape of segments in force. busy are the segments that others are
 // reshaping: one segment is in one reshape.
 func (m *Map) Plan(id int64, sources []uint32, targets []Segment, busy func(uint32) bool) (*Reshape, error) {
@@ -89,40 +93,40 @@
 	}
 	r := &Reshape{ID: id, Targets: slices.Clone(targets)}
 	for _, s := range sources {
-		held, known := m.segmentByID(s)
+		active, known := m.segmentByID(s)
 		if !known {
-			return nil, invalid(label("plan"), "segment %d is not in force", s)
+			return nil, invalid(label("plan"), "segment %d is not active", s)
 		}
 		if busy(s) {
-			return nil, invalid(held.Range, "segment %d is being reshaped", s)
+			return nil, invalid(active.Range, "segment %d is already being reshaped", s)
 		}
-		r.Sources = append(r.Sources, held)
+		r.Sources = append(r.Sources, active)
 	}
 	slices.SortFunc(r.Sources, byFrom)
 	slices.SortFunc(r.Targets, byFrom)
 	for _, list := range [][]Segment{r.Sources, r.Targets} {
 		for i := 1; i < len(list); i++ {
 			if list[i-1].To == "" || list[i-1].To != list[i].From {
-				return nil, invalid(list[i].Range, "does not lie beside %v", list[i-1].Range)
+				return nil, invalid(list[i].Range, "is not adjacent to %v", list[i-1].Range)
 			}
 		}
 	}
 	first, last := r.Sources[0], r.Sources[len(r.Sources)-1]
 	if r.Targets[0].From != first.From || r.Targets[len(r.Targets)-1].To != last.To {
-		return nil, invalid(Range{first.From, last.To}, "the new segments do not hold the same keys")
+		return nil, invalid(Range{first.From, last.To}, "the new segments do not cover the same keys")
 	}
 	for _, t := range r.Targets {
 		if len(m.cells[t.Cell]) == 0 {
-			return nil, invalid(t.Range, "cell %d names no server", t.Cell)
+			return nil, invalid(t.Range, "cell %d has no servers", t.Cell)
 		}
-		if old, held, known := m.Range(t.ID); known && (!held || old != t.Range) {
-			return nil, invalid(t.Range, "segment %d held %v once", t.ID, old)
+		if old, active, known := m.Range(t.ID); known && (!active || old != t.Range) {
+			return nil, invalid(t.Range, "segment %d already had range %v", t.ID, old)
 		}
 	}
 	return r, nil
 }
 
-// Do is what is wanted next. Told must be told once it is done.
+// NextAction returns the next action; Completed must be called once it is done.
 func (r *Reshape) NextAction() Action {
 	switch r.Step {
 	case Copying:
@@ -145,12 +149,12 @@
 	return Nothing
 }
 
-// Told notes that something wanted has been done, and takes the next step.
-func (r *Reshape) Completed(d Action) {
-	if d != r.NextAction() {
-		return // an answer to what was asked before: nothing new
+// Completed records that an action is done and advances the reshape.
+func (r *Reshape) Completed(a Action) {
+	if a != r.NextAction() {
+		return // a repeated acknowledgement of an earlier action
 	}
-	switch d {
+	switch a {
 	case Copy:
 		r.Copied, r.Step = true, Fencing
 	case Fence:
@@ -168,15 +172,15 @@
 	}
 }
 
-// Start begins a reshape that was planned.
+// Start starts a planned reshape.
 func (r *Reshape) Start() {
 	if r.Step == Planned {
 		r.Step = Copying
 	}
 }
 
-// Abort takes a reshape back, where that is still possible. Once the cut is
-// decided, a booking may have run at the new owners.
+// Abort rolls a reshape back. It returns an error from Cutover on, when a booking may
+// already have run at the new owners.
 func (r *Reshape) Abort() error {
 	switch r.Step {
 	case Planned:
@@ -185,15 +189,15 @@
 		r.Step = RollingBack
 	case RollingBack, Aborted:
 	default:
-		return fmt.Errorf("reshape %d is %v: it can only go on", r.ID, r.Step)
+		return fmt.Errorf("reshape %d is at step %v and can no longer be aborted", r.ID, r.Step)
 	}
 	return nil
 }
 
-// Over tells whether nothing is left to do.
+// Finished reports whether the reshape is done or aborted.
 func (r *Reshape) Finished() bool { return r.Step == Done || r.Step == Aborted }
 
-// Update is the change of the map that a reshape publishes.
+// Update returns the change of the map that the reshape publishes on top of epoch base.
 func (r *Reshape) Update(base int64) *Update {
 	u := &Update{Base: base, Epoch: base + 1}
 	for _, t := range r.Targets {
--- a/internal/core/placement/route.go
+++ b/internal/core/placement/route.go
@@ -1,37 +1,37 @@
 package placement
 
-// This file turns what a client asks for, by the map that it knows, into what is
-// asked of servers, by the map that is held.
+// This file translates the segments that a client requests, by the map that the client
+// knows, into parts for servers, by the current map.
 
 import (
 	"fmt"
 	"slices"
 )
 
-// Ask is one part as a client names it: a segment, perhaps of an old epoch, and
-// perhaps only a range of its keys.
+// PartRequest is one part as a client requests it: a segment, possibly of an old
+// epoch, and optionally only a range of its keys.
 type PartRequest struct {
 	Segment uint32
-	Range   Range // zero: all that the segment holds
+	Range   Range // zero: the segment's full range
 	Weight  float64
 }
 
-// Share is how much of an ask a target answers for.
+// Share is the part of a request that a target serves.
 type Share struct {
-	Request int // its index
+	Request int // index of the request
 	Range   Range
 	Weight  float64
 }
 
-// Target is one part as it goes out: a segment in force, the ranges of it that are
-// wanted, and the asks that they answer for.
+// Target is one part as it is sent out: an active segment, the requested ranges of it,
+// and the requests that they belong to.
 type Target struct {
 	Segment uint32
 	Cell    int
-	Shares  []Share // by range; no two overlap
+	Shares  []Share // sorted by range, without overlaps
 }
 
-// Ranges are the ranges wanted, next to each other ones joined.
+// Ranges returns the requested ranges, with adjacent ones joined.
 func (t *Target) Ranges() []Range {
 	var out []Range
 	for _, s := range t.Shares {
@@ -44,7 +44,7 @@
 	return out
 }
 
-// Weight is the share of the whole answer that the target brings.
+// Weight is the target's share of the complete answer.
 func (t *Target) Weight() float64 {
 	sum := 0.0
 	for _, s := range t.Shares {
@@ -53,7 +53,8 @@
 	return sum
 }
 
-// RouteError is a query that can't be routed. Again tells that a newer map may help.
+// RouteError is the error for a query that can't be routed. Retryable says that a
+// newer map may help.
 type RouteError struct {
 	Problem   string
 	Retryable bool
@@ -61,51 +62,51 @@
 
 func (e *RouteError) Error() string { return e.Problem }
 
-// Route finds the targets of a query's asks, most of them at most. An ask whose
-// segment has split brings a target for each child that its range touches, its
-// weight shared evenly among them; asks that reach the same segment share one
-// target. Two asks for the same keys are refused: each key is in one part.
-func (m *Map) Route(asks []PartRequest, most int) ([]Target, error) {
+// Route returns the targets of a query, limit of them at most. A request whose segment
+// was split yields one target per child that its range touches, with its weight
+// divided evenly among them; requests that reach the same segment share one target.
+// Two requests for the same keys are an error: each key belongs to one part.
+func (m *Map) Route(requests []PartRequest, limit int) ([]Target, error) {
 	if m.Len() == 0 {
 		return nil, &RouteError{"no map of the segments is held yet", true}
 	}
 	var out []Target
 	index := make(map[uint32]int)
-	for i, a := range asks {
-		r, _, known := m.Range(a.Segment)
+	for i, p := range requests {
+		r, _, known := m.Range(p.Segment)
 		if !known {
-			return nil, &RouteError{fmt.Sprintf("segment %d is not known at epoch %d", a.Segment, m.epoch), true}
+			return nil, &RouteError{fmt.Sprintf("segment %d is not known at epoch %d", p.Segment, m.epoch), true}
 		}
-		if a.Range != (Range{}) {
-			if a.Range.Empty() || !r.Covers(a.Range) {
-				return nil, &RouteError{fmt.Sprintf("segment %d holds %v, not %v", a.Segment, r, a.Range), false}
+		if p.Range != (Range{}) {
+			if p.Range.Empty() || !r.Covers(p.Range) {
+				return nil, &RouteError{fmt.Sprintf("segment %d holds %v, not %v", p.Segment, r, p.Range), false}
 			}
-			r = a.Range
+			r = p.Range
 		}
-		over := m.Overlapping(r)
-		if len(out)+len(over) > most+len(index) { // a cheap bound before the exact one
-			return nil, &RouteError{fmt.Sprintf("would bring more than %d parts", most), false}
+		segments := m.Overlapping(r)
+		if len(out)+len(segments) > limit+len(index) { // a cheap bound before the exact one
+			return nil, &RouteError{fmt.Sprintf("would bring more than %d parts", limit), false}
 		}
-		for _, s := range over {
-			cut, ok := s.Range.Intersect(r)
+		for _, s := range segments {
+			common, ok := s.Range.Intersect(r)
 			if !ok {
 				continue
 			}
 			t, seen := index[s.ID]
 			if !seen {
-				if len(out) >= most {
-					return nil, &RouteError{fmt.Sprintf("would bring more than %d parts", most), false}
+				if len(out) >= limit {
+					return nil, &RouteError{fmt.Sprintf("would bring more than %d parts", limit), false}
 				}
 				t = len(out)
 				index[s.ID] = t
 				out = append(out, Target{Segment: s.ID, Cell: s.Cell})
 			}
 			for _, o := range out[t].Shares {
-				if _, both := o.Range.Intersect(cut); both {
-					return nil, &RouteError{fmt.Sprintf("segments %d and %d are asked for the same keys", asks[o.Request].Segment, a.Segment), false}
+				if _, overlap := o.Range.Intersect(common); overlap {
+					return nil, &RouteError{fmt.Sprintf("segments %d and %d are asked for the same keys", requests[o.Request].Segment, p.Segment), false}
 				}
 			}
-			out[t].Shares = append(out[t].Shares, Share{i, cut, a.Weight / float64(len(over))})
+			out[t].Shares = append(out[t].Shares, Share{i, common, p.Weight / float64(len(segments))})
 		}
 	}
 	for i := range out {
@@ -122,31 +123,31 @@
 	return out, nil
 }
 
-// Again routes what one target was to bring by a newer map: the same shares, cut
-// where segments have split since.
-func (m *Map) Reroute(t *Target, most int) ([]Target, error) {
+// Reroute routes the shares of a target by a newer map and splits them where segments
+// were split since.
+func (m *Map) Reroute(t *Target, limit int) ([]Target, error) {
 	var out []Target
 	index := make(map[uint32]int)
 	for _, s := range t.Shares {
-		over := m.Overlapping(s.Range)
-		if len(over) == 0 {
+		segments := m.Overlapping(s.Range)
+		if len(segments) == 0 {
 			return nil, &RouteError{"no map of the segments is held", true}
 		}
-		for _, seg := range over {
-			cut, ok := seg.Range.Intersect(s.Range)
+		for _, seg := range segments {
+			common, ok := seg.Range.Intersect(s.Range)
 			if !ok {
 				continue
 			}
 			i, seen := index[seg.ID]
 			if !seen {
-				if len(out) >= most {
-					return nil, &RouteError{fmt.Sprintf("would bring more than %d parts", most), false}
+				if len(out) >= limit {
+					return nil, &RouteError{fmt.Sprintf("would bring more than %d parts", limit), false}
 				}
 				i = len(out)
 				index[seg.ID] = i
 				out = append(out, Target{Segment: seg.ID, Cell: seg.Cell})
 			}
-			out[i].Shares = append(out[i].Shares, Share{s.Request, cut, s.Weight / float64(len(over))})
+			out[i].Shares = append(out[i].Shares, Share{s.Request, common, s.Weight / float64(len(segments))})
 		}
 	}
 	return out, nil
