--- a/internal/core/membership/membership.go
+++ b/internal/core/membership/membership.go
@@ -1,43 +1,48 @@
-// Package membership merges what several sources say of the trip nodes into the one
-// list that the decisions get. It owns the rule, and for every server the reason why
-// it stands as it does. It must never do I/O or read a clock, name a server that no
-// source has named, undo a drain by older news, or delay one.
+// Package membership merges what several sources report about servers into the one
+// list that routing decisions use. It owns the merge rule and, for every server, the
+// reason for its state. It never does I/O or reads a clock, never lists a server that no
+// source has named, and never lets an outdated answer revoke a drain or delays a drain.
 //
-// The rule (docs/design/membership.md weighs it):
+// The rule (docs/design/membership.md discusses it). A source is responsive if it
+// answered within its SilentAfter:
 //
-//	existence   the highest-ranked source that has ever named a server decides, among
-//	            those that are heard; a lower one alone can add a server, not keep one
-//	            that a higher one has dropped. Where none of them is heard, the last
-//	            word of the highest-ranked one stands, until Forget; then it counts as
-//	            never said.
-//	identity    servers are one if a source gives the other's name as an alias; two
-//	            sources that give one address to two names name two servers, unless
-//	            Settings.ByAddress: then the higher-ranked one's name holds.
-//	address     all of the highest-ranked source that is heard and gives any; never a
-//	            mix: a server that has moved may have left its old address to another.
-//	cell        all sources that are heard must agree; while they do not, the server is
-//	            withheld: a part must not go where its segment may not be held.
-//	drain       any source's word. It is lifted by newer news of the same source, or
-//	            by that source's end. When it was first told by any is kept, whatever
-//	            the merge says. A source that drops what it had drained does not lift
-//	            that: the others may only not have heard of it. What does is a source
-//	            that names the server anew, a later start, or the time after which the
-//	            source would have been forgotten. Of a source that has fallen silent, a
-//	            later start that one tells who is heard does.
-//	soundness   critical by any source that is heard: withheld, unless a higher-ranked
-//	            source that is heard says passing.
-//	start       the latest that any heard source tells.
-//	older news  of a source, by its index, counts for nothing, unless the source says
-//	            that its index has begun anew.
-//	flaps       each return of a server that had gone costs it a penalty that halves
-//	            with time; above a bound its next return waits. Its leaving never does.
-//	floor       where a step would take more than a share of what was listed, those
-//	            stay, until a source that is heard has said so for a while; drains are
-//	            not held up.
-//	new ones    of a source that is not trusted wait for a first sign: another source,
-//	            or the same source again after a while. The first answer that names any
-//	            server at all is believed as it is: there is nothing to set it beside,
-//	            and a mixer that starts must have somebody to ask.
+//	existence   the highest-ranked responsive source that has ever named a server
+//	            decides. A lower-ranked source alone can add a server, but can't keep one
+//	            that a higher-ranked source has dropped. If none of them is responsive,
+//	            the last report of the highest-ranked one stays valid until ForgetAfter;
+//	            after that it counts as never made.
+//	identity    two names are one server if a source gives one as an alias of the other.
+//	            One address reported under two names means two servers, unless
+//	            Settings.ByAddress is set: then the higher-ranked source's name is used.
+//	address     all addresses of the highest-ranked responsive source that gives any,
+//	            never a mix of sources: a server that has moved may have left its old
+//	            address to another server.
+//	cell        all responsive sources must agree; while they do not, the server is
+//	            withheld, because a part must not go to a cell that may not store its
+//	            segment.
+//	drain       any source may start one. A newer answer of the same source, or the
+//	            removal of that source, revokes it. The time of the first report is kept,
+//	            whatever the merged state is. A source that drops a server it had drained
+//	            does not revoke the drain, because the other sources may not know of it
+//	            yet. It ends when a source names the server anew, when a later start is
+//	            reported, or after the time in which the source would be forgotten. A
+//	            drain by a source that is unresponsive ends when a responsive source
+//	            reports a later start.
+//	health      critical at any responsive source withholds the server, unless a
+//	            higher-ranked responsive source reports passing.
+//	start       the latest start that a responsive source reports.
+//	old answers an answer with a lower index than the source's last one is ignored,
+//	            unless the source reports that its index was reset.
+//	flaps       each disappearance of a listed server adds to a penalty that decays
+//	            exponentially; above a bound the server's next return is delayed. Its
+//	            removal is never delayed.
+//	floor       if one step would remove more than a share of the listed servers, they
+//	            stay until a responsive source has reported the removal for a while;
+//	            drains are not delayed.
+//	new servers of an untrusted source wait for a confirmation: another source, or the
+//	            same source again after a while. The first answer that names any server
+//	            is trusted as it is: there is nothing to compare it with, and a proxy that
+//	            starts needs servers.
 package membership
 
 import (
@@ -47,13 +52,13 @@
 	"slices"
 )
 
-// Micros is a clock reading or a span in microseconds; the origin is the caller's.
+// Micros is a clock reading or a duration in microseconds; the caller chooses the origin.
 type Micros = int64
 
-// Health is what a source says of a server's checks.
+// Health is the state of a server's health checks as a source reports it.
 type Health int
 
-// The healths. Unknown is a source without checks.
+// The health values. Unknown is reported by sources without checks.
 const (
 	Unknown Health = iota
 	Passing
@@ -61,46 +66,46 @@
 	Critical
 )
 
-// State is how a server stands in the merged list.
+// State is the state of a server in the merged list.
 type State int
 
 // The states.
 const (
 	Ready State = iota
 	Draining
-	Withheld // named, and not to be used
+	Withheld // named by a source, but not to be used
 	Gone
 )
 
-// States are their names.
+// States are the names of the states.
 var States = []string{"ready", "draining", "withheld", "gone"}
 
 func (s State) String() string { return States[s] }
 
-// Source is one source and how far it is believed.
+// Source describes a source and how far it is trusted.
 type Source struct {
 	Name        string
 	Rank        int    // 0 is the highest
-	SilentAfter Micros // without an answer for so long it is not heard
-	ForgetAfter Micros // silent for so long, what it said is forgotten; 0: never
-	Trusted     bool   // its new servers need no sign
+	SilentAfter Micros // without an answer for this long the source is unresponsive
+	ForgetAfter Micros // unresponsive for this long, its reports are discarded; 0: never
+	Trusted     bool   // its new servers need no confirmation
 }
 
-// Settings are the bounds of the merge.
+// Settings configures the merge.
 type Settings struct {
 	Sources         []Source
 	ByAddress       bool    // one address is one server
-	FloorShare      float64 // a step that takes more than this share away is doubted; 0 or 1: none is
-	FloorMinServers int     // and takes so many servers at least
-	RemovalDelay    Micros  // until it is believed
-	FlapHalfLife    Micros  // the penalty halves in
-	FlapSuppress    float64 // returns wait above
-	FlapReuse       float64 // until below
-	ConfirmAfter    Micros  // untrusted: the same source again, so much later
-	MaxServers      int     // beyond, new ones are not taken, and that is counted; 0: no bound
+	FloorShare      float64 // the floor applies if a step removes more than this share; 0 or 1: no floor
+	FloorMinServers int     // and at least this many servers
+	RemovalDelay    Micros  // how long the floor keeps the servers
+	FlapHalfLife    Micros  // half-life of the flap penalty
+	FlapSuppress    float64 // above this penalty a return is delayed
+	FlapReuse       float64 // until the penalty is below this
+	ConfirmAfter    Micros  // untrusted source: a repeated report after this time confirms a new server
+	MaxServers      int     // new servers above this number are rejected and counted; 0: no limit
 }
 
-// Claim is what a source says of one server.
+// Claim is what a source reports about one server.
 type Claim struct {
 	Name      string
 	Aliases   []string // other names of the same server
@@ -112,77 +117,77 @@
 	Drain     bool
 	Health    Health
 	Weight    float64
-	Since     Micros // its start; 0: long ago or not known
+	Since     Micros // start of the server; 0: long ago or unknown
 }
 
-// Observation is one answer of a source.
+// Observation is one answer of a source, or its failure to answer.
 type Observation struct {
 	Source   string
 	Index    int64
-	Complete bool // what is left out is dropped
-	Reset    bool // the source's index has begun anew
-	Failed   bool // no answer came: nothing is said, not even that it is empty
+	Complete bool // servers that are not listed are dropped
+	Reset    bool // the source's index was reset
+	Failed   bool // no answer was received; the rest is ignored and nothing is dropped
 	Claims   []Claim
-	Removed  []string // of an answer that is not whole
+	Removed  []string // names that an incomplete answer drops
 }
 
-// Member is a server as the merge has it.
+// Member is a server in the merged list.
 type Member struct {
 	Name        string
 	State       State
-	Reason      string // why it stands so
+	Reason      string // why the server is in this state
 	Addresses   []string
 	Site        string
 	Kind        string
 	Cell        int
 	Weight      float64
 	Since       Micros
-	DrainSince  Micros `json:"DrainTold"` // when the first source told; 0: none does
-	Unconfirmed bool   `json:"New"`       // withheld for want of a first sign
+	DrainSince  Micros `json:"DrainTold"` // when a source first reported the drain; 0: not draining
+	Unconfirmed bool   `json:"New"`       // withheld until it is confirmed
 }
 
-// equal tells whether two say the same to the decisions.
+// equal reports whether m and o are the same to routing decisions.
 func (m *Member) equal(o *Member) bool {
 	return m.State == o.State && m.Cell == o.Cell && m.Site == o.Site && m.Kind == o.Kind && m.Weight == o.Weight && m.Since == o.Since &&
 		slices.Equal(m.Addresses, o.Addresses)
 }
 
-// source is what is held of a source.
+// source is the state of one source.
 type source struct {
 	Source
 	index      int64
-	answeredAt Micros  // the last answer; 0: never
-	servers    int     // servers that it names
-	lastState  [2]bool // heard, forgotten: at the last step
+	answeredAt Micros  // time of the last answer; 0: never
+	servers    int     // number of servers that it names
+	lastState  [2]bool // responsive and forgotten, as of the last step
 	Calls      int64
 	Failed     int64
-	Old        int64 // answers that were older than what is held
+	Old        int64 // answers with a lower index than the last one
 }
 
-// said is a source's word on a server.
+// sourceClaim is the last claim of one source about one server.
 type sourceClaim struct {
 	Claim
-	since      Micros // since when it says so without a break
-	drainSince Micros // since when it says drain; 0: it does not
-	dropped    bool   // it named it once, and does no more
-	droppedAt  Micros // since when
+	since      Micros // since when the source has named the server without interruption
+	drainSince Micros // since when it has reported the drain; 0: no drain
+	dropped    bool   // it named the server once and no longer does
+	droppedAt  Micros
 }
 
 type server struct {
-	name         string
-	claims       []*sourceClaim // by the source's number; nil: it never named it
-	member       Member
-	listed       bool // ready or draining in the list that is out
-	firstNamedAt Micros
-	confirmed    bool // it has had its first sign
-	penalty      float64
-	penaltyAt    Micros // when the penalty was counted
-	damped       bool   // for its penalty to fade
-	floorSince   Micros // it would have gone since then, and the floor keeps it; 0: not
-	dirty        bool
-	dueAt        Micros   // when time alone changes something for it; 0: never
-	addrs        []string // under which byAddr has it
-	aliases      []string // under which alias has it
+	name             string
+	claims           []*sourceClaim // by index in Members.sources; nil: never named by that source
+	member           Member
+	listed           bool // ready or draining in the last returned list
+	firstNamedAt     Micros
+	confirmed        bool
+	penalty          float64
+	penaltyAt        Micros // when penalty was last updated
+	damped           bool   // its return waits until the penalty has decayed
+	floorSince       Micros // since when the floor has kept it; 0: it does not
+	dirty            bool
+	dueAt            Micros   // when the passage of time next changes something; 0: never
+	indexedAddresses []string // its keys in Members.byAddress
+	aliases          []string // its keys in Members.alias
 }
 
 // Members is the merge. It is not safe for concurrent use.
@@ -191,70 +196,72 @@
 	sources     []*source // by rank
 	byName      map[string]int
 	servers     map[string]*server
-	alias       map[string]string // another name: the server's
-	byAddr      map[string]string
-	order       []string // names, sorted
+	alias       map[string]string // other name to the server's name
+	byAddress   map[string]string
+	order       []string // sorted server names
 	initialized bool     // some source has named a server
 	dirty       []*server
-	timed       map[*server]bool // have a dueAt
-	listed      int              // ready or draining
-	floorKept   int              // kept by the floor
-	dueAt       Micros           // when time alone changes something next; 0: never
+	timed       map[*server]bool // servers with a dueAt
+	listed      int              // number of servers that are ready or draining
+	floorKept   int              // number of servers kept by the floor
+	dueAt       Micros           // when the passage of time next changes something; 0: never
 
-	FloorActive bool  // the floor holds now
-	Damped      int64 // returns that waited
-	Rejected    int64 // servers beyond the bound
+	FloorActive bool  // the floor is currently keeping servers
+	Damped      int64 // returns delayed for flapping
+	Rejected    int64 // claims of new servers above MaxServers
 }
 
-// New returns a merge that knows nothing.
+// New returns an empty merge.
 func New(set Settings) (*Members, error) {
-	m := &Members{settings: set, byName: make(map[string]int), servers: make(map[string]*server), alias: make(map[string]string), byAddr: make(map[string]string), timed: make(map[*server]bool)}
+	m := &Members{settings: set, byName: make(map[string]int), servers: make(map[string]*server), alias: make(map[string]string), byAddress: make(map[string]string), timed: make(map[*server]bool)}
 	return m, m.Configure(set)
 }
 
-// Configure takes other settings. What a source of the same name said stands, under
-// its new rank; what others said is forgotten. After an error nothing has changed.
+// Configure replaces the settings. Claims of a source whose name remains are kept under
+// its new rank; claims of removed sources are discarded. After an error nothing has
+// changed.
 func (m *Members) Configure(set Settings) error {
 	if len(set.Sources) == 0 {
-		return fmt.Errorf("no source")
+		return fmt.Errorf("no sources configured")
 	}
 	byName := make(map[string]int)
 	var sources []*source
 	for _, s := range set.Sources {
 		n := &source{Source: s}
 		if i, known := m.byName[s.Name]; known {
-			kept := *m.sources[i]
-			kept.Source = s
-			n = &kept
+			previous := *m.sources[i]
+			previous.Source = s
+			n = &previous
 		}
 		sources = append(sources, n)
 	}
 	slices.SortStableFunc(sources, func(a, b *source) int { return cmp.Compare(a.Rank, b.Rank) })
 	for i, s := range sources {
-		if _, twice := byName[s.Name]; twice || s.Name == "" {
-			return fmt.Errorf("source %q: named twice, or without a name", s.Name)
+		if _, duplicate := byName[s.Name]; duplicate || s.Name == "" {
+			return fmt.Errorf("source %q: duplicate or empty name", s.Name)
 		}
 		byName[s.Name] = i
 	}
 	for _, v := range m.servers {
-		now := make([]*sourceClaim, len(sources))
+		claims := make([]*sourceClaim, len(sources))
 		for i, s := range m.sources {
 			if to, stays := byName[s.Name]; stays {
-				now[to] = v.claims[i]
+				claims[to] = v.claims[i]
 			}
 		}
-		v.claims = now
+		v.claims = claims
 		m.markDirty(v)
 	}
 	m.settings, m.sources, m.byName = set, sources, byName
 	return nil
 }
 
-// Observe takes an answer of a source. Step then says what changes.
+// Observe records an answer of a source. The next Step returns what changes. It returns
+// an error if the source is not configured.
 func (m *Members) Observe(now Micros, o Observation) error {
 	n, known := m.byName[o.Source]
 	if !known {
-		return fmt.Errorf("there is no source %q", o.Source)
+		return fmt.Errorf("unknown source %q", o.Source)
 	}
 	s := m.sources[n]
 	s.Calls++
@@ -296,7 +303,8 @@
 	return name
 }
 
-// find is the server that a claim is of; a new one is made where there is room.
+// findOrAdd returns the server that a claim is about. It adds a new server, or returns
+// nil if there are MaxServers already.
 func (m *Members) findOrAdd(c Claim, n int) *server {
 	name := m.canonical(c.Name)
 	v := m.servers[name]
@@ -310,7 +318,7 @@
 	}
 	if v == nil && m.settings.ByAddress {
 		for _, a := range c.Addresses {
-			if other, ok := m.byAddr[a]; ok && m.servers[other] != nil {
+			if other, ok := m.byAddress[a]; ok && m.servers[other] != nil {
 				v = m.servers[other]
 				m.addAlias(v, c.Name)
 				break
@@ -336,10 +344,10 @@
 	return v
 }
 
-// mostAliases bounds the names under which one server is known.
+// maxAliases limits the other names, and the indexed addresses, of one server.
 const maxAliases = 16
 
-// also has a server known under another name too.
+// addAlias makes a server known under another name too.
 func (m *Members) addAlias(v *server, name string) {
 	if m.alias[name] != "" || len(v.aliases) >= maxAliases {
 		return
@@ -358,7 +366,7 @@
 	case w.dropped:
 		w.since, w.dropped, w.drainSince = now, false, 0
 		m.sources[n].servers++
-	case sameClaim(&w.Claim, &c): // nothing new: a whole answer says most things again
+	case sameClaim(&w.Claim, &c): // complete answers mostly repeat known claims
 		if !v.confirmed {
 			m.markDirty(v)
 		}
@@ -373,13 +381,13 @@
 	w.Claim = c
 	if m.settings.ByAddress {
 		for _, a := range c.Addresses {
-			if m.byAddr[a] != v.name {
-				m.byAddr[a] = v.name
-				if v.addrs = append(v.addrs, a); len(v.addrs) > maxAliases { // one that moves on and on
-					if m.byAddr[v.addrs[0]] == v.name {
-						delete(m.byAddr, v.addrs[0])
+			if m.byAddress[a] != v.name {
+				m.byAddress[a] = v.name
+				if v.indexedAddresses = append(v.indexedAddresses, a); len(v.indexedAddresses) > maxAliases { // bounds a server that keeps moving
+					if m.byAddress[v.indexedAddresses[0]] == v.name {
+						delete(m.byAddress, v.indexedAddresses[0])
 					}
-					v.addrs = slices.Delete(v.addrs, 0, 1)
+					v.indexedAddresses = slices.Delete(v.indexedAddresses, 0, 1)
 				}
 			}
 		}
@@ -390,7 +398,7 @@
 	m.markDirty(v)
 }
 
-// same tells whether two claims say the same.
+// sameClaim reports whether two claims are equal.
 func sameClaim(a, b *Claim) bool {
 	return a.Site == b.Site && a.Kind == b.Kind && a.Cell == b.Cell && a.HasCell == b.HasCell && a.Drain == b.Drain && a.Health == b.Health &&
 		a.Weight == b.Weight && a.Since == b.Since && a.Name == b.Name && slices.Equal(a.Addresses, b.Addresses) && slices.Equal(a.Aliases, b.Aliases)
@@ -410,19 +418,19 @@
 	}
 }
 
-// turned has the servers of sources that have begun or ceased to be heard looked at
-// anew, and those for which time has changed something.
+// markTimeChanges marks the servers of sources that became responsive, unresponsive or
+// forgotten, and the servers for which the passage of time changes something.
 func (m *Members) markTimeChanges(now Micros) {
-	var turned []int
+	var changed []int
 	for i, s := range m.sources {
-		if is := [2]bool{m.responsive(now, s), m.forgotten(now, s)}; is != s.lastState {
-			s.lastState = is
-			turned = append(turned, i)
+		if state := [2]bool{m.responsive(now, s), m.forgotten(now, s)}; state != s.lastState {
+			s.lastState = state
+			changed = append(changed, i)
 		}
 	}
-	if len(turned) > 0 {
+	if len(changed) > 0 {
 		for _, v := range m.servers {
-			for _, i := range turned {
+			for _, i := range changed {
 				if v.claims[i] != nil {
 					m.markDirty(v)
 				}
@@ -436,22 +444,23 @@
 	}
 }
 
-// heard tells whether a source counts as heard.
+// responsive reports whether a source answered within its SilentAfter.
 func (m *Members) responsive(now Micros, s *source) bool {
 	return s.answeredAt > 0 && now-s.answeredAt < s.SilentAfter
 }
 
-// forgotten tells whether a source has been silent for so long that what it said
-// counts as never said.
+// forgotten reports whether a source has been unresponsive for so long that its claims
+// count as never made.
 func (m *Members) forgotten(now Micros, s *source) bool {
 	return s.answeredAt == 0 || s.ForgetAfter > 0 && now-s.answeredAt >= s.SilentAfter+s.ForgetAfter
 }
 
-// Step merges what has come since the last one, and what time alone has changed. It
-// returns the members that changed, by name; a caller that never saw one has it Gone.
+// Step merges the answers since the last step and the effects of the passage of time.
+// It returns the changed members, sorted by name; to a caller a member that was never
+// returned counts as Gone.
 func (m *Members) Step(now Micros) []Member {
 	m.markTimeChanges(now)
-	if !m.initialized && len(m.servers) > 0 { // in a step, so that the order of answers does not matter
+	if !m.initialized && len(m.servers) > 0 { // in Step, so that the order of the first answers does not matter
 		m.initialized = true
 		for _, v := range m.servers {
 			v.confirmed = true
@@ -486,41 +495,41 @@
 	return out
 }
 
-// merge is the rule, but for floor and flaps, which look at more than one server or
-// at what was before.
+// merge applies the rule to one server, except for the floor and flap damping, which
+// need other servers or the previous state.
 func (m *Members) merge(now Micros, v *server) Member {
 	to := Member{Name: v.name, State: Gone, Reason: "no source names it", Cell: v.member.Cell, Weight: 1}
-	decides := -1
+	decider := -1
 	for i, s := range m.sources {
 		if w := v.claims[i]; w == nil || m.forgotten(now, s) {
 			continue
 		} else if m.responsive(now, s) {
-			decides = i
+			decider = i
 			break
-		} else if decides < 0 {
-			decides = i
+		} else if decider < 0 {
+			decider = i
 		}
 	}
-	cells, cellBy := -1, ""
-	critical, passing := "", math.MaxInt
-	addressed := false
-	disagree := ""
+	cell, cellSource := -1, ""
+	criticalSource, passingRank := "", math.MaxInt
+	hasAddress := false
+	cellConflict := ""
 	for i, s := range m.sources {
 		w := v.claims[i]
 		if w == nil || m.forgotten(now, s) {
 			continue
 		}
-		heard := m.responsive(now, s)
-		if i == decides {
+		responsive := m.responsive(now, s)
+		if i == decider {
 			if w.dropped {
-				to.Reason = s.Name + " has dropped it"
-				if !heard {
-					to.Reason += ", and is silent since"
+				to.Reason = "dropped by " + s.Name
+				if !responsive {
+					to.Reason += ", which is unresponsive now"
 				}
 			} else {
-				to.State, to.Reason = Ready, s.Name+" names it"
-				if !heard {
-					to.Reason = s.Name + " named it, and is silent since"
+				to.State, to.Reason = Ready, "named by "+s.Name
+				if !responsive {
+					to.Reason = "named earlier by " + s.Name + ", which is unresponsive now"
 				}
 			}
 		}
@@ -530,71 +539,71 @@
 			}
 			continue
 		}
-		if w.drainSince > 0 && (heard || !m.startedAfter(now, v, w.drainSince)) && (to.DrainSince == 0 || w.drainSince < to.DrainSince) {
+		if w.drainSince > 0 && (responsive || !m.startedAfter(now, v, w.drainSince)) && (to.DrainSince == 0 || w.drainSince < to.DrainSince) {
 			to.DrainSince = w.drainSince
 		}
 		to.Since = max(to.Since, w.Since)
-		if len(w.Addresses) > 0 && (!addressed || heard && !m.hasHigherAddress(now, v, i)) {
-			if !addressed {
+		if len(w.Addresses) > 0 && (!hasAddress || responsive && !m.hasHigherAddress(now, v, i)) {
+			if !hasAddress {
 				to.Addresses, to.Site, to.Kind = w.Addresses, w.Site, w.Kind
 				if w.Weight > 0 {
 					to.Weight = w.Weight
 				}
 			}
-			addressed = true
+			hasAddress = true
 		}
-		if !heard {
+		if !responsive {
 			continue
 		}
 		if w.HasCell {
 			switch {
-			case cells < 0:
-				cells, cellBy = w.Cell, s.Name
-			case cells != w.Cell && disagree == "":
-				disagree = fmt.Sprintf("%s says cell %d, %s cell %d", cellBy, cells, s.Name, w.Cell)
+			case cell < 0:
+				cell, cellSource = w.Cell, s.Name
+			case cell != w.Cell && cellConflict == "":
+				cellConflict = fmt.Sprintf("%s reports cell %d, %s reports cell %d", cellSource, cell, s.Name, w.Cell)
 			}
 		}
 		switch w.Health {
 		case Critical:
-			if critical == "" && passing > i {
-				critical = s.Name
+			if criticalSource == "" && passingRank > i {
+				criticalSource = s.Name
 			}
 		case Passing, Warning:
-			passing = min(passing, i)
+			passingRank = min(passingRank, i)
 		}
 	}
-	if cells < 0 { // only sources that are silent tell one
+	if cell < 0 { // only unresponsive sources give a cell
 		for i, s := range m.sources {
-			if w := v.claims[i]; w != nil && !w.dropped && w.HasCell && !m.forgotten(now, s) && cells < 0 {
-				cells = w.Cell
+			if w := v.claims[i]; w != nil && !w.dropped && w.HasCell && !m.forgotten(now, s) && cell < 0 {
+				cell = w.Cell
 			}
 		}
 	}
-	if cells >= 0 {
-		to.Cell = cells
+	if cell >= 0 {
+		to.Cell = cell
 	}
 	if to.State == Gone {
 		return to
 	}
 	switch {
-	case cells < 0:
-		to.State, to.Reason = Withheld, "no source tells its cell"
-	case !addressed:
-		to.State, to.Reason = Withheld, "no source tells its address"
-	case disagree != "":
-		to.State, to.Reason = Withheld, disagree
-	case critical != "":
-		to.State, to.Reason = Withheld, critical+" says that its checks are critical"
+	case cell < 0:
+		to.State, to.Reason = Withheld, "no source gives its cell"
+	case !hasAddress:
+		to.State, to.Reason = Withheld, "no source gives its address"
+	case cellConflict != "":
+		to.State, to.Reason = Withheld, cellConflict
+	case criticalSource != "":
+		to.State, to.Reason = Withheld, criticalSource+" reports critical checks"
 	case !m.confirmed(now, v):
-		to.State, to.Reason, to.Unconfirmed = Withheld, "new, and without a first sign", true
+		to.State, to.Reason, to.Unconfirmed = Withheld, "new and not confirmed yet", true
 	case to.DrainSince > 0:
-		to.State, to.Reason = Draining, "told to drain"
+		to.State, to.Reason = Draining, "drain requested"
 	}
 	return to
 }
 
-// lifted tells whether the drain of a server that its source has dropped since holds
-// no more.
+// drainLifted reports whether the drain of a server has ended whose source dropped the
+// server after draining it.
 func (m *Members) drainLifted(now Micros, v *server, by int) bool {
 	w, s := v.claims[by], m.sources[by]
 	if now-w.droppedAt >= s.SilentAfter+s.ForgetAfter {
@@ -608,17 +617,17 @@
 	return false
 }
 
-// later tells whether a source that is heard says that a server started after a time.
-func (m *Members) startedAfter(now Micros, v *server, than Micros) bool {
+// startedAfter reports whether a responsive source gives a start of the server after t.
+func (m *Members) startedAfter(now Micros, v *server, t Micros) bool {
 	for i, o := range v.claims {
-		if o != nil && !o.dropped && o.Since > than && m.responsive(now, m.sources[i]) {
+		if o != nil && !o.dropped && o.Since > t && m.responsive(now, m.sources[i]) {
 			return true
 		}
 	}
 	return false
 }
 
-// addressedBy tells whether a higher-ranked source that is heard gives addresses.
+// hasHigherAddress reports whether a responsive source ranked above below gives addresses.
 func (m *Members) hasHigherAddress(now Micros, v *server, below int) bool {
 	for i := range below {
 		if w := v.claims[i]; w != nil && !w.dropped && len(w.Addresses) > 0 && m.responsive(now, m.sources[i]) {
@@ -628,26 +637,26 @@
 	return false
 }
 
-// proven tells whether a server has had its first sign.
+// confirmed reports whether a server is confirmed, and records it.
 func (m *Members) confirmed(now Micros, v *server) bool {
 	if v.confirmed {
 		return true
 	}
-	by := 0
+	namedBy := 0
 	for i, s := range m.sources {
 		w := v.claims[i]
 		if w == nil || w.dropped || !m.responsive(now, s) {
 			continue
 		}
-		by++
-		if s.Trusted || by > 1 || s.answeredAt-w.since >= m.settings.ConfirmAfter {
+		namedBy++
+		if s.Trusted || namedBy > 1 || s.answeredAt-w.since >= m.settings.ConfirmAfter {
 			v.confirmed = true
 		}
 	}
 	return v.confirmed
 }
 
-// Sign is a first sign from elsewhere: the server has answered.
+// Confirm confirms a new server independently of the sources: it answered a request.
 func (m *Members) Confirm(name string) {
 	if v := m.servers[m.canonical(name)]; v != nil && !v.confirmed {
 		v.confirmed = true
@@ -655,29 +664,30 @@
 	}
 }
 
-// floor keeps a mass disappearance from emptying the list: those that would go at
-// once stay as they are until that has been said for Believe.
+// applyFloor prevents a mass disappearance from emptying the list: servers that would
+// leave in one step stay as they are until their removal has been reported for
+// RemovalDelay.
 func (m *Members) applyFloor(now Micros, dirty []*server, next []Member) {
 	if m.settings.FloorShare <= 0 || m.settings.FloorShare >= 1 {
 		return
 	}
-	listed, going := m.listed, m.floorKept
-	leaves := func(i int) bool {
+	listed, leaving := m.listed, m.floorKept
+	wouldLeave := func(i int) bool {
 		was := dirty[i].member.State
 		return (was == Ready || was == Draining) && next[i].State > Draining && next[i].DrainSince == 0
 	}
 	for i, v := range dirty {
 		switch {
-		case leaves(i) && v.floorSince == 0:
-			going++
-		case !leaves(i) && v.floorSince > 0: // it is named again
+		case wouldLeave(i) && v.floorSince == 0:
+			leaving++
+		case !wouldLeave(i) && v.floorSince > 0: // it is named again
 			m.setFloorSince(v, 0)
-			going--
+			leaving--
 		}
 	}
-	m.FloorActive = going >= max(m.settings.FloorMinServers, 1) && float64(going) > m.settings.FloorShare*float64(listed)
+	m.FloorActive = leaving >= max(m.settings.FloorMinServers, 1) && float64(leaving) > m.settings.FloorShare*float64(listed)
 	for i, v := range dirty {
-		if !leaves(i) {
+		if !wouldLeave(i) {
 			continue
 		}
 		if v.floorSince == 0 && !m.FloorActive {
@@ -692,11 +702,11 @@
 		}
 		reason := next[i].Reason
 		next[i] = v.member
-		next[i].Reason = fmt.Sprintf("%s; too many go at once, so it is kept until that has been said for %d s", reason, m.settings.RemovalDelay/1e6)
+		next[i].Reason = fmt.Sprintf("%s; too many servers would leave at once: kept until that has been reported for %d s", reason, m.settings.RemovalDelay/1e6)
 	}
 }
 
-// hold notes since when the floor keeps a server; 0: it does not.
+// setFloorSince sets since when the floor has kept a server; 0: it does not.
 func (m *Members) setFloorSince(v *server, at Micros) {
 	switch {
 	case v.floorSince == 0 && at > 0:
@@ -707,11 +717,10 @@
 	v.floorSince = at
 }
 
-// faded is a penalty that is as good as none: a server that is gone is remembered
-// for it no longer.
+// negligiblePenalty is the penalty below which a server that is gone can be forgotten.
 const negligiblePenalty = 0.1
 
-// flap holds a return back while a server has come and gone too often.
+// dampFlaps delays the return of a server that has come and gone too often.
 func (m *Members) dampFlaps(now Micros, v *server, to *Member) {
 	if m.settings.FlapHalfLife <= 0 || m.settings.FlapSuppress <= 0 {
 		return
@@ -734,13 +743,13 @@
 		v.damped = false
 	}
 	if v.damped {
-		to.State, to.Reason = Withheld, fmt.Sprintf("it comes and goes: kept back until it stays (penalty %.1f, back at %.1f)", v.penalty, m.settings.FlapReuse)
+		to.State, to.Reason = Withheld, fmt.Sprintf("it comes and goes: withheld until it stays up (penalty %.1f, listed again at %.1f)", v.penalty, m.settings.FlapReuse)
 		return
 	}
 	v.listed = true
 }
 
-// forget lets go of servers that no source names any more.
+// removeForgotten deletes servers that no source names any more.
 func (m *Members) removeForgotten(now Micros, dirty []*server) {
 	for _, v := range dirty {
 		if v.member.State != Gone || v.floorSince > 0 {
@@ -771,36 +780,36 @@
 				delete(m.alias, a)
 			}
 		}
-		for _, a := range v.addrs {
-			if m.byAddr[a] == v.name {
-				delete(m.byAddr, a)
+		for _, a := range v.indexedAddresses {
+			if m.byAddress[a] == v.name {
+				delete(m.byAddress, a)
 			}
 		}
 	}
 }
 
-// time notes when time alone changes something for a server.
+// schedule computes when the passage of time next changes something for a server.
 func (m *Members) schedule(now Micros, v *server) {
 	at := Micros(math.MaxInt64)
-	soon := func(t Micros) {
+	consider := func(t Micros) {
 		if t > now && t < at {
 			at = t
 		}
 	}
 	if v.floorSince > 0 {
-		soon(v.floorSince + m.settings.RemovalDelay)
+		consider(v.floorSince + m.settings.RemovalDelay)
 	}
-	// The penalty halves in FlapHalf: it is at a value after so long.
-	fades := func(to float64) { soon(now + Micros(float64(m.settings.FlapHalfLife)*math.Log2(v.penalty/to)) + 1) }
+	// The penalty halves every FlapHalfLife; this is when it reaches a value.
+	considerDecay := func(to float64) { consider(now + Micros(float64(m.settings.FlapHalfLife)*math.Log2(v.penalty/to)) + 1) }
 	if v.damped {
-		fades(m.settings.FlapReuse)
+		considerDecay(m.settings.FlapReuse)
 	}
 	if v.penalty > negligiblePenalty && v.member.State == Gone {
-		fades(negligiblePenalty)
+		considerDecay(negligiblePenalty)
 	}
 	for i, w := range v.claims {
 		if w != nil && w.dropped && w.drainSince > 0 {
-			soon(w.droppedAt + m.sources[i].SilentAfter + m.sources[i].ForgetAfter)
+			consider(w.droppedAt + m.sources[i].SilentAfter + m.sources[i].ForgetAfter)
 		}
 	}
 	if at == math.MaxInt64 {
@@ -812,24 +821,24 @@
 	m.timed[v] = true
 }
 
-// due is when time alone changes something next.
+// nextDue returns when the passage of time next changes something; 0: never.
 func (m *Members) nextDue(now Micros) Micros {
 	at := Micros(math.MaxInt64)
-	soon := func(t Micros) {
+	consider := func(t Micros) {
 		if t > now && t < at {
 			at = t
 		}
 	}
 	for _, s := range m.sources {
 		if s.answeredAt > 0 {
-			soon(s.answeredAt + s.SilentAfter)
+			consider(s.answeredAt + s.SilentAfter)
 			if s.ForgetAfter > 0 {
-				soon(s.answeredAt + s.SilentAfter + s.ForgetAfter)
+				consider(s.answeredAt + s.SilentAfter + s.ForgetAfter)
 			}
 		}
 	}
 	for v := range m.timed {
-		soon(v.dueAt)
+		consider(v.dueAt)
 	}
 	if at == math.MaxInt64 {
 		return 0
@@ -837,10 +846,10 @@
 	return at
 }
 
-// Due is when Step should be called next though nothing comes in; 0: never.
+// Due returns when Step should be called next if no answer arrives before; 0: never.
 func (m *Members) Due() Micros { return m.dueAt }
 
-// Word is what one source says of a server.
+// SourceReport is what one source reports about a server.
 type SourceReport struct {
 	Source     string
 	Responsive bool   `json:"Heard"`
@@ -853,14 +862,14 @@
 	HasCell    bool
 }
 
-// Belief is a member with what it rests on.
+// Explanation is a member with the reports that it is based on.
 type Explanation struct {
 	Member
 	Penalty float64
 	Reports []SourceReport `json:"Words"`
 }
 
-// Explain tells what is believed of a server, and why; false: nobody ever named it.
+// Explain returns the state of a server and why; false if no source ever named it.
 func (m *Members) Explain(now Micros, name string) (Explanation, bool) {
 	v := m.servers[m.canonical(name)]
 	if v == nil {
@@ -876,7 +885,7 @@
 	return b, true
 }
 
-// All are the members by name.
+// All returns all members, sorted by name.
 func (m *Members) All() []Member {
 	out := make([]Member, 0, len(m.order))
 	for _, name := range m.order {
@@ -885,17 +894,17 @@
 	return out
 }
 
-// Told is a source's standing.
+// SourceStatus is the state of a source.
 type SourceStatus struct {
 	Name               string
 	Responsive         bool   `json:"Heard"`
-	Age                Micros // since its last answer; below 0: there was none
+	Age                Micros // since its last answer; negative: there was none
 	Index              int64
 	Calls, Failed, Old int64
 	Servers            int
 }
 
-// Sources are the sources' standings, by rank.
+// Sources returns the state of each source, by rank.
 func (m *Members) Sources(now Micros) []SourceStatus {
 	var out []SourceStatus
 	for _, s := range m.sources {
--- a/internal/core/membership/membership_test.go
+++ b/internal/core/membership/membership_test.go
@@ -17,21 +17,21 @@
 		{Name: "dns", Rank: 2, SilentAfter: 10 * sec, ForgetAfter: 60 * sec}}, FloorShare: 0.5, FloorMinServers: 3, RemovalDelay: 20 * sec, FlapHalfLife: 10 * sec, FlapSuppress: 2.5, FlapReuse: 1, ConfirmAfter: 2 * sec}
 }
 
-type stage struct {
-	t   *testing.T
-	m   *Members
-	now Micros
-	idx int64
+type testMembers struct {
+	t       *testing.T
+	members *Members
+	now     Micros
+	index   int64
 }
 
-func begin(t *testing.T, change func(*Settings)) *stage {
+func newTestMembers(t *testing.T, change func(*Settings)) *testMembers {
 	s := settings()
 	if change != nil {
 		change(&s)
 	}
 	m, err := New(s)
 	require.NoError(t, err)
-	return &stage{t: t, m: m, now: sec}
+	return &testMembers{t: t, members: m, now: sec}
 }
 
 func claim(name string, cell int, more ...func(*Claim)) Claim {
@@ -46,213 +46,214 @@
 func critical(c *Claim) { c.Health = Critical }
 func passing(c *Claim)  { c.Health = Passing }
 
-func (s *stage) says(source string, claims ...Claim) {
-	s.idx++
-	require.NoError(s.t, s.m.Observe(s.now, Observation{Source: source, Index: s.idx, Complete: true, Claims: claims}))
-	s.m.Step(s.now)
+func (s *testMembers) answer(source string, claims ...Claim) {
+	s.index++
+	require.NoError(s.t, s.members.Observe(s.now, Observation{Source: source, Index: s.index, Complete: true, Claims: claims}))
+	s.members.Step(s.now)
 }
 
-func (s *stage) fails(source string) {
-	require.NoError(s.t, s.m.Observe(s.now, Observation{Source: source, Failed: true}))
-	s.m.Step(s.now)
+func (s *testMembers) fail(source string) {
+	require.NoError(s.t, s.members.Observe(s.now, Observation{Source: source, Failed: true}))
+	s.members.Step(s.now)
 }
 
-func (s *stage) wait(d Micros) { s.now += d; s.m.Step(s.now) }
+func (s *testMembers) advance(d Micros) { s.now += d; s.members.Step(s.now) }
 
-func (s *stage) is(name string, want State, why string) {
+func (s *testMembers) requireState(name string, want State, why string) {
 	s.t.Helper()
-	b, ok := s.m.Explain(s.now, name)
+	b, ok := s.members.Explain(s.now, name)
 	if !ok {
-		require.Equal(s.t, Gone, want, "%s is not known", name)
+		require.Equal(s.t, Gone, want, "%s is unknown", name)
 		return
 	}
 	require.Equal(s.t, want, b.State, b.Reason)
 	require.Contains(s.t, b.Reason, why)
 }
 
-// The table of the rule, line by line.
+// Checks each line of the merge rule in the package documentation.
 func TestRule(t *testing.T) {
-	s := begin(t, nil)
-	s.says("list", claim("a", 1), claim("b", 1))
-	s.says("dns", claim("a", 1), claim("b", 1), claim("c", 2))
-	s.is("a", Ready, "list names it")
-	s.is("c", Withheld, "without a first sign")
-	s.wait(3 * sec)
-	s.says("dns", claim("a", 1), claim("b", 1), claim("c", 2))
-	s.is("c", Ready, "dns names it")
-	// What the list has dropped, DNS does not keep; what DNS drops, the list keeps.
-	s.says("list", claim("a", 1))
-	s.is("b", Gone, "list has dropped it")
-	s.says("dns", claim("c", 2))
-	s.is("a", Ready, "list names it")
+	s := newTestMembers(t, nil)
+	s.answer("list", claim("a", 1), claim("b", 1))
+	s.answer("dns", claim("a", 1), claim("b", 1), claim("c", 2))
+	s.requireState("a", Ready, "named by list")
+	s.requireState("c", Withheld, "not confirmed yet")
+	s.advance(3 * sec)
+	s.answer("dns", claim("a", 1), claim("b", 1), claim("c", 2))
+	s.requireState("c", Ready, "named by dns")
+	// DNS does not keep what the list has dropped; the list keeps what DNS drops.
+	s.answer("list", claim("a", 1))
+	s.requireState("b", Gone, "dropped by list")
+	s.answer("dns", claim("c", 2))
+	s.requireState("a", Ready, "named by list")
 
-	// A drain by any source; lifted by that source alone, and by no older news.
-	s.says("consul", claim("a", 1, drain))
-	s.is("a", Draining, "told to drain")
-	told := s.m.servers["a"].member.DrainSince
-	s.wait(sec)
-	s.says("list", claim("a", 1, drain))
-	require.Equal(t, told, s.m.servers["a"].member.DrainSince)
-	require.NoError(t, s.m.Observe(s.now, Observation{Source: "consul", Index: 1, Complete: true, Claims: []Claim{claim("a", 1)}}))
-	s.m.Step(s.now)
-	s.is("a", Draining, "told to drain")
-	s.says("list", claim("a", 1))
-	s.is("a", Draining, "told to drain")
-	s.says("consul", claim("a", 1))
-	s.is("a", Ready, "list names it")
+	// Any source can start a drain; only that source revokes it, and not by an old answer.
+	s.answer("consul", claim("a", 1, drain))
+	s.requireState("a", Draining, "drain requested")
+	drainSince := s.members.servers["a"].member.DrainSince
+	s.advance(sec)
+	s.answer("list", claim("a", 1, drain))
+	require.Equal(t, drainSince, s.members.servers["a"].member.DrainSince)
+	require.NoError(t, s.members.Observe(s.now, Observation{Source: "consul", Index: 1, Complete: true, Claims: []Claim{claim("a", 1)}}))
+	s.members.Step(s.now)
+	s.requireState("a", Draining, "drain requested")
+	s.answer("list", claim("a", 1))
+	s.requireState("a", Draining, "drain requested")
+	s.answer("consul", claim("a", 1))
+	s.requireState("a", Ready, "named by list")
 
-	// Critical withholds, unless a higher one that is heard says passing.
-	s.says("dns", claim("a", 1, critical))
-	s.is("a", Withheld, "dns says that its checks are critical")
-	s.says("consul", claim("a", 1, passing))
-	s.is("a", Ready, "")
+	// Critical checks withhold, unless a higher-ranked responsive source reports passing.
+	s.answer("dns", claim("a", 1, critical))
+	s.requireState("a", Withheld, "dns reports critical checks")
+	s.answer("consul", claim("a", 1, passing))
+	s.requireState("a", Ready, "")
 
-	// Two cells for one server: withheld until they agree or one is silent.
-	s.says("consul", claim("a", 7))
-	s.is("a", Withheld, "list says cell 1, consul cell 7")
-	s.wait(9 * sec)
-	s.says("list", claim("a", 1))
-	s.wait(2 * sec)
-	s.is("a", Ready, "")
-	require.Equal(t, 1, s.m.servers["a"].member.Cell)
+	// A server with two cells is withheld until the sources agree or one is unresponsive.
+	s.answer("consul", claim("a", 7))
+	s.requireState("a", Withheld, "list reports cell 1, consul reports cell 7")
+	s.advance(9 * sec)
+	s.answer("list", claim("a", 1))
+	s.advance(2 * sec)
+	s.requireState("a", Ready, "")
+	require.Equal(t, 1, s.members.servers["a"].member.Cell)
 }
 
-// Silence: the last word stands, and after its time is forgotten; an answer that
-// fails says nothing, not even that it is empty; the address is one source's.
-func TestSilence(t *testing.T) {
-	s := begin(t, func(s *Settings) { s.FloorShare = 0 })
-	s.says("consul", claim("x", 3))
-	s.wait(3 * sec)
-	s.says("consul", claim("x", 3))
-	s.is("x", Ready, "consul names it")
+// An unresponsive source's last claims stay valid and are forgotten later; a failed
+// answer drops nothing; all addresses come from one source.
+func TestUnresponsiveSource(t *testing.T) {
+	s := newTestMembers(t, func(s *Settings) { s.FloorShare = 0 })
+	s.answer("consul", claim("x", 3))
+	s.advance(3 * sec)
+	s.answer("consul", claim("x", 3))
+	s.requireState("x", Ready, "named by consul")
 	for range 20 {
-		s.wait(2 * sec)
-		s.fails("consul")
+		s.advance(2 * sec)
+		s.fail("consul")
 	}
-	s.is("x", Ready, "is silent since")
-	s.wait(40 * sec)
-	s.is("x", Gone, "")
-	s.says("consul", claim("x", 3, func(c *Claim) { c.Addresses = []string{"old:1"} }))
-	s.says("list", claim("x", 3, func(c *Claim) { c.Addresses = []string{"new:1", "new:2"} }))
-	require.Equal(t, []string{"new:1", "new:2"}, s.m.servers["x"].member.Addresses)
-	s.wait(9 * sec)
-	s.says("consul", claim("x", 3, func(c *Claim) { c.Addresses = []string{"other:1"} }))
-	s.wait(2 * sec) // the list is silent now
-	s.m.Step(s.now)
-	require.Equal(t, []string{"new:1", "new:2"}, s.m.servers["x"].member.Addresses, "a silent source's address stands until one that is heard is asked")
+	s.requireState("x", Ready, "which is unresponsive now")
+	s.advance(40 * sec)
+	s.requireState("x", Gone, "")
+	s.answer("consul", claim("x", 3, func(c *Claim) { c.Addresses = []string{"old:1"} }))
+	s.answer("list", claim("x", 3, func(c *Claim) { c.Addresses = []string{"new:1", "new:2"} }))
+	require.Equal(t, []string{"new:1", "new:2"}, s.members.servers["x"].member.Addresses)
+	s.advance(9 * sec)
+	s.answer("consul", claim("x", 3, func(c *Claim) { c.Addresses = []string{"other:1"} }))
+	s.advance(2 * sec) // the list is unresponsive now
+	s.members.Step(s.now)
+	require.Equal(t, []string{"new:1", "new:2"}, s.members.servers["x"].member.Addresses, "the address of an unresponsive source is kept")
 }
 
-// Consul loses its leader in the middle of a release: what it dropped and drained before
-// comes back by the list, which is heard, and by a start after the drain.
-func TestSilentInARelease(t *testing.T) {
-	s := begin(t, func(s *Settings) {
+// Consul loses its leader in the middle of a release. Servers that it dropped or
+// drained before return through the list, which is responsive, and through a start
+// after the drain.
+func TestUnresponsiveSourceDuringRelease(t *testing.T) {
+	s := newTestMembers(t, func(s *Settings) {
 		s.FloorShare, s.FlapHalfLife = 0, 0
 		s.Sources = []Source{{Name: "consul", Rank: 0, SilentAfter: 5 * sec, Trusted: true}, {Name: "list", Rank: 1, SilentAfter: 5 * sec, Trusted: true}}
 	})
-	all := []Claim{claim("a", 1), claim("b", 1), claim("c", 1)}
-	s.says("consul", all...)
-	s.says("list", all...)
-	s.says("consul", claim("a", 1, drain), claim("c", 1, drain)) // a drains, b has ended
-	s.is("b", Gone, "consul has dropped it")
-	s.wait(4 * sec)
-	s.fails("consul")
-	s.wait(2 * sec)
+	claims := []Claim{claim("a", 1), claim("b", 1), claim("c", 1)}
+	s.answer("consul", claims...)
+	s.answer("list", claims...)
+	s.answer("consul", claim("a", 1, drain), claim("c", 1, drain)) // a is draining, b has ended
+	s.requireState("b", Gone, "dropped by consul")
+	s.advance(4 * sec)
+	s.fail("consul")
+	s.advance(2 * sec)
 	restarted := func(c *Claim) { c.Since = s.now }
-	s.says("list", claim("a", 1, restarted), claim("b", 1), claim("c", 1))
-	s.is("a", Ready, "list names it")
-	s.is("b", Ready, "list names it")
-	s.is("c", Draining, "told to drain") // nobody says that it started anew
-	s.says("consul", claim("a", 1, drain), claim("c", 1))
-	s.is("a", Draining, "told to drain")
-	s.is("b", Gone, "consul has dropped it")
-	s.is("c", Ready, "")
+	s.answer("list", claim("a", 1, restarted), claim("b", 1), claim("c", 1))
+	s.requireState("a", Ready, "named by list")
+	s.requireState("b", Ready, "named by list")
+	s.requireState("c", Draining, "drain requested") // no source reports a later start
+	s.answer("consul", claim("a", 1, drain), claim("c", 1))
+	s.requireState("a", Draining, "drain requested")
+	s.requireState("b", Gone, "dropped by consul")
+	s.requireState("c", Ready, "")
 }
 
-// An empty answer for two seconds takes nothing; said for long enough it is believed;
-// drains go through the floor at once.
+// An empty answer for two seconds removes nothing; once it was repeated for long enough
+// it does. Drains are not delayed by the floor.
 func TestFloor(t *testing.T) {
-	s := begin(t, nil)
-	var all []Claim
+	s := newTestMembers(t, nil)
+	var claims []Claim
 	for i := range 10 {
-		all = append(all, claim(fmt.Sprint("s", i), i%3))
+		claims = append(claims, claim(fmt.Sprint("s", i), i%3))
 	}
-	s.says("list", all...)
-	s.says("list")
-	s.is("s0", Ready, "too many go at once")
-	require.True(t, s.m.FloorActive)
-	s.wait(2 * sec)
-	s.says("list", all...)
-	require.False(t, s.m.FloorActive)
-	s.is("s0", Ready, "list names it")
-	drained := slices.Clone(all)
-	for i := range drained {
-		drain(&drained[i])
+	s.answer("list", claims...)
+	s.answer("list")
+	s.requireState("s0", Ready, "too many servers would leave at once")
+	require.True(t, s.members.FloorActive)
+	s.advance(2 * sec)
+	s.answer("list", claims...)
+	require.False(t, s.members.FloorActive)
+	s.requireState("s0", Ready, "named by list")
+	draining := slices.Clone(claims)
+	for i := range draining {
+		drain(&draining[i])
 	}
-	s.says("list", drained...)
-	s.is("s9", Draining, "")
-	s.says("list", all...)
-	s.says("list", all[:2]...)
+	s.answer("list", draining...)
+	s.requireState("s9", Draining, "")
+	s.answer("list", claims...)
+	s.answer("list", claims[:2]...)
 	for range 3 {
-		s.wait(5 * sec)
-		s.says("list", all[:2]...)
+		s.advance(5 * sec)
+		s.answer("list", claims[:2]...)
 	}
-	s.is("s5", Ready, "too many go at once")
-	s.wait(5 * sec)
-	s.says("list", all[:2]...)
-	s.is("s5", Gone, "")
-	s.is("s1", Ready, "")
+	s.requireState("s5", Ready, "too many servers would leave at once")
+	s.advance(5 * sec)
+	s.answer("list", claims[:2]...)
+	s.requireState("s5", Gone, "")
+	s.requireState("s1", Ready, "")
 }
 
-// A server that comes and goes waits longer and longer to come back, and never to go.
+// The return of a flapping server is delayed more and more; its removal never is.
 func TestFlaps(t *testing.T) {
-	s := begin(t, func(s *Settings) { s.FloorShare = 0 })
+	s := newTestMembers(t, func(s *Settings) { s.FloorShare = 0 })
 	base := []Claim{claim("k", 1)}
-	back := 0
+	returns := 0
 	for range 10 {
-		s.says("list", append(base, claim("f", 1))...)
-		if s.m.servers["f"].member.State == Ready {
-			back++
+		s.answer("list", append(base, claim("f", 1))...)
+		if s.members.servers["f"].member.State == Ready {
+			returns++
 		}
-		s.wait(sec)
-		s.says("list", base...)
-		s.is("f", Gone, "")
-		s.wait(sec)
+		s.advance(sec)
+		s.answer("list", base...)
+		s.requireState("f", Gone, "")
+		s.advance(sec)
 	}
-	require.Less(t, back, 8)
-	require.Positive(t, s.m.Damped)
-	s.says("list", append(base, claim("f", 1))...)
-	s.is("f", Withheld, "comes and goes")
-	for s.m.servers["f"].member.State != Ready {
-		require.Positive(t, s.m.Due())
-		s.now = s.m.Due()
-		s.says("list", append(base, claim("f", 1))...)
+	require.Less(t, returns, 8)
+	require.Positive(t, s.members.Damped)
+	s.answer("list", append(base, claim("f", 1))...)
+	s.requireState("f", Withheld, "comes and goes")
+	for s.members.servers["f"].member.State != Ready {
+		require.Positive(t, s.members.Due())
+		s.now = s.members.Due()
+		s.answer("list", append(base, claim("f", 1))...)
 		require.Less(t, s.now, 200*sec)
 	}
 }
 
-// Names: an alias, one address where that is set, the bound on servers, an index
-// that begins anew.
+// Server identity: aliases, one address under two names, the limit on servers, and an
+// index that is reset.
 func TestIdentity(t *testing.T) {
-	s := begin(t, func(s *Settings) { s.ByAddress, s.MaxServers = true, 3 })
-	s.says("list", claim("a", 1))
-	s.says("consul", Claim{Name: "node-a", Aliases: []string{"a"}, Cell: 1, HasCell: true, Drain: true})
-	s.says("dns", Claim{Name: "a.example.org", Addresses: []string{"a:1"}})
-	s.is("a", Draining, "")
-	b, _ := s.m.Explain(s.now, "a.example.org")
+	s := newTestMembers(t, func(s *Settings) { s.ByAddress, s.MaxServers = true, 3 })
+	s.answer("list", claim("a", 1))
+	s.answer("consul", Claim{Name: "node-a", Aliases: []string{"a"}, Cell: 1, HasCell: true, Drain: true})
+	s.answer("dns", Claim{Name: "a.example.org", Addresses: []string{"a:1"}})
+	s.requireState("a", Draining, "")
+	b, _ := s.members.Explain(s.now, "a.example.org")
 	require.Equal(t, "a", b.Name)
 	require.Len(t, b.Reports, 3)
-	s.says("list", claim("a", 1), claim("b", 1), claim("c", 1), claim("d", 1))
-	require.EqualValues(t, 1, s.m.Rejected)
-	require.NoError(t, s.m.Observe(s.now, Observation{Source: "list", Index: 1, Reset: true, Complete: true, Claims: []Claim{claim("a", 1), claim("b", 1), claim("c", 1)}}))
-	s.m.Step(s.now)
-	require.EqualValues(t, 1, s.m.Sources(s.now)[0].Index)
-	require.Error(t, s.m.Observe(s.now, Observation{Source: "rumour"}))
+	s.answer("list", claim("a", 1), claim("b", 1), claim("c", 1), claim("d", 1))
+	require.EqualValues(t, 1, s.members.Rejected)
+	require.NoError(t, s.members.Observe(s.now, Observation{Source: "list", Index: 1, Reset: true, Complete: true, Claims: []Claim{claim("a", 1), claim("b", 1), claim("c", 1)}}))
+	s.members.Step(s.now)
+	require.EqualValues(t, 1, s.members.Sources(s.now)[0].Index)
+	require.Error(t, s.members.Observe(s.now, Observation{Source: "unlisted"}))
 }
 
-// Whatever comes: the order of answers of different sources at one time does not
-// matter; a drain told by a source that still says it is never undone, and its time
-// is the first; nobody is there whom no source named; no server is to be used whose
-// cells disagree.
+// For any sequence of answers: the order of simultaneous answers from different sources
+// does not matter; a drain is not revoked while its source reports it, and keeps its
+// first time; no server is listed that no source named; no server is used whose cells
+// disagree.
 func TestProperties(t *testing.T) {
 	names := []string{"a", "b", "c", "d", "e"}
 	rapid.Check(t, func(t *rapid.T) {
@@ -260,22 +261,22 @@
 		if rapid.Bool().Draw(t, "no floor") {
 			set.FloorShare = 0
 		}
-		one, _ := New(set)
-		two, _ := New(set)
+		forward, _ := New(set)
+		reversed, _ := New(set)
 		named := make(map[string]bool)
 		index := map[string]int64{}
 		drains := make(map[string]map[string]bool) // by source
-		seen := make(map[string]Member)
+		reported := make(map[string]Member)
 		now := sec
 		for range rapid.IntRange(1, 25).Draw(t, "rounds") {
 			now += Micros(rapid.IntRange(1, 8000).Draw(t, "ms")) * 1000
-			var round []Observation
-			for _, src := range []string{"list", "consul", "dns"} {
-				if rapid.IntRange(0, 2).Draw(t, "speaks") == 0 {
+			var observations []Observation
+			for _, source := range []string{"list", "consul", "dns"} {
+				if rapid.IntRange(0, 2).Draw(t, "answers") == 0 {
 					continue
 				}
-				o := Observation{Source: src, Complete: rapid.Bool().Draw(t, "whole"), Failed: rapid.IntRange(0, 5).Draw(t, "fails") == 0}
-				o.Index = max(index[src]+int64(rapid.IntRange(-1, 2).Draw(t, "index")), 0)
+				o := Observation{Source: source, Complete: rapid.Bool().Draw(t, "complete"), Failed: rapid.IntRange(0, 5).Draw(t, "fails") == 0}
+				o.Index = max(index[source]+int64(rapid.IntRange(-1, 2).Draw(t, "index")), 0)
 				for _, n := range names {
 					switch rapid.IntRange(0, 3).Draw(t, n) {
 					case 0, 1:
@@ -285,56 +286,56 @@
 						o.Removed = append(o.Removed, n)
 					}
 				}
-				old := o.Index < index[src]
+				old := o.Index < index[source]
 				if !o.Failed && !old {
-					index[src] = o.Index
-					if drains[src] == nil || o.Complete {
-						drains[src] = make(map[string]bool)
+					index[source] = o.Index
+					if drains[source] == nil || o.Complete {
+						drains[source] = make(map[string]bool)
 					}
 					for _, n := range o.Removed {
-						delete(drains[src], n)
+						delete(drains[source], n)
 					}
 					for _, c := range o.Claims {
 						named[c.Name] = true
-						drains[src][c.Name] = c.Drain
+						drains[source][c.Name] = c.Drain
 					}
 				}
-				round = append(round, o)
+				observations = append(observations, o)
 			}
-			for _, o := range round {
-				one.Observe(now, o)
+			for _, o := range observations {
+				forward.Observe(now, o)
 			}
-			for _, o := range slices.Backward(round) {
-				two.Observe(now, o)
+			for _, o := range slices.Backward(observations) {
+				reversed.Observe(now, o)
 			}
-			for _, m := range one.Step(now) {
-				seen[m.Name] = m
+			for _, m := range forward.Step(now) {
+				reported[m.Name] = m
 			}
-			two.Step(now)
-			if !slices.EqualFunc(one.All(), two.All(), func(a, b Member) bool { return a.equal(&b) && a.Name == b.Name && a.DrainSince == b.DrainSince }) {
-				t.Fatalf("the order of sources matters:\n%+v\n%+v", one.All(), two.All())
+			reversed.Step(now)
+			if !slices.EqualFunc(forward.All(), reversed.All(), func(a, b Member) bool { return a.equal(&b) && a.Name == b.Name && a.DrainSince == b.DrainSince }) {
+				t.Fatalf("the order of sources matters:\n%+v\n%+v", forward.All(), reversed.All())
 			}
-			for _, m := range one.All() {
+			for _, m := range forward.All() {
 				if !named[m.Name] {
 					t.Fatalf("%s was never named", m.Name)
 				}
-				for _, src := range slices.Sorted(maps.Keys(drains)) {
-					if drains[src][m.Name] && m.State == Ready && one.responsive(now, one.sources[one.byName[src]]) {
-						t.Fatalf("%s is ready, and %s says that it drains", m.Name, src)
+				for _, source := range slices.Sorted(maps.Keys(drains)) {
+					if drains[source][m.Name] && m.State == Ready && forward.responsive(now, forward.sources[forward.byName[source]]) {
+						t.Fatalf("%s is ready although %s reports a drain", m.Name, source)
 					}
 				}
-				if was, ok := seen[m.Name]; ok && !was.equal(&m) {
-					t.Fatalf("%s changed and was not told: %+v, %+v", m.Name, was, m)
+				if was, ok := reported[m.Name]; ok && !was.equal(&m) {
+					t.Fatalf("%s changed but was not returned by Step: %+v, %+v", m.Name, was, m)
 				}
 				if m.State == Ready || m.State == Draining {
 					cell := -1
-					b, _ := one.Explain(now, m.Name)
+					b, _ := forward.Explain(now, m.Name)
 					for _, w := range b.Reports {
 						if w.Dropped || !w.Responsive || !w.HasCell {
 							continue
 						}
-						if cell >= 0 && cell != w.Cell && one.servers[m.Name].floorSince == 0 {
-							t.Fatalf("%s is to be used, and its cells disagree: %+v", m.Name, b)
+						if cell >= 0 && cell != w.Cell && forward.servers[m.Name].floorSince == 0 {
+							t.Fatalf("%s is used although its cells disagree: %+v", m.Name, b)
 						}
 						cell = w.Cell
 					}
@@ -348,17 +349,17 @@
 	for _, n := range []int{100, 1000, 10000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			m, _ := New(settings())
-			var all []Claim
+			var claims []Claim
 			for i := range n {
-				all = append(all, claim(fmt.Sprint("s", i), i%50))
+				claims = append(claims, claim(fmt.Sprint("s", i), i%50))
 			}
 			now := sec
-			m.Observe(now, Observation{Source: "list", Index: 1, Complete: true, Claims: all})
+			m.Observe(now, Observation{Source: "list", Index: 1, Complete: true, Claims: claims})
 			m.Step(now)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				now += 1000
-				c := all[i%n]
+				c := claims[i%n]
 				c.Drain = i/n%2 == 0
 				m.Observe(now, Observation{Source: "list", Index: int64(i + 2), Claims: []Claim{c}})
 				m.Step(now)
