--- a/internal/core/level/level.go
+++ b/internal/core/level/level.go
@@ -1,20 +1,21 @@
-// Package level decides at which level of service a mixer works: which of the named
-// levels is in force, when a lower one is entered, and when a better one is tried and
-// taken back. It owns that and the reasons for it. It must never change the level on a
-// single reading, leave one untried, or swing with a fault that comes and goes.
+// Package level decides at which service level a proxy works: which of the configured
+// levels is active, when a more degraded one is entered, and when a better one is tried
+// and adopted or rejected. It also gives the reason for each change. It never changes
+// the level on a single reading, never adopts a better level without a trial, and does
+// not oscillate with a fault that comes and goes.
 //
-// The way. Each level but the first (full service) has conditions on signals: a signal
-// above its bound speaks for the level, by how many times it is above. What speaks is
-// summed over time (a CUSUM, Page 1954, with the bound as reference value): the level
-// is entered when the sum of a level reaches Evidence, so that a signal at twice its
-// bound takes half as long as one at 1.5 times, and one that hovers at its bound never
-// does. To leave, the sum of what speaks against (signals below Back times their bound)
-// must reach Calm, and the level must have stood for its stay. Then the better level is
-// *tried*: a share of the queries goes by it for Trial, and is set beside the others. A
-// trial that goes badly ends at once, and doubles the stay up to MostStay; a stay is
-// forgotten by half for each MostStay spent at full service. A fault that comes and goes
-// meets ever longer stays: in an hour the level changes a few times, not with each of
-// its comings.
+// Each level but the first (full service) has conditions on signals. A signal above its
+// bound is evidence for the level, in proportion to how many times it is above. The
+// evidence is summed over time (CUSUM, Page 1954, with the bound as reference value).
+// A level is entered when its sum reaches Evidence: a signal at twice its bound takes
+// half as long as one at 1.5 times, and one that hovers at its bound never gets there.
+// To leave a level, the sum of the evidence against it (signals below ExitRatio times
+// their bound) must reach Calm, and the level must have been active for its stay. Then
+// the better level is tried: for Trial, a share of the queries is served at the better
+// level and compared with the others. A trial with worse results ends at once and
+// doubles the stay, up to MaxStay; each MaxStay spent at full service halves the stay
+// again. A recurring fault therefore meets longer and longer stays: the level changes a
+// few times an hour and not with every recurrence.
 package level
 
 import (
@@ -22,23 +23,23 @@
 	"math"
 )
 
-// Micros is a clock reading or a span in microseconds.
+// Micros is a clock reading or a duration in microseconds.
 type Micros = int64
 
-// Signals are what was measured in a span that has just ended. Shares are 0 to 1.
+// Signals are the measurements of an interval that has just ended. Shares are 0 to 1.
 type Signals struct {
-	QueryRate float64 `json:"Asked"` // queries a second; with fewer than a few nothing is judged
-	Refused   float64 // share of the value asked for that was refused for want of room
-	Failed    float64 // share that failed or came too late
-	SlowStart float64 `json:"Cold"`    // share of the usable servers that are cold
+	QueryRate float64 `json:"Asked"` // queries per second; 0 if there were too few to judge
+	Refused   float64 // share of the requested value that was refused for lack of capacity
+	Failed    float64 // share that failed or was late
+	SlowStart float64 `json:"Cold"`    // share of the usable servers that are in slow start
 	CellsDown float64 `json:"Unsound"` // share of cells without a usable server
-	Queue     float64 // ms that what came in waited for the exchange
+	Queue     float64 // time that arrivals waited for the exchange, ms
 }
 
-// Names are the signals' names in the operator file, in the order of Signals.
+// SignalNames are the names of the signals in the operator file, in the order of Signals.
 var SignalNames = []string{"refused", "failed", "cold", "unsound", "queue"}
 
-// of is a signal by name.
+// value returns a signal by its name.
 func (s *Signals) value(name string) float64 {
 	switch name {
 	case "refused":
@@ -55,57 +56,57 @@
 	return 0
 }
 
-// Cond is a condition: a signal above a bound.
+// Condition is met while a signal is above a bound.
 type Condition struct {
 	Signal string
 	Above  float64
 }
 
-// Level is a level below full service, by what speaks for it: any of its conditions.
+// Level is a level below full service. Any one of its conditions is evidence for it.
 type Level struct {
 	Name  string
 	Enter []Condition
 }
 
-// Settings are the bounds. Spans are in microseconds.
+// Settings are the levels and the parameters of the decision. Times are in microseconds.
 type Settings struct {
-	Levels        []Level // from the mildest on; full service is above all and has no conditions
-	Evidence      Micros  // at twice a bound, so long, until a level is entered
-	ExitRatio     float64 // below this share of all its bounds a level is spoken against
-	Calm          Micros  // at nothing at all, so long, until it may be left
-	MinStay       Micros  // at the least
-	MaxStay       Micros
-	Trial         Micros
-	MaxRegression float64 // a trial fails where its share of bad ends is above the others' by this
-	MinSamples    int     // and it has seen so many
+	Levels        []Level // the least degraded first; full service is not listed and has no conditions
+	Evidence      Micros  // time until a level is entered with a signal at twice its bound
+	ExitRatio     float64 // signals below this ratio of their bounds are evidence against a level
+	Calm          Micros  // time until a level may be left with all signals at 0
+	MinStay       Micros  // minimum time at a level
+	MaxStay       Micros  // limit of the minimum time after failed trials
+	Trial         Micros  // duration of a trial
+	MaxRegression float64 // a trial fails if its share of lost value exceeds the others' by more
+	MinSamples    int     // queries that a trial must have seen before it is judged
 }
 
-// Change is a change of the level, with its reason in figures.
+// Change is a change of the level, with the figures that caused it.
 type Change struct {
 	At       Micros
 	From, To int // 0 is full service
 	Reason   string
 }
 
-// State is one mixer's level.
+// State is the service level of one proxy.
 type State struct {
 	settings  Settings
 	level     int
 	since     Micros
-	lastRead  Micros // the last reading
+	lastRead  Micros // time of the last reading
 	enterSums []float64
 	exitSum   float64
 	stay      Micros
-	fullSince Micros // since when it is at full service
+	fullSince Micros // start of the current period at full service
 
-	trialSince   Micros // since when the better level is tried; 0: it is not
+	trialSince   Micros // start of the trial of the better level; 0: no trial
 	trialGroup   group
 	controlGroup group
-	pin          int // below 0: none
+	pin          int // pinned level; negative: none
 	pinUntil     Micros
 }
 
-// group is how queries ended.
+// group counts queries and the value that they lost.
 type group struct{ n, bad float64 }
 
 func (g group) badRatio() float64 {
@@ -115,12 +116,12 @@
 	return g.bad / g.n
 }
 
-// New returns a mixer's level: full service.
+// New returns the state of a proxy at full service.
 func New(set Settings, now Micros) *State {
 	return &State{settings: set, enterSums: make([]float64, len(set.Levels)), stay: set.MinStay, since: now, lastRead: now, fullSince: now, pin: -1}
 }
 
-// Level is the level in force; 0 is full service.
+// Level returns the active level; 0 is full service.
 func (s *State) Level() int {
 	if s.pin >= 0 {
 		return s.pin
@@ -128,7 +129,7 @@
 	return s.level
 }
 
-// Name is a level's name.
+// Name returns the name of a level.
 func (s *State) Name(level int) string {
 	if level == 0 {
 		return "full"
@@ -136,39 +137,40 @@
 	return s.settings.Levels[level-1].Name
 }
 
-// Trying tells whether the next better level is being tried.
+// TrialActive reports whether the next better level is being tried.
 func (s *State) TrialActive() bool { return s.trialSince > 0 && s.pin < 0 }
 
-// Stay is how long the level in force must stand.
+// Stay returns how long the level must be active before it may be left.
 func (s *State) Stay() Micros { return s.stay }
 
-// pressure is how many times a level's bounds are exceeded, by the signal that speaks
-// loudest.
+// pressure returns the largest ratio of a signal to its bound among a level's
+// conditions, and a description of that signal.
 func (s *State) pressure(level int, g *Signals) (float64, string) {
-	most, why := 0.0, ""
+	highest, reason := 0.0, ""
 	for _, c := range s.settings.Levels[level-1].Enter {
 		if c.Above <= 0 {
 			continue
 		}
-		if p := g.value(c.Signal) / c.Above; p > most {
-			most, why = p, fmt.Sprintf("%s %.3g, bound %.3g", c.Signal, g.value(c.Signal), c.Above)
+		if p := g.value(c.Signal) / c.Above; p > highest {
+			highest, reason = p, fmt.Sprintf("%s %.3g, bound %.3g", c.Signal, g.value(c.Signal), c.Above)
 		}
 	}
-	return most, why
+	return highest, reason
 }
 
-// mostPressure bounds what one reading can say.
+// maxPressure limits the evidence of a single reading.
 const maxPressure = 4
 
-// Read takes the signals of a span that ends now, and returns a change of the level, if
-// that is one. A clock that has gone back or stood still brings nothing.
+// Update takes the signals of the interval that ends now. It returns a change of the
+// level and true if there is one. A clock that went backwards or stood still has no
+// effect.
 func (s *State) Update(now Micros, g Signals) (Change, bool) {
 	dt := now - s.lastRead
 	s.lastRead = now
 	if dt <= 0 {
 		return Change{}, false
 	}
-	dt = min(dt, s.settings.Evidence/2) // a gap is no evidence
+	dt = min(dt, s.settings.Evidence/2) // a gap between readings is no evidence
 	if s.pin >= 0 && now >= s.pinUntil {
 		from := s.pin
 		s.pin = -1
@@ -176,20 +178,20 @@
 			return Change{now, from, s.level, "the pin has expired"}, true
 		}
 	}
-	if s.level == 0 && now-s.fullSince >= s.settings.MaxStay { // long well: what flapping had earned fades
+	if s.level == 0 && now-s.fullSince >= s.settings.MaxStay { // after long full service the stay that earlier flapping caused is halved
 		s.stay, s.fullSince = max(s.stay/2, s.settings.MinStay), now
 	}
-	to, why := s.level, ""
+	to, reason := s.level, ""
 	for l := 1; l <= len(s.settings.Levels); l++ {
-		p, said := s.pressure(l, &g)
-		s.enterSums[l-1] = max(0, s.enterSums[l-1]+min((min(p, maxPressure)-1)*float64(dt), float64(s.settings.Evidence)/2)) // no single reading is enough
+		p, levelReason := s.pressure(l, &g)
+		s.enterSums[l-1] = max(0, s.enterSums[l-1]+min((min(p, maxPressure)-1)*float64(dt), float64(s.settings.Evidence)/2)) // at least two readings are needed
 		s.enterSums[l-1] = min(s.enterSums[l-1], 2*float64(s.settings.Evidence))
 		if l > s.level && s.enterSums[l-1] >= float64(s.settings.Evidence) {
-			to, why = l, said
+			to, reason = l, levelReason
 		}
 	}
 	if to > s.level {
-		return s.changeTo(now, to, why), true
+		return s.changeTo(now, to, reason), true
 	}
 	if s.level == 0 {
 		return Change{}, false
@@ -206,28 +208,29 @@
 	return Change{}, false
 }
 
-// tryOn looks at a trial that is under way.
+// evaluateTrial ends a trial that failed or that is complete.
 func (s *State) evaluateTrial(now Micros) (Change, bool) {
 	worse := s.trialGroup.n >= float64(s.settings.MinSamples) && s.trialGroup.badRatio() > s.controlGroup.badRatio()+s.settings.MaxRegression
 	switch {
-	case worse || s.exitSum == 0: // at once: the queries that try it pay for it
+	case worse || s.exitSum == 0: // at once, because the queries in the trial get the worse result
 		s.trialSince, s.exitSum, s.since = 0, 0, now
 		s.stay = min(2*s.stay, s.settings.MaxStay)
 	case now-s.trialSince >= s.settings.Trial && s.trialGroup.n >= float64(s.settings.MinSamples):
-		why := fmt.Sprintf("tried by %.0f queries, %.1f%% ended badly, and %.1f%% of %.0f others", s.trialGroup.n, 100*s.trialGroup.badRatio(), 100*s.controlGroup.badRatio(), s.controlGroup.n)
-		return s.changeTo(now, s.level-1, why), true
+		reason := fmt.Sprintf("trial of %.0f queries lost %.1f%% of their value, against %.1f%% for %.0f others", s.trialGroup.n, 100*s.trialGroup.badRatio(), 100*s.controlGroup.badRatio(), s.controlGroup.n)
+		return s.changeTo(now, s.level-1, reason), true
 	}
 	return Change{}, false
 }
 
-func (s *State) changeTo(now Micros, to int, why string) Change {
-	c := Change{now, s.level, to, why}
-	if to > s.level && s.level > 0 || to > s.level && now-s.since < s.stay { // back soon after it was left: it had been left too early
+// changeTo makes a level active and restarts the sums.
+func (s *State) changeTo(now Micros, to int, reason string) Change {
+	c := Change{now, s.level, to, reason}
+	if to > s.level && s.level > 0 || to > s.level && now-s.since < s.stay { // entered again soon after it was left: it was left too early
 		s.stay = min(2*s.stay, s.settings.MaxStay)
 	}
 	s.level, s.since, s.exitSum, s.trialSince = to, now, 0, 0
 	for i := range s.enterSums {
-		if i < to || i == to { // what spoke for this or for less has been heard
+		if i < to || i == to { // the evidence for this level, for better ones and for the next lower one is used up
 			s.enterSums[i] = 0
 		}
 	}
@@ -237,14 +240,14 @@
 	return c
 }
 
-// Ended notes how a query ended: whether it went by the better level, and how much of
-// its value was lost.
-func (s *State) RecordQuery(tried bool, value, lost float64) {
+// RecordQuery records the end of a query: whether it was part of the trial, and how much
+// of its value was lost.
+func (s *State) RecordQuery(inTrial bool, value, lost float64) {
 	if s.trialSince == 0 {
 		return
 	}
 	g := &s.controlGroup
-	if tried {
+	if inTrial {
 		g = &s.trialGroup
 	}
 	g.n++
@@ -253,22 +256,22 @@
 	}
 }
 
-// Pin holds a level until a time, whatever the signals say; they are read on. It
-// returns the change, if it is one.
+// Pin makes a level active until a time, regardless of the signals, which are still
+// read. It returns the change and true if the active level changes.
 func (s *State) Pin(now Micros, level int, until Micros) (Change, bool) {
 	from := s.Level()
 	s.pin, s.pinUntil = level, until
 	return Change{now, from, level, "pinned"}, from != level
 }
 
-// Release lets go of a pin.
+// Release removes a pin. It returns the change and true if the active level changes.
 func (s *State) Release(now Micros) (Change, bool) {
 	from := s.Level()
 	s.pin = -1
 	return Change{now, from, s.level, "the pin was released"}, from != s.level
 }
 
-// Pinned tells until when a level is pinned; 0: none is.
+// PinnedUntil returns when the pin expires; 0 if no level is pinned.
 func (s *State) PinnedUntil() Micros {
 	if s.pin < 0 {
 		return 0
--- a/internal/core/level/level_test.go
+++ b/internal/core/level/level_test.go
@@ -16,9 +16,9 @@
 		Evidence: 3 * sec, ExitRatio: 0.5, Calm: 5 * sec, MinStay: 10 * sec, MaxStay: 160 * sec, Trial: 5 * sec, MaxRegression: 0.025, MinSamples: 20}
 }
 
-// play has a state read signals once a second for so long, with queries whose loss
-// depends on whether they try the better level; it returns all changes.
-func play(s *State, from, span Micros, signals func(now Micros, level int) Signals, lost func(now Micros, tried bool) float64) (out []Change) {
+// simulate updates a state with signals once a second for a time span, with queries
+// whose loss depends on whether they are part of a trial. It returns all changes.
+func simulate(s *State, from, span Micros, signals func(now Micros, level int) Signals, lost func(now Micros, tried bool) float64) (out []Change) {
 	for now := from + sec; now <= from+span; now += sec {
 		for i := range 100 {
 			tried := s.TrialActive() && i%10 == 0
@@ -31,40 +31,41 @@
 	return out
 }
 
-// plant is a fleet: demand over what it can do, eased by the level.
-func plant(load func(Micros) float64) (func(Micros, int) Signals, func(Micros, bool) float64) {
-	ease := []float64{1, 0.7, 0.4}
-	over := func(now Micros, level int) float64 { return max(0, 1-1/max(load(now)*ease[level], 1e-9)) }
+// loadModel models a fleet by its load relative to capacity, which each level reduces.
+func loadModel(load func(Micros) float64) (func(Micros, int) Signals, func(Micros, bool) float64) {
+	loadFactor := []float64{1, 0.7, 0.4}
+	overload := func(now Micros, level int) float64 { return max(0, 1-1/max(load(now)*loadFactor[level], 1e-9)) }
 	var level int
-	return func(now Micros, l int) Signals {
-			level = l
-			return Signals{QueryRate: 100, Refused: over(now, l)}
+	return func(now Micros, newLevel int) Signals {
+			level = newLevel
+			return Signals{QueryRate: 100, Refused: overload(now, newLevel)}
 		}, func(now Micros, tried bool) float64 {
 			if tried {
-				return over(now, max(level-1, 0))
+				return overload(now, max(level-1, 0))
 			}
-			return over(now, level)
+			return overload(now, level)
 		}
 }
 
-func TestOneChangeInConditions(t *testing.T) {
+func TestEntersAndLeavesOnce(t *testing.T) {
 	s := New(settings(), 0)
-	signals, lost := plant(func(now Micros) float64 {
+	signals, lost := loadModel(func(now Micros) float64 {
 		if now > 60*sec && now < 240*sec {
 			return 1.25
 		}
 		return 0.8
 	})
-	out := play(s, 0, 600*sec, signals, lost)
+	out := simulate(s, 0, 600*sec, signals, lost)
 	require.Len(t, out, 2, "%+v", out)
 	require.Equal(t, 1, out[0].To)
 	require.Less(t, out[0].At, 66*sec)
 	require.Contains(t, out[0].Reason, "refused 0.2, bound 0.05")
 	require.Equal(t, 0, out[1].To)
-	require.Contains(t, out[1].Reason, "ended badly")
+	require.Contains(t, out[1].Reason, "of their value, against")
 }
 
-// Load right at the boundary, faults that come and go, a slow ramp: ten minutes each.
+// No level oscillates with a load right at the bound, with recurring faults or with a
+// slow ramp, over ten minutes each.
 func TestDoesNotSwing(t *testing.T) {
 	square := func(period Micros) func(Micros) float64 {
 		return func(now Micros) float64 {
@@ -76,8 +77,8 @@
 	}
 	r := rand.New(rand.NewPCG(1, 2))
 	for name, c := range map[string]struct {
-		load func(Micros) float64
-		most int
+		load       func(Micros) float64
+		maxChanges int
 	}{
 		"hovers at the bound": {func(Micros) float64 { return 1 / (1 - 0.05) * (1 + 0.02*r.NormFloat64()) }, 2},
 		"hovers at capacity":  {func(Micros) float64 { return 1 + 0.03*r.NormFloat64() }, 2},
@@ -88,14 +89,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := New(settings(), 0)
-			signals, lost := plant(c.load)
-			out := play(s, 0, 600*sec, signals, lost)
-			require.LessOrEqual(t, len(out), c.most, "%+v", out)
+			signals, lost := loadModel(c.load)
+			out := simulate(s, 0, 600*sec, signals, lost)
+			require.LessOrEqual(t, len(out), c.maxChanges, "%+v", out)
 		})
 	}
 }
 
-// Nothing is judged by one reading, by a gap, or by a clock that jumps.
+// No change follows from a single reading, from a gap, or from a clock that jumps.
 func TestClock(t *testing.T) {
 	s := New(settings(), 0)
 	_, ok := s.Update(3600*sec, Signals{Refused: 1})
@@ -126,8 +127,8 @@
 	require.Zero(t, c.To)
 }
 
-// Whatever is read: the level is one of those there are, changes are chained, and one
-// is never left upwards without a trial that ended well, nor before its stay.
+// For any readings: the level is a configured one, each change starts at the previous
+// level, and a better level is entered only after a trial and after the minimum stay.
 func TestProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set := settings()
@@ -146,12 +147,12 @@
 				t.Fatalf("%+v at level %d", c, at)
 			}
 			if c.To < at && (!was || c.To != at-1 || now-entered < set.MinStay) {
-				t.Fatalf("left level %d for %d without a trial, or after %d s", at, c.To, (now-entered)/sec)
+				t.Fatalf("changed from level %d to %d without a trial, or after only %d s", at, c.To, (now-entered)/sec)
 			}
 			at, entered = c.To, now
 		}
 		if s.Stay() > set.MaxStay {
-			t.Fatalf("a stay of %d", s.Stay())
+			t.Fatalf("stay %d exceeds MaxStay", s.Stay())
 		}
 	})
 }
