--- a/internal/core/breaker/breaker_test.go
+++ b/internal/core/breaker/breaker_test.go
@@ -17,7 +17,7 @@
 	return ok
 }
 
-func TestStreakAndShare(t *testing.T) {
+func TestStreakAndRatio(t *testing.T) {
 	b := New(Default, 0)
 	for i := range 5 {
 		require.True(t, call(b, int64(i), true))
@@ -27,17 +27,17 @@
 	require.False(t, call(b, second/2, false))
 
 	b = New(Default, 0)
-	for i := range 25 { // each third fails: never five in a row
+	for i := range 25 { // every third call fails, so there are never five failures in a row
 		call(b, int64(i)*1000, i%3 == 0)
 	}
 	require.Equal(t, Open, b.State)
 	require.Contains(t, b.Reason, "calls failed")
 }
 
-// Failures that have left the window do not count.
+// Failures that have left the window are not counted.
 func TestWindow(t *testing.T) {
 	b := New(Default, 0)
-	for i := range 200 { // one in eight, over 200 s
+	for i := range 200 { // one failure in eight calls, over 200 s
 		require.True(t, call(b, int64(i)*second, i%8 == 0))
 	}
 	require.Equal(t, Closed, b.State)
@@ -61,13 +61,13 @@
 		require.True(t, call(b, now, false))
 	}
 	require.Equal(t, Closed, b.State)
-	// A call from before it opened that ends now is no evidence.
+	// A trial that ends after the breaker has closed has no effect.
 	b.Record(now, true, true, "late")
 	require.Equal(t, Closed, b.State)
 }
 
 // A hook that works for 3 s and fails for 3 s, called 100 times a second for ten
-// minutes, must not swing the breaker: each opening waits longer.
+// minutes, must not make the breaker oscillate: each backoff is longer.
 func TestFlapping(t *testing.T) {
 	b := New(Default, 0)
 	for now := int64(0); now < 600*second; now += second / 100 {
@@ -77,8 +77,8 @@
 	require.GreaterOrEqual(t, b.Backoff, 30*second)
 }
 
-// After calm time the memory of old failures fades.
-func TestCalm(t *testing.T) {
+// Time spent closed reduces the backoff that old failures caused.
+func TestBackoffDecays(t *testing.T) {
 	b := New(Default, 0)
 	fail := func(now int64) {
 		for call(b, now, true); b.State != Open; {
@@ -98,21 +98,22 @@
 	require.Equal(t, Default.MinBackoff, b.Backoff)
 }
 
-// Whatever happens: open lets nothing through before its time, trial one at a
-// time, a pause keeps its bounds, and no thing that works again is shut out.
+// For any sequence of calls: an open breaker allows no call before its backoff is over,
+// a half-open one allows one call at a time, the backoff stays within its limits, and a
+// dependency that recovers is allowed again.
 func TestRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := New(Default, 0)
-		now, out := int64(0), 0
+		now, inFlight := int64(0), 0
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
 			now += rapid.Int64Range(0, 3*second).Draw(t, "gap")
 			before := *b
 			ok, trial := b.Allow(now)
 			if before.State == Open && now < before.Until && ok {
-				t.Fatal("let through while open")
+				t.Fatal("call allowed while open")
 			}
 			if trial {
-				if out++; out > 1 {
+				if inFlight++; inFlight > 1 {
 					t.Fatal("two trials at once")
 				}
 			}
@@ -125,10 +126,10 @@
 				b.Record(now, trial, rapid.Bool().Draw(t, "failed"), "x")
 			}
 			if trial {
-				out--
+				inFlight--
 			}
 			if b.Backoff != 0 && (b.Backoff < Default.MinBackoff || b.Backoff > Default.MaxBackoff) {
-				t.Fatalf("pause %d", b.Backoff)
+				t.Fatalf("backoff %d", b.Backoff)
 			}
 		}
 		now += Default.MaxBackoff
@@ -136,7 +137,7 @@
 			call(b, now, false)
 		}
 		if b.State != Closed {
-			t.Fatalf("still %v", b.State)
+			t.Fatalf("state %v after successful trials", b.State)
 		}
 	})
 }
--- a/internal/core/eyeballs/eyeballs.go
+++ b/internal/core/eyeballs/eyeballs.go
@@ -1,8 +1,8 @@
-// Package eyeballs decides in which order the addresses of one server are tried, and
-// when the next one is begun: Happy Eyeballs, RFC 8305, with Unix sockets as the
-// nearest family. It owns that order and what is remembered of each address. It must
-// never begin two tries of one address at once, name two winners, or forget a try
-// that has been begun: each ends by Ready, Failed or Drop.
+// Package eyeballs decides in which order the addresses of one server are tried and when
+// the next attempt starts: Happy Eyeballs (RFC 8305), with Unix sockets as the most
+// preferred family. It owns that order and the history of each address. It never starts
+// two attempts for one address at once, never names two winners, and never loses a
+// started attempt: each ends with Connected or Failed.
 package eyeballs
 
 import (
@@ -10,17 +10,17 @@
 	"strings"
 )
 
-// Micros is a clock reading or a span in microseconds.
+// Micros is a clock reading or a duration in microseconds.
 type Micros = int64
 
-// Unix is what the address of a Unix socket begins with.
+// UnixPrefix is the prefix of a Unix socket's address.
 const UnixPrefix = "unix:"
 
-// Family of an address.
+// Family is the family of an address.
 type Family int
 
-// The families, in the order in which they are preferred. Names are resolved by the
-// system, so their family is not known beforehand.
+// The families, the most preferred first. The system resolves host names, so their
+// family is not known in advance.
 const (
 	Local Family = iota
 	IPv6
@@ -28,7 +28,7 @@
 	Hostname
 )
 
-// FamilyOf tells the family of an address: unix:PATH, [IPv6]:PORT, IPv4:PORT or
+// FamilyOf returns the family of an address: unix:PATH, [IPv6]:PORT, IPv4:PORT or
 // NAME:PORT.
 func FamilyOf(addr string) Family {
 	if strings.HasPrefix(addr, UnixPrefix) {
@@ -44,23 +44,23 @@
 	return IPv4
 }
 
-// What an address that does not work costs it.
+// Backoff of a failing address, and the size of the history.
 const (
 	minBackoff   = Micros(1_000_000)
 	maxBackoff   = Micros(60_000_000)
-	maxAddresses = 32 // addresses that are remembered of one server
+	maxAddresses = 32 // addresses that are remembered per server
 )
 
-// standing is what is remembered of an address.
+// addressState is the history of one address.
 type addressState struct {
 	addr         string
-	failures     int    // times in a row that it did not work
-	backoffUntil Micros // it goes last until then
-	lastSuccess  Micros // when it last worked; 0: never
+	failures     int    // consecutive failures
+	backoffUntil Micros // until then the address is tried last
+	lastSuccess  Micros // 0: never
 }
 
-// Memory is what has been learnt of a server's addresses. Its zero value knows
-// nothing. It keeps a bounded number, those of late.
+// History is the history of a server's addresses. The zero value is empty. It keeps the
+// maxAddresses most recently added ones.
 type History struct{ addresses []addressState }
 
 func (m *History) findOrAdd(addr string) *addressState {
@@ -75,60 +75,61 @@
 	return &m.addresses[len(m.addresses)-1]
 }
 
-// Good notes that an address works.
+// RecordSuccess records that an address works.
 func (m *History) RecordSuccess(addr string, now Micros) {
 	s := m.findOrAdd(addr)
 	s.failures, s.backoffUntil, s.lastSuccess = 0, 0, now
 }
 
-// Bad notes that an address did not come up, did not answer, or fell silent: it goes
-// last for a while, which doubles each time.
+// RecordFailure records that an address could not be connected, did not answer or became
+// unresponsive. It is tried last for a time that doubles with each consecutive failure.
 func (m *History) RecordFailure(addr string, now Micros) {
 	s := m.findOrAdd(addr)
 	s.backoffUntil = now + min(minBackoff<<min(s.failures, 10), maxBackoff)
 	s.failures++
 }
 
-// Resting tells whether an address goes last now.
+// InBackoff reports whether an address is currently tried last.
 func (m *History) InBackoff(addr string, now Micros) bool {
 	i := slices.IndexFunc(m.addresses, func(s addressState) bool { return s.addr == addr })
 	return i >= 0 && now < m.addresses[i].backoffUntil
 }
 
-// Order sorts addresses as they are to be tried: families in turn, the preferred one
-// first and one address of each at a time (RFC 8305, section 4); before all the one
-// that worked last, after all those that rest, the one whose rest ends first ahead.
+// Order returns the addresses in the order in which to try them: the one that worked
+// last, then the families in turn, the most preferred first and one address of each at a
+// time (RFC 8305, section 4), and at the end those in backoff, the shortest remaining
+// backoff first.
 func (m *History) Order(addrs []string, now Micros) []string {
-	by := make(map[Family][]string)
-	var resting []string
-	last, lastGood := "", Micros(0)
+	byFamily := make(map[Family][]string)
+	var backingOff []string
+	preferred, lastSuccess := "", Micros(0)
 	for _, a := range addrs {
 		if m.InBackoff(a, now) {
-			resting = append(resting, a)
+			backingOff = append(backingOff, a)
 			continue
 		}
-		if s := m.find(a); s != nil && s.lastSuccess > lastGood {
-			last, lastGood = a, s.lastSuccess
+		if s := m.find(a); s != nil && s.lastSuccess > lastSuccess {
+			preferred, lastSuccess = a, s.lastSuccess
 		}
-		by[FamilyOf(a)] = append(by[FamilyOf(a)], a)
+		byFamily[FamilyOf(a)] = append(byFamily[FamilyOf(a)], a)
 	}
 	out := make([]string, 0, len(addrs))
-	if last != "" {
-		out = append(out, last)
+	if preferred != "" {
+		out = append(out, preferred)
 	}
-	for left := true; left; {
-		left = false
+	for more := true; more; {
+		more = false
 		for f := Local; f <= Hostname; f++ {
-			if len(by[f]) > 0 {
-				if by[f][0] != last {
-					out = append(out, by[f][0])
+			if len(byFamily[f]) > 0 {
+				if byFamily[f][0] != preferred {
+					out = append(out, byFamily[f][0])
 				}
-				by[f], left = by[f][1:], true
+				byFamily[f], more = byFamily[f][1:], true
 			}
 		}
 	}
-	slices.SortStableFunc(resting, func(a, b string) int { return int(max(min(m.find(a).backoffUntil-m.find(b).backoffUntil, 1), -1)) })
-	return append(out, resting...)
+	slices.SortStableFunc(backingOff, func(a, b string) int { return int(max(min(m.find(a).backoffUntil-m.find(b).backoffUntil, 1), -1)) })
+	return append(out, backingOff...)
 }
 
 func (m *History) find(addr string) *addressState {
@@ -138,36 +139,37 @@
 	return nil
 }
 
-// Race is one try to reach a server by its addresses.
+// Race is one connection attempt to a server over several of its addresses.
 type Race struct {
 	stagger  Micros
 	pending  []string
-	inFlight map[string]bool // begun, and not over
-	dueAt    Micros          // when the next is begun at the latest; 0: none is left
-	Winner   string          // the first that was ready
-	Finished bool            // there is a winner, or none is left
+	inFlight map[string]bool // attempts that are started and not over
+	dueAt    Micros          // when the next attempt starts at the latest; 0: at once, or none is left
+	Winner   string          // the first address that connected
+	Finished bool            // there is a winner, or no attempt is left
 }
 
-// New returns a race over addresses in that order. RFC 8305 proposes a stagger of 250
-// ms, and 10 ms at least.
+// New returns a race over addresses in the given order. RFC 8305 proposes a stagger of
+// 250 ms, and at least 10 ms, which New enforces.
 func New(order []string, stagger Micros) *Race {
 	return &Race{pending: slices.Clone(order), stagger: max(stagger, 10_000), inFlight: make(map[string]bool)}
 }
 
-// Step is what is to be begun at a time: at the start, and when Due is reached.
-func (r *Race) Step(now Micros) (begin string, ok bool) {
+// Step returns the address to try next, if an attempt is due: at the start, when Due is
+// reached, and after Failed.
+func (r *Race) Step(now Micros) (addr string, ok bool) {
 	if r.Finished || len(r.pending) == 0 || r.dueAt > now {
 		return "", false
 	}
-	begin, r.pending = r.pending[0], r.pending[1:]
-	r.inFlight[begin] = true
+	addr, r.pending = r.pending[0], r.pending[1:]
+	r.inFlight[addr] = true
 	if r.dueAt = 0; len(r.pending) > 0 {
 		r.dueAt = now + r.stagger
 	}
-	return begin, true
+	return addr, true
 }
 
-// Due is when Step is to be called next though nothing comes in; 0: never.
+// Due returns when Step should be called next if no attempt ends before; 0: not needed.
 func (r *Race) Due() Micros {
 	if r.Finished || len(r.pending) == 0 {
 		return 0
@@ -175,7 +177,7 @@
 	return r.dueAt
 }
 
-// Failed ends a try that brought nothing; the next may begin at once.
+// Failed ends an attempt without a connection; the next one may start at once.
 func (r *Race) Failed(addr string) {
 	if !r.inFlight[addr] {
 		return
@@ -187,9 +189,9 @@
 	}
 }
 
-// Ready ends a try that came up, and tells whether it is the winner. One that is not
-// is to be closed: nothing was ever sent on it.
-func (r *Race) Connected(addr string) (wins bool) {
+// Connected ends an attempt that connected and reports whether it won. The caller must
+// close a connection that did not; nothing was sent on it.
+func (r *Race) Connected(addr string) (won bool) {
 	if !r.inFlight[addr] {
 		return false
 	}
@@ -201,5 +203,5 @@
 	return true
 }
 
-// Out counts the tries that are begun and not over.
+// InFlight returns the number of attempts that are started and not over.
 func (r *Race) InFlight() int { return len(r.inFlight) }
--- a/internal/core/eyeballs/eyeballs_test.go
+++ b/internal/core/eyeballs/eyeballs_test.go
@@ -11,15 +11,15 @@
 
 func TestOrder(t *testing.T) {
 	var m History
-	all := []string{"10.0.0.1:80", "10.0.0.2:80", "[2001:db8::1]:80", "[2001:db8::2]:80", "unix:/run/t.sock", "trip7.example.org:80"}
-	require.Equal(t, []string{"unix:/run/t.sock", "[2001:db8::1]:80", "10.0.0.1:80", "trip7.example.org:80", "[2001:db8::2]:80", "10.0.0.2:80"}, m.Order(all, 0))
+	addrs := []string{"10.0.0.1:80", "10.0.0.2:80", "[2001:db8::1]:80", "[2001:db8::2]:80", "unix:/run/t.sock", "trip7.example.org:80"}
+	require.Equal(t, []string{"unix:/run/t.sock", "[2001:db8::1]:80", "10.0.0.1:80", "trip7.example.org:80", "[2001:db8::2]:80", "10.0.0.2:80"}, m.Order(addrs, 0))
 	m.RecordSuccess("10.0.0.2:80", sec)
 	m.RecordFailure("unix:/run/t.sock", sec)
 	m.RecordFailure("[2001:db8::1]:80", sec)
-	m.RecordFailure("[2001:db8::1]:80", sec) // its rest is longer
-	require.Equal(t, []string{"10.0.0.2:80", "[2001:db8::2]:80", "10.0.0.1:80", "trip7.example.org:80", "unix:/run/t.sock", "[2001:db8::1]:80"}, m.Order(all, sec+1))
-	require.Equal(t, "unix:/run/t.sock", m.Order(all, 3*sec)[1], "its rest is over")
-	for i := range 100 { // an address's rest does not grow without end, nor does the memory
+	m.RecordFailure("[2001:db8::1]:80", sec) // a second failure doubles its backoff
+	require.Equal(t, []string{"10.0.0.2:80", "[2001:db8::2]:80", "10.0.0.1:80", "trip7.example.org:80", "unix:/run/t.sock", "[2001:db8::1]:80"}, m.Order(addrs, sec+1))
+	require.Equal(t, "unix:/run/t.sock", m.Order(addrs, 3*sec)[1], "its backoff is over")
+	for i := range 100 { // the backoff of an address and the history are bounded
 		m.RecordFailure("[2001:db8::1]:80", sec)
 		m.RecordFailure(string(rune('a'+i%26))+string(rune('a'+i/26))+":1", sec)
 	}
@@ -27,8 +27,8 @@
 	require.False(t, m.InBackoff("[2001:db8::1]:80", sec+maxBackoff+1))
 }
 
-// The hard cases: an address that hangs holds the next one up for the stagger alone;
-// one that refuses, not at all; a second that comes up just after the first is closed.
+// An address that hangs delays the next attempt by the stagger only, one that refuses
+// does not delay it, and a second one that connects just after the first does not win.
 func TestRace(t *testing.T) {
 	r := New([]string{"a", "b", "c"}, sec/4)
 	a, ok := r.Step(0)
@@ -55,48 +55,48 @@
 	require.Empty(t, r.Winner)
 }
 
-// Whatever order things come in: each address is begun once at most, there is one
-// winner at most, and a race whose tries are all over is over.
+// For any order of events: each address is tried at most once, there is at most one
+// winner, and a race whose attempts are all over is finished.
 func TestProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 6).Draw(t, "n")
-		var all []string
+		var addrs []string
 		for i := range n {
-			all = append(all, string(rune('a'+i)))
+			addrs = append(addrs, string(rune('a'+i)))
 		}
-		r := New(all, sec/4)
-		begun, wins := make(map[string]int), 0
-		var out []string
-		for now := Micros(0); now < 10*sec; now += Micros(rapid.IntRange(1, 400_000).Draw(t, "later")) {
+		r := New(addrs, sec/4)
+		attempts, wins := make(map[string]int), 0
+		var inFlight []string
+		for now := Micros(0); now < 10*sec; now += Micros(rapid.IntRange(1, 400_000).Draw(t, "delay")) {
 			if a, ok := r.Step(now); ok {
-				begun[a]++
-				out = append(out, a)
+				attempts[a]++
+				inFlight = append(inFlight, a)
 			}
-			if len(out) > 0 && rapid.Bool().Draw(t, "ends") {
-				i := rapid.IntRange(0, len(out)-1).Draw(t, "which")
+			if len(inFlight) > 0 && rapid.Bool().Draw(t, "ends") {
+				i := rapid.IntRange(0, len(inFlight)-1).Draw(t, "attempt")
 				if rapid.Bool().Draw(t, "ready") {
-					if r.Connected(out[i]) {
+					if r.Connected(inFlight[i]) {
 						wins++
 					}
 				} else {
-					r.Failed(out[i])
+					r.Failed(inFlight[i])
 				}
-				out = append(out[:i:i], out[i+1:]...)
+				inFlight = append(inFlight[:i:i], inFlight[i+1:]...)
 			}
-			if r.InFlight() != len(out) {
-				t.Fatalf("%d out, want %d", r.InFlight(), len(out))
+			if r.InFlight() != len(inFlight) {
+				t.Fatalf("%d in flight, want %d", r.InFlight(), len(inFlight))
 			}
 		}
-		for _, a := range out {
+		for _, a := range inFlight {
 			r.Failed(a)
 		}
-		for a, k := range begun {
+		for a, k := range attempts {
 			if k > 1 {
-				t.Fatalf("%s begun %d times", a, k)
+				t.Fatalf("%s tried %d times", a, k)
 			}
 		}
-		if wins > 1 || (wins == 1) != (r.Winner != "") || len(begun) == n && !r.Finished {
-			t.Fatalf("%d winners, %q, over %v", wins, r.Winner, r.Finished)
+		if wins > 1 || (wins == 1) != (r.Winner != "") || len(attempts) == n && !r.Finished {
+			t.Fatalf("%d winners, %q, finished %v", wins, r.Winner, r.Finished)
 		}
 	})
 }
--- a/internal/core/lanes/lanes.go
+++ b/internal/core/lanes/lanes.go
@@ -1,19 +1,19 @@
-// Package lanes decides which of the jobs that wait is next, so that no lane (a
-// class of query, say) can keep another from being served. It is pure: no I/O, no
-// clock, no goroutine; its caller holds a lock over it.
+// Package lanes is a queue of jobs with fair scheduling: no lane (a class of queries,
+// say) can starve another. It is pure: no I/O, no clock, no goroutine; its caller
+// provides the locking.
 //
-// Lanes are served in turn (round robin). One lane holds at most half of the room
-// to wait, and all workers but one: however many of its jobs hang, another lane's
-// job finds a worker. With one worker there is nothing to keep back.
+// Lanes are served round robin. One lane uses at most half of the queue's capacity and
+// all workers but one: however many of its jobs hang, a job of another lane finds a
+// worker. With a single worker no worker can be reserved.
 package lanes
 
-// Lanes holds the jobs that wait. New makes one.
+// Lanes is the queue of waiting jobs. Use New to create one.
 type Lanes[T any] struct {
-	workers, room int
-	waiting       int
-	lanes         map[string]*lane[T]
-	order         []string // lanes with jobs waiting, the next one first
-	running       int
+	workers, capacity int
+	waiting           int
+	lanes             map[string]*lane[T]
+	ready             []string // lanes with waiting jobs, the next one first
+	running           int
 }
 
 type lane[T any] struct {
@@ -21,68 +21,71 @@
 	running int
 }
 
-// New returns lanes for so many workers, with room for so many jobs to wait.
-func New[T any](workers, room int) *Lanes[T] {
-	return &Lanes[T]{workers: max(workers, 1), room: max(room, 1), lanes: make(map[string]*lane[T])}
+// New returns a queue for a number of workers that holds up to capacity waiting jobs.
+func New[T any](workers, capacity int) *Lanes[T] {
+	return &Lanes[T]{workers: max(workers, 1), capacity: max(capacity, 1), lanes: make(map[string]*lane[T])}
 }
 
-// most is how many workers one lane may have.
+// maxPerLane returns how many workers one lane may use.
 func (l *Lanes[T]) maxPerLane() int { return max(l.workers-1, 1) }
 
-// Push adds a job; false: there is no room for it.
+// Push adds a job to a lane. It returns false if the queue, or the lane's part of it, is
+// full.
 func (l *Lanes[T]) Push(name string, job T) bool {
-	x := l.lanes[name]
-	if l.waiting >= l.room || x != nil && len(x.jobs) >= max(l.room/2, 1) {
+	ln := l.lanes[name]
+	if l.waiting >= l.capacity || ln != nil && len(ln.jobs) >= max(l.capacity/2, 1) {
 		return false
 	}
-	if x == nil {
-		x = &lane[T]{}
-		l.lanes[name] = x
+	if ln == nil {
+		ln = &lane[T]{}
+		l.lanes[name] = ln
 	}
-	if len(x.jobs) == 0 {
-		l.order = append(l.order, name)
+	if len(ln.jobs) == 0 {
+		l.ready = append(l.ready, name)
 	}
-	x.jobs = append(x.jobs, job)
+	ln.jobs = append(ln.jobs, job)
 	l.waiting++
 	return true
 }
 
-// Next takes the next job that may run. Done must follow.
+// Next returns the next job that may run and its lane. Done must be called when it ends.
 func (l *Lanes[T]) Next() (job T, name string, ok bool) {
 	if l.running >= l.workers {
 		return job, "", false
 	}
-	for i, name := range l.order {
-		x := l.lanes[name]
-		if x.running >= l.maxPerLane() {
+	for i, name := range l.ready {
+		ln := l.lanes[name]
+		if ln.running >= l.maxPerLane() {
 			continue
 		}
-		job = x.jobs[0]
-		var none T
-		x.jobs[0] = none
-		x.jobs = x.jobs[1:]
+		job = ln.jobs[0]
+		var zero T
+		ln.jobs[0] = zero
+		ln.jobs = ln.jobs[1:]
 		l.waiting--
-		x.running++
+		ln.running++
 		l.running++
-		l.order = append(l.order[:i:i], l.order[i+1:]...)
-		if len(x.jobs) > 0 {
-			l.order = append(l.order, name)
+		l.ready = append(l.ready[:i:i], l.ready[i+1:]...)
+		if len(ln.jobs) > 0 {
+			l.ready = append(l.ready, name)
 		}
 		return job, name, true
 	}
 	return job, "", false
 }
 
-// Done says that a job of the lane has ended.
+// Done records that a job of the lane has ended.
 func (l *Lanes[T]) Done(name string) {
-	x := l.lanes[name]
-	x.running--
+	ln := l.lanes[name]
+	ln.running--
 	l.running--
-	if x.running == 0 && len(x.jobs) == 0 {
+	if ln.running == 0 && len(ln.jobs) == 0 {
 		delete(l.lanes, name)
 	}
 }
 
-// Waiting and Running count the jobs.
+// Waiting returns the number of waiting jobs.
 func (l *Lanes[T]) Waiting() int { return l.waiting }
+
+// Running returns the number of running jobs.
 func (l *Lanes[T]) Running() int { return l.running }
--- a/internal/core/lanes/lanes_test.go
+++ b/internal/core/lanes/lanes_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// A lane whose jobs never end leaves a worker and room to wait for another.
+// A lane whose jobs never end leaves a worker and queue capacity for another lane.
 func TestOneLaneCannotTakeAll(t *testing.T) {
 	l := New[int](4, 10)
 	pushed := 0
@@ -19,26 +19,26 @@
 	}
 	require.Equal(t, 3, l.Running())
 	require.Equal(t, 3+5, pushed)
-	require.True(t, l.Push("well", 1))
+	require.True(t, l.Push("healthy", 1))
 	job, name, ok := l.Next()
 	require.True(t, ok)
-	require.Equal(t, "well", name)
+	require.Equal(t, "healthy", name)
 	require.Equal(t, 1, job)
 	l.Done(name)
 	_, _, ok = l.Next()
 	require.False(t, ok)
 }
 
-// Lanes are bounded, in turn, and lose nothing.
+// For any sequence of calls: the limits are kept and every job is eventually returned.
 func TestRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		workers, room := rapid.IntRange(1, 5).Draw(t, "workers"), rapid.IntRange(1, 20).Draw(t, "room")
-		l := New[int](workers, room)
+		workers, capacity := rapid.IntRange(1, 5).Draw(t, "workers"), rapid.IntRange(1, 20).Draw(t, "capacity")
+		l := New[int](workers, capacity)
 		running := map[string]int{}
-		pushed, taken, total := 0, 0, 0
+		pushed, taken, inFlight := 0, 0, 0
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			name := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "lane")
-			switch rapid.IntRange(0, 2).Draw(t, "what") {
+			switch rapid.IntRange(0, 2).Draw(t, "action") {
 			case 0:
 				if l.Push(name, pushed) {
 					pushed++
@@ -47,25 +47,25 @@
 				if _, got, ok := l.Next(); ok {
 					taken++
 					running[got]++
-					total++
+					inFlight++
 				}
 			case 2:
 				if running[name] > 0 {
 					running[name]--
-					total--
+					inFlight--
 					l.Done(name)
 				}
 			}
-			if l.Waiting() > room || l.Waiting() != pushed-taken || total > workers || l.Running() != total {
-				t.Fatalf("waiting %d of %d, running %d of %d", l.Waiting(), room, total, workers)
+			if l.Waiting() > capacity || l.Waiting() != pushed-taken || inFlight > workers || l.Running() != inFlight {
+				t.Fatalf("waiting %d of %d, running %d of %d", l.Waiting(), capacity, inFlight, workers)
 			}
 			for _, n := range running {
 				if workers > 1 && n >= workers {
-					t.Fatal("one lane has all workers")
+					t.Fatal("one lane uses all workers")
 				}
 			}
 		}
-		for { // what waits comes out once workers are free
+		for { // waiting jobs are returned once workers are free
 			for name, n := range running {
 				for range n {
 					l.Done(name)
@@ -80,7 +80,7 @@
 			running[got]++
 		}
 		if taken != pushed {
-			t.Fatalf("%d of %d came out", taken, pushed)
+			t.Fatalf("%d of %d jobs were returned", taken, pushed)
 		}
 	})
 }
--- a/internal/core/resolve/resolve.go
+++ b/internal/core/resolve/resolve.go
@@ -1,30 +1,30 @@
-// Package resolve decides what is believed of one DNS question, whom to ask next and
-// when. It owns the life of an answer: fresh while its records live, stale for a while
-// after that if nobody answers (RFC 8767), then gone. It must never believe that a name
-// is not there on the word of one resolver where there are several, nor press a
-// resolver that fails.
+// Package resolve decides which answer to a DNS question is valid, which resolver to
+// query next and when. It owns the life cycle of an answer: fresh while its records are
+// within their TTL, stale for a while after that if no resolver answers (RFC 8767), then
+// discarded. It never accepts that a name does not exist from one resolver alone where
+// there are several, and never floods a resolver that fails.
 //
 // The rule:
 //
-//	answer      believed for the least of its records' lifetimes, within floor and
-//	            cap; asked again when a tenth of that is left
-//	truncated   the same resolver is asked over TCP, at once
-//	no name     (NXDOMAIN, or an answer without such records) must be said by two
-//	            resolvers in a row, where there are two; then it is believed, for the
-//	            lifetime it states, within floor and cap
-//	refused,    the next resolver is asked at once, and this one rests a minute
-//	lame
-//	failed,     (SERVFAIL, nothing within the time, an answer to another question, one
-//	silent      that can't be read) the next resolver is asked at once; once all have
-//	            failed, after a pause that doubles up to a bound
-//	expired     what was believed stands for Stale beyond its lifetime, and is asked
-//	            for on; then nothing is believed
+//	answer      valid for the smallest TTL of its records, within MinTTL and MaxTTL;
+//	            queried again when a tenth of that is left
+//	truncated   the same resolver is queried over TCP, at once
+//	no name     (NXDOMAIN, or an answer without records of the type) must be reported by
+//	            two resolvers in a row, if there are two; then it is valid for the TTL
+//	            that it states, within MinTTL and MaxTTL
+//	refused,    the next resolver is queried at once, and this one is skipped for a
+//	lame        minute
+//	failed,     (SERVFAIL, a timeout, an answer to another question or one that can't be
+//	timeout     parsed) the next resolver is queried at once; once all have failed, after
+//	            a backoff that doubles up to a limit
+//	expired     an answer stays valid as stale for StaleFor after its TTL, while queries
+//	            continue; then there is no answer
 package resolve
 
-// Micros is a clock reading or a span in microseconds.
+// Micros is a clock reading or a duration in microseconds.
 type Micros = int64
 
-// Outcome is how asking ended.
+// Outcome is the result of a query.
 type Outcome int
 
 // The outcomes.
@@ -32,85 +32,85 @@
 	Answer Outcome = iota
 	NoName
 	Truncated
-	Refused // REFUSED, NOTIMP, or not authoritative and without recursion: lame
+	Refused // REFUSED, NOTIMP, or lame: neither authoritative nor recursive
 	Failed
 )
 
-// Outcomes are their names.
+// OutcomeNames are the names of the outcomes.
 var OutcomeNames = []string{"answer", "no-name", "truncated", "refused", "failed"}
 
 func (o Outcome) String() string { return OutcomeNames[o] }
 
-// Settings bound what is believed.
+// Settings configures how long answers are valid and when to retry.
 type Settings struct {
-	Resolvers  int
-	MinTTL     Micros // least time that an answer is believed
-	MaxTTL     Micros // and most
-	StaleFor   Micros // beyond its lifetime, while nobody answers
-	Backoff    Micros // after a round in which all failed
+	Resolvers  int    // number of resolvers
+	MinTTL     Micros // lower limit of an answer's lifetime
+	MaxTTL     Micros // upper limit
+	StaleFor   Micros // how long an expired answer is used while no resolver answers
+	Backoff    Micros // after a round in which every resolver failed; doubles each round
 	MaxBackoff Micros
 }
 
-// lameRest is how long a resolver that refuses is passed over.
+// lameBackoff is how long a resolver that refuses or is lame is skipped.
 const lameBackoff = Micros(60_000_000)
 
-// Standing is how an answer stands.
+// Status is the state of a question's answer.
 type Status int
 
-// The standings.
+// The states.
 const (
-	Unknown Status = iota // nothing was ever heard, or what was has gone
-	Fresh                 // within its lifetime
-	Stale                 // beyond, and nobody has answered
-	Absent                // there is no such name
+	Unknown Status = iota // there was no answer yet, or it was discarded
+	Fresh                 // the answer is within its lifetime
+	Stale                 // the lifetime is over and no resolver has answered since
+	Absent                // the name does not exist
 )
 
-// Standings are their names.
+// StatusNames are the names of the states.
 var StatusNames = []string{"never", "fresh", "stale", "absent"}
 
 func (s Status) String() string { return StatusNames[s] }
 
-// Ask is what to ask next.
+// Query says how to query next: the index of the resolver, and whether over TCP.
 type Query struct {
 	Resolver int
 	TCP      bool
 }
 
-// Question is one question's life. Its zero value can't be used.
+// Question is the state of one DNS question. Use New; the zero value is not usable.
 type Question struct {
 	settings     Settings
 	nextAt       Micros
 	query        Query
-	tries        int // since the last answer, of this round
+	tries        int // resolvers tried in this round, since the last answer
 	backoff      Micros
-	backoffUntil []Micros // by resolver: passed over until
-	denials      int      // resolvers in a row that know no such name
+	backoffUntil []Micros // by resolver: skipped until
+	denials      int      // consecutive responses that the name does not exist
 	hasAnswer    bool
 	absent       bool
-	expiresAt    Micros // of what is held
+	expiresAt    Micros // end of the answer's lifetime
 	lastOutcome  Outcome
 }
 
-// New returns a question that is due at once.
+// New returns a question whose first query is due at once.
 func New(set Settings) *Question {
 	set.Resolvers = max(set.Resolvers, 1)
 	return &Question{settings: set, backoffUntil: make([]Micros, set.Resolvers), backoff: set.Backoff}
 }
 
-// Next is when to ask next, and whom.
+// Next returns when to query next, and how.
 func (q *Question) Next() (Micros, Query) { return q.nextAt, q.query }
 
-// Last is how asking ended last.
+// LastOutcome returns the result of the last query.
 func (q *Question) LastOutcome() Outcome { return q.lastOutcome }
 
-// Took takes how asking ended. ttl is the least lifetime of the records, or of the
-// denial; it counts with Answer and NoName alone. It tells whether what is believed is
-// now what this answer says.
+// RecordResponse records the result of the query that Next returned. ttl is the smallest
+// TTL of the records, or that of the denial; it is used for Answer and NoName only. It
+// reports whether the question's answer is now the one of this response.
 func (q *Question) RecordResponse(now Micros, o Outcome, ttl Micros) bool {
 	q.lastOutcome = o
 	switch o {
 	case Truncated:
-		if q.query.TCP { // over TCP as well: it is of no use
+		if q.query.TCP { // truncated over TCP as well: the response is unusable
 			q.nextResolver(now)
 			return false
 		}
@@ -144,7 +144,7 @@
 	}
 }
 
-// turn turns to the next resolver, or pauses where all have had their turn.
+// nextResolver selects the next resolver and, once all were tried, backs off.
 func (q *Question) nextResolver(now Micros) {
 	q.query.TCP = false
 	q.tries++
@@ -154,7 +154,7 @@
 		q.nextAt = now + q.backoff
 		q.backoff = min(2*q.backoff, q.settings.MaxBackoff)
 	}
-	for range q.settings.Resolvers { // those that rest are passed over, unless all do
+	for range q.settings.Resolvers { // resolvers in backoff are skipped, unless all are
 		q.query.Resolver = (q.query.Resolver + 1) % q.settings.Resolvers
 		if now >= q.backoffUntil[q.query.Resolver] {
 			return
@@ -162,7 +162,7 @@
 	}
 }
 
-// Standing is how what is believed stands at a time.
+// Status returns the state of the answer at a time.
 func (q *Question) Status(now Micros) Status {
 	switch {
 	case !q.hasAnswer || now >= q.expiresAt+q.settings.StaleFor:
@@ -175,7 +175,7 @@
 	return Fresh
 }
 
-// Ends is when the standing changes next by time alone; 0: never.
+// NextStatusChange returns when the status next changes by the passage of time; 0: never.
 func (q *Question) NextStatusChange(now Micros) Micros {
 	switch {
 	case !q.hasAnswer:
--- a/internal/core/resolve/resolve_test.go
+++ b/internal/core/resolve/resolve_test.go
@@ -21,43 +21,43 @@
 	require.Equal(t, 9*sec, at)
 	require.Equal(t, Fresh, q.Status(10*sec-1))
 	require.Equal(t, 10*sec, q.NextStatusChange(sec))
-	// A resolver silent for a minute: stale, and asked on, ever more slowly.
-	now, asked := at, 0
+	// A resolver times out for a minute: the answer becomes stale, and the queries back off.
+	now, queries := at, 0
 	for ; now < 70*sec; now, _ = q.Next() {
 		require.False(t, q.RecordResponse(now, Failed, 0))
-		asked++
+		queries++
 	}
 	require.Equal(t, Stale, q.Status(69*sec))
-	require.Less(t, asked, 20)
+	require.Less(t, queries, 20)
 	require.Equal(t, Unknown, q.Status(310*sec))
-	q.RecordResponse(now, Answer, 0) // a lifetime of 0 is lifted to the floor, one of a week cut to the cap
+	q.RecordResponse(now, Answer, 0) // a TTL of 0 is raised to MinTTL, one of a week is reduced to MaxTTL
 	require.Equal(t, Fresh, q.Status(now+sec-1))
 	q.RecordResponse(now, Answer, 7*86400*sec)
 	require.Equal(t, Stale, q.Status(now+60*sec))
 }
 
-func TestTurns(t *testing.T) {
+func TestResolverRotation(t *testing.T) {
 	q := New(settings(3))
 	q.RecordResponse(0, Truncated, 0)
-	at, a := q.Next()
-	require.Equal(t, Query{0, true}, a)
+	at, query := q.Next()
+	require.Equal(t, Query{0, true}, query)
 	require.Zero(t, at)
-	q.RecordResponse(0, Truncated, 0) // over TCP as well
-	_, a = q.Next()
-	require.Equal(t, Query{1, false}, a)
+	q.RecordResponse(0, Truncated, 0) // truncated over TCP as well
+	_, query = q.Next()
+	require.Equal(t, Query{1, false}, query)
 	q.RecordResponse(0, Refused, 0)
-	_, a = q.Next()
-	require.Equal(t, 2, a.Resolver)
+	_, query = q.Next()
+	require.Equal(t, 2, query.Resolver)
 	q.RecordResponse(0, Failed, 0)
-	at, a = q.Next()
-	require.Equal(t, 0, a.Resolver)
-	require.Equal(t, sec/4, at, "all have failed: a pause")
+	at, query = q.Next()
+	require.Equal(t, 0, query.Resolver)
+	require.Equal(t, sec/4, at, "all resolvers have failed: backoff")
 	q.RecordResponse(at, Failed, 0)
-	_, a = q.Next()
-	require.Equal(t, 2, a.Resolver, "the lame one rests")
+	_, query = q.Next()
+	require.Equal(t, 2, query.Resolver, "the lame resolver is skipped")
 }
 
-// One resolver that lies that the name is not there is not believed; two are.
+// A wrong denial by one resolver is not accepted; a denial by two is.
 func TestNoName(t *testing.T) {
 	q := New(settings(2))
 	q.RecordResponse(0, Answer, 10*sec)
@@ -72,33 +72,33 @@
 	require.True(t, one.RecordResponse(0, NoName, sec))
 }
 
-// Whatever is answered: no resolver is asked more often than the bounds let it.
-func TestNotPressed(t *testing.T) {
+// For any responses: no resolver is queried more often than the backoff allows.
+func TestQueryRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 4).Draw(t, "resolvers")
 		q := New(settings(n))
-		now, asked, believed := Micros(0), 0, false
+		now, queries, believed := Micros(0), 0, false
 		for now < 60*sec {
-			at, a := q.Next()
-			if a.Resolver < 0 || a.Resolver >= n {
-				t.Fatalf("resolver %d of %d", a.Resolver, n)
+			at, query := q.Next()
+			if query.Resolver < 0 || query.Resolver >= n {
+				t.Fatalf("resolver %d of %d", query.Resolver, n)
 			}
 			now = max(now, at) + 1000
-			asked++
+			queries++
 			o := Outcome(rapid.IntRange(0, 4).Draw(t, "outcome"))
 			ttl := Micros(rapid.IntRange(0, 100).Draw(t, "ttl")) * sec
 			if q.RecordResponse(now, o, ttl) {
 				believed = true
 				if s := q.Status(now); s != Fresh && s != Absent {
-					t.Fatalf("%v after an answer", s)
+					t.Fatalf("status %v after an answer", s)
 				}
 			}
 			if !believed && q.Status(now) != Unknown {
-				t.Fatalf("%v without an answer", q.Status(now))
+				t.Fatalf("status %v without an answer", q.Status(now))
 			}
 		}
-		if most := 2 * n * (60*5 + 10); asked > most {
-			t.Fatalf("asked %d times in a minute", asked)
+		if most := 2 * n * (60*5 + 10); queries > most {
+			t.Fatalf("%d queries in a minute", queries)
 		}
 	})
 }
