--- a/internal/core/hookrule/hookrule.go
+++ b/internal/core/hookrule/hookrule.go
@@ -1,7 +1,7 @@
-// Package hookrule decides what of a hook's answer is granted. It is pure: no
-// I/O, no clock. The host asks it about every answer, whatever engine made it; an
-// answer that asks for one thing too many is void as a whole, for a hook that
-// lies once has no half of the truth.
+// Package hookrule decides which requests of a hook are granted. It is pure: no I/O,
+// no clock. The host checks every result with it, whichever engine ran the hook. A
+// result with one request that is not allowed is rejected completely: nothing else in
+// a result that breaks a rule can be trusted either.
 package hookrule
 
 import (
@@ -12,37 +12,37 @@
 	"saddleport/sdk/hookabi"
 )
 
-// Slack is how far shares may miss by rounding.
+// ShareTolerance is the rounding error that is accepted when shares are compared.
 const ShareTolerance = 1e-6
 
-// LeastLeft is the least time that a hook may leave a query, in microseconds.
+// MinTimeLeft is the least time that a hook may leave to a query, in microseconds.
 const MinTimeLeft = 1000
 
-// MaxTags bounds the tags, and the notes, of one query over all its hooks.
+// MaxTags limits the tags, and the notes, that all hooks together may set on a query.
 const MaxTags = 32
 
-// Refused is an answer that is not granted.
+// RejectedError says why a hook's result is rejected.
 type RejectedError struct{ Problem string }
 
 func (r *RejectedError) Error() string { return r.Problem }
 
 func rejectf(format string, args ...any) error { return &RejectedError{fmt.Sprintf(format, args...)} }
 
-// claims say why each may not be had.
+// claimReasons says for each claim why a hook can't have it.
 var claimReasons = map[string]string{
-	"id":     "another query may not be touched",
-	"value":  "a value is the leaf server's alone",
-	"whole":  "an answer is whole or not by what is in it",
-	"server": "which server is asked is not a hook's to say",
-	"resend": "a further attempt is not a hook's to cause",
-	"answer": "a query has one answer, and it is not a hook's to give",
-	"status": "the status follows from how the query ended",
+	"id":     "a hook can't affect another query",
+	"value":  "only the leaf server sets a value",
+	"whole":  "whether an answer is complete depends on its parts alone",
+	"server": "a hook can't choose the server",
+	"resend": "a hook can't cause another attempt",
+	"answer": "a hook can't give the query's answer",
+	"status": "the status depends on the outcome of the query alone",
 }
 
-// Rules are the classes of the deployment.
+// Rules checks the results of hooks against the classes of the deployment.
 type Rules struct{ classes map[string]choice.Class }
 
-// New returns the rules for the classes.
+// New returns the rules for a deployment's classes.
 func New(classes []choice.Class) Rules {
 	r := Rules{make(map[string]choice.Class, len(classes))}
 	for _, c := range classes {
@@ -51,10 +51,10 @@
 	return r
 }
 
-// Check looks at an answer to a view and returns what it grants: the answer
-// itself, with a reason where it refuses. The view must be the one that the hook
-// was shown, brought up to date with what earlier hooks of the same point were
-// granted.
+// Check checks a hook's result and returns what it grants: the result itself, with a
+// reason added if it refuses the query without one. v must be the view that the hook
+// was given, updated (Apply) with what earlier hooks of the same point were granted. A
+// result that is not allowed gives a RejectedError.
 func (r Rules) Check(v *hookabi.View, a *hookabi.Result, hook string) (*hookabi.Result, error) {
 	if err := a.Check(); err != nil {
 		return nil, rejectf("%v", err)
@@ -64,7 +64,7 @@
 	}
 	if v.Point == hookabi.Ended {
 		if a.Refuse || a.NotWhole || a.Class != "" || a.Left != 0 || len(a.Drop)+len(a.Tags)+len(a.Notes) > 0 {
-			return nil, rejectf("the query has ended: there is nothing to ask for")
+			return nil, rejectf("the query has ended: nothing can be requested any more")
 		}
 		return a, nil
 	}
@@ -76,24 +76,24 @@
 		to, known := r.classes[a.Class]
 		switch {
 		case v.Point != hookabi.Taken:
-			return nil, rejectf("class: only where the query is taken")
+			return nil, rejectf("class: may be changed only at the taken point")
 		case !known:
-			return nil, rejectf("class %q: there is none of that name", a.Class)
+			return nil, rejectf("class %q: unknown class", a.Class)
 		case to.Effect < class.Effect:
-			return nil, rejectf("class %s: its parts may be repeated where those of %s may not", a.Class, v.Class)
+			return nil, rejectf("class %s: its parts may be repeated, those of %s may not", a.Class, v.Class)
 		case to.Need < class.Need || to.Floor < class.Floor:
-			return nil, rejectf("class %s: is whole, or served, with less than %s", a.Class, v.Class)
+			return nil, rejectf("class %s: its required or minimum share is below that of %s", a.Class, v.Class)
 		}
 		class = to
 	}
 	if a.Left > 0 {
 		switch {
 		case v.Point > hookabi.Admission:
-			return nil, rejectf("time left: too late for that")
+			return nil, rejectf("time left: can't be changed after admission")
 		case a.Left > v.Left:
-			return nil, rejectf("time left: %d us is more than there is (%d us)", a.Left, v.Left)
+			return nil, rejectf("time left: %d us is more than the remaining %d us", a.Left, v.Left)
 		case a.Left < MinTimeLeft:
-			return nil, rejectf("time left: %d us is less than %d us", a.Left, MinTimeLeft)
+			return nil, rejectf("time left: %d us is below the minimum of %d us", a.Left, MinTimeLeft)
 		}
 	}
 	if len(a.Drop) > 0 {
@@ -109,39 +109,39 @@
 	return a, nil
 }
 
-// drop tells whether an answer without these parts could still be honest: the
-// class must allow one from what is left, and nothing unsafe is ever dropped.
+// checkDrop checks whether these parts may be dropped: the class must allow an answer
+// from what is left, and parts that may have side effects are never dropped.
 func (r Rules) checkDrop(v *hookabi.View, shards []int, class choice.Class) error {
 	if class.Effect != choice.Safe {
-		return rejectf("drop: parts of %s may have an effect", class.Name)
+		return rejectf("drop: parts of class %s may have side effects", class.Name)
 	}
 	total, left := 0.0, 0.0
-	gone := make(map[int]bool, len(shards))
+	dropped := make(map[int]bool, len(shards))
 	for _, shard := range shards {
 		i := slices.IndexFunc(v.Parts, func(p hookabi.PartView) bool { return p.Shard == shard })
 		switch {
 		case i < 0:
 			return rejectf("drop: the query has no part for shard %d", shard)
-		case gone[shard]:
-			return rejectf("drop: shard %d twice", shard)
+		case dropped[shard]:
+			return rejectf("drop: shard %d is listed twice", shard)
 		case (v.Point == hookabi.Send || v.Point == hookabi.Answered) && i != v.Part:
-			return rejectf("drop: only the part at hand, not shard %d", shard)
+			return rejectf("drop: only the current part may be dropped, not shard %d", shard)
 		}
-		gone[shard] = true
+		dropped[shard] = true
 	}
 	for _, p := range v.Parts {
 		total += p.Weight
-		if !gone[p.Shard] && !p.Dropped && (v.Point != hookabi.Answer || p.Served) {
+		if !dropped[p.Shard] && !p.Dropped && (v.Point != hookabi.Answer || p.Served) {
 			left += p.Weight
 		}
 	}
 	if left <= 0 || left < class.Floor*total-ShareTolerance {
-		return rejectf("drop: %.3f of the answer would be left, and %s needs %.3f", left/total, class.Name, class.Floor)
+		return rejectf("drop: %.3f of the answer would be left, but class %s requires %.3f", left/total, class.Name, class.Floor)
 	}
 	return nil
 }
 
-// Apply brings a view up to date with what has been granted, for the next hook.
+// Apply updates a view with what a hook was granted, for the next hook.
 func Apply(v *hookabi.View, a *hookabi.Result) {
 	v.Tags = Merge(v.Tags, a.Tags)
 	v.Notes = Merge(v.Notes, a.Notes)
@@ -163,14 +163,14 @@
 	}
 }
 
-// Merge returns pairs with later ones in place of earlier ones of their name.
-// Neither list is changed.
-func Merge(old, now []hookabi.Pair) []hookabi.Pair {
-	if len(now) == 0 {
+// Merge returns old with the pairs of update added; a pair of update replaces one of the
+// same name. Neither list is modified.
+func Merge(old, update []hookabi.Pair) []hookabi.Pair {
+	if len(update) == 0 {
 		return old
 	}
 	out := slices.Clone(old)
-	for _, p := range now {
+	for _, p := range update {
 		if i := slices.IndexFunc(out, func(o hookabi.Pair) bool { return o.Name == p.Name }); i >= 0 {
 			out[i] = p
 		} else {
@@ -180,15 +180,17 @@
 	return out
 }
 
-// Harmless tells whether a query whose parts may have run, or not, may still be
-// refused: a refusal promises that asking again does no harm.
+// SafeToRefuse reports whether a query may still be refused: a refusal promises the
+// client that repeating the query does no harm.
 func SafeToRefuse(effect choice.Effect, mayHaveRun bool) bool {
 	return effect == choice.Safe || !mayHaveRun
 }
 
-// Whole tells whether an answer with this share of the whole query may keep a
-// whole mark, and Enough whether it may be given at all.
+// MeetsNeed reports whether an answer with this share of the query may be marked
+// complete.
 func MeetsNeed(class choice.Class, share float64) bool { return share >= class.Need-ShareTolerance }
+
+// MeetsFloor reports whether an answer with this share of the query may be given at all.
 func MeetsFloor(class choice.Class, share float64) bool {
 	return share > 0 && share >= class.Floor-ShareTolerance
 }
