--- a/internal/core/imports_test.go
+++ b/internal/core/imports_test.go
@@ -1,5 +1,5 @@
-// Package core_test holds the house to its plan: which packages are pure, and that
-// imports run downwards.
+// Package core_test checks the architecture: which packages are pure, and that imports
+// point to lower layers only.
 package core_test
 
 import (
@@ -15,7 +15,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// walk calls each with every source file below a folder that is no test.
+// walk calls each for every Go source file below a directory, except tests.
 func walk(t *testing.T, root string, each func(path string, f *ast.File)) {
 	n := 0
 	require.NoError(t, filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
@@ -39,13 +39,13 @@
 	return out
 }
 
-// Decisions do no I/O, read no clock, start nothing and log nothing.
+// The decision packages do no I/O, read no clock, start no goroutine and do no logging.
 func TestPure(t *testing.T) {
 	for _, root := range []string{".", "../../choice", "../cluster", "../paths"} {
 		walk(t, root, func(path string, f *ast.File) {
 			for _, i := range imports(f) {
-				for _, bad := range []string{"net", "os", "log", "io/fs", "sync", "syscall", "runtime", "context"} {
-					require.False(t, i == bad || strings.HasPrefix(i, bad+"/"), "%s imports %s", path, i)
+				for _, forbidden := range []string{"net", "os", "log", "io/fs", "sync", "syscall", "runtime", "context"} {
+					require.False(t, i == forbidden || strings.HasPrefix(i, forbidden+"/"), "%s imports %s", path, i)
 				}
 			}
 			ast.Inspect(f, func(n ast.Node) bool {
@@ -63,12 +63,12 @@
 	}
 }
 
-// Imports run downwards: a room knows none above it, and the two sides know only
-// the exchange.
-func TestDownwards(t *testing.T) {
-	floors := []struct {
-		folder string
-		never  []string
+// Imports point downwards: a package never imports one of a higher layer, and the
+// downstream and upstream sides import the exchange but not each other.
+func TestImportDirection(t *testing.T) {
+	layers := []struct {
+		dir       string
+		forbidden []string
 	}{
 		{"../../choice", []string{"saddleport/"}},
 		{".", []string{"saddleport/internal/app", "saddleport/internal/downstream", "saddleport/internal/upstream", "saddleport/internal/exchange",
@@ -87,11 +87,11 @@
 		{"../operator", []string{"saddleport/internal/app", "saddleport/internal/hook", "saddleport/internal/source"}},
 		{"../../sdk", []string{"saddleport/internal"}},
 	}
-	for _, f := range floors {
-		walk(t, f.folder, func(path string, file *ast.File) {
+	for _, l := range layers {
+		walk(t, l.dir, func(path string, file *ast.File) {
 			for _, i := range imports(file) {
-				for _, bad := range f.never {
-					require.False(t, strings.HasPrefix(i, bad), "%s imports %s", path, i)
+				for _, forbidden := range l.forbidden {
+					require.False(t, strings.HasPrefix(i, forbidden), "%s imports %s", path, i)
 				}
 			}
 		})
