--- a/internal/core/level/level_test.go
+++ b/internal/core/level/level_test.go
@@ -133,23 +133,23 @@
 	rapid.Check(t, func(t *rapid.T) {
 		set := settings()
 		s := New(set, 0)
-		at, was, entered := 0, false, Micros(0)
+		level, trialActive, entered := 0, false, Micros(0)
 		for now := sec; now < 400*sec; now += sec {
 			for i := range 30 {
 				s.RecordQuery(i%10 == 0 && s.TrialActive(), 1, rapid.SampledFrom([]float64{0, 0, 0, 1}).Draw(t, "lost"))
 			}
-			was = s.TrialActive()
+			trialActive = s.TrialActive()
 			c, ok := s.Update(now, Signals{Refused: rapid.SampledFrom([]float64{0, 0, 0.02, 0.06, 0.5, 1}).Draw(t, "refused"), SlowStart: rapid.SampledFrom([]float64{0, 0, 0.4}).Draw(t, "cold")})
 			if !ok {
 				continue
 			}
-			if c.From != at || c.To == at || c.To < 0 || c.To > len(set.Levels) || c.Reason == "" {
-				t.Fatalf("%+v at level %d", c, at)
+			if c.From != level || c.To == level || c.To < 0 || c.To > len(set.Levels) || c.Reason == "" {
+				t.Fatalf("%+v at level %d", c, level)
 			}
-			if c.To < at && (!was || c.To != at-1 || now-entered < set.MinStay) {
-				t.Fatalf("changed from level %d to %d without a trial, or after only %d s", at, c.To, (now-entered)/sec)
+			if c.To < level && (!trialActive || c.To != level-1 || now-entered < set.MinStay) {
+				t.Fatalf("changed from level %d to %d without a trial, or after only %d s", level, c.To, (now-entered)/sec)
 			}
-			at, entered = c.To, now
+			level, entered = c.To, now
 		}
 		if s.Stay() > set.MaxStay {
 			t.Fatalf("stay %d exceeds MaxStay", s.Stay())
--- a/internal/core/membership/membership.go
+++ b/internal/core/membership/membership.go
@@ -24,7 +24,7 @@
 //	            removal of that source, revokes it. The time of the first report is kept,
 //	            whatever the merged state is. A source that drops a server it had drained
 //	            does not revoke the drain, because the other sources may not know of it
-//	            yet. It ends when a source names the server anew, when a later start is
+//	            yet. It ends when a source names the server again, when a later start is
 //	            reported, or after the time in which the source would be forgotten. A
 //	            drain by a source that is unresponsive ends when a responsive source
 //	            reports a later start.
@@ -334,8 +334,8 @@
 	}
 	v = &server{name: c.Name, claims: make([]*sourceClaim, len(m.sources)), member: Member{Name: c.Name, State: Gone}}
 	m.servers[c.Name] = v
-	at, _ := slices.BinarySearch(m.order, c.Name)
-	m.order = slices.Insert(m.order, at, c.Name)
+	i, _ := slices.BinarySearch(m.order, c.Name)
+	m.order = slices.Insert(m.order, i, c.Name)
 	for _, a := range c.Aliases {
 		if m.servers[a] == nil {
 			m.addAlias(v, a)
@@ -481,9 +481,9 @@
 		m.dampFlaps(now, v, &to)
 		was := v.member
 		v.member = to
-		if is, had := to.State <= Draining, was.State <= Draining; is && !had {
+		if isListed, wasListed := to.State <= Draining, was.State <= Draining; isListed && !wasListed {
 			m.listed++
-		} else if had && !is {
+		} else if wasListed && !isListed {
 			m.listed--
 		}
 		if !was.equal(&to) {
@@ -869,7 +869,7 @@
 	Reports []SourceReport `json:"Words"`
 }
 
-// Explain returns the state of a server and why; false if no source ever named it.
+// Explain returns the state of a server and why; false if it is unknown to all sources.
 func (m *Members) Explain(now Micros, name string) (Explanation, bool) {
 	v := m.servers[m.canonical(name)]
 	if v == nil {
--- a/internal/core/placement/owner.go
+++ b/internal/core/placement/owner.go
@@ -103,28 +103,28 @@
 // Crash loses every booking that was not stored.
 func (o *Owner) Crash() { clear(o.Running) }
 
-// CanRead returns Accepted if the whole range may be read at this cell, else NotOwned.
+// CanRead returns Accepted if all of r may be read at this cell, else NotOwned.
 func (o *Owner) CanRead(r Range) Result {
-	at := r.From
+	next := r.From
 	for _, p := range o.Pieces {
-		if p.Mode == Incoming || !p.Contains(at) {
+		if p.Mode == Incoming || !p.Contains(next) {
 			continue
 		}
 		if p.To == "" || r.To != "" && p.To >= r.To {
 			return Accepted
 		}
-		at = p.To
+		next = p.To
 	}
 	return NotOwned
 }
 
 // splitAtBounds splits the pieces that contain a bound of r.
 func (o *Owner) splitAtBounds(r Range) {
-	for _, at := range []string{r.From, r.To} {
+	for _, bound := range []string{r.From, r.To} {
 		for i := range o.Pieces {
-			if p := o.Pieces[i]; at != "" && p.Contains(at) && p.From != at {
+			if p := o.Pieces[i]; bound != "" && p.Contains(bound) && p.From != bound {
 				left, right := p, p
-				left.To, right.From = at, at
+				left.To, right.From = bound, bound
 				o.Pieces = slices.Replace(o.Pieces, i, i+1, left, right)
 				break
 			}
@@ -196,7 +196,7 @@
 func (o *Owner) CopyOut(reshape int64, r Range, last bool) (booked map[string]string, ok bool) {
 	if last && !o.NoFence {
 		for _, p := range o.Pieces {
-			if c, both := p.Range.Intersect(r); both && !c.Empty() && (p.Mode != Fenced || p.Reshape != reshape) {
+			if common, overlap := p.Range.Intersect(r); overlap && !common.Empty() && (p.Mode != Fenced || p.Reshape != reshape) {
 				return nil, false
 			}
 		}
@@ -226,7 +226,7 @@
 	}
 	stored := false
 	for _, p := range o.Pieces {
-		if _, both := p.Range.Intersect(r); both {
+		if _, overlap := p.Range.Intersect(r); overlap {
 			stored = true
 		}
 	}
--- a/internal/core/placement/placement.go
+++ b/internal/core/placement/placement.go
@@ -316,21 +316,21 @@
 	if len(n.segments) > MaxSegments {
 		return invalid(label("update"), "more than %d segments", MaxSegments)
 	}
-	at, open := "", true
+	next, more := "", true
 	for i := range n.segments {
 		s := &n.segments[i]
 		switch {
-		case !open || s.From < at:
-			return invalid(Range{s.From, at}, "covered by both segment %d and segment %d", n.segments[i-1].ID, s.ID)
-		case s.From > at:
-			return invalid(Range{at, s.From}, "not covered by any segment")
+		case !more || s.From < next:
+			return invalid(Range{s.From, next}, "covered by both segment %d and segment %d", n.segments[i-1].ID, s.ID)
+		case s.From > next:
+			return invalid(Range{next, s.From}, "not covered by any segment")
 		case len(u.Cells) > 0 && len(n.cells[s.Cell]) == 0:
 			return invalid(s.Range, "segment %d is on cell %d, which has no servers", s.ID, s.Cell)
 		}
-		at, open = s.To, s.To != ""
+		next, more = s.To, s.To != ""
 	}
-	if open {
-		return invalid(Range{at, ""}, "not covered by any segment")
+	if more {
+		return invalid(Range{next, ""}, "not covered by any segment")
 	}
 	for _, s := range u.Segments {
 		if len(n.cells[s.Cell]) == 0 {
--- a/internal/core/placement/placement_test.go
+++ b/internal/core/placement/placement_test.go
@@ -137,24 +137,24 @@
 			t.Fatal(err)
 		}
 		next := uint32(2)
-		old := []Segment{{ID: 1}}
+		everActive := []Segment{{ID: 1}}
 		for range rapid.IntRange(0, 12).Draw(t, "reshapes") {
-			segs := m.Segments()
-			i := rapid.IntRange(0, len(segs)-1).Draw(t, "segment")
-			j := min(i+rapid.IntRange(1, 3).Draw(t, "sources"), len(segs))
-			sources, span := []uint32{}, Range{segs[i].From, segs[j-1].To}
-			for _, s := range segs[i:j] {
+			segments := m.Segments()
+			i := rapid.IntRange(0, len(segments)-1).Draw(t, "segment")
+			j := min(i+rapid.IntRange(1, 3).Draw(t, "sources"), len(segments))
+			sources, span := []uint32{}, Range{segments[i].From, segments[j-1].To}
+			for _, s := range segments[i:j] {
 				sources = append(sources, s.ID)
 			}
 			var targets []Segment
-			at := span.From
+			start := span.From
 			for _, k := range keys {
-				if k > at && span.Contains(k) && rapid.Bool().Draw(t, "split at "+k) {
-					targets = append(targets, Segment{ID: next, Range: Range{at, k}, Cell: int(next % 2)})
-					at, next = k, next+1
+				if k > start && span.Contains(k) && rapid.Bool().Draw(t, "split at "+k) {
+					targets = append(targets, Segment{ID: next, Range: Range{start, k}, Cell: int(next % 2)})
+					start, next = k, next+1
 				}
 			}
-			targets = append(targets, Segment{ID: next, Range: Range{at, span.To}, Cell: int(next % 2)})
+			targets = append(targets, Segment{ID: next, Range: Range{start, span.To}, Cell: int(next % 2)})
 			next++
 			r, err := m.Plan(1, sources, targets, func(uint32) bool { return false })
 			if err != nil {
@@ -166,9 +166,9 @@
 			if m, err = m.Apply(r.Update(m.Epoch())); err != nil {
 				t.Fatal(err)
 			}
-			old = append(old, m.Segments()...)
+			everActive = append(everActive, m.Segments()...)
 		}
-		s := rapid.SampledFrom(old).Draw(t, "named")
+		s := rapid.SampledFrom(everActive).Draw(t, "named")
 		got, err := m.Route([]PartRequest{{Segment: s.ID, Weight: 1}}, 100)
 		if err != nil {
 			t.Fatal(err)
@@ -180,8 +180,8 @@
 				for _, r := range target.Ranges() {
 					if r.Contains(k) {
 						n++
-						if in, _ := m.Lookup(k); in.ID != target.Segment || in.Cell != target.Cell {
-							t.Fatalf("%q is routed to segment %d, but segment %d contains it", k, target.Segment, in.ID)
+						if containing, _ := m.Lookup(k); containing.ID != target.Segment || containing.Cell != target.Cell {
+							t.Fatalf("%q is routed to segment %d, but segment %d contains it", k, target.Segment, containing.ID)
 						}
 					}
 				}
--- a/internal/core/resolve/resolve.go
+++ b/internal/core/resolve/resolve.go
@@ -81,7 +81,7 @@
 	settings     Settings
 	nextAt       Micros
 	query        Query
-	tries        int // resolvers tried in this round, since the last answer
+	attempts     int // resolvers tried in this round, since the last answer
 	backoff      Micros
 	backoffUntil []Micros // by resolver: skipped until
 	denials      int      // consecutive responses that the name does not exist
@@ -138,7 +138,7 @@
 	life := min(max(ttl, q.settings.MinTTL), q.settings.MaxTTL)
 	q.hasAnswer, q.absent, q.expiresAt = true, absent, now+life
 	q.nextAt = now + life - life/10
-	q.tries, q.backoff, q.query.TCP = 0, q.settings.Backoff, false
+	q.attempts, q.backoff, q.query.TCP = 0, q.settings.Backoff, false
 	if !absent {
 		q.denials = 0
 	}
@@ -147,10 +147,10 @@
 // nextResolver selects the next resolver and, once all were tried, backs off.
 func (q *Question) nextResolver(now Micros) {
 	q.query.TCP = false
-	q.tries++
+	q.attempts++
 	q.nextAt = now
-	if q.tries >= q.settings.Resolvers {
-		q.tries = 0
+	if q.attempts >= q.settings.Resolvers {
+		q.attempts = 0
 		q.nextAt = now + q.backoff
 		q.backoff = min(2*q.backoff, q.settings.MaxBackoff)
 	}
--- a/internal/core/resolve/resolve_test.go
+++ b/internal/core/resolve/resolve_test.go
@@ -77,7 +77,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 4).Draw(t, "resolvers")
 		q := New(settings(n))
-		now, queries, believed := Micros(0), 0, false
+		now, queries, answered := Micros(0), 0, false
 		for now < 60*sec {
 			at, query := q.Next()
 			if query.Resolver < 0 || query.Resolver >= n {
@@ -88,16 +88,16 @@
 			o := Outcome(rapid.IntRange(0, 4).Draw(t, "outcome"))
 			ttl := Micros(rapid.IntRange(0, 100).Draw(t, "ttl")) * sec
 			if q.RecordResponse(now, o, ttl) {
-				believed = true
+				answered = true
 				if s := q.Status(now); s != Fresh && s != Absent {
 					t.Fatalf("status %v after an answer", s)
 				}
 			}
-			if !believed && q.Status(now) != Unknown {
+			if !answered && q.Status(now) != Unknown {
 				t.Fatalf("status %v without an answer", q.Status(now))
 			}
 		}
-		if most := 2 * n * (60*5 + 10); queries > most {
+		if limit := 2 * n * (60*5 + 10); queries > limit {
 			t.Fatalf("%d queries in a minute", queries)
 		}
 	})
