--- a/internal/core/hookrule/hookrule.go
+++ b/internal/core/hookrule/hookrule.go
@@ -186,13 +186,13 @@
 	return effect == choice.Safe || !mayHaveRun
 }
 
-// MeetsNeed reports whether an answer with this share of the query may be marked
+// MeetsRequiredShare reports whether an answer with this share of the query may be marked
 // complete.
-func MeetsNeed(class choice.Class, share float64) bool {
+func MeetsRequiredShare(class choice.Class, share float64) bool {
 	return share >= class.RequiredShare-ShareTolerance
 }
 
-// MeetsFloor reports whether an answer with this share of the query may be given at all.
-func MeetsFloor(class choice.Class, share float64) bool {
+// MeetsMinShare reports whether an answer with this share of the query may be given at all.
+func MeetsMinShare(class choice.Class, share float64) bool {
 	return share > 0 && share >= class.MinShare-ShareTolerance
 }
--- a/internal/core/hookrule/hookrule_test.go
+++ b/internal/core/hookrule/hookrule_test.go
@@ -86,9 +86,9 @@
 	require.False(t, SafeToRefuse(choice.Unsafe, true))
 	require.False(t, SafeToRefuse(choice.Keyed, true))
 	c := choice.Class{RequiredShare: 0.5, MinShare: 0.2}
-	require.True(t, MeetsNeed(c, 0.5))
-	require.False(t, MeetsNeed(c, 0.49))
-	require.True(t, MeetsFloor(c, 0.2))
-	require.False(t, MeetsFloor(c, 0.1))
-	require.False(t, MeetsFloor(choice.Class{}, 0))
+	require.True(t, MeetsRequiredShare(c, 0.5))
+	require.False(t, MeetsRequiredShare(c, 0.49))
+	require.True(t, MeetsMinShare(c, 0.2))
+	require.False(t, MeetsMinShare(c, 0.1))
+	require.False(t, MeetsMinShare(choice.Class{}, 0))
 }
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -587,7 +587,7 @@
 	if h.ended {
 		return
 	}
-	if class := x.class(h.class); h.placed != nil && h.watched == nil && class.MinShare < class.RequiredShare && hookrule.MeetsFloor(class, h.share()) {
+	if class := x.class(h.class); h.placed != nil && h.watched == nil && class.MinShare < class.RequiredShare && hookrule.MeetsMinShare(class, h.share()) {
 		x.answer(h, false) // what was parked did not come in time
 		return
 	}
--- a/internal/exchange/hooks.go
+++ b/internal/exchange/hooks.go
@@ -185,7 +185,7 @@
 		if p.dropped || !slices.Contains(r.Drop, p.Shard) || class.Effect != choice.Safe {
 			continue
 		}
-		if !hookrule.MeetsFloor(class, 1-k.gone-p.Weight) {
+		if !hookrule.MeetsMinShare(class, 1-k.gone-p.Weight) {
 			continue
 		}
 		p.dropped = true
@@ -311,8 +311,8 @@
 	f, share := *k.answer, 0.0
 	f.Hits, share = h.hits(), h.share()
 	if k.gone > 0 { // the decisions' mark did not know of that
-		f.Whole = f.Whole && hookrule.MeetsNeed(class, share)
-		if !hookrule.MeetsFloor(class, share) {
+		f.Whole = f.Whole && hookrule.MeetsRequiredShare(class, share)
+		if !hookrule.MeetsMinShare(class, share) {
 			x.turnAway(h, "too little is left of the answer", x.advice(h.class))
 			return
 		}
--- a/internal/exchange/levels.go
+++ b/internal/exchange/levels.go
@@ -278,8 +278,8 @@
 // easedFinal marks the answer to a query that was not asked for as a whole.
 func (x *Exchange) easedFinal(h *held, f Final) Final {
 	class, share := x.class(h.class), h.share()
-	f.Whole = f.Whole && hookrule.MeetsNeed(class, share)
-	if !hookrule.MeetsFloor(class, share) {
+	f.Whole = f.Whole && hookrule.MeetsRequiredShare(class, share)
+	if !hookrule.MeetsMinShare(class, share) {
 		return Final{Ending: Failed}
 	}
 	return f
--- a/internal/exchange/segments.go
+++ b/internal/exchange/segments.go
@@ -302,10 +302,10 @@
 	}
 	class, share := x.class(h.class), h.share()
 	switch {
-	case hookrule.MeetsNeed(class, share):
+	case hookrule.MeetsRequiredShare(class, share):
 		x.answer(h, true)
 	case len(h.placed.legs) > 0 || h.placed.wait > 0:
-	case class.MinShare < class.RequiredShare && hookrule.MeetsFloor(class, share):
+	case class.MinShare < class.RequiredShare && hookrule.MeetsMinShare(class, share):
 		x.answer(h, false)
 	case hookrule.SafeToRefuse(class.Effect, mayHaveRun(h)):
 		x.end(h, Final{Ending: Refused, RetryAfter: max(h.placed.told, x.advice(h.class))})
