--- a/internal/core/membership/membership.go
+++ b/internal/core/membership/membership.go
@@ -1,7 +1,7 @@
 // Package membership merges what several sources report about servers into the one
 // list that routing decisions use. It owns the merge rule and, for every server, the
 // reason for its state. It never does I/O or reads a clock, never lists a server that no
-// source has named, and never lets an outdated answer revoke a drain or delays a drain.
+// source has named, and never delays a drain or lets an outdated answer revoke one.
 //
 // The rule (docs/design/membership.md discusses it). A source is responsive if it
 // answered within its SilentAfter:
@@ -31,7 +31,7 @@
 //	health      critical at any responsive source withholds the server, unless a
 //	            higher-ranked responsive source reports passing.
 //	start       the latest start that a responsive source reports.
-//	old answers an answer with a lower index than the source's last one is ignored,
+//	index       an answer with a lower index than the source's last one is ignored,
 //	            unless the source reports that its index was reset.
 //	flaps       each disappearance of a listed server adds to a penalty that decays
 //	            exponentially; above a bound the server's next return is delayed. Its
@@ -39,7 +39,7 @@
 //	floor       if one step would remove more than a share of the listed servers, they
 //	            stay until a responsive source has reported the removal for a while;
 //	            drains are not delayed.
-//	new servers of an untrusted source wait for a confirmation: another source, or the
+//	new         servers of an untrusted source wait for a confirmation: another source, or the
 //	            same source again after a while. The first answer that names any server
 //	            is trusted as it is: there is nothing to compare it with, and a proxy that
 //	            starts needs servers.
