--- a/internal/node/proxy/proxy.go
+++ b/internal/node/proxy/proxy.go
@@ -110,7 +110,7 @@
 	t.routes.Allow = t.quotas.admit
 	lanes := &downstream.SlowLane{MaxConns: max(t.maxClients/slowLaneShare, 1)}
 	if !file.NoEjection {
-		x.Heard, lanes.Observe = t.outliers.recordAnswer, t.outliers.recordCaller
+		x.OnAttemptEnd, lanes.Observe = t.outliers.recordAnswer, t.outliers.recordCaller
 	}
 	t.downstream = downstream.New(downstream.Config{Exchange: x, Protocol: t.routes, MaxClients: t.maxClients,
 		Limits: httpserver.LimitsFrom(routeconfig.DefaultLimits), SlowLane: lanes})
@@ -311,7 +311,7 @@
 	if len(servers) > 0 {
 		events.ServersChanged.Log("servers", len(servers))
 		t.upstream.UpdateServers(servers)
-		t.exchange.Listed(list)
+		t.exchange.UpdateServers(list)
 	}
 }
 
@@ -329,7 +329,7 @@
 		t.maxConnections[name] = s.MaxConnections
 	}
 	t.quotas.setAllowances(c)
-	t.exchange.Retune(p.Classes)
+	t.exchange.UpdateClasses(p.Classes)
 	t.routes.SetPlan(p)
 	t.downstream.SetLimits(httpserver.LimitsFrom(c.Limits))
 	events.ConfigInForce.Log("revision", c.Revision, "routes", len(c.Routes), "services", len(c.Services), "classes", len(p.Classes))
@@ -387,6 +387,6 @@
 	spare := t.retryBudget.Share(time.Since(t.startedAt).Microseconds(), routers)
 	if routers = max(routers, minProxies); routers != t.proxyCount || spare != t.retrySlack {
 		t.proxyCount, t.retrySlack = routers, spare
-		t.exchange.Tiered(choice.Tier{Routers: routers, RetryBudgetMin: spare})
+		t.exchange.UpdateTier(choice.Tier{Routers: routers, RetryBudgetMin: spare})
 	}
 }
