--- a/internal/exchange/hooks.go
+++ b/internal/exchange/hooks.go
@@ -187,7 +187,7 @@
 		if p.dropped || !slices.Contains(r.Drop, p.Shard) || class.Effect != choice.Safe {
 			continue
 		}
-		if !hookrule.MeetsFloor(class, 1-state.droppedWeight-p.Weight) {
+		if !hookrule.MeetsMinShare(class, 1-state.droppedWeight-p.Weight) {
 			continue
 		}
 		p.dropped = true
@@ -238,7 +238,7 @@
 	a.awaitingHooks = true
 	x.callHooks(qs, hookabi.Send, p, a.Index, func(r *hookabi.Result) {
 		a.awaitingHooks = false
-		if !x.applyResult(qs, p, r) || a.canceling {
+		if !x.applyResult(qs, p, r) || a.cancelling {
 			return
 		}
 		now := x.loop.Now()
@@ -316,8 +316,8 @@
 	f, share := *state.answer, 0.0
 	f.Hits, share = qs.hits(), qs.servedShare()
 	if state.droppedWeight > 0 { // the router's mark does not account for dropped parts
-		f.Complete = f.Complete && hookrule.MeetsNeed(class, share)
-		if !hookrule.MeetsFloor(class, share) {
+		f.Complete = f.Complete && hookrule.MeetsRequiredShare(class, share)
+		if !hookrule.MeetsMinShare(class, share) {
 			x.refuse(qs, "too little is left of the answer", x.retryAfter(qs.class))
 			return
 		}
