--- a/internal/app/admin.go
+++ b/internal/app/admin.go
@@ -103,7 +103,7 @@
 		}
 		hooks = len(set.Hooks)
 	}
-	if slices.Contains(o.Members.Sources, "consul") || o.Consul.Register != "" {
+	if slices.Contains(o.Members.Sources, "consul") || o.Consul.RegisterAs != "" {
 		if _, err := consul.New(o.Consul, nil); err != nil { // the files that it names
 			return err
 		}
--- a/internal/app/hooks.go
+++ b/internal/app/hooks.go
@@ -165,7 +165,7 @@
 		return err
 	}
 	var r hook.Report
-	if err := control.Ask(o.Control.Socket, &r, append([]string{"hooks"}, words...)...); err != nil {
+	if err := control.Call(o.Control.Socket, &r, append([]string{"hooks"}, words...)...); err != nil {
 		return err
 	}
 	if h.JSON {
--- a/internal/app/levels.go
+++ b/internal/app/levels.go
@@ -66,7 +66,7 @@
 		return err
 	}
 	var r exchange.LevelReport
-	if err := control.Ask(o.Control.Socket, &r, append([]string{"level"}, words...)...); err != nil {
+	if err := control.Call(o.Control.Socket, &r, append([]string{"level"}, words...)...); err != nil {
 		return err
 	}
 	if asJSON {
--- a/internal/app/members.go
+++ b/internal/app/members.go
@@ -87,12 +87,12 @@
 
 // newMembers makes the merge; nothing is asked before start.
 func newMembers(cfg *Config, op *Operator, b *upstream.Pool) (*memberships, error) {
-	s, err := members.New(op.Members.Merge(op.ranked()), cfg.settings.Router.Cells, b)
+	s, err := members.New(op.Members.MergeSettings(op.ranked()), cfg.settings.Router.Cells, b)
 	if err != nil {
 		return nil, err
 	}
 	if cfg.settings.Router.Probes {
-		s.Prove(b.Reachable)
+		s.SetProbe(b.Reachable)
 	}
 	return &memberships{Service: s, cfg: cfg, running: make(map[string]*running)}, nil
 }
@@ -132,11 +132,11 @@
 				seed := m.cfg.known
 				seed.Form = choice.Cached
 				w := targets.New(targets.Config{Addr: m.cfg.discovery, Cells: m.cfg.settings.Router.Cells, Index: seed.Version,
-					More: true, Pushed: m.cfg.settings.Pushed, Look: m.cfg.look}, members.List{To: m})
+					MultiAddress: true, Pushed: m.cfg.settings.Pushed, PollTimeout: m.cfg.look}, members.List{To: m})
 				m.list = w
 				k.run = func(stop <-chan struct{}) {
 					if len(seed.Servers) > 0 {
-						members.List{To: m}.Told(seed, m.cfg.addrs)
+						members.List{To: m}.UpdateList(seed, m.cfg.addrs)
 					}
 					w.Watch(true)
 					w.Run(stop)
@@ -156,7 +156,7 @@
 			}
 		}
 	}
-	if err := m.Configure(op.Members.Merge(op.ranked())); err != nil {
+	if err := m.Configure(op.Members.MergeSettings(op.ranked())); err != nil {
 		return err
 	}
 	for _, k := range next {
@@ -217,7 +217,7 @@
 	}
 	ask := func() (*members.Report, error) {
 		var r members.Report
-		return &r, control.Ask(o.Control.Socket, &r, "members", "show", url.QueryEscape(name))
+		return &r, control.Call(o.Control.Socket, &r, "members", "show", url.QueryEscape(name))
 	}
 	r, err := ask()
 	if err != nil {
--- a/internal/app/operator.go
+++ b/internal/app/operator.go
@@ -50,7 +50,7 @@
 		{Name: "consul", Help: "Consul's catalogue and health as a source", Into: &o.Consul, Check: func() error { return keyed(o.Consul.Check()) }},
 		{Name: "dns", Help: "DNS SRV records as a source", Into: &o.DNS, Check: func() error { return keyed(o.DNS.Check()) }},
 		{Name: "levels", Help: "reduced service, by named levels", Into: &o.Levels, Check: o.checkLevels},
-		{Name: "level", Help: "a level of reduced service", Each: func(label string) (any, func() error) {
+		{Name: "level", Help: "a level of reduced service", ForLabel: func(label string) (any, func() error) {
 			l := &exchange.LevelSettings{Name: label}
 			o.Level = append(o.Level, l)
 			return l, func() error { return keyed(l.Check(nil)) }
@@ -76,7 +76,7 @@
 		return nil, err
 	}
 	o.File = f
-	rooted(path, &o.Hooks.Dir, &o.Control.Socket, &o.Consul.Token, &o.Consul.CA)
+	rooted(path, &o.Hooks.Dir, &o.Control.Socket, &o.Consul.TokenFile, &o.Consul.CAFile)
 	return o, nil
 }
 
--- a/internal/app/play_test.go
+++ b/internal/app/play_test.go
@@ -260,7 +260,7 @@
 	begun := time.Now()
 	for epoch := ""; epoch != rest; {
 		var r segments.Report
-		err := control.Ask(filepath.Join(filepath.Dir(s.set), "s"), &r, "segments", "show")
+		err := control.Call(filepath.Join(filepath.Dir(s.set), "s"), &r, "segments", "show")
 		if errors.Is(err, fs.ErrNotExist) && time.Since(begun) < 10*time.Second {
 			continue // the mixer does not listen yet
 		}
@@ -283,13 +283,13 @@
 		require.Contains(s.t, string(text), old, at)
 		require.NoError(s.t, os.WriteFile(filepath.Join(s.set, file), bytes.ReplaceAll(text, []byte(old), []byte(now)), 0o600), at)
 	case "rejected":
-		require.ErrorContains(s.t, control.Ask(socket, &r, "hooks", "reload"), rest, at)
+		require.ErrorContains(s.t, control.Call(socket, &r, "hooks", "reload"), rest, at)
 	case "version":
 		for r.Version = -1; fmt.Sprint(r.Version) != rest; {
-			require.NoError(s.t, control.Ask(socket, &r, "hooks", "list"), at)
+			require.NoError(s.t, control.Call(socket, &r, "hooks", "list"), at)
 		}
 	case "reload", "enable", "disable":
-		require.NoError(s.t, control.Ask(socket, &r, append([]string{"hooks", what}, strings.Fields(rest)...)...), at)
+		require.NoError(s.t, control.Call(socket, &r, append([]string{"hooks", what}, strings.Fields(rest)...)...), at)
 	default:
 		// A socket's path has little room, and a test's folder has a long name.
 		dir, err := os.MkdirTemp("", "sp")
--- a/internal/app/segments.go
+++ b/internal/app/segments.go
@@ -44,7 +44,7 @@
 		return err
 	}
 	var r segments.Report
-	if err := control.Ask(o.Control.Socket, &r, "segments", "show"); err != nil {
+	if err := control.Call(o.Control.Socket, &r, "segments", "show"); err != nil {
 		return err
 	}
 	if asJSON {
@@ -85,7 +85,7 @@
 		return err
 	}
 	var e segments.Explain
-	if err := control.Ask(o.Control.Socket, &e, "segments", "explain", url.QueryEscape(key)); err != nil {
+	if err := control.Call(o.Control.Socket, &e, "segments", "explain", url.QueryEscape(key)); err != nil {
 		return err
 	}
 	_, err = fmt.Fprintf(w, "key %q at epoch %d: segment %d %v, on cell %d since epoch %d; servers %v\n", e.Key, e.Epoch, e.Segment.ID,
--- a/internal/app/serve.go
+++ b/internal/app/serve.go
@@ -168,7 +168,7 @@
 	m := &mixer{cfg: cfg, x: x}
 	if len(op.Members.Sources) == 0 {
 		m.list = targets.New(targets.Config{Addr: cfg.discovery, Cells: cfg.settings.Router.Cells, Index: cfg.known.Version,
-			Pushed: cfg.settings.Pushed, Look: cfg.look}, b)
+			Pushed: cfg.settings.Pushed, PollTimeout: cfg.look}, b)
 		b.List = m.list
 	} else {
 		b.Stagger = op.Members.Stagger
@@ -187,13 +187,13 @@
 			return err
 		}
 	}
-	if op.Consul.Register != "" && len(op.Consul.Addrs) > 0 {
+	if op.Consul.RegisterAs != "" && len(op.Consul.Addrs) > 0 {
 		c, err := consul.New(op.Consul, nil)
 		if err != nil {
 			return err
 		}
 		gone, out := make(chan struct{}), make(chan struct{})
-		go func() { c.Keep(cfg.name, ln.Addr().String(), gone); close(out) }()
+		go func() { c.KeepRegistered(cfg.name, ln.Addr().String(), gone); close(out) }()
 		m.leave = sync.OnceFunc(func() { close(gone); <-out })
 		defer m.leave()
 	}
@@ -212,7 +212,7 @@
 			return fmt.Errorf("[segments] feed: a shard is held by %d cells, and segments are held by one", w)
 		}
 		m.feed = segments.New(op.Segments, x)
-		x.SetMapSource(m.feed, op.Segments.Most)
+		x.SetMapSource(m.feed, op.Segments.MaxParts)
 		feeding, end := context.WithCancel(context.Background())
 		fed := make(chan struct{})
 		go func() { m.feed.Run(feeding); close(fed) }()
@@ -233,15 +233,15 @@
 	f := downstream.New(downstream.Config{Exchange: x, Protocol: p, MaxClients: cfg.sockets - spareFiles - leaves,
 		SoftLimit: cfg.sockets / keepShare, Limits: cfg.pace})
 	if m.feed != nil { // segments are numbered as the map says
-		p.Shards, p.Ready = 0, m.feed.Held
+		p.Shards, p.Ready = 0, m.feed.HasMap
 	}
 	stop := make(chan struct{})
 	if m.members == nil {
-		b.Told(cfg.known, cfg.addrs)
+		b.UpdateList(cfg.known, cfg.addrs)
 	} else {
 		ready := p.Ready
 		p.Members = m.members.page
-		p.Ready = func() bool { return m.members.Heard() && (ready == nil || ready()) }
+		p.Ready = func() bool { return m.members.AnySourceAnswered() && (ready == nil || ready()) }
 	}
 	go x.Run(b, stop)
 	go b.Run(stop)
--- a/internal/app/traits.go
+++ b/internal/app/traits.go
@@ -30,7 +30,7 @@
 		out = append(out, Trait{setting, told, fmt.Sprintf(so, args...)})
 	}
 	if c.settings.Pushed {
-		put("discovery", "push", "the agent is looked at every %v, unasked; news binds from the look before on", targets.LookEvery)
+		put("discovery", "push", "the agent is looked at every %v, unasked; news binds from the look before on", targets.PollInterval)
 	} else {
 		put("discovery", "ask", "a watch is kept; without an answer the list is asked for again, %s at most between asks", us(r.AskWithin/4))
 	}
--- a/internal/cluster/routeconfig/routeconfig.go
+++ b/internal/cluster/routeconfig/routeconfig.go
@@ -90,7 +90,7 @@
 // revision reads a configuration's number: an integer, not negative, with room for the digest
 // bits that order two contents of one number.
 func revision(at paths.Reader) int64 {
-	n := at.NoText().Int()
+	n := at.NotString().Int()
 	if n < 0 || n > chain.MaxRevision {
 		at.Failf("%d is not between 0 and %d", n, int64(chain.MaxRevision))
 	}
@@ -99,22 +99,22 @@
 
 // Parse validates a configuration completely. The error names the path of what is wrong.
 func Parse(raw []byte) (*Config, error) {
-	root, err := paths.JSON(raw)
+	root, err := paths.ParseJSON(raw)
 	if err != nil {
 		return nil, err
 	}
 	root.Object()
 	c := &Config{Raw: raw, Services: make(map[string]*Service), hosts: make(map[string]map[string]*Route), Limits: DefaultLimits}
-	c.Revision = revision(root.At("revision").Must())
-	for _, at := range root.At("services").Must().Items() {
-		s := &Service{Name: at.Object().At("name").Must().Text(), HealthCheckPath: at.At("health_check_path").Text(),
+	c.Revision = revision(root.At("revision").Required())
+	for _, at := range root.At("services").Required().Items() {
+		s := &Service{Name: at.Object().At("name").Required().Text(), HealthCheckPath: at.At("health_check_path").Text(),
 			MaxConnections: int(at.At("max_connections").Int())}
 		if c.Services[s.Name] != nil {
 			at.At("name").Failf("%.60q stands twice", s.Name)
 		}
 		c.Services[s.Name] = s
 	}
-	routes := root.At("routes").Must().Items()
+	routes := root.At("routes").Required().Items()
 	if len(routes) > maxRoutes {
 		root.At("routes").Failf("%d are more than %d", len(routes), maxRoutes)
 	}
@@ -133,7 +133,7 @@
 }
 
 func (c *Config) parseLimits(at paths.Reader) {
-	if !at.Is() {
+	if !at.Exists() {
 		return
 	}
 	at.Object()
@@ -148,7 +148,7 @@
 }
 
 func (c *Config) parseServiceName(at paths.Reader) string {
-	name := at.Must().Text()
+	name := at.Required().Text()
 	if c.Services[name] == nil {
 		at.Failf("there is no service %.60q", name)
 	}
@@ -157,14 +157,14 @@
 
 func (c *Config) parseRoute(at paths.Reader) {
 	at.Object()
-	r := &Route{Name: at.At("name").Text(), Host: strings.ToLower(at.At("hostname").Must().Text()),
-		Prefix: at.At("path_prefix").Must().Text(), Priority: int(at.At("priority").Int()),
+	r := &Route{Name: at.At("name").Text(), Host: strings.ToLower(at.At("hostname").Required().Text()),
+		Prefix: at.At("path_prefix").Required().Text(), Priority: int(at.At("priority").Int()),
 		MaxAttempts: max(int(at.At("max_attempts").Int()), 1), ResultLimit: int(at.At("result_limit").Int())}
-	r.Idempotent = parseRouteType(at.At("route_type").Must())
+	r.Idempotent = parseRouteType(at.At("route_type").Required())
 	if !strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/") {
 		at.At("path_prefix").Failf("%.60q does not start and end with a slash", r.Prefix)
 	}
-	if r.Timeout = milliseconds(at.At("timeout_ms").Must()); r.Timeout <= 0 {
+	if r.Timeout = milliseconds(at.At("timeout_ms").Required()); r.Timeout <= 0 {
 		at.At("timeout_ms").Failf("is 0")
 	}
 	r.TargetLatency = milliseconds(at.At("target_latency_ms"))
@@ -187,15 +187,15 @@
 // parseTarget reads where the requests of a route go. Exactly one form must be there.
 func (c *Config) parseTarget(at paths.Reader, r *Route) {
 	targets := 0
-	if t := at.At("target_service"); t.Is() {
+	if t := at.At("target_service"); t.Exists() {
 		targets++
 		r.Backends = []Backend{{Service: c.parseServiceName(t), Weight: 1}}
 	}
-	if b := at.At("backends"); b.Is() {
+	if b := at.At("backends"); b.Exists() {
 		targets++
 		r.Backends = c.parseBackends(b)
 	}
-	if f := at.At("fanout_services"); f.Is() {
+	if f := at.At("fanout_services"); f.Exists() {
 		targets++
 		r.FanoutServices = c.parseShards(f)
 		r.MinSuccessRatio = at.At("min_success_ratio").Number()
@@ -213,7 +213,7 @@
 	for _, item := range list.Items() {
 		name := item.Object().At("service")
 		for _, other := range []string{"target_service", "name"} { // the pages give no example
-			if !name.Is() {
+			if !name.Exists() {
 				name = item.At(other)
 			}
 		}
@@ -284,7 +284,7 @@
 func (c *Config) Newer(current *Config) bool { return current == nil || c.Revision > current.Revision }
 
 func (c *Config) parseAllowances(at paths.Reader) {
-	if !at.Is() {
+	if !at.Exists() {
 		return
 	}
 	routes := make(map[string]bool, len(c.Routes))
@@ -296,8 +296,8 @@
 		at.Failf("%d are more than %d", len(list), maxAllowances)
 	}
 	for _, at := range list {
-		a := &Allowance{Name: at.Object().At("name").Must().Text(), Header: at.At("header").Text(),
-			Value: at.At("value").Text(), Rate: at.At("rate").Must().Number(), Burst: at.At("burst").Number()}
+		a := &Allowance{Name: at.Object().At("name").Required().Text(), Header: at.At("header").Text(),
+			Value: at.At("value").Text(), Rate: at.At("rate").Required().Number(), Burst: at.At("burst").Number()}
 		switch {
 		case seen[a.Name]:
 			at.At("name").Failf("%.60q stands twice", a.Name)
@@ -309,7 +309,7 @@
 			at.Failf("header and value go together")
 		}
 		seen[a.Name] = true
-		if r := at.At("routes"); r.Is() {
+		if r := at.At("routes"); r.Exists() {
 			a.Routes = make(map[string]bool)
 			for _, item := range r.Items() {
 				if name := item.Text(); !routes[name] {
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -132,7 +132,7 @@
 }
 
 // Ask speaks to the mixer behind a socket and fills into with its answer.
-func Ask(path string, into any, words ...string) error {
+func Call(path string, into any, words ...string) error {
 	if path == "" {
 		return errors.New("the operator file names no socket: set [control] socket")
 	}
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -25,13 +25,13 @@
 	require.NoError(t, err)
 	require.Equal(t, os.FileMode(0o600), info.Mode().Perm())
 	var got []string
-	require.NoError(t, Ask(path, &got, "hooks", "list"))
+	require.NoError(t, Call(path, &got, "hooks", "list"))
 	require.Equal(t, []string{"hooks", "list"}, got)
-	require.EqualError(t, Ask(path, &got, "bad"), "no such word")
+	require.EqualError(t, Call(path, &got, "bad"), "no such word")
 	_, err = Listen(path, nil)
 	require.ErrorContains(t, err, "another process answers there")
 	s.Close()
-	require.ErrorContains(t, Ask(path, &got, "x"), "no mixer answers")
+	require.ErrorContains(t, Call(path, &got, "x"), "no mixer answers")
 
 	// What a process that died left behind is taken over; a file is not.
 	ln, err := net.Listen("unix", path)
@@ -44,5 +44,5 @@
 	require.NoError(t, os.WriteFile(path, nil, 0o600))
 	_, err = Listen(path, nil)
 	require.ErrorContains(t, err, "no socket")
-	require.ErrorContains(t, Ask("", nil), "names no socket")
+	require.ErrorContains(t, Call("", nil), "names no socket")
 }
--- a/internal/downstream/httpserver/httpserver_test.go
+++ b/internal/downstream/httpserver/httpserver_test.go
@@ -36,7 +36,7 @@
 }
 
 func newProxy(t testing.TB, change func(*choice.Settings)) *proxy {
-	set := settings.Settings{MostHeld: 10_000, Router: choice.Settings{ClassesLater: true, Cells: httpserver.MaxShards, Width: 1,
+	set := settings.Settings{MaxInFlight: 10_000, Router: choice.Settings{ClassesLater: true, Cells: httpserver.MaxShards, Width: 1,
 		MaxPartsPerCall: 1, Resolution: 1000, Cancel: true, ParallelAttempts: true, MaxRetryAfter: 1_000_000, AttemptCap: 8,
 		Keepalive: 30_000_000, Routers: 1, RetryBudget: true, RetryBudgetPerShard: true, RetryBudgetRatio: 0.2, RetryBudgetMin: 20,
 		RetryBudgetWindow: 10_000_000}}
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -505,7 +505,7 @@
 		x.deliver(q, Final{Ending: Failed, MayHaveRun: true})
 		return
 	}
-	if x.settings.MostHeld > 0 && len(x.queries)+len(x.parts) >= x.settings.MostHeld {
+	if x.settings.MaxInFlight > 0 && len(x.queries)+len(x.parts) >= x.settings.MaxInFlight {
 		x.Counters.OverCapacity.Add(1)
 		x.deliver(q, Final{Ending: Refused, RetryAfter: x.retryAfter(q.Class)})
 		return
--- a/internal/hook/host_test.go
+++ b/internal/hook/host_test.go
@@ -107,9 +107,9 @@
 }
 
 func host(t testing.TB, e *engine, change func(*hook.Settings)) *hook.Host {
-	t.Cleanup(logs.To(testWriter{}))
+	t.Cleanup(logs.Redirect(testWriter{}))
 	var s hook.Settings
-	inifile.Default(&s)
+	inifile.SetDefaults(&s)
 	s.MostWait = time.Second
 	if change != nil {
 		change(&s)
--- a/internal/hook/manifest.go
+++ b/internal/hook/manifest.go
@@ -103,7 +103,7 @@
 			if errors.As(err, &pathErr) {
 				err = pathErr.Err
 			}
-			return nil, m.lines[at[0]].Fault(at[1], "%s: %v", name, err)
+			return nil, m.lines[at[0]].Errorf(at[1], "%s: %v", name, err)
 		}
 	}
 	return m, nil
@@ -138,19 +138,19 @@
 	for _, s := range doc.Sections {
 		m.lines[s.Name] = s
 		if (s.Kind == "hook" || s.Kind == "test") && !hookabi.Name(s.Label) {
-			return nil, s.Fault("", "a name is 1 to 32 of a-z, 0-9 and -")
+			return nil, s.Errorf("", "a name is 1 to 32 of a-z, 0-9 and -")
 		}
 		switch s.Kind {
 		case "set":
 			if s.Label != "" {
-				return nil, s.Fault("", "no such section; is [set] meant?")
+				return nil, s.Errorf("", "no such section; is [set] meant?")
 			}
 			about = true
 			if err := s.Decode(&m.About); err != nil {
 				return nil, err
 			}
 			if !hookabi.Name(m.About.Name) {
-				return nil, s.Fault("name", "1 to 32 of a-z, 0-9 and -")
+				return nil, s.Errorf("name", "1 to 32 of a-z, 0-9 and -")
 			}
 		case "hook":
 			h := Spec{Name: s.Label}
@@ -164,15 +164,15 @@
 				case ".wasm":
 					h.Engine = "wasm"
 				default:
-					return nil, s.Fault("file", "%s: neither .star nor .wasm: say which engine", h.File)
+					return nil, s.Errorf("file", "%s: neither .star nor .wasm: say which engine", h.File)
 				}
 			}
 			if len(h.Points) == 0 {
-				return nil, s.Fault("points", "none is named")
+				return nil, s.Errorf("points", "none is named")
 			}
 			for _, c := range h.Classes {
 				if classes != nil && !slices.Contains(classes, c) {
-					return nil, s.Fault("classes", "%s: there is no such class; there are: %s", c, strings.Join(classes, ", "))
+					return nil, s.Errorf("classes", "%s: there is no such class; there are: %s", c, strings.Join(classes, ", "))
 				}
 			}
 			m.Hooks = append(m.Hooks, h)
@@ -182,11 +182,11 @@
 				return nil, err
 			}
 			if (t.Expect == "") == (t.Fault == "") {
-				return nil, s.Fault("", "one of expect and fault must be given")
+				return nil, s.Errorf("", "one of expect and fault must be given")
 			}
 			m.Tests = append(m.Tests, t)
 		default:
-			return nil, s.Fault("", "no such section; there are: set, hook NAME, test NAME")
+			return nil, s.Errorf("", "no such section; there are: set, hook NAME, test NAME")
 		}
 	}
 	switch {
@@ -199,7 +199,7 @@
 	}
 	for _, t := range m.Tests {
 		if !slices.ContainsFunc(m.Hooks, func(h Spec) bool { return h.Name == t.Hook }) {
-			return nil, m.lines["test "+t.Name].Fault("hook", "%s: there is no such hook", t.Hook)
+			return nil, m.lines["test "+t.Name].Errorf("hook", "%s: there is no such hook", t.Hook)
 		}
 	}
 	slices.SortStableFunc(m.Hooks, func(a, b Spec) int { return a.Order - b.Order })
--- a/internal/hook/set.go
+++ b/internal/hook/set.go
@@ -100,7 +100,7 @@
 		}
 		if total := modules + scripts; l.Memory > 0 && total > l.Memory {
 			s.retire()
-			return nil, m.lines["hook "+spec.Name].Fault("memory", "the set could need %v with %d calls at once, and may have %v",
+			return nil, m.lines["hook "+spec.Name].Errorf("memory", "the set could need %v with %d calls at once, and may have %v",
 				total, l.Workers, l.Memory)
 		}
 		name := spec.Engine
@@ -110,7 +110,7 @@
 		engine := l.Engines[name]
 		if engine == nil {
 			s.retire()
-			return nil, m.lines["hook "+spec.Name].Fault("engine", "%s: there is no such engine here", name)
+			return nil, m.lines["hook "+spec.Name].Errorf("engine", "%s: there is no such engine here", name)
 		}
 		h := &Hook{Spec: spec, digest: m.digest(spec)}
 		src := Source{Hook: spec.Name, File: spec.File, Text: m.Files[spec.File], Memory: int64(spec.Memory),
@@ -125,7 +125,7 @@
 		cancel()
 		if err != nil {
 			s.retire()
-			return nil, m.lines["hook "+spec.Name].Fault("file", "%v", err)
+			return nil, m.lines["hook "+spec.Name].Errorf("file", "%v", err)
 		}
 		h.program = program
 		s.Hooks = append(s.Hooks, h)
@@ -149,7 +149,7 @@
 		err := s.test(l, t)
 		if err != nil {
 			failed++
-			err = s.Manifest.lines["test "+t.Name].Fault("", "%v", err)
+			err = s.Manifest.lines["test "+t.Name].Errorf("", "%v", err)
 		}
 		out = append(out, TestResult{t, time.Since(start), err})
 	}
--- a/internal/inifile/decode.go
+++ b/internal/inifile/decode.go
@@ -44,7 +44,7 @@
 }
 
 // Default fills a struct with its tags' defaults.
-func Default(into any) {
+func SetDefaults(into any) {
 	if err := (&Section{}).Decode(into); err != nil && !strings.Contains(err.Error(), "must be given") {
 		panic("inifile: a default does not pass its own check: " + err.Error())
 	}
@@ -66,22 +66,22 @@
 		names = append(names, key)
 		if text, ok := f.Tag.Lookup("default"); ok {
 			if err := set(v.Field(i), f, text); err != nil {
-				return s.Fault(key, "default %v", err)
+				return s.Errorf(key, "default %v", err)
 			}
 		}
 	}
 	for _, k := range s.Keys {
 		f, ok := known[k.Name]
 		if !ok {
-			return s.Fault(k.Name, "no such key here%s", guess(k.Name, names))
+			return s.Errorf(k.Name, "no such key here%s", guess(k.Name, names))
 		}
 		if err := set(v.FieldByIndex(f.Index), f, k.Value); err != nil {
-			return s.Fault(k.Name, "%v", err)
+			return s.Errorf(k.Name, "%v", err)
 		}
 	}
 	for key, f := range known {
 		if f.Tag.Get("need") != "" && !s.Has(key) {
-			return s.Fault("", "%s must be given", key)
+			return s.Errorf("", "%s must be given", key)
 		}
 	}
 	return nil
@@ -174,7 +174,7 @@
 	}
 	switch into.Interface().(type) {
 	case time.Duration:
-		d, err := Span(text)
+		d, err := ParseDuration(text)
 		if err != nil {
 			return err
 		}
@@ -185,12 +185,12 @@
 		}
 		into.SetInt(int64(d))
 	case Bytes:
-		n, err := Size(text)
+		n, err := ParseSize(text)
 		if err != nil {
 			return err
 		}
-		least, _ := Size(low)
-		most, _ := Size(high)
+		least, _ := ParseSize(low)
+		most, _ := ParseSize(high)
 		if err := within(float64(n), float64(least), float64(most)); err != nil {
 			return err
 		}
@@ -254,7 +254,7 @@
 
 // Span reads a span of time, such as 250us, 3ms or 1m30s. A bare number has no
 // unit and is refused, 0 but for.
-func Span(text string) (time.Duration, error) {
+func ParseDuration(text string) (time.Duration, error) {
 	d, err := time.ParseDuration(text)
 	if err != nil || d < 0 {
 		return 0, fmt.Errorf("%q is not a span with a unit (us, ms, s, m, h)", text)
@@ -263,7 +263,7 @@
 }
 
 // Size reads a size with its unit.
-func Size(text string) (Bytes, error) {
+func ParseSize(text string) (Bytes, error) {
 	for _, u := range units {
 		if number, ok := strings.CutSuffix(text, u.name); ok {
 			n, err := strconv.ParseInt(strings.TrimSpace(number), 10, 64)
--- a/internal/inifile/inifile.go
+++ b/internal/inifile/inifile.go
@@ -179,7 +179,7 @@
 
 // Fault is a complaint about a key of the section, or about the section itself
 // where it has no such key.
-func (s *Section) Fault(key, format string, args ...any) error {
+func (s *Section) Errorf(key, format string, args ...any) error {
 	e := &Error{File: s.File, Section: s.Name, Key: key, Line: s.Line, Problem: fmt.Sprintf(format, args...)}
 	for _, k := range s.Keys {
 		if k.Name == key {
--- a/internal/lab/answers/answers.go
+++ b/internal/lab/answers/answers.go
@@ -83,7 +83,7 @@
 
 // startProxy starts the data plane of a proxy, and the servers that it knows.
 func startProxy(ctx context.Context, p Plan, l *ledger) (addr string, err error) {
-	set := settings.Settings{MostHeld: 10_000, Router: choice.Settings{ClassesLater: true, Cells: httpserver.MaxShards, Width: 1,
+	set := settings.Settings{MaxInFlight: 10_000, Router: choice.Settings{ClassesLater: true, Cells: httpserver.MaxShards, Width: 1,
 		MaxPartsPerCall: 1, Resolution: resolution, Cancel: true, ParallelAttempts: true, RetryAdvice: true, MaxRetryAfter: 1_000_000,
 		AttemptCap: 8, Keepalive: 30_000_000, Routers: 1, RetryBudget: true, RetryBudgetPerShard: true, RetryBudgetRatio: 1, RetryBudgetMin: 1000,
 		RetryBudgetWindow: 10_000_000}}
--- a/internal/lab/drill/file.go
+++ b/internal/lab/drill/file.go
@@ -139,11 +139,11 @@
 
 func decode(file string, doc *inifile.Doc) (*Drill, error) {
 	d := &Drill{File: file}
-	inifile.Default(&d.Mixer)
-	inifile.Default(&d.Fleet)
-	inifile.Default(&d.Reshape)
-	inifile.Default(&d.Hooks)
-	inifile.Default(&d.Expect)
+	inifile.SetDefaults(&d.Mixer)
+	inifile.SetDefaults(&d.Fleet)
+	inifile.SetDefaults(&d.Reshape)
+	inifile.SetDefaults(&d.Hooks)
+	inifile.SetDefaults(&d.Expect)
 	about := false
 	lines := make(map[string]*inifile.Section)
 	for _, s := range doc.Sections {
@@ -168,7 +168,7 @@
 				c := Class{Name: s.Label}
 				err = s.Decode(&c)
 				if err == nil && c.Floor > c.Need {
-					err = s.Fault("floor", "%v is above need, %v", c.Floor, c.Need)
+					err = s.Errorf("floor", "%v is above need, %v", c.Floor, c.Need)
 				}
 				d.Classes = append(d.Classes, c)
 			case s.Kind == "step" && s.Label != "":
@@ -178,7 +178,7 @@
 				}
 				d.Steps = append(d.Steps, p)
 			default:
-				err = s.Fault("", "no such section; there are: drill, mixer, fleet, hooks, reshape, expect, class NAME, step NAME")
+				err = s.Errorf("", "no such section; there are: drill, mixer, fleet, hooks, reshape, expect, class NAME, step NAME")
 			}
 		}
 		if err != nil {
@@ -194,14 +194,14 @@
 	for _, p := range d.Steps {
 		at := lines["step "+p.Name]
 		if p.At >= d.Length {
-			return nil, at.Fault("at", "%v is not before the drill's end, %v", p.At, d.Length)
+			return nil, at.Errorf("at", "%v is not before the drill's end, %v", p.At, d.Length)
 		}
 		if p.Server != "" && !slices.Contains(d.Servers(), p.Server) {
-			return nil, at.Fault("server", "%s: there is none of that name; the fleet is s-0-0 to s-%d-%d", p.Server, d.Fleet.Cells-1, d.Fleet.Replicas-1)
+			return nil, at.Errorf("server", "%s: there is none of that name; the fleet is s-0-0 to s-%d-%d", p.Server, d.Fleet.Cells-1, d.Fleet.Replicas-1)
 		}
 	}
 	if d.Warmup >= d.Length {
-		return nil, lines["drill"].Fault("warmup", "%v is not before the drill's end, %v", d.Warmup, d.Length)
+		return nil, lines["drill"].Errorf("warmup", "%v is not before the drill's end, %v", d.Warmup, d.Length)
 	}
 	slices.SortStableFunc(d.Steps, func(a, b Step) int { return int(a.At - b.At) })
 	return d, nil
@@ -211,10 +211,10 @@
 	need := map[string]string{"hooks": "set", "bad-hooks": "set", "disable": "hook", "enable": "hook", "hang": "server", "fail": "server",
 		"busy": "server", "claim": "server", "well": "server", "kill": "server", "revive": "server", "drain": "server", "serve": "server"}[p.Do]
 	if p.Do == "evacuate" && (p.Cell >= d.Fleet.Cells || d.Reshape.Segments == 0) {
-		return s.Fault("cell", "%d: there is none, or no [reshape]", p.Cell)
+		return s.Errorf("cell", "%d: there is none, or no [reshape]", p.Cell)
 	}
 	if need != "" && !s.Has(need) {
-		return s.Fault("do", "%s wants a %s", p.Do, need)
+		return s.Errorf("do", "%s wants a %s", p.Do, need)
 	}
 	return nil
 }
--- a/internal/lab/drill/run.go
+++ b/internal/lab/drill/run.go
@@ -273,7 +273,7 @@
 // mapped tells whether a mixer has a map.
 func (r *run) mapped(n int) bool {
 	var rep segments.Report
-	return control.Ask(r.socket(n), &rep, "segments", "show") == nil && rep.Epoch > 0
+	return control.Call(r.socket(n), &rep, "segments", "show") == nil && rep.Epoch > 0
 }
 
 func (r *run) operatorFile(n int) string {
@@ -440,7 +440,7 @@
 	switch s.Do {
 	case "hooks", "bad-hooks":
 		r.look(time.Now()) // what the set that goes has counted
-		if err = control.Ask(r.socket(0), &rep, "hooks", "list"); err != nil {
+		if err = control.Call(r.socket(0), &rep, "hooks", "list"); err != nil {
 			break
 		}
 		before := rep.Swaps
@@ -451,7 +451,7 @@
 		}
 		r.signal(syscall.SIGHUP)
 		for until := time.Now().Add(readyTime); ; time.Sleep(20 * time.Millisecond) {
-			if err = control.Ask(r.socket(0), &rep, "hooks", "list"); err != nil {
+			if err = control.Call(r.socket(0), &rep, "hooks", "list"); err != nil {
 				break
 			}
 			if s.Do == "hooks" && rep.Swaps > before || s.Do == "bad-hooks" && rep.Rejected != "" {
@@ -471,12 +471,12 @@
 			}
 		}
 		if err == nil && s.By == "command" {
-			err = control.Ask(r.socket(0), &rep, "hooks", "reload")
+			err = control.Call(r.socket(0), &rep, "hooks", "reload")
 		}
 	case "reload":
-		err = control.Ask(r.socket(0), &rep, "hooks", "reload")
+		err = control.Call(r.socket(0), &rep, "hooks", "reload")
 	case "enable", "disable":
-		err = control.Ask(r.socket(0), &rep, "hooks", s.Do, s.Hook)
+		err = control.Call(r.socket(0), &rep, "hooks", s.Do, s.Hook)
 	case "stop":
 		r.look(time.Now())
 		r.mu.Lock()
@@ -575,7 +575,7 @@
 	r.mu.Lock()
 	stopping := r.stopping
 	r.mu.Unlock()
-	asked := r.hooks && !stopping && control.Ask(r.socket(0), &rep, "hooks", "list") == nil
+	asked := r.hooks && !stopping && control.Call(r.socket(0), &rep, "hooks", "list") == nil
 	r.mu.Lock()
 	r.rss, r.files = max(r.rss, s.RSS), max(r.files, s.Files)
 	if asked {
--- a/internal/lab/membercost/membercost.go
+++ b/internal/lab/membercost/membercost.go
@@ -76,14 +76,14 @@
 
 func measure(n int) (*Row, error) {
 	var set members.Settings
-	inifile.Default(&set)
+	inifile.SetDefaults(&set)
 	row := &Row{Servers: n}
 	all := make([]membership.Claim, n)
 	for i := range all {
 		all[i] = claim(i)
 	}
 	before := heap()
-	m, err := membership.New(set.Merge(sources))
+	m, err := membership.New(set.MergeSettings(sources))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/real/sources.go
+++ b/internal/lab/real/sources.go
@@ -253,13 +253,13 @@
 	section("members", &m)
 	if s.consul != nil {
 		var c consul.Settings
-		inifile.Default(&c)
+		inifile.SetDefaults(&c)
 		c.Addrs, c.Service, c.Wait = []string{s.consul.Addr}, service, r.plan.Source("consul").Wait
 		section("consul", &c)
 	}
 	if s.dns != nil {
 		var d dnssrv.Settings
-		inifile.Default(&d)
+		inifile.SetDefaults(&d)
 		d.Names, d.Resolvers = []string{srvName}, []string{s.dns.Addr}
 		section("dns", &d)
 	}
@@ -297,7 +297,7 @@
 		if m.proc == nil {
 			continue
 		}
-		if err := control.Ask(r.socket(m.n), &rep, "members", "show"); err != nil {
+		if err := control.Call(r.socket(m.n), &rep, "members", "show"); err != nil {
 			r.fail("mixer %d does not tell its members: %v", m.n, err)
 			continue
 		}
--- a/internal/lab/scenario/file.go
+++ b/internal/lab/scenario/file.go
@@ -312,10 +312,10 @@
 				}
 			}
 			if len(v.Values) == 0 {
-				return nil, s.Fault(k.Name, "no values")
+				return nil, s.Errorf(k.Name, "no values")
 			}
 			if total *= len(v.Values); total > mostVariations {
-				return nil, s.Fault(k.Name, "more than %d variations", mostVariations)
+				return nil, s.Errorf(k.Name, "more than %d variations", mostVariations)
 			}
 			d.Varies = append(d.Varies, v)
 		}
@@ -343,14 +343,14 @@
 		for _, f := range files.Files {
 			path := filepath.Join(filepath.Dir(doc.File), f)
 			if slices.Contains(on, path) {
-				return nil, s.Fault("files", "%s includes itself", f)
+				return nil, s.Errorf("files", "%s includes itself", f)
 			}
 			if *left--; *left < 0 {
-				return nil, s.Fault("files", "more than %d files", mostIncludes)
+				return nil, s.Errorf("files", "more than %d files", mostIncludes)
 			}
 			sub, err := inifile.Read(path)
 			if err != nil {
-				return nil, s.Fault("files", "%v", err)
+				return nil, s.Errorf("files", "%v", err)
 			}
 			if sub, err = include(sub, left, append(slices.Clone(on), path)); err != nil {
 				return nil, err
--- a/internal/lab/scenario/plan.go
+++ b/internal/lab/scenario/plan.go
@@ -27,10 +27,10 @@
 func decode(file string, doc *inifile.Doc) (*Scenario, error) {
 	s := &Scenario{File: file, doc: doc}
 	for _, into := range []any{&s.Mixers, &s.Settings, &s.Network, &s.Clients, &s.Load, &s.List, &s.Members, &s.Levels, &s.Expect} {
-		inifile.Default(into)
+		inifile.SetDefaults(into)
 	}
 	main := Group{Name: "fleet"}
-	inifile.Default(&main)
+	inifile.SetDefaults(&main)
 	at := make(map[string]*inifile.Section)
 	var groups []Group
 	for _, sec := range doc.Sections {
@@ -52,7 +52,7 @@
 		case "load":
 			if err = sec.Decode(&s.Load); err == nil {
 				if _, bad := model.ParseCurve(s.Load.Curve); bad != nil {
-					err = sec.Fault("curve", "%v", bad)
+					err = sec.Errorf("curve", "%v", bad)
 				}
 			}
 		case "list":
@@ -60,7 +60,7 @@
 		case "members":
 			if err = sec.Decode(&s.Members); err == nil {
 				if bad := s.Members.Check(); bad != nil {
-					err = sec.Fault("", "%v", bad)
+					err = sec.Errorf("", "%v", bad)
 				}
 			}
 		case "levels":
@@ -77,7 +77,7 @@
 				err = sec.Decode(&g)
 				for _, k := range []string{"cells", "width", "shards"} {
 					if err == nil && sec.Has(k) {
-						err = sec.Fault(k, "is [fleet]'s alone")
+						err = sec.Errorf(k, "is [fleet]'s alone")
 					}
 				}
 				groups = append(groups, g)
@@ -86,7 +86,7 @@
 				var more string
 				l.From, l.To, _ = strings.Cut(sec.Label, " ")
 				if l.To, more, _ = strings.Cut(l.To, " "); l.To == "" || more != "" {
-					return nil, sec.Fault("", "a link is [link SITE SITE]")
+					return nil, sec.Errorf("", "a link is [link SITE SITE]")
 				}
 				err = sec.Decode(&l)
 				s.Links = append(s.Links, l)
@@ -108,7 +108,7 @@
 				l := exchange.LevelSettings{Name: sec.Label}
 				if err = sec.Decode(&l); err == nil {
 					if bad := l.Check(nil); bad != nil {
-						err = sec.Fault("give", "%v", bad)
+						err = sec.Errorf("give", "%v", bad)
 					}
 				}
 				s.Level = append(s.Level, l)
@@ -143,26 +143,26 @@
 }
 
 func unknown(sec *inifile.Section) error {
-	return sec.Fault("", "no such section; there are: include, vary, scenario, mixers, settings, fleet, group NAME, network, link A B, clients, class NAME, load, burst NAME, tenant NAME, list, members, source NAME, levels, level NAME, fault NAME, expect")
+	return sec.Errorf("", "no such section; there are: include, vary, scenario, mixers, settings, fleet, group NAME, network, link A B, clients, class NAME, load, burst NAME, tenant NAME, list, members, source NAME, levels, level NAME, fault NAME, expect")
 }
 
 func (c *Class) check(sec *inifile.Section) error {
 	dir := filepath.Dir(sec.File)
 	switch {
 	case c.Floor > c.Need:
-		return sec.Fault("floor", "%v is above need, %v", c.Floor, c.Need)
+		return sec.Errorf("floor", "%v is above need, %v", c.Floor, c.Need)
 	case c.PartsMost > 0 && c.PartsMost < c.Parts:
-		return sec.Fault("parts-most", "%d is below parts, %d", c.PartsMost, c.Parts)
+		return sec.Errorf("parts-most", "%d is below parts, %d", c.PartsMost, c.Parts)
 	case c.Aim > c.Patience:
-		return sec.Fault("aim", "%v is above patience, %v", c.Aim, c.Patience)
+		return sec.Errorf("aim", "%v is above patience, %v", c.Aim, c.Patience)
 	case strings.ContainsAny(c.Name, " .,/"):
-		return sec.Fault("", "a class has a name of one word, without . , /")
+		return sec.Errorf("", "a class has a name of one word, without . , /")
 	}
 	if _, err := model.ParseDist(c.Work, dir); err != nil {
-		return sec.Fault("work", "%v", err)
+		return sec.Errorf("work", "%v", err)
 	}
 	if _, err := model.ParseDist(c.Leave, dir); err != nil {
-		return sec.Fault("leave", "%v", err)
+		return sec.Errorf("leave", "%v", err)
 	}
 	return nil
 }
@@ -178,18 +178,18 @@
 	f := &s.Groups[0]
 	site := func(sec *inifile.Section, key, name string) error {
 		if !slices.Contains(s.Network.Sites, name) {
-			return sec.Fault(key, "%q is none of the sites: %s", name, strings.Join(s.Network.Sites, ", "))
+			return sec.Errorf(key, "%q is none of the sites: %s", name, strings.Join(s.Network.Sites, ", "))
 		}
 		return nil
 	}
 	if len(s.Network.Sites) == 0 {
-		return or("network").Fault("sites", "there must be one")
+		return or("network").Errorf("sites", "there must be one")
 	}
 	if s.Warmup >= s.Length {
-		return or("scenario").Fault("warmup", "%v is not before the end, %v", s.Warmup, s.Length)
+		return or("scenario").Errorf("warmup", "%v is not before the end, %v", s.Warmup, s.Length)
 	}
 	if f.Width > f.Cells {
-		return or("fleet").Fault("width", "%d is more than there are cells, %d", f.Width, f.Cells)
+		return or("fleet").Errorf("width", "%d is more than there are cells, %d", f.Width, f.Cells)
 	}
 	servers := 0
 	for i := range s.Groups {
@@ -206,7 +206,7 @@
 		}
 	}
 	if servers < 1 || servers > MostServers {
-		return or("fleet").Fault("replicas", "%d servers in all, not within 1 to %d", servers, MostServers)
+		return or("fleet").Errorf("replicas", "%d servers in all, not within 1 to %d", servers, MostServers)
 	}
 	for _, l := range s.Links {
 		for _, name := range []string{l.From, l.To} {
@@ -226,60 +226,60 @@
 		}
 		queries, parts = queries+q, parts+q*float64(max(c.Parts, c.PartsMost))
 		if queries > MostQueries || parts > MostParts {
-			return at["class "+c.Name].Fault("rate", "the run would have %.3g queries of %.3g parts by this class; at most %.0e and %.0e", queries, parts, float64(MostQueries), float64(MostParts))
+			return at["class "+c.Name].Errorf("rate", "the run would have %.3g queries of %.3g parts by this class; at most %.0e and %.0e", queries, parts, float64(MostQueries), float64(MostParts))
 		}
 	}
 	for _, b := range s.Bursts {
 		if b.Class != "" && !slices.ContainsFunc(s.Classes, func(c Class) bool { return c.Name == b.Class }) {
-			return at["burst "+b.Name].Fault("class", "there is no class %q", b.Class)
+			return at["burst "+b.Name].Errorf("class", "there is no class %q", b.Class)
 		}
 		if b.Tenant != "" && !slices.ContainsFunc(s.Tenants, func(t Tenant) bool { return t.Name == b.Tenant }) {
-			return at["burst "+b.Name].Fault("tenant", "there is no tenant %q", b.Tenant)
+			return at["burst "+b.Name].Errorf("tenant", "there is no tenant %q", b.Tenant)
 		}
 		if b.Tenant != "" && b.Class != "" {
-			return at["burst "+b.Name].Fault("class", "a tenant's burst is of all classes")
+			return at["burst "+b.Name].Errorf("class", "a tenant's burst is of all classes")
 		}
 	}
 	for _, o := range s.Sources {
 		if !slices.Contains(s.Lists(), o.Name) {
-			return at["source "+o.Name].Fault("", "%s is none of the sources: %s", o.Name, strings.Join(s.Lists(), ", "))
+			return at["source "+o.Name].Errorf("", "%s is none of the sources: %s", o.Name, strings.Join(s.Lists(), ", "))
 		}
 	}
 	for _, x := range s.Faults {
 		sec := at["fault "+x.Name]
 		if x.Source != "" && !slices.Contains(s.Lists(), x.Source) {
-			return sec.Fault("source", "%s is none of the sources: %s", x.Source, strings.Join(s.Lists(), ", "))
+			return sec.Errorf("source", "%s is none of the sources: %s", x.Source, strings.Join(s.Lists(), ", "))
 		}
 		if (x.Do == model.Truncate || x.Do == model.Junk) && x.Source != "dns" {
-			return sec.Fault("source", "%s is a fault of dns", x.Do)
+			return sec.Errorf("source", "%s is a fault of dns", x.Do)
 		}
 		if x.Do == model.Reset && x.Source != "consul" {
-			return sec.Fault("source", "%s is a fault of consul", x.Do)
+			return sec.Errorf("source", "%s is a fault of consul", x.Do)
 		}
 		if x.Do == model.Switch {
 			if len(x.To) == 0 || len(s.Members.Sources) == 0 {
-				return sec.Fault("to", "wants sources, and [members] sources must be on")
+				return sec.Errorf("to", "wants sources, and [members] sources must be on")
 			}
 			for _, to := range x.To {
 				if !slices.Contains(s.Lists(), to) {
-					return sec.Fault("to", "%s is none of the sources: %s", to, strings.Join(s.Lists(), ", "))
+					return sec.Errorf("to", "%s is none of the sources: %s", to, strings.Join(s.Lists(), ", "))
 				}
 			}
 		}
 		if x.Class != "" && !slices.ContainsFunc(s.Classes, func(c Class) bool { return c.Name == x.Class }) {
-			return sec.Fault("class", "there is no class %q", x.Class)
+			return sec.Errorf("class", "there is no class %q", x.Class)
 		}
 		if x.At >= s.Length {
-			return sec.Fault("at", "%v is not before the end, %v", x.At, s.Length)
+			return sec.Errorf("at", "%v is not before the end, %v", x.At, s.Length)
 		}
 		if x.Every > 0 && x.For == 0 {
-			return sec.Fault("for", "with every it must be given")
+			return sec.Errorf("for", "with every it must be given")
 		}
 		if x.Do == model.Release && x.For < x.Extra {
-			return sec.Fault("for", "%v ends before the process does, %v after the drain", x.For, x.Extra)
+			return sec.Errorf("for", "%v ends before the process does, %v after the drain", x.For, x.Extra)
 		}
 		if _, err := s.fault(x, s.specs(1)); err != nil {
-			return sec.Fault("who", "%v", err)
+			return sec.Errorf("who", "%v", err)
 		}
 	}
 	return nil
@@ -509,7 +509,7 @@
 		return s.Sources[i]
 	}
 	o := Source{Name: name}
-	inifile.Default(&o)
+	inifile.SetDefaults(&o)
 	if name == "list" {
 		o.Lag, o.Jitter, o.Notice = s.List.Lag, s.List.Jitter, s.List.Notice
 	}
--- a/internal/lab/virtual/sources.go
+++ b/internal/lab/virtual/sources.go
@@ -33,7 +33,7 @@
 // merging is a mixer's merge.
 type merging struct {
 	core  *membership.Members
-	rows  *members.Rows
+	rows  *members.ListBuilder
 	timer *event.Timer
 	n     int64
 	last  map[string]time.Duration
@@ -182,11 +182,11 @@
 // merges gives a mixer that starts its merge, and what the sources say.
 func (m *mixer) merges() error {
 	w := m.w
-	core, err := membership.New(w.plan.Members.Merge(w.inForce))
+	core, err := membership.New(w.plan.Members.MergeSettings(w.inForce))
 	if err != nil {
 		return err
 	}
-	m.merge = &merging{last: make(map[string]time.Duration), core: core, rows: members.NewRows(w.time().UnixMicro())}
+	m.merge = &merging{last: make(map[string]time.Duration), core: core, rows: members.NewListBuilder(w.time().UnixMicro())}
 	for i := range w.sources {
 		m.tellsAll(i, false)
 	}
@@ -219,7 +219,7 @@
 
 // known hands the whole merged list to the decisions.
 func (m *mixer) known() {
-	list, _ := m.merge.rows.Whole(m.w.time().UnixMicro(), m.merge.core.All())
+	list, _ := m.merge.rows.Full(m.w.time().UnixMicro(), m.merge.core.All())
 	m.merge.begun = true
 	m.w.version++
 	m.hears(choice.List{Form: choice.Full, Version: m.w.version, Servers: list})
@@ -235,7 +235,7 @@
 		if m.x == nil {
 			continue
 		}
-		if err := m.merge.core.Configure(w.plan.Members.Merge(w.inForce)); err != nil {
+		if err := m.merge.core.Configure(w.plan.Members.MergeSettings(w.inForce)); err != nil {
 			w.rec.Broke(err.Error())
 			continue
 		}
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -67,7 +67,7 @@
 }
 
 // To sends the lines elsewhere and returns what sends them back, for tests.
-func To(w io.Writer) (back func()) {
+func Redirect(w io.Writer) (back func()) {
 	std.mu.Lock()
 	defer std.mu.Unlock()
 	was := std.w
--- a/internal/node/nodesettings/settings.go
+++ b/internal/node/nodesettings/settings.go
@@ -54,14 +54,14 @@
 
 // Parse reads the text of a settings file. Fields that are not known are ignored.
 func Parse(text string) (*Settings, error) {
-	r, err := paths.Lines(text)
+	r, err := paths.ParseLines(text)
 	if err != nil {
 		return nil, err
 	}
 	ms := func(path string) time.Duration { return time.Duration(r.At(path).Number() * float64(time.Millisecond)) }
 	s := func(path string) time.Duration { return time.Duration(r.At(path).Number() * float64(time.Second)) }
 	b := &Settings{
-		Name: r.At("node_name").Must().Text(), Role: r.At("role").Text(), IP: r.At("ip_address").Must().Text(),
+		Name: r.At("node_name").Required().Text(), Role: r.At("role").Text(), IP: r.At("ip_address").Required().Text(),
 		LoopbackIP: "127.0.0.1", Zone: r.At("zone").Text(), Region: r.At("region").Text(), Regions: make(map[string]string),
 		Front: r.At("listen_addresses.front").Text(), Readiness: r.At("listen_addresses.readiness").Text(),
 		Control:   r.At("listen_addresses.control_plane").Text(),
@@ -79,10 +79,10 @@
 	if ip := r.At("loopback_ip").Text(); ip != "" { // of our own: several machines played on one
 		b.LoopbackIP, b.SharedHost = ip, true
 	}
-	for _, zone := range r.At("zones").Names() {
+	for _, zone := range r.At("zones").Keys() {
 		b.Regions[zone] = r.At("zones." + zone).Text()
 	}
-	ports := r.At("internal_port_range").Must()
+	ports := r.At("internal_port_range").Required()
 	if list := ports.Items(); len(list) == 2 {
 		b.FirstPort, b.LastPort = int(list[0].Int()), int(list[1].Int())
 	}
--- a/internal/node/proxy/proxy.go
+++ b/internal/node/proxy/proxy.go
@@ -83,7 +83,7 @@
 
 // exchangeSettings returns the settings of the exchange and of the decisions.
 func exchangeSettings(bounds nodesettings.Bounds) settings.Settings {
-	return settings.Settings{MostHeld: maxRequests, Router: choice.Settings{
+	return settings.Settings{MaxInFlight: maxRequests, Router: choice.Settings{
 		ClassesLater: true, Cells: httpserver.MaxShards, Width: 1, MaxPartsPerCall: 1, Resolution: tickMicroseconds, Cancel: true,
 		ParallelAttempts: true, RetryAdvice: true, MaxRetryAfter: time.Second.Microseconds(), AttemptCap: maxAttempts,
 		Keepalive: (30 * time.Second).Microseconds(), DrainGrace: bounds.Drain.Microseconds() / 4,
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -29,7 +29,7 @@
 	Check func() error
 	// Each, if set, is for sections [NAME LABEL], of which there may be several: it
 	// returns what gets the values of one and its check. Into and Check are nil then.
-	Each func(label string) (into any, check func() error)
+	ForLabel func(label string) (into any, check func() error)
 }
 
 // KeyError is a fault of one key that its form does not show.
@@ -63,8 +63,8 @@
 func Load(path string, sections []Section) (*File, error) {
 	f := &File{Path: path, sections: sections, origins: make(map[string]Origin)}
 	for _, s := range sections {
-		if s.Each == nil {
-			inifile.Default(s.Into)
+		if s.ForLabel == nil {
+			inifile.SetDefaults(s.Into)
 		}
 	}
 	doc := &inifile.Doc{File: path}
@@ -81,8 +81,8 @@
 func Parse(path string, text []byte, sections []Section) (*File, error) {
 	f := &File{Path: path, sections: sections, origins: make(map[string]Origin)}
 	for _, s := range sections {
-		if s.Each == nil {
-			inifile.Default(s.Into)
+		if s.ForLabel == nil {
+			inifile.SetDefaults(s.Into)
 		}
 	}
 	doc, err := inifile.Parse(path, text)
@@ -97,13 +97,13 @@
 	for _, s := range doc.Sections {
 		known := f.section(s.Name)
 		if i := f.each(s); known == nil && i >= 0 {
-			into, check := f.sections[i].Each(s.Label)
-			inifile.Default(into)
+			into, check := f.sections[i].ForLabel(s.Label)
+			inifile.SetDefaults(into)
 			f.sections = append(f.sections, Section{Name: s.Name, Help: f.sections[i].Help, Into: into, Check: check})
 			known = &f.sections[len(f.sections)-1]
 		}
 		if known == nil {
-			return s.Fault("", "no such section; there are: %s", strings.Join(f.names(), ", "))
+			return s.Errorf("", "no such section; there are: %s", strings.Join(f.names(), ", "))
 		}
 		if err := s.Decode(known.Into); err != nil {
 			return err
@@ -124,9 +124,9 @@
 			}
 			var key *KeyError
 			if errors.As(err, &key) {
-				return at.Fault(key.Key, "%s", key.Problem)
+				return at.Errorf(key.Key, "%s", key.Problem)
 			}
-			return at.Fault("", "%v", err)
+			return at.Errorf("", "%v", err)
 		}
 	}
 	return nil
@@ -134,7 +134,7 @@
 
 func (f *File) section(name string) *Section {
 	for i := range f.sections {
-		if f.sections[i].Name == name && f.sections[i].Each == nil {
+		if f.sections[i].Name == name && f.sections[i].ForLabel == nil {
 			return &f.sections[i]
 		}
 	}
@@ -146,13 +146,13 @@
 	if s.Label == "" {
 		return -1
 	}
-	return slices.IndexFunc(f.sections, func(o Section) bool { return o.Each != nil && o.Name == s.Kind })
+	return slices.IndexFunc(f.sections, func(o Section) bool { return o.ForLabel != nil && o.Name == s.Kind })
 }
 
 func (f *File) names() []string {
 	var out []string
 	for _, s := range f.sections {
-		if s.Each != nil {
+		if s.ForLabel != nil {
 			s.Name += " NAME"
 		}
 		out = append(out, s.Name)
@@ -168,7 +168,7 @@
 		fmt.Fprintf(w, "# %s\n", f.Path)
 	}
 	for _, s := range f.sections {
-		if s.Each != nil {
+		if s.ForLabel != nil {
 			continue
 		}
 		fmt.Fprintf(w, "\n[%s]  # %s\n", s.Name, s.Help)
@@ -200,7 +200,7 @@
 func (f *File) Values() []Value {
 	var out []Value
 	for _, s := range f.sections {
-		if s.Each != nil {
+		if s.ForLabel != nil {
 			continue
 		}
 		for _, k := range inifile.Fields(s.Into) {
--- a/internal/paths/paths.go
+++ b/internal/paths/paths.go
@@ -28,10 +28,10 @@
 }
 
 // Of returns a reader at the root of a tree as encoding/json makes it.
-func Of(v any) Reader { return Reader{v: v, err: new(error)} }
+func New(v any) Reader { return Reader{v: v, err: new(error)} }
 
 // JSON reads one JSON value; anything behind it is a complaint.
-func JSON(b []byte) (Reader, error) {
+func ParseJSON(b []byte) (Reader, error) {
 	d := json.NewDecoder(bytes.NewReader(b))
 	d.UseNumber()
 	var v any
@@ -41,13 +41,13 @@
 	if _, err := d.Token(); err != io.EOF {
 		return Reader{}, Error.New("byte %d: something stands behind the value", d.InputOffset())
 	}
-	return Of(v), nil
+	return New(v), nil
 }
 
 // Lines reads lines of the form a.b=value into a tree of maps. A name that is a value in
 // one line and a map in another is a complaint; empty lines and those that begin with #
 // are passed over.
-func Lines(text string) (Reader, error) {
+func ParseLines(text string) (Reader, error) {
 	root := map[string]any{}
 	n := 0
 	for line := range strings.Lines(text) {
@@ -79,7 +79,7 @@
 		}
 		m[last] = strings.TrimSpace(value)
 	}
-	return Of(root), nil
+	return New(root), nil
 }
 
 // Err is the first complaint of the tree, nil where there is none.
@@ -114,10 +114,10 @@
 }
 
 // Is tells whether anything is there.
-func (r Reader) Is() bool { return r.v != nil }
+func (r Reader) Exists() bool { return r.v != nil }
 
 // Must is the same place; that nothing is there is a complaint.
-func (r Reader) Must() Reader {
+func (r Reader) Required() Reader {
 	if r.v == nil {
 		r.Failf("is missing")
 	}
@@ -147,7 +147,7 @@
 }
 
 // Names are the names below the place.
-func (r Reader) Names() []string {
+func (r Reader) Keys() []string {
 	m, ok := r.v.(map[string]any)
 	if r.v != nil && !ok {
 		r.Failf("is no map")
@@ -225,7 +225,7 @@
 }
 
 // NoText complains of a value that is a text, where numbers in texts are not taken.
-func (r Reader) NoText() Reader {
+func (r Reader) NotString() Reader {
 	if text, is := r.v.(string); is {
 		r.Failf("%.40q is a text, not a number", text)
 	}
--- a/internal/paths/paths_test.go
+++ b/internal/paths/paths_test.go
@@ -8,7 +8,7 @@
 
 func TestLines(t *testing.T) {
 	Convey("Lines of a.b=value become a tree", t, func() {
-		r, err := Lines("a=1\n# no\n\nb.c=x,y\nb.d=true\nunknown.z=?\n")
+		r, err := ParseLines("a=1\n# no\n\nb.c=x,y\nb.d=true\nunknown.z=?\n")
 		So(err, ShouldBeNil)
 		So(r.At("a").Int(), ShouldEqual, 1)
 		So(r.At("b.c").Items()[1].Text(), ShouldEqual, "y")
@@ -18,13 +18,13 @@
 	})
 	Convey("What is wrong is told by its line or its path", t, func() {
 		for text, says := range map[string]string{"a": "line 1", "a=1\na.b=2": "line 2", "a.b=1\na=2": "line 2"} {
-			_, err := Lines(text)
+			_, err := ParseLines(text)
 			So(err, ShouldNotBeNil)
 			So(err.Error(), ShouldContainSubstring, says)
 		}
-		r, _ := Lines("limits.memory_mb=lots\nx=1")
+		r, _ := ParseLines("limits.memory_mb=lots\nx=1")
 		r.At("limits.memory_mb").Int()
-		r.At("y").Must() // only the first complaint is kept
+		r.At("y").Required() // only the first complaint is kept
 		So(r.Err().Error(), ShouldContainSubstring, `limits.memory_mb: "lots" is no number`)
 	})
 }
@@ -32,10 +32,10 @@
 func TestJSON(t *testing.T) {
 	Convey("JSON is read whole", t, func() {
 		for _, text := range []string{"", "{", `{"a":1} x`, `{"a":1}{}`} {
-			_, err := JSON([]byte(text))
+			_, err := ParseJSON([]byte(text))
 			So(err, ShouldNotBeNil)
 		}
-		r, err := JSON([]byte(` {"a":[{"b":1},{"b":"x"}],"n":1e400} `))
+		r, err := ParseJSON([]byte(` {"a":[{"b":1},{"b":"x"}],"n":1e400} `))
 		So(err, ShouldBeNil)
 		items := r.At("a").Items()
 		So(items[0].At("b").Int(), ShouldEqual, 1)
@@ -45,11 +45,11 @@
 	Convey("A value of another sort is told, never guessed", t, func() {
 		for _, read := range []func(Reader){func(r Reader) { r.Int() }, func(r Reader) { r.Text() }, func(r Reader) { r.Bool() },
 			func(r Reader) { r.Items() }, func(r Reader) { r.Object() }} {
-			r, _ := JSON([]byte(`{"a":[1.5,{"x":1e999}]}`))
+			r, _ := ParseJSON([]byte(`{"a":[1.5,{"x":1e999}]}`))
 			item := r.At("a").Items()[0]
 			item.Int()
 			So(r.Err(), ShouldNotBeNil)
-			r, _ = JSON([]byte(`{"v":{"x":1}}`))
+			r, _ = ParseJSON([]byte(`{"v":{"x":1}}`))
 			at := r.At("v.x")
 			_ = at
 			read(Reader{at: "v", v: struct{}{}, err: r.err})
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -18,7 +18,7 @@
 // Settings are what the decisions are told, and what only the sockets need.
 type Settings struct {
 	Router         choice.Settings
-	MostHeld       int           // queries and parts held at once; 0: no limit told
+	MaxInFlight    int           // queries and parts held at once; 0: no limit told
 	StreamsPerConn int           // parts out on one leaf connection; 0: no limit told
 	DialTimeout    choice.Micros // a connection that is not up by then has failed
 	PullReports    bool          // load reports come in probe answers alone
@@ -40,7 +40,7 @@
 }
 
 // Pairs cuts path=value texts. A path told twice keeps its last value.
-func Pairs(texts []string) (map[string]string, error) {
+func ParsePairs(texts []string) (map[string]string, error) {
 	values := make(map[string]string, len(texts))
 	for _, pair := range texts {
 		path, value, ok := strings.Cut(pair, "=")
@@ -254,7 +254,7 @@
 		RetryBudgetRatio:  p.number("rules.extra-ratio"),
 		RetryBudgetWindow: p.integer("rules.extra-window"),
 	}
-	s.MostHeld = p.count("limits.most-held")
+	s.MaxInFlight = p.count("limits.most-held")
 	s.StreamsPerConn = p.count("limits.streams-per-conn")
 	s.DialTimeout = p.integer("limits.dial-timeout")
 	s.Pushed = p.values["discovery"] == "push"
--- a/internal/source/consul/consul.go
+++ b/internal/source/consul/consul.go
@@ -35,21 +35,21 @@
 
 // Settings are the operator file's section [consul].
 type Settings struct {
-	Addrs    []string      `ini:"addresses" help:"host:port of agents or servers, tried in turn"`
-	Service  string        `ini:"service" default:"trips" help:"the service whose instances are leaf servers"`
-	DCs      []string      `ini:"datacentres" help:"asked one by one, the first ranked highest; none: the agent's own"`
-	Read     string        `ini:"read" default:"health" oneof:"health catalogue" help:"catalogue knows no checks: a stalled node stays"`
-	Wait     time.Duration `ini:"wait" default:"10s" range:"100ms..10m" help:"how long one blocking query waits for news"`
-	Mode     string        `ini:"consistency" default:"stale" oneof:"default stale consistent" help:"who may answer: the leader, any server, a leader that has asked around"`
-	MostOld  time.Duration `ini:"most-stale" default:"5s" range:"100ms..1h" help:"an answer of a server that heard the leader longer ago counts as none"`
-	Warning  string        `ini:"warning" default:"use" oneof:"use withhold" help:"servers with a warning"`
-	Token    string        `ini:"token-file" help:"a file with the ACL token; read again when a call is refused"`
-	TLS      bool          `ini:"tls" default:"no"`
-	CA       string        `ini:"ca-file" help:"with tls: a file of certificates to trust; none: the system's"`
-	Bytes    inifile.Bytes `ini:"most-bytes" default:"16MiB" range:"64KiB..1GiB" help:"of one answer; of a longer one nothing counts"`
-	Register string        `ini:"register-as" help:"a service under which the mixer registers itself; none: it does not"`
-	At       string        `ini:"register-address" help:"host:port that is registered; none: where it listens"`
-	TTL      time.Duration `ini:"register-ttl" default:"15s" range:"1s..10m" help:"of its check, which it renews three times in this"`
+	Addrs        []string      `ini:"addresses" help:"host:port of agents or servers, tried in turn"`
+	Service      string        `ini:"service" default:"trips" help:"the service whose instances are leaf servers"`
+	Datacentres  []string      `ini:"datacentres" help:"asked one by one, the first ranked highest; none: the agent's own"`
+	Read         string        `ini:"read" default:"health" oneof:"health catalogue" help:"catalogue knows no checks: a stalled node stays"`
+	Wait         time.Duration `ini:"wait" default:"10s" range:"100ms..10m" help:"how long one blocking query waits for news"`
+	Consistency  string        `ini:"consistency" default:"stale" oneof:"default stale consistent" help:"who may answer: the leader, any server, a leader that has asked around"`
+	MaxStale     time.Duration `ini:"most-stale" default:"5s" range:"100ms..1h" help:"an answer of a server that heard the leader longer ago counts as none"`
+	Warning      string        `ini:"warning" default:"use" oneof:"use withhold" help:"servers with a warning"`
+	TokenFile    string        `ini:"token-file" help:"a file with the ACL token; read again when a call is refused"`
+	TLS          bool          `ini:"tls" default:"no"`
+	CAFile       string        `ini:"ca-file" help:"with tls: a file of certificates to trust; none: the system's"`
+	MaxBytes     inifile.Bytes `ini:"most-bytes" default:"16MiB" range:"64KiB..1GiB" help:"of one answer; of a longer one nothing counts"`
+	RegisterAs   string        `ini:"register-as" help:"a service under which the mixer registers itself; none: it does not"`
+	RegisterAddr string        `ini:"register-address" help:"host:port that is registered; none: where it listens"`
+	RegisterTTL  time.Duration `ini:"register-ttl" default:"15s" range:"1s..10m" help:"of its check, which it renews three times in this"`
 }
 
 // Check looks at the addresses.
@@ -59,12 +59,12 @@
 			return fmt.Errorf("addresses: %q is not an address", a)
 		}
 	}
-	if s.At != "" {
-		if _, _, err := net.SplitHostPort(s.At); err != nil {
-			return fmt.Errorf("register-address: %q is not an address", s.At)
+	if s.RegisterAddr != "" {
+		if _, _, err := net.SplitHostPort(s.RegisterAddr); err != nil {
+			return fmt.Errorf("register-address: %q is not an address", s.RegisterAddr)
 		}
 	}
-	if s.CA != "" && !s.TLS {
+	if s.CAFile != "" && !s.TLS {
 		return errors.New("ca-file: is given, and tls is off")
 	}
 	return nil
@@ -94,16 +94,16 @@
 // New returns a source that has not asked yet.
 func New(set Settings, to members.Sink) (*Client, error) {
 	c := &Client{set: set, to: to}
-	t := &http.Transport{MaxConnsPerHost: len(set.DCs) + 2, MaxIdleConnsPerHost: len(set.DCs) + 2, IdleConnTimeout: time.Minute,
+	t := &http.Transport{MaxConnsPerHost: len(set.Datacentres) + 2, MaxIdleConnsPerHost: len(set.Datacentres) + 2, IdleConnTimeout: time.Minute,
 		DialContext: (&net.Dialer{Timeout: answerTime}).DialContext, TLSHandshakeTimeout: answerTime, ResponseHeaderTimeout: 0}
-	if set.CA != "" {
-		pem, err := os.ReadFile(set.CA)
+	if set.CAFile != "" {
+		pem, err := os.ReadFile(set.CAFile)
 		if err != nil {
 			return nil, fmt.Errorf("[consul] ca-file: %w", err)
 		}
 		pool := x509.NewCertPool()
 		if !pool.AppendCertsFromPEM(pem) {
-			return nil, fmt.Errorf("[consul] ca-file: %s holds no certificate", set.CA)
+			return nil, fmt.Errorf("[consul] ca-file: %s holds no certificate", set.CAFile)
 		}
 		t.TLSClientConfig = &tls.Config{RootCAs: pool, MinVersion: tls.VersionTLS12}
 	}
@@ -114,10 +114,10 @@
 }
 
 func (c *Client) readToken() error {
-	if c.set.Token == "" {
+	if c.set.TokenFile == "" {
 		return nil
 	}
-	f, err := os.Open(c.set.Token)
+	f, err := os.Open(c.set.TokenFile)
 	if err != nil {
 		return fmt.Errorf("[consul] token-file: %w", err)
 	}
@@ -128,7 +128,7 @@
 	}
 	token := strings.TrimSpace(string(text))
 	if token == "" || strings.ContainsAny(token, "\r\n\x00") {
-		return fmt.Errorf("[consul] token-file: %s holds no token", c.set.Token)
+		return fmt.Errorf("[consul] token-file: %s holds no token", c.set.TokenFile)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -141,11 +141,11 @@
 
 // Names are the sources that these settings make.
 func Names(s Settings) []string {
-	if len(s.DCs) == 0 {
+	if len(s.Datacentres) == 0 {
 		return []string{"consul"}
 	}
 	var out []string
-	for _, dc := range s.DCs {
+	for _, dc := range s.Datacentres {
 		out = append(out, "consul."+dc)
 	}
 	return out
@@ -157,7 +157,7 @@
 	defer cancel()
 	defer c.http.CloseIdleConnections()
 	var all sync.WaitGroup
-	dcs := c.set.DCs
+	dcs := c.set.Datacentres
 	if len(dcs) == 0 {
 		dcs = []string{""}
 	}
@@ -227,10 +227,10 @@
 	if into == nil {
 		return p.Header, nil
 	}
-	limited := &io.LimitedReader{R: p.Body, N: int64(c.set.Bytes) + 1}
+	limited := &io.LimitedReader{R: p.Body, N: int64(c.set.MaxBytes) + 1}
 	err = json.NewDecoder(limited).Decode(into)
 	if limited.N <= 0 {
-		err = fmt.Errorf("an answer of more than %v: see [consul] most-bytes", c.set.Bytes)
+		err = fmt.Errorf("an answer of more than %v: see [consul] most-bytes", c.set.MaxBytes)
 	}
 	return p.Header, err
 }
@@ -240,7 +240,7 @@
 	index, doubt := int64(0), false // doubt: the index went back
 	backoff := backoffFrom
 	for ctx.Err() == nil {
-		addr, from, mode := c.addr(), index, c.set.Mode
+		addr, from, mode := c.addr(), index, c.set.Consistency
 		if doubt {
 			from, mode = 0, "default"
 		}
@@ -295,7 +295,7 @@
 	if h.Get("X-Consul-KnownLeader") == "false" {
 		return 0, errors.New("an answer of a cluster that knows no leader")
 	}
-	if ms, err := strconv.ParseInt(h.Get("X-Consul-LastContact"), 10, 64); err == nil && time.Duration(ms)*time.Millisecond > c.set.MostOld {
+	if ms, err := strconv.ParseInt(h.Get("X-Consul-LastContact"), 10, 64); err == nil && time.Duration(ms)*time.Millisecond > c.set.MaxStale {
 		return 0, fmt.Errorf("an answer of a server that heard the leader %d ms ago", ms)
 	}
 	return index, nil
@@ -481,14 +481,14 @@
 
 // Keep registers the mixer and keeps its check up until stop is closed; then it takes
 // it out.
-func (c *Client) Keep(name, listen string, stop <-chan struct{}) {
-	at := c.set.At
+func (c *Client) KeepRegistered(name, listen string, stop <-chan struct{}) {
+	at := c.set.RegisterAddr
 	if at == "" {
 		at = listen
 	}
 	host, port, _ := net.SplitHostPort(at)
 	n, _ := strconv.Atoi(port)
-	id := c.set.Register + "-" + name
+	id := c.set.RegisterAs + "-" + name
 	ctx := context.Background()
 	put := func(path string, body any) error {
 		addr := c.addr()
@@ -517,14 +517,14 @@
 			}
 			registered = false // the agent knows it no more: it was started anew, or is another
 		}
-		err := put("/v1/agent/service/register", map[string]any{"ID": id, "Name": c.set.Register, "Address": host, "Port": n,
-			"Check": map[string]any{"CheckID": "service:" + id, "TTL": c.set.TTL.String(), "Status": "passing", "DeregisterCriticalServiceAfter": (20 * c.set.TTL).String()}})
+		err := put("/v1/agent/service/register", map[string]any{"ID": id, "Name": c.set.RegisterAs, "Address": host, "Port": n,
+			"Check": map[string]any{"CheckID": "service:" + id, "TTL": c.set.RegisterTTL.String(), "Status": "passing", "DeregisterCriticalServiceAfter": (20 * c.set.RegisterTTL).String()}})
 		registered = err == nil
 		return err
 	}
 	log.Info("consul-register", "id", id, "address", at)
 	for {
-		pause := c.set.TTL / 3
+		pause := c.set.RegisterTTL / 3
 		if err := renew(); err != nil {
 			log.Warn("consul-register-failed", "id", id, "err", err)
 			pause = min(pause, time.Second)
--- a/internal/source/consul/consul_test.go
+++ b/internal/source/consul/consul_test.go
@@ -26,7 +26,7 @@
 
 func settings(change func(*Settings)) Settings {
 	var s Settings
-	inifile.Default(&s)
+	inifile.SetDefaults(&s)
 	s.Wait = 10 * time.Second
 	if change != nil {
 		change(&s)
@@ -108,7 +108,7 @@
 // when it has changed, and never stands in the log; TLS trusts the file alone.
 func TestAddressesTokenTLS(t *testing.T) {
 	var log strings.Builder
-	defer logs.To(&log)()
+	defer logs.Redirect(&log)()
 	dead, err := consulapi.Listen("trips", nil)
 	require.NoError(t, err)
 	dead.Close()
@@ -126,7 +126,7 @@
 	require.NoError(t, os.WriteFile(ca, pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: front.Certificate().Raw}), 0o600))
 	h := &observed.Sink{}
 	stop := start(t, settings(func(s *Settings) {
-		s.Addrs, s.Token, s.TLS, s.CA = []string{dead.Addr, strings.TrimPrefix(front.URL, "https://")}, token, true, ca
+		s.Addrs, s.TokenFile, s.TLS, s.CAFile = []string{dead.Addr, strings.TrimPrefix(front.URL, "https://")}, token, true, ca
 	}), h)
 	h.Until(t, "a refusal", func(o membership.Observation) bool { return o.Failed })
 	require.NoError(t, os.WriteFile(token, []byte("s3cret-two"), 0o600))
@@ -137,7 +137,7 @@
 	bad := &observed.Sink{}
 	start(t, settings(func(s *Settings) { s.Addrs, s.TLS = []string{strings.TrimPrefix(front.URL, "https://")}, true }), bad)
 	bad.Until(t, "an authority that is not trusted", func(o membership.Observation) bool { return o.Failed })
-	for _, s := range []Settings{settings(func(s *Settings) { s.Token = ca + ".none" }), settings(func(s *Settings) { s.CA = token })} {
+	for _, s := range []Settings{settings(func(s *Settings) { s.TokenFile = ca + ".none" }), settings(func(s *Settings) { s.CAFile = token })} {
 		_, err := New(s, bad)
 		require.Error(t, err)
 	}
@@ -153,7 +153,7 @@
 	defer srv.Close()
 	h := &observed.Sink{}
 	start(t, settings(func(s *Settings) {
-		s.Addrs, s.DCs, s.Read = []string{srv.Addr}, []string{"amman", "zarqa"}, "catalogue"
+		s.Addrs, s.Datacentres, s.Read = []string{srv.Addr}, []string{"amman", "zarqa"}, "catalogue"
 	}), h)
 	seen := make(map[string]membership.Observation)
 	for len(seen) < 2 {
@@ -174,7 +174,7 @@
 		w.Write([]byte(<-body))
 	}))
 	defer srv.Close()
-	c, err := New(settings(func(s *Settings) { s.Bytes = 1 << 10 }), nil)
+	c, err := New(settings(func(s *Settings) { s.MaxBytes = 1 << 10 }), nil)
 	require.NoError(t, err)
 	for text, want := range map[string]string{"": "EOF", "{": "unexpected", "[{}]": "", `[{"Service":{"ID":"a","Port":99999,"Address":"h"}}]`: "",
 		"[" + strings.Repeat("{},", 1000): "more than 1KiB", `{"Node":1}`: "cannot unmarshal"} {
@@ -195,10 +195,12 @@
 	srv, err := consulapi.Listen("trips", nil)
 	require.NoError(t, err)
 	defer srv.Close()
-	c, err := New(settings(func(s *Settings) { s.Addrs, s.Register, s.TTL = []string{srv.Addr}, "mixers", 60*time.Millisecond }), nil)
+	c, err := New(settings(func(s *Settings) {
+		s.Addrs, s.RegisterAs, s.RegisterTTL = []string{srv.Addr}, "mixers", 60*time.Millisecond
+	}), nil)
 	require.NoError(t, err)
 	stop, over := make(chan struct{}), make(chan struct{})
-	go func() { c.Keep("n3", "127.0.0.1:8080", stop); close(over) }()
+	go func() { c.KeepRegistered("n3", "127.0.0.1:8080", stop); close(over) }()
 	require.Eventually(t, func() bool { _, n := srv.Calls(); return n > 2 && len(srv.Registered()) == 1 }, 20*time.Second, time.Millisecond)
 	srv.Forget()
 	require.Eventually(t, func() bool { return slices.Equal(srv.Registered(), []string{"mixers-n3"}) }, 20*time.Second, time.Millisecond)
--- a/internal/source/dnssrv/ask.go
+++ b/internal/source/dnssrv/ask.go
@@ -34,7 +34,7 @@
 	for _, edns := range []bool{true, false} {
 		q := new(dns.Msg).SetQuestion(name, kind)
 		if edns {
-			q.SetEdns0(uint16(s.set.Size), false)
+			q.SetEdns0(uint16(s.set.UDPSize), false)
 		}
 		m, err := s.exchange(ctx, resolver, tcp, q)
 		switch {
@@ -64,7 +64,7 @@
 	if until, ok := ctx.Deadline(); ok {
 		nc.SetDeadline(until)
 	}
-	c := &dns.Conn{Conn: nc, UDPSize: uint16(s.set.Size)}
+	c := &dns.Conn{Conn: nc, UDPSize: uint16(s.set.UDPSize)}
 	if err := c.WriteMsg(q); err != nil {
 		return nil, err
 	}
--- a/internal/source/dnssrv/dnssrv.go
+++ b/internal/source/dnssrv/dnssrv.go
@@ -26,16 +26,16 @@
 
 // Settings are the operator file's section [dns].
 type Settings struct {
-	Names     []string      `ini:"names" help:"SRV names, such as _trips._tcp.zarqa.example.org; the first is ranked highest"`
-	Resolvers []string      `ini:"resolvers" help:"host:port each, tried in turn"`
-	Cell      string        `ini:"cell" default:"txt" oneof:"txt label" help:"where a target's cell stands: in its TXT record (cell=3), or in a label of its name (c3)"`
-	Floor     time.Duration `ini:"least-ttl" default:"1s" range:"100ms..1h" help:"a record is believed for so long at least"`
-	Cap       time.Duration `ini:"most-ttl" default:"60s" range:"1s..24h" help:"and at most"`
-	Stale     time.Duration `ini:"stale-for" default:"5m" range:"0s..72h" help:"beyond its lifetime, while no resolver answers (RFC 8767)"`
-	Timeout   time.Duration `ini:"timeout" default:"1s" range:"50ms..30s" help:"for one answer"`
-	Size      int           `ini:"udp-size" default:"1232" range:"512..4096" help:"the EDNS buffer that is told"`
-	Most      int           `ini:"most-targets" default:"2000" range:"1..100000" help:"targets of one name; further ones are not taken"`
-	Parallel  int           `ini:"parallel" default:"8" range:"1..256" help:"questions that are out at once"`
+	Names      []string      `ini:"names" help:"SRV names, such as _trips._tcp.zarqa.example.org; the first is ranked highest"`
+	Resolvers  []string      `ini:"resolvers" help:"host:port each, tried in turn"`
+	Cell       string        `ini:"cell" default:"txt" oneof:"txt label" help:"where a target's cell stands: in its TXT record (cell=3), or in a label of its name (c3)"`
+	MinTTL     time.Duration `ini:"least-ttl" default:"1s" range:"100ms..1h" help:"a record is believed for so long at least"`
+	MaxTTL     time.Duration `ini:"most-ttl" default:"60s" range:"1s..24h" help:"and at most"`
+	StaleFor   time.Duration `ini:"stale-for" default:"5m" range:"0s..72h" help:"beyond its lifetime, while no resolver answers (RFC 8767)"`
+	Timeout    time.Duration `ini:"timeout" default:"1s" range:"50ms..30s" help:"for one answer"`
+	UDPSize    int           `ini:"udp-size" default:"1232" range:"512..4096" help:"the EDNS buffer that is told"`
+	MaxTargets int           `ini:"most-targets" default:"2000" range:"1..100000" help:"targets of one name; further ones are not taken"`
+	Parallel   int           `ini:"parallel" default:"8" range:"1..256" help:"questions that are out at once"`
 }
 
 // Check looks at names and addresses.
@@ -50,8 +50,8 @@
 			return fmt.Errorf("resolvers: %q is not an address", r)
 		}
 	}
-	if s.Floor > s.Cap {
-		return fmt.Errorf("least-ttl: %v is above most-ttl, %v", s.Floor, s.Cap)
+	if s.MinTTL > s.MaxTTL {
+		return fmt.Errorf("least-ttl: %v is above most-ttl, %v", s.MinTTL, s.MaxTTL)
 	}
 	return nil
 }
@@ -136,8 +136,8 @@
 
 func (z *zone) item(name string, kind uint16) *item {
 	set := z.s.set
-	return &item{name: name, kind: kind, q: resolve.New(resolve.Settings{Resolvers: len(set.Resolvers), MinTTL: set.Floor.Microseconds(), MaxTTL: set.Cap.Microseconds(),
-		StaleFor: set.Stale.Microseconds(), Backoff: pause.Microseconds(), MaxBackoff: pauseMost.Microseconds()})}
+	return &item{name: name, kind: kind, q: resolve.New(resolve.Settings{Resolvers: len(set.Resolvers), MinTTL: set.MinTTL.Microseconds(), MaxTTL: set.MaxTTL.Microseconds(),
+		StaleFor: set.StaleFor.Microseconds(), Backoff: pause.Microseconds(), MaxBackoff: pauseMost.Microseconds()})}
 }
 
 func (z *zone) run(ctx context.Context) {
@@ -241,7 +241,7 @@
 		}
 		h := z.hosts[name]
 		if h == nil {
-			if len(z.hosts) >= z.s.set.Most {
+			if len(z.hosts) >= z.s.set.MaxTargets {
 				skipped++
 				continue
 			}
@@ -268,7 +268,7 @@
 		}
 	}
 	if skipped > 0 {
-		log.Warn("dns-targets", "name", z.srv.name, "skipped", skipped, "most", z.s.set.Most)
+		log.Warn("dns-targets", "name", z.srv.name, "skipped", skipped, "most", z.s.set.MaxTargets)
 	}
 	for name, h := range z.hosts {
 		if !h.named {
--- a/internal/source/dnssrv/dnssrv_test.go
+++ b/internal/source/dnssrv/dnssrv_test.go
@@ -26,8 +26,8 @@
 
 func settings(change func(*Settings), servers ...*dnsserver.Server) Settings {
 	var s Settings
-	inifile.Default(&s)
-	s.Names, s.Floor, s.Timeout = []string{name}, 100*time.Millisecond, 200*time.Millisecond
+	inifile.SetDefaults(&s)
+	s.Names, s.MinTTL, s.Timeout = []string{name}, 100*time.Millisecond, 200*time.Millisecond
 	for _, d := range servers {
 		s.Resolvers = append(s.Resolvers, d.Addr)
 	}
@@ -110,7 +110,7 @@
 		many = append(many, target("s-"+string(rune('a'+i/26))+string(rune('a'+i%26)), i%4, "127.0.0.1"))
 	}
 	srv := listen(t, 60, many...)
-	h, _ := start(t, settings(func(s *Settings) { s.Timeout, s.Most, s.Parallel = 10*time.Second, 150, 32 }, srv))
+	h, _ := start(t, settings(func(s *Settings) { s.Timeout, s.MaxTargets, s.Parallel = 10*time.Second, 150, 32 }, srv))
 	o := h.Until(t, "all that may be", func(o membership.Observation) bool {
 		return len(o.Claims) == 150 && !slices.ContainsFunc(o.Claims, func(c membership.Claim) bool { return !usable(o, c.Name) })
 	})
--- a/internal/source/members/members.go
+++ b/internal/source/members/members.go
@@ -22,20 +22,20 @@
 
 // Settings are the operator file's section [members].
 type Settings struct {
-	Sources    []string      `ini:"sources" oneof:"list consul dns" help:"where leaf servers come from, the highest-ranked first; none: the platform's list alone, as ever"`
-	Silent     time.Duration `ini:"silent-after" default:"30s" range:"1s..1h" help:"without an answer for so long a source is silent: it neither adds nor drops, and its word on cells and checks does not count"`
-	Forget     time.Duration `ini:"forget-after" default:"1h" range:"0s..720h" help:"silent for so long, what it said counts as never said; 0s: never"`
-	Trusted    []string      `ini:"trusted" default:"list" oneof:"list consul dns" help:"sources whose new servers need no first sign"`
-	FirstSign  time.Duration `ini:"first-sign" default:"1s" range:"0s..1h" help:"a new server of another source waits for a second source, or for the same one again after so long"`
-	FloorShare float64       `ini:"floor-share" default:"0.5" range:"0..1" help:"where more than this share would go at once, they stay for believe-after; 0: no floor"`
-	FloorLeast int           `ini:"floor-least" default:"3" range:"1..100000" help:"and so many servers at least"`
-	Believe    time.Duration `ini:"believe-after" default:"20s" range:"0s..1h" help:"a mass disappearance is believed once it has been said for so long"`
-	FlapHalf   time.Duration `ini:"flap-half-life" default:"15s" range:"0s..1h" help:"each time a server goes costs it a penalty of 1, which halves in this time; 0s: flaps are not damped"`
-	FlapMost   float64       `ini:"flap-most" default:"2.5" range:"0.1..100" help:"above this penalty a return waits"`
-	FlapAgain  float64       `ini:"flap-again" default:"1" range:"0.1..100" help:"until it is below this"`
-	ByAddress  bool          `ini:"same-address" default:"no" help:"two names at one address are one server"`
-	Most       int           `ini:"most-servers" default:"20000" range:"1..1000000" help:"beyond, new ones are not taken, and counted"`
-	Stagger    time.Duration `ini:"stagger" default:"250ms" range:"10ms..10s" help:"between tries of the addresses of one server (RFC 8305)"`
+	Sources         []string      `ini:"sources" oneof:"list consul dns" help:"where leaf servers come from, the highest-ranked first; none: the platform's list alone, as ever"`
+	SilentAfter     time.Duration `ini:"silent-after" default:"30s" range:"1s..1h" help:"without an answer for so long a source is silent: it neither adds nor drops, and its word on cells and checks does not count"`
+	ForgetAfter     time.Duration `ini:"forget-after" default:"1h" range:"0s..720h" help:"silent for so long, what it said counts as never said; 0s: never"`
+	Trusted         []string      `ini:"trusted" default:"list" oneof:"list consul dns" help:"sources whose new servers need no first sign"`
+	ConfirmAfter    time.Duration `ini:"first-sign" default:"1s" range:"0s..1h" help:"a new server of another source waits for a second source, or for the same one again after so long"`
+	FloorShare      float64       `ini:"floor-share" default:"0.5" range:"0..1" help:"where more than this share would go at once, they stay for believe-after; 0: no floor"`
+	FloorMinServers int           `ini:"floor-least" default:"3" range:"1..100000" help:"and so many servers at least"`
+	RemovalDelay    time.Duration `ini:"believe-after" default:"20s" range:"0s..1h" help:"a mass disappearance is believed once it has been said for so long"`
+	FlapHalfLife    time.Duration `ini:"flap-half-life" default:"15s" range:"0s..1h" help:"each time a server goes costs it a penalty of 1, which halves in this time; 0s: flaps are not damped"`
+	FlapSuppress    float64       `ini:"flap-most" default:"2.5" range:"0.1..100" help:"above this penalty a return waits"`
+	FlapReuse       float64       `ini:"flap-again" default:"1" range:"0.1..100" help:"until it is below this"`
+	ByAddress       bool          `ini:"same-address" default:"no" help:"two names at one address are one server"`
+	MaxServers      int           `ini:"most-servers" default:"20000" range:"1..1000000" help:"beyond, new ones are not taken, and counted"`
+	Stagger         time.Duration `ini:"stagger" default:"250ms" range:"10ms..10s" help:"between tries of the addresses of one server (RFC 8305)"`
 }
 
 // Check looks at what keys say of each other.
@@ -45,21 +45,21 @@
 			return fmt.Errorf("sources: %s stands twice", name)
 		}
 	}
-	if s.FlapAgain > s.FlapMost {
-		return fmt.Errorf("flap-again: %v is above flap-most, %v", s.FlapAgain, s.FlapMost)
+	if s.FlapReuse > s.FlapSuppress {
+		return fmt.Errorf("flap-again: %v is above flap-most, %v", s.FlapReuse, s.FlapSuppress)
 	}
 	return nil
 }
 
 // Merge are the settings of the merge. ranked are the sources as the merge knows
 // them, highest first: a source may be several there, such as a datacentre each.
-func (s *Settings) Merge(ranked []string) membership.Settings {
+func (s *Settings) MergeSettings(ranked []string) membership.Settings {
 	us := func(d time.Duration) int64 { return d.Microseconds() }
-	out := membership.Settings{ByAddress: s.ByAddress, FloorShare: s.FloorShare, FloorMinServers: s.FloorLeast, RemovalDelay: us(s.Believe), FlapHalfLife: us(s.FlapHalf),
-		FlapSuppress: s.FlapMost, FlapReuse: s.FlapAgain, ConfirmAfter: us(s.FirstSign), MaxServers: s.Most}
+	out := membership.Settings{ByAddress: s.ByAddress, FloorShare: s.FloorShare, FloorMinServers: s.FloorMinServers, RemovalDelay: us(s.RemovalDelay), FlapHalfLife: us(s.FlapHalfLife),
+		FlapSuppress: s.FlapSuppress, FlapReuse: s.FlapReuse, ConfirmAfter: us(s.ConfirmAfter), MaxServers: s.MaxServers}
 	for i, name := range ranked {
 		kind, _, _ := strings.Cut(name, ".")
-		out.Sources = append(out.Sources, membership.Source{Name: name, Rank: i, SilentAfter: us(s.Silent), ForgetAfter: us(s.Forget), Trusted: slices.Contains(s.Trusted, kind)})
+		out.Sources = append(out.Sources, membership.Source{Name: name, Rank: i, SilentAfter: us(s.SilentAfter), ForgetAfter: us(s.ForgetAfter), Trusted: slices.Contains(s.Trusted, kind)})
 	}
 	return out
 }
@@ -82,7 +82,7 @@
 // Service is the merge in service.
 type Service struct {
 	cells int
-	to    targets.Taker
+	to    targets.Receiver
 	epoch time.Time
 
 	mu      sync.Mutex
@@ -90,7 +90,7 @@
 	asked   bool // the decisions wait for a list
 	begun   bool // the decisions have had a whole list
 	heard   bool // some source has answered
-	rows    *Rows
+	rows    *ListBuilder
 	version int64
 	timer   *time.Timer
 	floored bool
@@ -106,7 +106,7 @@
 
 // Prove gives the way to probe a new server: one that answers has had its first sign.
 // It must be called before anything is observed.
-func (s *Service) Prove(answers func(addrs []string) bool) {
+func (s *Service) SetProbe(answers func(addrs []string) bool) {
 	s.prove, s.proving = answers, make(chan struct{}, mostProving)
 }
 
@@ -120,19 +120,19 @@
 	go func() {
 		defer func() { <-s.proving }()
 		if s.prove(m.Addresses) {
-			s.Sign(m.Name)
+			s.Confirm(m.Name)
 		}
 	}()
 }
 
 // New returns a merge that has heard nothing. What it believes goes to a taker.
-func New(set membership.Settings, cells int, to targets.Taker) (*Service, error) {
+func New(set membership.Settings, cells int, to targets.Receiver) (*Service, error) {
 	core, err := membership.New(set)
 	if err != nil {
 		return nil, err
 	}
 	s := &Service{core: core, cells: cells, to: to, epoch: time.Now()}
-	s.rows = NewRows(s.clock())
+	s.rows = NewListBuilder(s.clock())
 	return s, nil
 }
 
@@ -177,7 +177,7 @@
 }
 
 // Sign notes that a server has answered: its first sign, if it wants one.
-func (s *Service) Sign(name string) {
+func (s *Service) Confirm(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.core.Confirm(name)
@@ -195,11 +195,11 @@
 	if rows, addrs := s.rows.Delta(now, changed); s.asked && s.heard {
 		s.asked, s.begun = false, true
 		s.version++
-		list, all := s.rows.Whole(now, s.core.All())
-		s.to.Told(choice.List{Form: choice.Full, Version: s.version, Servers: list}, all)
+		list, all := s.rows.Full(now, s.core.All())
+		s.to.UpdateList(choice.List{Form: choice.Full, Version: s.version, Servers: list}, all)
 	} else if len(rows) > 0 && s.begun {
 		s.version++
-		s.to.Told(choice.List{Form: choice.Delta, Version: s.version, Servers: rows}, addrs)
+		s.to.UpdateList(choice.List{Form: choice.Delta, Version: s.version, Servers: rows}, addrs)
 	}
 	for _, m := range changed {
 		s.changes++
@@ -250,7 +250,7 @@
 }
 
 // Heard tells whether any source has answered.
-func (s *Service) Heard() bool {
+func (s *Service) AnySourceAnswered() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.heard
@@ -258,7 +258,7 @@
 
 // Rows turns members into the decisions' rows. It holds what they were told, and of
 // a bounded number of names the cell that they first had.
-type Rows struct {
+type ListBuilder struct {
 	told  map[string]row
 	cells map[string]int
 	until membership.Micros // servers that appear before this have run for long, unless a source says when they started
@@ -282,11 +282,11 @@
 }
 
 // NewRows returns rows of which nothing has been told.
-func NewRows(now membership.Micros) *Rows {
-	return &Rows{told: make(map[string]row), cells: make(map[string]int), until: now + settleTime.Microseconds()}
+func NewListBuilder(now membership.Micros) *ListBuilder {
+	return &ListBuilder{told: make(map[string]row), cells: make(map[string]int), until: now + settleTime.Microseconds()}
 }
 
-func (r *Rows) of(now membership.Micros, m membership.Member) row {
+func (r *ListBuilder) of(now membership.Micros, m membership.Member) row {
 	out := row{id: m.Name, addrs: m.Addresses, Server: choice.Server{Zone: m.Site, Kind: m.Kind, Cell: m.Cell, Scale: m.Weight, UpSince: m.Since}}
 	if out.Scale <= 0 {
 		out.Scale = 1
@@ -315,7 +315,7 @@
 
 // Delta are the rows that members which changed make; a row that says what was told
 // is none.
-func (r *Rows) Delta(at membership.Micros, changed []membership.Member) (list []choice.Server, addrs targets.Addrs) {
+func (r *ListBuilder) Delta(at membership.Micros, changed []membership.Member) (list []choice.Server, addrs targets.Addrs) {
 	addrs = make(targets.Addrs)
 	for _, m := range changed {
 		was, known := r.told[m.Name]
@@ -342,7 +342,7 @@
 }
 
 // Whole are the rows of all members, which now count as told.
-func (r *Rows) Whole(at membership.Micros, all []membership.Member) (list []choice.Server, addrs targets.Addrs) {
+func (r *ListBuilder) Full(at membership.Micros, all []membership.Member) (list []choice.Server, addrs targets.Addrs) {
 	addrs = make(targets.Addrs)
 	for _, m := range all {
 		if now := r.of(at, m); now.State != choice.Gone {
@@ -432,7 +432,7 @@
 const ListName = "list"
 
 // Told implements targets.Taker.
-func (l List) Told(list choice.List, addrs targets.Addrs) {
+func (l List) UpdateList(list choice.List, addrs targets.Addrs) {
 	o := membership.Observation{Source: ListName, Index: list.Version, Complete: list.Form != choice.Delta, Reset: list.Form == choice.Full}
 	for _, row := range list.Servers {
 		if row.State == choice.Gone {
@@ -446,6 +446,6 @@
 }
 
 // Failed implements targets.Taker.
-func (l List) Failed() {
+func (l List) FetchFailed() {
 	l.To.Observe(membership.Observation{Source: ListName, Failed: true})
 }
--- a/internal/source/members/members_test.go
+++ b/internal/source/members/members_test.go
@@ -22,9 +22,9 @@
 	forms []choice.Form
 }
 
-func (k *taken) Failed() {}
+func (k *taken) FetchFailed() {}
 
-func (k *taken) Told(l choice.List, a targets.Addrs) {
+func (k *taken) UpdateList(l choice.List, a targets.Addrs) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.forms = append(k.forms, l.Form)
@@ -45,12 +45,12 @@
 
 func begin(t *testing.T, change func(*Settings), ranked ...string) (*Service, *taken) {
 	var set Settings
-	inifile.Default(&set)
+	inifile.SetDefaults(&set)
 	if change != nil {
 		change(&set)
 	}
 	k := &taken{rows: make(map[string]choice.Server), addrs: make(targets.Addrs)}
-	s, err := New(set.Merge(ranked), 8, k)
+	s, err := New(set.MergeSettings(ranked), 8, k)
 	require.NoError(t, err)
 	stop, over := make(chan struct{}), make(chan struct{})
 	go func() { s.Run(stop); close(over) }()
@@ -72,7 +72,7 @@
 	s.Watch(true)
 	require.Empty(t, k.forms, "nothing has been heard")
 	l := List{To: s}
-	l.Told(choice.List{Form: choice.Full, Version: 5, Servers: []choice.Server{{ID: "a", Cell: 1, State: choice.Ready, Scale: 1}, {ID: "b", Cell: 2, State: choice.Ready, Scale: 1}}},
+	l.UpdateList(choice.List{Form: choice.Full, Version: 5, Servers: []choice.Server{{ID: "a", Cell: 1, State: choice.Ready, Scale: 1}, {ID: "b", Cell: 2, State: choice.Ready, Scale: 1}}},
 		targets.Addrs{"a": {"h:1"}, "b": {"h:2"}})
 	require.Equal(t, []choice.Form{choice.Full}, k.forms)
 	require.Equal(t, choice.Ready, k.state("a"))
@@ -82,14 +82,14 @@
 	// Two cells for one server: it is gone until they agree.
 	s.Observe(membership.Observation{Source: "consul", Index: 2, Complete: true, Claims: []membership.Claim{claim("a", 1, true), claim("b", 5, false)}})
 	require.Equal(t, choice.Gone, k.state("b"))
-	l.Told(choice.List{Form: choice.Delta, Version: 6, Servers: []choice.Server{{ID: "b", Cell: 5, State: choice.Ready, Scale: 1}}}, targets.Addrs{"b": {"h:3"}})
+	l.UpdateList(choice.List{Form: choice.Delta, Version: 6, Servers: []choice.Server{{ID: "b", Cell: 5, State: choice.Ready, Scale: 1}}}, targets.Addrs{"b": {"h:3"}})
 	require.Equal(t, choice.Gone, k.state("b"))
 	require.Equal(t, choice.Ready, k.state("b~5"))
 	require.Equal(t, 5, k.rows["b~5"].Cell)
 	require.Equal(t, []string{"h:3"}, k.addrs["b~5"])
 	// Back in its first cell it has its first name again.
 	s.Observe(membership.Observation{Source: "consul", Index: 3, Complete: true, Claims: []membership.Claim{claim("b", 2, false)}})
-	l.Told(choice.List{Form: choice.Delta, Version: 7, Servers: []choice.Server{{ID: "b", Cell: 2, State: choice.Ready, Scale: 1}}}, targets.Addrs{"b": {"h:3"}})
+	l.UpdateList(choice.List{Form: choice.Delta, Version: 7, Servers: []choice.Server{{ID: "b", Cell: 2, State: choice.Ready, Scale: 1}}}, targets.Addrs{"b": {"h:3"}})
 	require.Equal(t, choice.Gone, k.state("b~5"))
 	require.Equal(t, choice.Ready, k.state("b"))
 	// A cell that is not there is none.
@@ -105,9 +105,11 @@
 // A new server of a source that is not trusted waits for a sign: here it answers a
 // probe. Time alone changes things too: the timer runs.
 func TestFirstSignAndTime(t *testing.T) {
-	s, k := begin(t, func(s *Settings) { s.FirstSign, s.Silent, s.Forget = time.Hour, time.Second, 200*time.Millisecond }, "consul")
+	s, k := begin(t, func(s *Settings) {
+		s.ConfirmAfter, s.SilentAfter, s.ForgetAfter = time.Hour, time.Second, 200*time.Millisecond
+	}, "consul")
 	asked := make(chan []string, 4)
-	s.Prove(func(addrs []string) bool { asked <- addrs; return addrs[0] == "h:1" })
+	s.SetProbe(func(addrs []string) bool { asked <- addrs; return addrs[0] == "h:1" })
 	s.Watch(true)
 	s.Observe(membership.Observation{Source: "consul", Index: 1, Complete: true, Claims: []membership.Claim{claim("z", 1, false, "h:9")}})
 	require.Equal(t, choice.Ready, k.state("z"), "at the start there is nothing to set it beside")
@@ -123,14 +125,14 @@
 func TestConfigure(t *testing.T) {
 	s, k := begin(t, nil, "list", "consul")
 	s.Watch(true)
-	List{To: s}.Told(choice.List{Form: choice.Full, Version: 1, Servers: []choice.Server{{ID: "a", Cell: 1, State: choice.Ready, Scale: 1}}}, targets.Addrs{"a": {"h:1"}})
+	List{To: s}.UpdateList(choice.List{Form: choice.Full, Version: 1, Servers: []choice.Server{{ID: "a", Cell: 1, State: choice.Ready, Scale: 1}}}, targets.Addrs{"a": {"h:1"}})
 	s.Observe(membership.Observation{Source: "consul", Index: 1, Complete: true, Claims: []membership.Claim{claim("a", 1, true, "h:1")}})
 	require.Equal(t, choice.Draining, k.state("a"))
 	var set Settings
-	inifile.Default(&set)
-	require.NoError(t, s.Configure(set.Merge([]string{"consul", "dns"})))
+	inifile.SetDefaults(&set)
+	require.NoError(t, s.Configure(set.MergeSettings([]string{"consul", "dns"})))
 	require.Equal(t, choice.Draining, k.state("a"), "consul's word stands")
-	require.NoError(t, s.Configure(set.Merge([]string{"list"})))
+	require.NoError(t, s.Configure(set.MergeSettings([]string{"list"})))
 	require.Equal(t, choice.Gone, k.state("a"), "nobody who is left has named it")
 	require.Error(t, s.Configure(membership.Settings{}))
 	s.Observe(membership.Observation{Source: "consul", Index: 9}) // late: passed over
--- a/internal/source/segments/segments.go
+++ b/internal/source/segments/segments.go
@@ -29,11 +29,11 @@
 
 // Settings are the operator file's section [segments].
 type Settings struct {
-	Feed     string        `ini:"feed" help:"host:port of the placement feed; none: shards are what the platform's settings say (counts from the next start)"`
-	MostWait time.Duration `ini:"watch" default:"20s" range:"100ms..60s" help:"how long one call waits for news"`
-	Stale    time.Duration `ini:"stale-after" default:"30s" range:"1s..24h" help:"without an answer for so long the map counts as stale: told, and used all the same"`
-	Bytes    inifile.Bytes `ini:"most-bytes" default:"16MiB" range:"64KiB..1GiB" help:"of one answer of the feed; of a longer one nothing counts"`
-	Most     int           `ini:"most-parts" default:"256" range:"1..4096" help:"parts that one query may bring once its segments have split"`
+	Feed       string        `ini:"feed" help:"host:port of the placement feed; none: shards are what the platform's settings say (counts from the next start)"`
+	MaxWait    time.Duration `ini:"watch" default:"20s" range:"100ms..60s" help:"how long one call waits for news"`
+	StaleAfter time.Duration `ini:"stale-after" default:"30s" range:"1s..24h" help:"without an answer for so long the map counts as stale: told, and used all the same"`
+	MaxBytes   inifile.Bytes `ini:"most-bytes" default:"16MiB" range:"64KiB..1GiB" help:"of one answer of the feed; of a longer one nothing counts"`
+	MaxParts   int           `ini:"most-parts" default:"256" range:"1..4096" help:"parts that one query may bring once its segments have split"`
 }
 
 const (
@@ -45,12 +45,12 @@
 var log = logs.For("segments")
 
 // Taker gets each newer map.
-type Taker interface{ UpdateMap(m *placement.Map) }
+type MapReceiver interface{ UpdateMap(m *placement.Map) }
 
 // Feed is the watch on one feed.
 type Feed struct {
 	set   Settings
-	to    Taker
+	to    MapReceiver
 	http  *http.Client
 	start time.Time
 
@@ -67,7 +67,7 @@
 }
 
 // New returns a feed that has not been asked yet.
-func New(s Settings, to Taker) *Feed {
+func New(s Settings, to MapReceiver) *Feed {
 	return &Feed{set: s, to: to, start: time.Now(), whole: true, http: &http.Client{Transport: &http.Transport{MaxConnsPerHost: 2, IdleConnTimeout: time.Minute}},
 		refresh: placement.Refresh{MinInterval: least.Microseconds(), MaxBackoff: most.Microseconds()}}
 }
@@ -107,7 +107,7 @@
 		call, cancel := context.WithCancel(ctx)
 		f.mu.Lock()
 		f.kick = cancel
-		url, wait := fmt.Sprintf("http://%s/placement?epoch=%d&wait=%d", f.set.Feed, f.now.Epoch(), f.set.MostWait.Milliseconds()), f.set.MostWait
+		url, wait := fmt.Sprintf("http://%s/placement?epoch=%d&wait=%d", f.set.Feed, f.now.Epoch(), f.set.MaxWait.Milliseconds()), f.set.MaxWait
 		if f.refresh.Fetching { // a server named a newer epoch: now, not when something changes
 			url, wait = fmt.Sprintf("http://%s/placement?epoch=%d&wait=0", f.set.Feed, f.now.Epoch()), 0
 		}
@@ -154,10 +154,10 @@
 		return nil, fmt.Errorf("status %d", p.StatusCode)
 	}
 	var u placement.Update
-	body := &io.LimitedReader{R: p.Body, N: int64(f.set.Bytes) + 1}
+	body := &io.LimitedReader{R: p.Body, N: int64(f.set.MaxBytes) + 1}
 	err = json.NewDecoder(body).Decode(&u)
 	if body.N <= 0 {
-		err = fmt.Errorf("an answer of more than %v: see [segments] most-bytes", f.set.Bytes)
+		err = fmt.Errorf("an answer of more than %v: see [segments] most-bytes", f.set.MaxBytes)
 	}
 	if err != nil {
 		return nil, err
@@ -208,7 +208,7 @@
 }
 
 // Held tells whether there is a map.
-func (f *Feed) Held() bool {
+func (f *Feed) HasMap() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.now != nil
@@ -234,7 +234,7 @@
 		Calls: f.calls, Spared: f.refresh.Suppressed, Err: f.lastErr, Stale: true}
 	if !f.heard.IsZero() {
 		r.HeardMS = time.Since(f.heard).Milliseconds()
-		r.Stale = time.Since(f.heard) > f.set.Stale+f.set.MostWait
+		r.Stale = time.Since(f.heard) > f.set.StaleAfter+f.set.MaxWait
 	}
 	if f.now != nil {
 		r.Cells, r.Retired = f.now.Cells(), f.now.Retired()
--- a/internal/source/segments/segments_test.go
+++ b/internal/source/segments/segments_test.go
@@ -74,8 +74,8 @@
 	f.cond = sync.NewCond(&f.mu)
 	srv := httptest.NewServer(f)
 	var s Settings
-	inifile.Default(&s)
-	s.Bytes = 64 << 10
+	inifile.SetDefaults(&s)
+	s.MaxBytes = 64 << 10
 	s.Feed = strings.TrimPrefix(srv.URL, "http://")
 	maps := make(taker, 16)
 	w := New(s, maps)
--- a/internal/source/targets/targets.go
+++ b/internal/source/targets/targets.go
@@ -43,28 +43,28 @@
 var log = logs.For("targets")
 
 // LookEvery is the pause between looks at an agent.
-const LookEvery = 100 * time.Millisecond
+const PollInterval = 100 * time.Millisecond
 
 // Addrs are the addresses of servers by name.
 type Addrs map[string][]string
 
 // Taker gets what discovery says, in order. It must not call the watch.
-type Taker interface {
+type Receiver interface {
 	// Told brings a list, or changes to it; List.Since says how long ago it may have
 	// counted as told.
-	Told(list choice.List, addrs Addrs)
+	UpdateList(list choice.List, addrs Addrs)
 	// Failed says that a call brought nothing.
-	Failed()
+	FetchFailed()
 }
 
 // Config is what a Watch is told at its start.
 type Config struct {
-	Addr   string        // of discovery, or of the agent
-	Cells  int           // of the fleet
-	Index  int64         // version of the list that is known already
-	More   bool          // entries may have a list "addresses" beside the one address
-	Pushed bool          // an agent holds what it is sent: it is looked at whether or not a watch was asked for
-	Look   time.Duration // where lists are pushed: an answer that takes longer is given up; 0: 300 ms
+	Addr         string        // of discovery, or of the agent
+	Cells        int           // of the fleet
+	Index        int64         // version of the list that is known already
+	MultiAddress bool          // entries may have a list "addresses" beside the one address
+	Pushed       bool          // an agent holds what it is sent: it is looked at whether or not a watch was asked for
+	PollTimeout  time.Duration // where lists are pushed: an answer that takes longer is given up; 0: 300 ms
 }
 
 // Watch makes the calls, one after another: Run's loop alone does.
@@ -73,7 +73,7 @@
 	more   bool // an entry may have several addresses
 	pushed bool
 	look   time.Duration
-	to     Taker
+	to     Receiver
 	kick   chan struct{}
 
 	mu    sync.Mutex
@@ -88,9 +88,9 @@
 }
 
 // New returns a watch; it is not on yet, unless lists are pushed.
-func New(cfg Config, to Taker) *Watch {
-	w := &Watch{cells: cfg.Cells, more: cfg.More, pushed: cfg.Pushed, to: to, kick: make(chan struct{}, 1),
-		on: cfg.Pushed, addr: cfg.Addr, index: cfg.Index, look: cmp.Or(cfg.Look, lookTime)}
+func New(cfg Config, to Receiver) *Watch {
+	w := &Watch{cells: cfg.Cells, more: cfg.MultiAddress, pushed: cfg.Pushed, to: to, kick: make(chan struct{}, 1),
+		on: cfg.Pushed, addr: cfg.Addr, index: cfg.Index, look: cmp.Or(cfg.PollTimeout, lookTime)}
 	w.current, w.end = context.WithCancel(context.Background())
 	return w
 }
@@ -199,7 +199,7 @@
 		pause := time.Duration(float64(backoff) * (0.5 + rand.Float64()/2))
 		switch {
 		case w.pushed:
-			pause = LookEvery
+			pause = PollInterval
 		case ok:
 			pause = leastTurn - time.Since(asked)
 		default:
@@ -234,7 +234,7 @@
 	}
 	if err != nil {
 		log.Warn("discovery-failed", "addr", addr, "err", err)
-		w.to.Failed()
+		w.to.FetchFailed()
 		return false, false
 	}
 	if w.pushed {
@@ -244,7 +244,7 @@
 		}
 	}
 	w.whole, w.index = false, list.Version
-	w.to.Told(list, addrs)
+	w.to.UpdateList(list, addrs)
 	return true, list.Form != choice.Delta || len(list.Servers) > 0
 }
 
--- a/internal/source/targets/targets_test.go
+++ b/internal/source/targets/targets_test.go
@@ -32,8 +32,8 @@
 
 type taker chan heard
 
-func (k taker) Told(l choice.List, _ Addrs) { k <- heard{list: l} }
-func (k taker) Failed()                     { k <- heard{failed: true} }
+func (k taker) UpdateList(l choice.List, _ Addrs) { k <- heard{list: l} }
+func (k taker) FetchFailed()                      { k <- heard{failed: true} }
 
 func listen(t *testing.T) *agent {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -96,7 +96,7 @@
 // A mixer that waited to be asked heard of no drain at all.
 func TestPushedListIsLookedAtUnasked(t *testing.T) {
 	a := listen(t)
-	_, k := start(t, Config{Addr: a.ln.Addr().String(), Index: 41, Pushed: true, Look: patience})
+	_, k := start(t, Config{Addr: a.ln.Addr().String(), Index: 41, Pushed: true, PollTimeout: patience})
 	a.accept()
 	require.Equal(t, "/api/targets?index=41&wait=0", a.asked())
 	a.answer(41, false) // no news is told to nobody
@@ -142,7 +142,7 @@
 			}()
 		}
 	}()
-	_, k := start(t, Config{Addr: a.ln.Addr().String(), Index: 41, Pushed: true, Look: 50 * time.Millisecond})
+	_, k := start(t, Config{Addr: a.ln.Addr().String(), Index: 41, Pushed: true, PollTimeout: 50 * time.Millisecond})
 	for range 3 {
 		require.True(t, k.next(t).failed)
 	}
--- a/internal/upstream/fuzz_test.go
+++ b/internal/upstream/fuzz_test.go
@@ -36,7 +36,7 @@
 				require.True(t, s.ID != "" && s.Cell >= 0 && s.Cell < 2 && s.UpSince >= 0, "%+v", s)
 				require.Contains(t, addrs, s.ID)
 			}
-			b.Told(list, addrs)
+			b.UpdateList(list, addrs)
 		}
 	})
 }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -254,14 +254,14 @@
 // ---- The list.
 
 // Failed implements targets.Taker.
-func (b *Pool) Failed() {
+func (b *Pool) FetchFailed() {
 	b.Exchange.Counters.ListFails.Add(1)
 	b.Exchange.UpdateServers(choice.List{Form: choice.Failed})
 }
 
 // Told implements targets.Taker: it takes a list for the connections and hands it to
 // the exchange.
-func (b *Pool) Told(list choice.List, addrs targets.Addrs) {
+func (b *Pool) UpdateList(list choice.List, addrs targets.Addrs) {
 	if list.Form != choice.Cached {
 		b.Exchange.Counters.Lists.Add(1)
 	}
--- a/internal/upstream/race_test.go
+++ b/internal/upstream/race_test.go
@@ -126,7 +126,7 @@
 	x, err := exchange.New(1, set)
 	require.NoError(t, err)
 	b := New(Config{Exchange: x, Settings: set, List: noList{}, Stagger: stagger, MaxConns: 64})
-	b.Told(choice.List{Form: choice.Full, Version: 1, Servers: []choice.Server{{ID: "s", State: choice.Ready, Scale: 1}}}, targets.Addrs{"s": addrs})
+	b.UpdateList(choice.List{Form: choice.Full, Version: 1, Servers: []choice.Server{{ID: "s", State: choice.Ready, Scale: 1}}}, targets.Addrs{"s": addrs})
 	stop := make(chan struct{})
 	done := make(chan struct{})
 	go func() { x.Run(b, stop); close(done) }()
@@ -201,7 +201,7 @@
 	}
 	take(0)
 	require.Equal(t, one, <-s.seen)
-	b.Told(choice.List{Form: choice.Delta, Version: 2, Servers: []choice.Server{{ID: "s", State: choice.Ready, Scale: 1}}}, targets.Addrs{"s": {two}})
+	b.UpdateList(choice.List{Form: choice.Delta, Version: 2, Servers: []choice.Server{{ID: "s", State: choice.Ready, Scale: 1}}}, targets.Addrs{"s": {two}})
 	take(1)
 	require.Equal(t, two, <-s.seen)
 	close(s.hold)
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -23,7 +23,7 @@
 	if err != nil {
 		return 0, routerSettings, fieldError("NEW_INSTANCE", "init-seed", fmt.Sprintf("%q is not an integer", fields[1]))
 	}
-	values, err := settings.Pairs(fields[2:])
+	values, err := settings.ParsePairs(fields[2:])
 	if err != nil {
 		return 0, routerSettings, startError(err)
 	}
