--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -26,30 +26,30 @@
 }
 
 const (
-	maxLine  = 4 << 10
-	maxReply = 16 << 20
-	maxConns = 8
-	askTime  = 2 * time.Second  // for the line to come
-	doTime   = 60 * time.Second // for what it asks, and for its answer to be taken
+	maxLine         = 4 << 10
+	maxReply        = 16 << 20
+	maxConns        = 8
+	requestTimeout  = 2 * time.Second  // for the line to come
+	responseTimeout = 60 * time.Second // for what it asks, and for its answer to be taken
 )
 
 var log = logs.For("control")
 
 // Handler does what a line asks. What it returns is answered as JSON.
-type Handler func(words []string) (any, error)
+type Handler func(args []string) (any, error)
 
 // Server answers on a socket.
 type Server struct {
-	ln     net.Listener
-	handle Handler
-	room   chan struct{}
-	ended  sync.WaitGroup
+	ln      net.Listener
+	handle  Handler
+	slots   chan struct{}
+	running sync.WaitGroup
 }
 
 // Listen opens the socket; only this user may use it. A socket that a process
 // left behind is taken over, one that is answered is not.
 func Listen(path string, handle Handler) (*Server, error) {
-	if nc, err := net.DialTimeout("unix", path, askTime); err == nil {
+	if nc, err := net.DialTimeout("unix", path, requestTimeout); err == nil {
 		nc.Close()
 		return nil, fmt.Errorf("%s: another process answers there", path)
 	}
@@ -69,30 +69,30 @@
 		ln.Close()
 		return nil, err
 	}
-	s := &Server{ln: ln, handle: handle, room: make(chan struct{}, maxConns)}
-	s.ended.Add(1)
+	s := &Server{ln: ln, handle: handle, slots: make(chan struct{}, maxConns)}
+	s.running.Add(1)
 	go s.serve()
 	return s, nil
 }
 
 func (s *Server) serve() {
-	defer s.ended.Done()
+	defer s.running.Done()
 	for {
-		s.room <- struct{}{}
+		s.slots <- struct{}{}
 		nc, err := s.ln.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			<-s.room
+			<-s.slots
 			time.Sleep(10 * time.Millisecond)
 			continue
 		}
-		s.ended.Add(1)
+		s.running.Add(1)
 		go func() {
-			defer s.ended.Done()
-			defer func() { nc.Close(); <-s.room }()
-			s.one(nc)
+			defer s.running.Done()
+			defer func() { nc.Close(); <-s.slots }()
+			s.serveConn(nc)
 		}()
 	}
 }
@@ -102,8 +102,8 @@
 	Value json.RawMessage `json:"value,omitempty"`
 }
 
-func (s *Server) one(nc net.Conn) {
-	nc.SetReadDeadline(time.Now().Add(askTime))
+func (s *Server) serveConn(nc net.Conn) {
+	nc.SetReadDeadline(time.Now().Add(requestTimeout))
 	line, err := bufio.NewReader(io.LimitReader(nc, maxLine)).ReadString('\n')
 	if err != nil {
 		return
@@ -121,28 +121,28 @@
 		return
 	}
 	log.Info("control", "asked", strings.TrimSpace(line), "err", r.Error)
-	nc.SetWriteDeadline(time.Now().Add(doTime))
+	nc.SetWriteDeadline(time.Now().Add(responseTimeout))
 	nc.Write(append(text, '\n'))
 }
 
 // Close ends the socket. What is being answered is finished.
 func (s *Server) Close() {
 	s.ln.Close()
-	s.ended.Wait()
+	s.running.Wait()
 }
 
 // Ask speaks to the mixer behind a socket and fills into with its answer.
-func Call(path string, into any, words ...string) error {
+func Call(path string, into any, args ...string) error {
 	if path == "" {
 		return errors.New("the operator file names no socket: set [control] socket")
 	}
-	nc, err := net.DialTimeout("unix", path, askTime)
+	nc, err := net.DialTimeout("unix", path, requestTimeout)
 	if err != nil {
 		return fmt.Errorf("no mixer answers: %w", err)
 	}
 	defer nc.Close()
-	nc.SetDeadline(time.Now().Add(doTime))
-	if _, err := fmt.Fprintln(nc, strings.Join(words, " ")); err != nil {
+	nc.SetDeadline(time.Now().Add(responseTimeout))
+	if _, err := fmt.Fprintln(nc, strings.Join(args, " ")); err != nil {
 		return err
 	}
 	text, err := io.ReadAll(io.LimitReader(nc, maxReply))
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -14,11 +14,11 @@
 func TestControl(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	path := filepath.Join(t.TempDir(), "s")
-	s, err := Listen(path, func(words []string) (any, error) {
-		if words[0] == "bad" {
+	s, err := Listen(path, func(args []string) (any, error) {
+		if args[0] == "bad" {
 			return nil, errors.New("no such word")
 		}
-		return words, nil
+		return args, nil
 	})
 	require.NoError(t, err)
 	info, err := os.Stat(path)
--- a/internal/inifile/decode.go
+++ b/internal/inifile/decode.go
@@ -65,7 +65,7 @@
 		known[key] = f
 		names = append(names, key)
 		if text, ok := f.Tag.Lookup("default"); ok {
-			if err := set(v.Field(i), f, text); err != nil {
+			if err := setField(v.Field(i), f, text); err != nil {
 				return s.Errorf(key, "default %v", err)
 			}
 		}
@@ -73,9 +73,9 @@
 	for _, k := range s.Keys {
 		f, ok := known[k.Name]
 		if !ok {
-			return s.Errorf(k.Name, "no such key here%s", guess(k.Name, names))
+			return s.Errorf(k.Name, "no such key here%s", suggestion(k.Name, names))
 		}
-		if err := set(v.FieldByIndex(f.Index), f, k.Value); err != nil {
+		if err := setField(v.FieldByIndex(f.Index), f, k.Value); err != nil {
 			return s.Errorf(k.Name, "%v", err)
 		}
 	}
@@ -88,11 +88,11 @@
 }
 
 // guess names the key that was probably meant.
-func guess(word string, known []string) string {
-	best, least := "", 3
+func suggestion(name string, known []string) string {
+	best, bestDistance := "", 3
 	for _, k := range known {
-		if d := distance(word, k); d < least {
-			best, least = k, d
+		if d := distance(name, k); d < bestDistance {
+			best, bestDistance = k, d
 		}
 	}
 	if best == "" {
@@ -131,21 +131,21 @@
 	for i := range v.NumField() {
 		f := v.Type().Field(i)
 		if key := f.Tag.Get("ini"); key != "" {
-			out = append(out, Field{Key: key, Value: show(v.Field(i).Interface()), Default: f.Tag.Get("default"),
-				Range: f.Tag.Get("range") + f.Tag.Get("oneof"), Help: f.Tag.Get("help"), Kind: kind(v.Field(i).Interface())})
+			out = append(out, Field{Key: key, Value: formatValue(v.Field(i).Interface()), Default: f.Tag.Get("default"),
+				Range: f.Tag.Get("range") + f.Tag.Get("oneof"), Help: f.Tag.Get("help"), Kind: formName(v.Field(i).Interface())})
 		}
 	}
 	return out
 }
 
-func show(v any) string {
+func formatValue(v any) string {
 	if l, ok := v.([]string); ok {
 		return strings.Join(l, ", ")
 	}
 	return fmt.Sprint(v)
 }
 
-func kind(v any) string {
+func formName(v any) string {
 	switch v.(type) {
 	case time.Duration:
 		return "span"
@@ -163,11 +163,11 @@
 	return "text"
 }
 
-func set(into reflect.Value, f reflect.StructField, text string) error {
+func setField(into reflect.Value, f reflect.StructField, text string) error {
 	low, high, ranged := strings.Cut(f.Tag.Get("range"), "..")
 	oneof := strings.Fields(f.Tag.Get("oneof"))
-	within := func(v, least, most float64) error {
-		if ranged && (v < least || v > most) {
+	checkRange := func(v, minimum, maximum float64) error {
+		if ranged && (v < minimum || v > maximum) {
 			return fmt.Errorf("%q is not within %s to %s", text, low, high)
 		}
 		return nil
@@ -178,9 +178,9 @@
 		if err != nil {
 			return err
 		}
-		least, _ := time.ParseDuration(low)
-		most, _ := time.ParseDuration(high)
-		if err := within(float64(d), float64(least), float64(most)); err != nil {
+		minimum, _ := time.ParseDuration(low)
+		maximum, _ := time.ParseDuration(high)
+		if err := checkRange(float64(d), float64(minimum), float64(maximum)); err != nil {
 			return err
 		}
 		into.SetInt(int64(d))
@@ -189,9 +189,9 @@
 		if err != nil {
 			return err
 		}
-		least, _ := ParseSize(low)
-		most, _ := ParseSize(high)
-		if err := within(float64(n), float64(least), float64(most)); err != nil {
+		minimum, _ := ParseSize(low)
+		maximum, _ := ParseSize(high)
+		if err := checkRange(float64(n), float64(minimum), float64(maximum)); err != nil {
 			return err
 		}
 		into.SetInt(int64(n))
@@ -200,9 +200,9 @@
 		if err != nil {
 			return fmt.Errorf("%q is not a whole number", text)
 		}
-		least, _ := strconv.ParseFloat(low, 64)
-		most, _ := strconv.ParseFloat(high, 64)
-		if err := within(float64(n), least, most); err != nil {
+		minimum, _ := strconv.ParseFloat(low, 64)
+		maximum, _ := strconv.ParseFloat(high, 64)
+		if err := checkRange(float64(n), minimum, maximum); err != nil {
 			return err
 		}
 		into.SetInt(n)
@@ -211,9 +211,9 @@
 		if err != nil || math.IsNaN(n) || math.IsInf(n, 0) {
 			return fmt.Errorf("%q is not a number", text)
 		}
-		least, _ := strconv.ParseFloat(low, 64)
-		most, _ := strconv.ParseFloat(high, 64)
-		if err := within(n, least, most); err != nil {
+		minimum, _ := strconv.ParseFloat(low, 64)
+		maximum, _ := strconv.ParseFloat(high, 64)
+		if err := checkRange(n, minimum, maximum); err != nil {
 			return err
 		}
 		into.SetFloat(n)
--- a/internal/inifile/inifile.go
+++ b/internal/inifile/inifile.go
@@ -98,13 +98,13 @@
 	if err != nil {
 		return nil, err
 	}
-	read, err := ini.LoadSources(ini.LoadOptions{IgnoreContinuation: true, KeyValueDelimiters: "=",
+	parsed, err := ini.LoadSources(ini.LoadOptions{IgnoreContinuation: true, KeyValueDelimiters: "=",
 		SkipUnrecognizableLines: false, UnescapeValueDoubleQuotes: true}, text)
 	if err != nil {
 		return nil, &Error{File: file, Problem: err.Error()}
 	}
 	for _, s := range doc.Sections {
-		got, err := read.GetSection(s.Name)
+		got, err := parsed.GetSection(s.Name)
 		if err != nil || len(got.Keys()) != len(s.Keys) {
 			return nil, &Error{File: file, Section: s.Name, Line: s.Line, Problem: "can't be read; is a value longer than its line?"}
 		}
@@ -121,12 +121,12 @@
 // scan finds the sections and keys with their lines.
 func scan(file, text string) (*Doc, error) {
 	doc := &Doc{File: file}
-	seen := make(map[string]int)
-	keys := make(map[string]int)
-	var s *Section
-	total := 0
+	sectionLines := make(map[string]int)
+	keyLines := make(map[string]int)
+	var section *Section
+	keyCount := 0
 	for i, line := range strings.Split(text, "\n") {
-		at := i + 1
+		lineNumber := i + 1
 		line = strings.TrimSpace(strings.TrimPrefix(line, "\ufeff"))
 		if line == "" || line[0] == '#' || line[0] == ';' {
 			continue
@@ -138,41 +138,41 @@
 				rest = strings.TrimSpace(line[end+1:])
 			}
 			if end < 0 || rest != "" && rest[0] != '#' && rest[0] != ';' {
-				return nil, &Error{File: file, Line: at, Problem: fmt.Sprintf("%.40q is no section head", line)}
+				return nil, &Error{File: file, Line: lineNumber, Problem: fmt.Sprintf("%.40q is no section head", line)}
 			}
 			name := strings.Join(strings.Fields(line[1:end]), " ")
 			if name == "" || name != line[1:end] || strings.EqualFold(name, ini.DefaultSection) {
-				return nil, &Error{File: file, Line: at, Problem: fmt.Sprintf("%.40q is no section name", line[1:end])}
+				return nil, &Error{File: file, Line: lineNumber, Problem: fmt.Sprintf("%.40q is no section name", line[1:end])}
 			}
-			if was := seen[name]; was > 0 {
-				return nil, &Error{File: file, Section: name, Line: at, Problem: fmt.Sprintf("stands on line %d already", was)}
+			if earlier := sectionLines[name]; earlier > 0 {
+				return nil, &Error{File: file, Section: name, Line: lineNumber, Problem: fmt.Sprintf("stands on line %d already", earlier)}
 			}
-			seen[name] = at
+			sectionLines[name] = lineNumber
 			kind, label, _ := strings.Cut(name, " ")
-			s = &Section{File: file, Name: name, Kind: kind, Label: label, Line: at}
-			doc.Sections = append(doc.Sections, s)
-			clear(keys)
+			section = &Section{File: file, Name: name, Kind: kind, Label: label, Line: lineNumber}
+			doc.Sections = append(doc.Sections, section)
+			clear(keyLines)
 			continue
 		}
 		key, value, ok := strings.Cut(line, "=")
 		key = strings.TrimSpace(key)
 		if !ok || key == "" || strings.ContainsAny(key, "\"`' \t[]") {
-			return nil, &Error{File: file, Line: at, Problem: fmt.Sprintf("%.40q is neither a section nor key = value", line)}
+			return nil, &Error{File: file, Line: lineNumber, Problem: fmt.Sprintf("%.40q is neither a section nor key = value", line)}
 		}
-		if s == nil {
-			return nil, &Error{File: file, Key: key, Line: at, Problem: "stands before any section"}
+		if section == nil {
+			return nil, &Error{File: file, Key: key, Line: lineNumber, Problem: "stands before any section"}
 		}
 		if value = strings.TrimSpace(value); strings.HasPrefix(value, `"""`) || strings.HasPrefix(value, "`") {
-			return nil, &Error{File: file, Section: s.Name, Key: key, Line: at, Problem: "a value must end on its line"}
+			return nil, &Error{File: file, Section: section.Name, Key: key, Line: lineNumber, Problem: "a value must end on its line"}
 		}
-		if was := keys[key]; was > 0 {
-			return nil, &Error{File: file, Section: s.Name, Key: key, Line: at, Problem: fmt.Sprintf("stands on line %d already", was)}
+		if earlier := keyLines[key]; earlier > 0 {
+			return nil, &Error{File: file, Section: section.Name, Key: key, Line: lineNumber, Problem: fmt.Sprintf("stands on line %d already", earlier)}
 		}
-		keys[key] = at
-		if total++; total > MaxKeys {
-			return nil, &Error{File: file, Line: at, Problem: fmt.Sprintf("more than %d keys", MaxKeys)}
+		keyLines[key] = lineNumber
+		if keyCount++; keyCount > MaxKeys {
+			return nil, &Error{File: file, Line: lineNumber, Problem: fmt.Sprintf("more than %d keys", MaxKeys)}
 		}
-		s.Keys = append(s.Keys, Key{Name: key, Line: at})
+		section.Keys = append(section.Keys, Key{Name: key, Line: lineNumber})
 	}
 	return doc, nil
 }
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -30,27 +30,27 @@
 
 // sink is where all lines go.
 type sink struct {
-	level  slog.LevelVar
-	repeat atomic.Int64
-
-	mu    sync.Mutex
-	w     io.Writer
-	now   func() time.Time
-	gates map[string]*gate
-	buf   []byte
+	level        slog.LevelVar
+	maxPerSecond atomic.Int64
+
+	mu     sync.Mutex
+	w      io.Writer
+	now    func() time.Time
+	limits map[string]*eventLimit
+	buf    []byte
 }
 
 // gate bounds the lines of one event of one component.
-type gate struct {
-	at            time.Time
-	passed, stood int
+type eventLimit struct {
+	windowStart         time.Time
+	written, suppressed int
 }
 
 var std = newSink(os.Stderr, time.Now)
 
 func newSink(w io.Writer, now func() time.Time) *sink {
-	s := &sink{w: w, now: now, gates: make(map[string]*gate)}
-	s.repeat.Store(20)
+	s := &sink{w: w, now: now, limits: make(map[string]*eventLimit)}
+	s.maxPerSecond.Store(20)
 	return s
 }
 
@@ -63,19 +63,19 @@
 	if level.UnmarshalText([]byte(set.Level)) == nil {
 		std.level.Set(level)
 	}
-	std.repeat.Store(int64(set.Repeat))
+	std.maxPerSecond.Store(int64(set.Repeat))
 }
 
 // To sends the lines elsewhere and returns what sends them back, for tests.
-func Redirect(w io.Writer) (back func()) {
+func Redirect(w io.Writer) (restore func()) {
 	std.mu.Lock()
 	defer std.mu.Unlock()
-	was := std.w
+	previous := std.w
 	std.w = w
 	return func() {
 		std.mu.Lock()
 		defer std.mu.Unlock()
-		std.w = was
+		std.w = previous
 	}
 }
 
@@ -106,24 +106,24 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
-	g := s.gates[h.component+" "+r.Message]
-	if g == nil {
-		g = &gate{}
-		s.gates[h.component+" "+r.Message] = g
+	limit := s.limits[h.component+" "+r.Message]
+	if limit == nil {
+		limit = &eventLimit{}
+		s.limits[h.component+" "+r.Message] = limit
 	}
-	if most := s.repeat.Load(); most > 0 {
-		if now.Sub(g.at) >= time.Second {
-			g.at, g.passed = now, 0
+	if maxPerSecond := s.maxPerSecond.Load(); maxPerSecond > 0 {
+		if now.Sub(limit.windowStart) >= time.Second {
+			limit.windowStart, limit.written = now, 0
 		}
-		if int64(g.passed) >= most {
-			g.stood++
+		if int64(limit.written) >= maxPerSecond {
+			limit.suppressed++
 			return nil
 		}
-		g.passed++
+		limit.written++
 	}
 	b := now.UTC().AppendFormat(s.buf[:0], "2006/01/02 15:04:05.000000")
 	b = append(b, " level="...)
-	b = append(b, level(r.Level)...)
+	b = append(b, levelName(r.Level)...)
 	b = append(b, " component="...)
 	b = append(b, h.component...)
 	b = append(b, " event="...)
@@ -135,10 +135,10 @@
 		b = appendAttr(b, h.group, a)
 		return true
 	})
-	if g.stood > 0 {
+	if limit.suppressed > 0 {
 		b = append(b, " unlogged="...)
-		b = strconv.AppendInt(b, int64(g.stood), 10)
-		g.stood = 0
+		b = strconv.AppendInt(b, int64(limit.suppressed), 10)
+		limit.suppressed = 0
 	}
 	b = append(b, '\n')
 	s.buf = b
@@ -149,7 +149,7 @@
 	return err
 }
 
-func level(l slog.Level) string {
+func levelName(l slog.Level) string {
 	switch {
 	case l >= slog.LevelError:
 		return "error"
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -42,7 +42,7 @@
 	var out bytes.Buffer
 	now := time.Unix(100, 0)
 	s := newSink(&out, func() time.Time { return now })
-	s.repeat.Store(2)
+	s.maxPerSecond.Store(2)
 	l := slog.New(&handler{s: s, component: "front"})
 	for range 7 {
 		l.Info("bad-query")
@@ -53,7 +53,7 @@
 	now = now.Add(time.Second)
 	l.Info("bad-query")
 	require.Contains(t, out.String(), "event=bad-query unlogged=5\n")
-	s.repeat.Store(0)
+	s.maxPerSecond.Store(0)
 	out.Reset()
 	for range 50 {
 		l.Info("bad-query")
@@ -68,11 +68,11 @@
 	_, rows, ok := strings.Cut(string(page), "## Lines")
 	require.True(t, ok)
 	rows, _, _ = strings.Cut(rows, "\n## ")
-	var told []string
+	var documented []string
 	for line := range strings.SplitSeq(rows, "\n") {
 		if cells := strings.Split(line, "|"); len(cells) > 2 {
 			for _, m := range regexp.MustCompile("`([a-z-]+)`").FindAllStringSubmatch(cells[1], -1) {
-				told = append(told, m[1])
+				documented = append(documented, m[1])
 			}
 		}
 	}
@@ -110,6 +110,6 @@
 		}))
 	}
 	slices.Sort(events)
-	slices.Sort(told)
-	require.Equal(t, slices.Compact(events), slices.Compact(told))
+	slices.Sort(documented)
+	require.Equal(t, slices.Compact(events), slices.Compact(documented))
 }
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -74,7 +74,7 @@
 			return nil, err
 		}
 	}
-	return f, f.take(doc)
+	return f, f.decode(doc)
 }
 
 // Parse is Load on a text.
@@ -89,26 +89,26 @@
 	if err != nil {
 		return nil, err
 	}
-	return f, f.take(doc)
+	return f, f.decode(doc)
 }
 
-func (f *File) take(doc *inifile.Doc) error {
-	read := make(map[string]*inifile.Section)
+func (f *File) decode(doc *inifile.Doc) error {
+	present := make(map[string]*inifile.Section)
 	for _, s := range doc.Sections {
-		known := f.section(s.Name)
-		if i := f.each(s); known == nil && i >= 0 {
+		known := f.findSection(s.Name)
+		if i := f.labelledIndex(s); known == nil && i >= 0 {
 			into, check := f.sections[i].ForLabel(s.Label)
 			inifile.SetDefaults(into)
 			f.sections = append(f.sections, Section{Name: s.Name, Help: f.sections[i].Help, Into: into, Check: check})
 			known = &f.sections[len(f.sections)-1]
 		}
 		if known == nil {
-			return s.Errorf("", "no such section; there are: %s", strings.Join(f.names(), ", "))
+			return s.Errorf("", "no such section; there are: %s", strings.Join(f.sectionNames(), ", "))
 		}
 		if err := s.Decode(known.Into); err != nil {
 			return err
 		}
-		read[s.Name] = s
+		present[s.Name] = s
 		for _, k := range s.Keys {
 			f.origins[s.Name+" "+k.Name] = Origin{filepath.Base(f.Path), k.Line}
 		}
@@ -118,21 +118,21 @@
 			continue
 		}
 		if err := s.Check(); err != nil {
-			at := read[s.Name]
-			if at == nil {
-				at = &inifile.Section{File: f.Path, Name: s.Name}
+			section := present[s.Name]
+			if section == nil {
+				section = &inifile.Section{File: f.Path, Name: s.Name}
 			}
 			var key *KeyError
 			if errors.As(err, &key) {
-				return at.Errorf(key.Key, "%s", key.Problem)
+				return section.Errorf(key.Key, "%s", key.Problem)
 			}
-			return at.Errorf("", "%v", err)
+			return section.Errorf("", "%v", err)
 		}
 	}
 	return nil
 }
 
-func (f *File) section(name string) *Section {
+func (f *File) findSection(name string) *Section {
 	for i := range f.sections {
 		if f.sections[i].Name == name && f.sections[i].ForLabel == nil {
 			return &f.sections[i]
@@ -142,14 +142,14 @@
 }
 
 // each is the section of several that a section of the file is one of; below 0: none.
-func (f *File) each(s *inifile.Section) int {
+func (f *File) labelledIndex(s *inifile.Section) int {
 	if s.Label == "" {
 		return -1
 	}
 	return slices.IndexFunc(f.sections, func(o Section) bool { return o.ForLabel != nil && o.Name == s.Kind })
 }
 
-func (f *File) names() []string {
+func (f *File) sectionNames() []string {
 	var out []string
 	for _, s := range f.sections {
 		if s.ForLabel != nil {
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -8,12 +8,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-type one struct {
+type sample struct {
 	Wait time.Duration `ini:"wait" default:"1s" range:"1ms..1m" help:"how long"`
 	Dir  string        `ini:"dir"`
 }
 
-func sections(into *one) []Section {
+func sections(into *sample) []Section {
 	return []Section{{Name: "one", Help: "the first", Into: into, Check: func() error {
 		if into.Dir == "bad" {
 			return &KeyError{"dir", "is bad"}
@@ -23,7 +23,7 @@
 }
 
 func TestFile(t *testing.T) {
-	var got one
+	var got sample
 	f, err := Parse("/etc/op.ini", []byte("[one]\nwait = 2s\n"), sections(&got))
 	require.NoError(t, err)
 	require.Equal(t, 2*time.Second, got.Wait)
@@ -47,7 +47,7 @@
 		"[one]\nwait=2h":            `op.ini:2: [one] wait: "2h" is not within 1ms to 1m`,
 		"[one]\nwait=1s\nwait = 2s": "op.ini:3: [one] wait: stands on line 2 already",
 	} {
-		_, err := Parse("op.ini", []byte(text), sections(&one{}))
+		_, err := Parse("op.ini", []byte(text), sections(&sample{}))
 		require.EqualError(t, err, want)
 	}
 }
@@ -57,7 +57,7 @@
 	f.Add("[one]\nwait = 2s\ndir = x\n")
 	f.Add("[one]\r\nwait=9999999999h\n")
 	f.Fuzz(func(t *testing.T, text string) {
-		var got one
+		var got sample
 		if _, err := Parse("op.ini", []byte(text), sections(&got)); err == nil {
 			require.GreaterOrEqual(t, got.Wait, time.Millisecond)
 			require.LessOrEqual(t, got.Wait, time.Minute)
--- a/internal/paths/paths.go
+++ b/internal/paths/paths.go
@@ -22,13 +22,13 @@
 // Reader stands at one place of a tree of maps and lists. The zero Reader is a place
 // where nothing is.
 type Reader struct {
-	at  string
-	v   any
-	err *error // the first complaint, shared by all readers of a tree
+	path     string
+	value    any
+	firstErr *error // the first complaint, shared by all readers of a tree
 }
 
 // Of returns a reader at the root of a tree as encoding/json makes it.
-func New(v any) Reader { return Reader{v: v, err: new(error)} }
+func New(v any) Reader { return Reader{value: v, firstErr: new(error)} }
 
 // JSON reads one JSON value; anything behind it is a complaint.
 func ParseJSON(b []byte) (Reader, error) {
@@ -84,41 +84,41 @@
 
 // Err is the first complaint of the tree, nil where there is none.
 func (r Reader) Err() error {
-	if r.err == nil {
+	if r.firstErr == nil {
 		return nil
 	}
-	return *r.err
+	return *r.firstErr
 }
 
 // Path names the place.
-func (r Reader) Path() string { return r.at }
+func (r Reader) Path() string { return r.path }
 
 // Failf complains of the place.
 func (r Reader) Failf(format string, args ...any) {
-	if r.err != nil && *r.err == nil {
-		*r.err = Error.New("%s: %s", r.at, fmt.Sprintf(format, args...))
+	if r.firstErr != nil && *r.firstErr == nil {
+		*r.firstErr = Error.New("%s: %s", r.path, fmt.Sprintf(format, args...))
 	}
 }
 
 // At goes down by names joined with dots.
 func (r Reader) At(path string) Reader {
 	for name := range strings.SplitSeq(path, ".") {
-		m, _ := r.v.(map[string]any)
+		m, _ := r.value.(map[string]any)
 		at := name
-		if r.at != "" {
-			at = r.at + "." + name
+		if r.path != "" {
+			at = r.path + "." + name
 		}
-		r = Reader{at: at, v: m[name], err: r.err}
+		r = Reader{path: at, value: m[name], firstErr: r.firstErr}
 	}
 	return r
 }
 
 // Is tells whether anything is there.
-func (r Reader) Exists() bool { return r.v != nil }
+func (r Reader) Exists() bool { return r.value != nil }
 
 // Must is the same place; that nothing is there is a complaint.
 func (r Reader) Required() Reader {
-	if r.v == nil {
+	if r.value == nil {
 		r.Failf("is missing")
 	}
 	return r
@@ -127,18 +127,18 @@
 // Items are the places of a list; of a text, what its commas part.
 func (r Reader) Items() []Reader {
 	var items []Reader
-	switch v := r.v.(type) {
+	switch v := r.value.(type) {
 	case nil:
 	case []any:
 		for i, x := range v {
-			items = append(items, Reader{at: r.at + "[" + strconv.Itoa(i) + "]", v: x, err: r.err})
+			items = append(items, Reader{path: r.path + "[" + strconv.Itoa(i) + "]", value: x, firstErr: r.firstErr})
 		}
 	case string:
 		if v == "" {
 			return nil
 		}
 		for i, x := range strings.Split(v, ",") {
-			items = append(items, Reader{at: r.at + "[" + strconv.Itoa(i) + "]", v: strings.TrimSpace(x), err: r.err})
+			items = append(items, Reader{path: r.path + "[" + strconv.Itoa(i) + "]", value: strings.TrimSpace(x), firstErr: r.firstErr})
 		}
 	default:
 		r.Failf("is no list")
@@ -148,8 +148,8 @@
 
 // Names are the names below the place.
 func (r Reader) Keys() []string {
-	m, ok := r.v.(map[string]any)
-	if r.v != nil && !ok {
+	m, ok := r.value.(map[string]any)
+	if r.value != nil && !ok {
 		r.Failf("is no map")
 	}
 	names := make([]string, 0, len(m))
@@ -161,7 +161,7 @@
 
 // Object complains unless a map is there.
 func (r Reader) Object() Reader {
-	if _, ok := r.v.(map[string]any); !ok {
+	if _, ok := r.value.(map[string]any); !ok {
 		r.Failf("is no object")
 	}
 	return r
@@ -169,7 +169,7 @@
 
 // Text is the text at the place; "" where nothing is.
 func (r Reader) Text() string {
-	switch v := r.v.(type) {
+	switch v := r.value.(type) {
 	case nil:
 		return ""
 	case string:
@@ -183,7 +183,7 @@
 // Number is the finite number at the place; 0 where nothing is.
 func (r Reader) Number() float64 {
 	var text string
-	switch v := r.v.(type) {
+	switch v := r.value.(type) {
 	case nil:
 		return 0
 	case json.Number:
@@ -207,7 +207,7 @@
 // Int is the whole number at the place; 0 where nothing is.
 func (r Reader) Int() int64 {
 	var text string
-	switch v := r.v.(type) {
+	switch v := r.value.(type) {
 	case json.Number:
 		text = v.String()
 	case string:
@@ -226,7 +226,7 @@
 
 // NoText complains of a value that is a text, where numbers in texts are not taken.
 func (r Reader) NotString() Reader {
-	if text, is := r.v.(string); is {
+	if text, is := r.value.(string); is {
 		r.Failf("%.40q is a text, not a number", text)
 	}
 	return r
@@ -234,7 +234,7 @@
 
 // Bool is the truth value at the place; false where nothing is.
 func (r Reader) Bool() bool {
-	switch v := r.v.(type) {
+	switch v := r.value.(type) {
 	case nil:
 		return false
 	case bool:
--- a/internal/paths/paths_test.go
+++ b/internal/paths/paths_test.go
@@ -17,10 +17,10 @@
 		So(r.Err(), ShouldBeNil)
 	})
 	Convey("What is wrong is told by its line or its path", t, func() {
-		for text, says := range map[string]string{"a": "line 1", "a=1\na.b=2": "line 2", "a.b=1\na=2": "line 2"} {
+		for text, want := range map[string]string{"a": "line 1", "a=1\na.b=2": "line 2", "a.b=1\na=2": "line 2"} {
 			_, err := ParseLines(text)
 			So(err, ShouldNotBeNil)
-			So(err.Error(), ShouldContainSubstring, says)
+			So(err.Error(), ShouldContainSubstring, want)
 		}
 		r, _ := ParseLines("limits.memory_mb=lots\nx=1")
 		r.At("limits.memory_mb").Int()
@@ -52,7 +52,7 @@
 			r, _ = ParseJSON([]byte(`{"v":{"x":1}}`))
 			at := r.At("v.x")
 			_ = at
-			read(Reader{at: "v", v: struct{}{}, err: r.err})
+			read(Reader{path: "v", value: struct{}{}, firstErr: r.firstErr})
 			So(r.Err(), ShouldNotBeNil)
 		}
 	})
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -40,9 +40,9 @@
 }
 
 // Pairs cuts path=value texts. A path told twice keeps its last value.
-func ParsePairs(texts []string) (map[string]string, error) {
-	values := make(map[string]string, len(texts))
-	for _, pair := range texts {
+func ParsePairs(args []string) (map[string]string, error) {
+	values := make(map[string]string, len(args))
+	for _, pair := range args {
 		path, value, ok := strings.Cut(pair, "=")
 		if !ok {
 			return nil, &FieldError{"profile-data", fmt.Sprintf("%q is not path=value", pair)}
@@ -93,21 +93,21 @@
 }
 
 // pairs are the settings by path, with the first complaint.
-type pairs struct {
+type decoder struct {
 	values map[string]string
 	err    error
 }
 
-func (p *pairs) fail(path, problem string) {
+func (p *decoder) fail(path, problem string) {
 	if p.err == nil {
 		p.err = &FieldError{path, problem}
 	}
 }
 
 // number reads a setting; one that was not told is 0.
-func (p *pairs) number(path string) float64 {
-	s, told := p.values[path]
-	if !told {
+func (p *decoder) number(path string) float64 {
+	s, present := p.values[path]
+	if !present {
 		return 0
 	}
 	f, err := ParseNumber(s)
@@ -117,9 +117,9 @@
 	return f
 }
 
-func (p *pairs) integer(path string) int64 {
-	s, told := p.values[path]
-	if !told {
+func (p *decoder) integer(path string) int64 {
+	s, present := p.values[path]
+	if !present {
 		return 0
 	}
 	n, err := strconv.ParseInt(s, 10, 64)
@@ -134,18 +134,18 @@
 	return n
 }
 
-func (p *pairs) bool(path string) bool {
-	s, told := p.values[path]
-	if told && s != "true" && s != "false" {
+func (p *decoder) bool(path string) bool {
+	s, present := p.values[path]
+	if present && s != "true" && s != "false" {
 		p.fail(path, fmt.Sprintf("%q is neither true nor false", s))
 	}
 	return s == "true"
 }
 
 // list reads a number per class; nil when it was not told.
-func (p *pairs) list(path string, classes int) []float64 {
-	s, told := p.values[path]
-	if !told {
+func (p *decoder) perClass(path string, classes int) []float64 {
+	s, present := p.values[path]
+	if !present {
 		return nil
 	}
 	var out []float64
@@ -164,7 +164,7 @@
 	return out
 }
 
-func at(list []float64, i int) float64 {
+func valueAt(list []float64, i int) float64 {
 	if i < len(list) {
 		return list[i]
 	}
@@ -173,7 +173,7 @@
 
 var effects = map[string]choice.Effect{"free": choice.Safe, "guarded": choice.Keyed, "single_shot": choice.Unsafe}
 
-func (p *pairs) count(path string) int {
+func (p *decoder) count(path string) int {
 	n := p.integer(path)
 	if n < 0 || n > 1<<16 {
 		p.fail(path, fmt.Sprintf("%d is not a count", n))
@@ -182,48 +182,48 @@
 	return int(n)
 }
 
-func (p *pairs) classes() []choice.Class {
+func (p *decoder) classes() []choice.Class {
 	n := p.count("request-classes.count")
-	need, floor := p.list("family-info.need-by-class", n), p.list("family-info.class-floor", n)
-	partial, fetch := p.list("family-info.partial-earns", n), p.list("family-info.class-fetch", n)
+	need, floor := p.perClass("family-info.need-by-class", n), p.perClass("family-info.class-floor", n)
+	partial, fetch := p.perClass("family-info.partial-earns", n), p.perClass("family-info.class-fetch", n)
 	classes := make([]choice.Class, 0, n)
 	for i := range n {
-		at1 := fmt.Sprintf("request-classes.%d.", i)
-		effect, ok := effects[p.values[at1+"effect"]]
+		prefix := fmt.Sprintf("request-classes.%d.", i)
+		effect, ok := effects[p.values[prefix+"effect"]]
 		if !ok {
-			p.fail(at1+"effect", fmt.Sprintf("unknown effect %q", p.values[at1+"effect"]))
+			p.fail(prefix+"effect", fmt.Sprintf("unknown effect %q", p.values[prefix+"effect"]))
 		}
 		classes = append(classes, choice.Class{
-			Name:                 p.values[at1+"name"],
-			LatencyTarget:        p.integer(at1 + "aim"),
-			LatencyTargetStretch: p.number(at1 + "aim-stretch"),
-			Deadline:             p.integer(at1 + "deadline"),
-			DedupWindow:          p.integer(at1 + "memory-span"),
+			Name:                 p.values[prefix+"name"],
+			LatencyTarget:        p.integer(prefix + "aim"),
+			LatencyTargetStretch: p.number(prefix + "aim-stretch"),
+			Deadline:             p.integer(prefix + "deadline"),
+			DedupWindow:          p.integer(prefix + "memory-span"),
 			Effect:               effect,
-			LateValue:            p.number(at1 + "late-worth"),
-			Value:                p.number(at1 + "value"),
-			RequiredShare:        at(need, i),
-			MinShare:             at(floor, i),
-			PartialValue:         at(partial, i),
-			FetchParts:           int(at(fetch, i)),
+			LateValue:            p.number(prefix + "late-worth"),
+			Value:                p.number(prefix + "value"),
+			RequiredShare:        valueAt(need, i),
+			MinShare:             valueAt(floor, i),
+			PartialValue:         valueAt(partial, i),
+			FetchParts:           int(valueAt(fetch, i)),
 		})
 	}
 	return classes
 }
 
-func (p *pairs) tenants() []choice.Tenant {
+func (p *decoder) tenants() []choice.Tenant {
 	tenants := make([]choice.Tenant, 0)
 	for i := range p.count("tenants.count") {
-		at1 := fmt.Sprintf("tenants.%d.", i)
-		tenants = append(tenants, choice.Tenant{Name: p.values[at1+"name"], QuotaPerS: p.number(at1 + "quota-per-s")})
+		prefix := fmt.Sprintf("tenants.%d.", i)
+		tenants = append(tenants, choice.Tenant{Name: p.values[prefix+"name"], QuotaPerS: p.number(prefix + "quota-per-s")})
 	}
 	return tenants
 }
 
 // Decode reads settings by path. Those it does not know are skipped.
 func Decode(values map[string]string) (s Settings, err error) {
-	p := &pairs{values: values}
-	_, budget := p.values["rules.extra-window"]
+	p := &decoder{values: values}
+	_, hasRetryBudget := p.values["rules.extra-window"]
 	s.Router = choice.Settings{
 		Classes:           p.classes(),
 		Tenants:           p.tenants(),
@@ -249,7 +249,7 @@
 		SlowStart:         p.integer("rules.cold"),
 		OverloadMultiple:  p.number("rules.fall-multiple"),
 		OverloadWindow:    p.integer("rules.fall"),
-		RetryBudget:       budget,
+		RetryBudget:       hasRetryBudget,
 		RetryBudgetMin:    p.number("rules.spare-attempts"),
 		RetryBudgetRatio:  p.number("rules.extra-ratio"),
 		RetryBudgetWindow: p.integer("rules.extra-window"),
--- a/internal/source/consul/consul.go
+++ b/internal/source/consul/consul.go
@@ -71,31 +71,31 @@
 }
 
 const (
-	answerTime  = 5 * time.Second // beyond the wait
-	backoffFrom = 200 * time.Millisecond
-	backoffMost = 5 * time.Second
-	mostToken   = 4 << 10
-	mostWords   = 256 // bytes of an error's text
+	responseTimeout = 5 * time.Second // beyond the wait
+	minBackoff      = 200 * time.Millisecond
+	maxBackoff      = 5 * time.Second
+	maxTokenBytes   = 4 << 10
+	maxErrorText    = 256 // bytes of an error's text
 )
 
 var log = logs.For("consul")
 
 // Client is the source, and what it registers. It may be asked from any goroutine.
 type Client struct {
-	set  Settings
-	to   members.Sink
-	http *http.Client
+	settings Settings
+	sink     members.Sink
+	http     *http.Client
 
-	mu    sync.Mutex
-	token string
-	next  int // of the addresses
+	mu       sync.Mutex
+	token    string
+	nextAddr int // of the addresses
 }
 
 // New returns a source that has not asked yet.
 func New(set Settings, to members.Sink) (*Client, error) {
-	c := &Client{set: set, to: to}
-	t := &http.Transport{MaxConnsPerHost: len(set.Datacentres) + 2, MaxIdleConnsPerHost: len(set.Datacentres) + 2, IdleConnTimeout: time.Minute,
-		DialContext: (&net.Dialer{Timeout: answerTime}).DialContext, TLSHandshakeTimeout: answerTime, ResponseHeaderTimeout: 0}
+	c := &Client{settings: set, sink: to}
+	transport := &http.Transport{MaxConnsPerHost: len(set.Datacentres) + 2, MaxIdleConnsPerHost: len(set.Datacentres) + 2, IdleConnTimeout: time.Minute,
+		DialContext: (&net.Dialer{Timeout: responseTimeout}).DialContext, TLSHandshakeTimeout: responseTimeout, ResponseHeaderTimeout: 0}
 	if set.CAFile != "" {
 		pem, err := os.ReadFile(set.CAFile)
 		if err != nil {
@@ -105,30 +105,30 @@
 		if !pool.AppendCertsFromPEM(pem) {
 			return nil, fmt.Errorf("[consul] ca-file: %s holds no certificate", set.CAFile)
 		}
-		t.TLSClientConfig = &tls.Config{RootCAs: pool, MinVersion: tls.VersionTLS12}
+		transport.TLSClientConfig = &tls.Config{RootCAs: pool, MinVersion: tls.VersionTLS12}
 	}
-	c.http = &http.Client{Transport: t, CheckRedirect: func(*http.Request, []*http.Request) error {
+	c.http = &http.Client{Transport: transport, CheckRedirect: func(*http.Request, []*http.Request) error {
 		return http.ErrUseLastResponse // a redirection would carry the token away
 	}}
 	return c, c.readToken()
 }
 
 func (c *Client) readToken() error {
-	if c.set.TokenFile == "" {
+	if c.settings.TokenFile == "" {
 		return nil
 	}
-	f, err := os.Open(c.set.TokenFile)
+	f, err := os.Open(c.settings.TokenFile)
 	if err != nil {
 		return fmt.Errorf("[consul] token-file: %w", err)
 	}
 	defer f.Close()
-	text, err := io.ReadAll(io.LimitReader(f, mostToken))
+	text, err := io.ReadAll(io.LimitReader(f, maxTokenBytes))
 	if err != nil {
 		return fmt.Errorf("[consul] token-file: %w", err)
 	}
 	token := strings.TrimSpace(string(text))
 	if token == "" || strings.ContainsAny(token, "\r\n\x00") {
-		return fmt.Errorf("[consul] token-file: %s holds no token", c.set.TokenFile)
+		return fmt.Errorf("[consul] token-file: %s holds no token", c.settings.TokenFile)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -137,7 +137,7 @@
 }
 
 // Names implements members.Source: each datacentre is one in the merge.
-func (c *Client) Names() []string { return Names(c.set) }
+func (c *Client) Names() []string { return Names(c.settings) }
 
 // Names are the sources that these settings make.
 func Names(s Settings) []string {
@@ -156,31 +156,31 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	defer c.http.CloseIdleConnections()
-	var all sync.WaitGroup
-	dcs := c.set.Datacentres
+	var watches sync.WaitGroup
+	dcs := c.settings.Datacentres
 	if len(dcs) == 0 {
 		dcs = []string{""}
 	}
 	for i, dc := range dcs {
-		all.Go(func() { c.watch(ctx, c.Names()[i], dc) })
+		watches.Go(func() { c.watch(ctx, c.Names()[i], dc) })
 	}
 	<-stop
 	cancel()
-	all.Wait()
+	watches.Wait()
 }
 
 // addr is the address that calls go to now; failed turns to the next one.
-func (c *Client) addr() string {
+func (c *Client) currentAddr() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.set.Addrs[c.next%len(c.set.Addrs)]
+	return c.settings.Addrs[c.nextAddr%len(c.settings.Addrs)]
 }
 
-func (c *Client) failed(addr string) {
+func (c *Client) markFailed(addr string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.set.Addrs[c.next%len(c.set.Addrs)] == addr { // else another call has turned already
-		c.next++
+	if c.settings.Addrs[c.nextAddr%len(c.settings.Addrs)] == addr { // else another call has turned already
+		c.nextAddr++
 	}
 }
 
@@ -193,109 +193,109 @@
 func (e *statusError) Error() string { return fmt.Sprintf("status %d: %s", e.code, e.text) }
 
 // call makes one call and reads its answer into a value, if it has one.
-func (c *Client) call(ctx context.Context, method, addr, path string, q url.Values, body io.Reader, within time.Duration, into any) (http.Header, error) {
-	ctx, cancel := context.WithTimeout(ctx, within)
+func (c *Client) call(ctx context.Context, method, addr, path string, query url.Values, body io.Reader, timeout time.Duration, result any) (http.Header, error) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	scheme := "http"
-	if c.set.TLS {
+	if c.settings.TLS {
 		scheme = "https"
 	}
-	u := url.URL{Scheme: scheme, Host: addr, Path: path, RawQuery: q.Encode()}
-	r, err := http.NewRequestWithContext(ctx, method, u.String(), body)
+	u := url.URL{Scheme: scheme, Host: addr, Path: path, RawQuery: query.Encode()}
+	req, err := http.NewRequestWithContext(ctx, method, u.String(), body)
 	if err != nil {
 		return nil, err
 	}
 	c.mu.Lock()
 	if c.token != "" {
-		r.Header.Set("X-Consul-Token", c.token)
+		req.Header.Set("X-Consul-Token", c.token)
 	}
 	c.mu.Unlock()
-	p, err := c.http.Do(r)
+	resp, err := c.http.Do(req)
 	if err != nil {
 		return nil, err
 	}
-	defer p.Body.Close()
-	if p.StatusCode != 200 {
-		text, _ := io.ReadAll(io.LimitReader(p.Body, mostWords))
-		if p.StatusCode == 403 { // the token may have been changed
+	defer resp.Body.Close()
+	if resp.StatusCode != 200 {
+		text, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorText))
+		if resp.StatusCode == 403 { // the token may have been changed
 			if err := c.readToken(); err != nil {
 				log.Error("consul-token", "err", err)
 			}
 		}
-		return nil, &statusError{p.StatusCode, strings.TrimSpace(string(text))}
+		return nil, &statusError{resp.StatusCode, strings.TrimSpace(string(text))}
 	}
-	if into == nil {
-		return p.Header, nil
+	if result == nil {
+		return resp.Header, nil
 	}
-	limited := &io.LimitedReader{R: p.Body, N: int64(c.set.MaxBytes) + 1}
-	err = json.NewDecoder(limited).Decode(into)
+	limited := &io.LimitedReader{R: resp.Body, N: int64(c.settings.MaxBytes) + 1}
+	err = json.NewDecoder(limited).Decode(result)
 	if limited.N <= 0 {
-		err = fmt.Errorf("an answer of more than %v: see [consul] most-bytes", c.set.MaxBytes)
+		err = fmt.Errorf("an answer of more than %v: see [consul] most-bytes", c.settings.MaxBytes)
 	}
-	return p.Header, err
+	return resp.Header, err
 }
 
 // watch asks for one datacentre until ctx ends.
 func (c *Client) watch(ctx context.Context, source, dc string) {
-	index, doubt := int64(0), false // doubt: the index went back
-	backoff := backoffFrom
+	index, verifying := int64(0), false // doubt: the index went back
+	backoff := minBackoff
 	for ctx.Err() == nil {
-		addr, from, mode := c.addr(), index, c.set.Consistency
-		if doubt {
-			from, mode = 0, "default"
+		addr, since, consistency := c.currentAddr(), index, c.settings.Consistency
+		if verifying {
+			since, consistency = 0, "default"
 		}
-		claims, head, err := c.ask(ctx, addr, dc, mode, from)
+		claims, header, err := c.fetch(ctx, addr, dc, consistency, since)
 		if ctx.Err() != nil {
 			return
 		}
-		var now int64
+		var newIndex int64
 		if err == nil {
-			now, err = c.fresh(head)
+			newIndex, err = c.checkHeader(header)
 		}
 		if err != nil {
 			log.Warn("consul-failed", "source", source, "addr", addr, "err", err)
-			c.failed(addr)
-			c.to.Observe(membership.Observation{Source: source, Failed: true})
+			c.markFailed(addr)
+			c.sink.Observe(membership.Observation{Source: source, Failed: true})
 			pause := time.Duration(float64(backoff) * (0.5 + rand.Float64()/2)) // mixers must not come back in step
-			backoff = min(2*backoff, backoffMost)
+			backoff = min(2*backoff, maxBackoff)
 			select {
 			case <-ctx.Done():
 			case <-time.After(pause):
 			}
 			continue
 		}
-		backoff = backoffFrom
-		if now < index && !doubt {
+		backoff = minBackoff
+		if newIndex < index && !verifying {
 			// Either the index has begun anew, or a server that lags has answered. The
 			// leader's word, without an index, tells.
-			log.Warn("consul-index", "source", source, "addr", addr, "was", index, "is", now)
-			doubt = true
+			log.Warn("consul-index", "source", source, "addr", addr, "was", index, "is", newIndex)
+			verifying = true
 			continue
 		}
-		c.to.Observe(membership.Observation{Source: source, Index: now, Complete: true, Reset: doubt, Claims: claims})
-		if now == index && !doubt { // the wait was over, or there was none: do not spin
+		c.sink.Observe(membership.Observation{Source: source, Index: newIndex, Complete: true, Reset: verifying, Claims: claims})
+		if newIndex == index && !verifying { // the wait was over, or there was none: do not spin
 			select {
 			case <-ctx.Done():
-			case <-time.After(least(c.set.Wait)):
+			case <-time.After(idlePause(c.settings.Wait)):
 			}
 		}
-		index, doubt = now, false
+		index, verifying = newIndex, false
 	}
 }
 
 // least is the pause after an answer without news: some agents answer at once.
-func least(wait time.Duration) time.Duration { return min(50*time.Millisecond, wait/4) }
+func idlePause(wait time.Duration) time.Duration { return min(50*time.Millisecond, wait/4) }
 
 // fresh looks at what an answer says of itself, and returns its index.
-func (c *Client) fresh(h http.Header) (int64, error) {
-	index, err := strconv.ParseInt(h.Get("X-Consul-Index"), 10, 64)
+func (c *Client) checkHeader(header http.Header) (int64, error) {
+	index, err := strconv.ParseInt(header.Get("X-Consul-Index"), 10, 64)
 	if err != nil || index < 1 { // "sanity check that the index is at least 1"
-		return 0, fmt.Errorf("an answer with the index %q", h.Get("X-Consul-Index"))
+		return 0, fmt.Errorf("an answer with the index %q", header.Get("X-Consul-Index"))
 	}
-	if h.Get("X-Consul-KnownLeader") == "false" {
+	if header.Get("X-Consul-KnownLeader") == "false" {
 		return 0, errors.New("an answer of a cluster that knows no leader")
 	}
-	if ms, err := strconv.ParseInt(h.Get("X-Consul-LastContact"), 10, 64); err == nil && time.Duration(ms)*time.Millisecond > c.set.MaxStale {
+	if ms, err := strconv.ParseInt(header.Get("X-Consul-LastContact"), 10, 64); err == nil && time.Duration(ms)*time.Millisecond > c.settings.MaxStale {
 		return 0, fmt.Errorf("an answer of a server that heard the leader %d ms ago", ms)
 	}
 	return index, nil
@@ -325,7 +325,7 @@
 		Service service
 		Checks  []check
 	}
-	catalogued struct {
+	catalogueEntry struct {
 		Node, Address, Datacenter              string
 		NodeMeta, TaggedAddresses              map[string]string
 		ServiceID, ServiceName, ServiceAddress string
@@ -341,47 +341,47 @@
 )
 
 // ask makes one blocking query.
-func (c *Client) ask(ctx context.Context, addr, dc, mode string, index int64) ([]membership.Claim, http.Header, error) {
-	q := url.Values{}
+func (c *Client) fetch(ctx context.Context, addr, dc, consistency string, index int64) ([]membership.Claim, http.Header, error) {
+	query := url.Values{}
 	if dc != "" {
-		q.Set("dc", dc)
+		query.Set("dc", dc)
 	}
-	if mode != "default" {
-		q.Set(mode, "")
+	if consistency != "default" {
+		query.Set(consistency, "")
 	}
-	within := answerTime
+	timeout := responseTimeout
 	if index > 0 {
-		q.Set("index", strconv.FormatInt(index, 10))
-		q.Set("wait", strconv.FormatInt(c.set.Wait.Milliseconds(), 10)+"ms")
-		within += c.set.Wait + c.set.Wait/16 // the agent adds up to a sixteenth
+		query.Set("index", strconv.FormatInt(index, 10))
+		query.Set("wait", strconv.FormatInt(c.settings.Wait.Milliseconds(), 10)+"ms")
+		timeout += c.settings.Wait + c.settings.Wait/16 // the agent adds up to a sixteenth
 	}
 	var entries []entry
-	if c.set.Read == "catalogue" {
-		var all []catalogued
-		head, err := c.call(ctx, "GET", addr, "/v1/catalog/service/"+url.PathEscape(c.set.Service), q, nil, within, &all)
+	if c.settings.Read == "catalogue" {
+		var catalogue []catalogueEntry
+		header, err := c.call(ctx, "GET", addr, "/v1/catalog/service/"+url.PathEscape(c.settings.Service), query, nil, timeout, &catalogue)
 		if err != nil {
 			return nil, nil, err
 		}
-		for _, s := range all {
+		for _, s := range catalogue {
 			entries = append(entries, entry{Node: node{s.Node, s.Address, s.Datacenter, s.NodeMeta, s.TaggedAddresses},
 				Service: service{s.ServiceID, s.ServiceName, s.ServiceAddress, s.ServicePort, s.ServiceTags, s.ServiceMeta, s.ServiceWeights, s.ServiceTaggedAddresses}})
 		}
-		return c.claims(entries), head, nil
+		return c.claims(entries), header, nil
 	}
-	head, err := c.call(ctx, "GET", addr, "/v1/health/service/"+url.PathEscape(c.set.Service), q, nil, within, &entries)
-	return c.claims(entries), head, err
+	header, err := c.call(ctx, "GET", addr, "/v1/health/service/"+url.PathEscape(c.settings.Service), query, nil, timeout, &entries)
+	return c.claims(entries), header, err
 }
 
 // claims reads what entries say. One that can't be used costs no other.
 func (c *Client) claims(entries []entry) []membership.Claim {
-	ids := make(map[string]int)
+	idCounts := make(map[string]int)
 	for _, e := range entries {
-		ids[e.Service.ID]++
+		idCounts[e.Service.ID]++
 	}
 	var out []membership.Claim
 	for _, e := range entries {
 		s := e.Service
-		word := func(key string) string {
+		attribute := func(key string) string {
 			if v, ok := s.Meta[key]; ok {
 				return v
 			}
@@ -392,55 +392,55 @@
 			}
 			return e.Node.Meta[key]
 		}
-		m := membership.Claim{Name: word("name"), Kind: word("kind"), Site: word("site")}
+		claim := membership.Claim{Name: attribute("name"), Kind: attribute("kind"), Site: attribute("site")}
 		switch {
-		case m.Name != "":
-		case ids[s.ID] > 1: // an id is one agent's own
-			m.Name = e.Node.Node + "/" + s.ID
+		case claim.Name != "":
+		case idCounts[s.ID] > 1: // an id is one agent's own
+			claim.Name = e.Node.Node + "/" + s.ID
 		default:
-			m.Name = s.ID
+			claim.Name = s.ID
 		}
-		if m.Site == "" {
-			m.Site = e.Node.Datacenter
+		if claim.Site == "" {
+			claim.Site = e.Node.Datacenter
 		}
-		if m.Addresses = addresses(e); m.Name == "" || len(m.Addresses) == 0 {
+		if claim.Addresses = addresses(e); claim.Name == "" || len(claim.Addresses) == 0 {
 			log.Warn("consul-entry-skipped", "node", e.Node.Node, "id", s.ID)
 			continue
 		}
-		if n, err := strconv.Atoi(word("cell")); err == nil {
-			m.Cell, m.HasCell = n, true
+		if n, err := strconv.Atoi(attribute("cell")); err == nil {
+			claim.Cell, claim.HasCell = n, true
 		}
-		if ms, err := strconv.ParseInt(word("since_ms"), 10, 64); err == nil && ms > 0 && ms < 1<<50 {
-			m.Since = ms * 1000
+		if ms, err := strconv.ParseInt(attribute("since_ms"), 10, 64); err == nil && ms > 0 && ms < 1<<50 {
+			claim.Since = ms * 1000
 		}
-		m.Health = membership.Unknown
-		if c.set.Read == "health" {
-			m.Health = membership.Passing
+		claim.Health = membership.Unknown
+		if c.settings.Read == "health" {
+			claim.Health = membership.Passing
 		}
 		for _, k := range e.Checks {
 			switch {
 			case k.CheckID == "_node_maintenance", strings.HasPrefix(k.CheckID, "_service_maintenance:"):
-				m.Drain = m.Drain || k.Status == "critical"
+				claim.Drain = claim.Drain || k.Status == "critical"
 			case k.Status == "critical":
-				m.Health = membership.Critical
-			case k.Status == "warning" && m.Health != membership.Critical:
-				m.Health = membership.Warning
+				claim.Health = membership.Critical
+			case k.Status == "warning" && claim.Health != membership.Critical:
+				claim.Health = membership.Warning
 			}
 		}
-		if c.set.Warning == "withhold" && m.Health == membership.Warning {
-			m.Health = membership.Critical
+		if c.settings.Warning == "withhold" && claim.Health == membership.Warning {
+			claim.Health = membership.Critical
 		}
 		for _, t := range s.Tags {
-			m.Drain = m.Drain || t == "draining"
+			claim.Drain = claim.Drain || t == "draining"
 		}
-		m.Drain = m.Drain || word("state") == "draining"
-		m.Weight = 1
-		if w, err := strconv.ParseFloat(word("weight"), 64); err == nil && w > 0 && w <= 1000 {
-			m.Weight = w
-		} else if m.Health == membership.Warning && s.Weights.Passing > 0 && s.Weights.Warning > 0 {
-			m.Weight = float64(s.Weights.Warning) / float64(s.Weights.Passing)
+		claim.Drain = claim.Drain || attribute("state") == "draining"
+		claim.Weight = 1
+		if w, err := strconv.ParseFloat(attribute("weight"), 64); err == nil && w > 0 && w <= 1000 {
+			claim.Weight = w
+		} else if claim.Health == membership.Warning && s.Weights.Passing > 0 && s.Weights.Warning > 0 {
+			claim.Weight = float64(s.Weights.Warning) / float64(s.Weights.Passing)
 		}
-		out = append(out, m)
+		out = append(out, claim)
 	}
 	return out
 }
@@ -453,7 +453,7 @@
 		host = e.Node.Address
 	}
 	var out []string
-	put := func(host string, port int) {
+	add := func(host string, port int) {
 		if a := net.JoinHostPort(host, strconv.Itoa(port)); host != "" && port > 0 && port < 1<<16 {
 			for _, o := range out {
 				if o == a {
@@ -463,12 +463,12 @@
 			out = append(out, a)
 		}
 	}
-	put(host, s.Port)
+	add(host, s.Port)
 	for _, tag := range []string{"lan_ipv6", "lan_ipv4", "lan"} {
 		if t, ok := s.TaggedAddresses[tag]; ok {
-			put(t.Address, t.Port)
+			add(t.Address, t.Port)
 		} else if s.Address == "" {
-			put(e.Node.TaggedAddresses[tag], s.Port)
+			add(e.Node.TaggedAddresses[tag], s.Port)
 		}
 	}
 	if u := s.Meta["unix"]; strings.HasPrefix(u, "/") {
@@ -482,28 +482,28 @@
 // Keep registers the mixer and keeps its check up until stop is closed; then it takes
 // it out.
 func (c *Client) KeepRegistered(name, listen string, stop <-chan struct{}) {
-	at := c.set.RegisterAddr
-	if at == "" {
-		at = listen
+	address := c.settings.RegisterAddr
+	if address == "" {
+		address = listen
 	}
-	host, port, _ := net.SplitHostPort(at)
-	n, _ := strconv.Atoi(port)
-	id := c.set.RegisterAs + "-" + name
+	host, port, _ := net.SplitHostPort(address)
+	portNumber, _ := strconv.Atoi(port)
+	id := c.settings.RegisterAs + "-" + name
 	ctx := context.Background()
 	put := func(path string, body any) error {
-		addr := c.addr()
-		var text io.Reader
+		addr := c.currentAddr()
+		var payload io.Reader
 		if body != nil {
 			b, err := json.Marshal(body)
 			if err != nil {
 				return err
 			}
-			text = strings.NewReader(string(b))
+			payload = strings.NewReader(string(b))
 		}
-		_, err := c.call(ctx, "PUT", addr, path, nil, text, answerTime, nil)
+		_, err := c.call(ctx, "PUT", addr, path, nil, payload, responseTimeout, nil)
 		var status *statusError
 		if err != nil && !errors.As(err, &status) {
-			c.failed(addr)
+			c.markFailed(addr)
 		}
 		return err
 	}
@@ -517,14 +517,14 @@
 			}
 			registered = false // the agent knows it no more: it was started anew, or is another
 		}
-		err := put("/v1/agent/service/register", map[string]any{"ID": id, "Name": c.set.RegisterAs, "Address": host, "Port": n,
-			"Check": map[string]any{"CheckID": "service:" + id, "TTL": c.set.RegisterTTL.String(), "Status": "passing", "DeregisterCriticalServiceAfter": (20 * c.set.RegisterTTL).String()}})
+		err := put("/v1/agent/service/register", map[string]any{"ID": id, "Name": c.settings.RegisterAs, "Address": host, "Port": portNumber,
+			"Check": map[string]any{"CheckID": "service:" + id, "TTL": c.settings.RegisterTTL.String(), "Status": "passing", "DeregisterCriticalServiceAfter": (20 * c.settings.RegisterTTL).String()}})
 		registered = err == nil
 		return err
 	}
-	log.Info("consul-register", "id", id, "address", at)
+	log.Info("consul-register", "id", id, "address", address)
 	for {
-		pause := c.set.RegisterTTL / 3
+		pause := c.settings.RegisterTTL / 3
 		if err := renew(); err != nil {
 			log.Warn("consul-register-failed", "id", id, "err", err)
 			pause = min(pause, time.Second)
--- a/internal/source/consul/consul_test.go
+++ b/internal/source/consul/consul_test.go
@@ -38,12 +38,12 @@
 	return consulapi.Instance{ID: id, Node: "node-" + id, Site: "zarqa", Kind: "std-2c", Address: "127.0.0.1:7001", Cell: cell, Status: "passing"}
 }
 
-func start(t *testing.T, s Settings, h *observed.Sink) (stop func()) {
-	c, err := New(s, h)
+func start(t *testing.T, s Settings, sink *observed.Sink) (stop func()) {
+	c, err := New(s, sink)
 	require.NoError(t, err)
-	done, over := make(chan struct{}), make(chan struct{})
-	go func() { c.Run(done); close(over) }()
-	stop = sync.OnceFunc(func() { close(done); <-over })
+	stopRun, finished := make(chan struct{}), make(chan struct{})
+	go func() { c.Run(stopRun); close(finished) }()
+	stop = sync.OnceFunc(func() { close(stopRun); <-finished })
 	t.Cleanup(stop)
 	return stop
 }
@@ -56,26 +56,26 @@
 	srv, err := consulapi.Listen("trips", []consulapi.Instance{a, instance("b", 4)})
 	require.NoError(t, err)
 	defer srv.Close()
-	h := &observed.Sink{}
-	stop := start(t, settings(func(s *Settings) { s.Addrs = []string{srv.Addr} }), h)
-	o := h.Until(t, "both", func(o membership.Observation) bool { return len(o.Claims) == 2 })
+	sink := &observed.Sink{}
+	stop := start(t, settings(func(s *Settings) { s.Addrs = []string{srv.Addr} }), sink)
+	o := sink.Until(t, "both", func(o membership.Observation) bool { return len(o.Claims) == 2 })
 	require.Equal(t, membership.Claim{Name: "a", Addresses: []string{"127.0.0.1:7001", "unix:/run/a.sock"}, Site: "zarqa", Kind: "std-2c", Cell: 3, HasCell: true,
 		Health: membership.Passing, Weight: 2.5}, *observed.Named(o, "a"))
 	b := instance("b", 4)
 	b.Maintenance = true
 	srv.Put(b)
-	h.Until(t, "a drain", func(o membership.Observation) bool {
+	sink.Until(t, "a drain", func(o membership.Observation) bool {
 		c := observed.Named(o, "b")
 		return c != nil && c.Drain && c.Health == membership.Passing
 	})
 	b.Maintenance, b.Status, b.Tags = false, "critical", []string{"draining"}
 	srv.Put(b)
-	h.Until(t, "critical", func(o membership.Observation) bool {
+	sink.Until(t, "critical", func(o membership.Observation) bool {
 		c := observed.Named(o, "b")
 		return c != nil && c.Drain && c.Health == membership.Critical
 	})
 	srv.Remove("b")
-	h.Until(t, "gone", func(o membership.Observation) bool {
+	sink.Until(t, "gone", func(o membership.Observation) bool {
 		return o.Complete && observed.Named(o, "b") == nil && observed.Named(o, "a") != nil
 	})
 	stop()
@@ -87,21 +87,21 @@
 	srv, err := consulapi.Listen("trips", []consulapi.Instance{instance("a", 3)})
 	require.NoError(t, err)
 	defer srv.Close()
-	h := &observed.Sink{}
-	start(t, settings(func(s *Settings) { s.Addrs = []string{srv.Addr} }), h)
-	first := h.Until(t, "a", func(o membership.Observation) bool { return observed.Named(o, "a") != nil })
+	sink := &observed.Sink{}
+	start(t, settings(func(s *Settings) { s.Addrs = []string{srv.Addr} }), sink)
+	first := sink.Until(t, "a", func(o membership.Observation) bool { return observed.Named(o, "a") != nil })
 	srv.Set(func(f *consulapi.Faults) { f.NoLeader, f.Empty = true, true })
-	h.Until(t, "a failure", func(o membership.Observation) bool { return o.Failed })
+	sink.Until(t, "a failure", func(o membership.Observation) bool { return o.Failed })
 	srv.Set(func(f *consulapi.Faults) { f.NoLeader, f.Empty, f.Contact = false, false, time.Minute })
-	h.Until(t, "a failure for an old server", func(o membership.Observation) bool { return o.Failed })
+	sink.Until(t, "a failure for an old server", func(o membership.Observation) bool { return o.Failed })
 	srv.Set(func(f *consulapi.Faults) { f.Contact = 0 })
-	h.Until(t, "a again", func(o membership.Observation) bool { return observed.Named(o, "a") != nil && o.Index > first.Index })
+	sink.Until(t, "a again", func(o membership.Observation) bool { return observed.Named(o, "a") != nil && o.Index > first.Index })
 	srv.Reset()
-	o := h.Until(t, "a reset", func(o membership.Observation) bool { return o.Reset })
+	o := sink.Until(t, "a reset", func(o membership.Observation) bool { return o.Reset })
 	require.Less(t, o.Index, first.Index)
 	srv.Put(instance("c", 1))
-	h.Until(t, "news after the reset", func(o membership.Observation) bool { return observed.Named(o, "c") != nil && !o.Reset })
-	h.Never(t, "an answer without a leader was taken for news", func(o membership.Observation) bool { return !o.Failed && len(o.Claims) == 0 })
+	sink.Until(t, "news after the reset", func(o membership.Observation) bool { return observed.Named(o, "c") != nil && !o.Reset })
+	sink.Never(t, "an answer without a leader was taken for news", func(o membership.Observation) bool { return !o.Failed && len(o.Claims) == 0 })
 }
 
 // A silent agent is left for the next; the token comes from the file, is read again
@@ -118,27 +118,27 @@
 	srv.Set(func(f *consulapi.Faults) { f.Token = "s3cret-two" })
 	token := filepath.Join(t.TempDir(), "token")
 	require.NoError(t, os.WriteFile(token, []byte("s3cret-one\n"), 0o600))
-	back, _ := url.Parse("http://" + srv.Addr)
-	front := httptest.NewTLSServer(httputil.NewSingleHostReverseProxy(back))
-	defer front.Close()
-	front.Config.ErrorLog = nil
+	backend, _ := url.Parse("http://" + srv.Addr)
+	proxy := httptest.NewTLSServer(httputil.NewSingleHostReverseProxy(backend))
+	defer proxy.Close()
+	proxy.Config.ErrorLog = nil
 	ca := filepath.Join(t.TempDir(), "ca.pem")
-	require.NoError(t, os.WriteFile(ca, pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: front.Certificate().Raw}), 0o600))
-	h := &observed.Sink{}
+	require.NoError(t, os.WriteFile(ca, pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: proxy.Certificate().Raw}), 0o600))
+	sink := &observed.Sink{}
 	stop := start(t, settings(func(s *Settings) {
-		s.Addrs, s.TokenFile, s.TLS, s.CAFile = []string{dead.Addr, strings.TrimPrefix(front.URL, "https://")}, token, true, ca
-	}), h)
-	h.Until(t, "a refusal", func(o membership.Observation) bool { return o.Failed })
+		s.Addrs, s.TokenFile, s.TLS, s.CAFile = []string{dead.Addr, strings.TrimPrefix(proxy.URL, "https://")}, token, true, ca
+	}), sink)
+	sink.Until(t, "a refusal", func(o membership.Observation) bool { return o.Failed })
 	require.NoError(t, os.WriteFile(token, []byte("s3cret-two"), 0o600))
-	h.Until(t, "a", func(o membership.Observation) bool { return observed.Named(o, "a") != nil })
+	sink.Until(t, "a", func(o membership.Observation) bool { return observed.Named(o, "a") != nil })
 	stop()
 	require.NotContains(t, log.String(), "s3cret")
 
-	bad := &observed.Sink{}
-	start(t, settings(func(s *Settings) { s.Addrs, s.TLS = []string{strings.TrimPrefix(front.URL, "https://")}, true }), bad)
-	bad.Until(t, "an authority that is not trusted", func(o membership.Observation) bool { return o.Failed })
+	untrusting := &observed.Sink{}
+	start(t, settings(func(s *Settings) { s.Addrs, s.TLS = []string{strings.TrimPrefix(proxy.URL, "https://")}, true }), untrusting)
+	untrusting.Until(t, "an authority that is not trusted", func(o membership.Observation) bool { return o.Failed })
 	for _, s := range []Settings{settings(func(s *Settings) { s.TokenFile = ca + ".none" }), settings(func(s *Settings) { s.CAFile = token })} {
-		_, err := New(s, bad)
+		_, err := New(s, untrusting)
 		require.Error(t, err)
 	}
 }
@@ -151,13 +151,13 @@
 	srv, err := consulapi.Listen("trips", []consulapi.Instance{a, b})
 	require.NoError(t, err)
 	defer srv.Close()
-	h := &observed.Sink{}
+	sink := &observed.Sink{}
 	start(t, settings(func(s *Settings) {
 		s.Addrs, s.Datacentres, s.Read = []string{srv.Addr}, []string{"amman", "zarqa"}, "catalogue"
-	}), h)
+	}), sink)
 	seen := make(map[string]membership.Observation)
 	for len(seen) < 2 {
-		o := h.Until(t, "both datacentres", func(o membership.Observation) bool { return len(o.Claims) == 1 })
+		o := sink.Until(t, "both datacentres", func(o membership.Observation) bool { return len(o.Claims) == 1 })
 		seen[o.Source] = o
 	}
 	require.NotNil(t, observed.Named(seen["consul.amman"], "a"))
@@ -179,7 +179,7 @@
 	for text, want := range map[string]string{"": "EOF", "{": "unexpected", "[{}]": "", `[{"Service":{"ID":"a","Port":99999,"Address":"h"}}]`: "",
 		"[" + strings.Repeat("{},", 1000): "more than 1KiB", `{"Node":1}`: "cannot unmarshal"} {
 		body <- text
-		claims, _, err := c.ask(t.Context(), strings.TrimPrefix(srv.URL, "http://"), "", "stale", 0)
+		claims, _, err := c.fetch(t.Context(), strings.TrimPrefix(srv.URL, "http://"), "", "stale", 0)
 		if want == "" {
 			require.NoError(t, err, text)
 			require.Empty(t, claims)
@@ -191,7 +191,7 @@
 
 // The mixer's own entry is kept up, put back after the agent has lost it, and taken
 // out at the end.
-func TestKeep(t *testing.T) {
+func TestKeepRegistered(t *testing.T) {
 	srv, err := consulapi.Listen("trips", nil)
 	require.NoError(t, err)
 	defer srv.Close()
@@ -199,12 +199,12 @@
 		s.Addrs, s.RegisterAs, s.RegisterTTL = []string{srv.Addr}, "mixers", 60*time.Millisecond
 	}), nil)
 	require.NoError(t, err)
-	stop, over := make(chan struct{}), make(chan struct{})
-	go func() { c.KeepRegistered("n3", "127.0.0.1:8080", stop); close(over) }()
+	stop, finished := make(chan struct{}), make(chan struct{})
+	go func() { c.KeepRegistered("n3", "127.0.0.1:8080", stop); close(finished) }()
 	require.Eventually(t, func() bool { _, n := srv.Calls(); return n > 2 && len(srv.Registered()) == 1 }, 20*time.Second, time.Millisecond)
 	srv.Forget()
 	require.Eventually(t, func() bool { return slices.Equal(srv.Registered(), []string{"mixers-n3"}) }, 20*time.Second, time.Millisecond)
 	close(stop)
-	<-over
+	<-finished
 	require.Empty(t, srv.Registered())
 }
--- a/internal/source/dnssrv/dnssrv.go
+++ b/internal/source/dnssrv/dnssrv.go
@@ -57,26 +57,26 @@
 }
 
 const (
-	pause     = 250 * time.Millisecond
-	pauseMost = 5 * time.Second
-	beat      = 5 * time.Second // while records live, the source is heard
-	mostJunk  = 64              // datagrams that answer nothing, of one wait
-	mostAddrs = 8               // of one target
+	minBackoff     = 250 * time.Millisecond
+	maxBackoff     = 5 * time.Second
+	reportInterval = 5 * time.Second // while records live, the source is heard
+	maxUnrelated   = 64              // datagrams that answer nothing, of one wait
+	maxAddrs       = 8               // of one target
 )
 
 var log = logs.For("dns")
 
 // Source is the source. Each name is one in the merge.
 type Source struct {
-	set Settings
-	to  members.Sink
+	settings Settings
+	sink     members.Sink
 }
 
 // New returns a source that has not asked yet.
 func New(set Settings, to members.Sink) *Source { return &Source{set, to} }
 
 // Names implements members.Source.
-func (s *Source) Names() []string { return Names(s.set) }
+func (s *Source) Names() []string { return Names(s.settings) }
 
 // Names are the sources that these settings make.
 func Names(s Settings) []string {
@@ -94,60 +94,60 @@
 func (s *Source) Run(stop <-chan struct{}) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	var all sync.WaitGroup
-	for i, name := range s.set.Names {
-		z := &zone{s: s, source: s.Names()[i], begin: time.Now(), hosts: make(map[string]*host)}
-		z.srv = z.item(dns.Fqdn(strings.ToLower(name)), dns.TypeSRV)
-		all.Go(func() { z.run(ctx) })
+	var zones sync.WaitGroup
+	for i, name := range s.settings.Names {
+		z := &zone{src: s, sourceName: s.Names()[i], start: time.Now(), hosts: make(map[string]*host)}
+		z.srv = z.newLookup(dns.Fqdn(strings.ToLower(name)), dns.TypeSRV)
+		zones.Go(func() { z.run(ctx) })
 	}
 	<-stop
 	cancel()
-	all.Wait()
+	zones.Wait()
 }
 
 // item is one question with what was last answered to it.
-type item struct {
-	q       *resolve.Question
-	name    string
-	kind    uint16
-	records []dns.RR
-	asked   bool // it has been answered, or has failed
+type lookup struct {
+	question   *resolve.Question
+	name       string
+	recordType uint16
+	records    []dns.RR
+	attempted  bool // it has been answered, or has failed
 }
 
 // host is what is known of a target.
 type host struct {
-	a, aaaa, txt *item
-	named        bool
-	called       string // the name that its TXT record gave last
+	a, aaaa, txt *lookup
+	listed       bool
+	txtName      string // the name that its TXT record gave last
 }
 
 // zone is one SRV name. Its loop alone touches it.
 type zone struct {
-	s      *Source
-	source string
-	begin  time.Time
-	srv    *item
-	hosts  map[string]*host
-	index  int64
-	was    resolve.Status
+	src        *Source
+	sourceName string
+	start      time.Time
+	srv        *lookup
+	hosts      map[string]*host
+	index      int64
+	lastStatus resolve.Status
 }
 
-func (z *zone) clock() resolve.Micros { return time.Since(z.begin).Microseconds() + 1 }
+func (z *zone) clock() resolve.Micros { return time.Since(z.start).Microseconds() + 1 }
 
-func (z *zone) item(name string, kind uint16) *item {
-	set := z.s.set
-	return &item{name: name, kind: kind, q: resolve.New(resolve.Settings{Resolvers: len(set.Resolvers), MinTTL: set.MinTTL.Microseconds(), MaxTTL: set.MaxTTL.Microseconds(),
-		StaleFor: set.StaleFor.Microseconds(), Backoff: pause.Microseconds(), MaxBackoff: pauseMost.Microseconds()})}
+func (z *zone) newLookup(name string, recordType uint16) *lookup {
+	settings := z.src.settings
+	return &lookup{name: name, recordType: recordType, question: resolve.New(resolve.Settings{Resolvers: len(settings.Resolvers), MinTTL: settings.MinTTL.Microseconds(), MaxTTL: settings.MaxTTL.Microseconds(),
+		StaleFor: settings.StaleFor.Microseconds(), Backoff: minBackoff.Microseconds(), MaxBackoff: maxBackoff.Microseconds()})}
 }
 
 func (z *zone) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		asked := z.round(ctx)
+		srvOutcome := z.queryDue(ctx)
 		if ctx.Err() != nil {
 			return
 		}
-		z.tell(asked)
-		if wait := z.wait(); wait > 0 {
+		z.report(srvOutcome)
+		if wait := z.untilNextDue(); wait > 0 {
 			select {
 			case <-ctx.Done():
 			case <-time.After(wait):
@@ -157,8 +157,8 @@
 }
 
 // items are all questions that are wanted now.
-func (z *zone) items() []*item {
-	out := []*item{z.srv}
+func (z *zone) lookups() []*lookup {
+	out := []*lookup{z.srv}
 	for _, h := range z.hosts {
 		out = append(out, h.a, h.aaaa)
 		if h.txt != nil {
@@ -169,40 +169,40 @@
 }
 
 // wait is how long nothing is to be done.
-func (z *zone) wait() time.Duration {
+func (z *zone) untilNextDue() time.Duration {
 	now := z.clock()
-	at := now + beat.Microseconds()
-	for _, i := range z.items() {
-		next, _ := i.q.Next()
-		at = min(at, next)
-		if ends := i.q.NextStatusChange(now); ends > 0 {
-			at = min(at, ends+1)
+	wakeAt := now + reportInterval.Microseconds()
+	for _, l := range z.lookups() {
+		next, _ := l.question.Next()
+		wakeAt = min(wakeAt, next)
+		if changesAt := l.question.NextStatusChange(now); changesAt > 0 {
+			wakeAt = min(wakeAt, changesAt+1)
 		}
 	}
-	return max(time.Duration(at-now)*time.Microsecond, time.Millisecond)
+	return max(time.Duration(wakeAt-now)*time.Microsecond, time.Millisecond)
 }
 
 // round asks what is due, so many at once, and tells what became of the SRV question.
-func (z *zone) round(ctx context.Context) (srv *resolve.Outcome) {
+func (z *zone) queryDue(ctx context.Context) (srvOutcome *resolve.Outcome) {
 	type reply struct {
-		i *item
-		answer
+		l *lookup
+		queryResult
 	}
 	now := z.clock()
-	var due []*item
-	for _, i := range z.items() {
-		if next, _ := i.q.Next(); next <= now {
-			due = append(due, i)
+	var due []*lookup
+	for _, l := range z.lookups() {
+		if next, _ := l.question.Next(); next <= now {
+			due = append(due, l)
 		}
 	}
-	room := make(chan struct{}, z.s.set.Parallel)
+	slots := make(chan struct{}, z.src.settings.Parallel)
 	replies := make(chan reply, len(due))
-	for _, i := range due {
-		room <- struct{}{}
-		_, ask := i.q.Next()
+	for _, l := range due {
+		slots <- struct{}{}
+		_, query := l.question.Next()
 		go func() {
-			defer func() { <-room }()
-			replies <- reply{i, z.s.ask(ctx, z.s.set.Resolvers[ask.Resolver], ask.TCP, i.name, i.kind)}
+			defer func() { <-slots }()
+			replies <- reply{l, z.src.query(ctx, z.src.settings.Resolvers[query.Resolver], query.TCP, l.name, l.recordType)}
 		}()
 	}
 	for range due {
@@ -211,101 +211,101 @@
 			continue
 		}
 		if r.outcome >= resolve.Refused {
-			_, ask := r.i.q.Next()
-			log.Warn("dns-failed", "name", r.i.name, "type", dns.TypeToString[r.i.kind], "resolver", z.s.set.Resolvers[ask.Resolver], "tcp", ask.TCP, "err", r.err)
+			_, query := r.l.question.Next()
+			log.Warn("dns-failed", "name", r.l.name, "type", dns.TypeToString[r.l.recordType], "resolver", z.src.settings.Resolvers[query.Resolver], "tcp", query.TCP, "err", r.err)
 		}
-		r.i.asked = true
-		if r.i.q.RecordResponse(z.clock(), r.outcome, r.ttl.Microseconds()) {
-			r.i.records = r.records
+		r.l.attempted = true
+		if r.l.question.RecordResponse(z.clock(), r.outcome, r.ttl.Microseconds()) {
+			r.l.records = r.records
 		}
-		if r.i == z.srv {
-			srv = &r.outcome
+		if r.l == z.srv {
+			srvOutcome = &r.outcome
 			if r.outcome == resolve.Answer {
-				z.targets(r.answer)
+				z.updateTargets(r.queryResult)
 			}
 		}
 	}
-	return srv
+	return srvOutcome
 }
 
 // targets takes the targets of a new answer, with the addresses that came along.
-func (z *zone) targets(a answer) {
+func (z *zone) updateTargets(result queryResult) {
 	for _, h := range z.hosts {
-		h.named = false
+		h.listed = false
 	}
 	skipped := 0
-	for _, rr := range a.records {
+	for _, rr := range result.records {
 		name := strings.ToLower(rr.(*dns.SRV).Target)
 		if name == "." { // "the service is decidedly not available at this domain"
 			continue
 		}
 		h := z.hosts[name]
 		if h == nil {
-			if len(z.hosts) >= z.s.set.MaxTargets {
+			if len(z.hosts) >= z.src.settings.MaxTargets {
 				skipped++
 				continue
 			}
-			h = &host{a: z.item(name, dns.TypeA), aaaa: z.item(name, dns.TypeAAAA)}
-			if z.s.set.Cell == "txt" {
-				h.txt = z.item(name, dns.TypeTXT)
+			h = &host{a: z.newLookup(name, dns.TypeA), aaaa: z.newLookup(name, dns.TypeAAAA)}
+			if z.src.settings.Cell == "txt" {
+				h.txt = z.newLookup(name, dns.TypeTXT)
 			}
 			z.hosts[name] = h
 		}
-		h.named = true
-		for _, i := range []*item{h.a, h.aaaa} {
-			var got []dns.RR
+		h.listed = true
+		for _, l := range []*lookup{h.a, h.aaaa} {
+			var records []dns.RR
 			ttl := time.Duration(1 << 62)
-			for _, e := range a.extra {
-				if e.Header().Rrtype == i.kind && strings.EqualFold(e.Header().Name, name) {
-					got = append(got, e)
-					ttl = min(ttl, time.Duration(e.Header().Ttl)*time.Second)
+			for _, rr := range result.extra {
+				if rr.Header().Rrtype == l.recordType && strings.EqualFold(rr.Header().Name, name) {
+					records = append(records, rr)
+					ttl = min(ttl, time.Duration(rr.Header().Ttl)*time.Second)
 				}
 			}
-			if len(got) > 0 {
-				i.q.RecordResponse(z.clock(), resolve.Answer, ttl.Microseconds())
-				i.records = got
+			if len(records) > 0 {
+				l.question.RecordResponse(z.clock(), resolve.Answer, ttl.Microseconds())
+				l.records = records
 			}
 		}
 	}
 	if skipped > 0 {
-		log.Warn("dns-targets", "name", z.srv.name, "skipped", skipped, "most", z.s.set.MaxTargets)
+		log.Warn("dns-targets", "name", z.srv.name, "skipped", skipped, "most", z.src.settings.MaxTargets)
 	}
 	for name, h := range z.hosts {
-		if !h.named {
+		if !h.listed {
 			delete(z.hosts, name)
 		}
 	}
 }
 
 // tell tells the merge what is believed now.
-func (z *zone) tell(srv *resolve.Outcome) {
+func (z *zone) report(srvOutcome *resolve.Outcome) {
 	now := z.clock()
-	s := z.srv.q.Status(now)
-	if s != z.was {
-		log.Info("dns-standing", "name", z.srv.name, "is", s, "was", z.was)
-		z.was = s
+	status := z.srv.question.Status(now)
+	if status != z.lastStatus {
+		log.Info("dns-standing", "name", z.srv.name, "is", status, "was", z.lastStatus)
+		z.lastStatus = status
 	}
-	if s == resolve.Stale || s == resolve.Unknown {
-		if srv != nil && *srv >= resolve.Refused {
-			z.s.to.Observe(membership.Observation{Source: z.source, Failed: true})
+	if status == resolve.Stale || status == resolve.Unknown {
+		if srvOutcome != nil && *srvOutcome >= resolve.Refused {
+			z.src.sink.Observe(membership.Observation{Source: z.sourceName, Failed: true})
 		}
 		return
 	}
-	if s == resolve.Fresh && z.index == 0 && z.early(now) { // nothing half is told as the whole
+	if status == resolve.Fresh && z.index == 0 && z.firstLookupsPending(now) { // nothing half is told as the whole
 		return
 	}
 	z.index++
-	o := membership.Observation{Source: z.source, Index: z.index, Complete: true}
-	if s == resolve.Fresh {
-		o.Claims = z.claims(now)
+	observation := membership.Observation{Source: z.sourceName, Index: z.index, Complete: true}
+	if status == resolve.Fresh {
+		observation.Claims = z.claims(now)
 	}
-	z.s.to.Observe(o)
+	z.src.sink.Observe(observation)
 }
 
 // early tells whether first look-ups of targets are still out.
-func (z *zone) early(now resolve.Micros) bool {
+func (z *zone) firstLookupsPending(now resolve.Micros) bool {
 	for _, h := range z.hosts {
-		if h.txt != nil && !h.txt.asked || !h.a.asked && h.a.q.Status(now) == resolve.Unknown {
+		if h.txt != nil && !h.txt.attempted || !h.a.attempted && h.a.question.Status(now) == resolve.Unknown {
 			return true
 		}
 	}
@@ -313,9 +313,9 @@
 }
 
 // believed are the records of a question that still count.
-func (i *item) believed(now resolve.Micros) []dns.RR {
-	if s := i.q.Status(now); s == resolve.Fresh || s == resolve.Stale {
-		return i.records
+func (l *lookup) liveRecords(now resolve.Micros) []dns.RR {
+	if s := l.question.Status(now); s == resolve.Fresh || s == resolve.Stale {
+		return l.records
 	}
 	return nil
 }
@@ -327,26 +327,26 @@
 		membership.Claim
 		priority, weight uint16
 	}
-	ports := make(map[string]int)
+	recordsPerTarget := make(map[string]int)
 	for _, rr := range z.srv.records {
-		ports[strings.ToLower(rr.(*dns.SRV).Target)]++
+		recordsPerTarget[strings.ToLower(rr.(*dns.SRV).Target)]++
 	}
-	var all []target
-	best := make(map[int]uint16)
+	var targets []target
+	bestPriority := make(map[int]uint16)
 	for _, rr := range z.srv.records {
 		r := rr.(*dns.SRV)
 		name := strings.ToLower(r.Target)
 		h := z.hosts[name]
-		if h == nil || h.txt != nil && !h.txt.asked { // its name is not known yet
+		if h == nil || h.txt != nil && !h.txt.attempted { // its name is not known yet
 			continue
 		}
 		t := target{priority: r.Priority, weight: r.Weight}
 		t.Name = strings.TrimSuffix(name, ".")
-		if ports[name] > 1 {
+		if recordsPerTarget[name] > 1 {
 			t.Name += ":" + strconv.Itoa(int(r.Port))
 		}
-		for _, i := range []*item{h.aaaa, h.a} {
-			for _, rr := range i.believed(now) {
+		for _, l := range []*lookup{h.aaaa, h.a} {
+			for _, rr := range l.liveRecords(now) {
 				ip := ""
 				switch a := rr.(type) {
 				case *dns.A:
@@ -354,38 +354,38 @@
 				case *dns.AAAA:
 					ip = a.AAAA.String()
 				}
-				if ip != "" && len(t.Addresses) < mostAddrs {
+				if ip != "" && len(t.Addresses) < maxAddrs {
 					t.Addresses = append(t.Addresses, net.JoinHostPort(ip, strconv.Itoa(int(r.Port))))
 				}
 			}
 		}
-		z.describe(now, h, &t.Claim)
+		z.readAttributes(now, h, &t.Claim)
 		cell := -1
 		if t.HasCell {
 			cell = t.Cell
 		}
-		if p, ok := best[cell]; !ok || r.Priority < p {
-			best[cell] = r.Priority
+		if p, ok := bestPriority[cell]; !ok || r.Priority < p {
+			bestPriority[cell] = r.Priority
 		}
-		all = append(all, t)
+		targets = append(targets, t)
 	}
-	sums, counts := make(map[int]float64), make(map[int]float64)
-	key := func(t target) int {
+	weightSums, targetCounts := make(map[int]float64), make(map[int]float64)
+	cellKey := func(t target) int {
 		if t.HasCell {
 			return t.Cell
 		}
 		return -1
 	}
-	all = slices.DeleteFunc(all, func(t target) bool { return t.priority > best[key(t)] })
-	for _, t := range all {
-		sums[key(t)] += float64(t.weight)
-		counts[key(t)]++
+	targets = slices.DeleteFunc(targets, func(t target) bool { return t.priority > bestPriority[cellKey(t)] })
+	for _, t := range targets {
+		weightSums[cellKey(t)] += float64(t.weight)
+		targetCounts[cellKey(t)]++
 	}
 	var out []membership.Claim
-	for _, t := range all {
+	for _, t := range targets {
 		t.Weight = 1
-		if sum := sums[key(t)]; sum > 0 {
-			t.Weight = min(max(float64(t.weight)*counts[key(t)]/sum, 0.1), 10)
+		if sum := weightSums[cellKey(t)]; sum > 0 {
+			t.Weight = min(max(float64(t.weight)*targetCounts[cellKey(t)]/sum, 0.1), 10)
 		}
 		out = append(out, t.Claim)
 	}
@@ -393,11 +393,11 @@
 }
 
 // describe reads what a target says of itself: in its TXT record, or in its name.
-func (z *zone) describe(now resolve.Micros, h *host, c *membership.Claim) {
+func (z *zone) readAttributes(now resolve.Micros, h *host, c *membership.Claim) {
 	if h.txt == nil {
 		for label := range strings.SplitSeq(c.Name, ".") {
-			if n, err := strconv.Atoi(strings.TrimPrefix(label, "c")); err == nil && strings.HasPrefix(label, "c") {
-				c.Cell, c.HasCell = n, true
+			if cell, err := strconv.Atoi(strings.TrimPrefix(label, "c")); err == nil && strings.HasPrefix(label, "c") {
+				c.Cell, c.HasCell = cell, true
 				return
 			}
 		}
@@ -405,22 +405,22 @@
 	}
 	target := c.Name
 	defer func() {
-		if h.called != "" && h.called != target { // known by both, should the record be gone for a while
-			c.Name, c.Aliases = h.called, []string{target}
+		if h.txtName != "" && h.txtName != target { // known by both, should the record be gone for a while
+			c.Name, c.Aliases = h.txtName, []string{target}
 		}
 	}()
-	for _, rr := range h.txt.believed(now) {
+	for _, rr := range h.txt.liveRecords(now) {
 		for _, text := range rr.(*dns.TXT).Txt {
-			for word := range strings.FieldsSeq(text) {
-				k, v, _ := strings.Cut(word, "=")
+			for attribute := range strings.FieldsSeq(text) {
+				k, v, _ := strings.Cut(attribute, "=")
 				switch k {
 				case "cell":
-					if n, err := strconv.Atoi(v); err == nil {
-						c.Cell, c.HasCell = n, true
+					if cell, err := strconv.Atoi(v); err == nil {
+						c.Cell, c.HasCell = cell, true
 					}
 				case "name":
 					if v != "" {
-						h.called = v
+						h.txtName = v
 					}
 				case "site":
 					c.Site = v
--- a/internal/source/dnssrv/dnssrv_test.go
+++ b/internal/source/dnssrv/dnssrv_test.go
@@ -49,13 +49,13 @@
 }
 
 func start(t *testing.T, s Settings) (*observed.Sink, func()) {
-	h := &observed.Sink{}
+	sink := &observed.Sink{}
 	require.NoError(t, s.Check())
-	done, over := make(chan struct{}), make(chan struct{})
-	go func() { New(s, h).Run(done); close(over) }()
-	stop := sync.OnceFunc(func() { close(done); <-over })
-	t.Cleanup(stop)
-	return h, stop
+	stop, finished := make(chan struct{}), make(chan struct{})
+	go func() { New(s, sink).Run(stop); close(finished) }()
+	shutdown := sync.OnceFunc(func() { close(stop); <-finished })
+	t.Cleanup(shutdown)
+	return sink, shutdown
 }
 
 // Targets, addresses of both families, what TXT says; a drain and a target that goes
@@ -64,20 +64,20 @@
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	srv, err := dnsserver.Listen(name, 0, []dnsserver.Target{target("s-1", 3, "127.0.0.1", "::1"), target("s-2", 4, "127.0.0.2")})
 	require.NoError(t, err)
-	h, stop := start(t, settings(nil, srv))
+	sink, stop := start(t, settings(nil, srv))
 	// What is told first is told whole: nobody is named before his cell is known.
-	o := h.Until(t, "anything", func(o membership.Observation) bool { return true })
+	o := sink.Until(t, "anything", func(o membership.Observation) bool { return true })
 	require.True(t, usable(o, "s-1") && usable(o, "s-2"), "%+v", o)
 	require.Equal(t, membership.Claim{Name: "s-1", Addresses: []string{"[::1]:7001", "127.0.0.1:7001"}, Site: "zarqa", Kind: "std-2c", Cell: 3, HasCell: true, Weight: 1, Aliases: []string{"s-1.zarqa.example.org"}}, *observed.Named(o, "s-1"))
 	drained := target("s-2", 4, "127.0.0.2")
 	drained.Text = dnsserver.TextOf("s-2", "zarqa", "std-2c", 4, true, 7)
 	srv.Put(drained)
-	h.Until(t, "a drain", func(o membership.Observation) bool {
+	sink.Until(t, "a drain", func(o membership.Observation) bool {
 		c := observed.Named(o, "s-2")
 		return c != nil && c.Drain && c.Since == 7000
 	})
 	srv.Remove("s-2.zarqa.example.org")
-	h.Until(t, "gone", func(o membership.Observation) bool {
+	sink.Until(t, "gone", func(o membership.Observation) bool {
 		return o.Complete && usable(o, "s-1") && observed.Named(o, "s-2") == nil
 	})
 	stop()
@@ -87,19 +87,19 @@
 // Truncated: over TCP. No EDNS, no additional section: asked without, asked for. Junk
 // and answers to other questions: passed over.
 func TestOddServers(t *testing.T) {
-	for what, f := range map[string]func(*dnsserver.Faults){
-		"truncated": func(f *dnsserver.Faults) { f.Truncate = true },
-		"no EDNS":   func(f *dnsserver.Faults) { f.NoEDNS = true },
-		"bare":      func(f *dnsserver.Faults) { f.Bare = true },
-		"storm":     func(f *dnsserver.Faults) { f.Storm = 30 },
+	for scenario, setFault := range map[string]func(*dnsserver.Faults){
+		"truncated": func(setFault *dnsserver.Faults) { setFault.Truncate = true },
+		"no EDNS":   func(setFault *dnsserver.Faults) { setFault.NoEDNS = true },
+		"bare":      func(setFault *dnsserver.Faults) { setFault.Bare = true },
+		"storm":     func(setFault *dnsserver.Faults) { setFault.Storm = 30 },
 	} {
-		t.Run(what, func(t *testing.T) {
+		t.Run(scenario, func(t *testing.T) {
 			t.Parallel()
 			srv := listen(t, 60, target("s-1", 3, "127.0.0.1"))
-			srv.Set(f)
-			h, _ := start(t, settings(func(s *Settings) { s.Timeout = 5 * time.Second }, srv))
-			h.Until(t, "s-1", func(o membership.Observation) bool { return usable(o, "s-1") })
-			if what == "truncated" {
+			srv.Set(setFault)
+			sink, _ := start(t, settings(func(s *Settings) { s.Timeout = 5 * time.Second }, srv))
+			sink.Until(t, "s-1", func(o membership.Observation) bool { return usable(o, "s-1") })
+			if scenario == "truncated" {
 				require.Positive(t, srv.Asked("tcp"))
 			}
 		})
@@ -110,8 +110,8 @@
 		many = append(many, target("s-"+string(rune('a'+i/26))+string(rune('a'+i%26)), i%4, "127.0.0.1"))
 	}
 	srv := listen(t, 60, many...)
-	h, _ := start(t, settings(func(s *Settings) { s.Timeout, s.MaxTargets, s.Parallel = 10*time.Second, 150, 32 }, srv))
-	o := h.Until(t, "all that may be", func(o membership.Observation) bool {
+	sink, _ := start(t, settings(func(s *Settings) { s.Timeout, s.MaxTargets, s.Parallel = 10*time.Second, 150, 32 }, srv))
+	o := sink.Until(t, "all that may be", func(o membership.Observation) bool {
 		return len(o.Claims) == 150 && !slices.ContainsFunc(o.Claims, func(c membership.Claim) bool { return !usable(o, c.Name) })
 	})
 	require.Positive(t, srv.Asked("tcp"))
@@ -120,21 +120,21 @@
 
 // Resolvers that fail in every way are passed over for one that does not.
 func TestFailingResolvers(t *testing.T) {
-	for what, f := range map[string]func(*dnsserver.Faults){
-		"silent":   func(f *dnsserver.Faults) { f.Silent = true },
-		"servfail": func(f *dnsserver.Faults) { f.Rcode = dns.RcodeServerFailure },
-		"refused":  func(f *dnsserver.Faults) { f.Rcode = dns.RcodeRefused },
-		"lame":     func(f *dnsserver.Faults) { f.Lame = true },
-		"lies":     func(f *dnsserver.Faults) { f.Lie = true },
-		"flood":    func(f *dnsserver.Faults) { f.Storm = 3 * mostJunk },
+	for scenario, setFault := range map[string]func(*dnsserver.Faults){
+		"silent":   func(setFault *dnsserver.Faults) { setFault.Silent = true },
+		"servfail": func(setFault *dnsserver.Faults) { setFault.Rcode = dns.RcodeServerFailure },
+		"refused":  func(setFault *dnsserver.Faults) { setFault.Rcode = dns.RcodeRefused },
+		"lame":     func(setFault *dnsserver.Faults) { setFault.Lame = true },
+		"lies":     func(setFault *dnsserver.Faults) { setFault.Lie = true },
+		"flood":    func(setFault *dnsserver.Faults) { setFault.Storm = 3 * maxUnrelated },
 	} {
-		t.Run(what, func(t *testing.T) {
+		t.Run(scenario, func(t *testing.T) {
 			t.Parallel()
 			bad, good := listen(t, 60), listen(t, 60, target("s-1", 3, "127.0.0.1"))
-			bad.Set(f)
-			h, _ := start(t, settings(nil, bad, good))
-			h.Until(t, "s-1", func(o membership.Observation) bool { return usable(o, "s-1") })
-			h.Never(t, "an empty answer", func(o membership.Observation) bool { return !o.Failed && len(o.Claims) == 0 })
+			bad.Set(setFault)
+			sink, _ := start(t, settings(nil, bad, good))
+			sink.Until(t, "s-1", func(o membership.Observation) bool { return usable(o, "s-1") })
+			sink.Never(t, "an empty answer", func(o membership.Observation) bool { return !o.Failed && len(o.Claims) == 0 })
 		})
 	}
 }
@@ -144,25 +144,25 @@
 func TestNoSuchName(t *testing.T) {
 	one, two := listen(t, 0, target("s-1", 3, "127.0.0.1")), listen(t, 0, target("s-1", 3, "127.0.0.1"))
 	one.Set(func(f *dnsserver.Faults) { f.Empty = true })
-	h, _ := start(t, settings(nil, one, two))
-	h.Until(t, "s-1", func(o membership.Observation) bool { return usable(o, "s-1") })
-	h.Never(t, "an empty answer", func(o membership.Observation) bool { return !o.Failed && len(o.Claims) == 0 })
+	sink, _ := start(t, settings(nil, one, two))
+	sink.Until(t, "s-1", func(o membership.Observation) bool { return usable(o, "s-1") })
+	sink.Never(t, "an empty answer", func(o membership.Observation) bool { return !o.Failed && len(o.Claims) == 0 })
 	two.Set(func(f *dnsserver.Faults) { f.Empty = true })
-	h.Until(t, "nothing", func(o membership.Observation) bool { return !o.Failed && len(o.Claims) == 0 })
+	sink.Until(t, "nothing", func(o membership.Observation) bool { return !o.Failed && len(o.Claims) == 0 })
 }
 
 // A resolver that goes silent: what was said stands as stale, the source counts as
 // failed, and nothing is said to be gone; back again, it is heard.
-func TestSilence(t *testing.T) {
+func TestUnresponsiveResolver(t *testing.T) {
 	srv := listen(t, 0, target("s-1", 3, "127.0.0.1"))
-	h, _ := start(t, settings(func(s *Settings) { s.Timeout = 20 * time.Millisecond }, srv))
-	h.Until(t, "s-1", func(o membership.Observation) bool { return usable(o, "s-1") })
+	sink, _ := start(t, settings(func(s *Settings) { s.Timeout = 20 * time.Millisecond }, srv))
+	sink.Until(t, "s-1", func(o membership.Observation) bool { return usable(o, "s-1") })
 	srv.Set(func(f *dnsserver.Faults) { f.Silent = true })
-	h.Until(t, "a failure", func(o membership.Observation) bool { return o.Failed })
-	h.Until(t, "another", func(o membership.Observation) bool { return o.Failed })
+	sink.Until(t, "a failure", func(o membership.Observation) bool { return o.Failed })
+	sink.Until(t, "another", func(o membership.Observation) bool { return o.Failed })
 	srv.Set(func(f *dnsserver.Faults) { f.Silent = false })
-	h.Until(t, "s-1 again", func(o membership.Observation) bool { return usable(o, "s-1") })
-	h.Never(t, "an answer without s-1", func(o membership.Observation) bool { return !o.Failed && observed.Named(o, "s-1") == nil })
+	sink.Until(t, "s-1 again", func(o membership.Observation) bool { return usable(o, "s-1") })
+	sink.Never(t, "an answer without s-1", func(o membership.Observation) bool { return !o.Failed && observed.Named(o, "s-1") == nil })
 }
 
 // RFC 2782: of each cell the lowest priority alone; weights count within it; the
@@ -174,14 +174,14 @@
 	d := target("s-4", 3, "127.0.0.4")
 	d.Weight = 10
 	srv := listen(t, 60, a, b, c, d)
-	h, _ := start(t, settings(nil, srv))
-	o := h.Until(t, "three", func(o membership.Observation) bool {
+	sink, _ := start(t, settings(nil, srv))
+	o := sink.Until(t, "three", func(o membership.Observation) bool {
 		return len(o.Claims) == 3 && usable(o, "s-1") && usable(o, "s-3") && usable(o, "s-4")
 	})
 	require.InDelta(t, 1.5, observed.Named(o, "s-1").Weight, 1e-9)
 	require.InDelta(t, 0.5, observed.Named(o, "s-4").Weight, 1e-9)
-	h, _ = start(t, settings(func(s *Settings) { s.Cell = "label" }, listen(t, 60, dnsserver.Target{Name: "trip7.c2.zarqa.example.org", Addrs: []string{"127.0.0.1"}, Port: 1})))
-	o = h.Until(t, "a label", func(o membership.Observation) bool { return usable(o, "trip7.c2.zarqa.example.org") })
+	sink, _ = start(t, settings(func(s *Settings) { s.Cell = "label" }, listen(t, 60, dnsserver.Target{Name: "trip7.c2.zarqa.example.org", Addrs: []string{"127.0.0.1"}, Port: 1})))
+	o = sink.Until(t, "a label", func(o membership.Observation) bool { return usable(o, "trip7.c2.zarqa.example.org") })
 	require.Equal(t, 2, o.Claims[0].Cell)
 }
 
@@ -198,7 +198,7 @@
 		if m.Unpack(b) != nil {
 			return
 		}
-		a := s.read(m, name+".", dns.TypeSRV)
+		a := s.interpret(m, name+".", dns.TypeSRV)
 		for _, rr := range a.records {
 			if _, ok := rr.(*dns.SRV); !ok {
 				t.Fatalf("%T among SRV records", rr)
--- a/internal/source/members/members.go
+++ b/internal/source/members/members.go
@@ -81,72 +81,72 @@
 
 // Service is the merge in service.
 type Service struct {
-	cells int
-	to    targets.Receiver
-	epoch time.Time
-
-	mu      sync.Mutex
-	core    *membership.Members
-	asked   bool // the decisions wait for a list
-	begun   bool // the decisions have had a whole list
-	heard   bool // some source has answered
-	rows    *ListBuilder
-	version int64
-	timer   *time.Timer
-	floored bool
-	changes int64
-	skipped int64 // claims of cells that are not there
-	stopped bool
-	prove   func(addrs []string) bool // nil: probes are not allowed
-	proving chan struct{}
+	cells    int
+	receiver targets.Receiver
+	start    time.Time
+
+	mu          sync.Mutex
+	core        *membership.Members
+	listWanted  bool // the decisions wait for a list
+	listSent    bool // the decisions have had a whole list
+	answered    bool // some source has answered
+	builder     *ListBuilder
+	version     int64
+	timer       *time.Timer
+	floorActive bool
+	changes     int64
+	skipped     int64 // claims of cells that are not there
+	stopped     bool
+	probeServer func(addrs []string) bool // nil: probes are not allowed
+	probeSlots  chan struct{}
 }
 
 // mostProving bounds the new servers that are probed at once.
-const mostProving = 4
+const maxProbes = 4
 
 // Prove gives the way to probe a new server: one that answers has had its first sign.
 // It must be called before anything is observed.
-func (s *Service) SetProbe(answers func(addrs []string) bool) {
-	s.prove, s.proving = answers, make(chan struct{}, mostProving)
+func (s *Service) SetProbe(probe func(addrs []string) bool) {
+	s.probeServer, s.probeSlots = probe, make(chan struct{}, maxProbes)
 }
 
 // probe probes a new server, where there is room. Under the lock.
 func (s *Service) probe(m membership.Member) {
 	select {
-	case s.proving <- struct{}{}:
+	case s.probeSlots <- struct{}{}:
 	default: // the same source again will do as a sign
 		return
 	}
 	go func() {
-		defer func() { <-s.proving }()
-		if s.prove(m.Addresses) {
+		defer func() { <-s.probeSlots }()
+		if s.probeServer(m.Addresses) {
 			s.Confirm(m.Name)
 		}
 	}()
 }
 
 // New returns a merge that has heard nothing. What it believes goes to a taker.
-func New(set membership.Settings, cells int, to targets.Receiver) (*Service, error) {
-	core, err := membership.New(set)
+func New(settings membership.Settings, cells int, receiver targets.Receiver) (*Service, error) {
+	core, err := membership.New(settings)
 	if err != nil {
 		return nil, err
 	}
-	s := &Service{core: core, cells: cells, to: to, epoch: time.Now()}
-	s.rows = NewListBuilder(s.clock())
+	s := &Service{core: core, cells: cells, receiver: receiver, start: time.Now()}
+	s.builder = NewListBuilder(s.clock())
 	return s, nil
 }
 
 // clock is the exchange's: Unix time at the start, and monotonic from there.
 func (s *Service) clock() membership.Micros {
-	return s.epoch.UnixMicro() + time.Since(s.epoch).Microseconds()
+	return s.start.UnixMicro() + time.Since(s.start).Microseconds()
 }
 
 // Configure takes other settings and sources; what sources that stay have said
 // stands.
-func (s *Service) Configure(set membership.Settings) error {
+func (s *Service) Configure(settings membership.Settings) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.core.Configure(set); err != nil {
+	if err := s.core.Configure(settings); err != nil {
 		return err
 	}
 	s.step()
@@ -157,11 +157,11 @@
 func (s *Service) Observe(o membership.Observation) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var astray []membership.Claim
+	var outOfRange []membership.Claim
 	for i := range o.Claims {
-		if c := &o.Claims[i]; c.HasCell && (c.Cell < 0 || c.Cell >= s.cells) {
-			astray = append(astray, *c)
-			c.HasCell = false
+		if claim := &o.Claims[i]; claim.HasCell && (claim.Cell < 0 || claim.Cell >= s.cells) {
+			outOfRange = append(outOfRange, *claim)
+			claim.HasCell = false
 			s.skipped++
 		}
 	}
@@ -169,10 +169,10 @@
 		log.Debug("member-late", "err", err)
 		return
 	}
-	s.heard = s.heard || !o.Failed
+	s.answered = s.answered || !o.Failed
 	s.step()
-	for _, c := range astray {
-		log.Warn("member-cell", "source", o.Source, "server", c.Name, "cell", c.Cell, "cells", s.cells)
+	for _, claim := range outOfRange {
+		log.Warn("member-cell", "source", o.Source, "server", claim.Name, "cell", claim.Cell, "cells", s.cells)
 	}
 }
 
@@ -192,25 +192,25 @@
 	}
 	now := s.clock()
 	changed := s.core.Step(now)
-	if rows, addrs := s.rows.Delta(now, changed); s.asked && s.heard {
-		s.asked, s.begun = false, true
+	if rows, addrs := s.builder.Delta(now, changed); s.listWanted && s.answered {
+		s.listWanted, s.listSent = false, true
 		s.version++
-		list, all := s.rows.Full(now, s.core.All())
-		s.to.UpdateList(choice.List{Form: choice.Full, Version: s.version, Servers: list}, all)
-	} else if len(rows) > 0 && s.begun {
+		rowList, allAddrs := s.builder.Full(now, s.core.All())
+		s.receiver.UpdateList(choice.List{Form: choice.Full, Version: s.version, Servers: rowList}, allAddrs)
+	} else if len(rows) > 0 && s.listSent {
 		s.version++
-		s.to.UpdateList(choice.List{Form: choice.Delta, Version: s.version, Servers: rows}, addrs)
+		s.receiver.UpdateList(choice.List{Form: choice.Delta, Version: s.version, Servers: rows}, addrs)
 	}
 	for _, m := range changed {
 		s.changes++
-		if m.Unconfirmed && s.prove != nil && len(m.Addresses) > 0 {
+		if m.Unconfirmed && s.probeServer != nil && len(m.Addresses) > 0 {
 			s.probe(m)
 		}
 		log.Info("member", "server", m.Name, "state", m.State, "cell", m.Cell, "why", m.Reason)
 	}
-	if s.core.FloorActive != s.floored {
-		s.floored = s.core.FloorActive
-		log.Warn("member-floor", "on", s.floored)
+	if s.core.FloorActive != s.floorActive {
+		s.floorActive = s.core.FloorActive
+		log.Warn("member-floor", "on", s.floorActive)
 	}
 	if s.timer != nil {
 		s.timer.Stop()
@@ -230,7 +230,7 @@
 func (s *Service) Watch(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.asked = on; on {
+	if s.listWanted = on; on {
 		s.step()
 	}
 }
@@ -253,15 +253,15 @@
 func (s *Service) AnySourceAnswered() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.heard
+	return s.answered
 }
 
 // Rows turns members into the decisions' rows. It holds what they were told, and of
 // a bounded number of names the cell that they first had.
 type ListBuilder struct {
-	told  map[string]row
-	cells map[string]int
-	until membership.Micros // servers that appear before this have run for long, unless a source says when they started
+	sent       map[string]row
+	firstCells map[string]int
+	settledAt  membership.Micros // servers that appear before this have run for long, unless a source says when they started
 }
 
 // settleTime is how long after its start a mixer hears of servers for the first time
@@ -270,10 +270,10 @@
 
 // longAgo is a start that the decisions take for one of long ago. With none they
 // would take a server that appears among changes for one that has just started.
-const longAgo = 1
+const startedLongAgo = 1
 
 // mostCells bounds the names whose first cell is held.
-const mostCells = 1 << 16
+const maxFirstCells = 1 << 16
 
 type row struct {
 	id string
@@ -283,10 +283,10 @@
 
 // NewRows returns rows of which nothing has been told.
 func NewListBuilder(now membership.Micros) *ListBuilder {
-	return &ListBuilder{told: make(map[string]row), cells: make(map[string]int), until: now + settleTime.Microseconds()}
+	return &ListBuilder{sent: make(map[string]row), firstCells: make(map[string]int), settledAt: now + settleTime.Microseconds()}
 }
 
-func (r *ListBuilder) of(now membership.Micros, m membership.Member) row {
+func (r *ListBuilder) toRow(now membership.Micros, m membership.Member) row {
 	out := row{id: m.Name, addrs: m.Addresses, Server: choice.Server{Zone: m.Site, Kind: m.Kind, Cell: m.Cell, Scale: m.Weight, UpSince: m.Since}}
 	if out.Scale <= 0 {
 		out.Scale = 1
@@ -298,16 +298,16 @@
 		out.State = choice.Draining
 	}
 	// The decisions never move a server: in another cell it is another one to them.
-	first, known := r.cells[m.Name]
-	if !known && len(r.cells) < mostCells {
-		first, known = m.Cell, true
-		r.cells[m.Name] = first
+	firstCell, known := r.firstCells[m.Name]
+	if !known && len(r.firstCells) < maxFirstCells {
+		firstCell, known = m.Cell, true
+		r.firstCells[m.Name] = firstCell
 	}
-	if !known || first != m.Cell {
+	if !known || firstCell != m.Cell {
 		out.id = fmt.Sprintf("%s~%d", m.Name, m.Cell)
 	}
-	if was, had := r.told[m.Name]; out.UpSince == 0 && (now < r.until || had && was.UpSince == longAgo) {
-		out.UpSince = longAgo
+	if prev, seen := r.sent[m.Name]; out.UpSince == 0 && (now < r.settledAt || seen && prev.UpSince == startedLongAgo) {
+		out.UpSince = startedLongAgo
 	}
 	out.ID = out.id
 	return out
@@ -315,40 +315,40 @@
 
 // Delta are the rows that members which changed make; a row that says what was told
 // is none.
-func (r *ListBuilder) Delta(at membership.Micros, changed []membership.Member) (list []choice.Server, addrs targets.Addrs) {
+func (r *ListBuilder) Delta(now membership.Micros, changed []membership.Member) (list []choice.Server, addrs targets.Addrs) {
 	addrs = make(targets.Addrs)
 	for _, m := range changed {
-		was, known := r.told[m.Name]
-		now := r.of(at, m)
-		if now.State == choice.Gone {
-			delete(r.told, m.Name)
+		prev, known := r.sent[m.Name]
+		next := r.toRow(now, m)
+		if next.State == choice.Gone {
+			delete(r.sent, m.Name)
 			if known {
-				list = append(list, choice.Server{ID: was.id, Zone: was.Zone, Kind: was.Kind, Cell: was.Cell, Scale: was.Scale, State: choice.Gone})
+				list = append(list, choice.Server{ID: prev.id, Zone: prev.Zone, Kind: prev.Kind, Cell: prev.Cell, Scale: prev.Scale, State: choice.Gone})
 			}
 			continue
 		}
-		if known && was.id != now.id {
-			list = append(list, choice.Server{ID: was.id, Zone: was.Zone, Kind: was.Kind, Cell: was.Cell, Scale: was.Scale, State: choice.Gone})
+		if known && prev.id != next.id {
+			list = append(list, choice.Server{ID: prev.id, Zone: prev.Zone, Kind: prev.Kind, Cell: prev.Cell, Scale: prev.Scale, State: choice.Gone})
 			known = false
 		}
-		if known && was.Server == now.Server && slices.Equal(was.addrs, now.addrs) {
+		if known && prev.Server == next.Server && slices.Equal(prev.addrs, next.addrs) {
 			continue
 		}
-		r.told[m.Name] = now
-		list = append(list, now.Server)
-		addrs[now.id] = now.addrs
+		r.sent[m.Name] = next
+		list = append(list, next.Server)
+		addrs[next.id] = next.addrs
 	}
 	return list, addrs
 }
 
 // Whole are the rows of all members, which now count as told.
-func (r *ListBuilder) Full(at membership.Micros, all []membership.Member) (list []choice.Server, addrs targets.Addrs) {
+func (r *ListBuilder) Full(now membership.Micros, all []membership.Member) (list []choice.Server, addrs targets.Addrs) {
 	addrs = make(targets.Addrs)
 	for _, m := range all {
-		if now := r.of(at, m); now.State != choice.Gone {
-			r.told[m.Name] = now
-			list = append(list, now.Server)
-			addrs[now.id] = now.addrs
+		if next := r.toRow(now, m); next.State != choice.Gone {
+			r.sent[m.Name] = next
+			list = append(list, next.Server)
+			addrs[next.id] = next.addrs
 		}
 	}
 	return list, addrs
@@ -368,7 +368,7 @@
 }
 
 // Report tells what is believed: of one server, or of all, but of so many at most.
-func (s *Service) Report(name string, most int) (*Report, error) {
+func (s *Service) Report(name string, limit int) (*Report, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.clock()
@@ -378,20 +378,20 @@
 		*[]*int{&r.Ready, &r.Draining, &r.Withheld, &r.Gone}[m.State]++
 	}
 	if name != "" {
-		b, known := s.core.Explain(now, name)
+		explanation, known := s.core.Explain(now, name)
 		if !known {
 			return nil, errors.New("no source has ever named " + name + ", or all have forgotten it")
 		}
-		r.Members = append(r.Members, b)
+		r.Members = append(r.Members, explanation)
 		return r, nil
 	}
 	for i, m := range all {
-		if i == most {
-			r.More = len(all) - most
+		if i == limit {
+			r.More = len(all) - limit
 			break
 		}
-		b, _ := s.core.Explain(now, m.Name)
-		r.Members = append(r.Members, b)
+		explanation, _ := s.core.Explain(now, m.Name)
+		r.Members = append(r.Members, explanation)
 	}
 	return r, nil
 }
@@ -415,13 +415,13 @@
 	put("member_refused", s.core.Rejected)
 	put("member_skipped", s.skipped)
 	put("member_floor", floor)
-	for _, t := range s.core.Sources(s.clock()) {
-		name := strings.NewReplacer(".", "_", "-", "_").Replace(t.Name)
-		put("source_"+name+"_calls", t.Calls)
-		put("source_"+name+"_failed", t.Failed)
-		put("source_"+name+"_old", t.Old)
-		put("source_"+name+"_servers", int64(t.Servers))
-		put("source_"+name+"_age_ms", t.Age/1000)
+	for _, source := range s.core.Sources(s.clock()) {
+		name := strings.NewReplacer(".", "_", "-", "_").Replace(source.Name)
+		put("source_"+name+"_calls", source.Calls)
+		put("source_"+name+"_failed", source.Failed)
+		put("source_"+name+"_old", source.Old)
+		put("source_"+name+"_servers", int64(source.Servers))
+		put("source_"+name+"_age_ms", source.Age/1000)
 	}
 }
 
@@ -433,16 +433,16 @@
 
 // Told implements targets.Taker.
 func (l List) UpdateList(list choice.List, addrs targets.Addrs) {
-	o := membership.Observation{Source: ListName, Index: list.Version, Complete: list.Form != choice.Delta, Reset: list.Form == choice.Full}
+	observation := membership.Observation{Source: ListName, Index: list.Version, Complete: list.Form != choice.Delta, Reset: list.Form == choice.Full}
 	for _, row := range list.Servers {
 		if row.State == choice.Gone {
-			o.Removed = append(o.Removed, row.ID)
+			observation.Removed = append(observation.Removed, row.ID)
 			continue
 		}
-		o.Claims = append(o.Claims, membership.Claim{Name: row.ID, Addresses: addrs[row.ID], Site: row.Zone, Kind: row.Kind, Cell: row.Cell, HasCell: true,
+		observation.Claims = append(observation.Claims, membership.Claim{Name: row.ID, Addresses: addrs[row.ID], Site: row.Zone, Kind: row.Kind, Cell: row.Cell, HasCell: true,
 			Drain: row.State == choice.Draining, Weight: row.Scale, Since: row.UpSince})
 	}
-	l.To.Observe(o)
+	l.To.Observe(observation)
 }
 
 // Failed implements targets.Taker.
--- a/internal/source/members/members_test.go
+++ b/internal/source/members/members_test.go
@@ -15,16 +15,16 @@
 )
 
 // taken is what the client side and the decisions would have.
-type taken struct {
+type recorder struct {
 	mu    sync.Mutex
 	rows  map[string]choice.Server
 	addrs targets.Addrs
 	forms []choice.Form
 }
 
-func (k *taken) FetchFailed() {}
+func (k *recorder) FetchFailed() {}
 
-func (k *taken) UpdateList(l choice.List, a targets.Addrs) {
+func (k *recorder) UpdateList(l choice.List, a targets.Addrs) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.forms = append(k.forms, l.Form)
@@ -37,25 +37,25 @@
 	}
 }
 
-func (k *taken) state(id string) choice.State {
+func (k *recorder) state(id string) choice.State {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.rows[id].State
 }
 
-func begin(t *testing.T, change func(*Settings), ranked ...string) (*Service, *taken) {
+func newService(t *testing.T, change func(*Settings), ranked ...string) (*Service, *recorder) {
 	var set Settings
 	inifile.SetDefaults(&set)
 	if change != nil {
 		change(&set)
 	}
-	k := &taken{rows: make(map[string]choice.Server), addrs: make(targets.Addrs)}
-	s, err := New(set.MergeSettings(ranked), 8, k)
+	rec := &recorder{rows: make(map[string]choice.Server), addrs: make(targets.Addrs)}
+	s, err := New(set.MergeSettings(ranked), 8, rec)
 	require.NoError(t, err)
-	stop, over := make(chan struct{}), make(chan struct{})
-	go func() { s.Run(stop); close(over) }()
-	t.Cleanup(func() { close(stop); <-over })
-	return s, k
+	stop, finished := make(chan struct{}), make(chan struct{})
+	go func() { s.Run(stop); close(finished) }()
+	t.Cleanup(func() { close(stop); <-finished })
+	return s, rec
 }
 
 func claim(name string, cell int, drain bool, addrs ...string) membership.Claim {
@@ -66,32 +66,32 @@
 // alone goes on at once; a server whose cell has changed is another one to the
 // decisions, and never the old one in the new cell.
 func TestService(t *testing.T) {
-	was := goleak.IgnoreCurrent()
-	t.Cleanup(func() { goleak.VerifyNone(t, was) })
-	s, k := begin(t, nil, "list", "consul")
+	goroutines := goleak.IgnoreCurrent()
+	t.Cleanup(func() { goleak.VerifyNone(t, goroutines) })
+	s, rec := newService(t, nil, "list", "consul")
 	s.Watch(true)
-	require.Empty(t, k.forms, "nothing has been heard")
+	require.Empty(t, rec.forms, "nothing has been heard")
 	l := List{To: s}
 	l.UpdateList(choice.List{Form: choice.Full, Version: 5, Servers: []choice.Server{{ID: "a", Cell: 1, State: choice.Ready, Scale: 1}, {ID: "b", Cell: 2, State: choice.Ready, Scale: 1}}},
 		targets.Addrs{"a": {"h:1"}, "b": {"h:2"}})
-	require.Equal(t, []choice.Form{choice.Full}, k.forms)
-	require.Equal(t, choice.Ready, k.state("a"))
+	require.Equal(t, []choice.Form{choice.Full}, rec.forms)
+	require.Equal(t, choice.Ready, rec.state("a"))
 	s.Observe(membership.Observation{Source: "consul", Index: 1, Complete: true, Claims: []membership.Claim{claim("a", 1, true), claim("b", 2, false)}})
-	require.Equal(t, choice.Draining, k.state("a"))
-	require.Equal(t, []choice.Form{choice.Full, choice.Delta}, k.forms)
+	require.Equal(t, choice.Draining, rec.state("a"))
+	require.Equal(t, []choice.Form{choice.Full, choice.Delta}, rec.forms)
 	// Two cells for one server: it is gone until they agree.
 	s.Observe(membership.Observation{Source: "consul", Index: 2, Complete: true, Claims: []membership.Claim{claim("a", 1, true), claim("b", 5, false)}})
-	require.Equal(t, choice.Gone, k.state("b"))
+	require.Equal(t, choice.Gone, rec.state("b"))
 	l.UpdateList(choice.List{Form: choice.Delta, Version: 6, Servers: []choice.Server{{ID: "b", Cell: 5, State: choice.Ready, Scale: 1}}}, targets.Addrs{"b": {"h:3"}})
-	require.Equal(t, choice.Gone, k.state("b"))
-	require.Equal(t, choice.Ready, k.state("b~5"))
-	require.Equal(t, 5, k.rows["b~5"].Cell)
-	require.Equal(t, []string{"h:3"}, k.addrs["b~5"])
+	require.Equal(t, choice.Gone, rec.state("b"))
+	require.Equal(t, choice.Ready, rec.state("b~5"))
+	require.Equal(t, 5, rec.rows["b~5"].Cell)
+	require.Equal(t, []string{"h:3"}, rec.addrs["b~5"])
 	// Back in its first cell it has its first name again.
 	s.Observe(membership.Observation{Source: "consul", Index: 3, Complete: true, Claims: []membership.Claim{claim("b", 2, false)}})
 	l.UpdateList(choice.List{Form: choice.Delta, Version: 7, Servers: []choice.Server{{ID: "b", Cell: 2, State: choice.Ready, Scale: 1}}}, targets.Addrs{"b": {"h:3"}})
-	require.Equal(t, choice.Gone, k.state("b~5"))
-	require.Equal(t, choice.Ready, k.state("b"))
+	require.Equal(t, choice.Gone, rec.state("b~5"))
+	require.Equal(t, choice.Ready, rec.state("b"))
 	// A cell that is not there is none.
 	s.Observe(membership.Observation{Source: "consul", Index: 4, Complete: true, Claims: []membership.Claim{claim("z", 99, false, "h:9")}})
 	r, err := s.Report("z", 0)
@@ -104,36 +104,36 @@
 
 // A new server of a source that is not trusted waits for a sign: here it answers a
 // probe. Time alone changes things too: the timer runs.
-func TestFirstSignAndTime(t *testing.T) {
-	s, k := begin(t, func(s *Settings) {
+func TestConfirmationAndTimer(t *testing.T) {
+	s, rec := newService(t, func(s *Settings) {
 		s.ConfirmAfter, s.SilentAfter, s.ForgetAfter = time.Hour, time.Second, 200*time.Millisecond
 	}, "consul")
-	asked := make(chan []string, 4)
-	s.SetProbe(func(addrs []string) bool { asked <- addrs; return addrs[0] == "h:1" })
+	probed := make(chan []string, 4)
+	s.SetProbe(func(addrs []string) bool { probed <- addrs; return addrs[0] == "h:1" })
 	s.Watch(true)
 	s.Observe(membership.Observation{Source: "consul", Index: 1, Complete: true, Claims: []membership.Claim{claim("z", 1, false, "h:9")}})
-	require.Equal(t, choice.Ready, k.state("z"), "at the start there is nothing to set it beside")
+	require.Equal(t, choice.Ready, rec.state("z"), "at the start there is nothing to set it beside")
 	s.Observe(membership.Observation{Source: "consul", Index: 2, Claims: []membership.Claim{claim("a", 1, false, "h:1"), claim("b", 1, false, "h:2")}})
-	<-asked
-	<-asked
-	require.Eventually(t, func() bool { return k.state("a") == choice.Ready }, 20*time.Second, time.Millisecond)
-	require.Equal(t, choice.Gone, k.state("b"))
-	require.Eventually(t, func() bool { return k.state("a") == choice.Gone }, 20*time.Second, time.Millisecond, "forgotten, in time")
+	<-probed
+	<-probed
+	require.Eventually(t, func() bool { return rec.state("a") == choice.Ready }, 20*time.Second, time.Millisecond)
+	require.Equal(t, choice.Gone, rec.state("b"))
+	require.Eventually(t, func() bool { return rec.state("a") == choice.Gone }, 20*time.Second, time.Millisecond, "forgotten, in time")
 }
 
 // Sources are switched under way: what one that stays has said stands.
 func TestConfigure(t *testing.T) {
-	s, k := begin(t, nil, "list", "consul")
+	s, rec := newService(t, nil, "list", "consul")
 	s.Watch(true)
 	List{To: s}.UpdateList(choice.List{Form: choice.Full, Version: 1, Servers: []choice.Server{{ID: "a", Cell: 1, State: choice.Ready, Scale: 1}}}, targets.Addrs{"a": {"h:1"}})
 	s.Observe(membership.Observation{Source: "consul", Index: 1, Complete: true, Claims: []membership.Claim{claim("a", 1, true, "h:1")}})
-	require.Equal(t, choice.Draining, k.state("a"))
+	require.Equal(t, choice.Draining, rec.state("a"))
 	var set Settings
 	inifile.SetDefaults(&set)
 	require.NoError(t, s.Configure(set.MergeSettings([]string{"consul", "dns"})))
-	require.Equal(t, choice.Draining, k.state("a"), "consul's word stands")
+	require.Equal(t, choice.Draining, rec.state("a"), "consul's word stands")
 	require.NoError(t, s.Configure(set.MergeSettings([]string{"list"})))
-	require.Equal(t, choice.Gone, k.state("a"), "nobody who is left has named it")
+	require.Equal(t, choice.Gone, rec.state("a"), "nobody who is left has named it")
 	require.Error(t, s.Configure(membership.Settings{}))
 	s.Observe(membership.Observation{Source: "consul", Index: 9}) // late: passed over
 }
--- a/internal/source/segments/segments.go
+++ b/internal/source/segments/segments.go
@@ -37,9 +37,9 @@
 }
 
 const (
-	askTime = 10 * time.Second // beyond the wait
-	least   = 50 * time.Millisecond
-	most    = 2 * time.Second
+	responseTimeout = 10 * time.Second // beyond the wait
+	minInterval     = 50 * time.Millisecond
+	maxBackoff      = 2 * time.Second
 )
 
 var log = logs.For("segments")
@@ -49,27 +49,27 @@
 
 // Feed is the watch on one feed.
 type Feed struct {
-	set   Settings
-	to    MapReceiver
-	http  *http.Client
-	start time.Time
+	settings Settings
+	receiver MapReceiver
+	http     *http.Client
+	start    time.Time
 
-	mu      sync.Mutex
-	now     *placement.Map
-	refresh placement.Refresh
-	whole   bool
-	kick    context.CancelFunc // ends the call, or the pause, at hand
-	heard   time.Time
-	lastErr string
-	refused int64
-	calls   int64
-	later   *time.Timer
+	mu         sync.Mutex
+	current    *placement.Map
+	refresh    placement.Refresh
+	needFull   bool
+	interrupt  context.CancelFunc // ends the call, or the pause, at hand
+	lastAnswer time.Time
+	lastErr    string
+	rejected   int64
+	calls      int64
+	fetchTimer *time.Timer
 }
 
 // New returns a feed that has not been asked yet.
 func New(s Settings, to MapReceiver) *Feed {
-	return &Feed{set: s, to: to, start: time.Now(), whole: true, http: &http.Client{Transport: &http.Transport{MaxConnsPerHost: 2, IdleConnTimeout: time.Minute}},
-		refresh: placement.Refresh{MinInterval: least.Microseconds(), MaxBackoff: most.Microseconds()}}
+	return &Feed{settings: s, receiver: to, start: time.Now(), needFull: true, http: &http.Client{Transport: &http.Transport{MaxConnsPerHost: 2, IdleConnTimeout: time.Minute}},
+		refresh: placement.Refresh{MinInterval: minInterval.Microseconds(), MaxBackoff: maxBackoff.Microseconds()}}
 }
 
 func (f *Feed) clock() int64 { return time.Since(f.start).Microseconds() }
@@ -78,23 +78,23 @@
 func (f *Feed) RequestEpoch(epoch int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.want(epoch)
+	f.wantEpoch(epoch)
 }
 
 // want is under mu.
-func (f *Feed) want(epoch int64) {
+func (f *Feed) wantEpoch(epoch int64) {
 	now := f.clock()
-	switch at := f.refresh.ObserveEpoch(now, epoch, f.now.Epoch()); {
-	case at == 0:
-		if f.kick != nil {
-			f.kick()
+	switch fetchAt := f.refresh.ObserveEpoch(now, epoch, f.current.Epoch()); {
+	case fetchAt == 0:
+		if f.interrupt != nil {
+			f.interrupt()
 		}
-	case at > 0 && f.later == nil:
-		f.later = time.AfterFunc(time.Duration(at-now)*time.Microsecond, func() {
+	case fetchAt > 0 && f.fetchTimer == nil:
+		f.fetchTimer = time.AfterFunc(time.Duration(fetchAt-now)*time.Microsecond, func() {
 			f.mu.Lock()
 			defer f.mu.Unlock()
-			f.later = nil
-			f.want(f.refresh.WantedEpoch)
+			f.fetchTimer = nil
+			f.wantEpoch(f.refresh.WantedEpoch)
 		})
 	}
 }
@@ -102,33 +102,33 @@
 // Run watches until ctx is done.
 func (f *Feed) Run(ctx context.Context) {
 	defer f.http.CloseIdleConnections()
-	backoff := least
+	backoff := minInterval
 	for ctx.Err() == nil {
 		call, cancel := context.WithCancel(ctx)
 		f.mu.Lock()
-		f.kick = cancel
-		url, wait := fmt.Sprintf("http://%s/placement?epoch=%d&wait=%d", f.set.Feed, f.now.Epoch(), f.set.MaxWait.Milliseconds()), f.set.MaxWait
+		f.interrupt = cancel
+		url, wait := fmt.Sprintf("http://%s/placement?epoch=%d&wait=%d", f.settings.Feed, f.current.Epoch(), f.settings.MaxWait.Milliseconds()), f.settings.MaxWait
 		if f.refresh.Fetching { // a server named a newer epoch: now, not when something changes
-			url, wait = fmt.Sprintf("http://%s/placement?epoch=%d&wait=0", f.set.Feed, f.now.Epoch()), 0
+			url, wait = fmt.Sprintf("http://%s/placement?epoch=%d&wait=0", f.settings.Feed, f.current.Epoch()), 0
 		}
-		if f.whole {
-			url, wait = "http://"+f.set.Feed+"/placement", 0
+		if f.needFull {
+			url, wait = "http://"+f.settings.Feed+"/placement", 0
 		}
 		f.calls++
 		f.mu.Unlock()
-		u, err := f.get(call, url, wait+askTime)
-		kicked := call.Err() != nil && ctx.Err() == nil
-		if kicked {
+		update, err := f.get(call, url, wait+responseTimeout)
+		interrupted := call.Err() != nil && ctx.Err() == nil
+		if interrupted {
 			cancel()
 			continue
 		}
-		if f.took(u, err) {
-			backoff = least
+		if f.handleAnswer(update, err) {
+			backoff = minInterval
 			cancel()
 			continue
 		}
 		pause := time.Duration(float64(backoff) * (0.5 + rand.Float64()/2)) // mixers must not come back in step
-		backoff = min(2*backoff, most)
+		backoff = min(2*backoff, maxBackoff)
 		select {
 		case <-ctx.Done():
 		case <-call.Done():
@@ -138,72 +138,72 @@
 	}
 }
 
-func (f *Feed) get(ctx context.Context, url string, within time.Duration) (*placement.Update, error) {
-	ctx, cancel := context.WithTimeout(ctx, within)
+func (f *Feed) get(ctx context.Context, url string, timeout time.Duration) (*placement.Update, error) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	q, err := http.NewRequestWithContext(ctx, "GET", url, nil)
+	req, err := http.NewRequestWithContext(ctx, "GET", url, nil)
 	if err != nil {
 		return nil, err
 	}
-	p, err := f.http.Do(q)
+	resp, err := f.http.Do(req)
 	if err != nil {
 		return nil, err
 	}
-	defer p.Body.Close()
-	if p.StatusCode != 200 {
-		return nil, fmt.Errorf("status %d", p.StatusCode)
+	defer resp.Body.Close()
+	if resp.StatusCode != 200 {
+		return nil, fmt.Errorf("status %d", resp.StatusCode)
 	}
-	var u placement.Update
-	body := &io.LimitedReader{R: p.Body, N: int64(f.set.MaxBytes) + 1}
-	err = json.NewDecoder(body).Decode(&u)
+	var update placement.Update
+	body := &io.LimitedReader{R: resp.Body, N: int64(f.settings.MaxBytes) + 1}
+	err = json.NewDecoder(body).Decode(&update)
 	if body.N <= 0 {
-		err = fmt.Errorf("an answer of more than %v: see [segments] most-bytes", f.set.MaxBytes)
+		err = fmt.Errorf("an answer of more than %v: see [segments] most-bytes", f.settings.MaxBytes)
 	}
 	if err != nil {
 		return nil, err
 	}
-	return &u, nil
+	return &update, nil
 }
 
 // took takes an answer and tells whether it was one that can be used.
-func (f *Feed) took(u *placement.Update, err error) bool {
+func (f *Feed) handleAnswer(update *placement.Update, err error) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.whole = false
-	defer func() { f.refresh.FetchDone(f.now.Epoch()) }()
+	f.needFull = false
+	defer func() { f.refresh.FetchDone(f.current.Epoch()) }()
 	if err != nil {
 		if !errors.Is(err, context.Canceled) {
 			f.lastErr = err.Error()
-			log.Warn("feed-failed", "feed", f.set.Feed, "err", err)
+			log.Warn("feed-failed", "feed", f.settings.Feed, "err", err)
 		}
-		f.whole = f.now == nil
+		f.needFull = f.current == nil
 		return false
 	}
-	f.heard = time.Now()
-	if u.Epoch == f.now.Epoch() && f.now != nil { // no news
+	f.lastAnswer = time.Now()
+	if update.Epoch == f.current.Epoch() && f.current != nil { // no news
 		return true
 	}
-	m, err := f.now.Apply(u)
+	m, err := f.current.Apply(update)
 	var gap *placement.GapError
-	var old *placement.StaleError
+	var stale *placement.StaleError
 	switch {
 	case errors.As(err, &gap):
-		f.whole = true
+		f.needFull = true
 		return true
-	case errors.As(err, &old):
+	case errors.As(err, &stale):
 		f.lastErr = err.Error()
-		log.Warn("feed-old", "feed", f.set.Feed, "err", err)
+		log.Warn("feed-old", "feed", f.settings.Feed, "err", err)
 		return false
 	case err != nil:
-		f.refused++
+		f.rejected++
 		f.lastErr = err.Error()
-		f.whole = true
-		log.Error("map-refused", "feed", f.set.Feed, "epoch", u.Epoch, "kept", f.now.Epoch(), "err", err)
+		f.needFull = true
+		log.Error("map-refused", "feed", f.settings.Feed, "epoch", update.Epoch, "kept", f.current.Epoch(), "err", err)
 		return false
 	}
-	f.now, f.lastErr = m, ""
-	log.Info("map", "epoch", m.Epoch(), "segments", m.Len(), "changed", len(u.Segments), "whole", u.Base == 0)
-	f.to.UpdateMap(m)
+	f.current, f.lastErr = m, ""
+	log.Info("map", "epoch", m.Epoch(), "segments", m.Len(), "changed", len(update.Segments), "whole", update.Base == 0)
+	f.receiver.UpdateMap(m)
 	return true
 }
 
@@ -211,7 +211,7 @@
 func (f *Feed) HasMap() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.now != nil
+	return f.current != nil
 }
 
 // Report is what is believed at a moment, and why.
@@ -230,17 +230,17 @@
 func (f *Feed) Report(list int) Report {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	r := Report{Feed: f.set.Feed, Epoch: f.now.Epoch(), Wanted: f.refresh.WantedEpoch, Segments: f.now.Len(), HeardMS: -1, Refused: f.refused,
+	report := Report{Feed: f.settings.Feed, Epoch: f.current.Epoch(), Wanted: f.refresh.WantedEpoch, Segments: f.current.Len(), HeardMS: -1, Refused: f.rejected,
 		Calls: f.calls, Spared: f.refresh.Suppressed, Err: f.lastErr, Stale: true}
-	if !f.heard.IsZero() {
-		r.HeardMS = time.Since(f.heard).Milliseconds()
-		r.Stale = time.Since(f.heard) > f.set.StaleAfter+f.set.MaxWait
+	if !f.lastAnswer.IsZero() {
+		report.HeardMS = time.Since(f.lastAnswer).Milliseconds()
+		report.Stale = time.Since(f.lastAnswer) > f.settings.StaleAfter+f.settings.MaxWait
 	}
-	if f.now != nil {
-		r.Cells, r.Retired = f.now.Cells(), f.now.Retired()
-		r.List = f.now.Segments()[:min(list, f.now.Len())]
+	if f.current != nil {
+		report.Cells, report.Retired = f.current.Cells(), f.current.Retired()
+		report.List = f.current.Segments()[:min(list, f.current.Len())]
 	}
-	return r
+	return report
 }
 
 // Explain tells where a key is, and what is known of its segment.
@@ -255,9 +255,9 @@
 func (f *Feed) Explain(key string) (Explain, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	s, ok := f.now.Lookup(key)
+	s, ok := f.current.Lookup(key)
 	if !ok {
 		return Explain{}, errors.New("no map is held yet")
 	}
-	return Explain{key, f.now.Epoch(), s, f.now.Servers(s.Cell)}, nil
+	return Explain{key, f.current.Epoch(), s, f.current.Servers(s.Cell)}, nil
 }
--- a/internal/source/segments/segments_test.go
+++ b/internal/source/segments/segments_test.go
@@ -20,49 +20,49 @@
 // feed answers what the test has lined up, then nothing new; a call that finds
 // nothing lined up waits for it.
 type feed struct {
-	mu    sync.Mutex
-	cond  *sync.Cond
-	next  []func(w http.ResponseWriter)
-	asked []string
-	over  bool
+	mu        sync.Mutex
+	cond      *sync.Cond
+	responses []func(w http.ResponseWriter)
+	queries   []string
+	closed    bool
 }
 
 func (f *feed) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	f.mu.Lock()
-	f.asked = append(f.asked, r.URL.RawQuery)
+	f.queries = append(f.queries, r.URL.RawQuery)
 	stop := context.AfterFunc(r.Context(), func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		f.cond.Broadcast()
 	})
 	defer stop()
-	for len(f.next) == 0 && !f.over && r.Context().Err() == nil {
+	for len(f.responses) == 0 && !f.closed && r.Context().Err() == nil {
 		f.cond.Wait()
 	}
-	var do func(http.ResponseWriter)
-	if len(f.next) > 0 && r.Context().Err() == nil {
-		do, f.next = f.next[0], f.next[1:]
+	var respond func(http.ResponseWriter)
+	if len(f.responses) > 0 && r.Context().Err() == nil {
+		respond, f.responses = f.responses[0], f.responses[1:]
 	}
 	f.mu.Unlock()
-	if do != nil {
-		do(w)
+	if respond != nil {
+		respond(w)
 	}
 }
 
-func (f *feed) then(u placement.Update) {
-	f.say(func(w http.ResponseWriter) { json.NewEncoder(w).Encode(u) })
+func (f *feed) enqueue(u placement.Update) {
+	f.enqueueFunc(func(w http.ResponseWriter) { json.NewEncoder(w).Encode(u) })
 }
 
-func (f *feed) say(do func(http.ResponseWriter)) {
+func (f *feed) enqueueFunc(respond func(http.ResponseWriter)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.next = append(f.next, do)
+	f.responses = append(f.responses, respond)
 	f.cond.Broadcast()
 }
 
-type taker chan *placement.Map
+type receiver chan *placement.Map
 
-func (t taker) UpdateMap(m *placement.Map) { t <- m }
+func (t receiver) UpdateMap(m *placement.Map) { t <- m }
 
 var cells = []placement.Cell{{ID: 0, Servers: []string{"a"}}}
 
@@ -77,54 +77,54 @@
 	inifile.SetDefaults(&s)
 	s.MaxBytes = 64 << 10
 	s.Feed = strings.TrimPrefix(srv.URL, "http://")
-	maps := make(taker, 16)
-	w := New(s, maps)
-	require.True(t, w.Report(0).Stale)
-	_, err := w.Explain("k")
+	maps := make(receiver, 16)
+	watch := New(s, maps)
+	require.True(t, watch.Report(0).Stale)
+	_, err := watch.Explain("k")
 	require.ErrorContains(t, err, "no map")
 	ctx, cancel := context.WithCancel(t.Context())
-	ended := make(chan struct{})
-	go func() { w.Run(ctx); close(ended) }()
+	finished := make(chan struct{})
+	go func() { watch.Run(ctx); close(finished) }()
 
-	f.then(placement.Update{Epoch: 3, Cells: cells, Segments: []placement.Segment{{ID: 1}}})
+	f.enqueue(placement.Update{Epoch: 3, Cells: cells, Segments: []placement.Segment{{ID: 1}}})
 	require.EqualValues(t, 3, (<-maps).Epoch())
-	f.then(placement.Update{Epoch: 4, Base: 3, Removed: []uint32{1}, Segments: []placement.Segment{{ID: 2, Range: placement.Range{To: "m"}}, {ID: 3, Range: placement.Range{From: "m"}}}})
+	f.enqueue(placement.Update{Epoch: 4, Base: 3, Removed: []uint32{1}, Segments: []placement.Segment{{ID: 2, Range: placement.Range{To: "m"}}, {ID: 3, Range: placement.Range{From: "m"}}}})
 	require.Equal(t, 2, (<-maps).Len())
-	f.then(placement.Update{Epoch: 9, Base: 8})                                                                                 // a gap: the whole is asked for
-	f.then(placement.Update{Epoch: 9, Cells: cells, Segments: []placement.Segment{{ID: 9, Range: placement.Range{From: "a"}}}}) // a lie
-	f.say(func(w http.ResponseWriter) { fmt.Fprint(w, "{") })
-	f.say(func(w http.ResponseWriter) {
-		fmt.Fprint(w, `{"epoch":9,"removed":[`+strings.Repeat("1,", 40<<10)+`1]}`)
+	f.enqueue(placement.Update{Epoch: 9, Base: 8})                                                                                 // a gap: the whole is asked for
+	f.enqueue(placement.Update{Epoch: 9, Cells: cells, Segments: []placement.Segment{{ID: 9, Range: placement.Range{From: "a"}}}}) // a lie
+	f.enqueueFunc(func(watch http.ResponseWriter) { fmt.Fprint(watch, "{") })
+	f.enqueueFunc(func(watch http.ResponseWriter) {
+		fmt.Fprint(watch, `{"epoch":9,"removed":[`+strings.Repeat("1,", 40<<10)+`1]}`)
 	}) // too long
-	f.say(func(w http.ResponseWriter) { w.WriteHeader(503) })
-	f.then(placement.Update{Epoch: 2, Cells: cells, Segments: []placement.Segment{{ID: 1}}}) // old
-	f.then(placement.Update{Epoch: 10, Cells: cells, Segments: []placement.Segment{{ID: 10}}})
+	f.enqueueFunc(func(watch http.ResponseWriter) { watch.WriteHeader(503) })
+	f.enqueue(placement.Update{Epoch: 2, Cells: cells, Segments: []placement.Segment{{ID: 1}}}) // old
+	f.enqueue(placement.Update{Epoch: 10, Cells: cells, Segments: []placement.Segment{{ID: 10}}})
 	require.EqualValues(t, 10, (<-maps).Epoch())
-	r := w.Report(5)
+	r := watch.Report(5)
 	require.EqualValues(t, 1, r.Refused)
 	require.Len(t, r.List, 1)
 	require.False(t, r.Stale)
-	e, err := w.Explain("karak")
+	e, err := watch.Explain("karak")
 	require.NoError(t, err)
 	require.Equal(t, []string{"a"}, e.Servers)
 
 	// Ten thousand parts find out at once: one call more.
 	f.mu.Lock()
-	before := len(f.asked)
+	before := len(f.queries)
 	f.mu.Unlock()
 	for range 10000 {
-		w.RequestEpoch(11)
+		watch.RequestEpoch(11)
 	}
 	for range 2 { // the call that was ended may take one with it
-		f.then(placement.Update{Epoch: 11, Base: 10})
+		f.enqueue(placement.Update{Epoch: 11, Base: 10})
 	}
 	require.EqualValues(t, 11, (<-maps).Epoch())
 	f.mu.Lock()
-	require.LessOrEqual(t, len(f.asked)-before, 4)
-	f.over = true
+	require.LessOrEqual(t, len(f.queries)-before, 4)
+	f.closed = true
 	f.mu.Unlock()
 	cancel()
 	f.cond.Broadcast()
-	<-ended
+	<-finished
 	srv.Close()
 }
--- a/internal/source/targets/targets.go
+++ b/internal/source/targets/targets.go
@@ -25,19 +25,19 @@
 )
 
 const (
-	firstWait   = 250 * time.Millisecond // of a new watch: the router waits for a sign that it stands
-	watchWait   = 10 * time.Second
-	answerTime  = 2500 * time.Millisecond // beyond the wait: then the call has failed
-	backoffFrom = 200 * time.Millisecond
-	backoffMost = 2 * time.Second
-	maxSince    = 1 << 50 // milliseconds; in microseconds it must still fit
+	initialWait     = 250 * time.Millisecond // of a new watch: the router waits for a sign that it stands
+	watchWait       = 10 * time.Second
+	responseTimeout = 2500 * time.Millisecond // beyond the wait: then the call has failed
+	minBackoff      = 200 * time.Millisecond
+	maxBackoff      = 2 * time.Second
+	maxSince        = 1 << 50 // milliseconds; in microseconds it must still fit
 
 	// An agent on this machine answers at once and at no cost, and what it holds counts
 	// as told: the rule on drains leaves no time to wait for one that is silent.
-	lookTime = 300 * time.Millisecond
+	defaultPollTimeout = 300 * time.Millisecond
 	// A service that answers a watch at once with nothing must not be called in a
 	// loop; the next call still comes soon enough for the watch to go on.
-	leastTurn = 100 * time.Millisecond
+	minInterval = 100 * time.Millisecond
 )
 
 var log = logs.For("targets")
@@ -69,29 +69,29 @@
 
 // Watch makes the calls, one after another: Run's loop alone does.
 type Watch struct {
-	cells  int
-	more   bool // an entry may have several addresses
-	pushed bool
-	look   time.Duration
-	to     Receiver
-	kick   chan struct{}
+	cells        int
+	multiAddress bool // an entry may have several addresses
+	pushed       bool
+	pollTimeout  time.Duration
+	receiver     Receiver
+	wake         chan struct{}
 
-	mu    sync.Mutex
-	on    bool
-	whole bool // the next call asks for the whole list
-	addr  string
-	index int64 // of the newest list
+	mu       sync.Mutex
+	watching bool
+	needFull bool // the next call asks for the whole list
+	addr     string
+	index    int64 // of the newest list
 	// current ends once what the calls under it ask for is not wanted any more: an
 	// answer that comes after that is dropped.
-	current context.Context
-	end     context.CancelFunc
+	callCtx    context.Context
+	cancelCall context.CancelFunc
 }
 
 // New returns a watch; it is not on yet, unless lists are pushed.
-func New(cfg Config, to Receiver) *Watch {
-	w := &Watch{cells: cfg.Cells, more: cfg.MultiAddress, pushed: cfg.Pushed, to: to, kick: make(chan struct{}, 1),
-		on: cfg.Pushed, addr: cfg.Addr, index: cfg.Index, look: cmp.Or(cfg.PollTimeout, lookTime)}
-	w.current, w.end = context.WithCancel(context.Background())
+func New(cfg Config, receiver Receiver) *Watch {
+	w := &Watch{cells: cfg.Cells, multiAddress: cfg.MultiAddress, pushed: cfg.Pushed, receiver: receiver, wake: make(chan struct{}, 1),
+		watching: cfg.Pushed, addr: cfg.Addr, index: cfg.Index, pollTimeout: cmp.Or(cfg.PollTimeout, defaultPollTimeout)}
+	w.callCtx, w.cancelCall = context.WithCancel(context.Background())
 	return w
 }
 
@@ -99,15 +99,15 @@
 func (w *Watch) Watch(on bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.on = on || w.pushed
-	w.stir()
+	w.watching = on || w.pushed
+	w.notify()
 }
 
 // Fetch asks for the whole list once.
 func (w *Watch) Fetch() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.anew()
+	w.requestFull()
 }
 
 // Switch turns to another discovery service. Its versions need not compare with
@@ -116,40 +116,40 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.addr = addr
-	w.anew()
+	w.requestFull()
 }
 
 // anew ends the call at hand, or the pause before the next, for the whole list.
 // Asked on a line of its own, that list could overtake or be overtaken by the
 // changes that the watch brings, and one of them would be lost.
-func (w *Watch) anew() {
-	w.whole = true
-	if w.end != nil {
-		w.end()
+func (w *Watch) requestFull() {
+	w.needFull = true
+	if w.cancelCall != nil {
+		w.cancelCall()
 	}
-	w.current, w.end = context.WithCancel(context.Background())
-	w.stir()
+	w.callCtx, w.cancelCall = context.WithCancel(context.Background())
+	w.notify()
 }
 
-func (w *Watch) stir() {
+func (w *Watch) notify() {
 	select {
-	case w.kick <- struct{}{}:
+	case w.wake <- struct{}{}:
 	default:
 	}
 }
 
 // Run makes the calls until stop is closed.
 func (w *Watch) Run(stop <-chan struct{}) {
-	defer context.AfterFunc(closing(stop), func() {
+	defer context.AfterFunc(stopContext(stop), func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		w.end()
+		w.cancelCall()
 	})()
-	var line discoveryLine
-	defer line.close()
-	wait, backoff := firstWait, backoffFrom
+	var conn discoveryConn
+	defer conn.close()
+	wait, backoff := initialWait, minBackoff
 	// Until then the service had nothing to tell that it did not tell.
-	told := time.Now()
+	upToDateAt := time.Now()
 	for {
 		select {
 		case <-stop:
@@ -160,40 +160,40 @@
 			wait = 0
 		}
 		w.mu.Lock()
-		ctx, addr, idle := w.current, w.addr, !w.on && !w.whole
-		path, within := fmt.Sprintf("/api/targets?index=%d&wait=%d", w.index, wait.Milliseconds()), wait+answerTime
-		if w.whole {
-			path, within = "/api/targets", answerTime
+		ctx, addr, idle := w.callCtx, w.addr, !w.watching && !w.needFull
+		path, timeout := fmt.Sprintf("/api/targets?index=%d&wait=%d", w.index, wait.Milliseconds()), wait+responseTimeout
+		if w.needFull {
+			path, timeout = "/api/targets", responseTimeout
 		}
 		if w.pushed {
-			within = w.look
+			timeout = w.pollTimeout
 		}
 		w.mu.Unlock()
 		if idle {
-			wait = firstWait
+			wait = initialWait
 			select {
 			case <-stop:
 				return
-			case <-w.kick:
+			case <-w.wake:
 			}
 			continue
 		}
-		asked := time.Now()
-		body, err := line.get(ctx, addr, path, within)
-		ok, news := w.told(ctx, addr, told, body, err)
+		sentAt := time.Now()
+		body, err := conn.get(ctx, addr, path, timeout)
+		ok, changed := w.handleAnswer(ctx, addr, upToDateAt, body, err)
 		if ctx.Err() != nil { // the call was for what is not wanted any more
-			line.close()
-			wait, backoff = firstWait, backoffFrom
+			conn.close()
+			wait, backoff = initialWait, minBackoff
 			continue
 		}
 		if ok {
 			// The next call must come at once, or changes in between are lost.
-			wait, backoff = watchWait, backoffFrom
-			if told = asked; !w.pushed && (news || time.Since(asked) >= leastTurn) {
+			wait, backoff = watchWait, minBackoff
+			if upToDateAt = sentAt; !w.pushed && (changed || time.Since(sentAt) >= minInterval) {
 				continue
 			}
 		} else {
-			line.close()
+			conn.close()
 		}
 		// All mixers share one discovery: they must not come back in step.
 		pause := time.Duration(float64(backoff) * (0.5 + rand.Float64()/2))
@@ -201,15 +201,15 @@
 		case w.pushed:
 			pause = PollInterval
 		case ok:
-			pause = leastTurn - time.Since(asked)
+			pause = minInterval - time.Since(sentAt)
 		default:
-			wait, backoff = firstWait, min(2*backoff, backoffMost)
+			wait, backoff = initialWait, min(2*backoff, maxBackoff)
 		}
 		select {
 		case <-stop:
 			return
 		case <-ctx.Done():
-			backoff = backoffFrom
+			backoff = minBackoff
 		case <-time.After(pause):
 		}
 	}
@@ -218,33 +218,33 @@
 // told hands on an answer of discovery, or that there was none; it tells whether there
 // was one, and whether it had news. What answers a call that has been ended since is
 // dropped: it may be of another service.
-func (w *Watch) told(ctx context.Context, addr string, since time.Time, body []byte, err error) (ok, news bool) {
+func (w *Watch) handleAnswer(ctx context.Context, addr string, upToDateAt time.Time, body []byte, err error) (ok, changed bool) {
 	var list choice.List
 	var addrs Addrs
 	if err == nil {
-		list, addrs, err = Parse(body, w.cells, w.more)
+		list, addrs, err = Parse(body, w.cells, w.multiAddress)
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if ctx.Err() != nil {
 		return false, false
 	}
-	if err == nil && w.whole && list.Form != choice.Full {
+	if err == nil && w.needFull && list.Form != choice.Full {
 		err = errors.New("the whole list was asked for, and changes came")
 	}
 	if err != nil {
 		log.Warn("discovery-failed", "addr", addr, "err", err)
-		w.to.FetchFailed()
+		w.receiver.FetchFailed()
 		return false, false
 	}
 	if w.pushed {
-		if list.Since = time.Since(since).Microseconds(); list.Form == choice.Delta && len(list.Servers) == 0 {
+		if list.Since = time.Since(upToDateAt).Microseconds(); list.Form == choice.Delta && len(list.Servers) == 0 {
 			w.index = list.Version
 			return true, false
 		}
 	}
-	w.whole, w.index = false, list.Version
-	w.to.UpdateList(list, addrs)
+	w.needFull, w.index = false, list.Version
+	w.receiver.UpdateList(list, addrs)
 	return true, list.Form != choice.Delta || len(list.Servers) > 0
 }
 
@@ -252,7 +252,7 @@
 
 // Parse reads discovery's form of the list. An entry that can't be used is
 // passed over with a log line: one bad line must not cost the others.
-func Parse(body []byte, cells int, more bool) (list choice.List, addrs Addrs, err error) {
+func Parse(body []byte, cells int, multiAddress bool) (list choice.List, addrs Addrs, err error) {
 	doc := gjson.ParseBytes(body)
 	if !gjson.ValidBytes(body) || !doc.IsObject() {
 		return list, nil, &settings.FieldError{Path: "endpoints", Problem: "not a JSON object"}
@@ -269,37 +269,37 @@
 		list.Form = choice.Full
 	}
 	addrs = make(Addrs)
-	for _, e := range endpoints.Array() {
-		s := choice.Server{ID: e.Get("name").String(), Zone: e.Get("zone").String(), Kind: e.Get("type").String(),
-			Cell: int(e.Get("group").Int()), Scale: 1, UpSince: min(max(e.Get("since_ms").Int(), 0), maxSince) * 1000}
-		if w := e.Get("weight"); w.Type == gjson.Number {
-			s.Scale = w.Float()
+	for _, entry := range endpoints.Array() {
+		server := choice.Server{ID: entry.Get("name").String(), Zone: entry.Get("zone").String(), Kind: entry.Get("type").String(),
+			Cell: int(entry.Get("group").Int()), Scale: 1, UpSince: min(max(entry.Get("since_ms").Int(), 0), maxSince) * 1000}
+		if w := entry.Get("weight"); w.Type == gjson.Number {
+			server.Scale = w.Float()
 		}
-		state, known := states[e.Get("status").String()]
-		s.State = state
-		_, _, badAddr := net.SplitHostPort(e.Get("address").String())
-		if s.ID == "" || !known || s.Cell < 0 || s.Cell >= cells || badAddr != nil && state != choice.Gone {
-			log.Warn("list-entry-skipped", "entry", e.Raw[:min(len(e.Raw), 120)])
+		state, known := states[entry.Get("status").String()]
+		server.State = state
+		_, _, badAddr := net.SplitHostPort(entry.Get("address").String())
+		if server.ID == "" || !known || server.Cell < 0 || server.Cell >= cells || badAddr != nil && state != choice.Gone {
+			log.Warn("list-entry-skipped", "entry", entry.Raw[:min(len(entry.Raw), 120)])
 			continue
 		}
-		list.Servers = append(list.Servers, s)
-		addrs[s.ID] = []string{e.Get("address").String()}
-		if more {
-			addrs[s.ID] = addresses(e, addrs[s.ID])
+		list.Servers = append(list.Servers, server)
+		addrs[server.ID] = []string{entry.Get("address").String()}
+		if multiAddress {
+			addrs[server.ID] = addresses(entry, addrs[server.ID])
 		}
 	}
 	return list, addrs, nil
 }
 
 // mostAddrs bounds the addresses of one server.
-const mostAddrs = 8
+const maxAddrs = 8
 
 // addresses adds what an entry lists beside its one address.
-func addresses(e gjson.Result, out []string) []string {
-	for _, a := range e.Get("addresses").Array() {
+func addresses(entry gjson.Result, out []string) []string {
+	for _, a := range entry.Get("addresses").Array() {
 		addr := a.String()
 		_, _, bad := net.SplitHostPort(addr)
-		if (bad == nil || strings.HasPrefix(addr, "unix:/")) && !slices.Contains(out, addr) && len(out) < mostAddrs {
+		if (bad == nil || strings.HasPrefix(addr, "unix:/")) && !slices.Contains(out, addr) && len(out) < maxAddrs {
 			out = append(out, addr)
 		}
 	}
@@ -307,16 +307,18 @@
 }
 
 // closing is a context that ends when stop is closed.
-func closing(stop <-chan struct{}) context.Context { return stopped{context.Background(), stop} }
+func stopContext(stop <-chan struct{}) context.Context {
+	return chanContext{context.Background(), stop}
+}
 
-type stopped struct {
+type chanContext struct {
 	context.Context
 	stop <-chan struct{}
 }
 
-func (s stopped) Done() <-chan struct{} { return s.stop }
+func (s chanContext) Done() <-chan struct{} { return s.stop }
 
-func (s stopped) Err() error {
+func (s chanContext) Err() error {
 	select {
 	case <-s.stop:
 		return context.Canceled
@@ -326,51 +328,51 @@
 }
 
 // discoveryLine is a connection to discovery, kept from call to call.
-type discoveryLine struct {
+type discoveryConn struct {
 	addr string
 	nc   net.Conn
 	r    *httpwire.Reader
 }
 
-func (l *discoveryLine) close() {
-	if l.nc != nil {
-		l.nc.Close()
-		l.nc = nil
+func (c *discoveryConn) close() {
+	if c.nc != nil {
+		c.nc.Close()
+		c.nc = nil
 	}
 }
 
 // get makes one call, which must be over within the time given, and ends at once
 // when ctx does.
-func (l *discoveryLine) get(ctx context.Context, addr, path string, within time.Duration) ([]byte, error) {
-	if l.addr != addr { // the service has moved while none was asked
-		l.close()
+func (c *discoveryConn) get(ctx context.Context, addr, path string, timeout time.Duration) ([]byte, error) {
+	if c.addr != addr { // the service has moved while none was asked
+		c.close()
 	}
-	if l.nc == nil {
-		dial := net.Dialer{Timeout: answerTime}
+	if c.nc == nil {
+		dial := net.Dialer{Timeout: responseTimeout}
 		nc, err := dial.DialContext(ctx, "tcp", addr)
 		if err != nil {
 			return nil, err
 		}
-		l.addr, l.nc, l.r = addr, nc, httpwire.NewReader(nc)
+		c.addr, c.nc, c.r = addr, nc, httpwire.NewReader(nc)
 	}
-	nc := l.nc
-	nc.SetDeadline(time.Now().Add(within))
+	nc := c.nc
+	nc.SetDeadline(time.Now().Add(timeout))
 	defer context.AfterFunc(ctx, func() { nc.Close() })()
-	if _, err := l.nc.Write(httpwire.AppendGet(nil, addr, path)); err != nil {
+	if _, err := c.nc.Write(httpwire.AppendGet(nil, addr, path)); err != nil {
 		return nil, err
 	}
-	if err := l.r.Await(); err != nil {
+	if err := c.r.Await(); err != nil {
 		return nil, err
 	}
-	p, err := l.r.Response()
+	resp, err := c.r.Response()
 	if err != nil {
 		return nil, err
 	}
-	if !p.KeepAlive {
-		l.close()
+	if !resp.KeepAlive {
+		c.close()
 	}
-	if p.Status != 200 {
-		return nil, errors.New("status " + fmt.Sprint(p.Status))
+	if resp.Status != 200 {
+		return nil, errors.New("status " + fmt.Sprint(resp.Status))
 	}
-	return p.Body, nil
+	return resp.Body, nil
 }
--- a/internal/source/targets/targets_test.go
+++ b/internal/source/targets/targets_test.go
@@ -14,7 +14,7 @@
 	"saddleport/choice"
 )
 
-const patience = 20 * time.Second // no verdict hangs on a pace
+const testTimeout = 20 * time.Second // no verdict hangs on a pace
 
 // agent is a scripted stand-in of what holds the list.
 type agent struct {
@@ -25,15 +25,15 @@
 }
 
 // heard is one word of the watch.
-type heard struct {
+type update struct {
 	list   choice.List
 	failed bool
 }
 
-type taker chan heard
+type receiver chan update
 
-func (k taker) UpdateList(l choice.List, _ Addrs) { k <- heard{list: l} }
-func (k taker) FetchFailed()                      { k <- heard{failed: true} }
+func (k receiver) UpdateList(l choice.List, _ Addrs) { k <- update{list: l} }
+func (k receiver) FetchFailed()                      { k <- update{failed: true} }
 
 func listen(t *testing.T) *agent {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -43,16 +43,16 @@
 }
 
 func (a *agent) accept() {
-	a.ln.(*net.TCPListener).SetDeadline(time.Now().Add(patience))
+	a.ln.(*net.TCPListener).SetDeadline(time.Now().Add(testTimeout))
 	nc, err := a.ln.Accept()
 	require.NoError(a.t, err)
 	a.t.Cleanup(func() { nc.Close() })
-	nc.SetDeadline(time.Now().Add(patience))
+	nc.SetDeadline(time.Now().Add(testTimeout))
 	a.nc, a.r = nc, bufio.NewReader(nc)
 }
 
 // asked reads one call and returns its path.
-func (a *agent) asked() string {
+func (a *agent) readRequest() string {
 	first, err := a.r.ReadString('\n')
 	require.NoError(a.t, err)
 	for line := first; line != "\r\n"; {
@@ -62,7 +62,7 @@
 	return strings.Fields(first)[1]
 }
 
-func (a *agent) answer(index int, snapshot bool, rows ...string) {
+func (a *agent) respond(index int, snapshot bool, rows ...string) {
 	body := fmt.Sprintf(`{"index":%d,"snapshot":%v,"endpoints":[%s]}`, index, snapshot, strings.Join(rows, ","))
 	_, err := fmt.Fprintf(a.nc, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	require.NoError(a.t, err)
@@ -72,53 +72,53 @@
 	return fmt.Sprintf(`{"name":%q,"address":"127.0.0.1:1","group":0,"status":%q}`, name, status)
 }
 
-func start(t *testing.T, cfg Config) (*Watch, taker) {
-	k := make(taker, 16)
+func start(t *testing.T, cfg Config) (*Watch, receiver) {
+	received := make(receiver, 16)
 	cfg.Cells = 1
-	w := New(cfg, k)
-	stop, over := make(chan struct{}), make(chan struct{})
-	go func() { w.Run(stop); close(over) }()
-	t.Cleanup(func() { close(stop); <-over })
-	return w, k
+	w := New(cfg, received)
+	stop, finished := make(chan struct{}), make(chan struct{})
+	go func() { w.Run(stop); close(finished) }()
+	t.Cleanup(func() { close(stop); <-finished })
+	return w, received
 }
 
-func (k taker) next(t *testing.T) heard {
+func (k receiver) next(t *testing.T) update {
 	select {
 	case h := <-k:
 		return h
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		require.Fail(t, "nothing was told")
-		return heard{}
+		return update{}
 	}
 }
 
 // Where lists are pushed nobody asks for a watch: the decisions have no call for it.
 // A mixer that waited to be asked heard of no drain at all.
-func TestPushedListIsLookedAtUnasked(t *testing.T) {
+func TestPushedListIsPolledWithoutWatch(t *testing.T) {
 	a := listen(t)
-	_, k := start(t, Config{Addr: a.ln.Addr().String(), Index: 41, Pushed: true, PollTimeout: patience})
+	_, received := start(t, Config{Addr: a.ln.Addr().String(), Index: 41, Pushed: true, PollTimeout: testTimeout})
 	a.accept()
-	require.Equal(t, "/api/targets?index=41&wait=0", a.asked())
-	a.answer(41, false) // no news is told to nobody
-	require.Equal(t, "/api/targets?index=41&wait=0", a.asked())
-	a.answer(43, false, row("s-a", "DRAINING"))
-	h := k.next(t)
+	require.Equal(t, "/api/targets?index=41&wait=0", a.readRequest())
+	a.respond(41, false) // no news is told to nobody
+	require.Equal(t, "/api/targets?index=41&wait=0", a.readRequest())
+	a.respond(43, false, row("s-a", "DRAINING"))
+	h := received.next(t)
 	require.Equal(t, choice.Delta, h.list.Form)
 	require.Equal(t, choice.Draining, h.list.Servers[0].State)
-	require.Equal(t, "/api/targets?index=43&wait=0", a.asked())
-	a.answer(44, true, row("s-a", "SERVING")) // a whole list, after a gap
-	h = k.next(t)
+	require.Equal(t, "/api/targets?index=43&wait=0", a.readRequest())
+	a.respond(44, true, row("s-a", "SERVING")) // a whole list, after a gap
+	h = received.next(t)
 	require.Equal(t, choice.Full, h.list.Form)
-	require.Equal(t, "/api/targets?index=44&wait=0", a.asked())
+	require.Equal(t, "/api/targets?index=44&wait=0", a.readRequest())
 }
 
 // An agent is silent while discovery is down. What it holds once it is back counts as
 // told since it got it, which may have been right after its last answer.
-func TestSilentAgentIsAskedAgainAndItsNewsIsOld(t *testing.T) {
+func TestUnresponsiveAgentIsRetriedAndItsChangesAreBackdated(t *testing.T) {
 	a := listen(t)
-	var silent atomic.Bool
-	silent.Store(true)
-	began := time.Now()
+	var unresponsive atomic.Bool
+	unresponsive.Store(true)
+	startedAt := time.Now()
 	go func() { // each line is served by itself, as long as it lasts
 		for {
 			nc, err := a.ln.Accept()
@@ -133,7 +133,7 @@
 					if err != nil {
 						return
 					}
-					if line != "\r\n" || silent.Load() {
+					if line != "\r\n" || unresponsive.Load() {
 						continue
 					}
 					body := `{"index":43,"snapshot":false,"endpoints":[` + row("s-a", "DRAINING") + `]}`
@@ -142,34 +142,34 @@
 			}()
 		}
 	}()
-	_, k := start(t, Config{Addr: a.ln.Addr().String(), Index: 41, Pushed: true, PollTimeout: 50 * time.Millisecond})
+	_, received := start(t, Config{Addr: a.ln.Addr().String(), Index: 41, Pushed: true, PollTimeout: 50 * time.Millisecond})
 	for range 3 {
-		require.True(t, k.next(t).failed)
+		require.True(t, received.next(t).failed)
 	}
-	lasted := time.Since(began)
-	silent.Store(false)
-	h := k.next(t)
+	elapsed := time.Since(startedAt)
+	unresponsive.Store(false)
+	h := received.next(t)
 	for h.failed { // a slow machine
-		h = k.next(t)
+		h = received.next(t)
 	}
 	require.Equal(t, choice.Draining, h.list.Servers[0].State)
 	require.GreaterOrEqual(t, h.list.Since, (3 * 50 * time.Millisecond).Microseconds())
-	require.Greater(t, lasted, 3*50*time.Millisecond)
+	require.Greater(t, elapsed, 3*50*time.Millisecond)
 }
 
 // A service that answers a watch at once with nothing new is not called in a loop.
-func TestWatchAnsweredAtOnceIsNotSpun(t *testing.T) {
+func TestWatchAnsweredAtOnceDoesNotSpin(t *testing.T) {
 	a := listen(t)
 	w, _ := start(t, Config{Addr: a.ln.Addr().String(), Index: 41})
 	at := time.Now()
 	w.Watch(true)
 	a.accept()
 	for range 5 {
-		a.asked()
-		a.answer(41, false)
-		a.asked()
-		require.GreaterOrEqual(t, time.Since(at), leastTurn)
+		a.readRequest()
+		a.respond(41, false)
+		a.readRequest()
+		require.GreaterOrEqual(t, time.Since(at), minInterval)
 		at = time.Now()
-		a.answer(42, false, row("s-a", "SERVING"))
+		a.respond(42, false, row("s-a", "SERVING"))
 	}
 }
