--- a/internal/cluster/routeconfig/routeconfig.go
+++ b/internal/cluster/routeconfig/routeconfig.go
@@ -91,7 +91,7 @@
 // revision reads a configuration's revision: a non-negative integer of at most chain.MaxRevision,
 // which leaves space for the digest bits that order two contents of the same revision.
 func revision(reader paths.Reader) int64 {
-	n := reader.NoText().Int()
+	n := reader.NotString().Int()
 	if n < 0 || n > chain.MaxRevision {
 		reader.Failf("%d is not between 0 and %d", n, int64(chain.MaxRevision))
 	}
@@ -101,22 +101,22 @@
 // Parse parses and completely validates a configuration. The error names the path of the invalid
 // value.
 func Parse(raw []byte) (*Config, error) {
-	root, err := paths.JSON(raw)
+	root, err := paths.ParseJSON(raw)
 	if err != nil {
 		return nil, err
 	}
 	root.Object()
 	config := &Config{Raw: raw, Services: make(map[string]*Service), routesByHost: make(map[string]map[string]*Route), Limits: DefaultLimits}
-	config.Revision = revision(root.At("revision").Must())
-	for _, item := range root.At("services").Must().Items() {
-		service := &Service{Name: item.Object().At("name").Must().Text(), HealthCheckPath: item.At("health_check_path").Text(),
+	config.Revision = revision(root.At("revision").Required())
+	for _, item := range root.At("services").Required().Items() {
+		service := &Service{Name: item.Object().At("name").Required().Text(), HealthCheckPath: item.At("health_check_path").Text(),
 			MaxConnections: int(item.At("max_connections").Int())}
 		if config.Services[service.Name] != nil {
 			item.At("name").Failf("duplicate service name %.60q", service.Name)
 		}
 		config.Services[service.Name] = service
 	}
-	routes := root.At("routes").Must().Items()
+	routes := root.At("routes").Required().Items()
 	if len(routes) > maxRoutes {
 		root.At("routes").Failf("%d routes exceed the maximum of %d", len(routes), maxRoutes)
 	}
@@ -135,7 +135,7 @@
 }
 
 func (c *Config) parseLimits(reader paths.Reader) {
-	if !reader.Is() {
+	if !reader.Exists() {
 		return
 	}
 	reader.Object()
@@ -151,7 +151,7 @@
 
 // parseServiceName reads the name of a service that the configuration defines.
 func (c *Config) parseServiceName(reader paths.Reader) string {
-	name := reader.Must().Text()
+	name := reader.Required().Text()
 	if c.Services[name] == nil {
 		reader.Failf("unknown service %.60q", name)
 	}
@@ -160,14 +160,14 @@
 
 func (c *Config) parseRoute(reader paths.Reader) {
 	reader.Object()
-	route := &Route{Name: reader.At("name").Text(), Host: strings.ToLower(reader.At("hostname").Must().Text()),
-		Prefix: reader.At("path_prefix").Must().Text(), Priority: int(reader.At("priority").Int()),
+	route := &Route{Name: reader.At("name").Text(), Host: strings.ToLower(reader.At("hostname").Required().Text()),
+		Prefix: reader.At("path_prefix").Required().Text(), Priority: int(reader.At("priority").Int()),
 		MaxAttempts: max(int(reader.At("max_attempts").Int()), 1), ResultLimit: int(reader.At("result_limit").Int())}
-	route.Idempotent = parseRouteType(reader.At("route_type").Must())
+	route.Idempotent = parseRouteType(reader.At("route_type").Required())
 	if !strings.HasPrefix(route.Prefix, "/") || !strings.HasSuffix(route.Prefix, "/") {
 		reader.At("path_prefix").Failf("%.60q does not start and end with a slash", route.Prefix)
 	}
-	if route.Timeout = milliseconds(reader.At("timeout_ms").Must()); route.Timeout <= 0 {
+	if route.Timeout = milliseconds(reader.At("timeout_ms").Required()); route.Timeout <= 0 {
 		reader.At("timeout_ms").Failf("must be greater than 0")
 	}
 	route.TargetLatency = milliseconds(reader.At("target_latency_ms"))
@@ -190,15 +190,15 @@
 // parseTarget reads the target of a route, of which exactly one form must be present.
 func (c *Config) parseTarget(reader paths.Reader, route *Route) {
 	targets := 0
-	if target := reader.At("target_service"); target.Is() {
+	if target := reader.At("target_service"); target.Exists() {
 		targets++
 		route.Backends = []Backend{{Service: c.parseServiceName(target), Weight: 1}}
 	}
-	if backends := reader.At("backends"); backends.Is() {
+	if backends := reader.At("backends"); backends.Exists() {
 		targets++
 		route.Backends = c.parseBackends(backends)
 	}
-	if shards := reader.At("fanout_services"); shards.Is() {
+	if shards := reader.At("fanout_services"); shards.Exists() {
 		targets++
 		route.FanoutServices = c.parseShards(shards)
 		route.MinSuccessRatio = reader.At("min_success_ratio").Number()
@@ -216,7 +216,7 @@
 	for _, item := range list.Items() {
 		name := item.Object().At("service")
 		for _, alternative := range []string{"target_service", "name"} { // the operators' documentation gives no example of a backend
-			if !name.Is() {
+			if !name.Exists() {
 				name = item.At(alternative)
 			}
 		}
@@ -289,7 +289,7 @@
 func (c *Config) Newer(current *Config) bool { return current == nil || c.Revision > current.Revision }
 
 func (c *Config) parseAllowances(reader paths.Reader) {
-	if !reader.Is() {
+	if !reader.Exists() {
 		return
 	}
 	routes := make(map[string]bool, len(c.Routes))
@@ -301,8 +301,8 @@
 		reader.Failf("%d allowances exceed the maximum of %d", len(list), maxAllowances)
 	}
 	for _, reader := range list {
-		allowance := &Allowance{Name: reader.Object().At("name").Must().Text(), Header: reader.At("header").Text(),
-			Value: reader.At("value").Text(), Rate: reader.At("rate").Must().Number(), Burst: reader.At("burst").Number()}
+		allowance := &Allowance{Name: reader.Object().At("name").Required().Text(), Header: reader.At("header").Text(),
+			Value: reader.At("value").Text(), Rate: reader.At("rate").Required().Number(), Burst: reader.At("burst").Number()}
 		switch {
 		case seen[allowance.Name]:
 			reader.At("name").Failf("duplicate allowance name %.60q", allowance.Name)
@@ -314,7 +314,7 @@
 			reader.Failf("header and value must be set together")
 		}
 		seen[allowance.Name] = true
-		if routesReader := reader.At("routes"); routesReader.Is() {
+		if routesReader := reader.At("routes"); routesReader.Exists() {
 			allowance.Routes = make(map[string]bool)
 			for _, item := range routesReader.Items() {
 				if name := item.Text(); !routes[name] {
--- a/internal/upstream/race_test.go
+++ b/internal/upstream/race_test.go
@@ -128,7 +128,7 @@
 	x, err := exchange.New(1, set)
 	require.NoError(t, err)
 	p := New(Config{Exchange: x, Settings: set, List: noList{}, Stagger: stagger, MaxConns: 64})
-	p.Told(choice.List{Form: choice.Full, Version: 1, Servers: []choice.Server{{ID: "s", State: choice.Ready, Scale: 1}}}, targets.Addrs{"s": addrs})
+	p.UpdateList(choice.List{Form: choice.Full, Version: 1, Servers: []choice.Server{{ID: "s", State: choice.Ready, Scale: 1}}}, targets.Addrs{"s": addrs})
 	stop := make(chan struct{})
 	done := make(chan struct{})
 	go func() { x.Run(p, stop); close(done) }()
@@ -205,7 +205,7 @@
 	}
 	submit(0)
 	require.Equal(t, first, <-s.arrived)
-	p.Told(choice.List{Form: choice.Delta, Version: 2, Servers: []choice.Server{{ID: "s", State: choice.Ready, Scale: 1}}}, targets.Addrs{"s": {second}})
+	p.UpdateList(choice.List{Form: choice.Delta, Version: 2, Servers: []choice.Server{{ID: "s", State: choice.Ready, Scale: 1}}}, targets.Addrs{"s": {second}})
 	submit(1)
 	require.Equal(t, second, <-s.arrived)
 	close(s.release)
