--- a/internal/app/hooks.go
+++ b/internal/app/hooks.go
@@ -127,7 +127,7 @@
 	if err != nil {
 		return err
 	}
-	steps, end := l.Trial(set, v)
+	steps, end := l.Simulate(set, v)
 	if h.JSON {
 		return h.encode(map[string]any{"steps": steps, "end": end})
 	}
--- a/internal/hook/host_test.go
+++ b/internal/hook/host_test.go
@@ -378,7 +378,7 @@
 	require.NoError(t, err)
 	q, err := hook.ParseView([]byte(`{"id":"q","class":"book-trip","text":"gov=zarqa;clinic=7","parts":[{"shard":1,"weight":1,"value":"v"}]}`))
 	require.NoError(t, err)
-	steps, end := l.Trial(s, q)
+	steps, end := l.Simulate(s, q)
 	require.Len(t, steps, 2)
 	require.Equal(t, `{"tags":{"governorate":"zarqa"},"notes":{"governorate":"zarqa"}}`, steps[0].Answer)
 	require.Equal(t, "refused: clinic 7 is closed: renovation until Sunday", end)
--- a/internal/hook/trial.go
+++ b/internal/hook/simulate.go
@@ -23,10 +23,10 @@
 	Logged []string
 }
 
-// Trial plays a query through all points of a set: its parts are sent once each,
+// Simulate plays a query through all points of a set: its parts are sent once each,
 // and served with the values that the view gives them. How it ends is the second
 // result.
-func (l *Loader) Trial(s *Set, q *hookabi.View) ([]Step, string) {
+func (l *Loader) Simulate(s *Set, q *hookabi.View) ([]Step, string) {
 	classes := l.Classes
 	if len(classes) == 0 {
 		classes = []choice.Class{{Name: q.Class, Effect: choice.Safe, RequiredShare: 1}}
