--- a/internal/hook/engines_test.go
+++ b/internal/hook/engines_test.go
@@ -228,7 +228,7 @@
 			}
 			var f *hook.Fault
 			require.ErrorAs(t, err, &f)
-			require.Equal(t, c.kind, f.Kind, f.What)
+			require.Equal(t, c.kind, f.Kind, f.Message)
 			// The next call is well, whatever the last one did.
 			r, err := askFree(t, programs[c.engine], "tag amman")
 			require.NoError(t, err)
--- a/internal/hook/host_test.go
+++ b/internal/hook/host_test.go
@@ -110,7 +110,7 @@
 	t.Cleanup(logs.To(testWriter{}))
 	var s hook.Settings
 	inifile.Default(&s)
-	s.MostWait = time.Second
+	s.MaxWait = time.Second
 	if change != nil {
 		change(&s)
 	}
@@ -213,7 +213,7 @@
 	require.NoError(t, f.Close())
 	require.NoError(t, os.WriteFile(filepath.Join(dir, "v.json"), []byte(`{"point":"taken","class":"free-slots"}`), 0o600))
 	require.NoError(t, os.WriteFile(filepath.Join(dir, "e.json"), []byte(`{"tags":{"good":"other"}}`), 0o600))
-	require.ErrorContains(t, h.Reload(dir), `[test t]: wanted {"tags":{"good":"other"}}, got {"tags":{"good":"ok"}}`)
+	require.ErrorContains(t, h.Reload(dir), `[test t]: expected {"tags":{"good":"other"}}, got {"tags":{"good":"ok"}}`)
 	require.NoError(t, os.WriteFile(filepath.Join(dir, "e.json"), []byte(`{"tags":{"good":"ok"}}`), 0o600))
 	require.NoError(t, h.Reload(dir))
 	require.Empty(t, h.Report().Rejected)
@@ -224,7 +224,7 @@
 // one that an operator enables.
 func TestQuarantine(t *testing.T) {
 	e := newEngine()
-	h := host(t, e, func(s *hook.Settings) { s.FirstPause, s.MostPause = time.Hour, time.Hour })
+	h := host(t, e, func(s *hook.Settings) { s.MinQuarantine, s.MaxQuarantine = time.Hour, time.Hour })
 	defer h.Close()
 	dir := set(t, "bad throw on-failure = refuse; retry-after = 2s", "well ok order = 200")
 	require.NoError(t, h.Reload(dir))
@@ -302,20 +302,20 @@
 func TestManifestFaults(t *testing.T) {
 	head := "[set]\nname = s\n"
 	for text, want := range map[string]string{
-		"":                         "hooks.ini: no section [set]",
-		"[set]\nname = S":          "hooks.ini:2: [set] name: 1 to 32 of a-z, 0-9 and -",
+		"":                         "hooks.ini: section [set] is missing",
+		"[set]\nname = S":          "hooks.ini:2: [set] name: must be 1 to 32 characters of a-z, 0-9 and -",
 		"[set]\nname = s\nabi = 2": `hooks.ini:3: [set] abi: "2" is not within 1 to 1`,
-		head + "[hook A]\n":        "hooks.ini:3: [hook A]: a name is 1 to 32 of a-z, 0-9 and -",
+		head + "[hook A]\n":        "hooks.ini:3: [hook A]: a name must be 1 to 32 characters of a-z, 0-9 and -",
 		head + "[hook a]\n":        "must be given",
-		head + "[hook a]\nfile=a.py\npoints=taken":                             "hooks.ini:4: [hook a] file: a.py: neither .star nor .wasm: say which engine",
+		head + "[hook a]\nfile=a.py\npoints=taken":                             "hooks.ini:4: [hook a] file: a.py: the extension is neither .star nor .wasm: engine must be set",
 		head + "[hook a]\nfile=a.star\npoints=late":                            `hooks.ini:5: [hook a] points: "late" is none of: taken, admission, send, answered, answer, ended`,
-		head + "[hook a]\nfile=a.star\npoints=":                                "hooks.ini:5: [hook a] points: none is named",
-		head + "[hook a]\nfile=a.star\npoints=taken\nclasses=x":                "hooks.ini:6: [hook a] classes: x: there is no such class; there are: free-slots, trip-report, book-trip",
+		head + "[hook a]\nfile=a.star\npoints=":                                "hooks.ini:5: [hook a] points: at least one point is required",
+		head + "[hook a]\nfile=a.star\npoints=taken\nclasses=x":                "hooks.ini:6: [hook a] classes: x: unknown class; the classes are: free-slots, trip-report, book-trip",
 		head + "[hook a]\nfile=a.star\npoints=taken\nbudget=1s":                `hooks.ini:6: [hook a] budget: "1s" is not within 100us to 100ms`,
 		head + "[hook a]\nfile=a.star\npoints=taken\nonfailure=skip":           "hooks.ini:6: [hook a] onfailure: no such key here; is on-failure meant?",
-		head + "[test t]\nhook=a\nview=v\nexpect=e":                            "hooks.ini:4: [test t] hook: a: there is no such hook",
-		head + "[hook a]\nfile=a.star\npoints=taken\n[test t]\nhook=a\nview=v": "hooks.ini:6: [test t]: one of expect and fault must be given",
-		head + "[other]": "hooks.ini:3: [other]: no such section; there are: set, hook NAME, test NAME",
+		head + "[test t]\nhook=a\nview=v\nexpect=e":                            "hooks.ini:4: [test t] hook: a: unknown hook",
+		head + "[hook a]\nfile=a.star\npoints=taken\n[test t]\nhook=a\nview=v": "hooks.ini:6: [test t]: exactly one of expect and fault must be set",
+		head + "[other]": "hooks.ini:3: [other]: unknown section; the sections are: set, hook NAME, test NAME",
 	} {
 		_, err := hook.ParseManifest("hooks.ini", []byte(text), []string{"free-slots", "trip-report", "book-trip"})
 		require.ErrorContains(t, err, want, text)
@@ -323,13 +323,13 @@
 	// Files outside the folder, or missing, or too much memory.
 	for _, c := range [][2]string{
 		{"a ok file2", "no such key"},
-		{"a ok memory = 64MiB", "[hook a] memory: the set could need 256MiB with 4 calls at once, and may have 128MiB"},
+		{"a ok memory = 64MiB", "[hook a] memory: the set may need 256MiB with 4 concurrent calls, the limit is 128MiB"},
 	} {
 		l := hook.Loader{Engines: map[string]hook.Engine{"starlark": newEngine()}, Classes: classes, Workers: 4, Memory: 128 << 20}
 		_, err := l.Load(set(t, strings.Replace(c[0], "file2", "filee = x", 1)))
 		require.ErrorContains(t, err, c[1])
 	}
-	for file, want := range map[string]string{"../x.star": "[hook a] file: ../x.star: path escapes", "none.star": "no such file", ".": "neither .star"} {
+	for file, want := range map[string]string{"../x.star": "[hook a] file: ../x.star: path escapes", "none.star": "no such file", ".": "the extension is neither .star"} {
 		dir := t.TempDir()
 		require.NoError(t, os.WriteFile(filepath.Join(dir, "hooks.ini"), []byte(head+"[hook a]\nfile = "+file+"\npoints = taken\n"), 0o600))
 		_, err := hook.ReadManifest(dir, nil)
@@ -368,7 +368,7 @@
 		require.NoError(t, err, name)
 	}
 	_, err := l.Load("../../drills/sets/bad")
-	require.ErrorContains(t, err, "[test says-amman]: wanted")
+	require.ErrorContains(t, err, "[test says-amman]: expected")
 }
 
 // A trial tells what each hook did, and ends as a mixer would end the query.
@@ -383,7 +383,7 @@
 	require.Equal(t, `{"tags":{"governorate":"zarqa"},"notes":{"governorate":"zarqa"}}`, steps[0].Answer)
 	require.Equal(t, "refused: clinic 7 is closed: renovation until Sunday", end)
 	_, err = hook.ParseView([]byte(`{"clas":"x"}`))
-	require.EqualError(t, err, "clas: a view has no such field")
+	require.EqualError(t, err, "clas: unknown field of a view")
 	_, err = hook.ParseView([]byte(`{"parts":[{"shard":"x"}]}`))
 	require.EqualError(t, err, "parts.0.shard: not a number")
 }
--- a/internal/hook/json.go
+++ b/internal/hook/json.go
@@ -1,7 +1,7 @@
 package hook
 
-// The JSON form of views and answers, for self-tests and for people. It must
-// never pass over a name it does not know: a test with a slip in it would pass.
+// The JSON form of views and results, for self-tests and for people. An unknown field
+// must be an error: otherwise a self-test with a misspelled field could pass.
 
 import (
 	"encoding/json"
@@ -14,42 +14,44 @@
 	"saddleport/sdk/hookabi"
 )
 
+// reader reads values of a JSON document. It keeps the first error; path names the field
+// that a value belongs to.
 type reader struct{ err error }
 
-func (r *reader) fail(at, format string, args ...any) {
+func (r *reader) fail(path, format string, args ...any) {
 	if r.err == nil {
-		r.err = fmt.Errorf("%s: %s", at, fmt.Sprintf(format, args...))
+		r.err = fmt.Errorf("%s: %s", path, fmt.Sprintf(format, args...))
 	}
 }
 
-func (r *reader) text(at string, v gjson.Result) string {
+func (r *reader) text(path string, v gjson.Result) string {
 	if v.Type != gjson.String {
-		r.fail(at, "not a string")
+		r.fail(path, "not a string")
 	}
 	return v.String()
 }
 
-func (r *reader) bool(at string, v gjson.Result) bool {
+func (r *reader) bool(path string, v gjson.Result) bool {
 	if !v.IsBool() {
-		r.fail(at, "neither true nor false")
+		r.fail(path, "neither true nor false")
 	}
 	return v.Bool()
 }
 
-func (r *reader) number(at string, v gjson.Result) float64 {
+func (r *reader) number(path string, v gjson.Result) float64 {
 	if v.Type != gjson.Number || math.Abs(v.Num) > 1e15 {
-		r.fail(at, "not a number")
+		r.fail(path, "not a number")
 		return 0
 	}
 	return v.Num
 }
 
-func (r *reader) pairs(at string, v gjson.Result) (out []hookabi.Pair) {
+func (r *reader) pairs(path string, v gjson.Result) (out []hookabi.Pair) {
 	if !v.IsObject() {
-		r.fail(at, "not an object of strings")
+		r.fail(path, "not an object of strings")
 	}
 	v.ForEach(func(k, item gjson.Result) bool {
-		out = append(out, hookabi.Pair{Name: k.String(), Value: r.text(at+"."+k.String(), item)})
+		out = append(out, hookabi.Pair{Name: k.String(), Value: r.text(path+"."+k.String(), item)})
 		return len(out) <= hookabi.MaxList
 	})
 	return out
@@ -63,7 +65,8 @@
 	return doc, nil
 }
 
-// ParseView reads a view: the names of docs/reference/hooks.md.
+// ParseView parses the JSON form of a view. The fields are listed in
+// docs/reference/hooks.md. Without them the current part is -1 and the time left is 1 s.
 func ParseView(text []byte) (*hookabi.View, error) {
 	doc, err := object(text)
 	if err != nil {
@@ -71,54 +74,54 @@
 	}
 	v, r := &hookabi.View{Part: -1, Left: 1e6}, &reader{}
 	doc.ForEach(func(k, item gjson.Result) bool {
-		switch at := k.String(); at {
+		switch path := k.String(); path {
 		case "point":
-			p, ok := hookabi.PointOf(r.text(at, item))
+			p, ok := hookabi.PointOf(r.text(path, item))
 			if !ok {
-				r.fail(at, "%s is no point", item)
+				r.fail(path, "%s is not a point", item)
 			}
 			v.Point = p
 		case "id":
-			v.ID = r.text(at, item)
+			v.ID = r.text(path, item)
 		case "class":
-			v.Class = r.text(at, item)
+			v.Class = r.text(path, item)
 		case "key":
-			v.Key = r.text(at, item)
+			v.Key = r.text(path, item)
 		case "tenant":
-			v.Tenant = r.text(at, item)
+			v.Tenant = r.text(path, item)
 		case "text":
-			v.Text = r.text(at, item)
+			v.Text = r.text(path, item)
 		case "repeat":
-			v.Repeat = r.bool(at, item)
+			v.Repeat = r.bool(path, item)
 		case "taken_at_us":
-			v.TakenAt = int64(r.number(at, item))
+			v.TakenAt = int64(r.number(path, item))
 		case "left_ms":
-			v.Left = int64(r.number(at, item) * 1000)
+			v.Left = int64(r.number(path, item) * 1000)
 		case "seed":
-			v.Seed = uint64(r.number(at, item))
+			v.Seed = uint64(r.number(path, item))
 		case "tags":
-			v.Tags = r.pairs(at, item)
+			v.Tags = r.pairs(path, item)
 		case "notes":
-			v.Notes = r.pairs(at, item)
+			v.Notes = r.pairs(path, item)
 		case "part":
-			v.Part = int(r.number(at, item))
+			v.Part = int(r.number(path, item))
 		case "attempt":
-			v.Attempt = int(r.number(at, item))
+			v.Attempt = int(r.number(path, item))
 		case "ending":
-			v.Ending = r.text(at, item)
+			v.Ending = r.text(path, item)
 		case "whole":
-			v.Whole = r.bool(at, item)
+			v.Whole = r.bool(path, item)
 		case "share":
-			v.Share = r.number(at, item)
+			v.Share = r.number(path, item)
 		case "parts":
 			if !item.IsArray() {
-				r.fail(at, "not a list")
+				r.fail(path, "not a list")
 			}
 			for i, e := range item.Array() {
 				v.Parts = append(v.Parts, r.part(fmt.Sprintf("parts.%d", i), e))
 			}
 		default:
-			r.fail(at, "a view has no such field")
+			r.fail(path, "unknown field of a view")
 		}
 		return r.err == nil
 	})
@@ -128,35 +131,36 @@
 	return v, r.err
 }
 
-func (r *reader) part(at string, doc gjson.Result) (p hookabi.PartView) {
+func (r *reader) part(path string, doc gjson.Result) (p hookabi.PartView) {
 	if !doc.IsObject() {
-		r.fail(at, "not an object")
+		r.fail(path, "not an object")
 	}
 	doc.ForEach(func(k, item gjson.Result) bool {
-		switch at := at + "." + k.String(); k.String() {
+		switch path := path + "." + k.String(); k.String() {
 		case "shard":
-			p.Shard = int(r.number(at, item))
+			p.Shard = int(r.number(path, item))
 		case "weight":
-			p.Weight = r.number(at, item)
+			p.Weight = r.number(path, item)
 		case "key":
-			p.Key = r.text(at, item)
+			p.Key = r.text(path, item)
 		case "attempts":
-			p.Attempts = int(r.number(at, item))
+			p.Attempts = int(r.number(path, item))
 		case "served":
-			p.Served = r.bool(at, item)
+			p.Served = r.bool(path, item)
 		case "dropped":
-			p.Dropped = r.bool(at, item)
+			p.Dropped = r.bool(path, item)
 		case "value":
-			p.Value = r.text(at, item)
+			p.Value = r.text(path, item)
 		default:
-			r.fail(at, "a part has no such field")
+			r.fail(path, "unknown field of a part")
 		}
 		return r.err == nil
 	})
 	return p
 }
 
-// ParseResult reads an answer: the names that a Starlark hook uses.
+// ParseResult parses the JSON form of a result. The fields have the names that a Starlark
+// hook uses.
 func ParseResult(text []byte) (*hookabi.Result, error) {
 	doc, err := object(text)
 	if err != nil {
@@ -164,34 +168,34 @@
 	}
 	a, r := &hookabi.Result{}, &reader{}
 	doc.ForEach(func(k, item gjson.Result) bool {
-		switch at := k.String(); at {
+		switch path := k.String(); path {
 		case "tags":
-			a.Tags = r.pairs(at, item)
+			a.Tags = r.pairs(path, item)
 		case "notes":
-			a.Notes = r.pairs(at, item)
+			a.Notes = r.pairs(path, item)
 		case "class":
-			a.Class = r.text(at, item)
+			a.Class = r.text(path, item)
 		case "left_ms":
-			a.Left = int64(r.number(at, item) * 1000)
+			a.Left = int64(r.number(path, item) * 1000)
 		case "drop":
 			for i, e := range item.Array() {
 				a.Drop = append(a.Drop, int(r.number(fmt.Sprintf("drop.%d", i), e)))
 			}
 		case "not_whole":
-			a.NotWhole = r.bool(at, item)
+			a.NotWhole = r.bool(path, item)
 		case "refuse":
-			a.Refuse, a.Reason = true, r.text(at, item)
+			a.Refuse, a.Reason = true, r.text(path, item)
 		case "retry_after_ms":
-			a.RetryAfter = int64(r.number(at, item) * 1000)
+			a.RetryAfter = int64(r.number(path, item) * 1000)
 		default:
-			r.fail(at, "an answer has no such field")
+			r.fail(path, "unknown field of a result")
 		}
 		return r.err == nil
 	})
 	return a, r.err
 }
 
-// ResultJSON writes an answer, names in order.
+// ResultJSON returns the JSON form of a result, with the fields in a fixed order.
 func ResultJSON(a *hookabi.Result) string {
 	var parts []string
 	put := func(name string, v any) {
--- a/internal/hook/pool.go
+++ b/internal/hook/pool.go
@@ -1,8 +1,8 @@
 package hook
 
-// The pool that hooks run on. It owns the workers and the queue; whose turn it is
-// decides core/lanes. It must never have more workers than it was given but for
-// those that stand in for stuck ones, and never keep a caller waiting.
+// The worker pool that hooks run on. It owns the workers; package core/lanes holds the
+// queue and decides which job runs next. The pool must never run more workers than
+// configured, except for replacements of stuck workers, and must never block a caller.
 
 import (
 	"sync"
@@ -10,12 +10,12 @@
 	"saddleport/internal/core/lanes"
 )
 
-// maxExtra bounds the workers that stand in for stuck ones.
-const maxExtra = 16
+// maxReplacements limits the number of workers that replace stuck ones.
+const maxReplacements = 16
 
 type job struct {
-	run   func(lost func()) // lost: it does not come back, another worker is wanted
-	after func()            // once run has returned
+	run   func(stuck func()) // calls stuck if it does not return in time: its worker is to be replaced
+	after func()             // called once run has returned
 }
 
 type pool struct {
@@ -23,26 +23,27 @@
 	ready   sync.Cond
 	lanes   *lanes.Lanes[job]
 	workers int
-	lost    int // workers that hang in a job that has been given up
-	live    int // the others
+	stuck   int // workers that still run a job which was abandoned
+	active  int // all other workers
 	closed  bool
 }
 
-func newPool(workers, room int) *pool {
-	p := &pool{lanes: lanes.New[job](workers, room), workers: workers}
+func newPool(workers, queueSize int) *pool {
+	p := &pool{lanes: lanes.New[job](workers, queueSize), workers: workers}
 	p.ready.L = &p.mu
 	return p
 }
 
-// push adds a job; false: there is no room. Workers start with the first jobs.
-func (p *pool) push(lane string, run func(lost func()), after func()) bool {
+// push adds a job and reports whether there was capacity for it. Workers are started on
+// demand, by the first jobs.
+func (p *pool) push(lane string, run func(stuck func()), after func()) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed || !p.lanes.Push(lane, job{run, after}) {
 		return false
 	}
-	if p.live < p.workers {
-		p.live++
+	if p.active < p.workers {
+		p.active++
 		go p.work()
 	} else {
 		p.ready.Signal()
@@ -57,29 +58,29 @@
 		j, lane, ok := p.lanes.Next()
 		if !ok {
 			if p.closed {
-				p.live--
+				p.active--
 				return
 			}
 			p.ready.Wait()
 			continue
 		}
-		gone := false // under mu
+		replaced := false // guarded by mu
 		p.mu.Unlock()
 		j.run(func() {
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			if gone || p.lost >= maxExtra || p.closed {
+			if replaced || p.stuck >= maxReplacements || p.closed {
 				return
 			}
-			gone = true
-			p.lost++
-			p.lanes.Done(lane) // its lane goes on without it
-			go p.work()        // in its place
+			replaced = true
+			p.stuck++
+			p.lanes.Done(lane) // the lane no longer counts this job as running
+			go p.work()        // the replacement
 		})
 		j.after()
 		p.mu.Lock()
-		if gone {
-			p.lost--
+		if replaced {
+			p.stuck--
 			return
 		}
 		p.lanes.Done(lane)
@@ -87,14 +88,14 @@
 	}
 }
 
-// load is how many jobs run and wait.
+// load returns the number of jobs that run and that wait.
 func (p *pool) load() (running, waiting int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.lanes.Running(), p.lanes.Waiting()
 }
 
-// close has the workers end once the queue is empty.
+// close makes the workers exit once the queue is empty.
 func (p *pool) close() {
 	p.mu.Lock()
 	p.closed = true
--- a/internal/hook/session.go
+++ b/internal/hook/session.go
@@ -1,7 +1,6 @@
 package hook
 
-// This file has the hooks of one query, and the asks they are given. It must
-// never call a hook but on the pool.
+// The hooks of one query and their calls. Hooks must only be called on the pool.
 
 import (
 	"context"
@@ -12,73 +11,75 @@
 	"saddleport/sdk/hookabi"
 )
 
-// stuckAfter beyond its time an engine that does not end a call has failed to
-// interrupt it: the hook is never called again, and the worker is replaced.
+// stuckAfter is how long after its budget a call may still run. After that the engine
+// has failed to interrupt it: the hook is not called again, and the worker is replaced.
 const stuckAfter = time.Second
 
-// session implements exchange.Hooked for one query. The set is its own until the
-// query and all its asks have ended.
+// session implements exchange.QueryHooks for one query. It keeps a reference to its set
+// until the query and all its hook calls have ended.
 type session struct {
-	host  *Host
-	set   *Set
-	most  time.Duration
-	stuck time.Duration
-	users atomic.Int64
+	host       *Host
+	set        *Set
+	maxWait    time.Duration
+	stuckAfter time.Duration
+	refs       atomic.Int64
 }
 
-func (s *session) leave() {
-	if s.users.Add(-1) == 0 {
+// release drops one reference to the session, and with the last one the reference to
+// its set.
+func (s *session) release() {
+	if s.refs.Add(-1) == 0 {
 		s.set.release()
 	}
 }
 
-// Wants implements exchange.Hooked.
+// Wants implements exchange.QueryHooks.
 func (s *session) Wants(p hookabi.Point, class string) bool {
 	for _, h := range s.set.Hooks {
-		if h.wants(p, class) && !h.unit.disabled.Load() {
+		if h.wants(p, class) && !h.state.disabled.Load() {
 			return true
 		}
 	}
 	return false
 }
 
-// Timeout implements exchange.Hooked: the budgets, and as much again for a worker to
-// come free, up to what the operators allow.
+// Timeout implements exchange.QueryHooks: twice the sum of the budgets, so that there is
+// as much time to wait for a worker, limited by most-wait of the settings.
 func (s *session) Timeout(p hookabi.Point, class string) time.Duration {
 	sum := time.Duration(0)
 	for _, h := range s.set.Hooks {
-		if h.wants(p, class) && !h.unit.disabled.Load() {
+		if h.wants(p, class) && !h.state.disabled.Load() {
 			sum += h.Budget
 		}
 	}
-	return min(2*sum, s.most)
+	return min(2*sum, s.maxWait)
 }
 
-// Fallback implements exchange.Hooked.
+// Fallback implements exchange.QueryHooks.
 func (s *session) Fallback(p hookabi.Point, class string) *hookabi.Result {
 	for _, h := range s.set.Hooks {
-		if h.wants(p, class) && !h.unit.disabled.Load() && h.OnFailure == "refuse" {
+		if h.wants(p, class) && !h.state.disabled.Load() && h.OnFailure == "refuse" {
 			return h.refusal()
 		}
 	}
 	return nil
 }
 
-// refusal is what on-failure = refuse makes of a query.
+// refusal returns the result that on-failure = refuse gives for a failed call.
 func (h *Hook) refusal() *hookabi.Result {
 	return &hookabi.Result{Refuse: true, Reason: "hook " + h.Name + " did not answer", RetryAfter: h.RetryAfter.Microseconds()}
 }
 
-// Invoke implements exchange.Hooked.
+// Invoke implements exchange.QueryHooks.
 func (s *session) Invoke(v *hookabi.View, within time.Duration, done func(*hookabi.Result)) {
-	until := time.Now().Add(within)
-	s.users.Add(1)
-	taken := s.host.pool.push(v.Class, func(lost func()) { s.run(v, until, lost, done) }, s.leave)
-	if !taken {
-		s.users.Add(-1) // not the last: the query holds one
+	deadline := time.Now().Add(within)
+	s.refs.Add(1)
+	queued := s.host.pool.push(v.Class, func(stuck func()) { s.run(v, deadline, stuck, done) }, s.release)
+	if !queued {
+		s.refs.Add(-1) // not the last reference: the query has one
 		for _, h := range s.set.Hooks {
-			if h.wants(v.Point, v.Class) && !h.unit.disabled.Load() {
-				h.unit.missed(Busy)
+			if h.wants(v.Point, v.Class) && !h.state.disabled.Load() {
+				h.state.countSkipped(Busy)
 			}
 		}
 		log.Warn("hooks-busy", "class", v.Class, "point", v.Point)
@@ -86,23 +87,23 @@
 	}
 }
 
-// End implements exchange.Hooked.
+// End implements exchange.QueryHooks.
 func (s *session) End(v *hookabi.View) {
 	if v != nil {
 		s.Invoke(v, s.Timeout(v.Point, v.Class), func(*hookabi.Result) {})
 	}
-	s.leave()
+	s.release()
 }
 
-// run asks the hooks of a view's point in order, on the pool.
-func (s *session) run(v *hookabi.View, until time.Time, lost func(), done func(*hookabi.Result)) {
+// run calls the hooks of the view's point in order. It runs on a worker of the pool.
+func (s *session) run(v *hookabi.View, deadline time.Time, stuck func(), done func(*hookabi.Result)) {
 	merged, class, point := &hookabi.Result{}, v.Class, v.Point
 	for _, h := range s.set.Hooks {
-		// A hook that rewrote the class may have brought others in.
-		if !h.wants(point, v.Class) || h.unit.disabled.Load() {
+		// v.Class may have been changed by an earlier hook, and with it the hooks to call.
+		if !h.wants(point, v.Class) || h.state.disabled.Load() {
 			continue
 		}
-		granted, f := s.one(h, v, until, lost)
+		granted, f := s.callHook(h, v, deadline, stuck)
 		if f != nil {
 			if h.OnFailure == "refuse" && point != hookabi.Ended {
 				granted = h.refusal()
@@ -122,7 +123,7 @@
 	done(merged)
 }
 
-// merge adds what one hook was granted to what those before it were.
+// merge adds what one hook was granted to what earlier hooks were granted.
 func merge(into, a *hookabi.Result) {
 	into.Tags, into.Notes = hookrule.Merge(into.Tags, a.Tags), hookrule.Merge(into.Notes, a.Notes)
 	into.Drop = append(into.Drop, a.Drop...)
@@ -138,31 +139,32 @@
 	}
 }
 
-// one asks one hook.
-func (s *session) one(h *Hook, v *hookabi.View, until time.Time, lost func()) (*hookabi.Result, *Fault) {
-	left := time.Until(until)
+// callHook calls one hook and returns what the rules grant of its result. It calls stuck
+// if the call does not end within stuckAfter beyond its budget.
+func (s *session) callHook(h *Hook, v *hookabi.View, deadline time.Time, stuck func()) (*hookabi.Result, *Fault) {
+	left := time.Until(deadline)
 	if left <= 0 {
-		h.unit.missed(Short)
+		h.state.countSkipped(Short)
 		return nil, Faultf(Short, "no time left")
 	}
-	ok, trial, why := h.unit.allow(s.host.now())
+	ok, trial, reason := h.state.allow(s.host.now())
 	if !ok {
-		h.unit.missed(Quarantined)
-		return nil, Faultf(Quarantined, "%s", why)
+		h.state.countSkipped(Quarantined)
+		return nil, Faultf(Quarantined, "%s", reason)
 	}
 	budget := min(h.Budget, left)
 	start := time.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), budget)
-	guard := time.AfterFunc(budget+s.stuck, func() { s.host.stick(h, lost) })
+	watchdog := time.AfterFunc(budget+s.stuckAfter, func() { s.host.markStuck(h, stuck) })
 	r, err := call(ctx, h, v)
-	guard.Stop()
+	watchdog.Stop()
 	cancel()
 	took := time.Since(start)
 	f := faultOf(err)
 	if f == nil {
-		granted, refused := s.host.rules.Check(v, r, h.Name)
-		if refused != nil {
-			f = Faultf(Forbidden, "%s: %v", h.File, refused)
+		granted, rejected := s.host.rules.Check(v, r, h.Name)
+		if rejected != nil {
+			f = Faultf(Forbidden, "%s: %v", h.File, rejected)
 		} else {
 			for _, line := range r.Log {
 				log.Info("hook-log", "hook", h.Name, "id", v.ID, "text", line)
@@ -171,12 +173,12 @@
 		}
 	}
 	if f != nil && f.Kind == Overrun && budget < h.Budget {
-		f.Kind = Short // it was given less than its budget
+		f.Kind = Short // the call had less time than the hook's budget
 	}
-	h.unit.record(s.host.now(), trial, took, f)
+	h.state.record(s.host.now(), trial, took, f)
 	if f != nil {
 		log.Warn("hook-fault", "hook", h.Name, "id", v.ID, "class", v.Class, "point", v.Point, "kind", string(f.Kind),
-			"took_us", took.Microseconds(), "err", f.What)
+			"took_us", took.Microseconds(), "err", f.Message)
 	}
 	return r, f
 }
@@ -191,13 +193,13 @@
 	return Faultf(Thrown, "%v", err)
 }
 
-// stick puts a hook out of use whose call does not end, and gives the pool a
-// worker for the one that is lost.
-func (h *Host) stick(k *Hook, lost func()) {
-	why := "a call did not end long after its budget"
-	k.unit.mu.Lock()
-	k.unit.stuck = why
-	k.unit.mu.Unlock()
-	log.Error("hook-stuck", "hook", k.Name, "err", why)
-	lost()
+// markStuck disables a hook with a call that does not end, and makes the pool replace
+// the worker that the call blocks.
+func (h *Host) markStuck(hook *Hook, stuck func()) {
+	reason := "a call did not end long after its budget"
+	hook.state.mu.Lock()
+	hook.state.stuckReason = reason
+	hook.state.mu.Unlock()
+	log.Error("hook-stuck", "hook", hook.Name, "err", reason)
+	stuck()
 }
--- a/internal/hook/set.go
+++ b/internal/hook/set.go
@@ -1,7 +1,7 @@
 package hook
 
-// This file owns sets of hooks: loading, self-tests, and their life from the
-// first query to the last. It must never free a set that a query still has.
+// Hook sets: loading, self-tests and reference counting. A set must never be freed while
+// a query still uses it.
 
 import (
 	"context"
@@ -19,45 +19,46 @@
 )
 
 const (
-	loadTime = 30 * time.Second // for one hook to be compiled and start itself
-	testTime = 2 * time.Second  // for one self-test: machines are slow when a set is checked
+	loadTimeout = 30 * time.Second // to compile and initialize one hook
+	testTimeout = 2 * time.Second  // for one self-test: more than a hook's budget, since the machine may be slow while a set is checked
 )
 
-// Loader is what sets are loaded with.
+// Loader loads and tests sets for one deployment.
 type Loader struct {
-	Engines map[string]Engine // by the manifest's words; "wasm-fresh" for instance = fresh
-	Classes []choice.Class    // of the deployment; none: any class goes
-	Workers int               // calls at once
-	Memory  inifile.Bytes     // all hooks of a set together, at their most; 0: no bound
+	Engines map[string]Engine // by their names in the manifest; "wasm-fresh" for instance = fresh
+	Classes []choice.Class    // of the deployment; none: any class is accepted
+	Workers int               // maximum number of concurrent calls
+	Memory  inifile.Bytes     // limit for all hooks of a set together; 0: no limit
 }
 
-// Hook is a hook that has been loaded.
+// Hook is a loaded hook.
 type Hook struct {
 	Spec
 	points  [hookabi.Points]bool
 	program Program
 	digest  [32]byte
-	unit    *unit
+	state   *hookState
 }
 
-// wants tells whether the hook is for a point and a class.
+// wants reports whether the hook is to be called at a point for a class.
 func (h *Hook) wants(p hookabi.Point, class string) bool {
 	return h.points[p] && (len(h.Classes) == 0 || slices.Contains(h.Classes, class))
 }
 
-// Set is a set that has been loaded.
+// Set is a loaded set of hooks.
 type Set struct {
 	Manifest *Manifest
 	Hooks    []*Hook
-	Version  int // counts the sets of this process
+	Version  int // numbers the sets of this process, from 1
 
 	mu      sync.Mutex
-	users   int
+	refs    int // queries that use the set
 	retired bool
 	freed   chan struct{}
 }
 
-// Load reads, compiles and self-tests the set in a folder.
+// Load reads and compiles the set in a directory and runs its self-tests. If one fails,
+// it returns the error of the first one that failed.
 func (l *Loader) Load(dir string) (*Set, error) {
 	s, err := l.compile(dir)
 	if err != nil {
@@ -91,8 +92,8 @@
 	s := &Set{Manifest: m, freed: make(chan struct{})}
 	modules, scripts, calls := inifile.Bytes(0), inifile.Bytes(0), inifile.Bytes(max(l.Workers, 1))
 	for _, spec := range m.Hooks {
-		// A module's instances keep their memory; a script's is a call's, and no more
-		// calls run at once than there are workers.
+		// Instances of a module keep their memory between calls. A script uses memory
+		// only during a call, and there are at most as many calls as workers.
 		if spec.Engine == "wasm" {
 			modules += spec.Memory * calls
 		} else {
@@ -100,7 +101,7 @@
 		}
 		if total := modules + scripts; l.Memory > 0 && total > l.Memory {
 			s.retire()
-			return nil, m.lines["hook "+spec.Name].Fault("memory", "the set could need %v with %d calls at once, and may have %v",
+			return nil, m.sections["hook "+spec.Name].Fault("memory", "the set may need %v with %d concurrent calls, the limit is %v",
 				total, l.Workers, l.Memory)
 		}
 		name := spec.Engine
@@ -110,22 +111,22 @@
 		engine := l.Engines[name]
 		if engine == nil {
 			s.retire()
-			return nil, m.lines["hook "+spec.Name].Fault("engine", "%s: there is no such engine here", name)
+			return nil, m.sections["hook "+spec.Name].Fault("engine", "%s: unknown engine", name)
 		}
 		h := &Hook{Spec: spec, digest: m.digest(spec)}
 		src := Source{Hook: spec.Name, File: spec.File, Text: m.Files[spec.File], Memory: int64(spec.Memory),
 			Steps: spec.Steps, Calls: max(l.Workers, 1)}
-		for _, word := range spec.Points {
-			p, _ := hookabi.PointOf(word)
+		for _, pointName := range spec.Points {
+			p, _ := hookabi.PointOf(pointName)
 			h.points[p] = true
 			src.Points = append(src.Points, p)
 		}
-		ctx, cancel := context.WithTimeout(context.Background(), loadTime)
+		ctx, cancel := context.WithTimeout(context.Background(), loadTimeout)
 		program, err := engine.Load(ctx, src)
 		cancel()
 		if err != nil {
 			s.retire()
-			return nil, m.lines["hook "+spec.Name].Fault("file", "%v", err)
+			return nil, m.sections["hook "+spec.Name].Fault("file", "%v", err)
 		}
 		h.program = program
 		s.Hooks = append(s.Hooks, h)
@@ -133,14 +134,14 @@
 	return s, nil
 }
 
-// TestResult is one self-test's.
+// TestResult is the result of one self-test.
 type TestResult struct {
 	Test Test
 	Took time.Duration
 	Err  error // nil: passed
 }
 
-// Test runs the self-tests. Its error says how many failed.
+// Test runs the self-tests. If any failed, its error says how many.
 func (s *Set) Test(l *Loader) ([]TestResult, error) {
 	var out []TestResult
 	failed := 0
@@ -149,7 +150,7 @@
 		err := s.test(l, t)
 		if err != nil {
 			failed++
-			err = s.Manifest.lines["test "+t.Name].Fault("", "%v", err)
+			err = s.Manifest.sections["test "+t.Name].Fault("", "%v", err)
 		}
 		out = append(out, TestResult{t, time.Since(start), err})
 	}
@@ -166,9 +167,9 @@
 	}
 	h := s.Hooks[slices.IndexFunc(s.Hooks, func(h *Hook) bool { return h.Name == t.Hook })]
 	if !h.points[v.Point] {
-		return fmt.Errorf("%s: hook %s is not asked at %s", t.View, h.Name, v.Point)
+		return fmt.Errorf("%s: hook %s is not called at the point %s", t.View, h.Name, v.Point)
 	}
-	budget := testTime
+	budget := testTimeout
 	if t.Fault == string(Overrun) {
 		budget = h.Budget
 	}
@@ -176,27 +177,27 @@
 	defer cancel()
 	got, err := call(ctx, h, v)
 	if err == nil && len(l.Classes) > 0 {
-		if _, ruled := hookrule.New(l.Classes).Check(v, got, h.Name); ruled != nil {
-			err = Faultf(Forbidden, "%v", ruled)
+		if _, rejected := hookrule.New(l.Classes).Check(v, got, h.Name); rejected != nil {
+			err = Faultf(Forbidden, "%v", rejected)
 		}
 	}
 	if t.Fault != "" {
 		var f *Fault
 		if !errors.As(err, &f) || string(f.Kind) != t.Fault {
-			return fmt.Errorf("wanted the fault %s, got %s", t.Fault, describe(got, err))
+			return fmt.Errorf("expected the fault %s, got %s", t.Fault, describe(got, err))
 		}
 		return nil
 	}
-	want, bad := ParseResult(s.Manifest.Files[t.Expect])
-	if bad != nil {
-		return fmt.Errorf("%s: %w", t.Expect, bad)
+	want, parseErr := ParseResult(s.Manifest.Files[t.Expect])
+	if parseErr != nil {
+		return fmt.Errorf("%s: %w", t.Expect, parseErr)
 	}
 	if err != nil {
 		return err
 	}
-	got.Log = nil // what is logged is for people
-	if !reflect.DeepEqual(normal(want), normal(got)) {
-		return fmt.Errorf("wanted %s, got %s", ResultJSON(want), ResultJSON(got))
+	got.Log = nil // log lines are not compared
+	if !reflect.DeepEqual(normalize(want), normalize(got)) {
+		return fmt.Errorf("expected %s, got %s", ResultJSON(want), ResultJSON(got))
 	}
 	return nil
 }
@@ -205,11 +206,12 @@
 	if err != nil {
 		return err.Error()
 	}
-	return "the answer " + ResultJSON(r)
+	return "the result " + ResultJSON(r)
 }
 
-// normal puts lists that have no order into one, and empty ones alike.
-func normal(r *hookabi.Result) hookabi.Result {
+// normalize sorts the lists whose order has no meaning and replaces nil lists by empty
+// ones, so that equal results compare equal.
+func normalize(r *hookabi.Result) hookabi.Result {
 	n := *r
 	n.Log = nil
 	byName := func(a, b hookabi.Pair) int {
@@ -230,7 +232,8 @@
 	return n
 }
 
-// call calls a hook; a panic of its engine is the hook's fault.
+// call calls a hook and checks the limits of its result. A panic of the engine becomes a
+// Fault of the hook.
 func call(ctx context.Context, h *Hook, v *hookabi.View) (r *hookabi.Result, err error) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -238,41 +241,41 @@
 		}
 	}()
 	if r, err = h.program.Call(ctx, v); err == nil {
-		if bad := r.Check(); bad != nil {
-			return nil, Faultf(Garbage, "%s: %v", h.File, bad)
+		if checkErr := r.Check(); checkErr != nil {
+			return nil, Faultf(Garbage, "%s: %v", h.File, checkErr)
 		}
 	}
 	return r, err
 }
 
-// acquire counts a query that begins under the set; false: it is freed already.
+// acquire adds a reference for a new query. It returns false if the set has been retired.
 func (s *Set) acquire() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.retired {
 		return false
 	}
-	s.users++
+	s.refs++
 	return true
 }
 
-// release ends a query's hold.
+// release drops the reference of one query.
 func (s *Set) release() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.users--; s.retired && s.users == 0 {
+	if s.refs--; s.retired && s.refs == 0 {
 		go s.free()
 	}
 }
 
-// retire frees the set once its last query has ended.
+// retire frees the set once its last query has ended. New queries can't acquire it.
 func (s *Set) retire() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.retired {
 		return
 	}
-	if s.retired = true; s.users == 0 {
+	if s.retired = true; s.refs == 0 {
 		go s.free()
 	}
 }
@@ -284,11 +287,11 @@
 	close(s.freed)
 }
 
-// Freed is closed once the set is freed.
+// Freed returns a channel that is closed once the set is freed.
 func (s *Set) Freed() <-chan struct{} { return s.freed }
 
-// TestAll loads the set in a folder and runs all its self-tests; the second result
-// says how many failed, the third that the set does not load.
+// TestAll loads the set in a directory and runs all its self-tests. failed says how many
+// self-tests failed, if any; err says why the set can't be loaded.
 func (l *Loader) TestAll(dir string) (results []TestResult, failed, err error) {
 	s, err := l.compile(dir)
 	if err != nil {
--- a/internal/hook/simulate.go
+++ b/internal/hook/simulate.go
@@ -1,7 +1,6 @@
 package hook
 
-// This file plays one query through a set outside a mixer, for those who write
-// hooks.
+// The simulation of one query outside a mixer, for people who write hooks.
 
 import (
 	"context"
@@ -12,20 +11,20 @@
 	"saddleport/sdk/hookabi"
 )
 
-// Step is what one hook did at one point of a trial.
+// Step is one call of a hook during a simulation.
 type Step struct {
 	Point  string
-	Part   int // the shard at hand; -1: none
+	Part   int // the shard of the current part; -1: none
 	Hook   string
 	Took   time.Duration
-	Answer string // as JSON; empty where it failed
+	Answer string // the result as JSON; empty if the call failed
 	Fault  string
 	Logged []string
 }
 
-// Simulate plays a query through all points of a set: its parts are sent once each,
-// and served with the values that the view gives them. How it ends is the second
-// result.
+// Simulate runs a query through all points of a set. Each part is sent once, and is
+// answered with the value that the view has for it. It returns the calls and the outcome
+// of the query.
 func (l *Loader) Simulate(s *Set, q *hookabi.View) ([]Step, string) {
 	classes := l.Classes
 	if len(classes) == 0 {
@@ -34,7 +33,7 @@
 	rules := hookrule.New(classes)
 	var steps []Step
 	v := *q
-	at := func(p hookabi.Point, part int) (refused string) {
+	callAt := func(p hookabi.Point, part int) (refusal string) {
 		v.Point, v.Part = p, part
 		for _, h := range s.Hooks {
 			if !h.wants(p, v.Class) {
@@ -82,16 +81,16 @@
 	}
 	v.Parts = parts
 	for _, p := range []hookabi.Point{hookabi.Taken, hookabi.Admission} {
-		if why := at(p, -1); why != "" {
-			return steps, "refused: " + why
+		if reason := callAt(p, -1); reason != "" {
+			return steps, "refused: " + reason
 		}
 	}
 	for i := range v.Parts {
 		if v.Parts[i].Dropped {
 			continue
 		}
-		if why := at(hookabi.Send, i); why != "" {
-			return steps, "refused or failed: " + why
+		if reason := callAt(hookabi.Send, i); reason != "" {
+			return steps, "refused or failed: " + reason
 		}
 		v.Parts[i].Attempts++
 	}
@@ -100,10 +99,10 @@
 			continue
 		}
 		v.Parts[i].Served, v.Parts[i].Value = true, values[i]
-		why := at(hookabi.Answered, i)
+		reason := callAt(hookabi.Answered, i)
 		v.Parts[i].Value = ""
-		if why != "" {
-			return steps, "refused or failed: " + why
+		if reason != "" {
+			return steps, "refused or failed: " + reason
 		}
 	}
 	v.Ending, v.Whole, v.Share = "answered", true, 0
@@ -114,13 +113,13 @@
 		}
 	}
 	v.Whole = v.Share >= 1-hookrule.ShareTolerance
-	if why := at(hookabi.Answer, -1); why != "" {
-		return steps, "refused or failed: " + why
+	if reason := callAt(hookabi.Answer, -1); reason != "" {
+		return steps, "refused or failed: " + reason
 	}
-	at(hookabi.Ended, -1)
-	end := "answered in part"
+	callAt(hookabi.Ended, -1)
+	outcome := "answered in part"
 	if v.Whole {
-		end = "answered whole"
+		outcome = "answered whole"
 	}
-	return steps, end
+	return steps, outcome
 }
--- a/internal/hook/starlark/starlark.go
+++ b/internal/hook/starlark/starlark.go
@@ -59,7 +59,7 @@
 	t, _ := p.thread(ctx, 0)
 	globals, err := compiled.Init(t, known)
 	if err != nil {
-		return nil, errors.New(p.fault(ctx, err).What)
+		return nil, errors.New(p.fault(ctx, err).Message)
 	}
 	globals.Freeze()
 	for point := range hookabi.Points {
