--- a/internal/node/agentapi/feed.go
+++ b/internal/node/agentapi/feed.go
@@ -1,6 +1,7 @@
-// Package agentapi holds the calls between a proxy, the agent on its machine, and other agents:
-// the feed of servers and configurations, evidence of slowness, and claims of allowances. The names
-// on the wire are those of the first releases.
+// Package agentapi declares the calls between a proxy, the agent on its machine and the other agents:
+// the feed of servers and configurations, evidence of slow members, and claims of allowances. The
+// paths and JSON names are those of the first releases, since processes of two releases talk to each
+// other during a rollout.
 package agentapi
 
 import (
@@ -10,30 +11,31 @@
 	"saddleport/internal/node/rpc"
 )
 
-// FeedRequest asks the agent for what changed since a count of its changes. The agent answers
-// at once if anything has, otherwise after a while (long poll).
+// FeedRequest asks the agent for the entries that changed after the sequence number Since of its
+// store. It is a long poll: the agent answers at once if there are any, otherwise when one changes or
+// after FeedWait.
 type FeedRequest struct {
-	Incarnation   string         `json:"life"` // of the agent, from its last answer
+	Incarnation   string         `json:"life"` // of the agent, from its last response
 	Since         uint64         `json:"since"`
-	ConfigVersion uint64         `json:"rank"`           // of the configuration that the proxy holds
-	Entries       []gossip.Entry `json:"news,omitempty"` // that an agent lacks and has asked for
+	ConfigVersion uint64         `json:"rank"`           // version of the configuration that the proxy has
+	Entries       []gossip.Entry `json:"news,omitempty"` // entries that the agent asked for with WantConfig
 }
 
 // FeedResponse answers FeedRequest.
 type FeedResponse struct {
 	Incarnation string         `json:"life"`
-	Seq         uint64         `json:"seq"`
-	WantConfig  bool           `json:"want,omitempty"` // the agent asks for the proxy's configuration
+	Seq         uint64         `json:"seq"`            // of the agent's store; Since of the next request
+	WantConfig  bool           `json:"want,omitempty"` // the proxy's configuration is newer: the next request is to contain it
 	Entries     []gossip.Entry `json:"items,omitempty"`
 }
 
-// FeedCall is called by the proxy on the same machine.
+// FeedCall is the call by which a proxy follows the agent on its machine.
 var FeedCall = rpc.Declare[FeedRequest, FeedResponse]("POST", "/Feed", MaxCallBytes, "the proxy on the same machine")
 
 const (
-	FeedWait = 8 * time.Second // less than a caller waits for an answer to begin
+	FeedWait = 8 * time.Second // shorter than an rpc.Client waits for the header of a response
 )
 
 const (
-	MaxCallBytes = 8 << 20 // bytes of the body of a large call
+	MaxCallBytes = 8 << 20 // limit for the body of a large call, in bytes
 )
--- a/internal/node/agentapi/outliers.go
+++ b/internal/node/agentapi/outliers.go
@@ -7,19 +7,19 @@
 	"saddleport/internal/node/rpc"
 )
 
-// EvidenceReport is a proxy's evidence on its way to the aggregator.
+// EvidenceReport carries a proxy's evidence to the aggregator, by way of the agent on its machine.
 type EvidenceReport struct {
-	From     string             `json:"f,omitempty"` // the agent; empty: the proxy on the same machine
+	From     string             `json:"f,omitempty"` // address of the forwarding agent; empty from a proxy
 	Evidence []outlier.Evidence `json:"l"`
 }
 
 var (
-	ReportEvidenceCall  = rpc.Declare[EvidenceReport, rpc.Empty]("POST", "/Herd.Saw", MaxReportBytes, "the proxy on the same machine") // from a proxy to its agent
-	ForwardEvidenceCall = rpc.Declare[EvidenceReport, rpc.Empty]("POST", "/Herd.Witness", MaxReportBytes, "every agent")               // from an agent to the one that holds the aggregator
+	ReportEvidenceCall  = rpc.Declare[EvidenceReport, rpc.Empty]("POST", "/Herd.Saw", MaxReportBytes, "the proxy on the same machine") // from a proxy to the agent on its machine
+	ForwardEvidenceCall = rpc.Declare[EvidenceReport, rpc.Empty]("POST", "/Herd.Witness", MaxReportBytes, "every agent")               // from an agent to the agent that runs the aggregator
 )
 
 const (
-	CallerPrefix    = "ip/"                  // begins the name of a caller among members
-	MaxReportBytes  = 64 << 10               // bytes of the body of a report
-	EvidenceTimeout = 400 * time.Millisecond // of a report; the next one repeats what is lost
+	CallerPrefix    = "ip/"                  // prefix of a member's name if the member is a caller; the caller's address follows
+	MaxReportBytes  = 64 << 10               // limit for the body of a report, in bytes
+	EvidenceTimeout = 400 * time.Millisecond // of a report; a lost one is made up for by the next
 )
--- a/internal/node/agentapi/quota.go
+++ b/internal/node/agentapi/quota.go
@@ -6,9 +6,9 @@
 	"saddleport/internal/node/rpc"
 )
 
-// ClaimRequest is a proxy's claims on their way to the lessor.
+// ClaimRequest carries a proxy's claims to the lessor, by way of the agent on its machine.
 type ClaimRequest struct {
-	From   string        `json:"f,omitempty"` // the agent; empty: the proxy on the same machine
+	From   string        `json:"f,omitempty"` // address of the forwarding agent; empty from a proxy
 	Claims []quota.Claim `json:"l"`
 }
 
@@ -18,8 +18,8 @@
 }
 
 var (
-	ClaimCall        = rpc.Declare[ClaimRequest, ClaimResponse]("POST", "/Allow.Claim", MaxReportBytes, "the proxy on the same machine") // from a proxy to its agent
-	ForwardClaimCall = rpc.Declare[ClaimRequest, ClaimResponse]("POST", "/Allow.Lease", MaxReportBytes, "every agent").Packed()          // from an agent to the one that holds the lessor
+	ClaimCall        = rpc.Declare[ClaimRequest, ClaimResponse]("POST", "/Allow.Claim", MaxReportBytes, "the proxy on the same machine") // from a proxy to the agent on its machine
+	ForwardClaimCall = rpc.Declare[ClaimRequest, ClaimResponse]("POST", "/Allow.Lease", MaxReportBytes, "every agent").Packed()          // from an agent to the agent that runs the lessor
 )
 
 // AllowancesOf returns the allowances of a configuration.
--- a/internal/node/nodesettings/distance.go
+++ b/internal/node/nodesettings/distance.go
@@ -1,13 +1,14 @@
 package nodesettings
 
-// Distances between two machines, by how expensive the way between them is.
+// Distances between two machines, by the cost of the network path between them, cheapest first.
 const (
 	SameZone = iota
 	SameRegion
 	OtherRegion
 )
 
-// Distance returns how far a zone is from another one. A region without a name is no region.
+// Distance returns the distance between two zones. Zones whose region is empty are not taken to be in
+// the same region.
 func Distance(zone, region, fromZone, fromRegion string) int {
 	switch {
 	case zone == fromZone:
--- a/internal/node/nodesettings/file.go
+++ b/internal/node/nodesettings/file.go
@@ -11,46 +11,46 @@
 	"saddleport/internal/node/events"
 )
 
-// rereadInterval is how often the file is looked at, since it may change without a signal.
-const rereadInterval = 5 * time.Second // at the settings file, which may change without a signal
+// rereadInterval is how often Watch reads the settings file, which may change without a SIGHUP.
+const rereadInterval = 5 * time.Second
 
 // File is a settings file that may change while the process runs.
 type File struct {
-	file    string
+	path    string
 	text    atomic.Pointer[string]
 	current atomic.Pointer[Settings]
 
-	NoEjection bool // of a proxy: no server or caller is ejected
+	NoEjection bool // set by a proxy's command line: no server or caller is ejected
 }
 
-// Open reads a settings file.
-func Open(file string) (*File, error) {
-	s := &File{file: file}
-	boot, err := Load(file)
+// Open reads the settings file at a path.
+func Open(path string) (*File, error) {
+	f := &File{path: path}
+	settings, err := Load(path)
 	if err != nil {
 		return nil, err
 	}
-	text, _ := os.ReadFile(file)
-	t := string(text)
-	s.text.Store(&t)
-	s.current.Store(boot)
-	return s, nil
+	raw, _ := os.ReadFile(path)
+	text := string(raw)
+	f.text.Store(&text)
+	f.current.Store(settings)
+	return f, nil
 }
 
-// Fixed returns settings that do not change, for tests.
-func Fixed(boot *Settings) *File {
-	s := &File{}
-	s.current.Store(boot)
-	return s
+// Fixed returns a File without a path, whose settings never change, for tests.
+func Fixed(settings *Settings) *File {
+	f := &File{}
+	f.current.Store(settings)
+	return f
 }
 
-// Current returns the settings as they stand now.
-func (s *File) Current() *Settings { return s.current.Load() }
+// Current returns the settings of the last valid version of the file.
+func (f *File) Current() *Settings { return f.current.Load() }
 
-// Watch rereads the file on SIGHUP and when it has changed, until ctx ends. A file that cannot
-// be read changes nothing. Addresses take effect at the next start.
-func (s *File) Watch(ctx context.Context) {
-	if s.file == "" {
+// Watch rereads the file on SIGHUP and every rereadInterval until ctx ends. If the file can't be read
+// or is invalid, the settings stay as they are. Addresses take effect only when the process restarts.
+func (f *File) Watch(ctx context.Context) {
+	if f.path == "" {
 		return
 	}
 	hup := make(chan os.Signal, 4)
@@ -65,21 +65,21 @@
 		case <-hup:
 		case <-tick.C:
 		}
-		text, err := os.ReadFile(s.file)
-		t := string(text)
-		if err == nil && t == *s.text.Load() {
+		raw, err := os.ReadFile(f.path)
+		text := string(raw)
+		if err == nil && text == *f.text.Load() {
 			continue
 		}
 		if err == nil {
-			s.text.Store(&t)
-			var boot *Settings
-			if boot, err = Parse(t); err == nil {
-				s.current.Store(boot)
-				events.Reloaded.Log("file", s.file)
+			f.text.Store(&text)
+			var settings *Settings
+			if settings, err = Parse(text); err == nil {
+				f.current.Store(settings)
+				events.Reloaded.Log("file", f.path)
 			}
 		}
 		if err != nil {
-			events.SettingsInvalid.Log("file", s.file, "err", err)
+			events.SettingsInvalid.Log("file", f.path, "err", err)
 		}
 	}
 }
--- a/internal/node/nodesettings/settings.go
+++ b/internal/node/nodesettings/settings.go
@@ -1,5 +1,5 @@
-// Package nodesettings reads the settings file that each process of the system is given, and
-// follows its changes. The names in the file are the operators'.
+// Package nodesettings reads the settings file of a process and follows its changes. The operators
+// chose the names in the file.
 package nodesettings
 
 import (
@@ -12,128 +12,131 @@
 	"saddleport/internal/paths"
 )
 
-// Settings are what a process is given at its start.
+// Settings are the settings of one process. Addresses are host:port.
 type Settings struct {
-	Name, Role, IP, Zone, Region  string
-	Regions                       map[string]string // by zone
-	LoopbackIP                    string            // of the machine's own loopback
-	SharedHost                    bool              // several machines are played on one host: see PeerListenAddr
-	Front, Readiness, Control     string            // addresses to listen on; "": none
-	FirstPort, LastPort           int               // of the range between processes
-	Seeds                         []string
-	Bootstrap, CountsTowardQuorum bool
-	MemoryMB, MaxOpenFiles        int
-	Cores                         float64
-	DataDir                       string
-	HeartbeatInterval             time.Duration
-	FaultTolerance                int // machines that may be lost at once
-	Bounds                        Bounds
+	Name, Role, IP, Zone, Region   string
+	Regions                        map[string]string // region by zone
+	LoopbackIP                     string            // loopback address of the machine
+	SharedHost                     bool              // several machines are simulated on this host, see PeerListenAddr
+	Downstream, Readiness, Control string            // listen addresses: of a proxy for clients and for readiness checks, of a control-plane process for operators and servers; empty: none
+	FirstPort, LastPort            int               // range of the ports for calls between processes
+	Seeds                          []string          // addresses of control-plane machines
+	Bootstrap, CountsTowardQuorum  bool
+	MemoryMB, MaxOpenFiles         int
+	Cores                          float64
+	DataDir                        string
+	HeartbeatInterval              time.Duration
+	FaultTolerance                 int // number of machines that may fail at once
+	Bounds                         Bounds
 }
 
-// Bounds are the operators' figures of the rules; the names in the file begin with bounds.
+// Bounds are the limits that the operators set; their names in the file begin with "bounds.".
 type Bounds struct {
 	SeedLag, AddressReuse, Contact, AckTimeout, CatchUp, Drain, Grace, LossSlack, ConfigApply, DowngradeSlack, MaxStretch, RetryWindow time.Duration
 	RetryRatio, RetrySlack                                                                                                             float64
 }
 
-// PathVariable is the environment variable that names the settings file.
+// PathVariable is the name of the environment variable that contains the path of the settings file.
 const PathVariable = "SADDLEPORT_CONFIG"
 
-// Load reads a settings file.
-func Load(file string) (*Settings, error) {
-	text, err := os.ReadFile(file)
+// Load reads and parses the settings file at a path.
+func Load(path string) (*Settings, error) {
+	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, paths.Error.Wrap(err)
 	}
-	b, err := Parse(string(text))
+	settings, err := Parse(string(text))
 	if err != nil {
-		return nil, paths.Error.New("%s: %v", file, err)
+		return nil, paths.Error.New("%s: %v", path, err)
 	}
-	return b, nil
+	return settings, nil
 }
 
-// Parse reads the text of a settings file. Fields that are not known are ignored.
+// Parse parses the text of a settings file. Unknown fields are ignored.
 func Parse(text string) (*Settings, error) {
-	r, err := paths.Lines(text)
+	lines, err := paths.Lines(text)
 	if err != nil {
 		return nil, err
 	}
-	ms := func(path string) time.Duration { return time.Duration(r.At(path).Number() * float64(time.Millisecond)) }
-	s := func(path string) time.Duration { return time.Duration(r.At(path).Number() * float64(time.Second)) }
-	b := &Settings{
-		Name: r.At("node_name").Must().Text(), Role: r.At("role").Text(), IP: r.At("ip_address").Must().Text(),
-		LoopbackIP: "127.0.0.1", Zone: r.At("zone").Text(), Region: r.At("region").Text(), Regions: make(map[string]string),
-		Front: r.At("listen_addresses.front").Text(), Readiness: r.At("listen_addresses.readiness").Text(),
-		Control:   r.At("listen_addresses.control_plane").Text(),
-		Bootstrap: r.At("bootstrap").Bool(), CountsTowardQuorum: r.At("counts_toward_quorum").Bool(),
-		MemoryMB: int(r.At("limits.memory_mb").Int()), MaxOpenFiles: int(r.At("limits.max_open_files").Int()),
-		Cores: r.At("limits.cpu_cores").Number(), DataDir: r.At("data_directory").Text(), HeartbeatInterval: ms("heartbeat_interval_ms"),
-		FaultTolerance: int(r.At("fault_tolerance.machines").Int()),
-		Bounds: Bounds{SeedLag: s("bounds.seed_lag_s"), AddressReuse: s("bounds.address_reuse_s"), Contact: ms("bounds.contact_ms"),
-			AckTimeout: ms("bounds.ack_timeout_ms"), CatchUp: s("bounds.catch_up_s"), Drain: ms("bounds.drain_ms"),
-			Grace: s("bounds.grace_s"), LossSlack: ms("bounds.loss_slack_ms"), ConfigApply: ms("bounds.config_apply_ms"),
-			DowngradeSlack: ms("bounds.downgrade_slack_ms"), MaxStretch: ms("bounds.max_stretch_ms"),
-			RetryWindow: s("bounds.retry_window_s"), RetryRatio: r.At("bounds.retry_budget_ratio").Number(),
-			RetrySlack: r.At("bounds.retry_budget_slack").Number()},
+	milliseconds := func(path string) time.Duration {
+		return time.Duration(lines.At(path).Number() * float64(time.Millisecond))
 	}
-	if ip := r.At("loopback_ip").Text(); ip != "" { // of our own: several machines played on one
-		b.LoopbackIP, b.SharedHost = ip, true
+	seconds := func(path string) time.Duration { return time.Duration(lines.At(path).Number() * float64(time.Second)) }
+	settings := &Settings{
+		Name: lines.At("node_name").Must().Text(), Role: lines.At("role").Text(), IP: lines.At("ip_address").Must().Text(),
+		LoopbackIP: "127.0.0.1", Zone: lines.At("zone").Text(), Region: lines.At("region").Text(), Regions: make(map[string]string),
+		Downstream: lines.At("listen_addresses.front").Text(), Readiness: lines.At("listen_addresses.readiness").Text(),
+		Control:   lines.At("listen_addresses.control_plane").Text(),
+		Bootstrap: lines.At("bootstrap").Bool(), CountsTowardQuorum: lines.At("counts_toward_quorum").Bool(),
+		MemoryMB: int(lines.At("limits.memory_mb").Int()), MaxOpenFiles: int(lines.At("limits.max_open_files").Int()),
+		Cores: lines.At("limits.cpu_cores").Number(), DataDir: lines.At("data_directory").Text(), HeartbeatInterval: milliseconds("heartbeat_interval_ms"),
+		FaultTolerance: int(lines.At("fault_tolerance.machines").Int()),
+		Bounds: Bounds{SeedLag: seconds("bounds.seed_lag_s"), AddressReuse: seconds("bounds.address_reuse_s"), Contact: milliseconds("bounds.contact_ms"),
+			AckTimeout: milliseconds("bounds.ack_timeout_ms"), CatchUp: seconds("bounds.catch_up_s"), Drain: milliseconds("bounds.drain_ms"),
+			Grace: seconds("bounds.grace_s"), LossSlack: milliseconds("bounds.loss_slack_ms"), ConfigApply: milliseconds("bounds.config_apply_ms"),
+			DowngradeSlack: milliseconds("bounds.downgrade_slack_ms"), MaxStretch: milliseconds("bounds.max_stretch_ms"),
+			RetryWindow: seconds("bounds.retry_window_s"), RetryRatio: lines.At("bounds.retry_budget_ratio").Number(),
+			RetrySlack: lines.At("bounds.retry_budget_slack").Number()},
 	}
-	for _, zone := range r.At("zones").Names() {
-		b.Regions[zone] = r.At("zones." + zone).Text()
+	if ip := lines.At("loopback_ip").Text(); ip != "" { // not one of the operators' settings: several machines are simulated on this host
+		settings.LoopbackIP, settings.SharedHost = ip, true
 	}
-	ports := r.At("internal_port_range").Must()
+	for _, zone := range lines.At("zones").Names() {
+		settings.Regions[zone] = lines.At("zones." + zone).Text()
+	}
+	ports := lines.At("internal_port_range").Must()
 	if list := ports.Items(); len(list) == 2 {
-		b.FirstPort, b.LastPort = int(list[0].Int()), int(list[1].Int())
+		settings.FirstPort, settings.LastPort = int(list[0].Int()), int(list[1].Int())
 	}
-	if b.FirstPort < 1 || b.LastPort < b.FirstPort+1 || b.LastPort > 65535 {
-		ports.Failf("two ports, of which the second is greater, are needed")
+	if settings.FirstPort < 1 || settings.LastPort < settings.FirstPort+1 || settings.LastPort > 65535 {
+		ports.Failf("must be two ports from 1 to 65535, the second greater than the first")
 	}
-	for _, seed := range r.At("seed_addresses").Items() {
+	for _, seed := range lines.At("seed_addresses").Items() {
 		if _, _, err := net.SplitHostPort(seed.Text()); err != nil {
 			seed.Failf("%v", err)
 		}
-		b.Seeds = append(b.Seeds, seed.Text())
+		settings.Seeds = append(settings.Seeds, seed.Text())
 	}
-	if net.ParseIP(b.IP) == nil {
-		r.At("ip_address").Failf("%.40q is no address", b.IP)
+	if net.ParseIP(settings.IP) == nil {
+		lines.At("ip_address").Failf("%.40q is not an IP address", settings.IP)
 	}
-	return b, r.Err()
+	return settings, lines.Err()
 }
 
-// PeerAddr is where a process answers other processes.
-func (b *Settings) PeerAddr() string { return net.JoinHostPort(b.IP, strconv.Itoa(b.FirstPort)) }
+// PeerAddr returns the address that other processes call this process at.
+func (s *Settings) PeerAddr() string { return net.JoinHostPort(s.IP, strconv.Itoa(s.FirstPort)) }
 
-// PeerListenAddr is the address that a process listens on for other processes. Where several
-// machines are played on one host it is the machine's own loopback address, so that a relay may
-// stand between it and PeerAddr.
-func (b *Settings) PeerListenAddr() string {
-	if b.SharedHost {
-		return net.JoinHostPort(b.LoopbackIP, strconv.Itoa(b.FirstPort))
+// PeerListenAddr returns the address that this process listens on for calls of other processes. If
+// several machines are simulated on one host, the address has the machine's own loopback IP, so that
+// a relay can listen on PeerAddr and forward to it.
+func (s *Settings) PeerListenAddr() string {
+	if s.SharedHost {
+		return net.JoinHostPort(s.LoopbackIP, strconv.Itoa(s.FirstPort))
 	}
-	return b.PeerAddr()
+	return s.PeerAddr()
 }
 
-// PeerSourceIP is the address that a process calls others from; empty: the kernel picks it. Where
-// several machines are played on one host, a relay sees by it whose call it is.
-func (b *Settings) PeerSourceIP() string {
-	if b.SharedHost {
-		return b.LoopbackIP
+// PeerSourceIP returns the IP address from which this process calls others; if it is empty the kernel
+// chooses one. If several machines are simulated on one host, a relay identifies the calling machine by
+// it.
+func (s *Settings) PeerSourceIP() string {
+	if s.SharedHost {
+		return s.LoopbackIP
 	}
 	return ""
 }
 
-// AgentAddr is where an agent answers the proxy on its machine.
-func (b *Settings) AgentAddr() string {
-	return net.JoinHostPort(b.LoopbackIP, strconv.Itoa(b.FirstPort+1))
+// AgentAddr returns the address at which the agent serves the proxy on its machine.
+func (s *Settings) AgentAddr() string {
+	return net.JoinHostPort(s.LoopbackIP, strconv.Itoa(s.FirstPort+1))
 }
 
-// SeedPeers returns where the processes on the seeds' machines answer other processes.
-func (b *Settings) SeedPeers() []string {
+// SeedPeers returns the addresses at which the processes on the seed machines serve other processes.
+func (s *Settings) SeedPeers() []string {
 	var out []string
-	for _, seed := range b.Seeds {
+	for _, seed := range s.Seeds {
 		host, _, _ := strings.Cut(seed, ":")
-		out = append(out, net.JoinHostPort(host, strconv.Itoa(b.FirstPort)))
+		out = append(out, net.JoinHostPort(host, strconv.Itoa(s.FirstPort)))
 	}
 	return out
 }
--- a/internal/node/proxy/proxy.go
+++ b/internal/node/proxy/proxy.go
@@ -134,7 +134,7 @@
 	if err != nil {
 		return err
 	}
-	front, err := transport.Listen(ctx, t.settings.Front)
+	front, err := transport.Listen(ctx, t.settings.Downstream)
 	if err != nil {
 		return err
 	}
@@ -161,7 +161,7 @@
 			failed <- err
 		}
 	}()
-	events.Started.Log("program", admin.Proxy, "name", t.settings.Name, "front", t.settings.Front, "clients", t.maxClients, "leaves", t.maxUpstream)
+	events.Started.Log("program", admin.Proxy, "name", t.settings.Name, "front", t.settings.Downstream, "clients", t.maxClients, "leaves", t.maxUpstream)
 	if err := t.maintain(ctx, failed); err != nil {
 		return err
 	}
