--- a/internal/node/agent/agent.go
+++ b/internal/node/agent/agent.go
@@ -1,6 +1,6 @@
-// Package agent is the program beside a proxy: it gossips with the other agents and the control
-// plane, feeds the proxy over loopback, and holds singleton roles (the aggregator of evidence, the
-// lessor of allowances). It serves no requests of clients.
+// Package agent implements the program that runs beside a proxy. An agent gossips with the other agents
+// and the control plane, feeds the proxy over loopback, and may have singleton roles: the aggregator of
+// evidence and the lessor of allowances. It serves no requests of clients.
 package agent
 
 import (
@@ -22,55 +22,56 @@
 )
 
 const (
-	proxyGoneAfter = 500 * time.Millisecond // after SIGTERM: without a call for so long the proxy has ended
+	proxyGoneAfter = 500 * time.Millisecond // after SIGTERM, a proxy that has made no call for this long is taken to have ended
 	pollInterval   = 20 * time.Millisecond
-	graceMargin    = 400 * time.Millisecond // before the grace period is over
+	graceMargin    = 400 * time.Millisecond // the wait for the proxy ends this long before the grace period does
 )
 
-// feed answers the proxy on the same machine.
+// feed answers the long polls of the proxy on the same machine.
 type feed struct {
 	node        *peer.Node
-	incarnation string       // of this agent: a proxy that followed another one starts anew
-	lastAt      atomic.Int64 // when the proxy last asked or was answered, by node.Now
-	open        atomic.Int64 // calls of the proxy that wait
+	incarnation string       // of this agent; a proxy that followed an earlier incarnation gets all entries
+	lastCallAt  atomic.Int64 // when the last call of the proxy ended, by node.Now; 0: none has
+	pending     atomic.Int64 // calls of the proxy that wait for a response
 }
 
-// answer returns what changed since the proxy's last call, or waits until something does.
+// answer returns the entries that changed since the proxy's last call. If there are none it waits until
+// one changes, at most agentapi.FeedWait.
 func (f *feed) answer(ctx context.Context, _ rpc.Named, request agentapi.FeedRequest) (agentapi.FeedResponse, error) {
-	f.open.Add(1)
-	defer func() { f.lastAt.Store(f.node.Now()); f.open.Add(-1) }()
-	n := f.node
-	n.Mu.Lock()
+	f.pending.Add(1)
+	defer func() { f.lastCallAt.Store(f.node.Now()); f.pending.Add(-1) }()
+	node := f.node
+	node.Mu.Lock()
 	for _, entry := range request.Entries {
-		n.PutLocked(entry)
+		node.PutLocked(entry)
 	}
 	if request.Incarnation != f.incarnation {
 		request.Since = 0
 	}
-	end := time.After(agentapi.FeedWait)
-	for n.Store.Seq() <= request.Since {
-		changed := n.Changed
-		n.Mu.Unlock()
+	timeout := time.After(agentapi.FeedWait)
+	for node.Store.Seq() <= request.Since {
+		changed := node.Changed
+		node.Mu.Unlock()
 		select {
 		case <-changed:
-		case <-end:
+		case <-timeout:
 			return agentapi.FeedResponse{Incarnation: f.incarnation, Seq: request.Since}, nil
 		case <-ctx.Done():
 			return agentapi.FeedResponse{}, ctx.Err()
 		}
-		n.Mu.Lock()
+		node.Mu.Lock()
 	}
-	defer n.Mu.Unlock()
-	configuration, _ := n.Store.Get(agentapi.ConfigurationKey)
-	return agentapi.FeedResponse{Incarnation: f.incarnation, Seq: n.Store.Seq(),
-		WantConfig: request.ConfigVersion > configuration.Version, Entries: n.Store.ChangedSince(request.Since)}, nil
+	defer node.Mu.Unlock()
+	configuration, _ := node.Store.Get(agentapi.ConfigurationKey)
+	return agentapi.FeedResponse{Incarnation: f.incarnation, Seq: node.Store.Seq(),
+		WantConfig: request.ConfigVersion > configuration.Version, Entries: node.Store.ChangedSince(request.Since)}, nil
 }
 
-// waitForProxy returns when the proxy has ended, at the latest when the grace period nearly is.
+// waitForProxy waits until the proxy has ended, at most until graceMargin before the grace period ends.
 func (f *feed) waitForProxy(grace time.Duration) {
-	since := time.Now()
-	for time.Since(since) < grace-graceMargin {
-		if f.open.Load() == 0 && f.node.Now()-f.lastAt.Load() > proxyGoneAfter.Microseconds() {
+	begin := time.Now()
+	for time.Since(begin) < grace-graceMargin {
+		if f.pending.Load() == 0 && f.node.Now()-f.lastCallAt.Load() > proxyGoneAfter.Microseconds() {
 			events.ProxyGone.Log()
 			return
 		}
@@ -78,29 +79,29 @@
 	}
 }
 
-// logConfiguration logs the configurations that this agent learns of.
+// logConfiguration logs an entry that is a configuration.
 func logConfiguration(entry gossip.Entry) {
 	if entry.Key == agentapi.ConfigurationKey {
 		events.ConfigLearned.Log("revision", chain.RevisionOf(entry.Version))
 	}
 }
 
-// Run is the program: it serves until ctx ends, and then for as long as its proxy asks.
+// Run runs an agent until ctx ends, and then until its proxy has ended or the grace period is over.
 func Run(ctx context.Context, file *nodesettings.File) error {
 	settings := file.Current()
-	n := peer.NewNode(file, gossip.KindAgent)
-	f := &feed{node: n, incarnation: strconv.FormatInt(time.Now().UnixNano(), 36)}
-	outliers := newOutlierAggregator(n)
-	n.OnUpdate = func(entry gossip.Entry) {
+	node := peer.NewNode(file, gossip.KindAgent)
+	f := &feed{node: node, incarnation: strconv.FormatInt(time.Now().UnixNano(), 36)}
+	aggregator := newOutlierAggregator(node)
+	node.OnUpdate = func(entry gossip.Entry) {
 		logConfiguration(entry)
-		outliers.onUpdate(entry)
+		aggregator.onUpdate(entry)
 	}
-	loopback, internal := http.NewServeMux(), http.NewServeMux()
-	agentapi.FeedCall.On(loopback, f.answer)
-	n.Serve(internal)
-	outliers.serve(loopback, internal)
-	admin.RegisterShow(loopback, admin.Agent, settings.Name, n.StartedAt, outliers.tables)
-	admin.RegisterExplain(loopback, admin.Agent, settings.Name, n.StartedAt, outliers.explain)
+	loopbackMux, internalMux := http.NewServeMux(), http.NewServeMux()
+	agentapi.FeedCall.On(loopbackMux, f.answer)
+	node.Serve(internalMux)
+	aggregator.serve(loopbackMux, internalMux)
+	admin.RegisterShow(loopbackMux, admin.Agent, settings.Name, node.StartedAt, aggregator.tables)
+	admin.RegisterExplain(loopbackMux, admin.Agent, settings.Name, node.StartedAt, aggregator.explain)
 	loopbackListener, err := transport.Listen(ctx, settings.AgentAddr())
 	if err != nil {
 		return err
@@ -109,16 +110,16 @@
 	if err != nil {
 		return err
 	}
-	running, end := context.WithCancel(context.Background()) // outlives ctx: the proxy is fed until it has ended
-	over := make(chan struct{})
-	defer func() { end(); <-over }()
+	runCtx, stop := context.WithCancel(context.Background()) // outlives ctx, so that the proxy is fed until it has ended
+	nodeStopped := make(chan struct{})
+	defer func() { stop(); <-nodeStopped }()
 	failed := make(chan error, 2)
-	go func() { failed <- rpc.Serve(running, loopbackListener, loopback, agentapi.FeedWait+5*time.Second) }()
-	go func() { failed <- rpc.Serve(running, internalListener, internal, 0) }()
-	go func() { n.Run(running); close(over) }()
-	go file.Watch(running)
-	go outliers.run(running)
-	go outliers.quotas.run(running)
+	go func() { failed <- rpc.Serve(runCtx, loopbackListener, loopbackMux, agentapi.FeedWait+5*time.Second) }()
+	go func() { failed <- rpc.Serve(runCtx, internalListener, internalMux, 0) }()
+	go func() { node.Run(runCtx); close(nodeStopped) }()
+	go file.Watch(runCtx)
+	go aggregator.run(runCtx)
+	go aggregator.quotas.run(runCtx)
 	events.Started.Log("program", admin.Agent, "name", settings.Name, "inner", settings.PeerAddr(), "loop", settings.AgentAddr())
 	select {
 	case err := <-failed:
--- a/internal/node/agent/outliers.go
+++ b/internal/node/agent/outliers.go
@@ -16,17 +16,17 @@
 )
 
 const (
-	aggregatorInterval = 200 * time.Millisecond // between steps while there are candidates
+	aggregatorInterval = 200 * time.Millisecond // between two steps while there are candidates
 )
 
-// outlierAggregator is an agent's part in finding slow members: it forwards evidence, and
-// holds the aggregator if the role is its own.
+// outlierAggregator is the agent's part in outlier detection. It forwards evidence to the agent that
+// has the aggregator role, and runs the aggregator itself while this agent has the role.
 type outlierAggregator struct {
 	node          *peer.Node
-	role          *outlier.AggregatorRole // under the node's mu, as all below
+	role          *outlier.AggregatorRole // guarded by node.Mu, as are the fields below
 	shardSizes    map[string]int
-	shardSizesSeq uint64 // of the store when shardSizes was computed
-	forwarding    bool
+	shardSizesSeq uint64 // sequence number of the store when shardSizes was computed
+	forwarding    bool   // a report is being forwarded; others are dropped until it is done
 	wake          chan struct{}
 	quotas        *quotaService
 }
@@ -35,77 +35,80 @@
 	return &outlierAggregator{node: n, role: outlier.NewAggregatorRole(outlier.DefaultConfig, n.Self.Addr), wake: make(chan struct{}, 1), quotas: newQuotaService(n)}
 }
 
-// onUpdate takes an entry that was stored. The node must be locked.
-func (b *outlierAggregator) onUpdate(entry gossip.Entry) {
+// onUpdate handles an entry that was stored. The caller must hold node.Mu.
+func (o *outlierAggregator) onUpdate(entry gossip.Entry) {
 	var assignment outlier.Assignment
 	if entry.Key == agentapi.EjectionsKey && json.Unmarshal(entry.Value, &assignment) == nil {
-		b.role.Observe(entry.Version, assignment)
+		o.role.Observe(entry.Version, assignment)
 	}
-	b.quotas.onUpdate(entry)
+	o.quotas.onUpdate(entry)
 }
 
-// serve answers the proxy and the other agents.
-func (b *outlierAggregator) serve(loop, inner *http.ServeMux) {
-	b.quotas.serve(loop, inner)
-	agentapi.ReportEvidenceCall.On(loop, func(_ context.Context, _ rpc.Named, w agentapi.EvidenceReport) (rpc.Empty, error) {
-		b.node.Mu.Lock()
-		defer b.node.Mu.Unlock()
-		if c, known := b.node.Members.Holder(outlier.Role); known && c.Holder != b.node.Self.Addr {
-			if !b.forwarding {
-				b.forwarding = true
-				go b.forward(c.Holder, agentapi.EvidenceReport{From: b.node.Self.Addr, Evidence: w.Evidence})
+// serve registers the calls of the proxy and of the other agents.
+func (o *outlierAggregator) serve(loopback, internal *http.ServeMux) {
+	o.quotas.serve(loopback, internal)
+	agentapi.ReportEvidenceCall.On(loopback, func(_ context.Context, _ rpc.Named, report agentapi.EvidenceReport) (rpc.Empty, error) {
+		o.node.Mu.Lock()
+		defer o.node.Mu.Unlock()
+		if claim, known := o.node.Members.Holder(outlier.Role); known && claim.Holder != o.node.Self.Addr {
+			if !o.forwarding {
+				o.forwarding = true
+				go o.forward(claim.Holder, agentapi.EvidenceReport{From: o.node.Self.Addr, Evidence: report.Evidence})
 			}
 			return rpc.Empty{}, nil
 		}
-		b.addEvidence(b.node.Self.Addr, w.Evidence)
+		o.addEvidence(o.node.Self.Addr, report.Evidence)
 		return rpc.Empty{}, nil
 	})
-	agentapi.ForwardEvidenceCall.On(inner, func(_ context.Context, _ rpc.Named, w agentapi.EvidenceReport) (rpc.Empty, error) {
-		b.node.Mu.Lock()
-		defer b.node.Mu.Unlock()
-		if !b.addEvidence(w.From, w.Evidence) {
-			return rpc.Empty{}, rpc.Fail(http.StatusConflict, "the duty is another's")
+	agentapi.ForwardEvidenceCall.On(internal, func(_ context.Context, _ rpc.Named, report agentapi.EvidenceReport) (rpc.Empty, error) {
+		o.node.Mu.Lock()
+		defer o.node.Mu.Unlock()
+		if !o.addEvidence(report.From, report.Evidence) {
+			return rpc.Empty{}, rpc.Fail(http.StatusConflict, "this agent does not have the aggregator role")
 		}
 		return rpc.Empty{}, nil
 	})
 }
 
-func (b *outlierAggregator) forward(to string, w agentapi.EvidenceReport) {
+// forward sends a report to the agent that has the aggregator role.
+func (o *outlierAggregator) forward(to string, report agentapi.EvidenceReport) {
 	ctx, cancel := context.WithTimeout(context.Background(), agentapi.EvidenceTimeout)
 	defer cancel()
-	agentapi.ForwardEvidenceCall.Ask(ctx, b.node.Client, to, "", w) // lost: there is more of it soon
-	b.node.Mu.Lock()
-	defer b.node.Mu.Unlock()
-	b.forwarding = false
+	agentapi.ForwardEvidenceCall.Ask(ctx, o.node.Client, to, "", report) // an error is ignored: the next report follows soon
+	o.node.Mu.Lock()
+	defer o.node.Mu.Unlock()
+	o.forwarding = false
 }
 
-// addEvidence takes evidence if this process holds the role. The caller must have locked the node.
-func (b *outlierAggregator) addEvidence(from string, list []outlier.Evidence) bool {
-	b.updateHolder()
-	if !b.role.AddEvidence(b.node.Now(), from, list) {
+// addEvidence adds evidence if this process has the role, and reports whether it does. The caller must
+// hold node.Mu.
+func (o *outlierAggregator) addEvidence(from string, list []outlier.Evidence) bool {
+	o.updateHolder()
+	if !o.role.AddEvidence(o.node.Now(), from, list) {
 		return false
 	}
 	select {
-	case b.wake <- struct{}{}:
+	case o.wake <- struct{}{}:
 	default:
 	}
 	return true
 }
 
-func (b *outlierAggregator) updateHolder() {
-	epoch, holds := b.node.Members.Holds(outlier.Role)
-	b.role.SetHolder(b.node.Now(), epoch, holds)
+// updateHolder follows changes of the role's holder. The caller must hold node.Mu.
+func (o *outlierAggregator) updateHolder() {
+	epoch, holds := o.node.Members.Holds(outlier.Role)
+	o.role.SetHolder(o.node.Now(), epoch, holds)
 }
 
-// run steps the aggregator until ctx ends. It rests while there are no candidates.
-func (b *outlierAggregator) run(ctx context.Context) {
+// run steps the aggregator until ctx ends. It sleeps while there are no candidates.
+func (o *outlierAggregator) run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-b.wake:
+		case <-o.wake:
 		}
-		for b.step() {
+		for o.step() {
 			select {
 			case <-ctx.Done():
 				return
@@ -115,27 +118,29 @@
 	}
 }
 
-func (b *outlierAggregator) step() (more bool) {
-	b.node.Mu.Lock()
-	defer b.node.Mu.Unlock()
-	b.updateHolder()
-	if seq := b.node.Store.Seq(); seq != b.shardSizesSeq {
-		b.shardSizesSeq, b.shardSizes = seq, make(map[string]int)
-		b.node.Store.Range(func(i gossip.Entry, _ int64) {
-			if strings.HasPrefix(i.Key, registry.Prefix) && !i.Deleted() {
-				if s, err := registry.Parse(i); err == nil {
-					b.shardSizes[s.Service]++
+// step runs the aggregator once and publishes its assignment if that changed or is due. more reports
+// whether there are candidates left.
+func (o *outlierAggregator) step() (more bool) {
+	o.node.Mu.Lock()
+	defer o.node.Mu.Unlock()
+	o.updateHolder()
+	if seq := o.node.Store.Seq(); seq != o.shardSizesSeq {
+		o.shardSizesSeq, o.shardSizes = seq, make(map[string]int)
+		o.node.Store.Range(func(entry gossip.Entry, _ int64) {
+			if strings.HasPrefix(entry.Key, registry.Prefix) && !entry.Deleted() {
+				if server, err := registry.Parse(entry); err == nil {
+					o.shardSizes[server.Service]++
 				}
 			}
 		})
 	}
-	a, rank, say := b.role.Step(b.node.Now(), len(b.node.Members.Peers(gossip.KindAgent))+1, func(shard string) int { return b.shardSizes[shard] })
-	if say {
-		body, err := json.Marshal(a)
+	assignment, version, publish := o.role.Step(o.node.Now(), len(o.node.Members.Peers(gossip.KindAgent))+1, func(shard string) int { return o.shardSizes[shard] })
+	if publish {
+		body, err := json.Marshal(assignment)
 		if err != nil {
-			panic(err) // numbers and texts always have a form
+			panic(err) // unreachable: numbers and strings can always be encoded
 		}
-		b.node.PutLocked(gossip.Entry{Key: agentapi.EjectionsKey, Version: rank, Value: body})
+		o.node.PutLocked(gossip.Entry{Key: agentapi.EjectionsKey, Version: version, Value: body})
 	}
-	return b.role.Busy()
+	return o.role.Busy()
 }
--- a/internal/node/agent/quota.go
+++ b/internal/node/agent/quota.go
@@ -16,16 +16,16 @@
 )
 
 const (
-	lessorInterval = time.Second
+	lessorInterval = time.Second // between two looks at how many proxies there are
 )
 
-// quotaService is an agent's part in allowances: it forwards claims, and holds the lessor if
-// the role is its own.
+// quotaService is the agent's part in allowances. It forwards claims to the agent that has the lessor,
+// and runs the lessor while this agent has the role.
 type quotaService struct {
 	node          *peer.Node
-	lessor        *quota.Lessor // under the node's mu, as all below; nil: another holds it
-	epoch         uint64
-	configVersion uint64 // of the configuration that stated was read from
+	lessor        *quota.Lessor // guarded by node.Mu, as are the fields below; nil: another process has it
+	epoch         uint64        // under which this process has the lessor
+	configVersion uint64        // version of the configuration from which allowances was read
 	allowances    []quota.Allowance
 	wake          chan struct{}
 }
@@ -34,85 +34,88 @@
 	return &quotaService{node: n, wake: make(chan struct{}, 1)}
 }
 
-// onUpdate takes a configuration that was gossiped. The caller must have locked the node.
-func (v *quotaService) onUpdate(i gossip.Entry) {
-	if i.Key != agentapi.ConfigurationKey || i.Version <= v.configVersion {
+// onUpdate reads the allowances of a configuration that was gossiped. The caller must hold node.Mu.
+func (q *quotaService) onUpdate(entry gossip.Entry) {
+	if entry.Key != agentapi.ConfigurationKey || entry.Version <= q.configVersion {
 		return
 	}
-	v.configVersion = i.Version
-	var list []quota.Allowance
-	if bytes.Contains(i.Value, []byte(`"allowances"`)) { // else it need not be read here
-		if c, err := routeconfig.Parse(i.Value); err == nil {
-			list = agentapi.AllowancesOf(c)
+	q.configVersion = entry.Version
+	var allowances []quota.Allowance
+	if bytes.Contains(entry.Value, []byte(`"allowances"`)) { // otherwise the configuration need not be parsed
+		if config, err := routeconfig.Parse(entry.Value); err == nil {
+			allowances = agentapi.AllowancesOf(config)
 		}
 	}
-	if v.allowances = list; v.lessor != nil {
-		v.lessor.SetAllowances(list)
+	if q.allowances = allowances; q.lessor != nil {
+		q.lessor.SetAllowances(allowances)
 	}
-	if len(list) > 0 {
+	if len(allowances) > 0 {
 		select {
-		case v.wake <- struct{}{}:
+		case q.wake <- struct{}{}:
 		default:
 		}
 	}
 }
 
-func (v *quotaService) proxyCount() int { return len(v.node.Members.Peers(gossip.KindAgent)) + 1 }
+// proxyCount returns the number of live agents, this one included; each has one proxy.
+func (q *quotaService) proxyCount() int { return len(q.node.Members.Peers(gossip.KindAgent)) + 1 }
 
-// updateHolder holds the lessor here while the role is. The caller must have locked the node.
-func (v *quotaService) updateHolder() {
-	epoch, holds := v.node.Members.Holds(outlier.Role)
+// updateHolder starts or stops the lessor as this process gets or loses the role. The caller must hold
+// node.Mu.
+func (q *quotaService) updateHolder() {
+	epoch, holds := q.node.Members.Holds(outlier.Role)
 	switch {
 	case !holds:
-		v.lessor = nil
-	case v.lessor == nil || v.epoch != epoch:
-		v.epoch, v.lessor = epoch, quota.NewLessor(v.node.Now(), quota.DefaultLeaseConfig, v.proxyCount())
-		v.lessor.SetAllowances(v.allowances)
+		q.lessor = nil
+	case q.lessor == nil || q.epoch != epoch:
+		q.epoch, q.lessor = epoch, quota.NewLessor(q.node.Now(), quota.DefaultLeaseConfig, q.proxyCount())
+		q.lessor.SetAllowances(q.allowances)
 	}
-	if v.lessor != nil {
-		v.lessor.ObserveProxies(v.node.Now(), v.proxyCount())
+	if q.lessor != nil {
+		q.lessor.ObserveProxies(q.node.Now(), q.proxyCount())
 	}
 }
 
-func (v *quotaService) serve(loop, inner *http.ServeMux) {
-	agentapi.ClaimCall.On(loop, func(ctx context.Context, _ rpc.Named, c agentapi.ClaimRequest) (agentapi.ClaimResponse, error) {
-		v.node.Mu.Lock()
-		v.updateHolder()
-		if v.lessor != nil {
-			defer v.node.Mu.Unlock()
-			return agentapi.ClaimResponse{Grants: v.lessor.HandleClaims(v.node.Now(), v.node.Self.Addr, v.proxyCount(), c.Claims)}, nil
+// serve registers the calls of the proxy and of the other agents.
+func (q *quotaService) serve(loopback, internal *http.ServeMux) {
+	agentapi.ClaimCall.On(loopback, func(ctx context.Context, _ rpc.Named, request agentapi.ClaimRequest) (agentapi.ClaimResponse, error) {
+		q.node.Mu.Lock()
+		q.updateHolder()
+		if q.lessor != nil {
+			defer q.node.Mu.Unlock()
+			return agentapi.ClaimResponse{Grants: q.lessor.HandleClaims(q.node.Now(), q.node.Self.Addr, q.proxyCount(), request.Claims)}, nil
 		}
-		holder, known := v.node.Members.Holder(outlier.Role)
-		v.node.Mu.Unlock()
+		holder, known := q.node.Members.Holder(outlier.Role)
+		q.node.Mu.Unlock()
 		if !known {
-			return agentapi.ClaimResponse{}, rpc.Fail(http.StatusServiceUnavailable, "no process is known to hold the lessor")
+			return agentapi.ClaimResponse{}, rpc.Fail(http.StatusServiceUnavailable, "no process is known to have the lessor")
 		}
-		return agentapi.ForwardClaimCall.Ask(ctx, v.node.Client, holder.Holder, "", agentapi.ClaimRequest{From: v.node.Self.Addr, Claims: c.Claims})
+		return agentapi.ForwardClaimCall.Ask(ctx, q.node.Client, holder.Holder, "", agentapi.ClaimRequest{From: q.node.Self.Addr, Claims: request.Claims})
 	})
-	agentapi.ForwardClaimCall.On(inner, func(_ context.Context, _ rpc.Named, c agentapi.ClaimRequest) (agentapi.ClaimResponse, error) {
-		v.node.Mu.Lock()
-		defer v.node.Mu.Unlock()
-		if v.updateHolder(); v.lessor == nil {
-			return agentapi.ClaimResponse{}, rpc.Fail(http.StatusConflict, "the duty is another's")
+	agentapi.ForwardClaimCall.On(internal, func(_ context.Context, _ rpc.Named, request agentapi.ClaimRequest) (agentapi.ClaimResponse, error) {
+		q.node.Mu.Lock()
+		defer q.node.Mu.Unlock()
+		if q.updateHolder(); q.lessor == nil {
+			return agentapi.ClaimResponse{}, rpc.Fail(http.StatusConflict, "this agent does not have the lessor")
 		}
-		return agentapi.ClaimResponse{Grants: v.lessor.HandleClaims(v.node.Now(), c.From, v.proxyCount(), c.Claims)}, nil
+		return agentapi.ClaimResponse{Grants: q.lessor.HandleClaims(q.node.Now(), request.From, q.proxyCount(), request.Claims)}, nil
 	})
 }
 
-// run watches how many proxies there are until ctx ends. It rests while there are no
+// run keeps the lessor informed of the number of proxies until ctx ends. It sleeps while there are no
 // allowances.
-func (v *quotaService) run(ctx context.Context) {
+func (q *quotaService) run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-v.wake:
+		case <-q.wake:
 		}
-		for some := true; some; {
-			v.node.Mu.Lock()
-			v.updateHolder()
-			some = len(v.allowances) > 0
-			v.node.Mu.Unlock()
+		for active := true; active; {
+			q.node.Mu.Lock()
+			q.updateHolder()
+			active = len(q.allowances) > 0
+			q.node.Mu.Unlock()
 			select {
 			case <-ctx.Done():
 				return
--- a/internal/node/agent/show.go
+++ b/internal/node/agent/show.go
@@ -13,59 +13,60 @@
 	"saddleport/internal/node/rpc"
 )
 
-// table shows the lessor. The caller must have locked the node.
-func (v *quotaService) table() admin.Table {
-	t := admin.Table{Title: "allowance: another process has the lessor"}
-	if v.lessor == nil {
-		return t
+// table returns the table of the lessor's allowances and leases. The caller must hold node.Mu.
+func (q *quotaService) table() admin.Table {
+	table := admin.Table{Title: "allowance: another process has the lessor"}
+	if q.lessor == nil {
+		return table
 	}
-	now := v.node.Now()
-	t = admin.Table{Title: "allowance: the lessor is here", Columns: []string{"allowance", "stated, a second", "leased, a second", "to proxies", "asked, a second", "admitted by all so far"}}
-	for _, s := range v.allowances {
-		rate, tills := v.lessor.Leased(now, s.Name)
-		t.Rows = append(t.Rows, []string{s.Name, fmt.Sprint(s.Rate), fmt.Sprintf("%.1f", rate), fmt.Sprint(tills),
-			fmt.Sprintf("%.1f", v.lessor.Asked[s.Name]), fmt.Sprintf("%.0f", v.lessor.Spent[s.Name])})
+	now := q.node.Now()
+	table = admin.Table{Title: "allowance: the lessor is here", Columns: []string{"allowance", "rate per second", "leased per second", "to proxies", "requested per second", "admitted by all so far"}}
+	for _, allowance := range q.allowances {
+		rate, proxies := q.lessor.Leased(now, allowance.Name)
+		table.Rows = append(table.Rows, []string{allowance.Name, fmt.Sprint(allowance.Rate), fmt.Sprintf("%.1f", rate), fmt.Sprint(proxies),
+			fmt.Sprintf("%.1f", q.lessor.Asked[allowance.Name]), fmt.Sprintf("%.0f", q.lessor.Spent[allowance.Name])})
 	}
-	return t
+	return table
 }
 
-// explain shows the evidence on a member, if this process holds the role.
-func (b *outlierAggregator) explain(about string) ([]admin.Table, error) {
-	b.node.Mu.Lock()
-	defer b.node.Mu.Unlock()
+// explain returns the evidence on a member by proxy, or, if another process has the aggregator role, the
+// holder of the role. A caller is named by its IP address.
+func (o *outlierAggregator) explain(about string) ([]admin.Table, error) {
+	o.node.Mu.Lock()
+	defer o.node.Mu.Unlock()
 	if net.ParseIP(about) != nil {
 		about = agentapi.CallerPrefix + about
 	}
-	c, known := b.node.Members.Holder(outlier.Role)
-	if reports, holds := b.role.Reports(b.node.Now(), about); holds {
-		t := admin.Table{Title: "evidence on " + about, Columns: []string{"proxy", "reported", "samples", "times its peers' middle", "score"}}
-		for _, w := range reports {
-			t.Rows = append(t.Rows, []string{w.Proxy, admin.FormatAge(w.Age) + " ago", fmt.Sprint(w.Samples), fmt.Sprintf("%.1f", w.Middle), fmt.Sprintf("%.1f", w.Score)})
+	claim, known := o.node.Members.Holder(outlier.Role)
+	if reports, holds := o.role.Reports(o.node.Now(), about); holds {
+		table := admin.Table{Title: "evidence on " + about, Columns: []string{"proxy", "reported", "samples", "ratio to peers' median", "score"}}
+		for _, report := range reports {
+			table.Rows = append(table.Rows, []string{report.Proxy, admin.FormatAge(report.Age) + " ago", fmt.Sprint(report.Samples), fmt.Sprintf("%.1f", report.Middle), fmt.Sprintf("%.1f", report.Score)})
 		}
-		return []admin.Table{t}, nil
+		return []admin.Table{table}, nil
 	}
 	if !known {
-		return nil, rpc.Fail(http.StatusServiceUnavailable, "no process is known to hold the aggregator")
+		return nil, rpc.Fail(http.StatusServiceUnavailable, "no process is known to have the aggregator role")
 	}
-	return []admin.Table{{Title: "holder of the aggregator", Columns: []string{"agent", "epoch"}, Rows: [][]string{{c.Holder, fmt.Sprint(lease.TermOf(c.Epoch))}}}}, nil
+	return []admin.Table{{Title: "holder of the aggregator role", Columns: []string{"agent", "epoch"}, Rows: [][]string{{claim.Holder, fmt.Sprint(lease.TermOf(claim.Epoch))}}}}, nil
 }
 
-// tables shows the node and the ejected members.
-func (b *outlierAggregator) tables(ctx context.Context) ([]admin.Table, error) {
-	out, err := b.node.Tables(ctx)
-	b.node.Mu.Lock()
-	defer b.node.Mu.Unlock()
-	a := b.role.Last()
-	apart, back := b.role.Counts()
-	t := admin.Table{Title: "ejections: last published", Columns: []string{"member", "shard", "times slow", "on the evidence of"}}
-	for _, m := range a.Ejected {
-		t.Rows = append(t.Rows, []string{m.Name, m.Shard, fmt.Sprintf("%.1f", m.Ratio), fmt.Sprintf("%d proxies, %d samples", m.Reporters, m.Samples)})
+// tables returns the tables of the node, of the ejected members and of the allowances.
+func (o *outlierAggregator) tables(ctx context.Context) ([]admin.Table, error) {
+	tables, err := o.node.Tables(ctx)
+	o.node.Mu.Lock()
+	defer o.node.Mu.Unlock()
+	assignment := o.role.Last()
+	ejected, restored := o.role.Counts()
+	table := admin.Table{Title: "ejections: last published", Columns: []string{"member", "shard", "slowdown factor", "evidence"}}
+	for _, member := range assignment.Ejected {
+		table.Rows = append(table.Rows, []string{member.Name, member.Shard, fmt.Sprintf("%.1f", member.Ratio), fmt.Sprintf("%d proxies, %d samples", member.Reporters, member.Samples)})
 	}
-	by := a.By
-	if by == "" {
-		by = "nobody yet"
+	publisher := assignment.By
+	if publisher == "" {
+		publisher = "none yet"
 	}
-	moves := admin.Table{Title: "ejections: state", Columns: []string{"by", "under epoch", "publication", "requested", "ejected here", "restored here"},
-		Rows: [][]string{{by, fmt.Sprint(lease.TermOf(a.Epoch)), fmt.Sprint(a.Seq), fmt.Sprint(len(a.Requested)), fmt.Sprint(apart), fmt.Sprint(back)}}}
-	return append(out, t, moves, b.quotas.table()), err
+	state := admin.Table{Title: "ejections: state", Columns: []string{"by", "under epoch", "publication", "requested", "ejected here", "restored here"},
+		Rows: [][]string{{publisher, fmt.Sprint(lease.TermOf(assignment.Epoch)), fmt.Sprint(assignment.Seq), fmt.Sprint(len(assignment.Requested)), fmt.Sprint(ejected), fmt.Sprint(restored)}}}
+	return append(tables, table, state, o.quotas.table()), err
 }
