--- a/internal/node/proxy/outliers.go
+++ b/internal/node/proxy/outliers.go
@@ -18,135 +18,141 @@
 )
 
 const (
-	trackerInterval = 300 * time.Millisecond // between steps while somebody is suspected or ejected
-	minCallerMedian = 20_000                 // microseconds: what callers take counts as this at least
-	slowLaneShare   = 8                      // one in so many of the clients' connections is for slow callers
+	trackerInterval = 300 * time.Millisecond // between two steps while a member is suspected or ejected
+	minCallerMedian = 20_000                 // microseconds; a lower median of the callers' read times counts as this
+	slowLaneDivisor = 8                      // 1/slowLaneDivisor of the clients' connections may be those of slow callers
 )
 
-type serverPlacement struct {
-	service string
-	far     int
+// serverLocation is the service of a server and the distance to its zone.
+type serverLocation struct {
+	service  string
+	distance int
 }
 
-type answerKind struct {
-	class string
-	far   int
+// sampleKind is the class of a request and the distance to the server; only the latencies of one kind are
+// compared with each other.
+type sampleKind struct {
+	class    string
+	distance int
 }
 
-// outlierTracker is a proxy's part in finding slow members: it records answers and callers,
-// reports evidence to the agent while it suspects somebody, and applies the ejections. While
-// nobody is suspected nothing is sent.
+// outlierTracker is the proxy's part in outlier detection. It records the latencies of servers and the read
+// times of callers, reports evidence to the agent, and applies the ejections. It sends nothing while no
+// member is suspected here and the aggregator neither has ejected a member nor requests evidence.
 type outlierTracker struct {
 	proxy          *proxy
-	mu             sync.Mutex // the exchange's goroutine, the clients' and the one that looks
+	mu             sync.Mutex // guards the fields below, for the goroutines of the exchange, of the clients and of run
 	servers        *outlier.Observer
 	callers        *outlier.Observer
 	ejections      *outlier.Ejections
-	placements     map[string]serverPlacement // by server
-	kindNames      map[answerKind]string
+	locations      map[string]serverLocation // by server id
+	kindNames      map[sampleKind]string
 	wakeUp         chan struct{}
 	reportsSent    int // reports of evidence
-	changesApplied int
+	changesApplied int // ejections, restorations and changes of a ratio
 }
 
-func newOutlierTracker(t *proxy) *outlierTracker {
-	slow := outlier.DefaultConfig
-	slow.MinMedian = minCallerMedian
-	return &outlierTracker{proxy: t, servers: outlier.NewObserver(outlier.DefaultConfig), callers: outlier.NewObserver(slow), ejections: outlier.NewEjections(outlier.DefaultConfig),
-		placements: make(map[string]serverPlacement), kindNames: make(map[answerKind]string), wakeUp: make(chan struct{}, 1)}
+func newOutlierTracker(p *proxy) *outlierTracker {
+	callerConfig := outlier.DefaultConfig
+	callerConfig.MinMedian = minCallerMedian
+	return &outlierTracker{proxy: p, servers: outlier.NewObserver(outlier.DefaultConfig), callers: outlier.NewObserver(callerConfig), ejections: outlier.NewEjections(outlier.DefaultConfig),
+		locations: make(map[string]serverLocation), kindNames: make(map[sampleKind]string), wakeUp: make(chan struct{}, 1)}
 }
 
-func (f *outlierTracker) now() int64 { return time.Since(f.proxy.startedAt).Microseconds() }
+func (t *outlierTracker) now() int64 { return time.Since(t.proxy.startedAt).Microseconds() }
 
-func (f *outlierTracker) wake() {
+// wake starts the next step of run.
+func (t *outlierTracker) wake() {
 	select {
-	case f.wakeUp <- struct{}{}:
+	case t.wakeUp <- struct{}{}:
 	default:
 	}
 }
 
-// recordAnswer takes an answer of a server, or a wait for one that was given up.
-func (f *outlierTracker) recordAnswer(h exchange.AttemptResult) {
-	complete := h.Verdict == choice.Served
-	if !complete && h.Verdict != choice.NoAnswer && h.Verdict != choice.Cancelled {
+// recordAnswer records the latency of an answer, or the time that was waited for one that didn't come or was
+// cancelled.
+func (t *outlierTracker) recordAnswer(result exchange.AttemptResult) {
+	complete := result.Verdict == choice.Served
+	if !complete && result.Verdict != choice.NoAnswer && result.Verdict != choice.Cancelled {
 		return
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	at, known := f.placements[h.Server]
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	location, known := t.locations[result.Server]
 	if !known {
 		return
 	}
-	of := answerKind{h.Class, at.far}
-	kind, known := f.kindNames[of]
+	key := sampleKind{result.Class, location.distance}
+	kind, known := t.kindNames[key]
 	if !known {
-		if len(f.kindNames) > 1000 {
-			clear(f.kindNames)
+		if len(t.kindNames) > 1000 {
+			clear(t.kindNames)
 		}
-		kind = fmt.Sprint(h.Class, " ", at.far)
-		f.kindNames[of] = kind
+		kind = fmt.Sprint(result.Class, " ", location.distance)
+		t.kindNames[key] = kind
 	}
-	if f.servers.Record(f.now(), outlier.Sample{Name: h.Server, Shard: at.service, Kind: kind, Latency: h.Latency.Microseconds(), Complete: complete}) {
-		f.wake()
+	if t.servers.Record(t.now(), outlier.Sample{Name: result.Server, Shard: location.service, Kind: kind, Latency: result.Latency.Microseconds(), Complete: complete}) {
+		t.wake()
 	}
 }
 
-// recordCaller takes the time that a caller took to read its answer.
-func (f *outlierTracker) recordCaller(caller string, took time.Duration) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.callers.Record(f.now(), outlier.Sample{Name: agentapi.CallerPrefix + caller, Shard: outlier.Callers, Kind: "turn", Latency: took.Microseconds(), Complete: true}) {
-		f.wake()
+// recordCaller records the time that a caller took to read its response.
+func (t *outlierTracker) recordCaller(caller string, readTime time.Duration) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.callers.Record(t.now(), outlier.Sample{Name: agentapi.CallerPrefix + caller, Shard: outlier.Callers, Kind: "turn", Latency: readTime.Microseconds(), Complete: true}) {
+		t.wake()
 	}
 }
 
-// setPlacement notes where a server is, or that it is gone.
-func (f *outlierTracker) setPlacement(id, service string, far int, gone bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if gone {
-		delete(f.placements, id)
+// setLocation sets the location of a server, or removes it if the server was deleted.
+func (t *outlierTracker) setLocation(id, service string, distance int, deleted bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if deleted {
+		delete(t.locations, id)
 	} else {
-		f.placements[id] = serverPlacement{service, far}
+		t.locations[id] = serverLocation{service, distance}
 	}
 }
 
-// ejectedRatio returns how many times slower than its peers an ejected server is; 0: it is not
+// ejectedRatio returns the latency of an ejected server as a multiple of its peers' median; 0: it is not
 // ejected.
-func (f *outlierTracker) ejectedRatio(id string) float64 {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.ejections.Ratio(id)
+func (t *outlierTracker) ejectedRatio(id string) float64 {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.ejections.Ratio(id)
 }
 
-// applyAssignment takes an assignment that was gossiped.
-func (f *outlierTracker) applyAssignment(i gossip.Entry) {
-	var a outlier.Assignment
-	if i.Deleted() || json.Unmarshal(i.Value, &a) != nil {
+// applyAssignment handles the entry of a published assignment; run applies its ejections.
+func (t *outlierTracker) applyAssignment(entry gossip.Entry) {
+	var assignment outlier.Assignment
+	if entry.Deleted() || json.Unmarshal(entry.Value, &assignment) != nil {
 		return
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.ejections.Observe(f.now(), i.Version, a) {
-		f.wake()
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.ejections.Observe(t.now(), entry.Version, assignment) {
+		t.wake()
 	}
 }
 
-// run maintains the ejections until ctx ends. It rests while nobody is suspected or ejected.
-func (f *outlierTracker) run(ctx context.Context) {
+// run reports evidence and updates the ejections until ctx ends. It sleeps while there is nothing to report
+// and no member is ejected.
+func (t *outlierTracker) run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-f.wakeUp:
+		case <-t.wakeUp:
 		}
-		for f.step(ctx) {
+		for t.step(ctx) {
 			select {
 			case <-ctx.Done():
 				return
 			case <-time.After(trackerInterval):
-			case <-f.wakeUp:
-				select { // its answer is due at once, if it is from the aggregator, but not without a pause
+			case <-t.wakeUp:
+				select { // what woke the goroutine may be the aggregator's answer, which is applied soon, but the pause bounds the number of steps
 				case <-ctx.Done():
 					return
 				case <-time.After(trackerInterval / 5):
@@ -156,76 +162,78 @@
 	}
 }
 
-// step reports evidence and updates the ejections; more: there is more to do.
-func (f *outlierTracker) step(ctx context.Context) (more bool) {
-	f.mu.Lock()
-	now := f.now()
-	said, _ := f.ejections.Assignment(now)
-	list := append(f.servers.TakeEvidence(now, said), f.callers.TakeEvidence(now, said)...)
-	members := f.shardSizes()
-	changes := f.ejections.Step(now, func(shard string) int { return members[shard] }, f.servers, f.callers)
-	more = f.servers.Suspected()+f.callers.Suspected() > 0 || !f.ejections.Quiet(now)
-	f.changesApplied += len(changes)
-	if len(list) > 0 {
-		f.reportsSent++
-	}
-	f.mu.Unlock()
+// step reports evidence and updates the ejections once. more reports whether another step is to follow.
+func (t *outlierTracker) step(ctx context.Context) (more bool) {
+	t.mu.Lock()
+	now := t.now()
+	assignment, _ := t.ejections.Assignment(now)
+	evidence := append(t.servers.TakeEvidence(now, assignment), t.callers.TakeEvidence(now, assignment)...)
+	shardSizes := t.shardSizes()
+	changes := t.ejections.Step(now, func(shard string) int { return shardSizes[shard] }, t.servers, t.callers)
+	more = t.servers.Suspected()+t.callers.Suspected() > 0 || !t.ejections.Quiet(now)
+	t.changesApplied += len(changes)
+	if len(evidence) > 0 {
+		t.reportsSent++
+	}
+	t.mu.Unlock()
 	if len(changes) > 0 {
-		f.proxy.applyEjections(changes)
+		t.proxy.applyEjections(changes)
 	}
-	if len(list) > 0 {
-		ask, cancel := context.WithTimeout(ctx, agentapi.EvidenceTimeout)
-		agentapi.ReportEvidenceCall.Ask(ask, f.proxy.client, f.proxy.settings.AgentAddr(), "", agentapi.EvidenceReport{Evidence: list}) // lost: there is more of it soon
+	if len(evidence) > 0 {
+		callCtx, cancel := context.WithTimeout(ctx, agentapi.EvidenceTimeout)
+		agentapi.ReportEvidenceCall.Ask(callCtx, t.proxy.client, t.proxy.settings.AgentAddr(), "", agentapi.EvidenceReport{Evidence: evidence}) // an error is ignored: the next report follows soon
 		cancel()
 	}
 	return more
 }
 
-// shardSizes counts the servers of each service, and the callers seen. The lock must be taken.
-func (f *outlierTracker) shardSizes() map[string]int {
-	out := map[string]int{outlier.Callers: f.callers.Members(outlier.Callers)}
-	for _, at := range f.placements {
-		out[at.service]++
+// shardSizes returns the number of servers of each service, and of the callers seen recently. The caller must
+// hold mu.
+func (t *outlierTracker) shardSizes() map[string]int {
+	sizes := map[string]int{outlier.Callers: t.callers.Members(outlier.Callers)}
+	for _, location := range t.locations {
+		sizes[location.service]++
 	}
-	return out
+	return sizes
 }
 
-// applyEjections puts changes in force: requests under way finish where they are.
-func (t *proxy) applyEjections(changes []outlier.Change) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	list := choice.List{Form: choice.Delta}
-	callers := false
-	for _, c := range changes {
-		if c.Known {
-			events.EjectionChanged.Log("member", c.Name, "times", fmt.Sprintf("%.1f", c.Ratio))
-		} else if c.Restored {
-			events.Restored.Log("member", c.Name, "shard", c.Shard)
+// applyEjections passes changes to the exchange and to the slow lane. Requests in progress stay with their
+// servers.
+func (p *proxy) applyEjections(changes []outlier.Change) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	update := choice.List{Form: choice.Delta}
+	callersChanged := false
+	for _, change := range changes {
+		if change.Known {
+			events.EjectionChanged.Log("member", change.Name, "times", fmt.Sprintf("%.1f", change.Ratio))
+		} else if change.Restored {
+			events.Restored.Log("member", change.Name, "shard", change.Shard)
 		} else {
-			events.Ejected.Log("member", c.Name, "shard", c.Shard, "times", fmt.Sprintf("%.1f", c.Ratio), "proxies", c.Reporters, "local_only", c.LocalOnly)
+			events.Ejected.Log("member", change.Name, "shard", change.Shard, "times", fmt.Sprintf("%.1f", change.Ratio), "proxies", change.Reporters, "local_only", change.LocalOnly)
 		}
-		if strings.HasPrefix(c.Name, agentapi.CallerPrefix) {
-			callers = true
+		if strings.HasPrefix(change.Name, agentapi.CallerPrefix) {
+			callersChanged = true
 			continue
 		}
-		if i, known := t.store.Get(registry.Prefix + c.Name); known && !i.Deleted() {
-			if row, _, ok := t.serverRow(i); ok {
-				list.Servers = append(list.Servers, row)
+		if entry, known := p.store.Get(registry.Prefix + change.Name); known && !entry.Deleted() {
+			if server, _, ok := p.convertServer(entry); ok {
+				update.Servers = append(update.Servers, server)
 			}
 		}
 	}
-	if len(list.Servers) > 0 {
-		t.exchange.UpdateServers(list)
+	if len(update.Servers) > 0 {
+		p.exchange.UpdateServers(update)
 	}
-	if callers {
-		apart := make(map[string]bool)
-		t.outliers.mu.Lock()
-		for _, a := range t.outliers.ejections.All() {
-			if name, is := strings.CutPrefix(a.Name, agentapi.CallerPrefix); is {
-				apart[name] = true
+	if callersChanged {
+		slow := make(map[string]bool)
+		p.outliers.mu.Lock()
+		for _, ejected := range p.outliers.ejections.All() {
+			if name, isCaller := strings.CutPrefix(ejected.Name, agentapi.CallerPrefix); isCaller {
+				slow[name] = true
 			}
 		}
-		t.outliers.mu.Unlock()
-		t.downstream.SlowLane.SetSlow(apart)
+		p.outliers.mu.Unlock()
+		p.downstream.SlowLane.SetSlow(slow)
 	}
 }
--- a/internal/node/proxy/proxy.go
+++ b/internal/node/proxy/proxy.go
@@ -1,8 +1,8 @@
-// Package proxy is the program that takes requests of clients: it joins the exchange and the
-// decisions of package choice with connections to clients and servers, and with the agent on its
-// machine, which feeds it servers and configurations. While the agent is away it goes on with what
-// it last had. It never asks another process while a request waits, and never goes back to an older
-// configuration.
+// Package proxy implements the program that serves the requests of clients. It connects the exchange and
+// the decisions of package choice to the connections of clients and servers, and to the agent on its
+// machine, which feeds it servers and configurations. While the agent is unreachable the proxy goes on
+// with the last servers and configuration that it got. It never calls another process while a request
+// waits for the result, and never returns to an older configuration.
 package proxy
 
 import (
@@ -33,26 +33,26 @@
 )
 
 const (
-	reservedDescriptors = 232 // descriptors that are not for connections
-	upstreamShare       = 4   // of the rest, one in so many is for servers
+	reservedDescriptors = 232 // file descriptors that are not used for connections
+	upstreamDivisor     = 4   // 1/upstreamDivisor of the other descriptors is for connections to servers
 	maxRequests         = 20_000
-	sendBufferBytes     = 64 << 10 // of answers, that the kernel keeps for a client that has not read them
-	feedRetryInterval   = 60 * time.Millisecond
-	countersInterval    = 30 * time.Second
-	confirmTimeout      = 60 * time.Second // until then an agent that started anew has learned all there is
-	budgetInterval      = 5 * time.Second  // beside updates: a share of the budget that was withheld is granted by then
-	tickMicroseconds    = 1000             // microseconds
+	sendBufferBytes     = 64 << 10              // send buffer in the kernel for responses that a client has not read
+	feedRetryInterval   = 60 * time.Millisecond // after a failed call of the feed
+	countersInterval    = 30 * time.Second      // between two log lines of the counters
+	confirmTimeout      = 60 * time.Second      // by then an agent that was restarted has learned all entries by gossip
+	budgetInterval      = 5 * time.Second       // the retry budget is also updated this often without a change, so that a withheld share is granted by then
+	resolutionMicros    = 1000                  // microseconds between two batches of decisions
 	maxAttempts         = 8
-	overdueBy           = 3.3 // times the upper quantile: second copies mostly leave the zone (docs/results/grown.md)
-	overdueMax          = 0.8 // of the latency target
-	minProxies          = 8   // taken for as long as fewer are known: a share of the budget too small does no harm
+	overdueMultiple     = 3.3 // times the upper quantile of the latency; more than the default since most hedges leave the zone (docs/results/grown.md)
+	overdueMaxShare     = 0.8 // a part is overdue after this share of the latency target at the latest
+	minProxies          = 8   // assumed number of proxies while fewer are known; too small a share of the budget does no harm
 )
 
-// agentKindJSON is how the entry of an agent begins to differ from that of other processes: the
-// kind as gossip.Process writes it.
+// agentKindJSON is the kind of an agent as gossip.Process encodes it. It occurs in the entries of agents
+// and in no other process's.
 const agentKindJSON = `"k":"` + gossip.KindAgent + `"`
 
-// proxy is one running proxy.
+// proxy is a running proxy.
 type proxy struct {
 	settings     *nodesettings.Settings
 	exchange     *exchange.Exchange
@@ -64,138 +64,137 @@
 	startedAt    time.Time
 	serverCount  atomic.Int64
 
-	maxClients  int // connections of clients
-	maxUpstream int // connections to servers
+	maxClients  int // limit for the connections of clients
+	maxUpstream int // limit for the connections to servers
 	stopping    atomic.Bool
 
-	mu             sync.Mutex // taken by the goroutine that follows the agent, and by show
+	mu             sync.Mutex // guards the fields below; taken by the goroutine that follows the agent, by maintain and by show
 	store          *gossip.Store
 	retryBudget    *quota.RetryBudget
 	proxyCount     int
 	retrySlack     float64
 	outliers       *outlierTracker
 	quotas         *quotaClient
-	maxConnections map[string]int // by service: connections that a server accepts
+	maxConnections map[string]int // limit for the connections to a server, by service
 
-	unconfirmed map[string]bool // keys that a restarted agent has not confirmed yet
-	confirmBy   time.Time       // from then on these count as deleted
+	unconfirmed map[string]bool // keys of entries; true: the restarted agent has not sent the entry yet
+	confirmBy   time.Time       // time from which unconfirmed entries are deleted
 }
 
-// exchangeSettings returns the settings of the exchange and of the decisions.
+// exchangeSettings returns the settings of the exchange and of its router.
 func exchangeSettings(bounds nodesettings.Bounds) settings.Settings {
 	return settings.Settings{MostHeld: maxRequests, Router: choice.Settings{
-		ClassesLater: true, Cells: httpserver.MaxShards, Width: 1, MaxPartsPerCall: 1, Resolution: tickMicroseconds, Cancel: true,
+		ClassesLater: true, Cells: httpserver.MaxShards, Width: 1, MaxPartsPerCall: 1, Resolution: resolutionMicros, Cancel: true,
 		ParallelAttempts: true, RetryAdvice: true, MaxRetryAfter: time.Second.Microseconds(), AttemptCap: maxAttempts,
 		Keepalive: (30 * time.Second).Microseconds(), DrainGrace: bounds.Drain.Microseconds() / 4,
 		Routers: minProxies, RetryBudget: true, RetryBudgetPerShard: true, RetryBudgetRatio: bounds.RetryRatio,
-		RetryBudgetMin: 0, RetryBudgetWindow: bounds.RetryWindow.Microseconds(), OverdueMultiple: overdueBy, OverdueMaxShare: overdueMax,
+		RetryBudgetMin: 0, RetryBudgetWindow: bounds.RetryWindow.Microseconds(), OverdueMultiple: overdueMultiple, OverdueMaxShare: overdueMaxShare,
 	}}
 }
 
-// newProxy joins the parts of a proxy. Nothing runs yet.
+// newProxy returns a proxy of which nothing runs yet.
 func newProxy(file *nodesettings.File) (*proxy, error) {
-	boot := file.Current()
-	x, err := exchange.New(uint64(time.Now().UnixNano()), exchangeSettings(boot.Bounds))
+	nodeSettings := file.Current()
+	engine, err := exchange.New(uint64(time.Now().UnixNano()), exchangeSettings(nodeSettings.Bounds))
 	if err != nil {
 		return nil, err
 	}
-	upstreamConnections := (boot.MaxOpenFiles - reservedDescriptors) / upstreamShare
-	t := &proxy{settings: boot, exchange: x, client: rpc.NewClient(time.Second), store: gossip.NewStore(), startedAt: time.Now(),
-		routes: &httpserver.Handler{Exchange: x}, upstream: httpclient.New(httpclient.Config{Exchange: x, MaxConns: upstreamConnections}),
-		maxConnections: make(map[string]int), maxClients: boot.MaxOpenFiles - reservedDescriptors - upstreamConnections,
-		maxUpstream: upstreamConnections}
-	t.retryBudget = quota.NewRetryBudget(0, quota.Config{Total: boot.Bounds.RetrySlack, Window: boot.Bounds.RetryWindow.Microseconds(),
-		MinProxies: minProxies, FirstStart: boot.Bootstrap})
-	t.outliers, t.quotas = newOutlierTracker(t), newQuotaClient(t)
-	t.routes.Allow = t.quotas.admit
-	lanes := &downstream.SlowLane{MaxConns: max(t.maxClients/slowLaneShare, 1)}
+	maxUpstream := (nodeSettings.MaxOpenFiles - reservedDescriptors) / upstreamDivisor
+	p := &proxy{settings: nodeSettings, exchange: engine, client: rpc.NewClient(time.Second), store: gossip.NewStore(), startedAt: time.Now(),
+		routes: &httpserver.Handler{Exchange: engine}, upstream: httpclient.New(httpclient.Config{Exchange: engine, MaxConns: maxUpstream}),
+		maxConnections: make(map[string]int), maxClients: nodeSettings.MaxOpenFiles - reservedDescriptors - maxUpstream,
+		maxUpstream: maxUpstream}
+	p.retryBudget = quota.NewRetryBudget(0, quota.Config{Total: nodeSettings.Bounds.RetrySlack, Window: nodeSettings.Bounds.RetryWindow.Microseconds(),
+		MinProxies: minProxies, FirstStart: nodeSettings.Bootstrap})
+	p.outliers, p.quotas = newOutlierTracker(p), newQuotaClient(p)
+	p.routes.Allow = p.quotas.admit
+	slowLane := &downstream.SlowLane{MaxConns: max(p.maxClients/slowLaneDivisor, 1)}
 	if !file.NoEjection {
-		x.OnAttemptEnd, lanes.Observe = t.outliers.recordAnswer, t.outliers.recordCaller
+		engine.OnAttemptEnd, slowLane.Observe = p.outliers.recordAnswer, p.outliers.recordCaller
 	}
-	t.downstream = downstream.New(downstream.Config{Exchange: x, Protocol: t.routes, MaxClients: t.maxClients,
-		Limits: httpserver.LimitsFrom(routeconfig.DefaultLimits), SlowLane: lanes})
-	return t, nil
+	p.downstream = downstream.New(downstream.Config{Exchange: engine, Protocol: p.routes, MaxClients: p.maxClients,
+		Limits: httpserver.LimitsFrom(routeconfig.DefaultLimits), SlowLane: slowLane})
+	return p, nil
 }
 
-// handleReadiness answers the platform: ready with a configuration and servers, until the
-// proxy stops.
-func (t *proxy) handleReadiness(w http.ResponseWriter, _ *http.Request) {
-	if t.stopping.Load() || t.routes.Plan() == nil || t.serverCount.Load() == 0 {
+// handleReadiness answers a readiness check of the platform. The proxy is ready from when it has a
+// configuration and at least one server until it stops.
+func (p *proxy) handleReadiness(w http.ResponseWriter, _ *http.Request) {
+	if p.stopping.Load() || p.routes.Plan() == nil || p.serverCount.Load() == 0 {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	io.WriteString(w, "ready\n")
 }
 
-// Run is the program: it serves until ctx ends, and then for as long as the grace period
-// allows.
+// Run runs a proxy until ctx ends, and then drains it within the grace period.
 func Run(ctx context.Context, file *nodesettings.File) error {
-	t, err := newProxy(file)
+	p, err := newProxy(file)
 	if err != nil {
 		return err
 	}
-	front, err := transport.Listen(ctx, t.settings.Downstream)
+	clientListener, err := transport.Listen(ctx, p.settings.Downstream)
 	if err != nil {
 		return err
 	}
-	transport.LimitSendBuffer(front, sendBufferBytes)
-	readiness, err := transport.Listen(ctx, t.settings.Readiness)
+	transport.LimitSendBuffer(clientListener, sendBufferBytes)
+	readinessListener, err := transport.Listen(ctx, p.settings.Readiness)
 	if err != nil {
 		return err
 	}
-	running, end := context.WithCancel(context.Background())
-	defer end()
+	runCtx, stop := context.WithCancel(context.Background())
+	defer stop()
 	stopExchange := make(chan struct{})
 	defer close(stopExchange)
-	go t.exchange.Run(t.upstream, stopExchange)
-	t.runInBackground(running, file)
-	show, err := transport.Listen(ctx, admin.ShowAddr(admin.Proxy, t.settings))
+	go p.exchange.Run(p.upstream, stopExchange)
+	p.runInBackground(runCtx, file)
+	showListener, err := transport.Listen(ctx, admin.ShowAddr(admin.Proxy, p.settings))
 	if err != nil {
 		return err
 	}
 	failed := make(chan error, 3)
-	go func() { failed <- rpc.Serve(running, show, t.showHandler(), 0) }()
-	go func() { failed <- rpc.Serve(running, readiness, t.readinessHandler(), 0) }()
+	go func() { failed <- rpc.Serve(runCtx, showListener, p.showHandler(), 0) }()
+	go func() { failed <- rpc.Serve(runCtx, readinessListener, p.readinessHandler(), 0) }()
 	go func() {
-		if err := t.downstream.Serve(front); err != nil {
+		if err := p.downstream.Serve(clientListener); err != nil {
 			failed <- err
 		}
 	}()
-	events.Started.Log("program", admin.Proxy, "name", t.settings.Name, "front", t.settings.Downstream, "clients", t.maxClients, "leaves", t.maxUpstream)
-	if err := t.maintain(ctx, failed); err != nil {
+	events.Started.Log("program", admin.Proxy, "name", p.settings.Name, "front", p.settings.Downstream, "clients", p.maxClients, "leaves", p.maxUpstream)
+	if err := p.maintain(ctx, failed); err != nil {
 		return err
 	}
-	t.stopping.Store(true)
-	t.shutDown(front, file.Current().Bounds.Grace)
+	p.stopping.Store(true)
+	p.shutDown(clientListener, file.Current().Bounds.Grace)
 	return nil
 }
 
-// runInBackground starts what runs beside the clients' connections until ctx ends.
-func (t *proxy) runInBackground(ctx context.Context, file *nodesettings.File) {
-	go t.upstream.Run(ctx)
-	go t.followAgent(ctx)
-	go t.quotas.run(ctx)
+// runInBackground starts the goroutines that don't serve clients. They run until ctx ends.
+func (p *proxy) runInBackground(ctx context.Context, file *nodesettings.File) {
+	go p.upstream.Run(ctx)
+	go p.followAgent(ctx)
+	go p.quotas.run(ctx)
 	if !file.NoEjection {
-		go t.outliers.run(ctx)
+		go p.outliers.run(ctx)
 	}
 	go file.Watch(ctx)
 }
 
-func (t *proxy) readinessHandler() http.Handler {
+func (p *proxy) readinessHandler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /readiness", t.handleReadiness)
+	mux.HandleFunc("GET /readiness", p.handleReadiness)
 	return mux
 }
 
-func (t *proxy) showHandler() http.Handler {
+func (p *proxy) showHandler() http.Handler {
 	mux := http.NewServeMux()
-	admin.RegisterShow(mux, admin.Proxy, t.settings.Name, t.startedAt, t.tables)
-	admin.RegisterExplain(mux, admin.Proxy, t.settings.Name, t.startedAt, t.explain)
+	admin.RegisterShow(mux, admin.Proxy, p.settings.Name, p.startedAt, p.tables)
+	admin.RegisterExplain(mux, admin.Proxy, p.settings.Name, p.startedAt, p.explain)
 	return mux
 }
 
-// maintain does what is due periodically until ctx ends, or a listener fails.
-func (t *proxy) maintain(ctx context.Context, failed <-chan error) error {
+// maintain does the periodic work until ctx ends or a listener fails. It returns the listener's error.
+func (p *proxy) maintain(ctx context.Context, failed <-chan error) error {
 	counters := time.NewTicker(countersInterval)
 	defer counters.Stop()
 	budget := time.NewTicker(budgetInterval)
@@ -207,27 +206,27 @@
 		case err := <-failed:
 			return err
 		case <-budget.C:
-			t.mu.Lock()
-			t.dropUnconfirmed()
-			t.updateBudget()
-			t.mu.Unlock()
+			p.mu.Lock()
+			p.dropUnconfirmed()
+			p.updateBudget()
+			p.mu.Unlock()
 		case <-counters.C:
-			events.Counters.Log("c", t.exchange.Counters.String(), "unrouted", t.routes.Unrouted.Load())
+			events.Counters.Log("c", p.exchange.Counters.String(), "unrouted", p.routes.Unrouted.Load())
 		}
 	}
 }
 
-// followAgent applies what the agent sends for as long as the proxy lives.
-func (t *proxy) followAgent(ctx context.Context) {
-	f, away := agentapi.FeedRequest{}, false
+// followAgent calls the agent's feed and applies the responses until ctx ends.
+func (p *proxy) followAgent(ctx context.Context) {
+	request, unreachable := agentapi.FeedRequest{}, false
 	for ctx.Err() == nil {
-		ask, cancel := context.WithTimeout(ctx, agentapi.FeedWait+5*time.Second)
-		stored, _ := t.store.Get(agentapi.ConfigurationKey)
-		f.ConfigVersion = stored.Version
-		ans, err := agentapi.FeedCall.Ask(ask, t.client, t.settings.AgentAddr(), "", f)
+		callCtx, cancel := context.WithTimeout(ctx, agentapi.FeedWait+5*time.Second)
+		configuration, _ := p.store.Get(agentapi.ConfigurationKey)
+		request.ConfigVersion = configuration.Version
+		response, err := agentapi.FeedCall.Ask(callCtx, p.client, p.settings.AgentAddr(), "", request)
 		cancel()
-		if err != nil && ctx.Err() == nil && !away {
-			away = true
+		if err != nil && ctx.Err() == nil && !unreachable {
+			unreachable = true
 			events.AgentAway.Log("err", err)
 		}
 		if err != nil {
@@ -237,156 +236,163 @@
 			}
 			continue
 		}
-		if away {
-			away = false
+		if unreachable {
+			unreachable = false
 			events.AgentBack.Log()
 		}
-		t.applyFeed(ans.Entries, ans.Incarnation != f.Incarnation)
-		f = agentapi.FeedRequest{Incarnation: ans.Incarnation, Since: ans.Seq}
-		if ans.WantConfig {
-			f.Entries = t.store.GetAll([]string{agentapi.ConfigurationKey})
+		p.applyFeed(response.Entries, response.Incarnation != request.Incarnation)
+		request = agentapi.FeedRequest{Incarnation: response.Incarnation, Since: response.Seq}
+		if response.WantConfig {
+			request.Entries = p.store.GetAll([]string{agentapi.ConfigurationKey})
 		}
 	}
 }
 
-// applyFeed puts entries in force. anew: they are all that a restarted agent knows.
-func (t *proxy) applyFeed(items []gossip.Entry, anew bool) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if anew {
-		t.unconfirmed, t.confirmBy = make(map[string]bool), time.Now().Add(confirmTimeout)
-		t.store.Range(func(i gossip.Entry, _ int64) { t.unconfirmed[i.Key] = i.Key != agentapi.ConfigurationKey })
+// applyFeed applies the entries of a response of the feed. If agentRestarted is true the response is the
+// first of a new incarnation of the agent and contains all entries that this incarnation has.
+func (p *proxy) applyFeed(entries []gossip.Entry, agentRestarted bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if agentRestarted {
+		p.unconfirmed, p.confirmBy = make(map[string]bool), time.Now().Add(confirmTimeout)
+		p.store.Range(func(entry gossip.Entry, _ int64) { p.unconfirmed[entry.Key] = entry.Key != agentapi.ConfigurationKey })
 	}
-	for _, i := range items {
-		delete(t.unconfirmed, i.Key)
+	for _, entry := range entries {
+		delete(p.unconfirmed, entry.Key)
 	}
-	t.applyEntries(items)
+	p.applyEntries(entries)
 }
 
-// dropUnconfirmed removes what a restarted agent has not confirmed: that it was deleted may
-// have been gossiped while there was no agent. mu must be locked.
-func (t *proxy) dropUnconfirmed() {
-	now := time.Since(t.startedAt).Microseconds()
-	t.store.PurgeTombstones(now)
-	if len(t.unconfirmed) == 0 || time.Now().Before(t.confirmBy) {
+// dropUnconfirmed deletes the entries that a restarted agent has not sent by confirmBy: their deletion may
+// have been gossiped while there was no agent. The caller must hold mu.
+func (p *proxy) dropUnconfirmed() {
+	now := time.Since(p.startedAt).Microseconds()
+	p.store.PurgeTombstones(now)
+	if len(p.unconfirmed) == 0 || time.Now().Before(p.confirmBy) {
 		return
 	}
-	var gone []gossip.Entry
-	for key, is := range t.unconfirmed {
-		if stored, known := t.store.Get(key); known && is && !stored.Deleted() {
-			gone = append(gone, gossip.Entry{Key: key, Version: stored.Version + 1})
+	var deletions []gossip.Entry
+	for key, unconfirmed := range p.unconfirmed {
+		if stored, known := p.store.Get(key); known && unconfirmed && !stored.Deleted() {
+			deletions = append(deletions, gossip.Entry{Key: key, Version: stored.Version + 1})
 		}
 	}
-	t.unconfirmed = nil
-	t.applyEntries(gone)
-	for _, i := range gone {
-		t.store.Remove(i.Key) // if the agent sends it after all, it counts
+	p.unconfirmed = nil
+	p.applyEntries(deletions)
+	for _, entry := range deletions {
+		p.store.Remove(entry.Key) // without a tombstone, so that the entry is accepted if the agent sends it after all
 	}
 }
 
-// applyEntries puts entries in force. mu must be locked.
-func (t *proxy) applyEntries(items []gossip.Entry) {
-	list := choice.List{Form: choice.Delta}
-	var servers []httpclient.Server
-	now := time.Since(t.startedAt).Microseconds()
-	for _, i := range items {
-		if !t.store.Put(now, i, 1, false) {
+// applyEntries stores entries and applies those that are newer than the stored ones. The caller must hold
+// mu.
+func (p *proxy) applyEntries(entries []gossip.Entry) {
+	update := choice.List{Form: choice.Delta}
+	var upstreamServers []httpclient.Server
+	now := time.Since(p.startedAt).Microseconds()
+	for _, entry := range entries {
+		if !p.store.Put(now, entry, 1, false) {
 			continue
 		}
 		switch {
-		case i.Key == agentapi.ConfigurationKey:
-			t.applyConfiguration(i)
-		case i.Key == agentapi.EjectionsKey:
-			t.outliers.applyAssignment(i)
-		case strings.HasPrefix(i.Key, registry.Prefix):
-			row, s, ok := t.serverRow(i)
+		case entry.Key == agentapi.ConfigurationKey:
+			p.applyConfiguration(entry)
+		case entry.Key == agentapi.EjectionsKey:
+			p.outliers.applyAssignment(entry)
+		case strings.HasPrefix(entry.Key, registry.Prefix):
+			server, upstreamServer, ok := p.convertServer(entry)
 			if ok {
-				list.Servers = append(list.Servers, row)
-				servers = append(servers, s)
+				update.Servers = append(update.Servers, server)
+				upstreamServers = append(upstreamServers, upstreamServer)
 			}
 		}
 	}
-	t.store.TakePending() // nothing is passed on from here
-	t.updateBudget()
-	if len(servers) > 0 {
-		events.ServersChanged.Log("servers", len(servers))
-		t.upstream.UpdateServers(servers)
-		t.exchange.UpdateServers(list)
+	p.store.TakePending() // a proxy does not gossip
+	p.updateBudget()
+	if len(upstreamServers) > 0 {
+		events.ServersChanged.Log("servers", len(upstreamServers))
+		p.upstream.UpdateServers(upstreamServers)
+		p.exchange.UpdateServers(update)
 	}
 }
 
-func (t *proxy) applyConfiguration(i gossip.Entry) {
-	c, err := routeconfig.Parse(i.Value)
-	var p *httpserver.Plan
+// applyConfiguration puts the configuration of an entry in force. If it is invalid the old one stays. The
+// caller must hold mu.
+func (p *proxy) applyConfiguration(entry gossip.Entry) {
+	config, err := routeconfig.Parse(entry.Value)
+	var plan *httpserver.Plan
 	if err == nil {
-		p, err = httpserver.NewPlan(c, &t.shardNumbers)
+		plan, err = httpserver.NewPlan(config, &p.shardNumbers)
 	}
 	if err != nil {
-		events.ConfigUnusable.Log("rank", i.Version, "err", err)
+		events.ConfigUnusable.Log("rank", entry.Version, "err", err)
 		return
 	}
-	for name, s := range c.Services {
-		t.maxConnections[name] = s.MaxConnections
+	for name, service := range config.Services {
+		p.maxConnections[name] = service.MaxConnections
 	}
-	t.quotas.setAllowances(c)
-	t.exchange.UpdateClasses(p.Classes)
-	t.routes.SetPlan(p)
-	t.downstream.SetLimits(httpserver.LimitsFrom(c.Limits))
-	events.ConfigInForce.Log("revision", c.Revision, "routes", len(c.Routes), "services", len(c.Services), "classes", len(p.Classes))
+	p.quotas.setAllowances(config)
+	p.exchange.UpdateClasses(plan.Classes)
+	p.routes.SetPlan(plan)
+	p.downstream.SetLimits(httpserver.LimitsFrom(config.Limits))
+	events.ConfigInForce.Log("revision", config.Revision, "routes", len(config.Routes), "services", len(config.Services), "classes", len(plan.Classes))
 }
 
-func (t *proxy) serverRow(i gossip.Entry) (choice.Server, httpclient.Server, bool) {
-	s, err := registry.Parse(i)
+// convertServer converts the entry of a server for the router and for the upstream pool; false: the entry
+// can't be used. The caller must hold mu.
+func (p *proxy) convertServer(entry gossip.Entry) (choice.Server, httpclient.Server, bool) {
+	registered, err := registry.Parse(entry)
 	if err != nil {
 		return choice.Server{}, httpclient.Server{}, false
 	}
-	row := choice.Server{ID: s.ID, Zone: s.Zone, Kind: s.Revision, Scale: max(s.Capacity, 1), State: choice.Gone}
-	if i.Deleted() {
-		t.outliers.setPlacement(s.ID, "", 0, true)
-		return row, httpclient.Server{ID: s.ID, Gone: true}, true
+	server := choice.Server{ID: registered.ID, Zone: registered.Zone, Kind: registered.Revision, Scale: max(registered.Capacity, 1), State: choice.Gone}
+	if entry.Deleted() {
+		p.outliers.setLocation(registered.ID, "", 0, true)
+		return server, httpclient.Server{ID: registered.ID, Gone: true}, true
 	}
-	n, err := t.shardNumbers.Of(s.Service)
+	cell, err := p.shardNumbers.Of(registered.Service)
 	if err != nil {
-		return row, httpclient.Server{}, false
+		return server, httpclient.Server{}, false
 	}
-	row.Cell, row.Far = n, t.distance(s.Zone)
-	t.outliers.setPlacement(s.ID, s.Service, row.Far, false)
-	row.Slow = t.outliers.ejectedRatio(s.ID)
-	switch s.State {
+	server.Cell, server.Far = cell, p.distance(registered.Zone)
+	p.outliers.setLocation(registered.ID, registered.Service, server.Far, false)
+	server.Slow = p.outliers.ejectedRatio(registered.ID)
+	switch registered.State {
 	case registry.Available:
-		row.State = choice.Ready
+		server.State = choice.Ready
 	case registry.Draining:
-		row.State = choice.Draining
+		server.State = choice.Draining
 	}
-	most := 0
-	if m := t.maxConnections[s.Service]; m > 0 {
-		most = max(m/max(t.proxyCount, minProxies), 2)
+	maxConns := 0
+	if limit := p.maxConnections[registered.Service]; limit > 0 {
+		maxConns = max(limit/max(p.proxyCount, minProxies), 2)
 	}
-	return row, httpclient.Server{ID: s.ID, Addr: s.Addr, MaxConns: most}, true
+	return server, httpclient.Server{ID: registered.ID, Addr: registered.Addr, MaxConns: maxConns}, true
 }
 
-// distance returns how expensive the way to a zone is, see nodesettings.Distance.
-func (t *proxy) distance(zone string) int {
-	return nodesettings.Distance(zone, t.settings.Regions[zone], t.settings.Zone, t.settings.Region)
+// distance returns the distance from this proxy's zone to another one, see nodesettings.Distance.
+func (p *proxy) distance(zone string) int {
+	return nodesettings.Distance(zone, p.settings.Regions[zone], p.settings.Zone, p.settings.Region)
 }
 
-// updateBudget sets how many proxies there are, and counts servers.
-func (t *proxy) updateBudget() {
-	routers, servers := 0, int64(0)
-	t.store.RangeSorted(func(i gossip.Entry) {
+// updateBudget counts the servers and the proxies, and passes the number of proxies and this proxy's share
+// of the retry budget to the quotas and the exchange. The caller must hold mu.
+func (p *proxy) updateBudget() {
+	proxies, servers := 0, int64(0)
+	p.store.RangeSorted(func(entry gossip.Entry) {
 		switch {
-		case i.Deleted():
-		case strings.HasPrefix(i.Key, registry.Prefix):
+		case entry.Deleted():
+		case strings.HasPrefix(entry.Key, registry.Prefix):
 			servers++
-		case strings.HasPrefix(i.Key, gossip.ProcessPrefix) && strings.Contains(string(i.Value), agentKindJSON):
-			routers++
+		case strings.HasPrefix(entry.Key, gossip.ProcessPrefix) && strings.Contains(string(entry.Value), agentKindJSON):
+			proxies++
 		}
 	})
-	t.serverCount.Store(servers)
-	t.quotas.setProxies(routers)
-	spare := t.retryBudget.Share(time.Since(t.startedAt).Microseconds(), routers)
-	if routers = max(routers, minProxies); routers != t.proxyCount || spare != t.retrySlack {
-		t.proxyCount, t.retrySlack = routers, spare
-		t.exchange.UpdateTier(choice.Tier{Routers: routers, RetryBudgetMin: spare})
+	p.serverCount.Store(servers)
+	p.quotas.setProxies(proxies)
+	retrySlack := p.retryBudget.Share(time.Since(p.startedAt).Microseconds(), proxies)
+	if proxies = max(proxies, minProxies); proxies != p.proxyCount || retrySlack != p.retrySlack {
+		p.proxyCount, p.retrySlack = proxies, retrySlack
+		p.exchange.UpdateTier(choice.Tier{Routers: proxies, RetryBudgetMin: retrySlack})
 	}
 }
--- a/internal/node/proxy/quota.go
+++ b/internal/node/proxy/quota.go
@@ -12,65 +12,68 @@
 )
 
 const (
-	claimTimeout      = 700 * time.Millisecond // less than lies between two claims
-	claimPollInterval = 100 * time.Millisecond // between looks whether a claim is due
+	claimTimeout      = 700 * time.Millisecond // shorter than the time between two claims
+	claimPollInterval = 100 * time.Millisecond // between two checks whether a claim is due
 )
 
-// quotaClient is a proxy's part in allowances.
+// quotaClient is the proxy's part in allowances: it claims leases by way of the agent and admits requests
+// by them.
 type quotaClient struct {
 	proxy         *proxy
-	mu            sync.Mutex // the clients' goroutines and the one that claims
+	mu            sync.Mutex // guards the fields below, for the clients' goroutines and the one that claims
 	holder        *quota.Holder
 	hasAllowances bool
 	wake          chan struct{}
 }
 
-func newQuotaClient(t *proxy) *quotaClient {
-	return &quotaClient{proxy: t, holder: quota.NewHolder(quota.DefaultLeaseConfig), wake: make(chan struct{}, 1)}
+func newQuotaClient(p *proxy) *quotaClient {
+	return &quotaClient{proxy: p, holder: quota.NewHolder(quota.DefaultLeaseConfig), wake: make(chan struct{}, 1)}
 }
 
-func (k *quotaClient) now() int64 { return time.Since(k.proxy.startedAt).Microseconds() }
+func (q *quotaClient) now() int64 { return time.Since(q.proxy.startedAt).Microseconds() }
 
-// setAllowances sets the allowances of the configuration in force.
-func (k *quotaClient) setAllowances(c *routeconfig.Config) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	list := agentapi.AllowancesOf(c)
-	k.holder.SetAllowances(k.now(), list)
-	if k.hasAllowances = len(list) > 0; k.hasAllowances {
+// setAllowances replaces the allowances by those of a configuration.
+func (q *quotaClient) setAllowances(config *routeconfig.Config) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	allowances := agentapi.AllowancesOf(config)
+	q.holder.SetAllowances(q.now(), allowances)
+	if q.hasAllowances = len(allowances) > 0; q.hasAllowances {
 		select {
-		case k.wake <- struct{}{}:
+		case q.wake <- struct{}{}:
 		default:
 		}
 	}
 }
 
-func (k *quotaClient) setProxies(n int) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.holder.SetProxies(n)
+// setProxies sets the number of proxies, this one included.
+func (q *quotaClient) setProxies(n int) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.holder.SetProxies(n)
 }
 
-// admit takes a request off an allowance.
-func (k *quotaClient) admit(name string) (bool, time.Duration) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	ok, after := k.holder.Admit(k.now(), name)
+// admit charges one request to an allowance. If the allowance is used up admit returns false and the time
+// after which a request may be admitted.
+func (q *quotaClient) admit(name string) (bool, time.Duration) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	ok, retryAfter := q.holder.Admit(q.now(), name)
 	if !ok {
-		events.AllowanceUsedUp.Log("allowance", name, "after", time.Duration(after*1000).Round(time.Millisecond))
+		events.AllowanceUsedUp.Log("allowance", name, "after", time.Duration(retryAfter*1000).Round(time.Millisecond))
 	}
-	return ok, time.Duration(after) * time.Microsecond
+	return ok, time.Duration(retryAfter) * time.Microsecond
 }
 
-// run claims leases until ctx ends. It rests while the configuration has no allowances.
-func (k *quotaClient) run(ctx context.Context) {
+// run claims leases until ctx ends. It sleeps while the configuration has no allowances.
+func (q *quotaClient) run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-k.wake:
+		case <-q.wake:
 		}
-		for k.claim(ctx) {
+		for q.claim(ctx) {
 			select {
 			case <-ctx.Done():
 				return
@@ -80,22 +83,23 @@
 	}
 }
 
-func (k *quotaClient) claim(ctx context.Context) (more bool) {
-	k.mu.Lock()
-	sent := k.now()
-	list := k.holder.TakeClaims(sent)
-	more = k.hasAllowances
-	k.mu.Unlock()
-	if len(list) == 0 {
+// claim sends the claims that are due, if there are any. more reports whether there are allowances.
+func (q *quotaClient) claim(ctx context.Context) (more bool) {
+	q.mu.Lock()
+	sent := q.now()
+	claims := q.holder.TakeClaims(sent)
+	more = q.hasAllowances
+	q.mu.Unlock()
+	if len(claims) == 0 {
 		return more
 	}
-	ask, cancel := context.WithTimeout(ctx, claimTimeout)
-	ans, err := agentapi.ClaimCall.Ask(ask, k.proxy.client, k.proxy.settings.AgentAddr(), "", agentapi.ClaimRequest{Claims: list})
+	callCtx, cancel := context.WithTimeout(ctx, claimTimeout)
+	response, err := agentapi.ClaimCall.Ask(callCtx, q.proxy.client, q.proxy.settings.AgentAddr(), "", agentapi.ClaimRequest{Claims: claims})
 	cancel()
-	if err == nil { // otherwise the lease runs out, and the unleased share is left
-		k.mu.Lock()
-		k.holder.HandleGrants(k.now(), sent, ans.Grants)
-		k.mu.Unlock()
+	if err == nil { // otherwise the lease runs out, and only the unleased share is left
+		q.mu.Lock()
+		q.holder.HandleGrants(q.now(), sent, response.Grants)
+		q.mu.Unlock()
 	}
 	return more
 }
--- a/internal/node/proxy/show.go
+++ b/internal/node/proxy/show.go
@@ -16,124 +16,126 @@
 	"saddleport/internal/node/rpc"
 )
 
-// table shows the allowances.
-func (k *quotaClient) table() admin.Table {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	t := admin.Table{Title: "allowance", Columns: []string{"allowance", "stated, a second", "burst", "share here, a second", "for", "at once", "admitted here", "refused here"}}
-	for _, h := range k.holder.Status(k.now()) {
+// table returns the table of the allowances.
+func (q *quotaClient) table() admin.Table {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	table := admin.Table{Title: "allowance", Columns: []string{"allowance", "rate per second", "burst", "rate per second here", "for", "available now", "admitted here", "refused here"}}
+	for _, status := range q.holder.Status(q.now()) {
 		lease := "no lease: its part of the floor"
-		if h.Lease > 0 {
-			lease = admin.FormatAge(h.Lease)
+		if status.Lease > 0 {
+			lease = admin.FormatAge(status.Lease)
 		}
-		t.Rows = append(t.Rows, []string{h.Name, fmt.Sprint(h.Allowance.Rate), fmt.Sprint(h.Burst), fmt.Sprintf("%.2f", h.Rate), lease,
-			fmt.Sprintf("%.1f", h.Level), fmt.Sprint(h.Admitted), fmt.Sprint(h.Refused)})
+		table.Rows = append(table.Rows, []string{status.Name, fmt.Sprint(status.Allowance.Rate), fmt.Sprint(status.Burst), fmt.Sprintf("%.2f", status.Rate), lease,
+			fmt.Sprintf("%.1f", status.Level), fmt.Sprint(status.Admitted), fmt.Sprint(status.Refused)})
 	}
-	return t
+	return table
 }
 
-func (t *proxy) tables(context.Context) ([]admin.Table, error) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+// tables returns the tables of the routes, counters, ejections, allowances and entries.
+func (p *proxy) tables(context.Context) ([]admin.Table, error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	routes := admin.Table{Title: "routes: no configuration yet", Columns: []string{"host", "prefix", "kind", "target ms", "timeout ms", "attempts", "to"}}
-	if p := t.routes.Plan(); p != nil {
-		c := p.Config
-		routes.Title = fmt.Sprintf("routes of version %d (%d, of %d classes)", c.Revision, len(c.Routes), len(p.Classes))
-		for _, r := range c.Routes {
-			kind, to := "once", make([]string, 0, 1)
-			if r.Idempotent {
+	if plan := p.routes.Plan(); plan != nil {
+		config := plan.Config
+		routes.Title = fmt.Sprintf("routes of version %d (%d, of %d classes)", config.Revision, len(config.Routes), len(plan.Classes))
+		for _, route := range config.Routes {
+			kind, targets := "once", make([]string, 0, 1)
+			if route.Idempotent {
 				kind = "repeatable"
 			}
-			for _, b := range r.Backends {
-				to = append(to, fmt.Sprintf("%s:%g", b.Service, b.Weight))
+			for _, backend := range route.Backends {
+				targets = append(targets, fmt.Sprintf("%s:%g", backend.Service, backend.Weight))
 			}
-			if len(r.FanoutServices) > 0 {
-				kind = fmt.Sprintf("gathered, top %d of %g", r.ResultLimit, r.MinSuccessRatio)
-				to = r.FanoutServices
+			if len(route.FanoutServices) > 0 {
+				kind = fmt.Sprintf("gathered, top %d of %g", route.ResultLimit, route.MinSuccessRatio)
+				targets = route.FanoutServices
 			}
-			routes.Rows = append(routes.Rows, []string{r.Host, r.Prefix, kind, fmt.Sprint(r.TargetLatency.Milliseconds()),
-				fmt.Sprint(r.Timeout.Milliseconds()), fmt.Sprint(r.MaxAttempts), strings.Join(to, " ")})
+			routes.Rows = append(routes.Rows, []string{route.Host, route.Prefix, kind, fmt.Sprint(route.TargetLatency.Milliseconds()),
+				fmt.Sprint(route.Timeout.Milliseconds()), fmt.Sprint(route.MaxAttempts), strings.Join(targets, " ")})
 		}
 	}
-	count := admin.Table{Title: "counters", Columns: []string{"counter", "since the start"}}
-	for pair := range strings.FieldsSeq(t.exchange.Counters.String()) {
+	counters := admin.Table{Title: "counters", Columns: []string{"counter", "since the start"}}
+	for pair := range strings.FieldsSeq(p.exchange.Counters.String()) {
 		name, value, _ := strings.Cut(pair, "=")
-		count.Rows = append(count.Rows, []string{name, value})
+		counters.Rows = append(counters.Rows, []string{name, value})
 	}
-	count.Rows = append(count.Rows, []string{"unrouted_requests", fmt.Sprint(t.routes.Unrouted.Load())})
-	tier := admin.Table{Title: "tier", Columns: []string{"proxies known", "of the retry slack"},
-		Rows: [][]string{{fmt.Sprint(t.proxyCount), fmt.Sprint(t.retrySlack)}}}
-	return append(append([]admin.Table{routes, tier, count}, append(t.outliers.table(), t.quotas.table())...), peer.StoreTables(t.store)...), nil
+	counters.Rows = append(counters.Rows, []string{"unrouted_requests", fmt.Sprint(p.routes.Unrouted.Load())})
+	tier := admin.Table{Title: "tier", Columns: []string{"proxies known", "share of the retry slack"},
+		Rows: [][]string{{fmt.Sprint(p.proxyCount), fmt.Sprint(p.retrySlack)}}}
+	return append(append([]admin.Table{routes, tier, counters}, append(p.outliers.table(), p.quotas.table())...), peer.StoreTables(p.store)...), nil
 }
 
-func evidence(a outlier.EjectedHere) string {
-	if a.LocalOnly {
+// evidence describes what an ejection is based on.
+func evidence(ejected outlier.EjectedHere) string {
+	if ejected.LocalOnly {
 		return "this proxy alone"
 	}
-	return fmt.Sprintf("%d proxies, %d samples", a.Reporters, a.Samples)
+	return fmt.Sprintf("%d proxies, %d samples", ejected.Reporters, ejected.Samples)
 }
 
-// table shows the ejected members.
-func (f *outlierTracker) table() []admin.Table {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	now := f.now()
-	t := admin.Table{Title: "ejections: members", Columns: []string{"member", "shard", "times slow", "for", "on the evidence of"}}
-	for _, a := range f.ejections.All() {
-		t.Rows = append(t.Rows, []string{a.Name, a.Shard, fmt.Sprintf("%.1f", a.Ratio), admin.FormatAge(now - a.Since), evidence(a)})
+// table returns the tables of the ejected members and of the tracker.
+func (t *outlierTracker) table() []admin.Table {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	now := t.now()
+	members := admin.Table{Title: "ejections: members", Columns: []string{"member", "shard", "slowdown factor", "for", "evidence"}}
+	for _, ejected := range t.ejections.All() {
+		members.Rows = append(members.Rows, []string{ejected.Name, ejected.Shard, fmt.Sprintf("%.1f", ejected.Ratio), admin.FormatAge(now - ejected.Since), evidence(ejected)})
 	}
-	assignment, counts := f.ejections.Assignment(now)
-	publisher := "not heard of for over " + time.Duration(outlier.DefaultConfig.AssignmentLifetime*1000).String() + ": own evidence alone counts"
+	assignment, counts := t.ejections.Assignment(now)
+	publisher := "no assignment for over " + time.Duration(outlier.DefaultConfig.AssignmentLifetime*1000).String() + ": only local evidence counts"
 	if counts {
 		publisher = assignment.By
 	}
-	lanes := f.proxy.downstream.SlowLane
+	slowLane := t.proxy.downstream.SlowLane
 	state := admin.Table{Title: "ejections: state", Columns: []string{"published by", "requested", "suspected here", "changes", "reports sent", "in the slow lane", "rejected there"},
-		Rows: [][]string{{publisher, fmt.Sprint(len(assignment.Requested)), fmt.Sprint(f.servers.Suspected() + f.callers.Suspected()), fmt.Sprint(f.changesApplied), fmt.Sprint(f.reportsSent),
-			fmt.Sprintf("%d of %d", lanes.InUse(), lanes.MaxConns), fmt.Sprint(lanes.Rejected.Load())}}}
-	return []admin.Table{t, state}
+		Rows: [][]string{{publisher, fmt.Sprint(len(assignment.Requested)), fmt.Sprint(t.servers.Suspected() + t.callers.Suspected()), fmt.Sprint(t.changesApplied), fmt.Sprint(t.reportsSent),
+			fmt.Sprintf("%d of %d", slowLane.InUse(), slowLane.MaxConns), fmt.Sprint(slowLane.Rejected.Load())}}}
+	return []admin.Table{members, state}
 }
 
-// explain shows what the proxy knows of one server or caller.
-func (t *proxy) explain(about string) ([]admin.Table, error) {
-	t.mu.Lock()
-	i, listed := t.store.Get(registry.Prefix + about)
-	t.mu.Unlock()
-	f := t.outliers
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	now := f.now()
-	name, watch := about, f.servers
+// explain returns tables of what the proxy knows about a server, by its id, or a caller, by its address.
+func (p *proxy) explain(about string) ([]admin.Table, error) {
+	p.mu.Lock()
+	entry, listed := p.store.Get(registry.Prefix + about)
+	p.mu.Unlock()
+	tracker := p.outliers
+	tracker.mu.Lock()
+	defer tracker.mu.Unlock()
+	now := tracker.now()
+	name, observer := about, tracker.servers
 	if net.ParseIP(strings.TrimPrefix(about, agentapi.CallerPrefix)) != nil {
-		name, watch = agentapi.CallerPrefix+strings.TrimPrefix(about, agentapi.CallerPrefix), f.callers
+		name, observer = agentapi.CallerPrefix+strings.TrimPrefix(about, agentapi.CallerPrefix), tracker.callers
 	}
-	own, seen := watch.Describe(now, name)
+	local, seen := observer.Describe(now, name)
 	if !seen && !listed {
-		return nil, rpc.Fail(http.StatusNotFound, "%s: no server or caller that was heard of here", about)
+		return nil, rpc.Fail(http.StatusNotFound, "%s is not a known server or caller", about)
 	}
-	is := "in use"
-	switch ratio := f.ejections.Ratio(name); {
+	state := "in use"
+	switch ratio := tracker.ejections.Ratio(name); {
 	case ratio > 0:
-		is = "outlier: ejected"
-	case own.SuspectedFor > 0:
-		is = "suspected"
+		state = "outlier: ejected"
+	case local.SuspectedFor > 0:
+		state = "suspected"
 	}
-	what := admin.Table{Title: name, Columns: []string{"is", "shard", "last samples", "times its peers' middle", "score", "doubted for"},
-		Rows: [][]string{{is, own.Shard, fmt.Sprint(own.Samples), fmt.Sprintf("%.1f", own.Middle), fmt.Sprintf("%.1f", own.Score), admin.FormatAge(own.SuspectedFor)}}}
-	rule := admin.Table{Title: "by which rule", Rows: [][]string{{fmt.Sprintf("suspected here from score %g; ejected from %g of all proxies together, or locally from %g after %s",
+	member := admin.Table{Title: name, Columns: []string{"is", "shard", "last samples", "ratio to peers' median", "score", "suspected for"},
+		Rows: [][]string{{state, local.Shard, fmt.Sprint(local.Samples), fmt.Sprintf("%.1f", local.Middle), fmt.Sprintf("%.1f", local.Score), admin.FormatAge(local.SuspectedFor)}}}
+	rule := admin.Table{Title: "rule", Rows: [][]string{{fmt.Sprintf("suspected here from score %g; ejected from score %g of all proxies together, or locally from %g after %s",
 		outlier.DefaultConfig.SuspectScore, outlier.DefaultConfig.EjectScore, outlier.DefaultConfig.EjectScore*outlier.DefaultConfig.LocalScoreFactor, admin.FormatAge(outlier.DefaultConfig.LocalEjectDelay))}}}
-	out := []admin.Table{what, rule}
-	for _, a := range f.ejections.All() {
-		if a.Name == name {
-			out = append(out, admin.Table{Title: "set apart", Columns: []string{"times slow", "for", "on the evidence of"},
-				Rows: [][]string{{fmt.Sprintf("%.1f", a.Ratio), admin.FormatAge(now - a.Since), evidence(a)}}})
+	tables := []admin.Table{member, rule}
+	for _, ejected := range tracker.ejections.All() {
+		if ejected.Name == name {
+			tables = append(tables, admin.Table{Title: "ejection", Columns: []string{"slowdown factor", "for", "evidence"},
+				Rows: [][]string{{fmt.Sprintf("%.1f", ejected.Ratio), admin.FormatAge(now - ejected.Since), evidence(ejected)}}})
 		}
 	}
 	if listed {
-		if s, err := registry.Parse(i); err == nil {
-			out = append(out, admin.Table{Title: "as it is listed", Columns: []string{"service", "address", "zone", "state", "heard by"},
-				Rows: [][]string{{s.Service, s.Addr, s.Zone, s.State.String(), s.Owner}}})
+		if registered, err := registry.Parse(entry); err == nil {
+			tables = append(tables, admin.Table{Title: "registry entry", Columns: []string{"service", "address", "zone", "state", "heartbeats received by"},
+				Rows: [][]string{{registered.Service, registered.Addr, registered.Zone, registered.State.String(), registered.Owner}}})
 		}
 	}
-	return out, nil
+	return tables, nil
 }
--- a/internal/node/proxy/shutdown.go
+++ b/internal/node/proxy/shutdown.go
@@ -8,48 +8,49 @@
 )
 
 const (
-	readyDrainTime = 2500 * time.Millisecond // until the platform has seen that this proxy is not ready
-	refuseAfter    = 2800 * time.Millisecond // from then on a request might not be finished within the grace
-	graceShare     = 2                       // both within one part in so many of the grace
-	graceEndMargin = 700 * time.Millisecond  // before the grace is over
-	answerMargin   = 200 * time.Millisecond  // for the last answers to be written
-	idleCloseDelay = 100 * time.Millisecond  // for a request that is under way on an idle connection
-	quietPeriod    = 300 * time.Millisecond  // without a request, after which nobody is taken to come
+	notReadyPeriod = 2500 * time.Millisecond // by then the platform has noticed that this proxy is not ready
+	rejectAfter    = 2800 * time.Millisecond // after that a new request might not be finished within the grace period
+	graceDivisor   = 2                       // both are at most 1/graceDivisor of the grace period
+	graceEndMargin = 700 * time.Millisecond  // requests that are in progress this long before the end of the grace period are expired
+	answerMargin   = 200 * time.Millisecond  // for the last responses to be written
+	idleCloseDelay = 100 * time.Millisecond  // for a request that is already under way on an idle connection
+	quietPeriod    = 300 * time.Millisecond  // if no request comes for this long, no more are expected
 	pollInterval   = 20 * time.Millisecond
 )
 
-// shutDown ends the proxy in order: it serves until the platform sends no clients any more,
-// then each answer closes its connection, then requests are rejected, and those still in
-// progress shortly before the grace period is over are answered as if they had timed out.
-func (t *proxy) shutDown(ln net.Listener, grace time.Duration) {
-	begun := time.Now()
-	over := begun.Add(grace - graceEndMargin)
-	events.Stopping.Log("open", t.exchange.Open())
-	t.downstream.MarkNotReady()
-	sleepUntil(begun.Add(min(readyDrainTime, grace/graceShare)))
-	t.downstream.CloseAfterResponses()
-	refuseAt := begun.Add(min(refuseAfter, grace/graceShare))
-	for time.Now().Before(over) && (t.exchange.Open() > 0 || !t.downstream.QuietFor(quietPeriod)) {
-		if time.Now().After(refuseAt) {
-			t.downstream.RejectRequests()
+// shutDown drains the proxy. It serves as before until the platform sends no more clients, then closes each
+// connection after a response, then rejects new requests. Requests that are still in progress graceEndMargin
+// before the end of the grace period are answered as if they had timed out.
+func (p *proxy) shutDown(clientListener net.Listener, grace time.Duration) {
+	begin := time.Now()
+	deadline := begin.Add(grace - graceEndMargin)
+	events.Stopping.Log("open", p.exchange.Open())
+	p.downstream.MarkNotReady()
+	sleepUntil(begin.Add(min(notReadyPeriod, grace/graceDivisor)))
+	p.downstream.CloseAfterResponses()
+	rejectAt := begin.Add(min(rejectAfter, grace/graceDivisor))
+	for time.Now().Before(deadline) && (p.exchange.Open() > 0 || !p.downstream.QuietFor(quietPeriod)) {
+		if time.Now().After(rejectAt) {
+			p.downstream.RejectRequests()
 		}
-		t.downstream.CloseIdle(idleCloseDelay)
+		p.downstream.CloseIdle(idleCloseDelay)
 		time.Sleep(pollInterval)
 	}
-	t.downstream.RejectRequests()
-	ln.Close()
-	t.endRemaining(over)
+	p.downstream.RejectRequests()
+	clientListener.Close()
+	p.endRemaining(deadline)
 }
 
-// endRemaining waits for the last connections, and ends those that last too long.
-func (t *proxy) endRemaining(over time.Time) {
-	for cut := false; t.downstream.Clients() > 0 && time.Now().Before(over.Add(answerMargin)); {
-		if !cut && !time.Now().Before(over) {
-			cut = true
-			events.CutShort.Log("open", t.exchange.Open())
-			t.downstream.ExpireRequests()
+// endRemaining waits for the last connections to end. At the deadline it expires the requests in progress,
+// and answerMargin later it returns.
+func (p *proxy) endRemaining(deadline time.Time) {
+	for expired := false; p.downstream.Clients() > 0 && time.Now().Before(deadline.Add(answerMargin)); {
+		if !expired && !time.Now().Before(deadline) {
+			expired = true
+			events.CutShort.Log("open", p.exchange.Open())
+			p.downstream.ExpireRequests()
 		}
-		t.downstream.CloseIdle(idleCloseDelay)
+		p.downstream.CloseIdle(idleCloseDelay)
 		time.Sleep(pollInterval)
 	}
 }
