--- a/internal/node/cli/cli.go
+++ b/internal/node/cli/cli.go
@@ -1,6 +1,5 @@
-// Package cli holds what the system's programs have in common: their command lines, logs,
-// signals and resource limits. What a single program does stands in its own package below
-// internal/node.
+// Package cli implements what the system's programs have in common: their command lines, signals and
+// resource limits. Each program has a package of its own below internal/node.
 package cli
 
 import (
@@ -26,29 +25,29 @@
 type Program struct {
 	Name, Short string
 	Run         func(context.Context, *nodesettings.File) error
-	GCPercent   int    // as of debug.SetGCPercent
-	OldName     string // still accepted for one version
+	GCPercent   int    // argument of debug.SetGCPercent
+	OldName     string // accepted for one more release
 }
 
 // The programs.
 var (
 	Proxy = Program{Name: admin.Proxy, OldName: "tide", Run: proxy.Run, GCPercent: 100,
-		Short: "the proxy: takes requests of clients and answers them"}
+		Short: "the proxy: serves the requests of clients"}
 	Agent = Program{Name: admin.Agent, OldName: "echo", Run: agent.Run, GCPercent: 50,
-		Short: "the agent beside a proxy: keeps the link to the control plane"}
+		Short: "the agent beside a proxy: connects it to the control plane"}
 	ControlPlane = Program{Name: admin.ControlPlane, OldName: "keel", Run: controlplane.Run, GCPercent: 50,
-		Short: "a control-plane process: takes heartbeats and configurations"}
+		Short: "a control-plane process: accepts heartbeats and configurations"}
 )
 
-// memoryLimitShare is the share of the process's memory limit from which on the garbage
-// collector works harder.
+// memoryLimitShare is the share of the process's memory limit that is the Go runtime's soft limit: above it
+// the garbage collector runs more often.
 const memoryLimitShare = 0.6
 
-// Main runs a program's command line.
+// Main runs the command line of a program and exits with status 1 if that fails.
 func Main(p Program) {
-	signal.Ignore(syscall.SIGHUP) // it would end the process until the settings file is watched
+	signal.Ignore(syscall.SIGHUP) // otherwise a SIGHUP that comes before the settings file is watched would end the process
 	root := &cobra.Command{Use: p.Name, Short: p.Short, SilenceUsage: true, SilenceErrors: true}
-	file := root.PersistentFlags().String("settings", os.Getenv(nodesettings.PathVariable), "the settings file; "+nodesettings.PathVariable+" names it too")
+	file := root.PersistentFlags().String("settings", os.Getenv(nodesettings.PathVariable), "the settings file; the environment variable "+nodesettings.PathVariable+" names the default")
 	root.AddCommand(runCommand(p, file), checkSettings(file), show(p.Name, file), version(p.Name))
 	if p.Name != ControlPlane.Name {
 		root.AddCommand(explain(p.Name, file))
@@ -59,15 +58,15 @@
 	}
 }
 
-// MainUnderOldName runs a program that was started under its old name, and says so.
+// MainUnderOldName prints a warning and runs a program that was started under its old name.
 func MainUnderOldName(p Program) {
 	WarnOldName(p.OldName, p.Name)
 	Main(p)
 }
 
-// WarnOldName says on standard error that a program has another name now.
+// WarnOldName prints on standard error that a program was renamed.
 func WarnOldName(old, name string) {
-	fmt.Fprintf(os.Stderr, "%s: this program is called %s now; the old name goes with the next version\n", old, name)
+	fmt.Fprintf(os.Stderr, "%s: this program was renamed to %s; the old name will be removed in the next version\n", old, name)
 }
 
 func runCommand(p Program, file *string) *cobra.Command {
@@ -89,14 +88,14 @@
 		return nil
 	}}
 	if p.Name == Proxy.Name {
-		run.Flags().BoolVar(&noEjection, "no-ejection", false, "eject no server or caller for being slow")
+		run.Flags().BoolVar(&noEjection, "no-ejection", false, "do not eject slow servers and callers")
 		run.Flags().BoolVar(&noEjection, "alike", false, "")
 		run.Flags().MarkDeprecated("alike", "use --no-ejection")
 	}
 	return run
 }
 
-// setRuntimeLimits fits the Go runtime to a machine of one processor and little memory.
+// setRuntimeLimits configures the Go runtime for a machine with one processor and little memory.
 func setRuntimeLimits(gcPercent, memoryMB int) {
 	runtime.GOMAXPROCS(1)
 	debug.SetGCPercent(gcPercent)
--- a/internal/node/cli/commands.go
+++ b/internal/node/cli/commands.go
@@ -20,110 +20,111 @@
 	"saddleport/internal/node/rpc"
 )
 
-// What may be missing on a command line.
+// Errors of command lines.
 var (
-	ErrNoSettings = errors.New("no settings file: name one, or set " + nodesettings.PathVariable)
-	ErrNoAddress  = errors.New("where does it answer? Name --settings FILE or --addr HOST:PORT, or set " + nodesettings.PathVariable)
-	ErrNoTable    = errors.New("no table begins with")
+	ErrNoSettings = errors.New("no settings file given: use --settings FILE or set " + nodesettings.PathVariable)
+	ErrNoAddress  = errors.New("no address given: use --addr HOST:PORT or --settings FILE, or set " + nodesettings.PathVariable)
+	ErrNoTable    = errors.New("no table has a title that begins with")
 )
 
-const showTimeout = 3 * time.Second
+const showTimeout = 3 * time.Second // of a call of show or explain
 
 func checkSettings(file *string) *cobra.Command {
 	return &cobra.Command{Use: "check [FILE]", Short: "Check a settings file; errors name the line or path", Args: cobra.MaximumNArgs(1),
-		RunE: func(c *cobra.Command, args []string) error {
-			name := *file
+		RunE: func(command *cobra.Command, args []string) error {
+			path := *file
 			if len(args) > 0 {
-				name = args[0]
+				path = args[0]
 			}
-			if name == "" {
+			if path == "" {
 				return ErrNoSettings
 			}
-			b, err := nodesettings.Load(name)
+			settings, err := nodesettings.Load(path)
 			if err != nil {
 				return err
 			}
-			fmt.Fprintf(c.OutOrStdout(), "%s: good: %s on a %s machine in %s, %d seeds, %d machines may be lost at once\n", name, b.Name, b.Role, b.Zone, len(b.Seeds), b.FaultTolerance)
+			fmt.Fprintf(command.OutOrStdout(), "%s: good: %s on a %s machine in %s, %d seeds, tolerates the loss of %d machines at once\n", path, settings.Name, settings.Role, settings.Zone, len(settings.Seeds), settings.FaultTolerance)
 			return nil
 		}}
 }
 
 func checkConfig() *cobra.Command {
 	return &cobra.Command{Use: "config FILE", Short: "Check a configuration; errors name the path", Args: cobra.ExactArgs(1),
-		RunE: func(c *cobra.Command, args []string) error {
+		RunE: func(command *cobra.Command, args []string) error {
 			raw, err := os.ReadFile(args[0])
 			if err != nil {
 				return err
 			}
-			ch, err := routeconfig.Parse(raw)
+			config, err := routeconfig.Parse(raw)
 			if err != nil {
 				return fmt.Errorf("%s: %w", args[0], err)
 			}
-			gathered := 0
-			for _, r := range ch.Routes {
-				if len(r.FanoutServices) > 0 {
-					gathered++
+			fanout := 0
+			for _, route := range config.Routes {
+				if len(route.FanoutServices) > 0 {
+					fanout++
 				}
 			}
-			fmt.Fprintf(c.OutOrStdout(), "%s: good: version %d, %d routes (%d gathered), %d services, %d allowances\n", args[0], ch.Revision, len(ch.Routes), gathered, len(ch.Services), len(ch.Allowances))
+			fmt.Fprintf(command.OutOrStdout(), "%s: good: version %d, %d routes (%d with fan-out), %d services, %d allowances\n", args[0], config.Revision, len(config.Routes), fanout, len(config.Services), len(config.Allowances))
 			return nil
 		}}
 }
 
-// ask asks a running process, where its settings or a flag say, and prints the answer.
-func ask(c *cobra.Command, program, file, addr string, asJSON bool, what func(ctx context.Context, via *rpc.Client, addr string) (admin.Shown, error)) error {
+// query calls a running process at addr, or, if addr is empty, at the address in its settings file, and
+// prints the answer.
+func query(command *cobra.Command, program, file, addr string, asJSON bool, call func(ctx context.Context, client *rpc.Client, addr string) (admin.Shown, error)) error {
 	if addr == "" && file == "" {
 		return ErrNoAddress
 	}
 	if addr == "" {
-		b, err := nodesettings.Load(file)
+		settings, err := nodesettings.Load(file)
 		if err != nil {
-			return fmt.Errorf("%w (or name --addr HOST:PORT)", err)
+			return fmt.Errorf("%w (or use --addr HOST:PORT)", err)
 		}
-		addr = admin.ShowAddr(program, b)
+		addr = admin.ShowAddr(program, settings)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), showTimeout)
 	defer cancel()
-	s, err := what(ctx, rpc.NewClient(time.Second), addr)
+	shown, err := call(ctx, rpc.NewClient(time.Second), addr)
 	if err != nil {
 		return err
 	}
 	if asJSON {
-		e := json.NewEncoder(c.OutOrStdout())
-		e.SetIndent("", "  ")
-		return e.Encode(s)
+		encoder := json.NewEncoder(command.OutOrStdout())
+		encoder.SetIndent("", "  ")
+		return encoder.Encode(shown)
 	}
-	fmt.Fprint(c.OutOrStdout(), s.Text())
+	fmt.Fprint(command.OutOrStdout(), shown.Text())
 	return nil
 }
 
 func show(program string, file *string) *cobra.Command {
 	var addr string
 	var asJSON bool
-	cmd := &cobra.Command{Use: "show [TABLE]", Short: "Show what the running " + program + " holds: routes, servers, groups, view, versions", Args: cobra.MaximumNArgs(1),
-		Long: "Show what the running " + program + " holds. TABLE leaves the tables whose titles begin so, as in: show groups",
-		RunE: func(c *cobra.Command, args []string) error {
-			return ask(c, program, *file, addr, asJSON, func(ctx context.Context, via *rpc.Client, addr string) (admin.Shown, error) {
-				s, err := admin.ShowCall.Ask(ctx, via, addr, "", nil)
+	cmd := &cobra.Command{Use: "show [TABLE]", Short: "Show the state of the running " + program + ": routes, servers, ejections, view, versions", Args: cobra.MaximumNArgs(1),
+		Long: "Show the state of the running " + program + ". With TABLE only the tables whose titles begin with it are shown, as in: show ejections",
+		RunE: func(command *cobra.Command, args []string) error {
+			return query(command, program, *file, addr, asJSON, func(ctx context.Context, client *rpc.Client, addr string) (admin.Shown, error) {
+				shown, err := admin.ShowCall.Ask(ctx, client, addr, "", nil)
 				if err != nil || len(args) == 0 {
-					return s, err
+					return shown, err
 				}
 				var titles []string
-				all := s.Tables
-				s.Tables = nil
-				for _, t := range all {
-					if strings.HasPrefix(t.Title, args[0]) {
-						s.Tables = append(s.Tables, t)
+				tables := shown.Tables
+				shown.Tables = nil
+				for _, table := range tables {
+					if strings.HasPrefix(table.Title, args[0]) {
+						shown.Tables = append(shown.Tables, table)
 					}
-					titles = append(titles, t.Title)
+					titles = append(titles, table.Title)
 				}
-				if len(s.Tables) == 0 {
-					return s, fmt.Errorf("%w %q; there are: %s", ErrNoTable, args[0], strings.Join(titles, "; "))
+				if len(shown.Tables) == 0 {
+					return shown, fmt.Errorf("%w %q; the titles are: %s", ErrNoTable, args[0], strings.Join(titles, "; "))
 				}
-				return s, nil
+				return shown, nil
 			})
 		}}
-	cmd.Flags().StringVar(&addr, "addr", "", "where it answers; else as its settings file says")
+	cmd.Flags().StringVar(&addr, "addr", "", "address of the process; default: as in its settings file")
 	cmd.Flags().BoolVar(&asJSON, "json", false, "as JSON")
 	return cmd
 }
@@ -131,37 +132,37 @@
 func explain(program string, file *string) *cobra.Command {
 	var addr string
 	var asJSON bool
-	cmd := &cobra.Command{Use: "explain NAME", Short: "Tell what the running " + program + " knows of one server (its id) or caller (its address): in use, suspected or ejected, and why", Args: cobra.ExactArgs(1),
-		RunE: func(c *cobra.Command, args []string) error {
-			return ask(c, program, *file, addr, asJSON, func(ctx context.Context, via *rpc.Client, addr string) (admin.Shown, error) {
-				return admin.ExplainCall.Ask(ctx, via, addr, url.PathEscape(args[0]), nil)
+	cmd := &cobra.Command{Use: "explain NAME", Short: "Explain whether the running " + program + " uses, suspects or has ejected a server (by its id) or caller (by its address), and why", Args: cobra.ExactArgs(1),
+		RunE: func(command *cobra.Command, args []string) error {
+			return query(command, program, *file, addr, asJSON, func(ctx context.Context, client *rpc.Client, addr string) (admin.Shown, error) {
+				return admin.ExplainCall.Ask(ctx, client, addr, url.PathEscape(args[0]), nil)
 			})
 		}}
-	cmd.Flags().StringVar(&addr, "addr", "", "where it answers; else as its settings file says")
+	cmd.Flags().StringVar(&addr, "addr", "", "address of the process; default: as in its settings file")
 	cmd.Flags().BoolVar(&asJSON, "json", false, "as JSON")
 	return cmd
 }
 
 func version(program string) *cobra.Command {
-	return &cobra.Command{Use: "version", Short: "Tell the build", Args: cobra.NoArgs, Run: func(c *cobra.Command, _ []string) {
-		text := "unknown build"
+	return &cobra.Command{Use: "version", Short: "Print the build", Args: cobra.NoArgs, Run: func(command *cobra.Command, _ []string) {
+		build := "unknown build"
 		if info, ok := debug.ReadBuildInfo(); ok {
-			text = info.GoVersion
-			for _, s := range info.Settings {
-				if s.Key == "vcs.revision" || s.Key == "vcs.modified" {
-					text += " " + s.Key + "=" + s.Value
+			build = info.GoVersion
+			for _, setting := range info.Settings {
+				if setting.Key == "vcs.revision" || setting.Key == "vcs.modified" {
+					build += " " + setting.Key + "=" + setting.Value
 				}
 			}
 		}
-		fmt.Fprintln(c.OutOrStdout(), program, text)
+		fmt.Fprintln(command.OutOrStdout(), program, build)
 	}}
 }
 
-// Toolbox returns the command line of saddlectl: checks of files, and looks at running
+// Toolbox returns the command line of saddlectl, with the commands that check files and inspect running
 // processes.
 func Toolbox() *cobra.Command {
-	root := &cobra.Command{Use: "saddlectl", Short: "the toolbox of the system: checks, and looks at running processes", SilenceUsage: true, SilenceErrors: true}
-	file := root.PersistentFlags().String("settings", os.Getenv(nodesettings.PathVariable), "a settings file; "+nodesettings.PathVariable+" names it too")
+	root := &cobra.Command{Use: "saddlectl", Short: "the toolbox of the system: checks files and inspects running processes", SilenceUsage: true, SilenceErrors: true}
+	file := root.PersistentFlags().String("settings", os.Getenv(nodesettings.PathVariable), "a settings file; the environment variable "+nodesettings.PathVariable+" names the default")
 	root.AddCommand(checkCommand(file), showCommand(file), explainCommand(file), version("saddlectl"),
 		page("events", "Print the catalogue of events", events.Page), page("calls", "Print the table of calls", rpc.Page))
 	return root
@@ -176,31 +177,31 @@
 }
 
 func showCommand(file *string) *cobra.Command {
-	all := &cobra.Command{Use: "show", Short: "Show what a running process holds"}
+	command := &cobra.Command{Use: "show", Short: "Show the state of a running process"}
 	for _, p := range []Program{Proxy, Agent, ControlPlane} {
-		named := show(p.Name, file)
-		named.Use = p.Name + " [TABLE]"
-		old := show(p.Name, file)
-		old.Use, old.Deprecated = p.OldName+" [TABLE]", "use show "+p.Name
-		all.AddCommand(named, old)
+		current := show(p.Name, file)
+		current.Use = p.Name + " [TABLE]"
+		deprecated := show(p.Name, file)
+		deprecated.Use, deprecated.Deprecated = p.OldName+" [TABLE]", "use show "+p.Name
+		command.AddCommand(current, deprecated)
 	}
-	return all
+	return command
 }
 
 func explainCommand(file *string) *cobra.Command {
-	all := &cobra.Command{Use: "explain", Short: "Tell what a running process knows of one server or caller"}
+	command := &cobra.Command{Use: "explain", Short: "Explain the state of a server or caller in a running process"}
 	for _, p := range []Program{Proxy, Agent} {
-		named := explain(p.Name, file)
-		named.Use = p.Name + " NAME"
-		old := explain(p.Name, file)
-		old.Use, old.Deprecated = p.OldName+" NAME", "use explain "+p.Name
-		all.AddCommand(named, old)
+		current := explain(p.Name, file)
+		current.Use = p.Name + " NAME"
+		deprecated := explain(p.Name, file)
+		deprecated.Use, deprecated.Deprecated = p.OldName+" NAME", "use explain "+p.Name
+		command.AddCommand(current, deprecated)
 	}
-	return all
+	return command
 }
 
-// page makes a command that prints a page of the operators' documentation.
+// page returns a command that prints a page of the operators' documentation.
 func page(name, short string, text func() string) *cobra.Command {
 	return &cobra.Command{Use: name, Short: short, Args: cobra.NoArgs,
-		Run: func(c *cobra.Command, _ []string) { fmt.Fprint(c.OutOrStdout(), text()) }}
+		Run: func(command *cobra.Command, _ []string) { fmt.Fprint(command.OutOrStdout(), text()) }}
 }
--- a/internal/node/cli/pages_test.go
+++ b/internal/node/cli/pages_test.go
@@ -12,9 +12,9 @@
 	"saddleport/internal/node/rpc"
 )
 
-// The operators' pages are printed by the code, and held to it.
+// The operators' pages of events and calls are generated; they must not differ from what the code prints.
 func TestPages(t *testing.T) {
-	Convey("The pages of events and calls are what the code prints", t, func() {
+	Convey("The pages of events and calls are those that the code prints", t, func() {
 		for name, page := range map[string]string{"events.md": events.Page(), "calls.md": rpc.Page()} {
 			text, err := os.ReadFile(filepath.Join("../../../docs/operate", name))
 			So(err, ShouldBeNil)
@@ -23,40 +23,41 @@
 	})
 }
 
+// run runs saddlectl with arguments and returns its output.
 func run(args ...string) (string, error) {
 	var out bytes.Buffer
-	c := Toolbox()
-	c.SetOut(&out)
-	c.SetErr(&out)
-	c.SetArgs(args)
-	err := c.Execute()
+	root := Toolbox()
+	root.SetOut(&out)
+	root.SetErr(&out)
+	root.SetArgs(args)
+	err := root.Execute()
 	return out.String(), err
 }
 
-// What people type, right and wrong.
+// Valid files are accepted; errors name the line, path or flag that is wrong or missing.
 func TestToolbox(t *testing.T) {
-	Convey("Files are checked", t, func() {
+	Convey("saddlectl checks files", t, func() {
 		dir := t.TempDir()
-		put := func(name, text string) string {
-			at := filepath.Join(dir, name)
-			So(os.WriteFile(at, []byte(text), 0o600), ShouldBeNil)
-			return at
+		writeFile := func(name, text string) string {
+			path := filepath.Join(dir, name)
+			So(os.WriteFile(path, []byte(text), 0o600), ShouldBeNil)
+			return path
 		}
-		boot := "node_name=n\nip_address=10.0.0.1\ninternal_port_range=7000,7010\nseed_addresses=10.0.0.2:80\nnew.field=x\n"
-		out, err := run("check", "settings", put("good", boot))
+		settings := "node_name=n\nip_address=10.0.0.1\ninternal_port_range=7000,7010\nseed_addresses=10.0.0.2:80\nnew.field=x\n"
+		out, err := run("check", "settings", writeFile("good", settings))
 		So(err, ShouldBeNil)
 		So(out, ShouldContainSubstring, "good: n")
-		for bad, says := range map[string]string{"ip_address=10.0.0.1": "node_name: is missing", "x": "line 1",
-			boot + "limits.memory_mb=many": "limits.memory_mb", boot + "seed_addresses=nowhere": "seed_addresses[0]",
+		for invalid, message := range map[string]string{"ip_address=10.0.0.1": "node_name: is missing", "x": "line 1",
+			settings + "limits.memory_mb=many": "limits.memory_mb", settings + "seed_addresses=nowhere": "seed_addresses[0]",
 			"node_name=n\nip_address=x\ninternal_port_range=7000,7010": "ip_address", "node_name=n\nip_address=1.1.1.1\ninternal_port_range=9": "internal_port_range"} {
-			_, err := run("check", "settings", put("bad", bad))
+			_, err := run("check", "settings", writeFile("bad", invalid))
 			So(err, ShouldNotBeNil)
-			So(err.Error(), ShouldContainSubstring, says)
+			So(err.Error(), ShouldContainSubstring, message)
 		}
-		out, err = run("check", "config", put("c.json", `{"revision":3,"routes":[],"services":[]}`))
+		out, err = run("check", "config", writeFile("c.json", `{"revision":3,"routes":[],"services":[]}`))
 		So(err, ShouldBeNil)
 		So(out, ShouldContainSubstring, "version 3, 0 routes")
-		_, err = run("check", "config", put("d.json", `{"revision":3,"routes":[{}],"services":[]}`))
+		_, err = run("check", "config", writeFile("d.json", `{"revision":3,"routes":[{}],"services":[]}`))
 		So(err.Error(), ShouldContainSubstring, "routes[0].hostname: is missing")
 		_, err = run("check", "settings", filepath.Join(dir, "none"))
 		So(err, ShouldNotBeNil)
