--- a/internal/node/fleettest/doc.go
+++ b/internal/node/fleettest/doc.go
@@ -1,3 +1,3 @@
-// Package fleettest tests complete fleets: control-plane machines, agents and proxies in one
-// process, each machine at a loopback address of its own. It has no code of its own.
+// Package fleettest tests complete fleets: control-plane processes, agents and proxies that run in the test's
+// process, each machine at a loopback address of its own. The package has only tests.
 package fleettest
