--- a/internal/compat/doc.go
+++ b/internal/compat/doc.go
@@ -1,5 +1,5 @@
-// Package compat holds the fixtures of everything that saddleport stores or sends between
-// its own processes, taken from the release before the packages were renamed. Its tests
-// read each fixture with the current code and require that the same bytes are written
-// again. The package has no code of its own.
+// Package compat tests that saddleport reads and writes what an earlier release stored or sent between its
+// processes. The fixtures were written by the release before the packages were renamed. The tests decode each
+// fixture with the current code and require that encoding it again gives the same bytes. The package has only
+// tests.
 package compat
--- a/internal/compat/fill_test.go
+++ b/internal/compat/fill_test.go
@@ -10,8 +10,8 @@
 	"saddleport/internal/cluster/outlier"
 )
 
-// fill sets every field of a value by its JSON name, so that the result does not depend on
-// the names or the order of the Go fields.
+// fill sets every field of a value to a value derived from the field's JSON name, so that the result doesn't
+// depend on the names or the order of the Go fields.
 func fill(t *testing.T, v reflect.Value, name string) {
 	t.Helper()
 	if v.CanAddr() && fillSpecial(t, v) {
@@ -53,11 +53,11 @@
 	case reflect.Uint64:
 		v.SetUint(uint64(number(name)))
 	default:
-		t.Fatalf("%s: no filler for %s", name, v.Type())
+		t.Fatalf("%s: fill does not support the type %s", name, v.Type())
 	}
 }
 
-// fillSpecial sets the values that write their own JSON.
+// fillSpecial sets a value whose type encodes its own JSON, and reports whether v is one.
 func fillSpecial(t *testing.T, v reflect.Value) bool {
 	t.Helper()
 	var text string
@@ -75,6 +75,7 @@
 	return true
 }
 
+// number returns a number from 1 to 1000 that depends on a name alone.
 func number(name string) int64 {
 	hash := fnv.New32a()
 	hash.Write([]byte(name))
--- a/internal/compat/storage_test.go
+++ b/internal/compat/storage_test.go
@@ -19,31 +19,31 @@
 	"saddleport/internal/node/storage"
 )
 
-// The data directories are those of three control-plane machines of the release before. The
-// first was killed after revisions 3 and 7, the others went on without it in a new view,
-// took 12 and 20, and were killed in turn.
+// The data directories were written by three control-plane machines of the earlier release. Machine 1 was
+// killed after revisions 3 and 7. Machines 2 and 3 went on in a new view, accepted revisions 12 and 20, and
+// were killed in turn.
 func TestDataDirectories(t *testing.T) {
 	for machine, want := range map[int]struct {
 		revision uint64
 		epoch    uint64
-		servers  int // that sent their heartbeats to this machine when it last looked
+		servers  int // servers that sent heartbeats to this machine when it last stored them
 	}{1: {7, 1, 0}, 2: {20, 2, 2}, 3: {20, 2, 0}} {
 		t.Run(fmt.Sprint(machine), func(t *testing.T) {
 			store := openCopy(t, machine)
-			state := get(t, store, "pact")
+			state := mustGet(t, store, "pact")
 			record, err := replica.DecodeState(state)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if again := replica.EncodeState(record); !bytes.Equal(again, state) {
-				t.Errorf("the state is written as %s; was %s", again, state)
+			if encoded := replica.EncodeState(record); !bytes.Equal(encoded, state) {
+				t.Errorf("the state is encoded as %s; want %s", encoded, state)
 			}
 			if record.State.View.Epoch != want.epoch || record.State.View.Check() != nil {
 				t.Errorf("the view is %+v; want epoch %d", record.State.View, want.epoch)
 			}
 			for _, key := range []string{"entry", "known"} {
 				var entry chain.Entry
-				unchanged(t, get(t, store, key), &entry)
+				checkRoundTrip(t, mustGet(t, store, key), &entry)
 				if got := chain.RevisionOf(entry.Version); got != want.revision {
 					t.Errorf("%s: revision %d; want %d", key, got, want.revision)
 				}
@@ -52,15 +52,15 @@
 				}
 			}
 			var servers []gossip.Entry
-			unchanged(t, get(t, store, "servers"), &servers)
+			checkRoundTrip(t, mustGet(t, store, "servers"), &servers)
 			if len(servers) != want.servers {
-				t.Errorf("%d servers are remembered; want %d", len(servers), want.servers)
+				t.Errorf("%d servers are stored; want %d", len(servers), want.servers)
 			}
 		})
 	}
 }
 
-// Settings, a configuration and the operator file are read as before.
+// A settings file and a configuration of the earlier release are parsed as that release did.
 func TestFiles(t *testing.T) {
 	settings, err := nodesettings.Load(filepath.Join("testdata", "settings.conf"))
 	if err != nil {
@@ -100,7 +100,7 @@
 	return store
 }
 
-func get(t *testing.T, store *storage.Store, key string) []byte {
+func mustGet(t *testing.T, store *storage.Store, key string) []byte {
 	t.Helper()
 	value, err := store.Get(key)
 	if err != nil || value == nil {
@@ -109,33 +109,33 @@
 	return value
 }
 
-// unchanged reads a value into a type and requires that it is written back byte for byte.
-func unchanged(t *testing.T, text []byte, into any) {
+// checkRoundTrip decodes JSON into value and requires that encoding value gives the same bytes.
+func checkRoundTrip(t *testing.T, encoded []byte, value any) {
 	t.Helper()
-	if err := json.Unmarshal(text, into); err != nil {
+	if err := json.Unmarshal(encoded, value); err != nil {
 		t.Fatal(err)
 	}
-	if again, err := json.Marshal(into); err != nil || !bytes.Equal(again, text) {
-		t.Errorf("written as %s, %v; was %s", again, err, text)
+	if rewritten, err := json.Marshal(value); err != nil || !bytes.Equal(rewritten, encoded) {
+		t.Errorf("encoded as %s, %v; want %s", rewritten, err, encoded)
 	}
 }
 
-// The operator file is shown as the release before showed it: every section, key and default.
+// The operator file is printed as the earlier release printed it: every section, key and default.
 func TestOperatorFile(t *testing.T) {
 	operator, err := app.LoadOperator(filepath.Join("..", "..", "deploy", "operator.ini"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	var shown bytes.Buffer
-	if err := operator.File.Print(&shown); err != nil {
+	var printed bytes.Buffer
+	if err := operator.File.Print(&printed); err != nil {
 		t.Fatal(err)
 	}
 	want, err := os.ReadFile(filepath.Join("testdata", "operator.txt"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, got, _ := strings.Cut(shown.String(), "\n") // the first line is the path
+	_, got, _ := strings.Cut(printed.String(), "\n") // the first line is the path
 	if _, rest, _ := strings.Cut(string(want), "\n"); got != rest {
-		t.Errorf("shown as:\n%s\nwas:\n%s", got, rest)
+		t.Errorf("printed as:\n%s\nwant:\n%s", got, rest)
 	}
 }
--- a/internal/compat/wire_test.go
+++ b/internal/compat/wire_test.go
@@ -23,12 +23,13 @@
 	"saddleport/internal/node/peer"
 )
 
-// update writes the fixtures anew. They are those of the release before the renaming: only a
-// form that did not exist then may be added.
-var update = flag.Bool("update", false, "write the fixtures of the wire anew")
+// update makes the tests write the fixtures. They are those of the release before the packages were renamed,
+// so only the fixture of a message that did not exist then may be added.
+var update = flag.Bool("update", false, "write the fixtures of the wire format")
 
-// sent are the bodies of all calls between the system's processes, by the name of their fixture.
-var sent = map[string]any{
+// messageTypes are the bodies of all calls between the system's processes, by the name of the fixture. The
+// names are older than those of the types.
+var messageTypes = map[string]any{
 	"rumour-pass":         &gossip.ExchangeRequest{},
 	"rumour-passed":       &gossip.ExchangeResponse{},
 	"process":             &gossip.Process{},
@@ -70,9 +71,10 @@
 	"core-previous-order": &chain.PastRevision{},
 }
 
-// Each form is written as the release before wrote it, and read and written again unchanged.
-func TestWireForms(t *testing.T) {
-	for name, value := range sent {
+// Each message is encoded as the earlier release encoded it, and decoding and encoding it again changes
+// nothing.
+func TestWireFormat(t *testing.T) {
+	for name, value := range messageTypes {
 		t.Run(name, func(t *testing.T) {
 			fill(t, reflect.ValueOf(value).Elem(), name)
 			written, err := json.Marshal(value)
@@ -80,38 +82,39 @@
 				t.Fatal(err)
 			}
 			checkGolden(t, filepath.Join("testdata", "wire", name+".json"), written)
-			again := reflect.New(reflect.TypeOf(value).Elem()).Interface()
-			if err := json.Unmarshal(written, again); err != nil {
+			decoded := reflect.New(reflect.TypeOf(value).Elem()).Interface()
+			if err := json.Unmarshal(written, decoded); err != nil {
 				t.Fatal(err)
 			}
-			if rewritten, err := json.Marshal(again); err != nil || !bytes.Equal(rewritten, written) {
-				t.Fatalf("read and written again: %s, %v; want %s", rewritten, err, written)
+			if rewritten, err := json.Marshal(decoded); err != nil || !bytes.Equal(rewritten, written) {
+				t.Fatalf("decoded and encoded again: %s, %v; want %s", rewritten, err, written)
 			}
 		})
 	}
 }
 
-// The mail between control-plane machines: every kind of message, with the contents of entries
-// behind the JSON.
-func TestMail(t *testing.T) {
+// A batch of messages between control-plane machines, with every kind of message, and the contents of entries
+// after the JSON, is decoded and encoded again unchanged.
+func TestMessageBatch(t *testing.T) {
 	path := filepath.Join("testdata", "wire", "core.mail")
 	if *update {
-		writeMail(t, path)
+		writeBatch(t, path)
 	}
-	mail, err := os.ReadFile(path)
+	batch, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	messages, unread, err := codec.DecodeBatch(mail)
+	messages, unread, err := codec.DecodeBatch(batch)
 	if err != nil || len(unread) > 0 || len(messages) != 20 {
 		t.Fatalf("%d messages, %v unread, %v", len(messages), unread, err)
 	}
-	again, err := codec.EncodeBatch(messages)
-	if err != nil || !bytes.Equal(again, mail) {
-		t.Fatalf("the mail was written otherwise: %v", err)
+	rewritten, err := codec.EncodeBatch(messages)
+	if err != nil || !bytes.Equal(rewritten, batch) {
+		t.Fatalf("encoding the decoded batch changed it: %v", err)
 	}
 }
 
+// checkGolden requires that the fixture at a path has the bytes in written.
 func checkGolden(t *testing.T, path string, written []byte) {
 	t.Helper()
 	if *update {
@@ -127,41 +130,43 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(written, want) {
-		t.Fatalf("%s: written as %s; was %s", path, written, want)
+		t.Fatalf("%s: encoded as %s; want %s", path, written, want)
 	}
 }
 
-func writeMail(t *testing.T, path string) {
+// writeBatch writes the fixture of the batch, with one message of each type.
+func writeBatch(t *testing.T, path string) {
 	t.Helper()
 	from, to := views.Member{Addr: "10.0.0.1:7080", DiskID: "0"}, views.Member{Addr: "10.0.0.2:7080", DiskID: "d2"}
-	var list []envelope.Message
-	for _, name := range names() {
-		value := reflect.ValueOf(sent[name]).Elem()
-		if _, is := value.Interface().(envelope.Body); is {
+	var messages []envelope.Message
+	for _, name := range fixtureNames() {
+		value := reflect.ValueOf(messageTypes[name]).Elem()
+		if _, ok := value.Interface().(envelope.Body); ok {
 			fill(t, value, name)
 			body := value.Interface().(envelope.Body)
-			list = append(list, envelope.Message{From: from, To: to, Epoch: 7, Body: body})
+			messages = append(messages, envelope.Message{From: from, To: to, Epoch: 7, Body: body})
 		}
 	}
-	mail, err := codec.EncodeBatch(list)
+	batch, err := codec.EncodeBatch(messages)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(path, mail, 0o644); err != nil {
+	if err := os.WriteFile(path, batch, 0o644); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func names() []string {
+// fixtureNames returns the names of the JSON fixtures in alphabetical order.
+func fixtureNames() []string {
 	entries, err := os.ReadDir(filepath.Join("testdata", "wire"))
 	if err != nil {
 		return nil
 	}
-	var out []string
+	var fixtures []string
 	for _, e := range entries {
 		if name := e.Name(); filepath.Ext(name) == ".json" {
-			out = append(out, name[:len(name)-len(".json")])
+			fixtures = append(fixtures, name[:len(name)-len(".json")])
 		}
 	}
-	return out
+	return fixtures
 }
