--- a/internal/exchange/segments.go
+++ b/internal/exchange/segments.go
@@ -10,7 +10,7 @@
 //
 // A rejected part is sent again as part of a *subquery*: a further query to the router,
 // for the rerouted parts alone. The outcome of the rejected attempt is withheld from the
-// first query until the subquery has ended, because the router would abandon the whole
+// first query until the subquery has ended, because the router would abandon the entire
 // query if it learned the outcome immediately.
 
 import (
@@ -44,7 +44,7 @@
 
 // routing is the state of a query that is routed by the map.
 type routing struct {
-	asks       []placement.PartRequest
+	requests   []placement.PartRequest
 	open       map[string]bool // ids of the query and its subqueries that are open at the router
 	subqueries int             // subqueries so far
 	parked     int             // parts that are parked
@@ -83,9 +83,9 @@
 	}
 	r := &routing{open: map[string]bool{qs.ID: true}}
 	for _, p := range qs.Parts {
-		r.asks = append(r.asks, placement.PartRequest{Segment: uint32(p.Shard), Range: p.Range, Weight: p.Weight})
+		r.requests = append(r.requests, placement.PartRequest{Segment: uint32(p.Shard), Range: p.Range, Weight: p.Weight})
 	}
-	targets, err := x.segmentRouting.current.Route(r.asks, x.segmentRouting.maxTargets)
+	targets, err := x.segmentRouting.current.Route(r.requests, x.segmentRouting.maxTargets)
 	if err != nil {
 		return err
 	}
@@ -312,10 +312,10 @@
 	}
 	class, share := x.class(qs.class), qs.servedShare()
 	switch {
-	case hookrule.MeetsNeed(class, share):
+	case hookrule.MeetsRequiredShare(class, share):
 		x.answer(qs, true)
 	case len(qs.routing.open) > 0 || qs.routing.parked > 0:
-	case class.MinShare < class.RequiredShare && hookrule.MeetsFloor(class, share):
+	case class.MinShare < class.RequiredShare && hookrule.MeetsMinShare(class, share):
 		x.answer(qs, false)
 	case hookrule.SafeToRefuse(class.Effect, mayHaveRun(qs)):
 		x.finish(qs, Final{Ending: Refused, RetryAfter: max(qs.routing.retryAfter, x.retryAfter(qs.class))})
@@ -368,7 +368,7 @@
 	}
 	returned := make(map[*partState]int) // the shard whose hit contains the value of the part
 	var out []Hit
-	for i, ask := range qs.Parts {
+	for i, requested := range qs.Parts {
 		var pieces []piece
 		missing := false
 		for _, p := range qs.parts {
@@ -394,19 +394,19 @@
 				pieces[k], pieces[k-1] = pieces[k-1], pieces[k]
 			}
 		}
-		hit := Hit{Shard: ask.Shard}
+		hit := Hit{Shard: requested.Shard}
 		var values []string
 		for _, pc := range pieces {
 			if missing {
 				hit.Covers = append(hit.Covers, pc.keys)
 			}
 			if shard, known := returned[pc.part]; known {
-				if shard != ask.Shard {
+				if shard != requested.Shard {
 					hit.AlsoIn = append(hit.AlsoIn, shard)
 				}
 				continue
 			}
-			returned[pc.part] = ask.Shard
+			returned[pc.part] = requested.Shard
 			values = append(values, pc.part.value)
 		}
 		hit.Value = strings.Join(values, "\n")
--- a/internal/node/agent/agent.go
+++ b/internal/node/agent/agent.go
@@ -37,7 +37,7 @@
 
 // answer returns the entries that changed since the proxy's last call. If there are none it waits until
 // one changes, at most agentapi.FeedWait.
-func (f *feed) answer(ctx context.Context, _ rpc.Named, request agentapi.FeedRequest) (agentapi.FeedResponse, error) {
+func (f *feed) answer(ctx context.Context, _ rpc.RequestInfo, request agentapi.FeedRequest) (agentapi.FeedResponse, error) {
 	f.pending.Add(1)
 	defer func() { f.lastCallAt.Store(f.node.Now()); f.pending.Add(-1) }()
 	node := f.node
@@ -97,7 +97,7 @@
 		aggregator.onUpdate(entry)
 	}
 	loopbackMux, internalMux := http.NewServeMux(), http.NewServeMux()
-	agentapi.FeedCall.On(loopbackMux, f.answer)
+	agentapi.FeedCall.Handle(loopbackMux, f.answer)
 	node.Serve(internalMux)
 	aggregator.serve(loopbackMux, internalMux)
 	admin.RegisterShow(loopbackMux, admin.Agent, settings.Name, node.StartedAt, aggregator.tables)
--- a/internal/node/agent/outliers.go
+++ b/internal/node/agent/outliers.go
@@ -47,7 +47,7 @@
 // serve registers the calls of the proxy and of the other agents.
 func (o *outlierAggregator) serve(loopback, internal *http.ServeMux) {
 	o.quotas.serve(loopback, internal)
-	agentapi.ReportEvidenceCall.On(loopback, func(_ context.Context, _ rpc.Named, report agentapi.EvidenceReport) (rpc.Empty, error) {
+	agentapi.ReportEvidenceCall.Handle(loopback, func(_ context.Context, _ rpc.RequestInfo, report agentapi.EvidenceReport) (rpc.Empty, error) {
 		o.node.Mu.Lock()
 		defer o.node.Mu.Unlock()
 		if claim, known := o.node.Members.Holder(outlier.Role); known && claim.Holder != o.node.Self.Addr {
@@ -60,11 +60,11 @@
 		o.addEvidence(o.node.Self.Addr, report.Evidence)
 		return rpc.Empty{}, nil
 	})
-	agentapi.ForwardEvidenceCall.On(internal, func(_ context.Context, _ rpc.Named, report agentapi.EvidenceReport) (rpc.Empty, error) {
+	agentapi.ForwardEvidenceCall.Handle(internal, func(_ context.Context, _ rpc.RequestInfo, report agentapi.EvidenceReport) (rpc.Empty, error) {
 		o.node.Mu.Lock()
 		defer o.node.Mu.Unlock()
 		if !o.addEvidence(report.From, report.Evidence) {
-			return rpc.Empty{}, rpc.Fail(http.StatusConflict, "this agent does not have the aggregator role")
+			return rpc.Empty{}, rpc.Errorf(http.StatusConflict, "this agent does not have the aggregator role")
 		}
 		return rpc.Empty{}, nil
 	})
@@ -74,7 +74,7 @@
 func (o *outlierAggregator) forward(to string, report agentapi.EvidenceReport) {
 	ctx, cancel := context.WithTimeout(context.Background(), agentapi.EvidenceTimeout)
 	defer cancel()
-	agentapi.ForwardEvidenceCall.Ask(ctx, o.node.Client, to, "", report) // an error is ignored: the next report follows soon
+	agentapi.ForwardEvidenceCall.Invoke(ctx, o.node.Client, to, "", report) // an error is ignored: the next report follows soon
 	o.node.Mu.Lock()
 	defer o.node.Mu.Unlock()
 	o.forwarding = false
--- a/internal/node/agent/quota.go
+++ b/internal/node/agent/quota.go
@@ -78,7 +78,7 @@
 
 // serve registers the calls of the proxy and of the other agents.
 func (q *quotaService) serve(loopback, internal *http.ServeMux) {
-	agentapi.ClaimCall.On(loopback, func(ctx context.Context, _ rpc.Named, request agentapi.ClaimRequest) (agentapi.ClaimResponse, error) {
+	agentapi.ClaimCall.Handle(loopback, func(ctx context.Context, _ rpc.RequestInfo, request agentapi.ClaimRequest) (agentapi.ClaimResponse, error) {
 		q.node.Mu.Lock()
 		q.updateHolder()
 		if q.lessor != nil {
@@ -88,15 +88,15 @@
 		holder, known := q.node.Members.Holder(outlier.Role)
 		q.node.Mu.Unlock()
 		if !known {
-			return agentapi.ClaimResponse{}, rpc.Fail(http.StatusServiceUnavailable, "no process is known to have the lessor")
+			return agentapi.ClaimResponse{}, rpc.Errorf(http.StatusServiceUnavailable, "no process is known to have the lessor")
 		}
-		return agentapi.ForwardClaimCall.Ask(ctx, q.node.Client, holder.Holder, "", agentapi.ClaimRequest{From: q.node.Self.Addr, Claims: request.Claims})
+		return agentapi.ForwardClaimCall.Invoke(ctx, q.node.Client, holder.Holder, "", agentapi.ClaimRequest{From: q.node.Self.Addr, Claims: request.Claims})
 	})
-	agentapi.ForwardClaimCall.On(internal, func(_ context.Context, _ rpc.Named, request agentapi.ClaimRequest) (agentapi.ClaimResponse, error) {
+	agentapi.ForwardClaimCall.Handle(internal, func(_ context.Context, _ rpc.RequestInfo, request agentapi.ClaimRequest) (agentapi.ClaimResponse, error) {
 		q.node.Mu.Lock()
 		defer q.node.Mu.Unlock()
 		if q.updateHolder(); q.lessor == nil {
-			return agentapi.ClaimResponse{}, rpc.Fail(http.StatusConflict, "this agent does not have the lessor")
+			return agentapi.ClaimResponse{}, rpc.Errorf(http.StatusConflict, "this agent does not have the lessor")
 		}
 		return agentapi.ClaimResponse{Grants: q.lessor.HandleClaims(q.node.Now(), request.From, q.proxyCount(), request.Claims)}, nil
 	})
--- a/internal/node/agent/show.go
+++ b/internal/node/agent/show.go
@@ -24,7 +24,7 @@
 	for _, allowance := range q.allowances {
 		rate, proxies := q.lessor.Leased(now, allowance.Name)
 		table.Rows = append(table.Rows, []string{allowance.Name, fmt.Sprint(allowance.Rate), fmt.Sprintf("%.1f", rate), fmt.Sprint(proxies),
-			fmt.Sprintf("%.1f", q.lessor.Asked[allowance.Name]), fmt.Sprintf("%.0f", q.lessor.Spent[allowance.Name])})
+			fmt.Sprintf("%.1f", q.lessor.Demand[allowance.Name]), fmt.Sprintf("%.0f", q.lessor.Admitted[allowance.Name])})
 	}
 	return table
 }
@@ -41,12 +41,12 @@
 	if reports, holds := o.role.Reports(o.node.Now(), about); holds {
 		table := admin.Table{Title: "evidence on " + about, Columns: []string{"proxy", "reported", "samples", "ratio to peers' median", "score"}}
 		for _, report := range reports {
-			table.Rows = append(table.Rows, []string{report.Proxy, admin.FormatAge(report.Age) + " ago", fmt.Sprint(report.Samples), fmt.Sprintf("%.1f", report.Middle), fmt.Sprintf("%.1f", report.Score)})
+			table.Rows = append(table.Rows, []string{report.Proxy, admin.FormatAge(report.Age) + " ago", fmt.Sprint(report.Samples), fmt.Sprintf("%.1f", report.Median), fmt.Sprintf("%.1f", report.Score)})
 		}
 		return []admin.Table{table}, nil
 	}
 	if !known {
-		return nil, rpc.Fail(http.StatusServiceUnavailable, "no process is known to have the aggregator role")
+		return nil, rpc.Errorf(http.StatusServiceUnavailable, "no process is known to have the aggregator role")
 	}
 	return []admin.Table{{Title: "holder of the aggregator role", Columns: []string{"agent", "epoch"}, Rows: [][]string{{claim.Holder, fmt.Sprint(lease.TermOf(claim.Epoch))}}}}, nil
 }
@@ -62,7 +62,7 @@
 	for _, member := range assignment.Ejected {
 		table.Rows = append(table.Rows, []string{member.Name, member.Shard, fmt.Sprintf("%.1f", member.Ratio), fmt.Sprintf("%d proxies, %d samples", member.Reporters, member.Samples)})
 	}
-	publisher := assignment.By
+	publisher := assignment.Publisher
 	if publisher == "" {
 		publisher = "none yet"
 	}
--- a/internal/node/cli/commands.go
+++ b/internal/node/cli/commands.go
@@ -72,7 +72,7 @@
 
 // query calls a running process at addr, or, if addr is empty, at the address in its settings file, and
 // prints the answer.
-func query(command *cobra.Command, program, file, addr string, asJSON bool, call func(ctx context.Context, client *rpc.Client, addr string) (admin.Shown, error)) error {
+func query(command *cobra.Command, program, file, addr string, asJSON bool, call func(ctx context.Context, client *rpc.Client, addr string) (admin.Report, error)) error {
 	if addr == "" && file == "" {
 		return ErrNoAddress
 	}
@@ -104,8 +104,8 @@
 	cmd := &cobra.Command{Use: "show [TABLE]", Short: "Show the state of the running " + program + ": routes, servers, ejections, view, versions", Args: cobra.MaximumNArgs(1),
 		Long: "Show the state of the running " + program + ". With TABLE only the tables whose titles begin with it are shown, as in: show ejections",
 		RunE: func(command *cobra.Command, args []string) error {
-			return query(command, program, *file, addr, asJSON, func(ctx context.Context, client *rpc.Client, addr string) (admin.Shown, error) {
-				shown, err := admin.ShowCall.Ask(ctx, client, addr, "", nil)
+			return query(command, program, *file, addr, asJSON, func(ctx context.Context, client *rpc.Client, addr string) (admin.Report, error) {
+				shown, err := admin.ShowCall.Invoke(ctx, client, addr, "", nil)
 				if err != nil || len(args) == 0 {
 					return shown, err
 				}
@@ -134,8 +134,8 @@
 	var asJSON bool
 	cmd := &cobra.Command{Use: "explain NAME", Short: "Explain whether the running " + program + " uses, suspects or has ejected a server (by its id) or caller (by its address), and why", Args: cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
-			return query(command, program, *file, addr, asJSON, func(ctx context.Context, client *rpc.Client, addr string) (admin.Shown, error) {
-				return admin.ExplainCall.Ask(ctx, client, addr, url.PathEscape(args[0]), nil)
+			return query(command, program, *file, addr, asJSON, func(ctx context.Context, client *rpc.Client, addr string) (admin.Report, error) {
+				return admin.ExplainCall.Invoke(ctx, client, addr, url.PathEscape(args[0]), nil)
 			})
 		}}
 	cmd.Flags().StringVar(&addr, "addr", "", "address of the process; default: as in its settings file")
--- a/internal/node/fleettest/fleet_test.go
+++ b/internal/node/fleettest/fleet_test.go
@@ -43,7 +43,7 @@
 
 // newFleet returns a fleet in which nothing runs yet. The machines 1 to 3 are the seeds.
 func newFleet(t *testing.T) *fleet {
-	events.To(io.Discard)
+	events.SetOutput(io.Discard)
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	So(err, ShouldBeNil)
 	port := listener.Addr().(*net.TCPAddr).Port
@@ -184,7 +184,7 @@
 func (f *fleet) shows(program string, machine int, text string) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	shown, err := admin.ShowCall.Ask(ctx, rpc.NewClient(time.Second), admin.ShowAddr(program, f.settings(machine, false)), "", nil)
+	shown, err := admin.ShowCall.Invoke(ctx, rpc.NewClient(time.Second), admin.ShowAddr(program, f.settings(machine, false)), "", nil)
 	return err == nil && strings.Contains(shown.Text(), text)
 }
 
@@ -335,7 +335,7 @@
 		var raw bytes.Buffer
 		So(json.Compact(&raw, []byte(configuration(5, "v5"))), ShouldBeNil)
 		mux, requests := http.NewServeMux(), make(chan agentapi.FeedRequest, 100)
-		agentapi.FeedCall.On(mux, func(ctx context.Context, _ rpc.Named, request agentapi.FeedRequest) (agentapi.FeedResponse, error) {
+		agentapi.FeedCall.Handle(mux, func(ctx context.Context, _ rpc.RequestInfo, request agentapi.FeedRequest) (agentapi.FeedResponse, error) {
 			requests <- request
 			switch {
 			case len(request.Entries) > 0:
--- a/internal/node/proxy/outliers.go
+++ b/internal/node/proxy/outliers.go
@@ -170,7 +170,7 @@
 	evidence := append(t.servers.TakeEvidence(now, assignment), t.callers.TakeEvidence(now, assignment)...)
 	shardSizes := t.shardSizes()
 	changes := t.ejections.Step(now, func(shard string) int { return shardSizes[shard] }, t.servers, t.callers)
-	more = t.servers.Suspected()+t.callers.Suspected() > 0 || !t.ejections.Quiet(now)
+	more = t.servers.Suspected()+t.callers.Suspected() > 0 || !t.ejections.Idle(now)
 	t.changesApplied += len(changes)
 	if len(evidence) > 0 {
 		t.reportsSent++
@@ -181,7 +181,7 @@
 	}
 	if len(evidence) > 0 {
 		callCtx, cancel := context.WithTimeout(ctx, agentapi.EvidenceTimeout)
-		agentapi.ReportEvidenceCall.Ask(callCtx, t.proxy.client, t.proxy.settings.AgentAddr(), "", agentapi.EvidenceReport{Evidence: evidence}) // an error is ignored: the next report follows soon
+		agentapi.ReportEvidenceCall.Invoke(callCtx, t.proxy.client, t.proxy.settings.AgentAddr(), "", agentapi.EvidenceReport{Evidence: evidence}) // an error is ignored: the next report follows soon
 		cancel()
 	}
 	return more
@@ -205,7 +205,7 @@
 	update := choice.List{Form: choice.Delta}
 	callersChanged := false
 	for _, change := range changes {
-		if change.Known {
+		if change.Updated {
 			events.EjectionChanged.Log("member", change.Name, "times", fmt.Sprintf("%.1f", change.Ratio))
 		} else if change.Restored {
 			events.Restored.Log("member", change.Name, "shard", change.Shard)
--- a/internal/node/proxy/proxy.go
+++ b/internal/node/proxy/proxy.go
@@ -223,11 +223,11 @@
 		callCtx, cancel := context.WithTimeout(ctx, agentapi.FeedWait+5*time.Second)
 		configuration, _ := p.store.Get(agentapi.ConfigurationKey)
 		request.ConfigVersion = configuration.Version
-		response, err := agentapi.FeedCall.Ask(callCtx, p.client, p.settings.AgentAddr(), "", request)
+		response, err := agentapi.FeedCall.Invoke(callCtx, p.client, p.settings.AgentAddr(), "", request)
 		cancel()
 		if err != nil && ctx.Err() == nil && !unreachable {
 			unreachable = true
-			events.AgentAway.Log("err", err)
+			events.AgentUnreachable.Log("err", err)
 		}
 		if err != nil {
 			select {
@@ -238,7 +238,7 @@
 		}
 		if unreachable {
 			unreachable = false
-			events.AgentBack.Log()
+			events.AgentReachable.Log()
 		}
 		p.applyFeed(response.Entries, response.Incarnation != request.Incarnation)
 		request = agentapi.FeedRequest{Incarnation: response.Incarnation, Since: response.Seq}
--- a/internal/node/proxy/quota.go
+++ b/internal/node/proxy/quota.go
@@ -60,7 +60,7 @@
 	defer q.mu.Unlock()
 	ok, retryAfter := q.holder.Admit(q.now(), name)
 	if !ok {
-		events.AllowanceUsedUp.Log("allowance", name, "after", time.Duration(retryAfter*1000).Round(time.Millisecond))
+		events.QuotaExhausted.Log("allowance", name, "after", time.Duration(retryAfter*1000).Round(time.Millisecond))
 	}
 	return ok, time.Duration(retryAfter) * time.Microsecond
 }
@@ -94,7 +94,7 @@
 		return more
 	}
 	callCtx, cancel := context.WithTimeout(ctx, claimTimeout)
-	response, err := agentapi.ClaimCall.Ask(callCtx, q.proxy.client, q.proxy.settings.AgentAddr(), "", agentapi.ClaimRequest{Claims: claims})
+	response, err := agentapi.ClaimCall.Invoke(callCtx, q.proxy.client, q.proxy.settings.AgentAddr(), "", agentapi.ClaimRequest{Claims: claims})
 	cancel()
 	if err == nil { // otherwise the lease runs out, and only the unleased share is left
 		q.mu.Lock()
--- a/internal/node/proxy/show.go
+++ b/internal/node/proxy/show.go
@@ -27,7 +27,7 @@
 			lease = admin.FormatAge(status.Lease)
 		}
 		table.Rows = append(table.Rows, []string{status.Name, fmt.Sprint(status.Allowance.Rate), fmt.Sprint(status.Burst), fmt.Sprintf("%.2f", status.Rate), lease,
-			fmt.Sprintf("%.1f", status.Level), fmt.Sprint(status.Admitted), fmt.Sprint(status.Refused)})
+			fmt.Sprintf("%.1f", status.Level), fmt.Sprint(status.Admitted), fmt.Sprint(status.Rejected)})
 	}
 	return table
 }
@@ -68,7 +68,7 @@
 }
 
 // evidence describes what an ejection is based on.
-func evidence(ejected outlier.EjectedHere) string {
+func evidence(ejected outlier.ActiveEjection) string {
 	if ejected.LocalOnly {
 		return "this proxy alone"
 	}
@@ -87,7 +87,7 @@
 	assignment, counts := t.ejections.Assignment(now)
 	publisher := "no assignment for over " + time.Duration(outlier.DefaultConfig.AssignmentLifetime*1000).String() + ": only local evidence counts"
 	if counts {
-		publisher = assignment.By
+		publisher = assignment.Publisher
 	}
 	slowLane := t.proxy.downstream.SlowLane
 	state := admin.Table{Title: "ejections: state", Columns: []string{"published by", "requested", "suspected here", "changes", "reports sent", "in the slow lane", "rejected there"},
@@ -111,7 +111,7 @@
 	}
 	local, seen := observer.Describe(now, name)
 	if !seen && !listed {
-		return nil, rpc.Fail(http.StatusNotFound, "%s is not a known server or caller", about)
+		return nil, rpc.Errorf(http.StatusNotFound, "%s is not a known server or caller", about)
 	}
 	state := "in use"
 	switch ratio := tracker.ejections.Ratio(name); {
@@ -121,7 +121,7 @@
 		state = "suspected"
 	}
 	member := admin.Table{Title: name, Columns: []string{"is", "shard", "last samples", "ratio to peers' median", "score", "suspected for"},
-		Rows: [][]string{{state, local.Shard, fmt.Sprint(local.Samples), fmt.Sprintf("%.1f", local.Middle), fmt.Sprintf("%.1f", local.Score), admin.FormatAge(local.SuspectedFor)}}}
+		Rows: [][]string{{state, local.Shard, fmt.Sprint(local.Samples), fmt.Sprintf("%.1f", local.Median), fmt.Sprintf("%.1f", local.Score), admin.FormatAge(local.SuspectedFor)}}}
 	rule := admin.Table{Title: "rule", Rows: [][]string{{fmt.Sprintf("suspected here from score %g; ejected from score %g of all proxies together, or locally from %g after %s",
 		outlier.DefaultConfig.SuspectScore, outlier.DefaultConfig.EjectScore, outlier.DefaultConfig.EjectScore*outlier.DefaultConfig.LocalScoreFactor, admin.FormatAge(outlier.DefaultConfig.LocalEjectDelay))}}}
 	tables := []admin.Table{member, rule}
--- a/internal/node/proxy/shutdown.go
+++ b/internal/node/proxy/shutdown.go
@@ -47,7 +47,7 @@
 	for expired := false; p.downstream.Clients() > 0 && time.Now().Before(deadline.Add(answerMargin)); {
 		if !expired && !time.Now().Before(deadline) {
 			expired = true
-			events.CutShort.Log("open", p.exchange.Open())
+			events.GraceExpired.Log("open", p.exchange.Open())
 			p.downstream.ExpireRequests()
 		}
 		p.downstream.CloseIdle(idleCloseDelay)
--- a/tools/soakmutants/main.go
+++ b/tools/soakmutants/main.go
@@ -39,11 +39,11 @@
 	{"sent-twice", "a write is handled as if it were idempotent",
 		"internal/downstream/httpserver/plan.go", "if r.Idempotent {\n", "if r.Idempotent || r.MaxAttempts > 0 {\n"},
 	{"answer-swapped", "one in a hundred answers is that of the request before",
-		"internal/downstream/httpserver/httpserver.go", "\t\t\treturn c.WriteBytes(closing(f.Hits[0].Value, keep))\n", "\t\t\tanswer := f.Hits[0].Value\n\t\t\tif before, is := last.Swap(answer).(string); is && g.number.Add(1)%100 == 0 {\n\t\t\t\tanswer = before\n\t\t\t}\n\t\t\treturn c.WriteBytes(closing(answer, keep))\n"},
+		"internal/downstream/httpserver/httpserver.go", "\t\t\treturn c.WriteBytes(completeHead(f.Hits[0].Value, keep))\n", "\t\t\tanswer := f.Hits[0].Value\n\t\t\tif before, is := last.Swap(answer).(string); is && h.number.Add(1)%100 == 0 {\n\t\t\t\tanswer = before\n\t\t\t}\n\t\t\treturn c.WriteBytes(completeHead(answer, keep))\n"},
 	{"records-unordered", "the records of a gathered answer are not merged by their order",
 		"internal/downstream/httpserver/httpserver.go", "return cmp.Compare(b, a) })", "return 0 })"},
 	{"connection-closed", "one in two hundred connections is closed while its request is at a server",
-		"internal/downstream/httpserver/httpserver.go", "\t\tif f.Ending == exchange.Answered {\n", "\t\tif g.number.Add(1)%200 == 0 {\n\t\t\treturn false\n\t\t}\n\t\tif f.Ending == exchange.Answered {\n"},
+		"internal/downstream/httpserver/httpserver.go", "\t\tif f.Ending == exchange.Answered {\n", "\t\tif h.number.Add(1)%200 == 0 {\n\t\t\treturn false\n\t\t}\n\t\tif f.Ending == exchange.Answered {\n"},
 	{"drain-ignored", "a server that is draining is asked as before",
 		"internal/node/proxy/proxy.go", "\t\tserver.State = choice.Draining\n", "\t\tserver.State = choice.Ready\n"},
 	{"stale-read", "the tail does not ask whether its view stands, nor a machine whether it has a quorum",
@@ -59,7 +59,7 @@
 // second is the other change of mutants that take two.
 var second = map[string]mutant{
 	"stale-read": {file: "internal/node/controlplane/replica.go", old: "chain.Mutations{}", replaced: "chain.Mutations{StaleRead: true}"},
-	"sent-twice": {file: "internal/downstream/httpserver/httpserver.go", old: "Once: !route.Idempotent,", replaced: "Once: false,"},
+	"sent-twice": {file: "internal/downstream/httpserver/httpserver.go", old: "NonIdempotent: !route.Idempotent,", replaced: "NonIdempotent: false,"},
 }
 
 var errText = errors.New("the text to replace is not there once: the mutant is out of date")
