--- a/sdk/build.sh
+++ b/sdk/build.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Builds the example hooks into a folder: sdk/build.sh [DIR], drills/sets/wasm if
-# none is given. Needs the Go tool chain alone.
+# Builds the example hooks into a directory: sdk/build.sh [DIR]. The default is
+# drills/sets/wasm. Only the Go toolchain is needed.
 set -euo pipefail
 out=$(mkdir -p "${1:-$(dirname "$0")/../drills/sets/wasm}" && cd "${1:-$(dirname "$0")/../drills/sets/wasm}" && pwd)
 cd "$(dirname "$0")/.."
--- a/sdk/examples/closedclinic/main.go
+++ b/sdk/examples/closedclinic/main.go
@@ -1,5 +1,5 @@
-// Command closedclinic refuses bookings while the clinic that the query's text
-// names ("clinic=7;...") is closed, and tells when to ask again.
+// Command closedclinic refuses queries for a closed clinic, with advice when to retry. The
+// text of the query names the clinic ("clinic=7;...").
 package main
 
 import (
@@ -19,9 +19,9 @@
 			return nil
 		}
 		clinic, _, _ := strings.Cut(rest, ";")
-		if why, is := closed[clinic]; is {
+		if reason, isClosed := closed[clinic]; isClosed {
 			guest.Log("refused a booking for clinic " + clinic)
-			return guest.Refuse("clinic "+clinic+" is closed: "+why, 2000)
+			return guest.Refuse("clinic "+clinic+" is closed: "+reason, 2000)
 		}
 		return nil
 	})
--- a/sdk/examples/governorate/main.go
+++ b/sdk/examples/governorate/main.go
@@ -1,5 +1,5 @@
-// Command governorate tags each query with the governorate that its text names
-// ("gov=amman;..."), and notes it on the answer.
+// Command governorate adds a tag to each query and a note to its answer: the governorate that
+// the text of the query names ("gov=amman;...").
 package main
 
 import (
--- a/sdk/examples/noop/main.go
+++ b/sdk/examples/noop/main.go
@@ -1,5 +1,5 @@
-// Command noop is asked at every point and asks for nothing: what it costs is what
-// a hook costs.
+// Command noop handles every point and requests nothing. It measures the cost of calling a
+// hook.
 package main
 
 import "saddleport/sdk/guest"
--- a/sdk/examples/quietshare/main.go
+++ b/sdk/examples/quietshare/main.go
@@ -1,6 +1,6 @@
-// Command quietshare drops parts of no use to a planner: those with the least
-// weight, as long as four fifths of the answer stay. The host drops none where
-// the class would not be honest without it.
+// Command quietshare drops the parts with the least weight, which are of no use to a planner,
+// as long as four fifths of the answer remain. The host rejects the request if the class does
+// not allow an answer without these parts.
 package main
 
 import (
@@ -9,7 +9,7 @@
 	"saddleport/sdk/guest"
 )
 
-const keep = 0.8
+const minShare = 0.8
 
 func main() {}
 
@@ -27,7 +27,7 @@
 		})
 		a, left := &guest.Answer{}, 1.0
 		for _, p := range parts {
-			if left -= p.Weight; left < keep {
+			if left -= p.Weight; left < minShare {
 				break
 			}
 			a.Drop = append(a.Drop, p.Shard)
--- a/sdk/examples/trouble/main.go
+++ b/sdk/examples/trouble/main.go
@@ -1,5 +1,5 @@
-// Command trouble is the guest of tests and drills: the query's text says what it
-// does wrong.
+// Command trouble is a misbehaving hook for tests and drills. The first word of the query's
+// text says what it does.
 package main
 
 import (
@@ -12,17 +12,18 @@
 
 func main() {}
 
-var kept [][]byte
+// allocated keeps the memory of "bomb" reachable.
+var allocated [][]byte
 
 func init() {
 	for p := guest.Taken; p <= guest.Ended; p++ {
-		guest.Handle(p, do)
+		guest.Handle(p, handle)
 	}
 }
 
-func do(q *guest.Query) *guest.Answer {
-	word, arg, _ := strings.Cut(q.Text, " ")
-	switch word {
+func handle(q *guest.Query) *guest.Answer {
+	action, arg, _ := strings.Cut(q.Text, " ")
+	switch action {
 	case "loop":
 		for n := 0; ; n++ {
 			if n < 0 {
@@ -33,8 +34,8 @@
 		panic("on purpose")
 	case "bomb":
 		for {
-			kept = append(kept, make([]byte, 1<<20))
-			kept[len(kept)-1][0] = 1
+			allocated = append(allocated, make([]byte, 1<<20))
+			allocated[len(allocated)-1][0] = 1
 		}
 	case "recurse":
 		return &guest.Answer{Left: int64(recurse(1))}
@@ -63,6 +64,7 @@
 	return nil
 }
 
+// recurse calls itself until the stack is exhausted, or the host stops it.
 func recurse(n int) int {
 	if n == 0 {
 		return 0
--- a/sdk/guest/abi_other.go
+++ b/sdk/guest/abi_other.go
@@ -2,5 +2,5 @@
 
 package guest
 
-// Log does nothing outside the mixer, so that hooks can be tested like any code.
+// Log does nothing outside WebAssembly, so that hooks can be tested with go test.
 func Log(string) {}
--- a/sdk/guest/abi_wasm.go
+++ b/sdk/guest/abi_wasm.go
@@ -6,7 +6,9 @@
 	"saddleport/sdk/hookabi"
 )
 
-var in, out []byte // kept: the host reads and writes them between calls
+// in and out are the buffers for the view and the answer. They are global because the host
+// writes and reads them outside calls: they must not be garbage collected.
+var in, out []byte
 
 //go:wasmexport hook_abi
 func abi() int32 { return hookabi.Version }
@@ -32,7 +34,8 @@
 //go:wasmimport saddleport log
 func hostLog(ptr unsafe.Pointer, size uint32)
 
-// Log writes a line to the mixer's log; the host bounds how many and how long.
+// Log writes a line to the log of the mixer. The host limits the number of lines of a call
+// and the length of a line.
 func Log(line string) {
 	if line != "" {
 		hostLog(unsafe.Pointer(unsafe.StringData(line)), uint32(len(line)))
--- a/sdk/guest/guest.go
+++ b/sdk/guest/guest.go
@@ -1,4 +1,4 @@
-// Package guest is the kit for hooks written in Go and built as WebAssembly:
+// Package guest is the SDK for hooks that are written in Go and compiled to WebAssembly:
 //
 //	func main() {}
 //
@@ -10,13 +10,13 @@
 //
 //	GOOS=wasip1 GOARCH=wasm go build -buildmode=c-shared -o hook.wasm
 //
-// It owns the module's side of the ABI and nothing else. A hook that panics fails
-// its call; the host puts a new instance in its place.
+// It implements the module's side of the ABI. If a hook panics, the call fails and the host
+// replaces the instance.
 package guest
 
 import "saddleport/sdk/hookabi"
 
-// The view and the answer, under short names.
+// Short names for the types of the view and the result.
 type (
 	Query  = hookabi.View
 	Answer = hookabi.Result
@@ -25,7 +25,7 @@
 	Point  = hookabi.Point
 )
 
-// The points.
+// The points at which hooks are called. Reply is hookabi.Answer, since Answer is a type here.
 const (
 	Taken     = hookabi.Taken
 	Admission = hookabi.Admission
@@ -37,10 +37,10 @@
 
 var handlers [hookabi.Points]func(*Query) *Answer
 
-// Handle says what is to be done at a point. Nil asks for nothing.
+// Handle registers the handler of a point. A handler that returns nil requests nothing.
 func Handle(p Point, f func(*Query) *Answer) { handlers[p] = f }
 
-// Tag returns the value of a query's tag.
+// Tag returns the value of a tag of the query, or "" if the query does not have it.
 func Tag(q *Query, name string) string {
 	for _, t := range q.Tags {
 		if t.Name == name {
@@ -50,14 +50,16 @@
 	return ""
 }
 
-// Refuse is an answer that refuses, with advice in milliseconds when to come back.
+// Refuse returns an answer that refuses the query and advises the client to retry after
+// retryAfterMS milliseconds.
 func Refuse(reason string, retryAfterMS int64) *Answer {
 	return &Answer{Refuse: true, Reason: reason, RetryAfter: retryAfterMS * 1000}
 }
 
-//lint:ignore U1000 the exports that call it are built for WebAssembly alone
+//lint:ignore U1000 called only by the exports, which are built for WebAssembly alone
 
-// dispatch reads a view, asks the handler and writes its answer.
+// dispatch decodes a view, calls the handler of the point and encodes its answer. It returns
+// nil if there is no handler or if the handler requests nothing.
 func dispatch(p Point, b []byte) []byte {
 	if int(p) >= len(handlers) || handlers[p] == nil {
 		return nil
--- a/sdk/hookabi/binary.go
+++ b/sdk/hookabi/binary.go
@@ -1,6 +1,6 @@
 package hookabi
 
-// This file is the binary form.
+// The binary form; the package comment describes it.
 
 import (
 	"encoding/binary"
@@ -11,7 +11,8 @@
 	"unicode/utf8"
 )
 
-// Error is bytes that are no message, with the field at fault (0: none).
+// Error says why bytes are not a valid message. Field is the number of the invalid field; 0:
+// no single field is invalid.
 type Error struct {
 	Field   int
 	Problem string
@@ -24,9 +25,9 @@
 	return "field " + strconv.Itoa(e.Field) + ": " + e.Problem
 }
 
-var errShort = &Error{0, "ends in the middle of a field"}
+var errTruncated = &Error{0, "ends in the middle of a field"}
 
-// The numbers of a view's fields.
+// The field numbers of a view.
 const (
 	vPoint = iota + 1
 	vID
@@ -48,7 +49,7 @@
 	vShare
 )
 
-// The numbers of a part's fields, and of a pair's.
+// The field numbers of a part and of a pair.
 const (
 	pShard = iota + 1
 	pWeight
@@ -62,8 +63,8 @@
 	kValue = 2
 )
 
-// The numbers of an answer's fields. Those from claims on are what no hook may
-// ask for.
+// The field numbers of a result. The fields from firstClaim on are the claims, in the order
+// of claimNames.
 const (
 	rTag = iota + 1
 	rNote
@@ -76,12 +77,15 @@
 	rRetryAfter
 	rLog
 
-	claims = 64
+	firstClaim = 64
 )
 
 var claimNames = []string{"id", "value", "whole", "server", "resend", "answer", "status"}
 
-func head(b []byte) []byte { return append(b, 'S', 'H', Version) }
+// appendHeader appends the bytes that every message begins with.
+func appendHeader(b []byte) []byte { return append(b, 'S', 'H', Version) }
+
+// The put functions append a field. A field with its zero value is left out.
 
 func putBytes(b []byte, field int, v string) []byte {
 	if v == "" {
@@ -126,9 +130,9 @@
 	return b
 }
 
-// AppendView appends a view's binary form.
+// AppendView appends the binary form of a view.
 func AppendView(b []byte, v *View) []byte {
-	b = head(b)
+	b = appendHeader(b)
 	b = putInt(b, vPoint, int64(v.Point))
 	b = putBytes(b, vID, v.ID)
 	b = putBytes(b, vClass, v.Class)
@@ -155,22 +159,22 @@
 		b = binary.AppendUvarint(b, uint64(len(inner)))
 		b = append(b, inner...)
 	}
-	b = putInt(b, vPartIndex, int64(v.Part)+1) // 0, left out, is -1
+	b = putInt(b, vPartIndex, int64(v.Part)+1) // stored plus 1, since 0 is left out
 	b = putInt(b, vAttempt, int64(v.Attempt))
 	b = putBytes(b, vEnding, v.Ending)
 	b = putBool(b, vWhole, v.Whole)
 	return putFloat(b, vShare, v.Share)
 }
 
-// AppendResult appends an answer's binary form.
+// AppendResult appends the binary form of a result.
 func AppendResult(b []byte, r *Result) []byte {
-	b = head(b)
+	b = appendHeader(b)
 	b = putPairs(b, rTag, r.Tags)
 	b = putPairs(b, rNote, r.Notes)
 	b = putBytes(b, rClass, r.Class)
 	b = putInt(b, rLeft, r.Left)
 	for _, n := range r.Drop {
-		b = putInt(b, rDrop, int64(n)+1) // 0 would be left out
+		b = putInt(b, rDrop, int64(n)+1) // stored plus 1, since 0 is left out
 	}
 	b = putBool(b, rNotWhole, r.NotWhole)
 	b = putBool(b, rRefuse, r.Refuse)
@@ -182,15 +186,16 @@
 	for _, c := range r.Claims {
 		for i, name := range claimNames {
 			if name == c {
-				b = putBytes(b, claims+i, "!")
+				b = putBytes(b, firstClaim+i, "!")
 			}
 		}
 	}
 	return b
 }
 
-// fields walks over the fields of a message.
-func fields(b []byte, each func(field int, payload []byte) error) error {
+// forEachField calls each with every field of a message, in order. It stops at the first
+// error.
+func forEachField(b []byte, each func(field int, payload []byte) error) error {
 	for len(b) > 0 {
 		field, n := binary.Uvarint(b)
 		if n <= 0 || field == 0 || field > 1<<16 {
@@ -199,11 +204,11 @@
 		b = b[n:]
 		size, n := binary.Uvarint(b)
 		if n <= 0 {
-			return errShort
+			return errTruncated
 		}
 		b = b[n:]
 		if size > uint64(len(b)) {
-			return errShort
+			return errTruncated
 		}
 		if err := each(int(field), b[:size]); err != nil {
 			return err
@@ -213,7 +218,8 @@
 	return nil
 }
 
-func open(b []byte) ([]byte, error) {
+// checkHeader checks the size and the header of a message and returns its fields.
+func checkHeader(b []byte) ([]byte, error) {
 	if len(b) > MaxBytes {
 		return nil, &Error{0, "more than " + strconv.Itoa(MaxBytes) + " bytes"}
 	}
@@ -226,134 +232,135 @@
 	return b[3:], nil
 }
 
-// take reads payloads and keeps the first fault.
-type take struct {
+// payloadReader decodes payloads of the current field. It keeps the first error.
+type payloadReader struct {
 	field int
 	err   error
 }
 
-func (t *take) fail(problem string) {
-	if t.err == nil {
-		t.err = &Error{t.field, problem}
+func (r *payloadReader) fail(problem string) {
+	if r.err == nil {
+		r.err = &Error{r.field, problem}
 	}
 }
 
-func (t *take) int(b []byte) int64 {
+func (r *payloadReader) int(b []byte) int64 {
 	v, n := binary.Varint(b)
 	if n <= 0 || n != len(b) {
-		t.fail("not a whole number")
+		r.fail("not a whole number")
 	}
 	return v
 }
 
-func (t *take) small(b []byte) int {
-	v := t.int(b)
+// smallInt decodes a number that must fit into 32 bits.
+func (r *payloadReader) smallInt(b []byte) int {
+	v := r.int(b)
 	if v < math.MinInt32 || v > math.MaxInt32 {
-		t.fail("number out of range")
+		r.fail("number out of range")
 		return 0
 	}
 	return int(v)
 }
 
-func (t *take) bool(b []byte) bool {
-	v := t.int(b)
+func (r *payloadReader) bool(b []byte) bool {
+	v := r.int(b)
 	if v != 0 && v != 1 {
-		t.fail("neither 0 nor 1")
+		r.fail("neither 0 nor 1")
 	}
 	return v == 1
 }
 
-func (t *take) float(b []byte) float64 {
+func (r *payloadReader) float(b []byte) float64 {
 	if len(b) != 8 {
-		t.fail("not 8 bytes")
+		r.fail("not 8 bytes")
 		return 0
 	}
 	return math.Float64frombits(binary.LittleEndian.Uint64(b))
 }
 
-func (t *take) text(b []byte) string {
+func (r *payloadReader) text(b []byte) string {
 	if !utf8.Valid(b) {
-		t.fail("not UTF-8")
+		r.fail("not UTF-8")
 	}
 	return string(b)
 }
 
-func (t *take) pair(b []byte) (p Pair) {
-	err := fields(b, func(f int, payload []byte) error {
+func (r *payloadReader) pair(b []byte) (p Pair) {
+	err := forEachField(b, func(f int, payload []byte) error {
 		switch f {
 		case kName:
-			p.Name = t.text(payload)
+			p.Name = r.text(payload)
 		case kValue:
-			p.Value = t.text(payload)
+			p.Value = r.text(payload)
 		default:
 			return &Error{f, "unknown in a pair"}
 		}
 		return nil
 	})
 	if err != nil {
-		t.fail(err.Error())
+		r.fail(err.Error())
 	}
 	return p
 }
 
-// DecodeView reads a view.
+// DecodeView decodes a view.
 func DecodeView(b []byte) (*View, error) {
-	b, err := open(b)
+	b, err := checkHeader(b)
 	if err != nil {
 		return nil, err
 	}
-	v, t := &View{Part: -1}, &take{}
-	err = fields(b, func(f int, p []byte) error {
-		t.field = f
+	v, reader := &View{Part: -1}, &payloadReader{}
+	err = forEachField(b, func(f int, p []byte) error {
+		reader.field = f
 		switch f {
 		case vPoint:
-			n := t.int(p)
+			n := reader.int(p)
 			if n < 0 || n >= int64(Points) {
-				t.fail("no such point")
+				reader.fail("no such point")
 				n = 0
 			}
 			v.Point = Point(n)
 		case vID:
-			v.ID = t.text(p)
+			v.ID = reader.text(p)
 		case vClass:
-			v.Class = t.text(p)
+			v.Class = reader.text(p)
 		case vKey:
-			v.Key = t.text(p)
+			v.Key = reader.text(p)
 		case vTenant:
-			v.Tenant = t.text(p)
+			v.Tenant = reader.text(p)
 		case vText:
-			v.Text = t.text(p)
+			v.Text = reader.text(p)
 		case vRepeat:
-			v.Repeat = t.bool(p)
+			v.Repeat = reader.bool(p)
 		case vTakenAt:
-			v.TakenAt = t.int(p)
+			v.TakenAt = reader.int(p)
 		case vLeft:
-			v.Left = t.int(p)
+			v.Left = reader.int(p)
 		case vSeed:
-			v.Seed = uint64(t.int(p))
+			v.Seed = uint64(reader.int(p))
 		case vTag:
-			v.Tags = append(v.Tags, t.pair(p))
+			v.Tags = append(v.Tags, reader.pair(p))
 		case vNote:
-			v.Notes = append(v.Notes, t.pair(p))
+			v.Notes = append(v.Notes, reader.pair(p))
 		case vPart:
 			if len(v.Parts) >= MaxList {
 				return &Error{f, "too many"}
 			}
-			v.Parts = append(v.Parts, t.part(p))
+			v.Parts = append(v.Parts, reader.part(p))
 		case vPartIndex:
-			v.Part = t.small(p) - 1
+			v.Part = reader.smallInt(p) - 1
 		case vAttempt:
-			v.Attempt = t.small(p)
+			v.Attempt = reader.smallInt(p)
 		case vEnding:
-			v.Ending = t.text(p)
+			v.Ending = reader.text(p)
 		case vWhole:
-			v.Whole = t.bool(p)
+			v.Whole = reader.bool(p)
 		case vShare:
-			v.Share = t.float(p)
+			v.Share = reader.float(p)
 		default:
 			return &Error{f, "unknown in a view"}
 		}
-		return t.err
+		return reader.err
 	})
 	if err == nil && (v.Part < -1 || v.Part >= len(v.Parts)) {
 		err = &Error{vPartIndex, "no such part"}
@@ -361,73 +368,73 @@
 	return v, err
 }
 
-func (t *take) part(b []byte) (v PartView) {
-	err := fields(b, func(f int, p []byte) error {
+func (r *payloadReader) part(b []byte) (v PartView) {
+	err := forEachField(b, func(f int, p []byte) error {
 		switch f {
 		case pShard:
-			v.Shard = t.small(p)
+			v.Shard = r.smallInt(p)
 		case pWeight:
-			v.Weight = t.float(p)
+			v.Weight = r.float(p)
 		case pKey:
-			v.Key = t.text(p)
+			v.Key = r.text(p)
 		case pAttempts:
-			v.Attempts = t.small(p)
+			v.Attempts = r.smallInt(p)
 		case pServed:
-			v.Served = t.bool(p)
+			v.Served = r.bool(p)
 		case pDropped:
-			v.Dropped = t.bool(p)
+			v.Dropped = r.bool(p)
 		case pValue:
-			v.Value = t.text(p)
+			v.Value = r.text(p)
 		default:
 			return &Error{f, "unknown in a part"}
 		}
 		return nil
 	})
 	if err != nil {
-		t.fail(err.Error())
+		r.fail(err.Error())
 	}
 	return v
 }
 
-// DecodeResult reads an answer. What it holds is bounded; whether it may be
-// granted is for the host to say.
+// DecodeResult decodes a result and checks its limits. The host decides whether its requests
+// are granted.
 func DecodeResult(b []byte) (*Result, error) {
-	b, err := open(b)
+	b, err := checkHeader(b)
 	if err != nil {
 		return nil, err
 	}
-	r, t := &Result{}, &take{}
-	err = fields(b, func(f int, p []byte) error {
-		t.field = f
+	r, reader := &Result{}, &payloadReader{}
+	err = forEachField(b, func(f int, p []byte) error {
+		reader.field = f
 		switch f {
 		case rTag:
-			r.Tags = append(r.Tags, t.pair(p))
+			r.Tags = append(r.Tags, reader.pair(p))
 		case rNote:
-			r.Notes = append(r.Notes, t.pair(p))
+			r.Notes = append(r.Notes, reader.pair(p))
 		case rClass:
-			r.Class = t.text(p)
+			r.Class = reader.text(p)
 		case rLeft:
-			r.Left = t.int(p)
+			r.Left = reader.int(p)
 		case rDrop:
-			r.Drop = append(r.Drop, t.small(p)-1)
+			r.Drop = append(r.Drop, reader.smallInt(p)-1)
 		case rNotWhole:
-			r.NotWhole = t.bool(p)
+			r.NotWhole = reader.bool(p)
 		case rRefuse:
-			r.Refuse = t.bool(p)
+			r.Refuse = reader.bool(p)
 		case rReason:
-			r.Reason = t.text(p)
+			r.Reason = reader.text(p)
 		case rRetryAfter:
-			r.RetryAfter = t.int(p)
+			r.RetryAfter = reader.int(p)
 		case rLog:
-			r.Log = append(r.Log, t.text(p))
+			r.Log = append(r.Log, reader.text(p))
 		default:
-			if i := f - claims; i >= 0 && i < len(claimNames) {
+			if i := f - firstClaim; i >= 0 && i < len(claimNames) {
 				r.Claims = append(r.Claims, claimNames[i])
 				return nil
 			}
 			return &Error{f, "unknown in an answer"}
 		}
-		return t.err
+		return reader.err
 	})
 	if err != nil {
 		return nil, err
@@ -435,7 +442,7 @@
 	return r, r.Check()
 }
 
-// Claim tells whether a name is one of what no hook may ask for.
+// Claim reports whether name is a request that is never granted.
 func Claim(name string) bool {
 	for _, c := range claimNames {
 		if c == name {
@@ -445,7 +452,8 @@
 	return false
 }
 
-// Check tells whether an answer keeps the bounds, in whichever form it came.
+// Check checks the limits of a result. It applies to all engines, whatever form their results
+// have.
 func (r *Result) Check() error {
 	for _, list := range [][]Pair{r.Tags, r.Notes} {
 		if len(list) > MaxPairs {
@@ -453,7 +461,7 @@
 		}
 		for _, p := range list {
 			if !Name(p.Name) {
-				return errors.New("name " + strconv.Quote(cut(p.Name)) + ": 1 to 32 of a-z, 0-9 and -")
+				return errors.New("name " + strconv.Quote(truncate(p.Name)) + ": 1 to 32 of a-z, 0-9 and -")
 			}
 			if len(p.Value) > MaxValue || !printable(p.Value) {
 				return errors.New("value of " + p.Name + ": at most 256 printable characters")
@@ -484,14 +492,15 @@
 	return nil
 }
 
-func cut(s string) string {
+// truncate returns the first MaxKey bytes of s.
+func truncate(s string) string {
 	if len(s) > MaxKey {
 		return s[:MaxKey]
 	}
 	return s
 }
 
-// Name tells whether a word can name a tag, a note or a hook.
+// Name reports whether s is a valid name of a tag, a note or a hook.
 func Name(s string) bool {
 	for i := range len(s) {
 		if c := s[i]; (c < 'a' || c > 'z') && (c < '0' || c > '9') && c != '-' {
@@ -501,7 +510,8 @@
 	return s != "" && len(s) <= MaxKey
 }
 
-// printable tells whether a value can stand in a header line.
+// printable reports whether s consists of printable ASCII characters, so that it can be the
+// value of a header.
 func printable(s string) bool {
 	for i := range len(s) {
 		if s[i] < ' ' || s[i] >= 0x7f {
--- a/sdk/hookabi/hookabi.go
+++ b/sdk/hookabi/hookabi.go
@@ -1,32 +1,31 @@
-// Package hookabi is the one typed, versioned view of a query that hooks get, and
-// of what they may answer. Host and guests both use it. It owns the types, their
-// bounds and their binary form; docs/reference/hooks.md is its page for people.
-// It must never import more than a small guest can carry, nor panic on any bytes.
+// Package hookabi defines the versioned view of a query that hooks receive and the result
+// that they return. Both the host and the guests use it. It owns the types, their limits and
+// their binary form; docs/reference/hooks.md describes them. It must keep its imports small
+// enough for a small guest, and decoding must never panic, whatever the input.
 //
-// Binary form: the two bytes "SH", one byte of Version, then fields. A field is
-// its number and the length of its payload, both unsigned varints, then the
-// payload: bytes, a signed varint, an IEEE 754 number of 8 bytes (least
-// significant first) or, again, fields. A list is its field repeated. Fields come
-// in any order. A field that the reader does not know is an error: what a hook
-// asks for in vain must not look granted.
+// Binary form: the two bytes "SH", one byte with Version, then fields. A field is its number
+// and the length of its payload, both unsigned varints, followed by the payload: bytes, a
+// signed varint, an IEEE 754 number of 8 bytes (least significant byte first) or, for a
+// nested message, fields. A list is a repeated field. Fields may be in any order. An unknown
+// field is an error: a request that the host does not understand must not look granted.
 package hookabi
 
-// Version is the version of the view and the answer. A guest tells which it was
-// built for; the host takes that one alone.
+// Version is the version of the view and the result. A guest reports the version that it
+// was built for. The host accepts no other version than its own.
 const Version = 1
 
-// Point is where in a query's life a hook is asked.
+// Point is a point in the life of a query at which hooks are called.
 type Point uint8
 
-// The points, in the order of a query's life.
+// The points, in the order in which a query passes them.
 const (
-	Taken     Point = iota // the query was read; nothing has been decided
-	Admission              // its class and parts are settled; the decisions get it next
+	Taken     Point = iota // the query has been received; nothing has been decided yet
+	Admission              // the class and the parts of the query are fixed; the router gets the query next
 	Send                   // one part is about to be sent
-	Answered               // one part was served
-	Answer                 // an answer is about to go out
-	Ended                  // the final answer is out; what the hook says counts for nothing
-	Points                 // how many there are
+	Answered               // one part has been answered by a leaf server
+	Answer                 // an answer is about to be sent to the client
+	Ended                  // the final answer has been sent; the result of a hook has no effect
+	Points                 // the number of points
 )
 
 var pointNames = [Points]string{"taken", "admission", "send", "answered", "answer", "ended"}
@@ -38,7 +37,7 @@
 	return "unknown"
 }
 
-// PointOf reads a point's name.
+// PointOf returns the point with this name, and whether there is one.
 func PointOf(name string) (Point, bool) {
 	for i, n := range pointNames {
 		if n == name {
@@ -48,40 +47,40 @@
 	return 0, false
 }
 
-// Bounds of a view and an answer. The host cuts nothing: an answer past them is
-// garbage.
+// Limits of a view and a result. The host truncates nothing: a result that exceeds a limit is
+// invalid.
 const (
-	MaxBytes  = 256 << 10 // of a binary message
-	MaxList   = 4096      // parts, shards to drop
-	MaxPairs  = 16        // tags or notes of one answer
-	MaxKey    = 32        // bytes of a tag's or note's name
-	MaxValue  = 256       // bytes of its value
-	MaxReason = 200       // bytes of a refusal's reason
+	MaxBytes  = 256 << 10 // bytes of a binary message
+	MaxList   = 4096      // parts of a view, or shards to drop
+	MaxPairs  = 16        // tags, notes or log lines of one result
+	MaxKey    = 32        // bytes of the name of a tag or note
+	MaxValue  = 256       // bytes of the value of a tag or note, or of a log line
+	MaxReason = 200       // bytes of the reason of a refusal
 )
 
-// Pair is a name and a value.
+// Pair is a tag or a note: a name and a value.
 type Pair struct{ Name, Value string }
 
-// View is what a hook sees. Times are in microseconds.
+// View is what a hook sees of a query. Times are in microseconds.
 type View struct {
 	Point   Point
 	ID      string // of the query
 	Class   string
-	Key     string // what the query is about, where it says so
+	Key     string // the key of the query, if it has one
 	Tenant  string
-	Text    string // what each part carries
-	Repeat  bool   // the client marked it as a further try
-	TakenAt int64  // Unix time in microseconds: the only clock there is
-	Left    int64  // until the query's deadline
-	Seed    uint64 // for random numbers; another one for each call, the same when replayed
+	Text    string // the text that is sent with each part
+	Repeat  bool   // the client marked the query as a retry
+	TakenAt int64  // Unix time in microseconds: the only clock of a hook
+	Left    int64  // time until the deadline of the query
+	Seed    uint64 // for random numbers; differs between calls, the same when replayed
 	Tags    []Pair
 	Notes   []Pair
 	Parts   []PartView
-	Part    int    // Send, Answered: the index in Parts; else -1
-	Attempt int    // Send: counts from 0
-	Ending  string // Answer, Ended: answered, refused, failed, expired or gone
-	Whole   bool   // Answer, Ended: the answer is marked whole
-	Share   float64
+	Part    int     // Send, Answered: the index of the current part in Parts; otherwise -1
+	Attempt int     // Send: the number of the attempt, from 0
+	Ending  string  // Answer, Ended: the outcome: answered, refused, failed, expired or gone
+	Whole   bool    // Answer, Ended: the answer is marked complete
+	Share   float64 // Answer, Ended: the share of the query that is answered
 }
 
 // PartView is one part of a query.
@@ -89,27 +88,28 @@
 	Shard    int
 	Weight   float64
 	Key      string
-	Attempts int    // sent so far
-	Served   bool   // its value is in
-	Dropped  bool   // a hook dropped it
-	Value    string // at Answered (of that part) and Answer: as the leaf server gave it
+	Attempts int    // attempts sent so far
+	Served   bool   // its value has been received
+	Dropped  bool   // dropped by a hook
+	Value    string // Answered (the current part only), Answer: as received from the leaf server
 }
 
-// Result is what a hook asks for. The zero Result asks for nothing.
+// Result is what a hook requests. The zero Result requests nothing. Times are in
+// microseconds.
 type Result struct {
 	Tags       []Pair
 	Notes      []Pair
-	Class      string // another class, as strict at least; Taken only
-	Left       int64  // a shorter time left, in microseconds; 0: as it is
-	Drop       []int  // shards whose parts are not wanted
-	NotWhole   bool   // the answer is not to be marked whole
+	Class      string // Taken: another class, at least as strict
+	Left       int64  // a shorter time until the deadline; 0: unchanged
+	Drop       []int  // the shards of the parts to drop
+	NotWhole   bool   // the answer must not be marked complete
 	Refuse     bool
 	Reason     string
-	RetryAfter int64 // advice with Refuse, in microseconds
+	RetryAfter int64 // with Refuse: when the client may retry
 	Log        []string
 
-	// Claims are what no hook may ask for. They have fields so that a refusal can
-	// say what was asked: the id of a query, a value, a whole mark, a server, a
-	// further attempt, a second answer.
+	// Claims are requests that are never granted. They have fields so that the error can
+	// name the request: the id of a query, a value, the complete mark, a server, another
+	// attempt, a second answer, a status.
 	Claims []string
 }
--- a/sdk/hookabi/hookabi_test.go
+++ b/sdk/hookabi/hookabi_test.go
@@ -6,15 +6,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-func full() *View {
+// fullView returns a view with all fields set.
+func fullView() *View {
 	return &View{Point: Answered, ID: "9b1f", Class: "free-slots", Key: "k", Tenant: "t", Text: "c41e", Repeat: true,
 		TakenAt: 1796000000000000, Left: 480000, Seed: 1<<63 + 5, Tags: []Pair{{"gov", "amman"}}, Notes: []Pair{{"n", ""}},
 		Parts: []PartView{{Shard: 0, Weight: 0.5}, {Shard: 9, Weight: 0.5, Key: "x", Attempts: 2, Served: true, Value: "5be2"}},
 		Part:  1, Attempt: 1, Ending: "answered", Whole: true, Share: 0.5}
 }
 
-func TestRound(t *testing.T) {
-	v := full()
+// A message must be the same after encoding and decoding.
+func TestRoundTrip(t *testing.T) {
+	v := fullView()
 	got, err := DecodeView(AppendView(nil, v))
 	require.NoError(t, err)
 	require.Equal(t, v, got)
@@ -25,7 +27,7 @@
 	require.Equal(t, r, back)
 }
 
-func TestFaults(t *testing.T) {
+func TestDecodeErrors(t *testing.T) {
 	for bytes, want := range map[string]string{
 		"":                        "does not begin with SH",
 		"SH\x02":                  "version 2, not 1",
@@ -43,11 +45,11 @@
 	}
 }
 
-// Whatever the bytes: an error, or an answer within its bounds that survives its
-// own form.
+// Any input must give an error, or a result within its limits that can be encoded and decoded
+// again.
 func FuzzDecodeResult(f *testing.F) {
 	f.Add(AppendResult(nil, &Result{Refuse: true, Reason: "r", Drop: []int{1}}))
-	f.Add(AppendView(nil, full()))
+	f.Add(AppendView(nil, fullView()))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if r, err := DecodeResult(b); err == nil {
 			require.NoError(t, r.Check())
