--- a/internal/hook/host.go
+++ b/internal/hook/host.go
@@ -186,7 +186,8 @@
 	h.pool.close()
 }
 
-// Begin implements exchange.Hooks.
+// Begin implements exchange.Hooks. It returns nil if no enabled hook is to be called for the
+// class at any point.
 func (h *Host) Begin(class string) exchange.QueryHooks {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -248,7 +249,7 @@
 type Report struct {
 	Set, Dir         string
 	Version, Swaps   int
-	Running, Waiting int    // calls in the pool
+	Running, Waiting int    // jobs of the pool
 	Rejected         string // why the last reload was rejected; empty: it was not
 	Hooks            []Status
 }
--- a/internal/hook/starlark/meter.go
+++ b/internal/hook/starlark/meter.go
@@ -1,14 +1,14 @@
 package starlark
 
-// Memory and work of a script. Starlark's library bounds steps, but one step can
-// make a string of a gigabyte, compare two lists of lists for minutes, or hash a
-// tuple that holds itself forty doublings deep. So a script is rewritten before
-// it is compiled: each operation that can cost more than a little goes through a
-// guard, which charges what it will cost, before it does it, against the call's
-// budget. What is charged is an upper bound in bytes, of what is made or gone
-// through, and is not given back: it bounds work as well as memory.
+// Limits on the memory and work of a script. The Starlark library limits the number of
+// steps, but one step can create a string of a gigabyte, compare two nested lists for
+// minutes, or hash a tuple whose size was doubled forty times. Therefore a script is
+// rewritten before it is compiled: each operation that can be expensive becomes a call of
+// a guard. The guard charges the cost of the operation against the budget of the call
+// before it runs the operation. The cost is an upper bound of the bytes that are allocated
+// or traversed. It is never refunded, so it limits work as well as memory.
 //
-// The guards' names hold a character that no script can write.
+// The names of the guards contain a character that is not valid in a script's identifiers.
 
 import (
 	"errors"
@@ -23,15 +23,15 @@
 )
 
 const (
-	mark     = "\u00b7"
-	maxDepth = 64 // of lists in lists, where all of a value is gone through
-	slot     = 16 // bytes of one element
-	entry    = 96 // bytes of one entry of a dict or set
+	guardPrefix = "\u00b7"
+	maxDepth    = 64 // nesting of a value that is traversed completely
+	elementSize = 16 // bytes of one element of a list or tuple, and of a value itself
+	entrySize   = 96 // bytes of one entry of a dict or set
 )
 
 var errMemory = errors.New("memory budget exceeded")
 
-// meter is what is left of a call's budget.
+// meter is the memory budget of one call, in bytes.
 type meter struct {
 	left int64
 	used int64
@@ -49,7 +49,8 @@
 	return nil
 }
 
-// times multiplies without overflow.
+// times returns a*b, or the largest int64 if the product overflows. It returns 0 if a or b
+// is not positive.
 func times(a, b int64) int64 {
 	if a <= 0 || b <= 0 {
 		return 0
@@ -60,6 +61,7 @@
 	return math.MaxInt64
 }
 
+// plus returns a+b, or the largest int64 if the sum overflows. a and b must not be negative.
 func plus(a, b int64) int64 {
 	if s := a + b; s >= 0 {
 		return s
@@ -67,43 +69,44 @@
 	return math.MaxInt64
 }
 
-// shallow is the size of a value without what it holds.
-func shallow(v starlark.Value) int64 {
+// shallowSize returns the size of a value without its elements.
+func shallowSize(v starlark.Value) int64 {
 	switch v := v.(type) {
 	case starlark.String:
-		return int64(len(v)) + slot
+		return int64(len(v)) + elementSize
 	case starlark.Bytes:
-		return int64(len(v)) + slot
+		return int64(len(v)) + elementSize
 	case starlark.Int:
 		if _, small := v.Int64(); small {
-			return slot
+			return elementSize
 		}
-		return int64(v.BigInt().BitLen()/8) + slot
+		return int64(v.BigInt().BitLen()/8) + elementSize
 	case *starlark.Dict:
-		return times(int64(v.Len()), entry) + slot
+		return times(int64(v.Len()), entrySize) + elementSize
 	case *starlark.Set:
-		return times(int64(v.Len()), entry) + slot
+		return times(int64(v.Len()), entrySize) + elementSize
 	}
 	if n := starlark.Len(v); n >= 0 {
-		return times(int64(n), slot) + slot
+		return times(int64(n), elementSize) + elementSize
 	}
-	return slot
+	return elementSize
 }
 
-// deep is the size of a value with all it holds, each time it is held. It gives
-// up past most, or where values are nested too deep to go through.
-func deep(v starlark.Value, most int64) (int64, error) { return deeper(v, most, 0) }
+// deepSize returns the size of a value with all its elements. An element that occurs
+// several times counts each time. It returns an error if the size is above limit or the
+// value is nested more than maxDepth deep.
+func deepSize(v starlark.Value, limit int64) (int64, error) { return deepSizeAt(v, limit, 0) }
 
-func deeper(v starlark.Value, most int64, depth int) (int64, error) {
+func deepSizeAt(v starlark.Value, limit int64, depth int) (int64, error) {
 	if depth > maxDepth {
 		return 0, fmt.Errorf("nested more than %d deep", maxDepth)
 	}
-	size := shallow(v)
-	if size > most {
+	size := shallowSize(v)
+	if size > limit {
 		return 0, errMemory
 	}
 	add := func(x starlark.Value) error {
-		n, err := deeper(x, most-size, depth+1)
+		n, err := deepSizeAt(x, limit-size, depth+1)
 		size += n
 		return err
 	}
@@ -126,7 +129,7 @@
 				return 0, err
 			}
 		}
-	case *starlarkstruct.Struct: // a view's
+	case *starlarkstruct.Struct: // a view or a part of one
 		for _, name := range v.AttrNames() {
 			x, err := v.Attr(name)
 			if err == nil {
@@ -148,9 +151,10 @@
 	return size, nil
 }
 
+// chargeDeep charges factor times the deep size of each value.
 func (m *meter) chargeDeep(factor int64, values ...starlark.Value) error {
 	for _, v := range values {
-		n, err := deep(v, m.left)
+		n, err := deepSize(v, m.left)
 		if err == nil {
 			err = m.charge(times(n, factor))
 		}
@@ -161,7 +165,7 @@
 	return nil
 }
 
-// chargeBinary charges what x op y will cost.
+// chargeBinary charges the cost of x op y.
 func (m *meter) chargeBinary(op syntax.Token, x, y starlark.Value) error {
 	switch op {
 	case syntax.STAR:
@@ -171,24 +175,24 @@
 		}
 		if count, ok := n.(starlark.Int); ok {
 			if _, both := seq.(starlark.Int); both {
-				return m.charge(2 * (shallow(x) + shallow(y)))
+				return m.charge(2 * (shallowSize(x) + shallowSize(y)))
 			}
 			c, fits := count.Int64()
 			if !fits {
 				c = math.MaxInt64
 			}
-			return m.charge(times(max(c, 0), shallow(seq)))
+			return m.charge(times(max(c, 0), shallowSize(seq)))
 		}
-		return m.charge(shallow(x) + shallow(y))
+		return m.charge(shallowSize(x) + shallowSize(y))
 	case syntax.PERCENT:
 		if s, ok := x.(starlark.String); ok {
-			n, err := deep(y, m.left)
+			n, err := deepSize(y, m.left)
 			if err != nil {
 				return err
 			}
 			return m.charge(plus(int64(len(s)), times(n, 4*int64(1+strings.Count(string(s), "%")))))
 		}
-		return m.charge(shallow(x) + shallow(y))
+		return m.charge(shallowSize(x) + shallowSize(y))
 	case syntax.EQL, syntax.NEQ, syntax.LT, syntax.LE, syntax.GT, syntax.GE:
 		return m.chargeDeep(1, x, y)
 	case syntax.IN, syntax.NOT_IN:
@@ -199,15 +203,15 @@
 			return m.chargeDeep(1, x, y)
 		}
 		if _, ok := y.(starlark.String); ok {
-			return m.charge(shallow(y))
+			return m.charge(shallowSize(y))
 		}
 		return m.chargeDeep(1, x)
 	default:
-		return m.charge(2 * (shallow(x) + shallow(y)))
+		return m.charge(2 * (shallowSize(x) + shallowSize(y)))
 	}
 }
 
-// chargeCall charges what a builtin will cost.
+// chargeCall charges the cost of a call of a builtin.
 func (m *meter) chargeCall(b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) error {
 	recv := b.Receiver()
 	values := append(starlark.Tuple(nil), args...)
@@ -224,7 +228,7 @@
 			if n := starlark.Len(args[0]); n >= 0 {
 				total = plus(total, times(int64(n), int64(len(text))))
 			}
-			n, err := deep(args[0], m.left)
+			n, err := deepSize(args[0], m.left)
 			if err != nil {
 				return err
 			}
@@ -234,14 +238,14 @@
 	case "replace":
 		if len(args) >= 2 {
 			old, _ := starlark.AsString(args[0])
-			now, _ := starlark.AsString(args[1])
+			replacement, _ := starlark.AsString(args[1])
 			n := int64(len(text))/int64(max(len(old), 1)) + 1
-			return m.charge(plus(int64(len(text)), times(n, int64(len(now))+1)))
+			return m.charge(plus(int64(len(text)), times(n, int64(len(replacement))+1)))
 		}
 	case "format":
 		total := int64(0)
 		for _, v := range values {
-			n, err := deep(v, m.left)
+			n, err := deepSize(v, m.left)
 			if err != nil {
 				return err
 			}
@@ -256,24 +260,25 @@
 		return m.chargeDeep(int64(4*bits.Len(uint(n))), values...)
 	}
 	if recv != nil {
-		if err := m.charge(times(24, shallow(recv))); err != nil {
+		if err := m.charge(times(24, shallowSize(recv))); err != nil {
 			return err
 		}
 	}
 	return m.chargeDeep(4, values...)
 }
 
-// ---- The guards.
-
+// guards returns the guards by name: one for each binary operator, "grow" for +=, one for
+// each arithmetic unary operator, "size" and "key" which charge for a value and return it,
+// and "call".
 func guards() starlark.StringDict {
 	g := make(starlark.StringDict)
-	put := func(name string, f func(t *starlark.Thread, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error)) {
-		g[mark+name] = starlark.NewBuiltin(mark+name, func(t *starlark.Thread, _ *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
+	define := func(name string, f func(t *starlark.Thread, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error)) {
+		g[guardPrefix+name] = starlark.NewBuiltin(guardPrefix+name, func(t *starlark.Thread, _ *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
 			return f(t, args, kwargs)
 		})
 	}
 	for op := range binaryOps {
-		put(op.String(), func(t *starlark.Thread, a starlark.Tuple, _ []starlark.Tuple) (starlark.Value, error) {
+		define(op.String(), func(t *starlark.Thread, a starlark.Tuple, _ []starlark.Tuple) (starlark.Value, error) {
 			if err := meterOf(t).chargeBinary(op, a[0], a[1]); err != nil {
 				return nil, err
 			}
@@ -291,21 +296,21 @@
 			return starlark.Binary(op, a[0], a[1])
 		})
 	}
-	put("grow", func(t *starlark.Thread, a starlark.Tuple, _ []starlark.Tuple) (starlark.Value, error) {
+	define("grow", func(t *starlark.Thread, a starlark.Tuple, _ []starlark.Tuple) (starlark.Value, error) {
 		if err := meterOf(t).chargeBinary(syntax.PLUS, a[0], a[1]); err != nil {
 			return nil, err
 		}
 		list, isList := a[0].(*starlark.List)
-		more, iterable := a[1].(starlark.Iterable)
+		added, iterable := a[1].(starlark.Iterable)
 		if !isList || !iterable {
 			return starlark.Binary(syntax.PLUS, a[0], a[1])
 		}
 		var items []starlark.Value
-		it := more.Iterate()
+		it := added.Iterate()
 		for x := starlark.Value(nil); it.Next(&x); {
 			items = append(items, x)
 		}
-		it.Done() // a list may grow by itself
+		it.Done() // before the list is changed: it may be added to itself
 		for _, x := range items {
 			if err := list.Append(x); err != nil {
 				return nil, err
@@ -314,26 +319,26 @@
 		return list, nil
 	})
 	for _, op := range []syntax.Token{syntax.MINUS, syntax.PLUS, syntax.TILDE} {
-		put("unary"+op.String(), func(t *starlark.Thread, a starlark.Tuple, _ []starlark.Tuple) (starlark.Value, error) {
-			if err := meterOf(t).charge(shallow(a[0])); err != nil {
+		define("unary"+op.String(), func(t *starlark.Thread, a starlark.Tuple, _ []starlark.Tuple) (starlark.Value, error) {
+			if err := meterOf(t).charge(shallowSize(a[0])); err != nil {
 				return nil, err
 			}
 			return starlark.Unary(op, a[0])
 		})
 	}
-	same := func(charge func(*meter, starlark.Value) error) func(*starlark.Thread, starlark.Tuple, []starlark.Tuple) (starlark.Value, error) {
+	chargeAndReturn := func(charge func(*meter, starlark.Value) error) func(*starlark.Thread, starlark.Tuple, []starlark.Tuple) (starlark.Value, error) {
 		return func(t *starlark.Thread, a starlark.Tuple, _ []starlark.Tuple) (starlark.Value, error) {
 			return a[0], charge(meterOf(t), a[0])
 		}
 	}
-	put("size", same(func(m *meter, v starlark.Value) error { return m.charge(shallow(v)) }))
-	put("key", same(func(m *meter, v starlark.Value) error {
-		if _, tuple := v.(starlark.Tuple); tuple { // its hash goes through all of it
+	define("size", chargeAndReturn(func(m *meter, v starlark.Value) error { return m.charge(shallowSize(v)) }))
+	define("key", chargeAndReturn(func(m *meter, v starlark.Value) error {
+		if _, tuple := v.(starlark.Tuple); tuple { // hashing a tuple traverses all of it
 			return m.chargeDeep(1, v)
 		}
-		return m.charge(shallow(v))
+		return m.charge(shallowSize(v))
 	}))
-	put("call", func(t *starlark.Thread, a starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
+	define("call", func(t *starlark.Thread, a starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
 		f, args := a[0], a[1:]
 		b, builtin := f.(*starlark.Builtin)
 		if !builtin {
@@ -342,7 +347,8 @@
 		if err := meterOf(t).chargeCall(b, args, kwargs); err != nil {
 			return nil, err
 		}
-		// A builtin may call what it is given, as sorted does its key.
+		// A builtin may call its arguments, as sorted calls its key function. Builtins among
+		// them must charge too.
 		args = append(starlark.Tuple(nil), args...)
 		for i := range args {
 			args[i] = guarded(args[i])
@@ -356,6 +362,7 @@
 	return g
 }
 
+// guarded returns v, or if v is a builtin, a builtin that charges before it calls v.
 func guarded(v starlark.Value) starlark.Value {
 	b, ok := v.(*starlark.Builtin)
 	if !ok {
--- a/internal/hook/starlark/rewrite.go
+++ b/internal/hook/starlark/rewrite.go
@@ -1,7 +1,7 @@
 package starlark
 
-// The rewriting of a script: each operation that the meter must see becomes a
-// call of its guard. Positions are kept, so errors name the line that was written.
+// The rewriting of a script: each operation that must be charged becomes a call of its
+// guard. Positions are kept, so errors name the line of the original script.
 
 import (
 	"fmt"
@@ -16,7 +16,7 @@
 	syntax.GE: true, syntax.IN: true, syntax.NOT_IN: true,
 }
 
-// augmented are the operators of x op= y.
+// augmented maps each assignment operator of the form x op= y to its binary operator.
 var augmented = map[syntax.Token]syntax.Token{
 	syntax.PLUS_EQ: syntax.PLUS, syntax.MINUS_EQ: syntax.MINUS, syntax.STAR_EQ: syntax.STAR, syntax.SLASH_EQ: syntax.SLASH,
 	syntax.SLASHSLASH_EQ: syntax.SLASHSLASH, syntax.PERCENT_EQ: syntax.PERCENT, syntax.AMP_EQ: syntax.AMP,
@@ -24,24 +24,27 @@
 	syntax.GTGT_EQ: syntax.GTGT,
 }
 
-// rewriter keeps the first complaint.
+// rewriter rewrites syntax trees in place. It keeps the first error.
 type rewriter struct{ err error }
 
+// rewrite rewrites a script in place. It returns an error if the script uses something that
+// hooks can't use.
 func rewrite(f *syntax.File) error {
 	r := &rewriter{}
 	r.block(f.Stmts)
 	return r.err
 }
 
-func (r *rewriter) fail(at syntax.Position, format string, args ...any) {
+func (r *rewriter) fail(pos syntax.Position, format string, args ...any) {
 	if r.err == nil {
-		r.err = fmt.Errorf("%s: %s", at, fmt.Sprintf(format, args...))
+		r.err = fmt.Errorf("%s: %s", pos, fmt.Sprintf(format, args...))
 	}
 }
 
-func guard(name string, at syntax.Node, args ...syntax.Expr) syntax.Expr {
-	start, end := at.Span()
-	return &syntax.CallExpr{Fn: &syntax.Ident{NamePos: start, Name: mark + name}, Lparen: start, Args: args, Rparen: end}
+// guard returns a call of a guard at the position of the node original.
+func guard(name string, original syntax.Node, args ...syntax.Expr) syntax.Expr {
+	start, end := original.Span()
+	return &syntax.CallExpr{Fn: &syntax.Ident{NamePos: start, Name: guardPrefix + name}, Lparen: start, Args: args, Rparen: end}
 }
 
 func (r *rewriter) block(stmts []syntax.Stmt) {
@@ -53,21 +56,21 @@
 func (r *rewriter) stmt(s syntax.Stmt) {
 	switch s := s.(type) {
 	case *syntax.AssignStmt:
-		op, more := augmented[s.Op]
+		op, isAugmented := augmented[s.Op]
 		s.RHS = r.expr(s.RHS)
-		if !more {
+		if !isAugmented {
 			s.LHS = r.target(s.LHS)
 			return
 		}
-		if !plain(s.LHS) {
-			r.fail(s.OpPos, "%s here needs a name, or an element named by plain names: write it out", s.Op)
+		if !isPlain(s.LHS) {
+			r.fail(s.OpPos, "the left side of %s must be made of names, attributes and indexes alone: write the assignment out", s.Op)
 			return
 		}
 		name := op.String()
 		if op == syntax.PLUS {
 			name = "grow"
 		}
-		s.RHS = guard(name, s, r.expr(again(s.LHS)), s.RHS)
+		s.RHS = guard(name, s, r.expr(copyPlain(s.LHS)), s.RHS)
 		s.LHS, s.Op = r.target(s.LHS), syntax.EQ
 	case *syntax.DefStmt:
 		r.params(s.Params)
@@ -89,31 +92,33 @@
 			s.Result = r.expr(s.Result)
 		}
 	case *syntax.LoadStmt:
-		r.fail(s.Load, "load: a hook is one file")
+		r.fail(s.Load, "load: a hook is a single file")
 	case *syntax.BranchStmt:
 	default:
 		start, _ := s.Span()
-		r.fail(start, "a statement that hooks can't use")
+		r.fail(start, "hooks can't use this statement")
 	}
 }
 
-// plain tells whether an expression can stand twice without doing anything twice.
-func plain(e syntax.Expr) bool {
+// isPlain reports whether an expression can be evaluated twice without side effects: it is
+// made of names, literals, attributes and indexes.
+func isPlain(e syntax.Expr) bool {
 	switch e := e.(type) {
 	case *syntax.Ident, *syntax.Literal:
 		return true
 	case *syntax.ParenExpr:
-		return plain(e.X)
+		return isPlain(e.X)
 	case *syntax.DotExpr:
-		return plain(e.X)
+		return isPlain(e.X)
 	case *syntax.IndexExpr:
-		return plain(e.X) && plain(e.Y)
+		return isPlain(e.X) && isPlain(e.Y)
 	}
 	return false
 }
 
-// again copies a plain expression: the resolver writes into what it visits.
-func again(e syntax.Expr) syntax.Expr {
+// copyPlain copies a plain expression. The copy must not share nodes with the original,
+// because the resolver modifies the nodes that it visits.
+func copyPlain(e syntax.Expr) syntax.Expr {
 	switch e := e.(type) {
 	case *syntax.Ident:
 		return &syntax.Ident{NamePos: e.NamePos, Name: e.Name}
@@ -121,16 +126,16 @@
 		c := *e
 		return &c
 	case *syntax.ParenExpr:
-		return again(e.X)
+		return copyPlain(e.X)
 	case *syntax.DotExpr:
-		return &syntax.DotExpr{X: again(e.X), Dot: e.Dot, NamePos: e.NamePos, Name: again(e.Name).(*syntax.Ident)}
+		return &syntax.DotExpr{X: copyPlain(e.X), Dot: e.Dot, NamePos: e.NamePos, Name: copyPlain(e.Name).(*syntax.Ident)}
 	case *syntax.IndexExpr:
-		return &syntax.IndexExpr{X: again(e.X), Lbrack: e.Lbrack, Y: again(e.Y), Rbrack: e.Rbrack}
+		return &syntax.IndexExpr{X: copyPlain(e.X), Lbrack: e.Lbrack, Y: copyPlain(e.Y), Rbrack: e.Rbrack}
 	}
 	return e
 }
 
-// target rewrites what is assigned to.
+// target rewrites the target of an assignment.
 func (r *rewriter) target(e syntax.Expr) syntax.Expr {
 	switch e := e.(type) {
 	case *syntax.Ident:
@@ -156,7 +161,7 @@
 
 func (r *rewriter) params(params []syntax.Expr) {
 	for _, p := range params {
-		if b, ok := p.(*syntax.BinaryExpr); ok { // a default
+		if b, ok := p.(*syntax.BinaryExpr); ok { // a default value
 			b.Y = r.expr(b.Y)
 		}
 	}
@@ -188,7 +193,7 @@
 		for _, a := range e.Args {
 			switch a := a.(type) {
 			case *syntax.BinaryExpr:
-				if a.Op == syntax.EQ { // a named argument
+				if a.Op == syntax.EQ { // a keyword argument
 					a.Y = r.expr(a.Y)
 					args = append(args, a)
 					continue
@@ -243,7 +248,7 @@
 	case *syntax.Ident, *syntax.Literal:
 	default:
 		start, _ := e.Span()
-		r.fail(start, "an expression that hooks can't use")
+		r.fail(start, "hooks can't use this expression")
 	}
 	return e
 }
--- a/internal/hook/starlark/starlark.go
+++ b/internal/hook/starlark/starlark.go
@@ -1,8 +1,7 @@
-// Package starlark runs hooks that are Starlark scripts, for people who write
-// their own. It owns the script's side of the view and the answer, and the bounds
-// on steps, time, memory and depth. It must never give a script a clock, a file,
-// the network or chance but what the view holds, nor let two calls share anything
-// that can change.
+// Package starlark runs hooks that are Starlark scripts. It owns the Starlark form of views
+// and results, and the limits on steps, time, memory and nesting. It must never give a
+// script access to a clock, a file, the network or random numbers, other than the time and
+// the seed of the view, and must never let two calls share mutable state.
 package starlark
 
 import (
@@ -20,11 +19,11 @@
 	"saddleport/sdk/hookabi"
 )
 
-const maxText = 64 << 10 // of a script
+const maxScriptSize = 64 << 10 // bytes
 
 var options = &syntax.FileOptions{Set: true, While: true, TopLevelControl: true}
 
-// Engine loads scripts.
+// Engine loads Starlark scripts.
 type Engine struct{}
 
 type program struct {
@@ -32,13 +31,13 @@
 	functions [hookabi.Points]*starlark.Function
 }
 
-// Load implements hook.Engine. The script's own statements run once, here, within
-// the budgets of a call; what they leave is frozen.
+// Load implements hook.Engine. The top-level statements of the script run once, here,
+// within the limits of a call. The values that they define are frozen.
 func (Engine) Load(ctx context.Context, src hook.Source) (hook.Program, error) {
-	if len(src.Text) > maxText {
-		return nil, fmt.Errorf("%s: more than %d bytes", src.File, maxText)
+	if len(src.Text) > maxScriptSize {
+		return nil, fmt.Errorf("%s: more than %d bytes", src.File, maxScriptSize)
 	}
-	if line, deep := nesting(src.Text); deep {
+	if line, tooDeep := findDeepNesting(src.Text); tooDeep {
 		return nil, fmt.Errorf("%s:%d: brackets nested more than %d deep", src.File, line, maxNesting)
 	}
 	f, err := options.Parse(src.File, src.Text, 0)
@@ -48,16 +47,16 @@
 	if err := rewrite(f); err != nil {
 		return nil, err
 	}
-	known := guards()
-	known["log"] = starlark.NewBuiltin("log", scriptLog)
-	known["random"] = starlark.NewBuiltin("random", scriptRandom)
-	compiled, err := starlark.FileProgram(f, known.Has)
+	predeclared := guards()
+	predeclared["log"] = starlark.NewBuiltin("log", scriptLog)
+	predeclared["random"] = starlark.NewBuiltin("random", scriptRandom)
+	compiled, err := starlark.FileProgram(f, predeclared.Has)
 	if err != nil {
 		return nil, err
 	}
 	p := &program{src: src}
 	t, _ := p.thread(ctx, 0)
-	globals, err := compiled.Init(t, known)
+	globals, err := compiled.Init(t, predeclared)
 	if err != nil {
 		return nil, errors.New(p.fault(ctx, err).Message)
 	}
@@ -73,7 +72,7 @@
 			return nil, fmt.Errorf("%s: no function on_%s", src.File, point)
 		}
 		if f.NumParams() != 1 || f.HasVarargs() || f.HasKwargs() {
-			return nil, fmt.Errorf("%s: on_%s: takes the query and nothing else", f.Position(), point)
+			return nil, fmt.Errorf("%s: on_%s: must have exactly one parameter, the query", f.Position(), point)
 		}
 	}
 	return p, nil
@@ -81,8 +80,9 @@
 
 const maxNesting = 100
 
-// nesting finds brackets so deep that going through them could exhaust a stack.
-func nesting(text []byte) (line int, deep bool) {
+// findDeepNesting reports whether a script is nested so deeply that traversing it
+// recursively could exhaust the stack, and on which line.
+func findDeepNesting(text []byte) (line int, tooDeep bool) {
 	depth := 0
 	line = 1
 	for _, c := range text {
@@ -97,7 +97,8 @@
 			depth = max(depth-1, 0)
 		}
 	}
-	// A chain of operators or of negations nests without brackets.
+	// A chain of operators or of negations nests without brackets. The length of a line
+	// limits it.
 	for i, l := range strings.Split(string(text), "\n") {
 		if len(l) > 4096 {
 			return i + 1, true
@@ -106,22 +107,22 @@
 	return 0, false
 }
 
-// state is what one call holds.
-type state struct {
+// callState is the state of one call.
+type callState struct {
 	logs []string
 	rand *rand.Rand
 }
 
-func (p *program) thread(ctx context.Context, seed uint64) (*starlark.Thread, *state) {
-	s := &state{rand: rand.New(rand.NewPCG(seed, 0x5add1e))}
-	t := &starlark.Thread{Name: p.src.Hook, Print: func(t *starlark.Thread, msg string) { t.Local("state").(*state).log(msg) }}
+func (p *program) thread(ctx context.Context, seed uint64) (*starlark.Thread, *callState) {
+	s := &callState{rand: rand.New(rand.NewPCG(seed, 0x5add1e))}
+	t := &starlark.Thread{Name: p.src.Hook, Print: func(t *starlark.Thread, msg string) { t.Local("state").(*callState).log(msg) }}
 	t.SetLocal("state", s)
 	t.SetLocal("meter", &meter{left: p.src.Memory})
 	t.SetMaxExecutionSteps(uint64(p.src.Steps))
 	return t, s
 }
 
-func (s *state) log(msg string) {
+func (s *callState) log(msg string) {
 	if len(s.logs) < hookabi.MaxPairs {
 		s.logs = append(s.logs, msg[:min(len(msg), hookabi.MaxValue)])
 	}
@@ -132,7 +133,7 @@
 	if err := starlark.UnpackPositionalArgs(b.Name(), args, kwargs, 1, &msg); err != nil {
 		return nil, err
 	}
-	t.Local("state").(*state).log(msg)
+	t.Local("state").(*callState).log(msg)
 	return starlark.None, nil
 }
 
@@ -140,10 +141,11 @@
 	if err := starlark.UnpackPositionalArgs(b.Name(), args, kwargs, 0); err != nil {
 		return nil, err
 	}
-	return starlark.Float(t.Local("state").(*state).rand.Float64()), nil
+	return starlark.Float(t.Local("state").(*callState).rand.Float64()), nil
 }
 
-// Call implements hook.Program.
+// Call implements hook.Program. Without a function for the view's point, the result is
+// empty.
 func (p *program) Call(ctx context.Context, v *hookabi.View) (*hookabi.Result, error) {
 	f := p.functions[v.Point]
 	if f == nil {
@@ -152,11 +154,11 @@
 	t, s := p.thread(ctx, v.Seed)
 	stop := context.AfterFunc(ctx, func() { t.Cancel("time budget exceeded") })
 	defer stop()
-	out, err := starlark.Call(t, f, starlark.Tuple{query(v)}, nil)
+	out, err := starlark.Call(t, f, starlark.Tuple{queryValue(v)}, nil)
 	if err != nil {
 		return nil, p.fault(ctx, err)
 	}
-	r, err := result(out)
+	r, err := parseResult(out)
 	if err != nil {
 		return nil, hook.Faultf(hook.Garbage, "%s: on_%s: %v", p.src.File, v.Point, err)
 	}
@@ -167,14 +169,14 @@
 // Close implements hook.Program.
 func (p *program) Close() {}
 
-// fault tells what kind of failure an error is, and where in the script.
+// fault returns the Fault for an error, with its position in the script.
 func (p *program) fault(ctx context.Context, err error) *hook.Fault {
-	at := p.src.File
+	position := p.src.File
 	var e *starlark.EvalError
 	if errors.As(err, &e) {
-		for i := range len(e.CallStack) { // the innermost frame that is the script's
+		for i := range len(e.CallStack) { // the innermost frame of the script
 			if pos := e.CallStack.At(i).Pos; pos.Filename() == p.src.File {
-				at = pos.String()
+				position = pos.String()
 				break
 			}
 		}
@@ -186,21 +188,20 @@
 	case strings.Contains(err.Error(), "too many steps"), strings.Contains(err.Error(), "time budget exceeded"):
 		kind = hook.Overrun
 	}
-	return hook.Faultf(kind, "%s: %v", at, err)
+	return hook.Faultf(kind, "%s: %v", position, err)
 }
 
-// ---- The script's side of the view.
-
-func query(v *hookabi.View) starlark.Value {
+// queryValue returns the Starlark form of a view.
+func queryValue(v *hookabi.View) starlark.Value {
 	parts := make([]starlark.Value, len(v.Parts))
 	for i := range v.Parts {
-		parts[i] = part(&v.Parts[i])
+		parts[i] = partValue(&v.Parts[i])
 	}
 	d := starlark.StringDict{
 		"point": starlark.String(v.Point.String()), "id": starlark.String(v.ID), "class_": starlark.String(v.Class),
 		"key": starlark.String(v.Key), "tenant": starlark.String(v.Tenant), "text": starlark.String(v.Text),
 		"repeat": starlark.Bool(v.Repeat), "taken_at_us": starlark.MakeInt64(v.TakenAt),
-		"left_ms": starlark.Float(float64(v.Left) / 1000), "tags": pairs(v.Tags), "notes": pairs(v.Notes),
+		"left_ms": starlark.Float(float64(v.Left) / 1000), "tags": pairsValue(v.Tags), "notes": pairsValue(v.Notes),
 		"parts": frozenList(parts), "part": starlark.None, "attempt": starlark.MakeInt(v.Attempt),
 		"ending": starlark.String(v.Ending), "whole": starlark.Bool(v.Whole), "share": starlark.Float(v.Share),
 	}
@@ -210,7 +211,7 @@
 	return starlarkstruct.FromStringDict(starlarkstruct.Default, d)
 }
 
-func part(p *hookabi.PartView) starlark.Value {
+func partValue(p *hookabi.PartView) starlark.Value {
 	return starlarkstruct.FromStringDict(starlarkstruct.Default, starlark.StringDict{
 		"shard": starlark.MakeInt(p.Shard), "weight": starlark.Float(p.Weight), "key": starlark.String(p.Key),
 		"attempts": starlark.MakeInt(p.Attempts), "served": starlark.Bool(p.Served), "dropped": starlark.Bool(p.Dropped),
@@ -223,7 +224,7 @@
 	return l
 }
 
-func pairs(list []hookabi.Pair) starlark.Value {
+func pairsValue(list []hookabi.Pair) starlark.Value {
 	d := starlark.NewDict(len(list))
 	for _, p := range list {
 		d.SetKey(starlark.String(p.Name), starlark.String(p.Value))
@@ -232,8 +233,8 @@
 	return d
 }
 
-// result reads what a script returned: None, or a dict of what it asks for.
-func result(v starlark.Value) (*hookabi.Result, error) {
+// parseResult converts the value that a script returned: None, or a dict of its requests.
+func parseResult(v starlark.Value) (*hookabi.Result, error) {
 	r := &hookabi.Result{}
 	if v == starlark.None {
 		return r, nil
@@ -250,25 +251,27 @@
 		if !ok {
 			return nil, fmt.Errorf("returned a dict with a key that is a %s", item[0].Type())
 		}
-		if err := field(r, name, item[1]); err != nil {
+		if err := setField(r, name, item[1]); err != nil {
 			return nil, fmt.Errorf("%.40q: %w", name, err)
 		}
 	}
 	return r, nil
 }
 
-func field(r *hookabi.Result, name string, v starlark.Value) (err error) {
+// setField sets the field of r for one entry of the returned dict. The name of a claim is
+// added to the claims, which the rules reject.
+func setField(r *hookabi.Result, name string, v starlark.Value) (err error) {
 	switch name {
 	case "tags":
-		r.Tags, err = readPairs(v)
+		r.Tags, err = parsePairs(v)
 	case "notes":
-		r.Notes, err = readPairs(v)
+		r.Notes, err = parsePairs(v)
 	case "class":
-		r.Class, err = text(v)
+		r.Class, err = parseText(v)
 	case "left_ms":
-		r.Left, err = millis(v)
+		r.Left, err = parseMillis(v)
 		if err == nil && r.Left <= 0 {
-			err = errors.New("not above 0")
+			err = errors.New("must be above 0")
 		}
 	case "drop":
 		l, ok := v.(*starlark.List)
@@ -290,19 +293,19 @@
 		r.NotWhole = bool(b)
 	case "refuse":
 		r.Refuse = true
-		r.Reason, err = text(v)
+		r.Reason, err = parseText(v)
 	case "retry_after_ms":
-		r.RetryAfter, err = millis(v)
+		r.RetryAfter, err = parseMillis(v)
 	default:
 		if !hookabi.Claim(name) {
-			return errors.New("there is nothing of that name to ask for")
+			return errors.New("unknown field of a result")
 		}
 		r.Claims = append(r.Claims, name)
 	}
 	return err
 }
 
-func text(v starlark.Value) (string, error) {
+func parseText(v starlark.Value) (string, error) {
 	s, ok := starlark.AsString(v)
 	if !ok {
 		return "", fmt.Errorf("a %s, not a string", v.Type())
@@ -313,7 +316,8 @@
 	return s, nil
 }
 
-func millis(v starlark.Value) (int64, error) {
+// parseMillis converts a number of milliseconds to microseconds.
+func parseMillis(v starlark.Value) (int64, error) {
 	f, ok := starlark.AsFloat(v)
 	if _, isBool := v.(starlark.Bool); !ok || isBool || !(f >= 0 && f < 1e9) {
 		return 0, errors.New("not a number of milliseconds")
@@ -321,18 +325,18 @@
 	return int64(f * 1000), nil
 }
 
-func readPairs(v starlark.Value) ([]hookabi.Pair, error) {
+func parsePairs(v starlark.Value) ([]hookabi.Pair, error) {
 	d, ok := v.(*starlark.Dict)
 	if !ok || d.Len() > hookabi.MaxPairs {
 		return nil, fmt.Errorf("not a dict of at most %d strings", hookabi.MaxPairs)
 	}
 	var out []hookabi.Pair
 	for _, item := range d.Items() {
-		name, err := text(item[0])
+		name, err := parseText(item[0])
 		if err != nil {
 			return nil, err
 		}
-		value, err := text(item[1])
+		value, err := parseText(item[1])
 		if err != nil {
 			return nil, err
 		}
