--- a/internal/hook/engines_test.go
+++ b/internal/hook/engines_test.go
@@ -1,6 +1,6 @@
 package hook_test
 
-// Both engines behind the one interface, with hooks that do what hooks must not.
+// Tests of both engines through their common interface, with misbehaving hooks.
 
 import (
 	"context"
@@ -24,8 +24,8 @@
 	"saddleport/sdk/hookabi"
 )
 
-// trouble builds the guest once for all tests.
-var trouble = sync.OnceValues(func() ([]byte, error) {
+// buildModule builds the example module "trouble" once for all tests.
+var buildModule = sync.OnceValues(func() ([]byte, error) {
 	dir, err := os.MkdirTemp("", "guest")
 	if err != nil {
 		return nil, err
@@ -40,113 +40,116 @@
 	return os.ReadFile(out)
 })
 
-const troubleScript = `
+// misbehavingScript does what the first word of the query's text says, as the example module
+// "trouble" does.
+const misbehavingScript = `
 def on_taken(q):
-    word, _, arg = q.text.partition(" ")
-    if word == "loop":
+    action, _, arg = q.text.partition(" ")
+    if action == "loop":
         while True:
             pass
-    if word == "throw":
+    if action == "throw":
         fail("on purpose")
-    if word == "bomb":
+    if action == "bomb":
         x = ["y"]
         while True:
             x = x + x
-    if word == "string":
+    if action == "string":
         return {"refuse": "x" * 500000000}
-    if word == "list":
+    if action == "list":
         return {"drop": [0] * 100000000}
-    if word == "grow":
+    if action == "grow":
         x = [0]
         for _ in range(100):
             x += x
-    if word == "extend":
+    if action == "extend":
         x = [0]
         for _ in range(100):
             x.extend(x)
-    if word == "join":
+    if action == "join":
         s = "x" * 1000
         for _ in range(100):
             s = s.join([s, s, s])
-    if word == "replace":
+    if action == "replace":
         s = "x" * 1000
         for _ in range(100):
             s = s.replace("x", s)
-    if word == "format":
+    if action == "format":
         s = "x" * 1000
         for _ in range(100):
             s = "{0}{0}{0}".format(s)
-    if word == "percent":
+    if action == "percent":
         s = "x" * 1000
         for _ in range(100):
             s = "%s%s%s" % (s, s, s)
-    if word == "str":
+    if action == "str":
         x = [0]
         for _ in range(40):
             x = [x, x]
         return {"refuse": str(x)}
-    if word == "compare":
+    if action == "compare":
         x, y = [0], [0]
         for _ in range(40):
             x, y = [x, x], [y, y]
         if x == y:
             pass
-    if word == "hash":
+    if action == "hash":
         t = (0,)
         for _ in range(40):
             t = (t, t)
         d = {t: 1}
-    if word == "index":
+    if action == "index":
         t = (0,)
         for _ in range(40):
             t = (t, t)
         d = {}
         d[t] = 1
-    if word == "star":
+    if action == "star":
         return max(*range(1000000000))
-    if word == "square":
+    if action == "square":
         n = 3
         for _ in range(100):
             n = n * n
-    if word == "list-of":
+    if action == "list-of":
         return {"drop": list(range(1000000000))}
-    if word == "sort":
+    if action == "sort":
         return {"drop": sorted([1] * 60000, key = lambda x: x)}
-    if word == "deep":
+    if action == "deep":
         x = []
         for _ in range(15000):
             x = [x]
         return {"refuse": str(x)}
-    if word == "key":
+    if action == "key":
         return {"refuse": sorted([["x" * 100000] * 100], key = repr)}
-    if word == "claim":
+    if action == "claim":
         return {arg: "x"}
-    if word == "raise":
+    if action == "raise":
         return {"left_ms": q.left_ms + 1}
-    if word == "tag":
+    if action == "tag":
         return {"tags": {"gov": arg}}
-    if word == "refuse":
+    if action == "refuse":
         return {"refuse": arg, "retry_after_ms": 1500}
-    if word == "long":
+    if action == "long":
         return {"tags": {"x": "x" * 200 + "y" * 100}}
-    if word == "number":
+    if action == "number":
         return 7
-    if word == "odd":
+    if action == "odd":
         return {"refuse": 7}
-    if word == "unknown":
+    if action == "unknown":
         return {"hits": []}
-    if word == "keys":
+    if action == "keys":
         return {1: 2}
-    if word == "tags":
+    if action == "tags":
         return {"tags": ["a"]}
-    if word == "drops":
+    if action == "drops":
         return {"drop": ["a"]}
-    if word == "nan":
+    if action == "nan":
         return {"left_ms": float("nan")}
-    if word == "write":
+    if action == "write":
         q.tags["a"] = "b"
 `
 
+// load loads a hook that is called at the point Taken.
 func load(t testing.TB, e hook.Engine, file string, text []byte, calls int) hook.Program {
 	p, err := e.Load(t.Context(), hook.Source{Hook: "trouble", File: file, Text: text, Points: []hookabi.Point{hookabi.Taken},
 		Memory: 8 << 20, Steps: 200000, Calls: calls})
@@ -155,19 +158,20 @@
 	return p
 }
 
-// both are loaded once: a module of Go's takes a second to compile.
-func both(t testing.TB) map[string]hook.Program {
-	p, err := loaded()
+// programs returns the misbehaving hook of each engine. They are loaded once for all tests,
+// because a module built from Go takes a second to compile.
+func programs(t testing.TB) map[string]hook.Program {
+	p, err := loadPrograms()
 	require.NoError(t, err)
 	return p
 }
 
-var loaded = sync.OnceValues(func() (map[string]hook.Program, error) {
-	module, err := trouble()
+var loadPrograms = sync.OnceValues(func() (map[string]hook.Program, error) {
+	module, err := buildModule()
 	if err != nil {
 		return nil, fmt.Errorf("%w: %s", err, module)
 	}
-	src := hook.Source{Hook: "trouble", File: "trouble.star", Text: []byte(troubleScript), Points: []hookabi.Point{hookabi.Taken},
+	src := hook.Source{Hook: "trouble", File: "trouble.star", Text: []byte(misbehavingScript), Points: []hookabi.Point{hookabi.Taken},
 		Memory: 8 << 20, Steps: 200000, Calls: 2}
 	script, err := starlark.Engine{}.Load(context.Background(), src)
 	if err != nil {
@@ -178,25 +182,28 @@
 	return map[string]hook.Program{"starlark": script, "wasm": compiled}, err
 })
 
-func ask(p hook.Program, text string, budget time.Duration) (*hookabi.Result, error) {
+// callWith calls a program with a query of this text.
+func callWith(p hook.Program, text string, budget time.Duration) (*hookabi.Result, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), budget)
 	defer cancel()
 	return p.Call(ctx, &hookabi.View{Point: hookabi.Taken, ID: "q", Class: "free-slots", Text: text, Left: 100000, Part: -1,
 		Parts: []hookabi.PartView{{Shard: 1, Weight: 1}}})
 }
 
-// askFree asks until an instance is free: one that failed is being replaced.
-func askFree(t testing.TB, p hook.Program, text string) (*hookabi.Result, error) {
+// callWhenFree is callWith, repeated until an instance is free: an instance is replaced in
+// the background after a failed call.
+func callWhenFree(t testing.TB, p hook.Program, text string) (*hookabi.Result, error) {
 	for {
-		r, err := ask(p, text, 5*time.Second)
+		r, err := callWith(p, text, 5*time.Second)
 		if f, ok := err.(*hook.Fault); !ok || f.Kind != hook.Busy {
 			return r, err
 		}
 	}
 }
 
-func TestTrouble(t *testing.T) {
-	programs := both(t)
+// Each misbehaving call must fail with the right kind, and must not affect the next call.
+func TestMisbehavingHooks(t *testing.T) {
+	loaded := programs(t)
 	for _, c := range []struct {
 		engine, text string
 		kind         hook.Kind
@@ -217,11 +224,11 @@
 		t.Run(c.engine+"/"+strings.ReplaceAll(c.text, " ", "-"), func(t *testing.T) {
 			budget := 5 * time.Second
 			if c.text == "loop" && c.engine == "wasm" {
-				budget = 50 * time.Millisecond // Starlark's ends by its steps
+				budget = 50 * time.Millisecond // the Starlark loop exceeds its step limit first
 			}
 			var err error
 			for {
-				_, err = ask(programs[c.engine], c.text, budget)
+				_, err = callWith(loaded[c.engine], c.text, budget)
 				if f, ok := err.(*hook.Fault); !ok || f.Kind != hook.Busy {
 					break
 				}
@@ -229,42 +236,42 @@
 			var f *hook.Fault
 			require.ErrorAs(t, err, &f)
 			require.Equal(t, c.kind, f.Kind, f.Message)
-			// The next call is well, whatever the last one did.
-			r, err := askFree(t, programs[c.engine], "tag amman")
+			// The next call must succeed.
+			r, err := callWhenFree(t, loaded[c.engine], "tag amman")
 			require.NoError(t, err)
 			require.Equal(t, []hookabi.Pair{{Name: "gov", Value: "amman"}}, r.Tags)
 		})
 	}
 }
 
-// A script that throws is told with its line.
+// The fault of a script that raises an error names the line.
 func TestFaultNamesTheLine(t *testing.T) {
-	_, err := ask(both(t)["starlark"], "throw", time.Second)
+	_, err := callWith(programs(t)["starlark"], "throw", time.Second)
 	require.ErrorContains(t, err, "trouble.star:8:")
 }
 
-// Time, not steps, ends a Starlark loop where the steps would allow it.
-func TestStarlarkTime(t *testing.T) {
+// The time budget ends a Starlark loop that stays below its step limit.
+func TestStarlarkTimeBudget(t *testing.T) {
 	p, err := starlark.Engine{}.Load(t.Context(), hook.Source{File: "l.star", Text: []byte("def on_taken(q):\n  while True:\n    pass\n"),
 		Points: []hookabi.Point{hookabi.Taken}, Memory: 1 << 20, Steps: 1 << 40, Calls: 1})
 	require.NoError(t, err)
-	_, err = ask(p, "", 20*time.Millisecond)
+	_, err = callWith(p, "", 20*time.Millisecond)
 	require.ErrorContains(t, err, "overrun")
 }
 
-// Whatever the engine: what no hook may have is asked for and not granted.
+// With each engine, requests that no hook may make must be rejected.
 func TestClaims(t *testing.T) {
 	rules := hookrule.New(classes)
 	v := &hookabi.View{Point: hookabi.Taken, ID: "q", Class: "free-slots", Left: 100000, Part: -1}
-	for engine, p := range both(t) {
+	for engine, p := range programs(t) {
 		for _, text := range []string{"claim id", "claim value", "claim whole", "claim server", "claim resend", "claim answer", "claim status", "raise"} {
-			r, err := askFree(t, p, text)
+			r, err := callWhenFree(t, p, text)
 			require.NoError(t, err, engine)
 			_, err = rules.Check(v, r, "h")
-			var refused *hookrule.RejectedError
-			require.ErrorAs(t, err, &refused, "%s: %s", engine, text)
+			var rejected *hookrule.RejectedError
+			require.ErrorAs(t, err, &rejected, "%s: %s", engine, text)
 		}
-		r, err := askFree(t, p, "refuse closed")
+		r, err := callWhenFree(t, p, "refuse closed")
 		require.NoError(t, err)
 		granted, err := rules.Check(v, r, "h")
 		require.NoError(t, err)
@@ -272,43 +279,43 @@
 	}
 }
 
-// What hooks are given is all there is.
-func TestNothingElse(t *testing.T) {
-	programs := both(t)
-	r, err := ask(programs["wasm"], "clock", time.Second)
+// Hooks must not have access to the clock, to files or to unseeded random numbers.
+func TestIsolation(t *testing.T) {
+	loaded := programs(t)
+	r, err := callWith(loaded["wasm"], "clock", time.Second)
 	require.NoError(t, err)
-	require.Less(t, r.Notes[0].Value, "2023", "the guest's clock stands")
-	r, err = ask(programs["wasm"], "file", time.Second)
+	require.Less(t, r.Notes[0].Value, "2023", "the clock of a module must stand still")
+	r, err = callWith(loaded["wasm"], "file", time.Second)
 	require.NoError(t, err)
 	require.Empty(t, r.Notes)
-	for _, word := range []string{"open", "time", "load", "json", "os", "import"} {
-		_, err := starlark.Engine{}.Load(t.Context(), hook.Source{File: "x.star", Text: []byte("x = " + word + "\ndef on_taken(q): pass\n"),
+	for _, name := range []string{"open", "time", "load", "json", "os", "import"} {
+		_, err := starlark.Engine{}.Load(t.Context(), hook.Source{File: "x.star", Text: []byte("x = " + name + "\ndef on_taken(q): pass\n"),
 			Memory: 1 << 20, Steps: 1000, Calls: 1})
-		require.Error(t, err, word)
+		require.Error(t, err, name)
 	}
-	draw := []byte("def on_taken(q):\n  return {\"refuse\": str(random())}\n")
-	a, err := ask(load(t, starlark.Engine{}, "r.star", draw, 1), "", time.Second)
+	randomScript := []byte("def on_taken(q):\n  return {\"refuse\": str(random())}\n")
+	a, err := callWith(load(t, starlark.Engine{}, "r.star", randomScript, 1), "", time.Second)
 	require.NoError(t, err)
-	b, err := ask(load(t, starlark.Engine{}, "r.star", draw, 1), "", time.Second)
+	b, err := callWith(load(t, starlark.Engine{}, "r.star", randomScript, 1), "", time.Second)
 	require.NoError(t, err)
-	require.Equal(t, a.Reason, b.Reason, "the same view, the same chance")
+	require.Equal(t, a.Reason, b.Reason, "the same view must give the same random numbers")
 }
 
-// Memory that calls leave behind stays far below the process's limit, whatever
-// they tried: 200 bombs of each kind.
-func TestMemoryStays(t *testing.T) {
-	programs := both(t)
+// Calls that allocate as much as they can must not leave memory allocated: 200 of each kind
+// with Starlark, 20 with WebAssembly.
+func TestMemoryIsFreed(t *testing.T) {
+	loaded := programs(t)
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
 	for range 200 {
 		for _, text := range []string{"bomb", "string", "deep", "str"} {
-			_, err := ask(programs["starlark"], text, time.Second)
+			_, err := callWith(loaded["starlark"], text, time.Second)
 			require.Error(t, err)
 		}
 	}
 	for range 20 {
-		_, err := askFree(t, programs["wasm"], "bomb")
+		_, err := callWhenFree(t, loaded["wasm"], "bomb")
 		require.Error(t, err)
 	}
 	runtime.GC()
@@ -316,8 +323,8 @@
 	require.Less(t, int64(after.HeapAlloc)-int64(before.HeapAlloc), int64(64<<20))
 }
 
-// The language still is what its users know.
-func TestStarlarkMeaning(t *testing.T) {
+// Rewriting a script must not change the meaning of the language.
+func TestStarlarkSemantics(t *testing.T) {
 	p := load(t, starlark.Engine{}, "m.star", []byte(`
 LIMIT = {"amman": 3}
 def add(a, b = 1, *rest, **named):
@@ -346,7 +353,7 @@
         "i": str(7 // 2) + str(7 % 4), "slice": "abcdef"[1:5:2], "set": str(len(set([1, 1, 2]))),
     }}
 `), 1)
-	r, err := ask(p, "", time.Second)
+	r, err := callWith(p, "", time.Second)
 	require.NoError(t, err)
 	got := map[string]string{}
 	for _, p := range r.Tags {
@@ -356,33 +363,33 @@
 		"u": "B", "z": "9", "i": "33", "slice": "bd", "set": "2"}, got)
 }
 
-// Modules that break the ABI: by hand, as no kit would let them.
+// Modules that violate the ABI. They are assembled here, because sdk/guest can't produce them.
 func TestBrokenModules(t *testing.T) {
 	for _, c := range []struct {
-		name         string
-		abi          byte
-		alloc        int32
-		call         []byte // the body of hook_call
-		loads, fails string
+		name                 string
+		abi                  byte
+		alloc                int32
+		call                 []byte // the body of hook_call
+		loadError, callError string
 	}{
-		{name: "other version", abi: 9, call: []byte{0x42, 0}, loads: "was built for version 9 of the view, not 1"},
-		{name: "alloc outside", abi: 1, alloc: -8, call: []byte{0x42, 0}, fails: "not in its memory"},
-		{name: "answer outside", abi: 1, call: append([]byte{0x42}, sleb(int64(0x7fffffff)<<32|16)...), fails: "not in its memory"},
-		{name: "answer too long", abi: 1, call: append([]byte{0x42}, sleb(int64(0x0fffffff))...), fails: "an answer of 268435455 bytes"},
-		{name: "answer is the view", abi: 1, call: append([]byte{0x42}, sleb(int64(8))...), fails: "garbage"},
-		{name: "traps", abi: 1, call: []byte{0x00, 0x42, 0}, fails: "unreachable"},
-		{name: "recurses", abi: 1, call: []byte{0x20, 0, 0x20, 1, 0x20, 2, 0x10, 2, 0x42, 1, 0x7c}, fails: "calls go too deep"},
+		{name: "other version", abi: 9, call: []byte{0x42, 0}, loadError: "m.wasm: built for version 9 of the view, not 1"},
+		{name: "alloc outside", abi: 1, alloc: -8, call: []byte{0x42, 0}, callError: "not in the memory of the module"},
+		{name: "answer outside", abi: 1, call: append([]byte{0x42}, sleb(int64(0x7fffffff)<<32|16)...), callError: "not in the memory of the module"},
+		{name: "answer too long", abi: 1, call: append([]byte{0x42}, sleb(int64(0x0fffffff))...), callError: "a result of 268435455 bytes"},
+		{name: "answer is the view", abi: 1, call: append([]byte{0x42}, sleb(int64(8))...), callError: "garbage"},
+		{name: "traps", abi: 1, call: []byte{0x00, 0x42, 0}, callError: "unreachable"},
+		{name: "recurses", abi: 1, call: []byte{0x20, 0, 0x20, 1, 0x20, 2, 0x10, 2, 0x42, 1, 0x7c}, callError: "function calls nested too deeply"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			p, err := (&wasm.Engine{}).Load(t.Context(), hook.Source{File: "m.wasm", Text: module(c.abi, c.alloc, c.call), Memory: 1 << 20, Calls: 1})
-			if c.loads != "" {
-				require.ErrorContains(t, err, c.loads)
+			if c.loadError != "" {
+				require.ErrorContains(t, err, c.loadError)
 				return
 			}
 			require.NoError(t, err)
 			defer p.Close()
-			_, err = ask(p, "x", 5*time.Second)
-			require.ErrorContains(t, err, c.fails)
+			_, err = callWith(p, "x", 5*time.Second)
+			require.ErrorContains(t, err, c.callError)
 		})
 	}
 	for text, want := range map[string]string{
@@ -395,6 +402,7 @@
 	}
 }
 
+// sleb returns v in signed LEB128.
 func sleb(v int64) (b []byte) {
 	for {
 		c := byte(v & 0x7f)
@@ -406,7 +414,8 @@
 	}
 }
 
-// module assembles a module of one page that exports the three functions.
+// module assembles a module with one page of memory that exports the three functions of the
+// ABI.
 func module(abi byte, alloc int32, call []byte) []byte {
 	section := func(id byte, body []byte) []byte {
 		return append(append([]byte{id}, binary.AppendUvarint(nil, uint64(len(body)))...), body...)
--- a/internal/hook/wasm/depth_test.go
+++ b/internal/hook/wasm/depth_test.go
@@ -8,18 +8,18 @@
 	"github.com/tetratelabs/wazero"
 )
 
-// adder exports "sum", which adds the numbers up to n by calling itself, and imports
-// nothing: type, function, export and code sections only.
-var adder = []byte{0, 'a', 's', 'm', 1, 0, 0, 0,
+// recursiveSum is a module that exports "sum", a recursive function that adds the numbers up
+// to n. It has no imports: only a type, a function, an export and a code section.
+var recursiveSum = []byte{0, 'a', 's', 'm', 1, 0, 0, 0,
 	1, 6, 1, 0x60, 1, 0x7f, 1, 0x7f,
 	3, 2, 1, 0,
 	7, 7, 1, 3, 's', 'u', 'm', 0, 0,
 	10, 23, 1, 21, 0, 0x20, 0, 0x45, 0x04, 0x7f, 0x41, 0, 0x05, 0x20, 0, 0x20, 0, 0x41, 1, 0x6b, 0x10, 0, 0x6a, 0x0b, 0x0b}
 
-// What a module computes is what it computed before, up to the bound, and the count
-// is back at nothing after each call.
-func TestBoundKeepsSense(t *testing.T) {
-	text, err := bound(adder, 100_000)
+// Up to the limit, a module computes the same results as before, and the sum of the frame
+// sizes is zero again after each call.
+func TestLimitDepthKeepsResults(t *testing.T) {
+	text, err := limitDepth(recursiveSum, 100_000)
 	require.NoError(t, err)
 	ctx := context.Background()
 	r := wazero.NewRuntime(ctx)
@@ -37,24 +37,24 @@
 	require.Greater(t, m.ExportedGlobal(depthName).Get(), uint64(100_000))
 }
 
-func TestBoundRefuses(t *testing.T) {
-	two := append([]byte(nil), adder...)
-	two = append(two[:8:8], append([]byte{1, 7, 1, 0x60, 1, 0x7f, 2, 0x7f, 0x7f}, two[16:]...)...)
-	_, err := bound(two, 1000)
-	require.ErrorContains(t, err, "2 results; one is allowed")
-	for cut := 8; cut < len(adder)-1; cut++ { // whatever is missing at the end: an error, or a module without functions
-		text, err := bound(adder[:cut], 1000)
-		require.True(t, err != nil || len(text) == cut, cut)
+func TestLimitDepthRejects(t *testing.T) {
+	twoResults := append([]byte(nil), recursiveSum...)
+	twoResults = append(twoResults[:8:8], append([]byte{1, 7, 1, 0x60, 1, 0x7f, 2, 0x7f, 0x7f}, twoResults[16:]...)...)
+	_, err := limitDepth(twoResults, 1000)
+	require.ErrorContains(t, err, "2 results; only one is allowed")
+	// A truncated module is an error, or a module without functions.
+	for size := 8; size < len(recursiveSum)-1; size++ {
+		text, err := limitDepth(recursiveSum[:size], 1000)
+		require.True(t, err != nil || len(text) == size, size)
 	}
-	again, err := bound(adder, 1000)
+	limited, err := limitDepth(recursiveSum, 1000)
 	require.NoError(t, err)
-	_, err = bound(again, 1000)
-	require.ErrorContains(t, err, "which the host has for itself")
+	_, err = limitDepth(limited, 1000)
+	require.ErrorContains(t, err, "a name that is reserved for the host")
 }
 
-// Whatever the bytes are, they are read to an end; and what wazero would take as it
-// is, it takes when bounded.
-func FuzzBound(f *testing.F) {
-	f.Add(adder)
-	f.Fuzz(func(t *testing.T, b []byte) { bound(b, 1000) })
+// limitDepth must return for any input, without a panic.
+func FuzzLimitDepth(f *testing.F) {
+	f.Add(recursiveSum)
+	f.Fuzz(func(t *testing.T, b []byte) { limitDepth(b, 1000) })
 }
--- a/internal/hook/wasm/wasm.go
+++ b/internal/hook/wasm/wasm.go
@@ -1,8 +1,8 @@
-// Package wasm runs hooks that are WebAssembly modules, in any language that can
-// make one; docs/reference/hooks.md has the ABI, sdk/guest the kit for Go. It owns
-// the instances and what they may import. It must never give a module a clock, a
-// file, the network or chance but what the host seeds, hand a module's failed
-// instance to another call, or let one grow past its bound.
+// Package wasm runs hooks that are WebAssembly modules, compiled from any language.
+// docs/reference/hooks.md describes the ABI; sdk/guest implements it for Go. The package
+// owns the instances of a module and their imports. It must never give a module access to
+// a clock, a file, the network or random numbers that the host did not seed, never use an
+// instance again after a failed call, and never let an instance exceed its memory limit.
 package wasm
 
 import (
@@ -24,15 +24,15 @@
 )
 
 const (
-	page      = 64 << 10
-	maxModule = 16 << 20
-	hostName  = "saddleport" // the module that hooks import from
+	pageSize       = 64 << 10
+	maxModuleSize  = 16 << 20
+	hostModuleName = "saddleport" // the module that hooks import functions from
 )
 
-// Engine loads modules. Its zero value is ready.
+// Engine loads WebAssembly modules. Its zero value is ready to use.
 type Engine struct {
-	// Fresh has each call run in an instance of its own. What a module keeps then
-	// never reaches another query, and each call pays for an instance.
+	// Fresh makes each call run in a new instance. State that a module keeps then never
+	// reaches another query, at the cost of one instance for each call.
 	Fresh bool
 }
 
@@ -43,10 +43,10 @@
 	compiled wazero.CompiledModule
 	idle     chan *instance
 
-	mu      sync.Mutex
-	closed  bool
-	making  sync.WaitGroup
-	numbers uint64
+	mu           sync.Mutex
+	closed       bool
+	replacements sync.WaitGroup
+	created      uint64 // number of instances created; each instance is seeded with its number
 }
 
 type instance struct {
@@ -55,14 +55,14 @@
 	logs        []string
 }
 
-// Load implements hook.Engine.
+// Load implements hook.Engine. It creates one instance for each concurrent call in advance.
 func (e *Engine) Load(ctx context.Context, src hook.Source) (hook.Program, error) {
-	if len(src.Text) > maxModule {
-		return nil, fmt.Errorf("%s: more than %d bytes", src.File, maxModule)
+	if len(src.Text) > maxModuleSize {
+		return nil, fmt.Errorf("%s: more than %d bytes", src.File, maxModuleSize)
 	}
-	pages := uint32(src.Memory / page)
+	pages := uint32(src.Memory / pageSize)
 	if pages == 0 {
-		return nil, fmt.Errorf("%s: a module needs %d bytes of memory at least", src.File, page)
+		return nil, fmt.Errorf("%s: a module needs at least %d bytes of memory", src.File, pageSize)
 	}
 	p := &program{src: src, fresh: e.Fresh, idle: make(chan *instance, src.Calls),
 		runtime: wazero.NewRuntimeWithConfig(ctx, wazero.NewRuntimeConfig().WithCloseOnContextDone(true).WithMemoryLimitPages(pages))}
@@ -74,12 +74,12 @@
 }
 
 func (p *program) load(ctx context.Context) error {
-	// The system calls that a language's runtime wants before it runs. There is no
-	// file, argument or variable behind them, and the clock stands still.
+	// The language runtimes in the modules need the WASI system calls to start. The calls
+	// have no files, arguments or environment variables to offer, and the clock stands still.
 	if _, err := wasi_snapshot_preview1.Instantiate(ctx, p.runtime); err != nil {
 		return err
 	}
-	_, err := p.runtime.NewHostModuleBuilder(hostName).NewFunctionBuilder().
+	_, err := p.runtime.NewHostModuleBuilder(hostModuleName).NewFunctionBuilder().
 		WithFunc(func(ctx context.Context, m api.Module, ptr, size uint32) {
 			i, _ := ctx.Value(instanceKey{}).(*instance)
 			if i == nil || len(i.logs) >= hookabi.MaxPairs {
@@ -92,7 +92,7 @@
 	if err != nil {
 		return err
 	}
-	text, err := bound(p.src.Text, maxFrames)
+	text, err := limitDepth(p.src.Text, maxFrameBytes)
 	if err != nil {
 		return err
 	}
@@ -109,7 +109,7 @@
 		return errors.New("exports no memory")
 	}
 	for range p.src.Calls {
-		i, err := p.make(ctx)
+		i, err := p.newInstance(ctx)
 		if err != nil {
 			return err
 		}
@@ -118,17 +118,18 @@
 	return nil
 }
 
+// instanceKey is the context key of the instance that runs.
 type instanceKey struct{}
 
-// make makes an instance and has it start itself.
-func (p *program) make(ctx context.Context) (*instance, error) {
+// newInstance creates an instance, initializes it and checks its ABI version.
+func (p *program) newInstance(ctx context.Context) (*instance, error) {
 	p.mu.Lock()
-	p.numbers++
-	seed := p.numbers
+	p.created++
+	seed := p.created
 	p.mu.Unlock()
 	i := &instance{}
 	mod, err := p.runtime.InstantiateModule(context.WithValue(ctx, instanceKey{}, i), p.compiled, wazero.NewModuleConfig().WithName("").
-		WithStartFunctions("_initialize").WithRandSource(&chance{rand.New(rand.NewPCG(seed, 0x5add1e))}).
+		WithStartFunctions("_initialize").WithRandSource(&seededReader{rand.New(rand.NewPCG(seed, 0x5add1e))}).
 		WithStdout(io.Discard).WithStderr(io.Discard))
 	if err != nil {
 		return nil, err
@@ -136,7 +137,7 @@
 	i.mod, i.alloc, i.call = mod, mod.ExportedFunction("hook_alloc"), mod.ExportedFunction("hook_call")
 	abi, err := mod.ExportedFunction("hook_abi").Call(ctx)
 	if err == nil && abi[0] != hookabi.Version {
-		err = fmt.Errorf("was built for version %d of the view, not %d", abi[0], hookabi.Version)
+		err = fmt.Errorf("built for version %d of the view, not %d", abi[0], hookabi.Version)
 	}
 	if err != nil {
 		mod.Close(context.Background())
@@ -145,10 +146,10 @@
 	return i, nil
 }
 
-// chance is a seeded source of random bytes.
-type chance struct{ r *rand.Rand }
+// seededReader is a deterministic source of random bytes.
+type seededReader struct{ r *rand.Rand }
 
-func (c *chance) Read(b []byte) (int, error) {
+func (c *seededReader) Read(b []byte) (int, error) {
 	for i := range b {
 		b[i] = byte(c.r.Uint32())
 	}
@@ -160,7 +161,7 @@
 	var i *instance
 	select {
 	case i = <-p.idle:
-	default: // one that failed is still being replaced
+	default: // a failed instance is still being replaced
 		select {
 		case i = <-p.idle:
 		case <-ctx.Done():
@@ -171,7 +172,7 @@
 	r, err := p.run(context.WithValue(ctx, instanceKey{}, i), i, v)
 	if err == nil && !p.fresh {
 		p.idle <- i
-	} else { // it may hold anything: a new one takes its place, off the query's time
+	} else { // its memory may be in any state: replaced in the background, so that the query does not wait
 		p.replace(i)
 	}
 	return r, err
@@ -185,7 +186,7 @@
 	}
 	ptr := uint32(out[0])
 	if !i.mod.Memory().Write(ptr, b) {
-		return nil, hook.Faultf(hook.Garbage, "%s: hook_alloc gave %d for %d bytes: not in its memory", p.src.File, ptr, len(b))
+		return nil, hook.Faultf(hook.Garbage, "%s: hook_alloc returned %d for %d bytes: not in the memory of the module", p.src.File, ptr, len(b))
 	}
 	if out, err = i.call.Call(ctx, uint64(v.Point), uint64(ptr), uint64(len(b))); err != nil {
 		return nil, p.fault(ctx, i, err)
@@ -195,13 +196,13 @@
 		return &hookabi.Result{Log: i.logs}, nil
 	}
 	if size > hookabi.MaxBytes {
-		return nil, hook.Faultf(hook.Garbage, "%s: an answer of %d bytes", p.src.File, size)
+		return nil, hook.Faultf(hook.Garbage, "%s: a result of %d bytes", p.src.File, size)
 	}
-	answer, ok := i.mod.Memory().Read(at, size)
+	encoded, ok := i.mod.Memory().Read(at, size)
 	if !ok {
-		return nil, hook.Faultf(hook.Garbage, "%s: an answer at %d+%d: not in its memory", p.src.File, at, size)
+		return nil, hook.Faultf(hook.Garbage, "%s: a result at %d+%d: not in the memory of the module", p.src.File, at, size)
 	}
-	r, err := hookabi.DecodeResult(answer)
+	r, err := hookabi.DecodeResult(encoded)
 	if err != nil {
 		return nil, hook.Faultf(hook.Garbage, "%s: %v", p.src.File, err)
 	}
@@ -210,30 +211,31 @@
 	return r, nil
 }
 
-// fault tells what kind of failure an error is.
+// fault returns the Fault for an error of a call.
 func (p *program) fault(ctx context.Context, i *instance, err error) *hook.Fault {
 	var exit *sys.ExitError
-	full := i.mod.Memory() != nil && int64(i.mod.Memory().Size())+page > p.src.Memory
+	memoryFull := i.mod.Memory() != nil && int64(i.mod.Memory().Size())+pageSize > p.src.Memory
 	switch {
 	case errors.As(err, &exit) && (exit.ExitCode() == sys.ExitCodeDeadlineExceeded || exit.ExitCode() == sys.ExitCodeContextCanceled), ctx.Err() != nil:
 		return hook.Faultf(hook.Overrun, "%s: time budget exceeded", p.src.File)
 	case tooDeep(i.mod):
-		return hook.Faultf(hook.Memory, "%s: its calls go too deep: frames of more than %d bytes", p.src.File, maxFrames)
-	case full:
-		return hook.Faultf(hook.Memory, "%s: its memory is full: %v", p.src.File, err)
+		return hook.Faultf(hook.Memory, "%s: function calls nested too deeply: frames of more than %d bytes", p.src.File, maxFrameBytes)
+	case memoryFull:
+		return hook.Faultf(hook.Memory, "%s: out of memory: %v", p.src.File, err)
 	case errors.As(err, &exit):
-		return hook.Faultf(hook.Thrown, "%s: exited with %d", p.src.File, exit.ExitCode())
+		return hook.Faultf(hook.Thrown, "%s: exited with status %d", p.src.File, exit.ExitCode())
 	}
 	return hook.Faultf(hook.Thrown, "%s: %v", p.src.File, err)
 }
 
-// tooDeep tells whether a module was stopped for its depth.
+// tooDeep reports whether an instance was stopped because its calls were nested too deeply.
 func tooDeep(m api.Module) bool {
 	g := m.ExportedGlobal(depthName)
-	return g != nil && uint32(g.Get()) > maxFrames
+	return g != nil && uint32(g.Get()) > maxFrameBytes
 }
 
-// replace closes an instance and makes another one.
+// replace closes an instance and creates another one, in the background and with backoff
+// until it succeeds.
 func (p *program) replace(i *instance) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -241,37 +243,37 @@
 		i.mod.Close(context.Background())
 		return
 	}
-	p.making.Add(1)
+	p.replacements.Add(1)
 	go func() {
-		defer p.making.Done()
+		defer p.replacements.Done()
 		i.mod.Close(context.Background())
-		for pause := 10 * time.Millisecond; ; pause = min(2*pause, time.Second) {
+		for backoff := 10 * time.Millisecond; ; backoff = min(2*backoff, time.Second) {
 			ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
-			now, err := p.make(ctx)
+			created, err := p.newInstance(ctx)
 			cancel()
 			p.mu.Lock()
 			closed := p.closed
 			p.mu.Unlock()
 			if err == nil && !closed {
-				p.idle <- now
+				p.idle <- created
 				return
 			}
 			if err == nil {
-				now.mod.Close(context.Background())
+				created.mod.Close(context.Background())
 			}
 			if closed {
 				return
 			}
-			time.Sleep(pause)
+			time.Sleep(backoff)
 		}
 	}()
 }
 
-// Close implements hook.Program. No call may be out.
+// Close implements hook.Program. No call may be in progress.
 func (p *program) Close() {
 	p.mu.Lock()
 	p.closed = true
 	p.mu.Unlock()
-	p.making.Wait()
+	p.replacements.Wait()
 	p.runtime.Close(context.Background())
 }
