--- a/internal/hook/host_test.go
+++ b/internal/hook/host_test.go
@@ -1,6 +1,6 @@
 package hook_test
 
-// The host with an engine of the test's own, whose calls end when the test says.
+// Tests of the host with a fake engine, whose calls end when the test says so.
 
 import (
 	"context"
@@ -27,37 +27,37 @@
 var classes = []choice.Class{{Name: "free-slots", RequiredShare: 0.5, MinShare: 0.5}, {Name: "trip-report", RequiredShare: 1, MinShare: 1},
 	{Name: "book-trip", Effect: choice.Unsafe, RequiredShare: 1, MinShare: 1}}
 
-// engine's programs do as their file's first word says.
-type engine struct {
+// fakeEngine loads programs that do what the text of their file says.
+type fakeEngine struct {
 	mu     sync.Mutex
 	calls  map[string]int
 	closed map[string]int
-	hold   chan struct{} // "wait" waits for it, "deaf" too and without an ear for its context
+	hold   chan struct{} // "wait" and "deaf" calls end when it is closed; "deaf" calls ignore their context
 }
 
-func newEngine() *engine {
-	return &engine{calls: make(map[string]int), closed: make(map[string]int), hold: make(chan struct{})}
+func newFakeEngine() *fakeEngine {
+	return &fakeEngine{calls: make(map[string]int), closed: make(map[string]int), hold: make(chan struct{})}
 }
 
-type fake struct {
-	e    *engine
-	word string
-	src  hook.Source
+type fakeProgram struct {
+	e      *fakeEngine
+	action string
+	src    hook.Source
 }
 
-func (e *engine) Load(_ context.Context, src hook.Source) (hook.Program, error) {
-	word := strings.TrimSpace(string(src.Text))
-	if word == "unloadable" {
+func (e *fakeEngine) Load(_ context.Context, src hook.Source) (hook.Program, error) {
+	action := strings.TrimSpace(string(src.Text))
+	if action == "unloadable" {
 		return nil, fmt.Errorf("%s:1: on purpose", src.File)
 	}
-	return &fake{e, word, src}, nil
+	return &fakeProgram{e, action, src}, nil
 }
 
-func (f *fake) Call(ctx context.Context, v *hookabi.View) (*hookabi.Result, error) {
+func (f *fakeProgram) Call(ctx context.Context, v *hookabi.View) (*hookabi.Result, error) {
 	f.e.mu.Lock()
 	f.e.calls[f.src.Hook]++
 	f.e.mu.Unlock()
-	switch f.word {
+	switch f.action {
 	case "wait":
 		select {
 		case <-f.e.hold:
@@ -71,42 +71,46 @@
 	case "panic":
 		panic("on purpose")
 	}
-	return &hookabi.Result{Tags: []hookabi.Pair{{Name: f.src.Hook, Value: f.word}}}, nil
+	return &hookabi.Result{Tags: []hookabi.Pair{{Name: f.src.Hook, Value: f.action}}}, nil
 }
 
-func (f *fake) Close() {
+func (f *fakeProgram) Close() {
 	f.e.mu.Lock()
 	defer f.e.mu.Unlock()
-	f.e.closed[f.src.Hook+" "+f.word]++
+	f.e.closed[f.src.Hook+" "+f.action]++
 }
 
-func (e *engine) count(m map[string]int, k string) int {
+// count returns an entry of one of the engine's maps.
+func (e *fakeEngine) count(m map[string]int, k string) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return m[k]
 }
 
-// set writes a set: each hook is "NAME WORD MORE KEYS".
-func set(t testing.TB, hooks ...string) string {
+// writeSet writes a set and returns its directory. Each hook has the form "NAME ACTION
+// KEYS", with the keys of its section separated by "; ". By default its point is taken.
+func writeSet(t testing.TB, hooks ...string) string {
 	dir := t.TempDir()
 	text := "[set]\nname = s\n"
 	for _, h := range hooks {
 		f := strings.SplitN(h, " ", 3)
-		more := ""
+		keys := ""
 		if len(f) > 2 {
-			more = strings.ReplaceAll(f[2], "; ", "\n")
+			keys = strings.ReplaceAll(f[2], "; ", "\n")
 		}
-		if !strings.Contains(more, "points") {
-			more += "\npoints = taken"
+		if !strings.Contains(keys, "points") {
+			keys += "\npoints = taken"
 		}
-		text += fmt.Sprintf("[hook %s]\nfile = %s.star\n%s\n", f[0], f[0], more)
+		text += fmt.Sprintf("[hook %s]\nfile = %s.star\n%s\n", f[0], f[0], keys)
 		require.NoError(t, os.WriteFile(filepath.Join(dir, f[0]+".star"), []byte(f[1]), 0o600))
 	}
 	require.NoError(t, os.WriteFile(filepath.Join(dir, hook.ManifestName), []byte(text), 0o600))
 	return dir
 }
 
-func host(t testing.TB, e *engine, change func(*hook.Settings)) *hook.Host {
+// newHost returns a host with the default settings, a maximum wait of 1 s, and the changes of
+// change.
+func newHost(t testing.TB, e *fakeEngine, change func(*hook.Settings)) *hook.Host {
 	t.Cleanup(logs.Redirect(testWriter{}))
 	var s hook.Settings
 	inifile.SetDefaults(&s)
@@ -125,61 +129,63 @@
 	return &hookabi.View{Point: hookabi.Taken, ID: "q", Class: class, Left: 1e6, Part: -1, Parts: []hookabi.PartView{{Shard: 1, Weight: 1}}}
 }
 
-// asked asks a session and returns a channel with the ruling.
-func asked(s exchange.QueryHooks, class string, within time.Duration) chan *hookabi.Result {
+// invoke calls the hooks of a session and returns a channel for their result.
+func invoke(s exchange.QueryHooks, class string, within time.Duration) chan *hookabi.Result {
 	out := make(chan *hookabi.Result, 1)
 	s.Invoke(query(class), within, func(r *hookabi.Result) { out <- r })
 	return out
 }
 
-// A class whose hooks hang keeps all workers but one; another class is served,
-// and when the hanging class's room is full its failure rule counts at once.
+// A class whose hooks hang must not take the last worker: another class is still served.
+// Once the hanging class has filled its part of the queue, further calls get the result of
+// its failure rule at once.
 func TestPoolIsShared(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	e := newEngine()
-	h := host(t, e, func(s *hook.Settings) { s.Workers, s.Queue, s.StuckAfter = 3, 8, time.Hour })
+	e := newFakeEngine()
+	h := newHost(t, e, func(s *hook.Settings) { s.Workers, s.Queue, s.StuckAfter = 3, 8, time.Hour })
 	defer h.Close()
-	require.NoError(t, h.Reload(set(t, "slow deaf classes = trip-report; on-failure = refuse; budget = 100ms", "quick ok classes = free-slots")))
+	require.NoError(t, h.Reload(writeSet(t, "slow deaf classes = trip-report; on-failure = refuse; budget = 100ms", "quick ok classes = free-slots")))
 	slow := h.Begin("trip-report")
-	var held []chan *hookabi.Result
-	for range 2 { // the two workers that its class may have
-		held = append(held, asked(slow, "trip-report", time.Hour))
+	var pending []chan *hookabi.Result
+	for range 2 { // the two workers that the class may use
+		pending = append(pending, invoke(slow, "trip-report", time.Hour))
 	}
 	for e.count(e.calls, "slow") < 2 {
 		time.Sleep(time.Millisecond)
 	}
-	for range 4 { // and half of the room to wait
-		held = append(held, asked(slow, "trip-report", time.Hour))
+	for range 4 { // and half of the queue
+		pending = append(pending, invoke(slow, "trip-report", time.Hour))
 	}
-	full := <-asked(slow, "trip-report", time.Hour)
-	require.True(t, full.Refuse, "no room: the failure rule, at once")
-	require.Equal(t, "hook slow did not answer", full.Reason)
+	rejected := <-invoke(slow, "trip-report", time.Hour)
+	require.True(t, rejected.Refuse, "the queue is full: the failure rule applies at once")
+	require.Equal(t, "hook slow did not answer", rejected.Reason)
 	quick := h.Begin("free-slots")
-	require.Equal(t, []hookabi.Pair{{Name: "quick", Value: "ok"}}, (<-asked(quick, "free-slots", time.Hour)).Tags)
+	require.Equal(t, []hookabi.Pair{{Name: "quick", Value: "ok"}}, (<-invoke(quick, "free-slots", time.Hour)).Tags)
 	require.GreaterOrEqual(t, h.Report().Running, 2)
 	close(e.hold)
-	for _, c := range held {
+	for _, c := range pending {
 		<-c
 	}
 	slow.End(nil)
 	quick.End(nil)
 }
 
-// Sets are swapped ten times with a query out under each: it ends under the set it
-// began with, and each set is freed with its last query, not before.
+// Ten sets are loaded one after another, with a query in progress for each. A query must end
+// with the set that it began with, and each set must be freed with its last query, not
+// before.
 func TestSwaps(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	e := newEngine()
-	h := host(t, e, nil)
+	e := newFakeEngine()
+	h := newHost(t, e, nil)
 	var sessions []exchange.QueryHooks
 	for i := range 10 {
-		require.NoError(t, h.Reload(set(t, fmt.Sprintf("h%d ok", i))))
+		require.NoError(t, h.Reload(writeSet(t, fmt.Sprintf("h%d ok", i))))
 		sessions = append(sessions, h.Begin("free-slots"))
 	}
 	require.Equal(t, 10, h.Report().Swaps)
 	for i, s := range sessions {
 		name := fmt.Sprintf("h%d", i)
-		require.Equal(t, name, (<-asked(s, "free-slots", time.Hour)).Tags[0].Name)
+		require.Equal(t, name, (<-invoke(s, "free-slots", time.Hour)).Tags[0].Name)
 		require.Zero(t, e.count(e.closed, name+" ok"))
 		s.End(query("free-slots"))
 		if i < 9 {
@@ -194,18 +200,18 @@
 	}
 }
 
-// A set that does not load, or fails its tests, leaves the one in force.
+// If a set can't be loaded or fails its self-tests, the active set must stay.
 func TestBadSet(t *testing.T) {
-	e := newEngine()
-	h := host(t, e, nil)
+	e := newFakeEngine()
+	h := newHost(t, e, nil)
 	defer h.Close()
-	require.NoError(t, h.Reload(set(t, "good ok")))
-	err := h.Reload(set(t, "good ok", "bad unloadable"))
+	require.NoError(t, h.Reload(writeSet(t, "good ok")))
+	err := h.Reload(writeSet(t, "good ok", "bad unloadable"))
 	require.ErrorContains(t, err, "hooks.ini:8: [hook bad] file: bad.star:1: on purpose")
 	require.Contains(t, h.Report().Rejected, "on purpose")
 	require.Equal(t, 1, h.Report().Version)
 	require.Equal(t, 1, h.Report().Swaps)
-	dir := set(t, "good ok")
+	dir := writeSet(t, "good ok")
 	f, err := os.OpenFile(filepath.Join(dir, hook.ManifestName), os.O_APPEND|os.O_WRONLY, 0)
 	require.NoError(t, err)
 	_, err = f.WriteString("[test t]\nhook = good\nview = v.json\nexpect = e.json\n")
@@ -219,18 +225,18 @@
 	require.Empty(t, h.Report().Rejected)
 }
 
-// Failures put a hook in quarantine: it is not called, and its rule counts. The
-// same hook keeps its state over a reload; a changed one starts anew, and so does
-// one that an operator enables.
+// Failures put a hook in quarantine: it is not called, and its failure rule applies. A
+// reload keeps the state of an unchanged hook and resets the state of a changed one. Enabling
+// a hook resets its state too.
 func TestQuarantine(t *testing.T) {
-	e := newEngine()
-	h := host(t, e, func(s *hook.Settings) { s.MinQuarantine, s.MaxQuarantine = time.Hour, time.Hour })
+	e := newFakeEngine()
+	h := newHost(t, e, func(s *hook.Settings) { s.MinQuarantine, s.MaxQuarantine = time.Hour, time.Hour })
 	defer h.Close()
-	dir := set(t, "bad throw on-failure = refuse; retry-after = 2s", "well ok order = 200")
+	dir := writeSet(t, "bad throw on-failure = refuse; retry-after = 2s", "well ok order = 200")
 	require.NoError(t, h.Reload(dir))
 	s := h.Begin("free-slots")
 	for range 9 {
-		r := <-asked(s, "free-slots", time.Hour)
+		r := <-invoke(s, "free-slots", time.Hour)
 		require.True(t, r.Refuse)
 		require.EqualValues(t, 2e6, r.RetryAfter)
 	}
@@ -246,7 +252,7 @@
 	require.NoError(t, h.Enable("bad", false))
 	require.Equal(t, "disabled", h.Report().Hooks[0].State)
 	s = h.Begin("free-slots")
-	require.False(t, (<-asked(s, "free-slots", time.Hour)).Refuse, "left out, whatever its rule")
+	require.False(t, (<-invoke(s, "free-slots", time.Hour)).Refuse, "the failure rule of a disabled hook must not apply")
 	s.End(nil)
 	require.NoError(t, h.Enable("bad", true))
 	require.Equal(t, "in service", h.Report().Hooks[0].State)
@@ -255,27 +261,27 @@
 	require.NoError(t, os.WriteFile(filepath.Join(dir, "bad.star"), []byte("ok"), 0o600))
 	require.NoError(t, h.Reload(dir))
 	s = h.Begin("free-slots")
-	require.False(t, (<-asked(s, "free-slots", time.Hour)).Refuse)
+	require.False(t, (<-invoke(s, "free-slots", time.Hour)).Refuse)
 	s.End(nil)
 }
 
-// An engine that can't be interrupted costs its hook its place, not the pool its
-// worker; one that panics is a fault like any other.
+// If an engine can't interrupt a call, the hook must be disabled and the worker replaced. A
+// panic of an engine must be a fault like any other.
 func TestStuckAndPanic(t *testing.T) {
-	e := newEngine()
-	h := host(t, e, func(s *hook.Settings) { s.Workers, s.StuckAfter = 1, time.Millisecond })
+	e := newFakeEngine()
+	h := newHost(t, e, func(s *hook.Settings) { s.Workers, s.StuckAfter = 1, time.Millisecond })
 	defer h.Close()
-	require.NoError(t, h.Reload(set(t, "deaf deaf classes = trip-report; budget = 1ms", "well ok classes = free-slots", "odd panic classes = book-trip")))
+	require.NoError(t, h.Reload(writeSet(t, "deaf deaf classes = trip-report; budget = 1ms", "well ok classes = free-slots", "odd panic classes = book-trip")))
 	stuck, well, odd := h.Begin("trip-report"), h.Begin("free-slots"), h.Begin("book-trip")
-	lost := asked(stuck, "trip-report", time.Hour)
+	lost := invoke(stuck, "trip-report", time.Hour)
 	for h.Report().Hooks[0].State != "stuck" {
 		time.Sleep(time.Millisecond)
 	}
-	require.NotNil(t, <-asked(well, "free-slots", time.Hour))
-	again := <-asked(stuck, "trip-report", time.Hour)
+	require.NotNil(t, <-invoke(well, "free-slots", time.Hour))
+	again := <-invoke(stuck, "trip-report", time.Hour)
 	require.Empty(t, again.Tags)
 	require.Equal(t, 1, e.count(e.calls, "deaf"))
-	require.Empty(t, (<-asked(odd, "book-trip", time.Hour)).Tags)
+	require.Empty(t, (<-invoke(odd, "book-trip", time.Hour)).Tags)
 	require.Contains(t, h.Report().Hooks[2].LastFault, "the engine panicked: on purpose")
 	close(e.hold)
 	<-lost
@@ -284,19 +290,20 @@
 	}
 }
 
-// A query whose time is over by the time a worker is free costs its hook nothing.
+// If the time of a query is over before a worker is free, the hook must not be called, and
+// its breaker must not count a failure.
 func TestShort(t *testing.T) {
-	e := newEngine()
-	h := host(t, e, nil)
+	e := newFakeEngine()
+	h := newHost(t, e, nil)
 	defer h.Close()
-	require.NoError(t, h.Reload(set(t, "h ok on-failure = refuse")))
+	require.NoError(t, h.Reload(writeSet(t, "h ok on-failure = refuse")))
 	s := h.Begin("free-slots")
-	r := <-asked(s, "free-slots", -time.Second)
+	r := <-invoke(s, "free-slots", -time.Second)
 	require.True(t, r.Refuse)
 	require.Zero(t, e.count(e.calls, "h"))
 	require.Equal(t, map[hook.Kind]int64{hook.Short: 1}, h.Report().Hooks[0].Faults)
 	s.End(nil)
-	require.Nil(t, host(t, e, nil).Begin("free-slots"), "no set, no session")
+	require.Nil(t, newHost(t, e, nil).Begin("free-slots"), "there are no hooks without a set")
 }
 
 func TestManifestFaults(t *testing.T) {
@@ -320,13 +327,13 @@
 		_, err := hook.ParseManifest("hooks.ini", []byte(text), []string{"free-slots", "trip-report", "book-trip"})
 		require.ErrorContains(t, err, want, text)
 	}
-	// Files outside the folder, or missing, or too much memory.
+	// A wrong key, or too much memory; then files outside the directory or missing.
 	for _, c := range [][2]string{
 		{"a ok file2", "no such key"},
 		{"a ok memory = 64MiB", "[hook a] memory: the set may need 256MiB with 4 concurrent calls, the limit is 128MiB"},
 	} {
-		l := hook.Loader{Engines: map[string]hook.Engine{"starlark": newEngine()}, Classes: classes, Workers: 4, Memory: 128 << 20}
-		_, err := l.Load(set(t, strings.Replace(c[0], "file2", "filee = x", 1)))
+		l := hook.Loader{Engines: map[string]hook.Engine{"starlark": newFakeEngine()}, Classes: classes, Workers: 4, Memory: 128 << 20}
+		_, err := l.Load(writeSet(t, strings.Replace(c[0], "file2", "filee = x", 1)))
 		require.ErrorContains(t, err, c[1])
 	}
 	for file, want := range map[string]string{"../x.star": "[hook a] file: ../x.star: path escapes", "none.star": "no such file", ".": "the extension is neither .star"} {
@@ -337,7 +344,7 @@
 	}
 }
 
-// Whatever a manifest says: a complaint, or hooks within their bounds.
+// Any manifest must give an error, or hooks within their limits.
 func FuzzManifest(f *testing.F) {
 	for _, dir := range []string{"../../deploy/hooks-example", "../../drills/sets/broken", "../app/testdata/sets/play"} {
 		text, err := os.ReadFile(filepath.Join(dir, "hooks.ini"))
@@ -358,8 +365,8 @@
 	})
 }
 
-// The sets that the repository ships load and pass their tests, and the one that
-// is meant to fail does.
+// The sets in the repository must load and pass their self-tests, except the one that is
+// meant to fail.
 func TestShippedSets(t *testing.T) {
 	l := hook.Loader{Engines: map[string]hook.Engine{"starlark": starlark.Engine{}}, Classes: classes, Workers: 4, Memory: 128 << 20}
 	for _, name := range []string{"../../deploy/hooks-example", "../../drills/sets/good", "../../drills/sets/broken", "../../drills/sets/slow",
@@ -371,17 +378,17 @@
 	require.ErrorContains(t, err, "[test says-amman]: expected")
 }
 
-// A trial tells what each hook did, and ends as a mixer would end the query.
-func TestTrial(t *testing.T) {
+// Simulate must return the result of each hook and the outcome that a mixer would give.
+func TestSimulate(t *testing.T) {
 	l := hook.Loader{Engines: map[string]hook.Engine{"starlark": starlark.Engine{}}, Classes: classes, Workers: 1}
 	s, err := l.Load("../../deploy/hooks-example")
 	require.NoError(t, err)
 	q, err := hook.ParseView([]byte(`{"id":"q","class":"book-trip","text":"gov=zarqa;clinic=7","parts":[{"shard":1,"weight":1,"value":"v"}]}`))
 	require.NoError(t, err)
-	steps, end := l.Simulate(s, q)
+	steps, outcome := l.Simulate(s, q)
 	require.Len(t, steps, 2)
 	require.Equal(t, `{"tags":{"governorate":"zarqa"},"notes":{"governorate":"zarqa"}}`, steps[0].Answer)
-	require.Equal(t, "refused: clinic 7 is closed: renovation until Sunday", end)
+	require.Equal(t, "refused: clinic 7 is closed: renovation until Sunday", outcome)
 	_, err = hook.ParseView([]byte(`{"clas":"x"}`))
 	require.EqualError(t, err, "clas: unknown field of a view")
 	_, err = hook.ParseView([]byte(`{"parts":[{"shard":"x"}]}`))
