--- a/internal/app/hooks.go
+++ b/internal/app/hooks.go
@@ -127,7 +127,7 @@
 	if err != nil {
 		return err
 	}
-	steps, end := l.Trial(set, v)
+	steps, end := l.Simulate(set, v)
 	if h.JSON {
 		return h.encode(map[string]any{"steps": steps, "end": end})
 	}
@@ -165,7 +165,7 @@
 		return err
 	}
 	var r hook.Report
-	if err := control.Ask(o.Control.Socket, &r, append([]string{"hooks"}, words...)...); err != nil {
+	if err := control.Call(o.Control.Socket, &r, append([]string{"hooks"}, words...)...); err != nil {
 		return err
 	}
 	if h.JSON {
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -14,24 +14,24 @@
 func TestControl(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	path := filepath.Join(t.TempDir(), "s")
-	s, err := Listen(path, func(words []string) (any, error) {
-		if words[0] == "bad" {
+	s, err := Listen(path, func(args []string) (any, error) {
+		if args[0] == "bad" {
 			return nil, errors.New("no such word")
 		}
-		return words, nil
+		return args, nil
 	})
 	require.NoError(t, err)
 	info, err := os.Stat(path)
 	require.NoError(t, err)
 	require.Equal(t, os.FileMode(0o600), info.Mode().Perm())
 	var got []string
-	require.NoError(t, Ask(path, &got, "hooks", "list"))
+	require.NoError(t, Call(path, &got, "hooks", "list"))
 	require.Equal(t, []string{"hooks", "list"}, got)
-	require.EqualError(t, Ask(path, &got, "bad"), "no such word")
+	require.EqualError(t, Call(path, &got, "bad"), "no such word")
 	_, err = Listen(path, nil)
 	require.ErrorContains(t, err, "another process answers there")
 	s.Close()
-	require.ErrorContains(t, Ask(path, &got, "x"), "no mixer answers")
+	require.ErrorContains(t, Call(path, &got, "x"), "no mixer answers")
 
 	// What a process that died left behind is taken over; a file is not.
 	ln, err := net.Listen("unix", path)
@@ -44,5 +44,5 @@
 	require.NoError(t, os.WriteFile(path, nil, 0o600))
 	_, err = Listen(path, nil)
 	require.ErrorContains(t, err, "no socket")
-	require.ErrorContains(t, Ask("", nil), "names no socket")
+	require.ErrorContains(t, Call("", nil), "names no socket")
 }
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -505,7 +505,7 @@
 		x.deliver(q, Final{Ending: Failed, MayHaveRun: true})
 		return
 	}
-	if x.settings.MostHeld > 0 && len(x.queries)+len(x.parts) >= x.settings.MostHeld {
+	if x.settings.MaxInFlight > 0 && len(x.queries)+len(x.parts) >= x.settings.MaxInFlight {
 		x.Counters.OverCapacity.Add(1)
 		x.deliver(q, Final{Ending: Refused, RetryAfter: x.retryAfter(q.Class)})
 		return
@@ -598,7 +598,7 @@
 	if qs.ended {
 		return
 	}
-	if class := x.class(qs.class); qs.routing != nil && qs.hookState == nil && class.MinShare < class.RequiredShare && hookrule.MeetsFloor(class, qs.servedShare()) {
+	if class := x.class(qs.class); qs.routing != nil && qs.hookState == nil && class.MinShare < class.RequiredShare && hookrule.MeetsMinShare(class, qs.servedShare()) {
 		x.answer(qs, false) // the parked parts were not served in time
 		return
 	}
--- a/internal/exchange/levels.go
+++ b/internal/exchange/levels.go
@@ -286,8 +286,8 @@
 // is, and the query fails if that share is below the class's minimum.
 func (x *Exchange) degradedFinal(qs *queryState, f Final) Final {
 	class, share := x.class(qs.class), qs.servedShare()
-	f.Complete = f.Complete && hookrule.MeetsNeed(class, share)
-	if !hookrule.MeetsFloor(class, share) {
+	f.Complete = f.Complete && hookrule.MeetsRequiredShare(class, share)
+	if !hookrule.MeetsMinShare(class, share) {
 		return Final{Ending: Failed}
 	}
 	return f
--- a/internal/exchange/segments.go
+++ b/internal/exchange/segments.go
@@ -312,10 +312,10 @@
 	}
 	class, share := x.class(qs.class), qs.servedShare()
 	switch {
-	case hookrule.MeetsNeed(class, share):
+	case hookrule.MeetsRequiredShare(class, share):
 		x.answer(qs, true)
 	case len(qs.routing.open) > 0 || qs.routing.parked > 0:
-	case class.MinShare < class.RequiredShare && hookrule.MeetsFloor(class, share):
+	case class.MinShare < class.RequiredShare && hookrule.MeetsMinShare(class, share):
 		x.answer(qs, false)
 	case hookrule.SafeToRefuse(class.Effect, mayHaveRun(qs)):
 		x.finish(qs, Final{Ending: Refused, RetryAfter: max(qs.routing.retryAfter, x.retryAfter(qs.class))})
--- a/internal/node/peer/peer.go
+++ b/internal/node/peer/peer.go
@@ -227,7 +227,7 @@
 	defer n.callsInFlight.Done()
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	ans, err := probeCall.Invoke(ctx, n.Client, probe.To, "", ProbeRequest{Target: probe.About})
+	ans, err := probeCall.Invoke(ctx, n.Client, probe.To, "", ProbeRequest{Target: probe.Target})
 	n.Mu.Lock()
 	defer n.Mu.Unlock()
 	n.Members.HandleProbeResult(n.Now(), probe, ans.Alive, err == nil)
