--- a/internal/node/controlplane/handover.go
+++ b/internal/node/controlplane/handover.go
@@ -17,8 +17,8 @@
 )
 
 // handOverVote transfers this machine's vote to a learner before the process ends. It returns when
-// the transfer is complete, when no learner is available for standbyTimeout, or handOverMargin before
-// the end of the grace period.
+// the transfer is complete, when no learner is available after standbyTimeout, or handOverMargin
+// before the end of the grace period.
 func (c *replicaRunner) handOverVote(grace time.Duration) {
 	start := time.Now()
 	deadline, standbyDeadline := start.Add(grace-handOverMargin), start.Add(standbyTimeout)
--- a/internal/node/rpc/rpc.go
+++ b/internal/node/rpc/rpc.go
@@ -195,7 +195,7 @@
 }
 
 // Invoke calls the process at addr, a host:port. name replaces the name in braces of the path. A
-// response with a status other than 200 is returned as a StatusError.
+// response with a status other than 200 is returned as a StatusError that has only Status and Reason.
 func (c Call[Req, Ans]) Invoke(ctx context.Context, client *Client, addr, name string, req Req) (ans Ans, err error) {
 	var body []byte
 	if raw, ok := any(req).(Raw); ok {
