--- a/cmd/saddlelab/emulator.go
+++ b/cmd/saddlelab/emulator.go
@@ -32,7 +32,7 @@
 // emulated tells whether a file is a scenario's.
 func emulated(file string) (bool, error) {
 	doc, err := inifile.Read(file)
-	return err == nil && scenario.Is(doc), err
+	return err == nil && scenario.IsScenario(doc), err
 }
 
 // theProgram is the mixer to play: the one named, or the one beside this program.
@@ -258,7 +258,7 @@
 	}
 	bar := show.NewBar(os.Stderr, "sweep")
 	res, err := sweep.Run(ctx, doc, sweep.Options{Play: play.Options{Drive: c.String("drive"), Policy: c.String("policy"), Program: program},
-		Dir: c.String("out"), Repeats: int(c.Int("seeds")), Workers: int(c.Int("workers")), Rows: c.Bool("rows"), Progress: bar.Set})
+		Dir: c.String("out"), Repeats: int(c.Int("seeds")), Workers: int(c.Int("workers")), KeepRows: c.Bool("rows"), Progress: bar.Set})
 	bar.End()
 	if err != nil {
 		return err
@@ -364,8 +364,8 @@
 		return err
 	}
 	bar := show.NewBar(os.Stderr, "hunt")
-	f, err := hunt.Hunt(ctx, doc, hunt.Options{Rounds: int(c.Int("rounds")), Each: int(c.Int("each")), Seed: uint64(c.Int("seed")), Progress: bar.Set,
-		Notice: func(format string, a ...any) { fmt.Printf(format+"\n", a...) }})
+	f, err := hunt.Hunt(ctx, doc, hunt.Options{Rounds: int(c.Int("rounds")), Candidates: int(c.Int("each")), Seed: uint64(c.Int("seed")), Progress: bar.Set,
+		Logf: func(format string, a ...any) { fmt.Printf(format+"\n", a...) }})
 	bar.End()
 	if err != nil {
 		return err
@@ -374,7 +374,7 @@
 		fmt.Println("  " + x)
 	}
 	text := fmt.Sprintf("# Found by saddlelab hunt %s --seed %d in %d runs; play it with --seed %d.\n# The mixer gets %.4f, a policy that sees every server's true state %.4f; rules broken: %d.\n%s",
-		filepath.Base(c.Args().First()), c.Int("seed"), f.Played, f.Seed, f.Mixer, f.Oracle, f.Broken, f.Text)
+		filepath.Base(c.Args().First()), c.Int("seed"), f.Played, f.Seed, f.ProxyGoodput, f.OracleGoodput, f.Broken, f.Text)
 	if out := c.String("out"); out != "" {
 		return os.WriteFile(out, []byte(text), 0o644)
 	}
--- a/cmd/saddlelab/main.go
+++ b/cmd/saddlelab/main.go
@@ -69,7 +69,7 @@
 								if err != nil {
 									return err
 								}
-								fmt.Printf("%s: %s %s, %v, %d servers, %d mixers, %d classes, %d faults\n", file, s.Name, scenario.Label(v), s.Length, s.Servers(), s.Mixers.Count, len(s.Classes), len(s.Faults))
+								fmt.Printf("%s: %s %s, %v, %d servers, %d mixers, %d classes, %d faults\n", file, s.Name, scenario.Label(v), s.Length, s.Servers(), s.Proxies.Count, len(s.Classes), len(s.Faults))
 							}
 							continue
 						}
--- a/internal/lab/bench/scale.go
+++ b/internal/lab/bench/scale.go
@@ -96,7 +96,7 @@
 }
 
 func scaleRow(ctx context.Context, servers, mixers int, length time.Duration, profile string) (*Size, error) {
-	doc, err := scenario.Text("scale.ini", []byte(text(servers, mixers, length)))
+	doc, err := scenario.Parse("scale.ini", []byte(text(servers, mixers, length)))
 	if err != nil {
 		return nil, err
 	}
@@ -123,7 +123,7 @@
 	}
 	looked := time.Now()
 	run, err := virtual.Run(ctx, plan, virtual.Options{Decide: func(w *virtual.World, mixer, life int, seed uint64, set choice.Settings) (exchange.Decider, error) {
-		d, err := virtual.Mixer(w, mixer, life, seed, set)
+		d, err := virtual.ProxyDecider(w, mixer, life, seed, set)
 		return timed{d, &row.Deciding}, err
 	}, Progress: func(_, _ time.Duration, _ int64) {
 		if time.Since(looked) > 200*time.Millisecond {
--- a/internal/lab/compare/compare.go
+++ b/internal/lab/compare/compare.go
@@ -20,8 +20,8 @@
 
 // Resamples of the bootstrap (Efron 1979, percentile interval) and its level.
 const (
-	Resamples = 4000
-	Level     = 0.95
+	Resamples       = 4000
+	ConfidenceLevel = 0.95
 )
 
 // leastPairs is how many pairs a verdict wants: resamples of fewer hold too few
@@ -42,10 +42,10 @@
 
 // The verdicts.
 const (
-	Better = "better"
-	Worse  = "worse"
-	Open   = "can't tell"
-	Same   = "same"
+	Better       = "better"
+	Worse        = "worse"
+	Inconclusive = "can't tell"
+	Same         = "same"
 )
 
 // figure is what is compared; up tells whether more is better.
@@ -75,7 +75,7 @@
 		label string
 		seed  int
 	}
-	of := func(o sweep.One) key {
+	of := func(o sweep.RunResult) key {
 		if one {
 			return key{"-", o.Seed}
 		}
@@ -131,17 +131,17 @@
 	case same:
 		r.Verdict, r.Known = Same, true
 	case len(pairs) < leastPairs:
-		r.Verdict = Open
+		r.Verdict = Inconclusive
 	default:
 		r.Known = true
-		r.Low, r.High = Bootstrap(diff, Resamples, Level)
+		r.Low, r.High = Bootstrap(diff, Resamples, ConfidenceLevel)
 		switch {
 		case r.Low > 0 == f.up && (r.Low > 0 || r.High < 0):
 			r.Verdict = Better
 		case r.Low > 0 || r.High < 0:
 			r.Verdict = Worse
 		default:
-			r.Verdict = Open
+			r.Verdict = Inconclusive
 		}
 	}
 	return r
@@ -167,7 +167,7 @@
 // Print writes the table.
 func Print(w io.Writer, rows []Row) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintf(t, "variation\tfigure\tpairs\tA\tB\tB - A\t%.0f%% interval\tB is\t\n", 100*Level)
+	fmt.Fprintf(t, "variation\tfigure\tpairs\tA\tB\tB - A\t%.0f%% interval\tB is\t\n", 100*ConfidenceLevel)
 	for _, r := range rows {
 		interval := "-"
 		if r.Known {
--- a/internal/lab/compare/compare_test.go
+++ b/internal/lab/compare/compare_test.go
@@ -13,7 +13,7 @@
 func side(n int, of func(seed int) record.Summary) *sweep.Result {
 	r := &sweep.Result{}
 	for i := range n {
-		r.Runs = append(r.Runs, sweep.One{Label: "-", Seed: i, Summary: of(i)})
+		r.Runs = append(r.Runs, sweep.RunResult{Label: "-", Seed: i, Summary: of(i)})
 	}
 	return r
 }
@@ -43,14 +43,14 @@
 	v := verdicts(t, a, b)
 	require.Equal(t, Better, v["goodput"])
 	require.Equal(t, Worse, v["p99 ms"])
-	require.Equal(t, Open, v["refused share"])
+	require.Equal(t, Inconclusive, v["refused share"])
 	require.Equal(t, Same, v["failed share"])
 	v = verdicts(t, b, a)
 	require.Equal(t, Worse, v["goodput"])
 	require.Equal(t, Better, v["p99 ms"])
 	few := side(3, func(s int) record.Summary { return record.Summary{Goodput: 0.5} })
-	require.Equal(t, Open, verdicts(t, a, few)["goodput"])
-	_, err := Compare(a, &sweep.Result{Runs: []sweep.One{{Label: "-", Seed: 99}}})
+	require.Equal(t, Inconclusive, verdicts(t, a, few)["goodput"])
+	_, err := Compare(a, &sweep.Result{Runs: []sweep.RunResult{{Label: "-", Seed: 99}}})
 	require.ErrorContains(t, err, "in common")
 }
 
--- a/internal/lab/demo/demo.go
+++ b/internal/lab/demo/demo.go
@@ -33,7 +33,7 @@
 
 // Run plays the demo.
 func Run(ctx context.Context, opt Options) (*record.Run, error) {
-	doc, err := scenario.Text("demo.ini", text)
+	doc, err := scenario.Parse("demo.ini", text)
 	if err != nil {
 		return nil, err
 	}
@@ -66,7 +66,7 @@
 		}
 	}
 	fmt.Fprintf(opt.Out, "%d leaf servers in %d cells, discovery, %d mixers and %.0f queries a second, on free ports of 127.0.0.1, for %v.\n",
-		len(plan.Servers), s.Groups[0].Cells, s.Mixers.Count, rate(plan), s.Length)
+		len(plan.Servers), s.Groups[0].Cells, s.Proxies.Count, rate(plan), s.Length)
 	for _, f := range s.Faults {
 		fmt.Fprintf(opt.Out, "At %v one leaf server dies; it comes back cold after %v.\n", f.At, f.For)
 	}
--- a/internal/lab/hunt/hunt.go
+++ b/internal/lab/hunt/hunt.go
@@ -23,29 +23,29 @@
 
 // Options are how a hunt goes.
 type Options struct {
-	Rounds   int // generations
-	Each     int // candidates of one
-	Seed     uint64
-	Workers  int
-	Progress func(share float64, remark string)
-	Notice   func(format string, a ...any)
+	Rounds     int // generations
+	Candidates int // candidates of one
+	Seed       uint64
+	Workers    int
+	Progress   func(share float64, remark string)
+	Logf       func(format string, a ...any)
 }
 
 // Find is one scenario with what it lost.
-type Find struct {
-	Doc            *scenario.Doc
-	Values         []scenario.Value // as set so far, over the file that was given
-	Seed           int
-	Mixer, Oracle  float64
-	Loss           float64 // Oracle - Mixer, at least 0; a broken rule counts 1 more
-	Broken         int
-	Faults         []string
-	Text           string
-	Shrunk, Played int
+type Result struct {
+	Doc                         *scenario.Doc
+	Values                      []scenario.Value // as set so far, over the file that was given
+	Seed                        int
+	ProxyGoodput, OracleGoodput float64
+	Loss                        float64 // Oracle - Mixer, at least 0; a broken rule counts 1 more
+	Broken                      int
+	Faults                      []string
+	Text                        string
+	Shrunk, Played              int
 }
 
 // score is what the hunt climbs on.
-func (f *Find) score() float64 {
+func (f *Result) score() float64 {
 	if f.Broken > 0 {
 		return 1 + f.Loss
 	}
@@ -53,12 +53,12 @@
 }
 
 // judge plays a scenario under both policies.
-func judge(ctx context.Context, doc *scenario.Doc, values []scenario.Value, seed int) (*Find, error) {
+func judge(ctx context.Context, doc *scenario.Doc, values []scenario.Value, seed int) (*Result, error) {
 	s, err := doc.Scenario(values)
 	if err != nil {
 		return nil, err
 	}
-	f := &Find{Doc: doc, Values: values, Seed: seed, Text: s.String()}
+	f := &Result{Doc: doc, Values: values, Seed: seed, Text: s.String()}
 	for _, policy := range []string{play.Mixer, play.Oracle} {
 		plan, err := s.Plan(uint64(seed))
 		if err != nil {
@@ -69,12 +69,12 @@
 			return nil, err
 		}
 		if policy == play.Oracle {
-			f.Oracle = run.Summary.Goodput
+			f.OracleGoodput = run.Summary.Goodput
 			continue
 		}
-		f.Mixer, f.Broken, f.Faults = run.Summary.Goodput, run.Verdict.Broken()+len(run.Broken), run.Verdict.Faults
+		f.ProxyGoodput, f.Broken, f.Faults = run.Summary.Goodput, run.Verdict.Broken()+len(run.Broken), run.Verdict.Faults
 	}
-	f.Loss = max(f.Oracle-f.Mixer, 0)
+	f.Loss = max(f.OracleGoodput-f.ProxyGoodput, 0)
 	return f, nil
 }
 
@@ -126,13 +126,13 @@
 	case "rate":
 		return num(s.Rate)
 	case "fleet":
-		return num(max(s.Groups[0].SpeedLike, 0.05))
+		return num(max(s.Groups[0].SpeedSpread, 0.05))
 	case "network":
 		return max(s.Network.Jitter, 50*time.Microsecond).String()
 	case "list":
 		return max(s.List.Lag, 100*time.Millisecond).String()
 	case "clients":
-		return fmt.Sprint(max(s.Clients.Tries, 1))
+		return fmt.Sprint(max(s.Clients.Retries, 1))
 	case "class":
 		for _, c := range s.Classes {
 			if c.Name == part[1] {
@@ -157,7 +157,7 @@
 				case "share":
 					return num(f.Share)
 				case "parts":
-					return num(f.Part)
+					return num(f.PartShare)
 				case "factor":
 					return num(f.Factor)
 				}
@@ -181,7 +181,7 @@
 }
 
 // Hunt searches, and shrinks the worst that it finds.
-func Hunt(ctx context.Context, doc *scenario.Doc, opt Options) (*Find, error) {
+func Hunt(ctx context.Context, doc *scenario.Doc, opt Options) (*Result, error) {
 	values := doc.Variations()[0]
 	first, err := doc.Scenario(values)
 	if err != nil {
@@ -192,11 +192,11 @@
 		return nil, err
 	}
 	played := 2
-	opt.Notice("begin        loss %.4f (mixer %.4f, a policy that sees all %.4f), %d broken", best.Loss, best.Mixer, best.Oracle, best.Broken)
+	opt.Logf("begin        loss %.4f (mixer %.4f, a policy that sees all %.4f), %d broken", best.Loss, best.ProxyGoodput, best.OracleGoodput, best.Broken)
 	r := rand.New(rand.NewPCG(opt.Seed, 3))
 	for round := range opt.Rounds {
-		var tries []*Find
-		for range opt.Each {
+		var tries []*Result
+		for range opt.Candidates {
 			v, seed := best.Values, best.Seed
 			for range 1 + r.IntN(3) {
 				if next, ok := turn(r, doc, v); ok {
@@ -206,7 +206,7 @@
 			if r.IntN(3) == 0 {
 				seed = first.Seed + r.IntN(1000)
 			}
-			tries = append(tries, &Find{Values: v, Seed: seed})
+			tries = append(tries, &Result{Values: v, Seed: seed})
 		}
 		if err := all(ctx, opt.Workers, len(tries), func(i int) error {
 			f, err := judge(ctx, doc, tries[i].Values, tries[i].Seed)
@@ -233,13 +233,13 @@
 			opt.Progress(float64(round+1)/float64(opt.Rounds), fmt.Sprintf("loss %.4f, %d broken", best.Loss, best.Broken))
 		}
 	}
-	opt.Notice("found        loss %.4f (mixer %.4f, a policy that sees all %.4f), %d broken, seed %d: %s", best.Loss, best.Mixer, best.Oracle, best.Broken, best.Seed, scenario.Label(best.Values))
+	opt.Logf("found        loss %.4f (mixer %.4f, a policy that sees all %.4f), %d broken, seed %d: %s", best.Loss, best.ProxyGoodput, best.OracleGoodput, best.Broken, best.Seed, scenario.Label(best.Values))
 	small, n, err := shrink(ctx, best, opt)
 	if err != nil {
 		return nil, err
 	}
 	small.Played = played + n
-	opt.Notice("shrunk       loss %.4f, %d broken, %d lines of %d", small.Loss, small.Broken, strings.Count(small.Text, "\n"), strings.Count(best.Text, "\n"))
+	opt.Logf("shrunk       loss %.4f, %d broken, %d lines of %d", small.Loss, small.Broken, strings.Count(small.Text, "\n"), strings.Count(best.Text, "\n"))
 	return small, nil
 }
 
@@ -248,7 +248,7 @@
 
 // keeps tells whether a smaller scenario still shows what the larger one did: the
 // broken rule, or three quarters of the loss.
-func keeps(small, large *Find) bool {
+func keeps(small, large *Result) bool {
 	if large.Broken > 0 {
 		return small.Broken > 0
 	}
@@ -257,7 +257,7 @@
 
 // shrink takes out sections and keys, and shortens the run, while what was found
 // stays. It ends when a whole pass takes nothing out.
-func shrink(ctx context.Context, f *Find, opt Options) (*Find, int, error) {
+func shrink(ctx context.Context, f *Result, opt Options) (*Result, int, error) {
 	doc, err := f.Doc.Fixed(f.Values)
 	if err != nil {
 		return nil, 0, err
@@ -324,7 +324,7 @@
 		if n := s.Groups[0].Cells; n > 1 {
 			halves = append(halves, []scenario.Value{{Key: "fleet.cells", Value: fmt.Sprint(n / 2)}, {Key: "rate", Value: fmt.Sprintf("%.4g", s.Rate/2)}})
 		}
-		if n := s.Mixers.Count; n > 1 {
+		if n := s.Proxies.Count; n > 1 {
 			halves = append(halves, []scenario.Value{{Key: "mixers.count", Value: fmt.Sprint(n / 2)}})
 		}
 		for _, v := range halves {
--- a/internal/lab/hunt/hunt_test.go
+++ b/internal/lab/hunt/hunt_test.go
@@ -40,17 +40,17 @@
 // A hunt finds no less than it began with, its find plays as it says, and what is
 // shrunk shows the same and is smaller; the same hunt finds the same.
 func TestHunt(t *testing.T) {
-	doc, err := scenario.Text("h.ini", []byte(text))
+	doc, err := scenario.Parse("h.ini", []byte(text))
 	require.NoError(t, err)
 	begin, err := judge(context.Background(), doc, nil, 1)
 	require.NoError(t, err)
-	opt := Options{Rounds: 2, Each: 4, Seed: 1, Notice: func(string, ...any) {}}
+	opt := Options{Rounds: 2, Candidates: 4, Seed: 1, Logf: func(string, ...any) {}}
 	f, err := Hunt(context.Background(), doc, opt)
 	require.NoError(t, err)
 	require.Greater(t, f.Loss, 0.7*begin.Loss)
 	require.Less(t, strings.Count(f.Text, "\n"), strings.Count(text, "\n"))
 	require.NotContains(t, f.Text, "nothing")
-	again, err := scenario.Text("found.ini", []byte(f.Text))
+	again, err := scenario.Parse("found.ini", []byte(f.Text))
 	require.NoError(t, err)
 	g, err := judge(context.Background(), again, nil, f.Seed)
 	require.NoError(t, err)
--- a/internal/lab/model/client.go
+++ b/internal/lab/model/client.go
@@ -11,26 +11,26 @@
 
 // Class is what clients ask for.
 type Class struct {
-	Name      string
-	Index     int // tells its asks from other classes'
-	Arrivals  Arrivals
-	Parts     int
-	PartsMost int // each query has between Parts and so many; 0: Parts
-	Zipf      *Zipf
-	Row       bool          // its shards are neighbours, the first one drawn
-	Shards    int           // of the fleet, with Row
-	Keys      *Zipf         // of what queries concern; nil: they have no key. One key always wants the same shards.
-	Spread    bool          // parts have unequal weights
-	Aim       time.Duration // within it an answer earns its full worth
-	Patience  time.Duration // over all tries
-	Impatient float64       // share of clients that leave before
-	Leave     *Dist         // when they do
-	Unsafe    bool
-	Value     float64
-	Need      float64
-	Floor     float64
-	Partial   float64 // an answer that is not whole earns this times its share over Need
-	LateWorth float64
+	Name           string
+	Index          int // tells its asks from other classes'
+	Arrivals       Arrivals
+	Parts          int
+	MaxParts       int // each query has between Parts and so many; 0: Parts
+	Zipf           *Zipf
+	Contiguous     bool          // its shards are neighbours, the first one drawn
+	Shards         int           // of the fleet, with Row
+	Keys           *Zipf         // of what queries concern; nil: they have no key. One key always wants the same shards.
+	UnequalWeights bool          // parts have unequal weights
+	LatencyTarget  time.Duration // within it an answer earns its full worth
+	Timeout        time.Duration // over all tries
+	LeaveShare     float64       // share of clients that leave before
+	LeaveAfter     *Dist         // when they do
+	Unsafe         bool
+	Value          float64
+	RequiredShare  float64
+	MinShare       float64
+	PartialValue   float64 // an answer that is not whole earns this times its share over Need
+	LateValue      float64
 }
 
 // Tenant is one of those who share the mixers.
@@ -78,55 +78,55 @@
 
 // Retry is what clients do after a refusal.
 type Retry struct {
-	Most   int           // tries beside the first
-	Pause  time.Duration // before the next, where no advice was given or is heeded
-	Spread float64       // the pause is stretched by up to this share, at random
-	Heed   float64       // share of clients that wait as long as advised
-	Mark   bool          // later tries are marked
-	Failed bool          // classes without unsafe parts are asked again after failures too
-	Grow   float64       // each pause is this times the one before
-	Least  time.Duration // with less time left than this they do not ask again
+	MaxRetries    int           // tries beside the first
+	Backoff       time.Duration // before the next, where no advice was given or is heeded
+	Jitter        float64       // the pause is stretched by up to this share, at random
+	AdviceShare   float64       // share of clients that wait as long as advised
+	MarkRetries   bool          // later tries are marked
+	AfterFailure  bool          // classes without unsafe parts are asked again after failures too
+	BackoffFactor float64       // each pause is this times the one before
+	MinTimeLeft   time.Duration // with less time left than this they do not ask again
 }
 
 // PartAsk is a part that is asked for.
-type PartAsk struct {
+type PartRequest struct {
 	Shard  int
 	Weight float64
 }
 
 // Ask is what one client wants: one or more tries.
-type Ask struct {
-	ID    string // names its work
-	Class *Class
-	Due   time.Duration
-	Parts []PartAsk
-	Heeds bool
-	Tries int
-
-	Key    string
-	Tenant string
-	Beyond bool    // its tenant asks for more than its share
-	Value  float64 // of a whole answer in time
+type Request struct {
+	ID            string // names its work
+	Class         *Class
+	Due           time.Duration
+	Parts         []PartRequest
+	FollowsAdvice bool
+	Attempts      int
+
+	Key       string
+	Tenant    string
+	OverQuota bool    // its tenant asks for more than its share
+	Value     float64 // of a whole answer in time
 
 	// How it ended: of the try that earned most.
-	Ended   time.Duration
-	Outcome Reply
-	Earned  float64 // of Value
-	Over    bool
+	Ended    time.Duration
+	Outcome  Reply
+	Earned   float64 // of Value
+	Finished bool
 
 	leaveAt time.Duration
 	pause   time.Duration
 }
 
 // Try is one query to a mixer.
-type Try struct {
-	Ask      *Ask
-	ID       string
-	N        int
-	Repeat   bool // marked as a later try
-	Mixer    int
-	At       time.Duration
-	Patience time.Duration
+type Attempt struct {
+	Request *Request
+	ID      string
+	N       int
+	IsRetry bool // marked as a later try
+	Proxy   int
+	At      time.Duration
+	Timeout time.Duration
 
 	over  bool
 	leave Timer
@@ -152,27 +152,27 @@
 // Reply is what came of a try.
 type Reply struct {
 	Kind       Kind
-	Whole      bool
+	Complete   bool
 	Share      float64
 	RetryAfter time.Duration
 }
 
 // Clients are all clients of a run.
 type Clients struct {
-	Sched   Sched
-	Classes []*Class
-	Retry   Retry
-	Seed    uint64
-	Length  time.Duration      // of the load
-	Pick    func(r uint64) int // a mixer that the front deals out; below 0: none is up
-	Send    func(*Try)         // must not block; Reply ends it
-	Leave   func(*Try)         // the client closes its connection; Reply may still come
-	Over    func(*Ask)
+	Sched       Sched
+	Classes     []*Class
+	Retry       Retry
+	Seed        uint64
+	Length      time.Duration      // of the load
+	SelectProxy func(r uint64) int // a mixer that the front deals out; below 0: none is up
+	Send        func(*Attempt)     // must not block; Reply ends it
+	Disconnect  func(*Attempt)     // the client closes its connection; Reply may still come
+	OnFinish    func(*Request)
 
-	Tenants   []*Tenant // in turn by chance; none: queries have no tenant
-	OverWorth float64   // of what a query beyond its tenant's share is worth
+	Tenants        []*Tenant // in turn by chance; none: queries have no tenant
+	OverQuotaValue float64   // of what a query beyond its tenant's share is worth
 
-	Open int // asks not over
+	InFlight int // asks not over
 
 	r *rand.Rand
 	n []int
@@ -204,9 +204,9 @@
 // class, not on what came before it.
 func (c *Clients) ask(class *Class, due time.Duration) {
 	c.n[class.Index]++
-	a := &Ask{ID: strconv.Itoa(class.Index) + "q" + strconv.FormatInt(int64(c.n[class.Index]), 36), Class: class, Due: due}
+	a := &Request{ID: strconv.Itoa(class.Index) + "q" + strconv.FormatInt(int64(c.n[class.Index]), 36), Class: class, Due: due}
 	r := Rand(c.Seed, "ask", class.Name, a.ID)
-	a.Heeds = r.Float64() < c.Retry.Heed
+	a.FollowsAdvice = r.Float64() < c.Retry.AdviceShare
 	a.Value = class.Value
 	if len(c.Tenants) > 0 {
 		c.tenant(a, r)
@@ -215,26 +215,26 @@
 	sum := 0.0
 	for _, s := range shards {
 		w := 1.0
-		if class.Spread {
+		if class.UnequalWeights {
 			w = 0.5 + r.Float64()
 		}
 		sum += w
-		a.Parts = append(a.Parts, PartAsk{s, w})
+		a.Parts = append(a.Parts, PartRequest{s, w})
 	}
 	for i := range a.Parts {
 		a.Parts[i].Weight /= sum
 	}
-	a.leaveAt = due + class.Patience
-	if class.Leave != nil && r.Float64() < class.Impatient {
-		a.leaveAt = min(a.leaveAt, due+class.Leave.Draw(r))
+	a.leaveAt = due + class.Timeout
+	if class.LeaveAfter != nil && r.Float64() < class.LeaveShare {
+		a.leaveAt = min(a.leaveAt, due+class.LeaveAfter.Draw(r))
 	}
-	a.pause = c.Retry.Pause
-	c.Open++
+	a.pause = c.Retry.Backoff
+	c.InFlight++
 	c.try(a, r.Uint64())
 }
 
 // tenant draws who asks.
-func (c *Clients) tenant(a *Ask, r *rand.Rand) {
+func (c *Clients) tenant(a *Request, r *rand.Rand) {
 	all := 0.0
 	for _, t := range c.Tenants {
 		all += t.now(a.Due)
@@ -243,8 +243,8 @@
 	for i, t := range c.Tenants {
 		if luck -= t.now(a.Due); luck < 0 || i == len(c.Tenants)-1 {
 			if a.Tenant = t.Name; !t.within(a.Due) {
-				a.Beyond = true
-				a.Value *= c.OverWorth
+				a.OverQuota = true
+				a.Value *= c.OverQuotaValue
 			}
 			return
 		}
@@ -252,7 +252,7 @@
 }
 
 // shards draws what an ask needs. What has the same key in one class needs the same.
-func (c *Clients) shards(a *Ask, r *rand.Rand) []int {
+func (c *Clients) shards(a *Request, r *rand.Rand) []int {
 	class := a.Class
 	if class.Keys != nil {
 		k := strconv.Itoa(class.Keys.Draw(r, 1)[0])
@@ -260,10 +260,10 @@
 		r = Rand(c.Seed, "shards", class.Name, k)
 	}
 	parts := class.Parts
-	if class.PartsMost > parts {
-		parts += r.IntN(class.PartsMost - parts + 1)
+	if class.MaxParts > parts {
+		parts += r.IntN(class.MaxParts - parts + 1)
 	}
-	if !class.Row {
+	if !class.Contiguous {
 		return class.Zipf.Draw(r, parts)
 	}
 	out := make([]int, min(parts, class.Shards))
@@ -274,25 +274,25 @@
 	return out
 }
 
-func (c *Clients) try(a *Ask, luck uint64) {
+func (c *Clients) try(a *Request, luck uint64) {
 	now := c.Sched.Now()
-	left := a.Due + a.Class.Patience - now
+	left := a.Due + a.Class.Timeout - now
 	if a.leaveAt <= now || left <= 0 {
 		c.over(a)
 		return
 	}
-	t := &Try{Ask: a, N: a.Tries, ID: a.ID + "-" + strconv.Itoa(a.Tries), At: now, Patience: left, Mixer: c.Pick(luck)}
-	t.Repeat = c.Retry.Mark && t.N > 0
-	a.Tries++
-	if t.Mixer < 0 {
+	t := &Attempt{Request: a, N: a.Attempts, ID: a.ID + "-" + strconv.Itoa(a.Attempts), At: now, Timeout: left, Proxy: c.SelectProxy(luck)}
+	t.IsRetry = c.Retry.MarkRetries && t.N > 0
+	a.Attempts++
+	if t.Proxy < 0 {
 		c.note(t, Reply{Kind: Lost})
 		c.again(t, Reply{Kind: Refused})
 		return
 	}
-	if a.leaveAt < a.Due+a.Class.Patience {
+	if a.leaveAt < a.Due+a.Class.Timeout {
 		t.leave = c.Sched.After(a.leaveAt-now, func() {
 			if !t.over {
-				c.Leave(t)
+				c.Disconnect(t)
 			}
 		})
 	}
@@ -300,7 +300,7 @@
 }
 
 // Reply ends a try; only the first call for it counts.
-func (c *Clients) Reply(t *Try, r Reply) {
+func (c *Clients) Reply(t *Attempt, r Reply) {
 	if t.over {
 		return
 	}
@@ -310,66 +310,66 @@
 	}
 	c.note(t, r)
 	switch {
-	case r.Kind == Refused, r.Kind == Failed && c.Retry.Failed && !t.Ask.Class.Unsafe:
+	case r.Kind == Refused, r.Kind == Failed && c.Retry.AfterFailure && !t.Request.Class.Unsafe:
 		c.again(t, r)
 	default:
-		c.over(t.Ask)
+		c.over(t.Request)
 	}
 }
 
 // note keeps what earns most.
-func (c *Clients) note(t *Try, r Reply) {
-	a := t.Ask
+func (c *Clients) note(t *Attempt, r Reply) {
+	a := t.Request
 	a.Ended = c.Sched.Now()
-	earned := a.Class.Worth(r, a.Ended-a.Due)
+	earned := a.Class.ValueShare(r, a.Ended-a.Due)
 	if t.N == 0 || earned >= a.Earned {
 		a.Outcome, a.Earned = r, earned
 	}
 }
 
 // Worth is what a reply earns after so long, in shares of the class's value.
-func (c *Class) Worth(r Reply, after time.Duration) float64 {
-	if r.Kind != Answered || after > c.Patience {
+func (c *Class) ValueShare(r Reply, after time.Duration) float64 {
+	if r.Kind != Answered || after > c.Timeout {
 		return 0
 	}
 	w := 1.0
-	if !r.Whole {
-		if r.Share < c.Floor-1e-6 {
+	if !r.Complete {
+		if r.Share < c.MinShare-1e-6 {
 			return 0
 		}
-		w = min(c.Partial*r.Share/c.Need, 1)
+		w = min(c.PartialValue*r.Share/c.RequiredShare, 1)
 	}
-	if after > c.Aim {
-		w *= c.LateWorth
+	if after > c.LatencyTarget {
+		w *= c.LateValue
 	}
 	return w
 }
 
-func (c *Clients) again(t *Try, r Reply) {
-	a := t.Ask
+func (c *Clients) again(t *Attempt, r Reply) {
+	a := t.Request
 	luck := Mix(c.Seed, "again", t.ID)
 	pause := a.pause
-	if a.Heeds && r.RetryAfter > 0 {
+	if a.FollowsAdvice && r.RetryAfter > 0 {
 		pause = r.RetryAfter
 	}
-	pause += time.Duration(float64(pause) * c.Retry.Spread * unit(luck))
-	if c.Retry.Grow > 0 {
-		a.pause = time.Duration(float64(a.pause) * c.Retry.Grow)
+	pause += time.Duration(float64(pause) * c.Retry.Jitter * unit(luck))
+	if c.Retry.BackoffFactor > 0 {
+		a.pause = time.Duration(float64(a.pause) * c.Retry.BackoffFactor)
 	}
-	left := a.Due + a.Class.Patience - c.Sched.Now() - pause
-	if t.N >= c.Retry.Most || left < c.Retry.Least || left <= 0 {
+	left := a.Due + a.Class.Timeout - c.Sched.Now() - pause
+	if t.N >= c.Retry.MaxRetries || left < c.Retry.MinTimeLeft || left <= 0 {
 		c.over(a)
 		return
 	}
 	c.Sched.After(pause, func() { c.try(a, Mix(luck, "mixer")) })
 }
 
-func (c *Clients) over(a *Ask) {
-	if !a.Over {
-		a.Over = true
-		c.Open--
-		if c.Over != nil {
-			c.Over(a)
+func (c *Clients) over(a *Request) {
+	if !a.Finished {
+		a.Finished = true
+		c.InFlight--
+		if c.OnFinish != nil {
+			c.OnFinish(a)
 		}
 	}
 }
--- a/internal/lab/model/dist.go
+++ b/internal/lab/model/dist.go
@@ -17,7 +17,7 @@
 )
 
 // MostSpan bounds every span drawn: a heavy tail has no end of its own.
-const MostSpan = 10 * time.Minute
+const MaxDuration = 10 * time.Minute
 
 // mostValues bounds an empirical distribution.
 const mostValues = 1 << 20
@@ -42,11 +42,11 @@
 // Each may end with "most SPAN": what is above is drawn as that.
 func ParseDist(text, dir string) (*Dist, error) {
 	f := strings.Fields(text)
-	most := MostSpan
+	most := MaxDuration
 	if n := len(f); n > 2 && f[n-2] == "most" {
 		d, err := time.ParseDuration(f[n-1])
-		if err != nil || d <= 0 || d > MostSpan {
-			return nil, fmt.Errorf("most %q is not a span within 1ns to %v", f[n-1], MostSpan)
+		if err != nil || d <= 0 || d > MaxDuration {
+			return nil, fmt.Errorf("most %q is not a span within 1ns to %v", f[n-1], MaxDuration)
 		}
 		most, f = d, f[:n-2]
 	}
@@ -58,8 +58,8 @@
 			return 0, fmt.Errorf("%s wants a span", f[0])
 		}
 		d, err := time.ParseDuration(f[i])
-		if err != nil || d <= 0 || d > MostSpan {
-			return 0, fmt.Errorf("%q is not a span above 0 and within %v", f[i], MostSpan)
+		if err != nil || d <= 0 || d > MaxDuration {
+			return 0, fmt.Errorf("%q is not a span above 0 and within %v", f[i], MaxDuration)
 		}
 		return d.Seconds(), nil
 	}
@@ -138,8 +138,8 @@
 			continue
 		}
 		v, err := time.ParseDuration(line)
-		if err != nil || v < 0 || v > MostSpan {
-			return fmt.Errorf("%s:%d: %.40q is not a span within 0 to %v", file, n, line, MostSpan)
+		if err != nil || v < 0 || v > MaxDuration {
+			return fmt.Errorf("%s:%d: %.40q is not a span within 0 to %v", file, n, line, MaxDuration)
 		}
 		if values = append(values, v.Seconds()); len(values) > mostValues {
 			return fmt.Errorf("%s:%d: more than %d values", file, n, mostValues)
@@ -195,7 +195,7 @@
 		z := distuv.Normal{Sigma: 1, Src: &w.pcg}.Rand()
 		d = time.Duration(float64(d) * math.Exp(w.QuerySigma*z-w.QuerySigma*w.QuerySigma/2))
 	}
-	return min(max(d, time.Microsecond), MostSpan)
+	return min(max(d, time.Microsecond), MaxDuration)
 }
 
 // Zipf draws one of n with the chance of rank k in proportion to 1/k^skew
--- a/internal/lab/model/fault.go
+++ b/internal/lab/model/fault.go
@@ -12,70 +12,70 @@
 
 // What a fault does.
 const (
-	Die       = "die"     // the process ends: connections are reset, new ones refused
-	Vanish    = "vanish"  // the machine is gone: nothing is heard, nothing reset
-	Hang      = "hang"    // takes parts and answers none
-	Slow      = "slow"    // works slower by a factor
-	Fail      = "fail"    // answers err at once
-	Full      = "busy"    // turns away
-	Pause     = "pause"   // stops the world: no work, no answer; connections stay
-	Drain     = "drain"   // the list says so; it is gone at the end, or serves on
-	Release   = "release" // drains, ends and starts again, one after the other
-	Cut       = "cut"     // a way between sites carries nothing
-	Late      = "list-late"
-	Lie       = "list-lie"     // the list drops servers that are well
-	Mute      = "list-silent"  // the list says nothing
-	Broken    = "list-down"    // calls to the list fail at once
-	Empty     = "list-empty"   // the list says that there is nobody
-	Reset     = "list-reset"   // its index begins anew
-	Elsewhere = "list-cell"    // the list names another cell for servers
-	Truncate  = "dns-truncate" // answers do not fit into a datagram
-	Junk      = "dns-junk"     // datagrams that answer nothing come before each answer
-	Switch    = "sources"      // the mixers' operator file names other sources, and they get SIGHUP
-	Kill      = "kill-mixer"
-	Restart   = "restart-mixer" // as planned: it ends what it has
+	Die           = "die"     // the process ends: connections are reset, new ones refused
+	Vanish        = "vanish"  // the machine is gone: nothing is heard, nothing reset
+	Hang          = "hang"    // takes parts and answers none
+	Slow          = "slow"    // works slower by a factor
+	Fail          = "fail"    // answers err at once
+	RejectParts   = "busy"    // turns away
+	Pause         = "pause"   // stops the world: no work, no answer; connections stay
+	Drain         = "drain"   // the list says so; it is gone at the end, or serves on
+	Release       = "release" // drains, ends and starts again, one after the other
+	Cut           = "cut"     // a way between sites carries nothing
+	ListLate      = "list-late"
+	ListOmit      = "list-lie"     // the list drops servers that are well
+	ListSilent    = "list-silent"  // the list says nothing
+	ListDown      = "list-down"    // calls to the list fail at once
+	ListEmpty     = "list-empty"   // the list says that there is nobody
+	ListReset     = "list-reset"   // its index begins anew
+	ListWrongCell = "list-cell"    // the list names another cell for servers
+	DNSTruncate   = "dns-truncate" // answers do not fit into a datagram
+	DNSJunk       = "dns-junk"     // datagrams that answer nothing come before each answer
+	SwitchSources = "sources"      // the mixers' operator file names other sources, and they get SIGHUP
+	KillProxy     = "kill-mixer"
+	RestartProxy  = "restart-mixer" // as planned: it ends what it has
 )
 
 // Kinds of faults, for those who read them.
-var FaultKinds = []string{Die, Vanish, Hang, Slow, Fail, Full, Pause, Drain, Release, Cut, Late, Lie, Mute, Broken, Empty, Reset, Elsewhere, Truncate, Junk, Switch, Kill, Restart}
+var FaultKinds = []string{Die, Vanish, Hang, Slow, Fail, RejectParts, Pause, Drain, Release, Cut, ListLate, ListOmit, ListSilent, ListDown, ListEmpty, ListReset, ListWrongCell, DNSTruncate, DNSJunk, SwitchSources, KillProxy, RestartProxy}
 
 // OnMixers tells whether a fault is one of mixers, OnList of the list.
-func OnMixers(do string) bool { return do == Kill || do == Restart }
+func TargetsProxies(do string) bool { return do == KillProxy || do == RestartProxy }
 
 // OnList tells whether a fault is one of the list as a whole.
-func OnList(do string) bool {
+func TargetsList(do string) bool {
 	switch do {
-	case Late, Mute, Broken, Empty, Reset, Truncate, Junk, Switch:
+	case ListLate, ListSilent, ListDown, ListEmpty, ListReset, DNSTruncate, DNSJunk, SwitchSources:
 		return true
 	}
 	return false
 }
 
 // ByList tells whether a fault is one of what the list says of servers.
-func ByList(do string) bool { return do == Drain || do == Lie || do == Elsewhere }
+func ChangesEntry(do string) bool { return do == Drain || do == ListOmit || do == ListWrongCell }
 
 // Fault is one fault of a script.
 type Fault struct {
-	Name   string
-	Do     string
-	At     time.Duration
-	For    time.Duration // 0: to the end
-	Every  time.Duration // again and again, from one begin to the next; 0: once
-	Times  int           // at most so often; 0: until the end
-	Chance float64       // that each time comes to pass; above 0
-	Among  []int         // servers or mixers it may hit
-	Share  float64       // of these, drawn anew each time
-	Apart  time.Duration // between one and the next that it hits
-	Class  string        // hang, fail: "" is all
-	Part   float64       // hang, fail: share of the parts
-	Factor float64       // slow
-	Warm   bool          // die, vanish, release: back warm
-	From   int           // cut
-	To     int           // cut
-	Both   bool          // cut
-	Source string        // of the list's: which one; empty: all
-	Others []string      // sources: those in force while it holds
-	Extra  time.Duration // list-late: so much later; release: from the drain to the end of the process
+	Name      string
+	Do        string
+	At        time.Duration
+	For       time.Duration // 0: to the end
+	Every     time.Duration // again and again, from one begin to the next; 0: once
+	Times     int           // at most so often; 0: until the end
+	Chance    float64       // that each time comes to pass; above 0
+	Targets   []int         // servers or mixers it may hit
+	Share     float64       // of these, drawn anew each time
+	Stagger   time.Duration // between one and the next that it hits
+	Class     string        // hang, fail: "" is all
+	PartShare float64       // hang, fail: share of the parts
+	Factor    float64       // slow
+	Warm      bool          // die, vanish, release: back warm
+	From      int           // cut
+	To        int           // cut
+	Both      bool          // cut
+	Source    string        // of the list's: which one; empty: all
+	SwitchTo  []string      // sources: those in force while it holds
+	Delay     time.Duration // list-late: so much later; release: from the drain to the end of the process
 }
 
 // steps are the faults that one stands for, with how much later each begins.
@@ -85,7 +85,7 @@
 	}
 	drain, die := *f, *f
 	drain.Do, die.Do = Drain, Die
-	return []*Fault{&drain, &die}, []time.Duration{0, f.Extra}
+	return []*Fault{&drain, &die}, []time.Duration{0, f.Delay}
 }
 
 // Change is one step of a script: a fault takes hold of something, or lets it go.
@@ -122,16 +122,16 @@
 			}
 			hits := r.Float64() < f.Chance
 			targets := []int{-1}
-			if len(f.Among) > 0 {
-				n := max(int(float64(len(f.Among))*f.Share+0.5), 1)
+			if len(f.Targets) > 0 {
+				n := max(int(float64(len(f.Targets))*f.Share+0.5), 1)
 				targets = targets[:0]
-				for _, i := range r.Perm(len(f.Among))[:min(n, len(f.Among))] {
-					targets = append(targets, f.Among[i])
+				for _, i := range r.Perm(len(f.Targets))[:min(n, len(f.Targets))] {
+					targets = append(targets, f.Targets[i])
 				}
 				slices.Sort(targets)
 			}
 			for i, target := range targets {
-				begin := at + time.Duration(i)*f.Apart
+				begin := at + time.Duration(i)*f.Stagger
 				if !hits || begin >= length {
 					continue
 				}
@@ -157,7 +157,7 @@
 
 // Strike has a change take hold of a server, or let it go. It tells whether the
 // change was one of a server's at all; drains are the list's.
-func (s *Server) Strike(c Change) bool {
+func (s *Server) Apply(c Change) bool {
 	e := &s.Effects
 	step := 1
 	if !c.On {
@@ -173,7 +173,7 @@
 		}
 	case Pause:
 		e.Paused += step
-	case Full:
+	case RejectParts:
 		e.Busy += step
 	case Slow:
 		if e.Slow <= 0 {
@@ -191,7 +191,7 @@
 	default:
 		return false
 	}
-	s.Changed()
+	s.EffectsChanged()
 	return true
 }
 
@@ -202,8 +202,8 @@
 		m = make(map[string]float64)
 	}
 	if c.On {
-		m[c.Class] += c.Part
-	} else if m[c.Class] -= c.Part; m[c.Class] < 1e-9 {
+		m[c.Class] += c.PartShare
+	} else if m[c.Class] -= c.PartShare; m[c.Class] < 1e-9 {
 		delete(m, c.Class)
 	}
 	return m
--- a/internal/lab/model/list.go
+++ b/internal/lab/model/list.go
@@ -5,38 +5,38 @@
 import "time"
 
 // Standing is what the list says of a server.
-type Standing int
+type Status int
 
 // The standings.
 const (
-	Serving Standing = iota
+	Serving Status = iota
 	Draining
 	Deleted
-	Sick // its checks are critical
+	Unhealthy // its checks are critical
 )
 
 // Entry is news of one server.
 type Entry struct {
-	Server   int
-	Standing Standing
-	Since    time.Duration // its last start; below 0: long ago
-	Shift    int           // added to its cell: a lie
+	Server    int
+	Status    Status
+	Since     time.Duration // its last start; below 0: long ago
+	CellShift int           // added to its cell: a lie
 }
 
 // List is a discovery service's view. It knows of processes that run, drain or are
 // gone; that one has died it notes after Notice.
 type List struct {
-	Name   string
-	Checks bool // a process that has ended stays named, as sick
-	Drains bool // drains that are not told to one source by name are told here too
-	Sched  Sched
-	Lag    time.Duration // until news is told
-	Jitter time.Duration // mean of an exponential added to it
-	Notice time.Duration
-	Tell   func([]Entry)
-	Turn   func(c Change) // a fault of the whole list that its stand-in has to show; nil: none does
-	Hold   bool           // lists are pushed: nothing is told while it is mute, whatever stands in for it
-	Luck   func() float64 // exponential, mean 1
+	Name          string
+	KeepsEnded    bool // a process that has ended stays named, as sick
+	ReportsDrains bool // drains that are not told to one source by name are told here too
+	Sched         Sched
+	Lag           time.Duration // until news is told
+	Jitter        time.Duration // mean of an exponential added to it
+	DetectDelay   time.Duration
+	Publish       func([]Entry)
+	OnFault       func(c Change) // a fault of the whole list that its stand-in has to show; nil: none does
+	BufferSilent  bool           // lists are pushed: nothing is told while it is mute, whatever stands in for it
+	Exponential   func() float64 // exponential, mean 1
 
 	now   []Entry // as it would be told
 	lies  map[int]int
@@ -58,11 +58,11 @@
 }
 
 // Whole is the list as it is now.
-func (l *List) Whole() []Entry { return l.now }
+func (l *List) Entries() []Entry { return l.now }
 
 // Down notes that a process has ended; Up that it runs.
 func (l *List) Down(server int) {
-	l.Sched.After(l.Notice, func() {
+	l.Sched.After(l.DetectDelay, func() {
 		if l.gone[server] {
 			l.put(server)
 		}
@@ -78,8 +78,8 @@
 }
 
 // Strike has a change take hold of the list, or let it go.
-func (l *List) Strike(c Change) {
-	if c.Source != "" && c.Source != l.Name || c.Do == Drain && c.Source == "" && !l.Drains {
+func (l *List) Apply(c Change) {
+	if c.Source != "" && c.Source != l.Name || c.Do == Drain && c.Source == "" && !l.ReportsDrains {
 		return
 	}
 	step := 1
@@ -90,21 +90,21 @@
 	case Drain:
 		l.drain[c.Target] += step
 		l.put(c.Target)
-	case Lie:
+	case ListOmit:
 		l.lies[c.Target] += step
 		l.put(c.Target)
-	case Elsewhere:
+	case ListWrongCell:
 		l.moved[c.Target] += step
 		l.put(c.Target)
-	case Broken, Empty, Reset, Truncate, Junk:
-		if l.Turn != nil {
-			l.Turn(c)
+	case ListDown, ListEmpty, ListReset, DNSTruncate, DNSJunk:
+		if l.OnFault != nil {
+			l.OnFault(c)
 		}
-	case Late:
-		l.extra += time.Duration(step) * c.Extra
-	case Mute:
-		if l.Turn != nil {
-			if l.Turn(c); !l.Hold {
+	case ListLate:
+		l.extra += time.Duration(step) * c.Delay
+	case ListSilent:
+		if l.OnFault != nil {
+			if l.OnFault(c); !l.BufferSilent {
 				return
 			}
 		}
@@ -120,15 +120,15 @@
 func (l *List) put(server int) {
 	e := Entry{Server: server, Since: l.now[server].Since}
 	switch {
-	case l.gone[server] && l.Checks && l.lies[server] == 0:
-		e.Standing = Sick
+	case l.gone[server] && l.KeepsEnded && l.lies[server] == 0:
+		e.Status = Unhealthy
 	case l.lies[server] > 0 || l.gone[server]:
-		e.Standing = Deleted
+		e.Status = Deleted
 	case l.drain[server] > 0:
-		e.Standing = Draining
+		e.Status = Draining
 	}
 	if l.moved[server] > 0 {
-		e.Shift = 1
+		e.CellShift = 1
 	}
 	l.now[server] = e
 	if l.mute > 0 {
@@ -144,14 +144,14 @@
 	}
 	at := l.Sched.Now() + l.Lag + l.extra
 	if l.Jitter > 0 {
-		at += time.Duration(l.Luck() * float64(l.Jitter))
+		at += time.Duration(l.Exponential() * float64(l.Jitter))
 	}
 	l.last = max(l.last, at) // news never overtakes what came before it
 	l.Sched.After(l.last-l.Sched.Now(), func() {
-		if l.Hold && l.mute > 0 { // it was on its way as the list fell silent
+		if l.BufferSilent && l.mute > 0 { // it was on its way as the list fell silent
 			l.held = append(l.held, news...)
 			return
 		}
-		l.Tell(news)
+		l.Publish(news)
 	})
 }
--- a/internal/lab/model/load.go
+++ b/internal/lab/model/load.go
@@ -63,7 +63,7 @@
 }
 
 // Most is the curve's greatest value.
-func (c Curve) Most() float64 {
+func (c Curve) Max() float64 {
 	if len(c) == 0 {
 		return 1
 	}
@@ -97,14 +97,14 @@
 // Begin readies the arrivals of a class.
 func (a *Arrivals) Begin(seed uint64, class string) {
 	a.r, a.at, a.next = Rand(seed, "arrivals", class), 0, 0
-	a.most = a.Rate * a.Curve.Most()
+	a.most = a.Rate * a.Curve.Max()
 	for _, b := range a.Bursts {
 		a.most *= max(b.Factor, 1)
 	}
 }
 
 // Now is the rate at a time.
-func (a *Arrivals) Now(at time.Duration) float64 {
+func (a *Arrivals) RateAt(at time.Duration) float64 {
 	rate := a.Rate * a.Curve.Factor(at)
 	for _, b := range a.Bursts {
 		if at >= b.At && at < b.At+b.For {
@@ -129,7 +129,7 @@
 	}
 	for a.at < end {
 		a.at += time.Duration(a.r.ExpFloat64() / a.most * float64(time.Second))
-		if a.at < end && a.r.Float64()*a.most < a.Now(a.at) {
+		if a.at < end && a.r.Float64()*a.most < a.RateAt(a.at) {
 			return a.at, true
 		}
 	}
--- a/internal/lab/model/model.go
+++ b/internal/lab/model/model.go
@@ -48,4 +48,4 @@
 func unit(h uint64) float64 { return float64(h>>11) / (1 << 53) }
 
 // Luck is the share in [0, 1) that a seed gives to a name.
-func Luck(seed uint64, texts ...string) float64 { return unit(Mix(seed, texts...)) }
+func Uniform(seed uint64, texts ...string) float64 { return unit(Mix(seed, texts...)) }
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -28,7 +28,7 @@
 
 func put(l *event.Loop, s *Server, s2 *seen, at time.Duration, id, class string, work time.Duration) *Job {
 	j := &Job{ID: id, Class: class, Work: work, Done: func(j *Job, e End) { s2.ends[j.ID], s2.at[j.ID] = e, l.Now() }}
-	l.Post(at, func() { s.Take(j) })
+	l.Post(at, func() { s.Submit(j) })
 	return j
 }
 
@@ -39,7 +39,7 @@
 
 // Two cores share what is in four slots; the fifth waits, the seventh is turned away.
 func TestServerWork(t *testing.T) {
-	l, s, got := stage(Spec{Cores: 2, Speed: 2, Slots: 4, Room: 2, Queue: FIFO})
+	l, s, got := stage(Spec{Cores: 2, Speed: 2, Slots: 4, QueueLimit: 2, Queue: FIFO})
 	for i, id := range []string{"a", "b", "c", "d", "e", "f", "g"} {
 		put(l, s, got, time.Duration(i)*time.Nanosecond, id, "x", 40*ms)
 	}
@@ -48,8 +48,8 @@
 	// Four parts of 40 ms on two cores of speed 2: 40 ms; then two more alone: 20 ms.
 	require.InDelta(t, 40, got.at["d"].Seconds()*1000, 0.1)
 	require.InDelta(t, 60, got.at["f"].Seconds()*1000, 0.1)
-	st := s.Look()
-	require.EqualValues(t, 7, st.Taken)
+	st := s.TakeStats()
+	require.EqualValues(t, 7, st.Received)
 	require.EqualValues(t, 6, st.Served)
 	require.EqualValues(t, 1, st.Busy)
 	require.InDelta(t, 240, st.Work.Seconds()*1000, 0.5)
@@ -57,7 +57,7 @@
 
 func TestQueues(t *testing.T) {
 	for how, want := range map[Discipline]string{FIFO: "a b c d", LIFO: "a d c b", Shortest: "a c d b", Fair: "a c b d"} {
-		l, s, got := stage(Spec{Cores: 1, Speed: 1, Room: 9, Queue: how})
+		l, s, got := stage(Spec{Cores: 1, Speed: 1, QueueLimit: 9, Queue: how})
 		put(l, s, got, 0, "a", "x", 10*ms)
 		put(l, s, got, 1*ms, "b", "x", 30*ms)
 		put(l, s, got, 2*ms, "c", "y", 10*ms)
@@ -81,20 +81,20 @@
 // A server that holds too much works slower; a part given up while it waits never
 // runs; one that hangs stays; a pause delays all and answers nothing meanwhile.
 func TestServerTrouble(t *testing.T) {
-	l, s, got := stage(Spec{Cores: 1, Speed: 1, Room: 50, Queue: FIFO, Knee: 1, Loss: 1})
+	l, s, got := stage(Spec{Cores: 1, Speed: 1, QueueLimit: 50, Queue: FIFO, Knee: 1, KneeLoss: 1})
 	j := put(l, s, got, 1*ms, "given-up", "x", 10*ms)
 	put(l, s, got, 0, "a", "x", 10*ms)
-	l.Post(2*ms, func() { s.GiveUp(j) })
+	l.Post(2*ms, func() { s.Cancel(j) })
 	require.NoError(t, l.Run(time.Second))
 	require.NotContains(t, got.ends, "given-up")
 	require.InDelta(t, 10.5, got.at["a"].Seconds()*1000, 0.1) // half as fast for the millisecond with two
 
-	l, s, got = stage(Spec{Cores: 1, Speed: 1, Room: 1, Queue: FIFO})
+	l, s, got = stage(Spec{Cores: 1, Speed: 1, QueueLimit: 1, Queue: FIFO})
 	on := Change{On: true, Fault: &Fault{Do: Pause}}
 	off := Change{Fault: &Fault{Do: Pause}}
-	l.Post(5*ms, func() { s.Strike(on); s.Strike(on) })
-	l.Post(10*ms, func() { s.Strike(off) })
-	l.Post(25*ms, func() { s.Strike(off) })
+	l.Post(5*ms, func() { s.Apply(on); s.Apply(on) })
+	l.Post(10*ms, func() { s.Apply(off) })
+	l.Post(25*ms, func() { s.Apply(off) })
 	put(l, s, got, 0, "a", "x", 10*ms)
 	for i, id := range []string{"b", "c", "d"} {
 		put(l, s, got, time.Duration(6+i)*ms, id, "x", 10*ms)
@@ -104,12 +104,12 @@
 	require.Equal(t, Busy, got.ends["c"])
 	require.GreaterOrEqual(t, got.at["c"], 25*ms)
 
-	l, s, got = stage(Spec{Cores: 4, Speed: 1, Room: 9, Queue: FIFO})
+	l, s, got = stage(Spec{Cores: 4, Speed: 1, QueueLimit: 9, Queue: FIFO})
 	for _, c := range []Change{{On: true, Fault: &Fault{Do: Slow, Factor: 2}}, {On: true, Fault: &Fault{Do: Slow, Factor: 3}},
-		{On: true, Fault: &Fault{Do: Hang, Class: "y", Part: 1}}, {On: true, Fault: &Fault{Do: Fail, Class: "z", Part: 1}}} {
-		s.Strike(c)
+		{On: true, Fault: &Fault{Do: Hang, Class: "y", PartShare: 1}}, {On: true, Fault: &Fault{Do: Fail, Class: "z", PartShare: 1}}} {
+		s.Apply(c)
 	}
-	l.Post(60*ms, func() { s.Strike(Change{Fault: &Fault{Do: Slow, Factor: 3}}) })
+	l.Post(60*ms, func() { s.Apply(Change{Fault: &Fault{Do: Slow, Factor: 3}}) })
 	for _, class := range []string{"x", "y", "z"} {
 		put(l, s, got, 0, class, class, 20*ms)
 	}
@@ -117,25 +117,25 @@
 	require.InDelta(t, 80, got.at["x"].Seconds()*1000, 0.1) // 60 ms at a sixth, then 10 ms of work at a half
 	require.Equal(t, Err, got.ends["z"])
 	require.NotContains(t, got.ends, "y")
-	require.Equal(t, 1, s.Held())
+	require.Equal(t, 1, s.Pending())
 }
 
 // A cold server warms by time; pushed over, it falls and comes back; two faults that
 // keep it down must both let go.
 func TestCold(t *testing.T) {
-	cold := Cold{Share: 0.2, Time: 10 * time.Second, Multiple: 2, Window: time.Second, Down: 500 * ms}
-	l, s, got := stage(Spec{Cores: 1, Speed: 1, Room: 1000, Queue: FIFO, Cold: cold})
+	cold := SlowStart{InitialShare: 0.2, WarmupTime: 10 * time.Second, OverloadMultiple: 2, OverloadWindow: time.Second, Downtime: 500 * ms}
+	l, s, got := stage(Spec{Cores: 1, Speed: 1, QueueLimit: 1000, Queue: FIFO, SlowStart: cold})
 	fell, ups := 0, 0
-	s.Fell, s.Up = func(*Server) { fell++ }, func(*Server) { ups++ }
+	s.OnOverload, s.OnUp = func(*Server) { fell++ }, func(*Server) { ups++ }
 	die := Change{On: true, Fault: &Fault{Do: Die}}
-	s.Strike(die)
-	s.Strike(die)
+	s.Apply(die)
+	s.Apply(die)
 	die.On = false
-	s.Strike(die)
+	s.Apply(die)
 	up, _ := s.Running()
 	require.False(t, up)
-	s.Strike(die)
-	require.InDelta(t, 0.2, s.Share(), 1e-9)
+	s.Apply(die)
+	require.InDelta(t, 0.2, s.CapacityShare(), 1e-9)
 	put(l, s, got, 0, "a", "x", 20*ms)
 	require.NoError(t, l.Run(time.Second))
 	require.InDelta(t, 95, got.at["a"].Seconds()*1000, 6) // at a fifth, and a little more each step
@@ -147,7 +147,7 @@
 	require.NoError(t, l.Run(3*time.Second))
 	require.Equal(t, 2, ups)
 	require.NoError(t, l.Run(20*time.Second))
-	require.Equal(t, 1.0, s.Share())
+	require.Equal(t, 1.0, s.CapacityShare())
 }
 
 func TestDist(t *testing.T) {
@@ -243,9 +243,9 @@
 
 // A script is drawn from its seed: shares, chance, repeats, and the steps of a release.
 func TestScript(t *testing.T) {
-	f := []*Fault{{Name: "a", Do: Die, At: time.Second, For: 500 * ms, Every: 2 * time.Second, Times: 3, Chance: 1, Among: []int{0, 1, 2, 3, 4, 5, 6, 7}, Share: 0.25},
-		{Name: "r", Do: Release, At: 0, For: 3 * time.Second, Extra: time.Second, Chance: 1, Among: []int{5}, Share: 1},
-		{Name: "never", Do: Mute, At: 0, Chance: 0}}
+	f := []*Fault{{Name: "a", Do: Die, At: time.Second, For: 500 * ms, Every: 2 * time.Second, Times: 3, Chance: 1, Targets: []int{0, 1, 2, 3, 4, 5, 6, 7}, Share: 0.25},
+		{Name: "r", Do: Release, At: 0, For: 3 * time.Second, Delay: time.Second, Chance: 1, Targets: []int{5}, Share: 1},
+		{Name: "never", Do: ListSilent, At: 0, Chance: 0}}
 	one, err := Script(f, 1, 10*time.Second)
 	require.NoError(t, err)
 	again, err := Script(f, 1, 10*time.Second)
@@ -256,19 +256,19 @@
 	require.NotEqual(t, one, other)
 	require.Len(t, one, 3*2*2+4)
 	require.Equal(t, Drain, one[0].Do)
-	_, err = Script([]*Fault{{Name: "m", Do: Mute, For: 1, Every: 1, Chance: 1}}, 1, time.Second)
+	_, err = Script([]*Fault{{Name: "m", Do: ListSilent, For: 1, Every: 1, Chance: 1}}, 1, time.Second)
 	require.ErrorContains(t, err, "more than")
 }
 
 // Clients heed advice, stop at their patience and their tries, and leave.
 func TestClients(t *testing.T) {
 	l := &event.Loop{}
-	class := &Class{Name: "x", Arrivals: Arrivals{Trace: []time.Duration{0}}, Parts: 2, Zipf: NewZipf(4, 0, 1), Aim: 100 * ms, Patience: time.Second, Value: 1, Need: 1, Floor: 0.5, Partial: 0.8, LateWorth: 0.1}
-	var tries []*Try
-	var over []*Ask
-	c := &Clients{Sched: sched{l}, Classes: []*Class{class}, Retry: Retry{Most: 5, Pause: 10 * ms, Grow: 1, Heed: 1, Mark: true}, Length: time.Second,
-		Pick: func(uint64) int { return 0 }, Over: func(a *Ask) { over = append(over, a) }, Leave: func(*Try) {}}
-	c.Send = func(t *Try) {
+	class := &Class{Name: "x", Arrivals: Arrivals{Trace: []time.Duration{0}}, Parts: 2, Zipf: NewZipf(4, 0, 1), LatencyTarget: 100 * ms, Timeout: time.Second, Value: 1, RequiredShare: 1, MinShare: 0.5, PartialValue: 0.8, LateValue: 0.1}
+	var tries []*Attempt
+	var over []*Request
+	c := &Clients{Sched: sched{l}, Classes: []*Class{class}, Retry: Retry{MaxRetries: 5, Backoff: 10 * ms, BackoffFactor: 1, AdviceShare: 1, MarkRetries: true}, Length: time.Second,
+		SelectProxy: func(uint64) int { return 0 }, OnFinish: func(a *Request) { over = append(over, a) }, Disconnect: func(*Attempt) {}}
+	c.Send = func(t *Attempt) {
 		tries = append(tries, t)
 		l.Post(5*ms, func() { c.Reply(t, Reply{Kind: Refused, RetryAfter: 300 * ms}) })
 	}
@@ -276,17 +276,17 @@
 	require.NoError(t, l.Run(10*time.Second))
 	require.Len(t, over, 1)
 	require.Len(t, tries, 4) // 0, 305, 610, 915 ms; the next would come after its patience
-	require.False(t, tries[0].Repeat)
-	require.True(t, tries[3].Repeat)
-	require.Equal(t, 85*ms, tries[3].Patience)
-	require.Zero(t, c.Open)
+	require.False(t, tries[0].IsRetry)
+	require.True(t, tries[3].IsRetry)
+	require.Equal(t, 85*ms, tries[3].Timeout)
+	require.Zero(t, c.InFlight)
 	for _, w := range []struct {
 		r     Reply
 		after time.Duration
 		want  float64
-	}{{Reply{Whole: true}, 50 * ms, 1}, {Reply{Whole: true}, 500 * ms, 0.1}, {Reply{Share: 0.75}, 50 * ms, 0.6}, {Reply{Share: 0.25}, 50 * ms, 0},
-		{Reply{Kind: Refused}, 0, 0}, {Reply{Whole: true}, 2 * time.Second, 0}} {
-		require.InDelta(t, w.want, class.Worth(w.r, w.after), 1e-9)
+	}{{Reply{Complete: true}, 50 * ms, 1}, {Reply{Complete: true}, 500 * ms, 0.1}, {Reply{Share: 0.75}, 50 * ms, 0.6}, {Reply{Share: 0.25}, 50 * ms, 0},
+		{Reply{Kind: Refused}, 0, 0}, {Reply{Complete: true}, 2 * time.Second, 0}} {
+		require.InDelta(t, w.want, class.ValueShare(w.r, w.after), 1e-9)
 	}
-	require.False(t, math.IsNaN(class.Worth(Reply{}, 0)))
+	require.False(t, math.IsNaN(class.ValueShare(Reply{}, 0)))
 }
--- a/internal/lab/model/net.go
+++ b/internal/lab/model/net.go
@@ -73,7 +73,7 @@
 }
 
 // Open tells whether anything gets through.
-func (n *Network) Open(from, to int) bool { return n.cuts[from*len(n.names)+to] == 0 }
+func (n *Network) Reachable(from, to int) bool { return n.cuts[from*len(n.names)+to] == 0 }
 
 // Delay draws how long a message is under way; ok is false where it never comes.
 func (n *Network) Delay(from, to int) (d time.Duration, ok bool) {
--- a/internal/lab/model/server.go
+++ b/internal/lab/model/server.go
@@ -27,33 +27,33 @@
 	Cores             int
 	Speed             float64 // work that a core does a second
 	Slots             int     // parts in work at once; more than Cores share them
-	Room              int     // parts that wait; beyond, they are turned away
+	QueueLimit        int     // parts that wait; beyond, they are turned away
 	Queue             Discipline
 	Knee              int     // parts held above which it becomes less efficient; 0: never
-	Loss              float64 // at twice the knee it works 1/(1+Loss) as fast, and so on
-	StopsGivenUp      bool    // a part in work that is given up stops
+	KneeLoss          float64 // at twice the knee it works 1/(1+Loss) as fast, and so on
+	CancelsRunning    bool    // a part in work that is given up stops
 	Handshake         time.Duration
 	CallWork          time.Duration // of a call, beside its parts'
-	Keys              Keys
-	Cold              Cold
+	KeyCache          KeyCache
+	SlowStart         SlowStart
 	Seed              uint64
 }
 
 // Keys is how a server remembers: a part whose key and shard it met lately is less work.
-type Keys struct {
-	Gain float64       // so much less; 0: it remembers nothing
-	For  time.Duration // for so long
-	Most int           // and so many; the one met longest ago goes first
+type KeyCache struct {
+	Gain    float64       // so much less; 0: it remembers nothing
+	TTL     time.Duration // for so long
+	MaxKeys int           // and so many; the one met longest ago goes first
 }
 
 // Cold is how a server starts.
-type Cold struct {
-	Share    float64       // of its capacity, at the start
-	Time     time.Duration // until it is warm, however little it does; 0: it starts warm
-	Work     int           // or until it has done so many parts; 0: time alone
-	Multiple float64       // sent more than this multiple of its capacity; 0: it bears all
-	Window   time.Duration // over so long, it falls
-	Down     time.Duration // and is back, cold, after this
+type SlowStart struct {
+	InitialShare     float64       // of its capacity, at the start
+	WarmupTime       time.Duration // until it is warm, however little it does; 0: it starts warm
+	WarmupParts      int           // or until it has done so many parts; 0: time alone
+	OverloadMultiple float64       // sent more than this multiple of its capacity; 0: it bears all
+	OverloadWindow   time.Duration // over so long, it falls
+	Downtime         time.Duration // and is back, cold, after this
 }
 
 // End is how a part ended at a server.
@@ -68,15 +68,15 @@
 
 // Job is a part at a server. The first fields are its sender's.
 type Job struct {
-	ID, Ask, Class string
-	Shard          int
-	Work           time.Duration // of a core of speed 1
-	Call           bool          // the first of its call: it bears what that costs
-	Key            string        // with its shard; empty: none
-	Until          time.Duration // when its sender stops waiting; 0: unknown
-	Done           func(*Job, End)
-	Ran            func(*Job) // it is run from now on; may be nil
-	Tag            any        // the sender's
+	ID, Request, Class string
+	Shard              int
+	Work               time.Duration // of a core of speed 1
+	FirstOfCall        bool          // the first of its call: it bears what that costs
+	Key                string        // with its shard; empty: none
+	Deadline           time.Duration // when its sender stops waiting; 0: unknown
+	Done               func(*Job, End)
+	OnRun              func(*Job) // it is run from now on; may be nil
+	Tag                any        // the sender's
 
 	finish float64 // in service time
 	seq    int64
@@ -105,12 +105,12 @@
 
 // Stats is what a server did since the last look.
 type Stats struct {
-	Taken, Served, Failed, Busy int64
-	Held, Running               int // now
-	MostHeld                    int
-	Work                        time.Duration // done, in core time of speed 1
-	Up                          bool
-	Share                       float64 // of its capacity that it has
+	Received, Served, Failed, Busy int64
+	Pending, Running               int // now
+	MaxPending                     int
+	Work                           time.Duration // done, in core time of speed 1
+	Up                             bool
+	CapacityShare                  float64 // of its capacity that it has
 }
 
 // Server is one emulated leaf server.
@@ -119,7 +119,7 @@
 	Effects Effects
 	// Fell is told that a cold server was pushed over; Down that its process has
 	// ended (what was out there is lost) and Up that it runs again.
-	Fell, Down, Up func(*Server)
+	OnOverload, OnDown, OnUp func(*Server)
 
 	sched Sched
 	r     func() float64 // luck of its own
@@ -172,24 +172,24 @@
 func (s *Server) Running() (bool, time.Duration) { return s.up, s.since }
 
 // Held counts the parts it has.
-func (s *Server) Held() int { return len(s.heap) + s.waits + s.hung + len(s.inbox) }
+func (s *Server) Pending() int { return len(s.heap) + s.waits + s.hung + len(s.inbox) }
 
 // Share is the share of its capacity that it has, for being cold.
-func (s *Server) Share() float64 {
+func (s *Server) CapacityShare() float64 {
 	if !s.cold {
 		return 1
 	}
 	age := s.sched.Now() - s.since
-	share := float64(age) / float64(s.Cold.Time)
-	if s.Cold.Work > 0 {
-		share = max(share, float64(s.done)/float64(s.Cold.Work))
+	share := float64(age) / float64(s.SlowStart.WarmupTime)
+	if s.SlowStart.WarmupParts > 0 {
+		share = max(share, float64(s.done)/float64(s.SlowStart.WarmupParts))
 	}
 	if share >= 1 {
 		s.cold = false
 		s.sent, s.sum = nil, 0
 		return 1
 	}
-	return s.Cold.Share + (1-s.Cold.Share)*share
+	return s.SlowStart.InitialShare + (1-s.SlowStart.InitialShare)*share
 }
 
 // Capacity is the work it can do a second at the moment, in seconds of a core of speed 1.
@@ -201,18 +201,18 @@
 	if slow <= 0 {
 		slow = 1
 	}
-	return float64(s.Cores) * s.Speed * s.Share() / slow
+	return float64(s.Cores) * s.Speed * s.CapacityShare() / slow
 }
 
 // ColdRoom is the work that a cold server may be sent now before it falls, in
 // seconds of a core of speed 1, without the slack for chance; a warm one bears all.
-func (s *Server) ColdRoom() float64 {
-	if !s.cold || s.Cold.Multiple <= 0 || s.Share() >= 1 {
+func (s *Server) SlowStartHeadroom() float64 {
+	if !s.cold || s.SlowStart.OverloadMultiple <= 0 || s.CapacityShare() >= 1 {
 		return math.Inf(1)
 	}
-	room := s.Cold.Multiple * s.Capacity() * s.Cold.Window.Seconds()
+	room := s.SlowStart.OverloadMultiple * s.Capacity() * s.SlowStart.OverloadWindow.Seconds()
 	for _, w := range s.sent {
-		if w.at > s.sched.Now()-s.Cold.Window {
+		if w.at > s.sched.Now()-s.SlowStart.OverloadWindow {
 			room -= w.work
 		}
 	}
@@ -230,7 +230,7 @@
 }
 
 // Sick tells whether a part of a class would come to nothing there.
-func (s *Server) Sick(class string) bool {
+func (s *Server) Unavailable(class string) bool {
 	return !s.up || s.Effects.Paused > 0 || s.Effects.Busy > 0 || strike(s.Effects.Hang, class) > 0 || strike(s.Effects.Fail, class) > 0
 }
 
@@ -244,12 +244,12 @@
 
 // Take takes a part. Its Done is called once, unless it is given up or the process
 // ends before.
-func (s *Server) Take(j *Job) {
+func (s *Server) Submit(j *Job) {
 	if !s.up {
 		j.state = over
 		return
 	}
-	s.stats.Taken++
+	s.stats.Received++
 	s.seq++
 	j.seq, j.index = s.seq, -1
 	if s.Effects.Paused > 0 { // nobody reads
@@ -263,21 +263,21 @@
 	case s.Effects.Busy > 0:
 		s.end(j, Busy)
 	case s.r() < strike(s.Effects.Fail, j.Class):
-		if j.Ran != nil {
-			j.Ran(j)
+		if j.OnRun != nil {
+			j.OnRun(j)
 		}
 		s.end(j, Err)
 	case s.r() < strike(s.Effects.Hang, j.Class):
 		j.state = held
 		s.hung++
-		if j.Ran != nil {
-			j.Ran(j)
+		if j.OnRun != nil {
+			j.OnRun(j)
 		}
 	case len(s.heap) < s.slots():
 		s.room.turn = j.Class
 		s.start(j)
 		s.settle()
-	case s.waits >= s.Room:
+	case s.waits >= s.QueueLimit:
 		s.end(j, Busy)
 	default:
 		j.state = waiting
@@ -287,21 +287,21 @@
 			s.settle() // held more, it may work slower
 		}
 	}
-	s.stats.MostHeld = max(s.stats.MostHeld, s.Held())
+	s.stats.MaxPending = max(s.stats.MaxPending, s.Pending())
 }
 
 func (s *Server) slots() int { return max(s.Slots, s.Cores) }
 
 // push counts what a cold server is sent and tells whether that pushed it over.
 func (s *Server) push(j *Job) bool {
-	if !s.cold || s.Cold.Multiple <= 0 || s.Cold.Window <= 0 || s.Share() >= 1 {
+	if !s.cold || s.SlowStart.OverloadMultiple <= 0 || s.SlowStart.OverloadWindow <= 0 || s.CapacityShare() >= 1 {
 		return false
 	}
 	now, work := s.sched.Now(), j.Work.Seconds()
 	s.sent = append(s.sent, sentWork{now, work})
 	s.sum += work
 	most := 0.0
-	for len(s.sent) > 0 && s.sent[0].at <= now-s.Cold.Window {
+	for len(s.sent) > 0 && s.sent[0].at <= now-s.SlowStart.OverloadWindow {
 		s.sum -= s.sent[0].work
 		s.sent = s.sent[1:]
 	}
@@ -309,14 +309,14 @@
 		most = max(most, w.work)
 	}
 	// A little slack for chance: the three heaviest parts a window may bring.
-	if s.sum <= s.Cold.Multiple*s.Capacity()*s.Cold.Window.Seconds()+3*most {
+	if s.sum <= s.SlowStart.OverloadMultiple*s.Capacity()*s.SlowStart.OverloadWindow.Seconds()+3*most {
 		return false
 	}
-	if s.Fell != nil {
-		s.Fell(s)
+	if s.OnOverload != nil {
+		s.OnOverload(s)
 	}
 	s.Die()
-	s.sched.After(s.Cold.Down, func() { s.Start(true) })
+	s.sched.After(s.SlowStart.Downtime, func() { s.Start(true) })
 	return true
 }
 
@@ -331,7 +331,7 @@
 
 // GiveUp takes a part back that its sender does not wait for any more. One in work
 // goes on, unless the server stops such.
-func (s *Server) GiveUp(j *Job) {
+func (s *Server) Cancel(j *Job) {
 	switch j.state {
 	case waiting:
 		s.waits--
@@ -341,7 +341,7 @@
 			s.settle()
 		}
 	case running:
-		if s.StopsGivenUp {
+		if s.CancelsRunning {
 			s.count()
 			s.takeOut(j)
 			j.state = over
@@ -379,8 +379,8 @@
 	s.sent, s.sum = nil, 0
 	s.met, s.metAt = nil, nil
 	s.settle()
-	if s.Down != nil {
-		s.Down(s)
+	if s.OnDown != nil {
+		s.OnDown(s)
 	}
 }
 
@@ -392,14 +392,14 @@
 	}
 	s.count()
 	s.up, s.since, s.done = true, s.sched.Now(), 0
-	s.cold = cold && s.Cold.Time > 0
-	if s.Up != nil {
-		s.Up(s)
+	s.cold = cold && s.SlowStart.WarmupTime > 0
+	if s.OnUp != nil {
+		s.OnUp(s)
 	}
 }
 
 // Changed is to be called after a change of Effects.
-func (s *Server) Changed() {
+func (s *Server) EffectsChanged() {
 	s.settle()
 	if s.Effects.Paused > 0 || len(s.inbox) == 0 {
 		return
@@ -408,18 +408,18 @@
 	s.inbox = nil
 	for _, j := range inbox {
 		if j.state != over {
-			s.stats.Taken--
-			s.Take(j)
+			s.stats.Received--
+			s.Submit(j)
 		}
 	}
 }
 
 // Look tells what it did since the last look.
-func (s *Server) Look() Stats {
+func (s *Server) TakeStats() Stats {
 	s.count()
 	st := s.stats
-	st.Held, st.Running, st.Up, st.Share = s.Held(), len(s.heap), s.up, s.Share()
-	st.MostHeld = max(st.MostHeld, st.Held)
+	st.Pending, st.Running, st.Up, st.CapacityShare = s.Pending(), len(s.heap), s.up, s.CapacityShare()
+	st.MaxPending = max(st.MaxPending, st.Pending)
 	s.stats = Stats{}
 	return st
 }
@@ -432,23 +432,23 @@
 	s.count()
 	j.state = running
 	if s.meets(j.Key) {
-		j.Work -= time.Duration(s.Keys.Gain * float64(j.Work))
+		j.Work -= time.Duration(s.KeyCache.Gain * float64(j.Work))
 	}
-	if j.Call {
+	if j.FirstOfCall {
 		j.Work += s.CallWork
 	}
 	j.finish = s.service + j.Work.Seconds()
 	j.index = len(s.heap)
 	s.heap = append(s.heap, j)
 	s.up1(j.index)
-	if j.Ran != nil {
-		j.Ran(j)
+	if j.OnRun != nil {
+		j.OnRun(j)
 	}
 }
 
 // meets notes a key, and tells whether it was met lately.
 func (s *Server) meets(key string) bool {
-	if key == "" || s.Keys.Gain <= 0 {
+	if key == "" || s.KeyCache.Gain <= 0 {
 		return false
 	}
 	now := s.sched.Now()
@@ -458,11 +458,11 @@
 		}
 		s.metAt = s.metAt[1:]
 	}
-	for len(s.metAt) > 0 && s.metAt[0].at < now-s.Keys.For {
+	for len(s.metAt) > 0 && s.metAt[0].at < now-s.KeyCache.TTL {
 		forget()
 	}
 	_, known := s.met[key]
-	for !known && len(s.met) >= s.Keys.Most {
+	for !known && len(s.met) >= s.KeyCache.MaxKeys {
 		forget()
 	}
 	if s.met == nil {
@@ -493,15 +493,15 @@
 	s.count()
 	rate := 0.0
 	if n := len(s.heap); n > 0 && s.up && s.Effects.Paused == 0 {
-		rate = s.Speed * s.Share()
+		rate = s.Speed * s.CapacityShare()
 		if s.Effects.Slow > 0 {
 			rate /= s.Effects.Slow
 		}
 		if n > s.Cores {
 			rate *= float64(s.Cores) / float64(n)
 		}
-		if held := s.Held(); s.Knee > 0 && held > s.Knee {
-			rate /= 1 + s.Loss*float64(held-s.Knee)/float64(s.Knee)
+		if held := s.Pending(); s.Knee > 0 && held > s.Knee {
+			rate /= 1 + s.KneeLoss*float64(held-s.Knee)/float64(s.Knee)
 		}
 	}
 	first := 0.0
@@ -551,7 +551,7 @@
 			return
 		}
 		s.waits--
-		if j.Until > 0 && j.Until <= s.sched.Now() { // nobody waits for it any more
+		if j.Deadline > 0 && j.Deadline <= s.sched.Now() { // nobody waits for it any more
 			j.state = over
 			continue
 		}
--- a/internal/lab/model/shared_test.go
+++ b/internal/lab/model/shared_test.go
@@ -13,7 +13,7 @@
 // The first part of a call bears what the call costs; a key met lately is less work, and
 // only so many are remembered for so long, by a process that lives.
 func TestCallsAndKeys(t *testing.T) {
-	l, s, got := stage(Spec{Cores: 1, Speed: 1, Slots: 1, Room: 20, Queue: FIFO, CallWork: 80 * ms, Keys: Keys{Gain: 0.5, For: time.Second, Most: 2}})
+	l, s, got := stage(Spec{Cores: 1, Speed: 1, Slots: 1, QueueLimit: 20, Queue: FIFO, CallWork: 80 * ms, KeyCache: KeyCache{Gain: 0.5, TTL: time.Second, MaxKeys: 2}})
 	at := time.Duration(0)
 	for _, c := range []struct {
 		id, key string
@@ -29,7 +29,7 @@
 	} {
 		at += c.wait
 		j := put(l, s, got, at-l.Now(), c.id, "x", 100*ms)
-		j.Call, j.Key = c.call, c.key
+		j.FirstOfCall, j.Key = c.call, c.key
 		at += time.Duration(c.want * float64(ms))
 		require.NoError(t, l.Run(at+time.Microsecond))
 		require.InDelta(t, at.Seconds()*1000, got.at[c.id].Seconds()*1000, 0.1, c.id)
@@ -44,12 +44,12 @@
 }
 
 // asked lets clients ask for a while and returns what they asked.
-func asked(c *Clients, length time.Duration) []*Ask {
-	var all []*Ask
+func asked(c *Clients, length time.Duration) []*Request {
+	var all []*Request
 	l := &event.Loop{}
 	c.Sched, c.Seed, c.Length = sched{l}, 3, length
-	c.Pick = func(uint64) int { return 0 }
-	c.Send = func(t *Try) { all = append(all, t.Ask); c.Reply(t, Reply{Kind: Answered, Whole: true}) }
+	c.SelectProxy = func(uint64) int { return 0 }
+	c.Send = func(t *Attempt) { all = append(all, t.Request); c.Reply(t, Reply{Kind: Answered, Complete: true}) }
 	c.Begin()
 	l.Run(length + time.Second)
 	return all
@@ -57,7 +57,7 @@
 
 // Shards of a query stand in a row, and what has one key wants the same ones.
 func TestRowsAndKeys(t *testing.T) {
-	class := &Class{Name: "x", Parts: 4, PartsMost: 7, Row: true, Shards: 48, Zipf: NewZipf(48, 0.3, 1), Keys: NewZipf(50, 0.5, 1), Patience: time.Second, Value: 1,
+	class := &Class{Name: "x", Parts: 4, MaxParts: 7, Contiguous: true, Shards: 48, Zipf: NewZipf(48, 0.3, 1), Keys: NewZipf(50, 0.5, 1), Timeout: time.Second, Value: 1,
 		Arrivals: Arrivals{Rate: 50}}
 	byKey, sizes := make(map[string][]int), make(map[int]bool)
 	for _, a := range asked(&Clients{Classes: []*Class{class}}, 20*time.Second) {
@@ -80,14 +80,14 @@
 // is worth less, while the others' is not.
 func TestTenants(t *testing.T) {
 	tenants := []*Tenant{{Name: "a", Usage: 3, Quota: 100}, {Name: "b", Usage: 1, Quota: 20, Bursts: []Burst{{At: 20 * time.Second, For: 20 * time.Second, Factor: 4}}}}
-	class := &Class{Name: "x", Parts: 1, Zipf: NewZipf(8, 0, 1), Patience: time.Second, Value: 2, Arrivals: Arrivals{Rate: 40, Bursts: []Burst{{At: 20 * time.Second, For: 20 * time.Second, Factor: 1.75}}}}
+	class := &Class{Name: "x", Parts: 1, Zipf: NewZipf(8, 0, 1), Timeout: time.Second, Value: 2, Arrivals: Arrivals{Rate: 40, Bursts: []Burst{{At: 20 * time.Second, For: 20 * time.Second, Factor: 1.75}}}}
 	n, beyond := make(map[string][2]int), make(map[string]int)
-	for _, a := range asked(&Clients{Classes: []*Class{class}, Tenants: tenants, OverWorth: 0.2}, 40*time.Second) {
+	for _, a := range asked(&Clients{Classes: []*Class{class}, Tenants: tenants, OverQuotaValue: 0.2}, 40*time.Second) {
 		half := n[a.Tenant]
 		half[int(a.Due/(20*time.Second))]++
 		n[a.Tenant] = half
 		want := 2.0
-		if a.Beyond {
+		if a.OverQuota {
 			beyond[a.Tenant]++
 			want = 0.4
 		}
--- a/internal/lab/oracle/oracle.go
+++ b/internal/lab/oracle/oracle.go
@@ -275,11 +275,11 @@
 		s := p.w.Servers[n]
 		up, _ := s.Running()
 		c := s.Capacity()
-		if !up || c <= 0 || s.Sick(x.q.class.Name) || !p.w.Reaches(p.n, n) || s.Held() >= s.Room+s.Cores {
+		if !up || c <= 0 || s.Unavailable(x.q.class.Name) || !p.w.Reachable(p.n, n) || s.Pending() >= s.QueueLimit+s.Cores {
 			continue
 		}
 		// A cold server is let have half of what it bears: other mixers send too.
-		if share := s.Share(); share < 1 && s.ColdRoom() < 0.5*s.Cold.Multiple*c*s.Cold.Window.Seconds() {
+		if share := s.CapacityShare(); share < 1 && s.SlowStartHeadroom() < 0.5*s.SlowStart.OverloadMultiple*c*s.SlowStart.OverloadWindow.Seconds() {
 			continue
 		}
 		// What this mixer has on its way there is not seen there yet.
--- a/internal/lab/oracle/oracle_test.go
+++ b/internal/lab/oracle/oracle_test.go
@@ -40,7 +40,7 @@
 
 func play(t *testing.T, decide virtual.Decide) *record.Run {
 	t.Helper()
-	doc, err := scenario.Text("test.ini", []byte(returning))
+	doc, err := scenario.Parse("test.ini", []byte(returning))
 	require.NoError(t, err)
 	s, err := doc.Scenario(nil)
 	require.NoError(t, err)
@@ -58,7 +58,7 @@
 	blind := play(t, Blind)
 	require.Positive(t, blind.Verdict.Pushed)
 	require.Contains(t, strings.Join(blind.Verdict.Faults, "\n"), "fell while it was cold")
-	mixer, sees := play(t, virtual.Mixer), play(t, True)
+	mixer, sees := play(t, virtual.ProxyDecider), play(t, True)
 	require.Zero(t, mixer.Verdict.Broken(), "%s", mixer.Verdict.Faults)
 	require.Zero(t, sees.Verdict.Broken(), "%s", sees.Verdict.Faults)
 	require.Greater(t, sees.Summary.Goodput, blind.Summary.Goodput)
--- a/internal/lab/play/play.go
+++ b/internal/lab/play/play.go
@@ -93,7 +93,7 @@
 	default:
 		return nil, fmt.Errorf("there is no drive %q; there are: %s, %s", opt.Drive, Virtual, Real)
 	}
-	v := virtual.Options{Keep: opt.Keep, Trace: opt.Trace, Policy: opt.Policy, Progress: func(at, of time.Duration, events int64) {
+	v := virtual.Options{KeepRows: opt.Keep, Trace: opt.Trace, Policy: opt.Policy, Progress: func(at, of time.Duration, events int64) {
 		if opt.Progress != nil {
 			opt.Progress(at.Seconds()/of.Seconds(), fmt.Sprintf("%.1f million events", float64(events)/1e6))
 		}
@@ -111,7 +111,7 @@
 		d.sum = sha256.New()
 		decide := v.Decide
 		if decide == nil {
-			decide = virtual.Mixer
+			decide = virtual.ProxyDecider
 		}
 		v.Decide = func(w *virtual.World, mixer, life int, seed uint64, set choice.Settings) (exchange.Decider, error) {
 			x, err := decide(w, mixer, life, seed, set)
--- a/internal/lab/real/host.go
+++ b/internal/lab/real/host.go
@@ -233,7 +233,7 @@
 		f.seen.Over(time.Now(), "")
 	}
 	for _, f := range c.jobs {
-		h.s.GiveUp(&f.job)
+		h.s.Cancel(&f.job)
 	}
 	c.jobs, c.come = nil, nil
 }
@@ -292,9 +292,9 @@
 				return
 			}
 			for n, p := range parts {
-				now, head := time.Now(), n%max(h.r.plan.Settings.Bundle, 1) == 0
+				now, head := time.Now(), n%max(h.r.plan.Settings.MaxPartsPerCall, 1) == 0
 				f := &flight{seen: h.r.j.ArrivedFrom(c.d.mixer, p.ID, h.name, now)}
-				if !h.r.plan.Holds(h.i, p.Shard) {
+				if !h.r.plan.HasShard(h.i, p.Shard) {
 					h.r.j.Astray(p.ID, h.name)
 				}
 				h.mu.Lock()
@@ -355,14 +355,14 @@
 	}
 	ask, rest, _ := strings.Cut(p.ID, "-")
 	_, shard, _ := strings.Cut(rest, ".")
-	f.job = model.Job{ID: p.ID, Ask: ask, Class: class, Shard: p.Shard, Work: work.Of(ask, shard), Call: head, Key: h.r.key(ask, shard), Ran: func(*model.Job) { f.seen.Ran() },
+	f.job = model.Job{ID: p.ID, Request: ask, Class: class, Shard: p.Shard, Work: work.Of(ask, shard), FirstOfCall: head, Key: h.r.key(ask, shard), OnRun: func(*model.Job) { f.seen.Ran() },
 		Done: func(_ *model.Job, e model.End) { c.done(p, f, e) }}
 	if wait := p.TimeoutMS(); wait > 0 {
-		f.job.Until = at.Add(time.Duration(wait) * time.Millisecond).Sub(h.r.begin)
+		f.job.Deadline = at.Add(time.Duration(wait) * time.Millisecond).Sub(h.r.begin)
 	}
 	c.jobs[p.ID] = f
 	h.r.count(ask)
-	h.s.Take(&f.job)
+	h.s.Submit(&f.job)
 }
 
 // done is the model's word on a part. Under the lock.
@@ -389,7 +389,7 @@
 	if f := c.jobs[id]; f != nil {
 		delete(c.jobs, id)
 		f.seen.Over(at, "")
-		h.s.GiveUp(&f.job)
+		h.s.Cancel(&f.job)
 	}
 }
 
--- a/internal/lab/real/real.go
+++ b/internal/lab/real/real.go
@@ -76,7 +76,7 @@
 
 	clientMu sync.Mutex
 	clients  *model.Clients
-	leave    map[*model.Try]context.CancelFunc
+	leave    map[*model.Attempt]context.CancelFunc
 	desks    *desk.Desks
 	asks     sync.WaitGroup
 
@@ -109,12 +109,12 @@
 	switch {
 	case len(p.Servers) > mostServers:
 		return nil, fmt.Errorf("%d servers: the real drive bears %d; use the virtual one", len(p.Servers), mostServers)
-	case p.Mixers.Count > mostMixers:
-		return nil, fmt.Errorf("%d mixers: the real drive bears %d; use the virtual one", p.Mixers.Count, mostMixers)
+	case p.Proxies.Count > mostMixers:
+		return nil, fmt.Errorf("%d mixers: the real drive bears %d; use the virtual one", p.Proxies.Count, mostMixers)
 	}
 	rate := 0.0
 	for _, c := range p.Classes {
-		rate += c.Arrivals.Rate * c.Arrivals.Curve.Most()
+		rate += c.Arrivals.Rate * c.Arrivals.Curve.Max()
 	}
 	if rate > mostRate {
 		return nil, fmt.Errorf("%.0f queries a second: the real drive bears %d; use the virtual one", rate, mostRate)
@@ -125,7 +125,7 @@
 	}
 	defer os.RemoveAll(dir)
 	r := &run{plan: p, opt: opt, dir: dir, net: p.NewNetwork(), muted: make([]atomic.Int32, len(p.Servers)), sent: make(map[string]int), keys: make(map[string]string),
-		leave: make(map[*model.Try]context.CancelFunc), rec: record.New(p, "real", "mixer", true)}
+		leave: make(map[*model.Attempt]context.CancelFunc), rec: record.New(p, "real", "mixer", true)}
 	if opt.Logs == "" {
 		r.opt.Logs = dir
 	} else if err := os.MkdirAll(opt.Logs, 0o755); err != nil {
@@ -142,10 +142,10 @@
 	p := r.plan
 	var classes []judge.Class
 	for _, c := range p.Scenario.Classes {
-		classes = append(classes, judge.Class{Name: c.Name, Unsafe: c.Effect != "free", Need: c.Need, Floor: c.Floor})
+		classes = append(classes, judge.Class{Name: c.Name, Unsafe: c.Effect != "free", Need: c.RequiredShare, Floor: c.MinShare})
 	}
-	r.j = judge.New(classes, p.Settings.Grace+judge.Slack)
-	r.j.Allow(p.Settings.Cap, p.Settings.Parallel)
+	r.j = judge.New(classes, p.Settings.DrainGrace+judge.Slack)
+	r.j.Allow(p.Settings.AttemptCap, p.Settings.ParallelAttempts)
 	r.begin = time.Now()
 	for i, spec := range p.Servers {
 		h := &host{r: r, i: i, name: spec.Name, site: r.net.Site(spec.Site), work: make(map[string]*model.Work)}
@@ -154,14 +154,14 @@
 			h.work[name] = &own
 		}
 		h.s = model.NewServer(clock{r.begin, &h.mu}, spec)
-		h.s.Fell = func(s *model.Server) {
+		h.s.OnOverload = func(s *model.Server) {
 			r.j.Fell(s.Name, time.Now())
 			r.note("%s was pushed over while it was cold", s.Name)
 		}
-		h.s.Down = func(*model.Server) { h.down() }
-		h.s.Up = func(*model.Server) { h.up() }
-		for n := range p.Mixers.Count {
-			d := &door{h: h, mixer: n, site: r.net.Site(p.MixerSite(n)), conns: make(map[*conn]bool)}
+		h.s.OnDown = func(*model.Server) { h.down() }
+		h.s.OnUp = func(*model.Server) { h.up() }
+		for n := range p.Proxies.Count {
+			d := &door{h: h, mixer: n, site: r.net.Site(p.ProxySite(n)), conns: make(map[*conn]bool)}
 			h.doors = append(h.doors, d)
 			if err := d.open(); err != nil {
 				return err
@@ -174,7 +174,7 @@
 	if err := r.buildSources(); err != nil {
 		return err
 	}
-	for n := range p.Mixers.Count {
+	for n := range p.Proxies.Count {
 		port, err := child.FreePort()
 		if err != nil {
 			return err
@@ -186,16 +186,16 @@
 		}
 		m.fronted = true
 	}
-	r.desks = desk.New(desk.Config{Judge: r.j, Conns: p.Clients.Conns, Seed: p.Draw})
+	r.desks = desk.New(desk.Config{Judge: r.j, Conns: p.Clients.Conns, Seed: p.RunSeed})
 	return nil
 }
 
-var statuses = map[model.Standing]string{model.Serving: "SERVING", model.Draining: "DRAINING", model.Deleted: "DELETED"}
+var statuses = map[model.Status]string{model.Serving: "SERVING", model.Draining: "DRAINING", model.Deleted: "DELETED"}
 
 func (r *run) entry(mixer int, e model.Entry) disco.Entry {
 	spec := &r.plan.Servers[e.Server]
 	out := disco.Entry{Name: spec.Name, Address: r.hosts[e.Server].doors[mixer].addr, Zone: spec.Site, Type: spec.Group, Group: spec.Cell,
-		Status: statuses[e.Standing], Weight: 1}
+		Status: statuses[e.Status], Weight: 1}
 	if e.Since >= 0 {
 		out.Since = r.begin.Add(e.Since).UnixMilli()
 	}
@@ -204,14 +204,14 @@
 
 func (r *run) start(m *mixer) error {
 	p := r.plan
-	set, err := p.MixerSettings()
+	set, err := p.ProxySettings()
 	if err != nil {
 		return err
 	}
 	m.life++
 	config, err := json.Marshal(map[string]any{"name": fmt.Sprintf("lab%d", m.n), "listen": m.listen, "discovery": r.stands[m.n].disco.Addr,
-		"seed":   fmt.Sprintf("%016x", p.MixerSeed(m.n, m.life)),
-		"limits": map[string]any{"cores": p.Mixers.Cores, "memory_mb": int64(p.Mixers.Memory >> 20), "sockets": p.Mixers.Sockets},
+		"seed":   fmt.Sprintf("%016x", p.ProxySeed(m.n, m.life)),
+		"limits": map[string]any{"cores": p.Proxies.Cores, "memory_mb": int64(p.Proxies.Memory >> 20), "sockets": p.Proxies.Sockets},
 		"known":  r.stands[m.n].disco.Snapshot(), "settings": json.RawMessage(set)})
 	if err != nil {
 		return err
@@ -289,7 +289,7 @@
 
 func (h *host) up() {
 	h.r.note("%s runs again", h.name)
-	h.r.j.Restarted(h.name, h.r.plan.Mixers.Count)
+	h.r.j.Restarted(h.name, h.r.plan.Proxies.Count)
 	for _, d := range h.doors {
 		if d.mute == nil {
 			if err := d.open(); err != nil {
@@ -318,7 +318,7 @@
 		h.mu.Lock()
 		spec := h.s.Spec
 		s := model.NewServer(clock{r.begin, &h.mu}, spec)
-		s.Fell, s.Down, s.Up = h.s.Fell, h.s.Down, h.s.Up
+		s.OnOverload, s.OnDown, s.OnUp = h.s.OnOverload, h.s.OnDown, h.s.OnUp
 		h.s = s
 		h.mu.Unlock()
 	}
@@ -329,10 +329,10 @@
 	r.listMu.Unlock()
 	longest := time.Duration(0)
 	for _, c := range p.Classes {
-		longest = max(longest, c.Patience)
+		longest = max(longest, c.Timeout)
 	}
-	r.clients = &model.Clients{Sched: clock{r.begin, &r.clientMu}, Classes: p.Classes, Tenants: p.NewTenants(), OverWorth: p.Over, Retry: p.Retry(), Seed: p.Draw, Length: p.Length, Pick: r.pick,
-		Send: r.send, Leave: r.left, Over: func(a *model.Ask) {
+	r.clients = &model.Clients{Sched: clock{r.begin, &r.clientMu}, Classes: p.Classes, Tenants: p.NewTenants(), OverQuotaValue: p.OverQuotaValue, Retry: p.Retry(), Seed: p.RunSeed, Length: p.Length, SelectProxy: r.pick,
+		Send: r.send, Disconnect: r.left, OnFinish: func(a *model.Request) {
 			r.recMu.Lock()
 			defer r.recMu.Unlock()
 			r.rec.Over(a, r.sent[a.ID])
@@ -359,7 +359,7 @@
 		case <-tick.C:
 		}
 		r.clientMu.Lock()
-		open := r.clients.Open
+		open := r.clients.InFlight
 		r.clientMu.Unlock()
 		at := time.Since(r.begin)
 		if at >= p.Length && open == 0 {
@@ -412,7 +412,7 @@
 		if c.Both {
 			r.net.Cut(c.To, c.From, c.On)
 		}
-		open := func(a, b int) bool { return r.net.Open(a, b) && r.net.Open(b, a) }
+		open := func(a, b int) bool { return r.net.Reachable(a, b) && r.net.Reachable(b, a) }
 		cut := make(map[[2]int]bool)
 		for _, h := range r.hosts {
 			for _, d := range h.doors {
@@ -431,19 +431,19 @@
 			}
 			h.mu.Unlock()
 		}
-	case c.Do == model.Kill, c.Do == model.Restart:
+	case c.Do == model.KillProxy, c.Do == model.RestartProxy:
 		r.note("%v %d", c, c.Target)
 		r.life(c)
-	case c.Do == model.Switch:
-		r.note("%v %s", c, strings.Join(c.Others, " "))
+	case c.Do == model.SwitchSources:
+		r.note("%v %s", c, strings.Join(c.SwitchTo, " "))
 		r.switchSources(c)
-	case c.Target < 0 || model.ByList(c.Do):
+	case c.Target < 0 || model.ChangesEntry(c.Do):
 		if c.Target >= 0 {
 			r.note("%v %s", c, r.hosts[c.Target].name)
 		} else {
 			r.note("%v", c)
 		}
-		r.listed(func(l *model.List) { l.Strike(c) })
+		r.listed(func(l *model.List) { l.Apply(c) })
 	default:
 		h := r.hosts[c.Target]
 		r.note("%v %s", c, h.name)
@@ -460,7 +460,7 @@
 				h.silence()
 			}
 		}
-		h.s.Strike(c)
+		h.s.Apply(c)
 		if c.Do == model.Vanish && !c.On {
 			h.silence()
 		}
@@ -483,14 +483,14 @@
 		r.mixMu.Lock()
 		proc := m.proc
 		m.proc, m.planned = nil, true
-		if c.Do == model.Restart {
+		if c.Do == model.RestartProxy {
 			m.fronted = false
 		}
 		r.mixMu.Unlock()
 		if proc == nil {
 			return
 		}
-		if c.Do == model.Restart {
+		if c.Do == model.RestartProxy {
 			proc.Signal(syscall.SIGTERM)
 			go func() {
 				if err := proc.Wait(endTime); err != nil {
@@ -501,7 +501,7 @@
 			return
 		}
 		go func() { proc.Kill(); r.took(proc) }()
-		time.AfterFunc(r.plan.Mixers.Notice, func() {
+		time.AfterFunc(r.plan.Proxies.DetectDelay, func() {
 			r.mixMu.Lock()
 			defer r.mixMu.Unlock()
 			if m.proc == nil {
@@ -548,7 +548,7 @@
 		down := 0
 		for _, h := range r.hosts {
 			h.mu.Lock()
-			st := h.s.Look()
+			st := h.s.TakeStats()
 			h.mu.Unlock()
 			if !st.Up {
 				down++
@@ -584,7 +584,7 @@
 		r.mixMu.Unlock()
 		if r.opt.Progress != nil {
 			r.clientMu.Lock()
-			open := r.clients.Open
+			open := r.clients.InFlight
 			r.clientMu.Unlock()
 			r.recMu.Lock()
 			kinds, parts := r.kinds, r.parts
@@ -615,26 +615,26 @@
 	return up[luck%uint64(len(up))]
 }
 
-func (r *run) send(t *model.Try) {
-	q := &judge.Query{ID: t.ID, Class: t.Ask.Class.Name, Due: r.begin.Add(t.Ask.Due), Patience: t.Patience}
-	for _, p := range t.Ask.Parts {
+func (r *run) send(t *model.Attempt) {
+	q := &judge.Query{ID: t.ID, Class: t.Request.Class.Name, Due: r.begin.Add(t.Request.Due), Patience: t.Timeout}
+	for _, p := range t.Request.Parts {
 		q.Parts = append(q.Parts, judge.Part{Shard: p.Shard, Weight: p.Weight})
 	}
 	r.j.Sent(q)
 	ctx, cancel := context.WithCancel(context.Background())
 	r.leave[t] = cancel
-	if t.Ask.Key != "" {
+	if t.Request.Key != "" {
 		r.recMu.Lock()
-		r.keys[t.Ask.ID] = t.Ask.Key
+		r.keys[t.Request.ID] = t.Request.Key
 		r.recMu.Unlock()
 	}
-	m := r.mixers[t.Mixer]
+	m := r.mixers[t.Proxy]
 	r.asks.Add(1)
 	go func() {
 		defer r.asks.Done()
 		defer cancel()
-		after := r.desks.Do(ctx, desk.Request{Addr: m.listen, Text: q.Class, Repeat: t.Repeat, Tenant: t.Ask.Tenant, Key: t.Ask.Key}, q)
-		reply := model.Reply{RetryAfter: after, Whole: q.Whole}
+		after := r.desks.Do(ctx, desk.Request{Addr: m.listen, Text: q.Class, Repeat: t.IsRetry, Tenant: t.Request.Tenant, Key: t.Request.Key}, q)
+		reply := model.Reply{RetryAfter: after, Complete: q.Whole}
 		switch q.Outcome {
 		case judge.Answered:
 			reply.Kind = model.Answered
@@ -665,7 +665,7 @@
 	}()
 }
 
-func (r *run) left(t *model.Try) {
+func (r *run) left(t *model.Attempt) {
 	if cancel := r.leave[t]; cancel != nil {
 		cancel()
 	}
--- a/internal/lab/real/sources.go
+++ b/internal/lab/real/sources.go
@@ -45,7 +45,7 @@
 
 // buildSources starts the stand-ins of all mixers.
 func (r *run) buildSources() error {
-	for n := range r.plan.Mixers.Count {
+	for n := range r.plan.Proxies.Count {
 		s := &sources{}
 		r.stands = append(r.stands, s)
 		var err error
@@ -53,7 +53,7 @@
 			switch l.Name {
 			case "consul":
 				var all []consulapi.Instance
-				for _, e := range l.Whole() {
+				for _, e := range l.Entries() {
 					all = append(all, r.instance(n, e))
 				}
 				if s.consul, err = consulapi.Listen(service, all); err != nil {
@@ -62,7 +62,7 @@
 				s.consul.Told = func(i consulapi.Instance, at time.Time) { r.j.ToldBy(n, "consul", i.ID, i.Maintenance, at) }
 			case "dns":
 				var all []dnsserver.Target
-				for _, e := range l.Whole() {
+				for _, e := range l.Entries() {
 					all = append(all, r.target(n, e))
 				}
 				if s.dns, err = dnsserver.Listen(srvName, uint32(r.plan.Source("dns").TTL/time.Second), all); err != nil {
@@ -77,7 +77,7 @@
 		var entries []disco.Entry // the platform's is always there: the configuration names it
 		for _, l := range r.lists {
 			if l.Name == "list" {
-				for _, e := range l.Whole() {
+				for _, e := range l.Entries() {
 					entries = append(entries, r.entry(n, e))
 				}
 			}
@@ -88,7 +88,7 @@
 		s.disco.Told = func(e disco.Entry, at time.Time) {
 			switch {
 			case e.Status == "DELETED": // neither lifts a drain nor is one
-			case r.plan.Settings.Look > 0: // told once the agent held it
+			case r.plan.Settings.PollInterval > 0: // told once the agent held it
 			case r.sourcesOn():
 				r.j.ToldBy(n, "list", e.Name, e.Status == "DRAINING", at)
 			case e.Status == "SERVING":
@@ -99,10 +99,10 @@
 		}
 	}
 	for _, l := range r.lists {
-		l.Tell = func(news []model.Entry) { r.tell(l.Name, news) }
-		if r.sourcesOn() || r.plan.Settings.Look > 0 {
-			l.Hold = r.plan.Settings.Look > 0 // an agent is not sent what a discovery that is down has to tell
-			l.Turn = func(c model.Change) { r.turn(l, c) }
+		l.Publish = func(news []model.Entry) { r.tell(l.Name, news) }
+		if r.sourcesOn() || r.plan.Settings.PollInterval > 0 {
+			l.BufferSilent = r.plan.Settings.PollInterval > 0 // an agent is not sent what a discovery that is down has to tell
+			l.OnFault = func(c model.Change) { r.turn(l, c) }
 		}
 	}
 	return nil
@@ -111,8 +111,8 @@
 func (r *run) instance(mixer int, e model.Entry) consulapi.Instance {
 	spec := &r.plan.Servers[e.Server]
 	i := consulapi.Instance{ID: spec.Name, Node: "node-" + spec.Name, Site: spec.Site, Kind: spec.Group, Address: r.hosts[e.Server].doors[mixer].addr,
-		Cell: (spec.Cell + e.Shift) % r.plan.Groups[0].Cells, Status: "passing", Maintenance: e.Standing == model.Draining}
-	if e.Standing == model.Sick {
+		Cell: (spec.Cell + e.CellShift) % r.plan.Groups[0].Cells, Status: "passing", Maintenance: e.Status == model.Draining}
+	if e.Status == model.Unhealthy {
 		i.Status = "critical"
 	}
 	if e.Since >= 0 {
@@ -130,7 +130,7 @@
 		since = r.begin.Add(e.Since).UnixMilli()
 	}
 	return dnsserver.Target{Name: spec.Name + zoneName, Addrs: []string{host}, Port: uint16(n),
-		Text: dnsserver.TextOf(spec.Name, spec.Site, spec.Group, (spec.Cell+e.Shift)%r.plan.Groups[0].Cells, e.Standing == model.Draining, since)}
+		Text: dnsserver.TextOf(spec.Name, spec.Site, spec.Group, (spec.Cell+e.CellShift)%r.plan.Groups[0].Cells, e.Status == model.Draining, since)}
 }
 
 // tell is a list's, under its lock: news of one source for all mixers.
@@ -140,21 +140,21 @@
 			name := r.plan.Servers[e.Server].Name
 			switch source {
 			case "consul":
-				if e.Standing == model.Deleted {
+				if e.Status == model.Deleted {
 					s.consul.Remove(name)
 				} else {
 					s.consul.Put(r.instance(n, e))
 				}
 			case "dns":
-				if e.Standing == model.Deleted {
+				if e.Status == model.Deleted {
 					s.dns.Remove(name + zoneName)
 				} else {
 					s.dns.Put(r.target(n, e))
 				}
 			default:
 				s.disco.Put(r.entry(n, e))
-				if r.plan.Settings.Look > 0 {
-					r.held(name, e.Standing)
+				if r.plan.Settings.PollInterval > 0 {
+					r.held(name, e.Status)
 				}
 			}
 		}
@@ -162,7 +162,7 @@
 }
 
 // held notes that the mixers' agents hold news: where lists are pushed it counts as told.
-func (r *run) held(name string, st model.Standing) {
+func (r *run) held(name string, st model.Status) {
 	switch st {
 	case model.Serving:
 		r.j.Told(name, time.Time{})
@@ -176,7 +176,7 @@
 	for n, s := range r.stands {
 		switch l.Name {
 		case "consul":
-			if c.Do == model.Reset {
+			if c.Do == model.ListReset {
 				if c.On {
 					s.consul.Reset()
 				}
@@ -184,29 +184,29 @@
 			}
 			s.consul.Set(func(f *consulapi.Faults) {
 				switch c.Do {
-				case model.Mute:
+				case model.ListSilent:
 					f.Silent = c.On
-				case model.Broken:
+				case model.ListDown:
 					f.NoLeader = c.On
-				case model.Empty:
+				case model.ListEmpty:
 					f.Empty = c.On
 				}
 			})
 		case "dns":
 			s.dns.Set(func(f *dnsserver.Faults) {
 				switch c.Do {
-				case model.Mute:
+				case model.ListSilent:
 					f.Silent = c.On
-				case model.Broken:
+				case model.ListDown:
 					f.Rcode = 0
 					if c.On {
 						f.Rcode = 2 // SERVFAIL
 					}
-				case model.Empty:
+				case model.ListEmpty:
 					f.Empty = c.On
-				case model.Truncate:
+				case model.DNSTruncate:
 					f.Truncate = c.On
-				case model.Junk:
+				case model.DNSJunk:
 					f.Storm = 0
 					if c.On {
 						f.Storm = junkEach
@@ -215,10 +215,10 @@
 			})
 		default:
 			switch c.Do {
-			case model.Mute, model.Broken:
-				s.disco.Mute(c.On, c.Do == model.Broken)
-			case model.Empty:
-				for _, e := range l.Whole() {
+			case model.ListSilent, model.ListDown:
+				s.disco.Mute(c.On, c.Do == model.ListDown)
+			case model.ListEmpty:
+				for _, e := range l.Entries() {
 					x := r.entry(n, e)
 					if c.On {
 						x.Status = "DELETED"
@@ -273,7 +273,7 @@
 func (r *run) switchSources(c model.Change) {
 	in := r.plan.Members.Sources
 	if c.On {
-		in = c.Others
+		in = c.SwitchTo
 	}
 	r.mixMu.Lock()
 	defer r.mixMu.Unlock()
--- a/internal/lab/record/record.go
+++ b/internal/lab/record/record.go
@@ -139,12 +139,12 @@
 	out := slices.Clone(r.Broken)
 	broken := r.Verdict.Broken()
 	switch {
-	case r.Expect.Broken > 0 && broken < r.Expect.Broken:
+	case r.Expect.MinBroken > 0 && broken < r.Expect.MinBroken:
 		out = append(out, "the scenario is to show a broken rule, and the judge saw none")
-	case r.Expect.Broken == 0 && broken > 0:
+	case r.Expect.MinBroken == 0 && broken > 0:
 		out = append(out, "rules were broken")
 	}
-	if r.Summary.Goodput < r.Expect.Goodput {
+	if r.Summary.Goodput < r.Expect.MinGoodput {
 		out = append(out, "the goodput is below the least that the scenario expects")
 	}
 	return out
@@ -165,21 +165,21 @@
 func New(p *scenario.Plan, drive, policy string, keep bool) *Recorder {
 	r := &Recorder{plan: p, keep: keep, by: make(map[string]*Class), seconds: make(map[int][2]float64),
 		tenants: make(map[string][2]float64), run: &Run{Expect: p.Expect, Length: p.Length, Warmup: p.Warmup}}
-	r.run.Summary = Summary{Scenario: p.Name, Variation: scenario.Label(p.Values), Drive: drive, Policy: policy, Seed: int64(p.Draw)}
+	r.run.Summary = Summary{Scenario: p.Name, Variation: scenario.Label(p.Values), Drive: drive, Policy: policy, Seed: int64(p.RunSeed)}
 	for _, c := range p.Scenario.Classes {
-		most := int64((c.Patience + 10*time.Second) / time.Microsecond)
+		most := int64((c.Timeout + 10*time.Second) / time.Microsecond)
 		r.by[c.Name] = &Class{Name: c.Name, answered: hdrhistogram.New(1, most, 3), everyc: hdrhistogram.New(1, most, 3)}
 	}
 	return r
 }
 
 // Over notes an ask that is over.
-func (r *Recorder) Over(a *model.Ask, attempts int) {
+func (r *Recorder) Over(a *model.Request, attempts int) {
 	counts := a.Due >= r.plan.Window[0] && a.Due < r.plan.Window[1]
 	took := max((a.Ended - a.Due).Microseconds(), 1)
 	if r.keep {
-		r.run.Queries = append(r.run.Queries, Query{ID: a.ID, Class: a.Class.Name, Due: a.Due.Microseconds(), Took: took, Tries: int32(a.Tries),
-			Attempts: int32(attempts), Outcome: a.Outcome.Kind.String(), Whole: a.Outcome.Whole, Share: a.Outcome.Share, Earned: a.Earned * a.Value,
+		r.run.Queries = append(r.run.Queries, Query{ID: a.ID, Class: a.Class.Name, Due: a.Due.Microseconds(), Took: took, Tries: int32(a.Attempts),
+			Attempts: int32(attempts), Outcome: a.Outcome.Kind.String(), Whole: a.Outcome.Complete, Share: a.Outcome.Share, Earned: a.Earned * a.Value,
 			Value: a.Value, Counts: counts})
 	}
 	if !counts {
@@ -187,25 +187,25 @@
 	}
 	c := r.by[a.Class.Name]
 	c.Asked++
-	c.Tries += int64(a.Tries)
+	c.Tries += int64(a.Attempts)
 	c.value += a.Value
 	c.earned += a.Earned * a.Value
 	add := func(sum [2]float64) [2]float64 { return [2]float64{sum[0] + a.Value, sum[1] + a.Earned*a.Value} }
 	second := int(a.Due / time.Second)
 	r.seconds[second] = add(r.seconds[second])
-	if a.Tenant != "" && !a.Beyond {
+	if a.Tenant != "" && !a.OverQuota {
 		r.tenants[a.Tenant] = add(r.tenants[a.Tenant])
 	}
 	switch a.Outcome.Kind {
 	case model.Answered:
 		c.Answered++
-		if a.Outcome.Whole {
+		if a.Outcome.Complete {
 			c.Whole++
 		}
 		c.answered.RecordValue(took)
 		c.everyc.RecordValue(took)
 	default:
-		if c.everyc.RecordValue(a.Class.Patience.Microseconds()); a.Outcome.Kind == model.Refused {
+		if c.everyc.RecordValue(a.Class.Timeout.Microseconds()); a.Outcome.Kind == model.Refused {
 			c.Refused++
 		} else if a.Outcome.Kind == model.Left {
 			c.Left++
@@ -220,8 +220,8 @@
 	if !r.keep {
 		return
 	}
-	r.run.Seconds = append(r.run.Seconds, Second{Second: int32(second), Server: s.Name, Site: s.Site, Cell: int32(s.Cell), Up: st.Up, Capacity: st.Share,
-		Taken: int32(st.Taken), Served: int32(st.Served), Failed: int32(st.Failed), Busy: int32(st.Busy), Held: int32(st.MostHeld),
+	r.run.Seconds = append(r.run.Seconds, Second{Second: int32(second), Server: s.Name, Site: s.Site, Cell: int32(s.Cell), Up: st.Up, Capacity: st.CapacityShare,
+		Taken: int32(st.Received), Served: int32(st.Served), Failed: int32(st.Failed), Busy: int32(st.Busy), Held: int32(st.MaxPending),
 		Running: int32(st.Running), Work: st.Work.Microseconds()})
 }
 
--- a/internal/lab/scenario/mass_test.go
+++ b/internal/lab/scenario/mass_test.go
@@ -21,9 +21,9 @@
 		for _, g := range s.Groups {
 			servers += g.Cells * g.Replicas
 		}
-		if s.Mixers.Count != 300 || servers < 200 || len(s.Network.Sites) < 3 {
+		if s.Proxies.Count != 300 || servers < 200 || len(s.Network.Sites) < 3 {
 			t.Errorf("%s: %d mixers, %d servers, %d zones; the full-size days have 300, 200 or more, 3",
-				f, s.Mixers.Count, servers, len(s.Network.Sites))
+				f, s.Proxies.Count, servers, len(s.Network.Sites))
 		}
 	}
 }
--- a/internal/lab/scenario/plan.go
+++ b/internal/lab/scenario/plan.go
@@ -19,14 +19,14 @@
 
 // What a run may ask for at most.
 const (
-	MostServers = 20_000
-	MostQueries = 50_000_000
-	MostParts   = 400_000_000
+	MaxServers = 20_000
+	MaxQueries = 50_000_000
+	MaxParts   = 400_000_000
 )
 
 func decode(file string, doc *inifile.Doc) (*Scenario, error) {
 	s := &Scenario{File: file, doc: doc}
-	for _, into := range []any{&s.Mixers, &s.Settings, &s.Network, &s.Clients, &s.Load, &s.List, &s.Members, &s.Levels, &s.Expect} {
+	for _, into := range []any{&s.Proxies, &s.Settings, &s.Network, &s.Clients, &s.Load, &s.List, &s.Members, &s.Levels, &s.Expect} {
 		inifile.SetDefaults(into)
 	}
 	main := Group{Name: "fleet"}
@@ -40,7 +40,7 @@
 		case "scenario":
 			err = sec.Decode(&s.Main)
 		case "mixers":
-			err = sec.Decode(&s.Mixers)
+			err = sec.Decode(&s.Proxies)
 		case "settings":
 			err = sec.Decode(&s.Settings)
 		case "fleet":
@@ -149,19 +149,19 @@
 func (c *Class) check(sec *inifile.Section) error {
 	dir := filepath.Dir(sec.File)
 	switch {
-	case c.Floor > c.Need:
-		return sec.Errorf("floor", "%v is above need, %v", c.Floor, c.Need)
-	case c.PartsMost > 0 && c.PartsMost < c.Parts:
-		return sec.Errorf("parts-most", "%d is below parts, %d", c.PartsMost, c.Parts)
-	case c.Aim > c.Patience:
-		return sec.Errorf("aim", "%v is above patience, %v", c.Aim, c.Patience)
+	case c.MinShare > c.RequiredShare:
+		return sec.Errorf("floor", "%v is above need, %v", c.MinShare, c.RequiredShare)
+	case c.MaxParts > 0 && c.MaxParts < c.Parts:
+		return sec.Errorf("parts-most", "%d is below parts, %d", c.MaxParts, c.Parts)
+	case c.LatencyTarget > c.Timeout:
+		return sec.Errorf("aim", "%v is above patience, %v", c.LatencyTarget, c.Timeout)
 	case strings.ContainsAny(c.Name, " .,/"):
 		return sec.Errorf("", "a class has a name of one word, without . , /")
 	}
 	if _, err := model.ParseDist(c.Work, dir); err != nil {
 		return sec.Errorf("work", "%v", err)
 	}
-	if _, err := model.ParseDist(c.Leave, dir); err != nil {
+	if _, err := model.ParseDist(c.LeaveAfter, dir); err != nil {
 		return sec.Errorf("leave", "%v", err)
 	}
 	return nil
@@ -205,8 +205,8 @@
 			}
 		}
 	}
-	if servers < 1 || servers > MostServers {
-		return or("fleet").Errorf("replicas", "%d servers in all, not within 1 to %d", servers, MostServers)
+	if servers < 1 || servers > MaxServers {
+		return or("fleet").Errorf("replicas", "%d servers in all, not within 1 to %d", servers, MaxServers)
 	}
 	for _, l := range s.Links {
 		for _, name := range []string{l.From, l.To} {
@@ -218,15 +218,15 @@
 	curve, _ := model.ParseCurve(s.Load.Curve)
 	queries, parts := 0.0, 0.0
 	for _, c := range s.Classes {
-		q := c.Rate * s.Rate * s.Length.Seconds() * curve.Most()
+		q := c.Rate * s.Rate * s.Length.Seconds() * curve.Max()
 		for _, b := range s.Bursts {
 			if b.Class == "" || b.Class == c.Name {
 				q *= max(b.Factor*min(b.For.Seconds()/s.Length.Seconds(), 1), 1)
 			}
 		}
-		queries, parts = queries+q, parts+q*float64(max(c.Parts, c.PartsMost))
-		if queries > MostQueries || parts > MostParts {
-			return at["class "+c.Name].Errorf("rate", "the run would have %.3g queries of %.3g parts by this class; at most %.0e and %.0e", queries, parts, float64(MostQueries), float64(MostParts))
+		queries, parts = queries+q, parts+q*float64(max(c.Parts, c.MaxParts))
+		if queries > MaxQueries || parts > MaxParts {
+			return at["class "+c.Name].Errorf("rate", "the run would have %.3g queries of %.3g parts by this class; at most %.0e and %.0e", queries, parts, float64(MaxQueries), float64(MaxParts))
 		}
 	}
 	for _, b := range s.Bursts {
@@ -250,17 +250,17 @@
 		if x.Source != "" && !slices.Contains(s.Lists(), x.Source) {
 			return sec.Errorf("source", "%s is none of the sources: %s", x.Source, strings.Join(s.Lists(), ", "))
 		}
-		if (x.Do == model.Truncate || x.Do == model.Junk) && x.Source != "dns" {
+		if (x.Do == model.DNSTruncate || x.Do == model.DNSJunk) && x.Source != "dns" {
 			return sec.Errorf("source", "%s is a fault of dns", x.Do)
 		}
-		if x.Do == model.Reset && x.Source != "consul" {
+		if x.Do == model.ListReset && x.Source != "consul" {
 			return sec.Errorf("source", "%s is a fault of consul", x.Do)
 		}
-		if x.Do == model.Switch {
-			if len(x.To) == 0 || len(s.Members.Sources) == 0 {
+		if x.Do == model.SwitchSources {
+			if len(x.SwitchTo) == 0 || len(s.Members.Sources) == 0 {
 				return sec.Errorf("to", "wants sources, and [members] sources must be on")
 			}
-			for _, to := range x.To {
+			for _, to := range x.SwitchTo {
 				if !slices.Contains(s.Lists(), to) {
 					return sec.Errorf("to", "%s is none of the sources: %s", to, strings.Join(s.Lists(), ", "))
 				}
@@ -275,8 +275,8 @@
 		if x.Every > 0 && x.For == 0 {
 			return sec.Errorf("for", "with every it must be given")
 		}
-		if x.Do == model.Release && x.For < x.Extra {
-			return sec.Errorf("for", "%v ends before the process does, %v after the drain", x.For, x.Extra)
+		if x.Do == model.Release && x.For < x.Delay {
+			return sec.Errorf("for", "%v ends before the process does, %v after the drain", x.For, x.Delay)
 		}
 		if _, err := s.fault(x, s.specs(1)); err != nil {
 			return sec.Errorf("who", "%v", err)
@@ -288,7 +288,7 @@
 // Plan is a scenario drawn out with a seed.
 type Plan struct {
 	*Scenario
-	Draw    uint64 // the seed
+	RunSeed uint64 // the seed
 	Servers []model.Spec
 	Changes []model.Change
 	Classes []*model.Class
@@ -326,7 +326,7 @@
 
 // Plan draws the scenario out.
 func (s *Scenario) Plan(seed uint64) (*Plan, error) {
-	p := &Plan{Scenario: s, Draw: seed, Servers: s.specs(seed), Work: make(map[string]*model.Work), Window: [2]time.Duration{s.Warmup, s.Length}}
+	p := &Plan{Scenario: s, RunSeed: seed, Servers: s.specs(seed), Work: make(map[string]*model.Work), Window: [2]time.Duration{s.Warmup, s.Length}}
 	var faults []*model.Fault
 	for _, x := range s.Faults {
 		f, err := s.fault(x, p.Servers)
@@ -349,13 +349,13 @@
 		if err != nil {
 			return nil, err
 		}
-		leave, err := model.ParseDist(c.Leave, dir)
+		leave, err := model.ParseDist(c.LeaveAfter, dir)
 		if err != nil {
 			return nil, err
 		}
-		m := &model.Class{Name: c.Name, Parts: c.Parts, Spread: c.Spread, Aim: c.Aim, Patience: c.Patience, Impatient: c.Impatient, Leave: leave,
-			Unsafe: c.Effect != "free", Value: c.Value, Need: c.Need, Floor: c.Floor, Partial: c.Partial, LateWorth: c.Late,
-			Zipf: model.NewZipf(s.Groups[0].Shards, c.Zipf, seed), PartsMost: c.PartsMost, Row: c.Row, Shards: s.Groups[0].Shards}
+		m := &model.Class{Name: c.Name, Parts: c.Parts, UnequalWeights: c.UnequalWeights, LatencyTarget: c.LatencyTarget, Timeout: c.Timeout, LeaveShare: c.LeaveShare, LeaveAfter: leave,
+			Unsafe: c.Effect != "free", Value: c.Value, RequiredShare: c.RequiredShare, MinShare: c.MinShare, PartialValue: c.PartialValue, LateValue: c.LateValue,
+			Zipf: model.NewZipf(s.Groups[0].Shards, c.Zipf, seed), MaxParts: c.MaxParts, Contiguous: c.Contiguous, Shards: s.Groups[0].Shards}
 		if c.Keys > 0 {
 			m.Keys = model.NewZipf(c.Keys, c.KeyZipf, seed)
 		}
@@ -393,11 +393,11 @@
 				if site == "" {
 					site = s.Network.Sites[(cell+n)%len(s.Network.Sites)]
 				}
-				speed := g.Speed * (1 + g.SpeedLike*(2*model.Luck(seed, "speed", name)-1))
+				speed := g.Speed * (1 + g.SpeedSpread*(2*model.Uniform(seed, "speed", name)-1))
 				out = append(out, model.Spec{Name: name, Site: site, Group: g.Name, Cell: cell, Cores: g.Cores, Speed: speed, Slots: g.Slots,
-					Room: g.Room, Queue: model.Discipline(g.Queue), Knee: g.Knee, Loss: g.Loss, StopsGivenUp: g.Stops, Handshake: g.Handshake, Seed: seed,
-					CallWork: s.Settings.CallWork, Keys: model.Keys{Gain: g.KeyGain, For: g.KeyFor, Most: g.KeyMost},
-					Cold: model.Cold{Share: g.ColdShare, Time: g.ColdTime, Work: g.ColdWork, Multiple: g.ColdMost, Window: g.ColdSpan, Down: g.ColdDown}})
+					QueueLimit: g.QueueLimit, Queue: model.Discipline(g.Queue), Knee: g.Knee, KneeLoss: g.KneeLoss, CancelsRunning: g.CancelsRunning, Handshake: g.Handshake, Seed: seed,
+					CallWork: s.Settings.CallWork, KeyCache: model.KeyCache{Gain: g.KeyGain, TTL: g.KeyTTL, MaxKeys: g.MaxKeys},
+					SlowStart: model.SlowStart{InitialShare: g.SlowStartShare, WarmupTime: g.SlowStartTime, WarmupParts: g.SlowStartParts, OverloadMultiple: g.OverloadMultiple, OverloadWindow: g.OverloadWindow, Downtime: g.OverloadDowntime}})
 				n++
 			}
 		}
@@ -406,9 +406,9 @@
 }
 
 func (s *Scenario) fault(x Fault, servers []model.Spec) (*model.Fault, error) {
-	f := &model.Fault{Name: x.Name, Do: x.Do, At: x.At, For: x.For, Every: x.Every, Times: x.Times, Chance: x.Chance, Share: x.Share, Apart: x.Apart,
-		Class: x.Class, Part: x.Part, Factor: x.Factor, Warm: x.Warm, Both: x.Both, Source: x.Source, Others: x.To, Extra: x.Extra}
-	words := strings.Fields(x.Who)
+	f := &model.Fault{Name: x.Name, Do: x.Do, At: x.At, For: x.For, Every: x.Every, Times: x.Times, Chance: x.Chance, Share: x.Share, Stagger: x.Stagger,
+		Class: x.Class, PartShare: x.PartShare, Factor: x.Factor, Warm: x.Warm, Both: x.Both, Source: x.Source, SwitchTo: x.SwitchTo, Delay: x.Delay}
+	words := strings.Fields(x.Targets)
 	if len(words) == 0 {
 		words = []string{"all"}
 	}
@@ -423,18 +423,18 @@
 	switch {
 	case x.Do == model.Cut:
 		if len(words) != 2 || !slices.Contains(s.Network.Sites, words[0]) || !slices.Contains(s.Network.Sites, words[1]) {
-			return nil, fmt.Errorf("%q is not two of the sites: %s", x.Who, strings.Join(s.Network.Sites, ", "))
+			return nil, fmt.Errorf("%q is not two of the sites: %s", x.Targets, strings.Join(s.Network.Sites, ", "))
 		}
 		f.From, f.To = slices.Index(s.Network.Sites, words[0]), slices.Index(s.Network.Sites, words[1])
-	case model.OnList(x.Do):
-	case model.OnMixers(x.Do):
-		for i := range s.Mixers.Count {
+	case model.TargetsList(x.Do):
+	case model.TargetsProxies(x.Do):
+		for i := range s.Proxies.Count {
 			if words[0] == "all" && len(words) == 1 || words[0] == "mixer" && number() == i {
-				f.Among = append(f.Among, i)
+				f.Targets = append(f.Targets, i)
 			}
 		}
-		if len(f.Among) == 0 {
-			return nil, fmt.Errorf("%q is neither all nor mixer 0 to mixer %d", x.Who, s.Mixers.Count-1)
+		if len(f.Targets) == 0 {
+			return nil, fmt.Errorf("%q is neither all nor mixer 0 to mixer %d", x.Targets, s.Proxies.Count-1)
 		}
 	default:
 		g := s.Groups[0]
@@ -456,11 +456,11 @@
 				hit = v.Group == words[1]
 			}
 			if hit {
-				f.Among = append(f.Among, i)
+				f.Targets = append(f.Targets, i)
 			}
 		}
-		if len(f.Among) == 0 {
-			return nil, fmt.Errorf("%q names no server; say all, server NAME, cell N, shard N, site NAME or group NAME", x.Who)
+		if len(f.Targets) == 0 {
+			return nil, fmt.Errorf("%q names no server; say all, server NAME, cell N, shard N, site NAME or group NAME", x.Targets)
 		}
 	}
 	return f, nil
@@ -469,7 +469,7 @@
 // NewNetwork is the plan's network.
 func (p *Plan) NewNetwork() *model.Network {
 	n := p.Network
-	net := model.NewNetwork(n.Sites, model.Link{Delay: n.Local, Jitter: n.Jitter, Loss: n.Loss}, model.Link{Delay: n.Far, Jitter: n.Jitter, Loss: n.Loss}, p.Draw)
+	net := model.NewNetwork(n.Sites, model.Link{Delay: n.Local, Jitter: n.Jitter, Loss: n.Loss}, model.Link{Delay: n.Far, Jitter: n.Jitter, Loss: n.Loss}, p.RunSeed)
 	for _, l := range p.Links {
 		a, b := net.Site(l.From), net.Site(l.To)
 		net.Set(a, b, model.Link{Delay: l.Delay, Jitter: l.Jitter, Loss: l.Loss})
@@ -481,16 +481,16 @@
 }
 
 // MixerSite is the site of a mixer.
-func (p *Plan) MixerSite(n int) string { return p.Network.Sites[n%len(p.Network.Sites)] }
+func (p *Plan) ProxySite(n int) string { return p.Network.Sites[n%len(p.Network.Sites)] }
 
 // Retry is what clients do after a refusal.
 func (p *Plan) Retry() model.Retry {
 	c := p.Clients
-	return model.Retry{Most: c.Tries, Pause: c.Pause, Spread: c.Spread, Heed: c.Heed, Mark: c.Mark, Failed: c.Failed, Grow: c.Grow, Least: c.Least}
+	return model.Retry{MaxRetries: c.Retries, Backoff: c.Backoff, Jitter: c.Jitter, AdviceShare: c.AdviceShare, MarkRetries: c.MarkRetries, AfterFailure: c.RetryAfterFailure, BackoffFactor: c.BackoffFactor, MinTimeLeft: c.MinTimeLeft}
 }
 
 // Holds tells whether a server holds a shard.
-func (p *Plan) Holds(server, shard int) bool {
+func (p *Plan) HasShard(server, shard int) bool {
 	g := p.Groups[0]
 	return ((p.Servers[server].Cell-shard)%g.Cells+g.Cells)%g.Cells < g.Width
 }
@@ -511,7 +511,7 @@
 	o := Source{Name: name}
 	inifile.SetDefaults(&o)
 	if name == "list" {
-		o.Lag, o.Jitter, o.Notice = s.List.Lag, s.List.Jitter, s.List.Notice
+		o.Lag, o.Jitter, o.DetectDelay = s.List.Lag, s.List.Jitter, s.List.DetectDelay
 	}
 	return o
 }
@@ -520,7 +520,7 @@
 func (p *Plan) NewLists(s func(n int) model.Sched) (out []*model.List) {
 	for i, name := range p.Lists() {
 		o := p.Source(name)
-		l := &model.List{Name: name, Checks: o.Checks, Drains: o.Drains, Sched: s(i), Lag: o.Lag, Jitter: o.Jitter, Notice: o.Notice, Luck: model.Rand(p.Draw, name).ExpFloat64}
+		l := &model.List{Name: name, KeepsEnded: o.KeepsEnded, ReportsDrains: o.ReportsDrains, Sched: s(i), Lag: o.Lag, Jitter: o.Jitter, DetectDelay: o.DetectDelay, Exponential: model.Rand(p.RunSeed, name).ExpFloat64}
 		l.Begin(len(p.Servers))
 		out = append(out, l)
 	}
@@ -528,12 +528,12 @@
 }
 
 // MixerSeed is the seed of a mixer's decisions in its life of that number.
-func (p *Plan) MixerSeed(n, life int) uint64 {
-	return model.Mix(p.Draw, "mixer", strconv.Itoa(n), strconv.Itoa(life))
+func (p *Plan) ProxySeed(n, life int) uint64 {
+	return model.Mix(p.RunSeed, "mixer", strconv.Itoa(n), strconv.Itoa(life))
 }
 
 // MixerSettings is what the platform tells each mixer, as its configuration has it.
-func (p *Plan) MixerSettings() ([]byte, error) {
+func (p *Plan) ProxySettings() ([]byte, error) {
 	list := func(f func(Class) any) []any {
 		var out []any
 		for _, c := range p.Scenario.Classes {
@@ -544,27 +544,27 @@
 	us := func(d time.Duration) int64 { return d.Microseconds() }
 	g, set := p.Groups[0], p.Settings
 	discovery, tenants := "ask", []any{}
-	if set.Look > 0 {
+	if set.PollInterval > 0 {
 		discovery = "push"
 	}
 	for _, t := range p.Tenants {
 		tenants = append(tenants, map[string]any{"name": t.Name, "quota-per-s": t.Quota, "fraction": t.Share})
 	}
-	return json.Marshal(map[string]any{"balancers": p.Mixers.Count, "discovery": discovery, "resolution": us(set.Resolution), "kinds": []string{"std-2c"}, "tenants": tenants,
-		"over-share-worth": p.Over,
+	return json.Marshal(map[string]any{"balancers": p.Proxies.Count, "discovery": discovery, "resolution": us(set.Resolution), "kinds": []string{"std-2c"}, "tenants": tenants,
+		"over-share-worth": p.OverQuotaValue,
 		"request-classes": list(func(c Class) any {
-			return map[string]any{"name": c.Name, "aim": us(c.Aim), "deadline": us(c.Patience), "effect": c.Effect,
-				"late-worth": c.Late, "memory-span": us(c.Memory), "value": c.Value}
+			return map[string]any{"name": c.Name, "aim": us(c.LatencyTarget), "deadline": us(c.Timeout), "effect": c.Effect,
+				"late-worth": c.LateValue, "memory-span": us(c.DedupWindow), "value": c.Value}
 		}),
-		"family-info": map[string]any{"bundle-max": set.Bundle, "class-fetch": list(func(Class) any { return 0 }),
-			"class-floor": list(func(c Class) any { return c.Floor }), "need-by-class": list(func(c Class) any { return c.Need }),
-			"partial-earns": list(func(c Class) any { return c.Partial }), "places": g.Cells, "slices": g.Shards, "width": g.Width, "per-call-work": us(set.CallWork),
+		"family-info": map[string]any{"bundle-max": set.MaxPartsPerCall, "class-fetch": list(func(Class) any { return 0 }),
+			"class-floor": list(func(c Class) any { return c.MinShare }), "need-by-class": list(func(c Class) any { return c.RequiredShare }),
+			"partial-earns": list(func(c Class) any { return c.PartialValue }), "places": g.Cells, "slices": g.Shards, "width": g.Width, "per-call-work": us(set.CallWork),
 			"warm-keys": g.KeyGain > 0},
-		"limits": map[string]any{"cancel": set.Cancel, "dial-timeout": us(set.Dial), "keepalive": us(set.Keepalive), "max-retry-after": us(set.Advice), "most-held": set.Held,
-			"parallel-tries": set.Parallel, "probes": true, "retry-after": p.Clients.Heed > 0, "send-cap": set.Cap, "streams-per-conn": 100},
+		"limits": map[string]any{"cancel": set.Cancel, "dial-timeout": us(set.Dial), "keepalive": us(set.Keepalive), "max-retry-after": us(set.MaxRetryAfter), "most-held": set.MaxInFlight,
+			"parallel-tries": set.ParallelAttempts, "probes": true, "retry-after": p.Clients.AdviceShare > 0, "send-cap": set.AttemptCap, "streams-per-conn": 100},
 		"report": map[string]any{"fields": []string{"inflight"}, "source": "piggyback"},
-		"rules": map[string]any{"answer-slack": 20000, "ask-within": us(set.Ask), "cold": us(g.ColdTime), "drain-grace": us(set.Grace), "fall": us(g.ColdSpan),
-			"fall-multiple": g.ColdMost, "start-capacity": g.ColdShare}})
+		"rules": map[string]any{"answer-slack": 20000, "ask-within": us(set.AskWithin), "cold": us(g.SlowStartTime), "drain-grace": us(set.DrainGrace), "fall": us(g.OverloadWindow),
+			"fall-multiple": g.OverloadMultiple, "start-capacity": g.SlowStartShare}})
 }
 
 // Servers counts the servers.
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -43,7 +43,7 @@
 		"[include]\nfiles = none.ini\n" + good:                            "no such file",
 		"[vary]\nrate = ,\n" + good:                                       "no values",
 	} {
-		doc, err := Text("x.ini", []byte(text))
+		doc, err := Parse("x.ini", []byte(text))
 		if err == nil {
 			_, err = doc.Scenario(doc.Variations()[0])
 		}
@@ -73,7 +73,7 @@
 	require.Equal(t, 2, s.Classes[0].Parts)
 	require.Equal(t, "rate=2 class.a.parts=2", Label(s.Values))
 	// Written as one file it is the same scenario.
-	flat, err := Text("flat.ini", []byte(s.String()))
+	flat, err := Parse("flat.ini", []byte(s.String()))
 	require.NoError(t, err)
 	again, err := flat.Scenario(nil)
 	require.NoError(t, err)
@@ -88,7 +88,7 @@
 	write("b.ini", "[include]\nfiles = a.ini\n"+good)
 	_, err = Open(filepath.Join(dir, "a.ini"))
 	require.ErrorContains(t, err, "includes itself")
-	_, err = Text("v.ini", []byte("[vary]\nrate = "+strings.Repeat("1, ", 10001)+"2\n"+good))
+	_, err = Parse("v.ini", []byte("[vary]\nrate = "+strings.Repeat("1, ", 10001)+"2\n"+good))
 	require.ErrorContains(t, err, "more than 10000 variations")
 }
 
@@ -96,7 +96,7 @@
 	f.Add([]byte(good))
 	f.Add([]byte(good + "[fleet]\ncells = 3\n[fault f]\ndo = release\nat = 1s\nfor = 9s\nwho = cell 1\n[vary]\nrate = 1, 2\n"))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		doc, err := Text("x.ini", text)
+		doc, err := Parse("x.ini", text)
 		if err != nil {
 			return
 		}
@@ -105,6 +105,6 @@
 			return
 		}
 		require.Positive(t, s.Servers())
-		require.LessOrEqual(t, s.Servers(), MostServers)
+		require.LessOrEqual(t, s.Servers(), MaxServers)
 	})
 }
--- a/internal/lab/sweep/sweep.go
+++ b/internal/lab/sweep/sweep.go
@@ -29,12 +29,12 @@
 	Dir      string // of the sweep; empty: nothing is kept
 	Repeats  int    // seeds; 0: the scenario's
 	Workers  int    // 0: as many as cores
-	Rows     bool   // keep the rows of asks and seconds too
+	KeepRows bool   // keep the rows of asks and seconds too
 	Progress func(share float64, remark string)
 }
 
 // One is one run of a sweep.
-type One struct {
+type RunResult struct {
 	Variation int
 	Label     string
 	Seed      int
@@ -48,7 +48,7 @@
 // Result is a whole sweep.
 type Result struct {
 	Name string
-	Runs []One
+	Runs []RunResult
 }
 
 // RunsFile is the table of all runs in a sweep's folder.
@@ -69,7 +69,7 @@
 	type job struct {
 		at       int
 		scenario *scenario.Scenario
-		one      *One
+		one      *RunResult
 	}
 	res := &Result{Name: first.Name}
 	var jobs []job
@@ -80,7 +80,7 @@
 		}
 		for n := range repeats {
 			seed := s.Seed + n
-			one := One{Variation: v, Label: scenario.Label(values), Seed: seed}
+			one := RunResult{Variation: v, Label: scenario.Label(values), Seed: seed}
 			if opt.Dir != "" {
 				one.Dir = filepath.Join(opt.Dir, fmt.Sprintf("v%03d-s%d", v, seed))
 			}
@@ -162,7 +162,7 @@
 }
 
 // one plays one run, or takes what was played before with the same scenario.
-func one(ctx context.Context, s *scenario.Scenario, o *One, opt Options, progress func(float64, string)) error {
+func one(ctx context.Context, s *scenario.Scenario, o *RunResult, opt Options, progress func(float64, string)) error {
 	text := s.String()
 	if o.Dir != "" {
 		if was, err := os.ReadFile(filepath.Join(o.Dir, record.ScenarioFile)); err == nil && string(was) == text {
@@ -178,7 +178,7 @@
 		return err
 	}
 	p := opt.Play
-	p.Keep, p.Progress = opt.Rows, progress
+	p.Keep, p.Progress = opt.KeepRows, progress
 	run, err := play.Play(ctx, plan, p)
 	if err != nil {
 		return err
@@ -227,7 +227,7 @@
 		if err != nil {
 			return err
 		}
-		res.Runs = append(res.Runs, One{Label: s.Summary.Variation, Seed: int(s.Summary.Seed), Dir: dir, Summary: s.Summary, Digest: digest, Unmet: s.Unmet})
+		res.Runs = append(res.Runs, RunResult{Label: s.Summary.Variation, Seed: int(s.Summary.Seed), Dir: dir, Summary: s.Summary, Digest: digest, Unmet: s.Unmet})
 		return nil
 	}
 	if _, err := os.Stat(filepath.Join(dir, record.SummaryFile)); err == nil {
@@ -252,7 +252,7 @@
 
 // Pass tells whether all runs passed.
 func (r *Result) Pass() bool {
-	return !slices.ContainsFunc(r.Runs, func(o One) bool { return len(o.Unmet) > 0 })
+	return !slices.ContainsFunc(r.Runs, func(o RunResult) bool { return len(o.Unmet) > 0 })
 }
 
 // Print writes a table: a line for each variation, over its seeds.
--- a/internal/lab/sweep/sweep_test.go
+++ b/internal/lab/sweep/sweep_test.go
@@ -31,7 +31,7 @@
 
 func doc(t *testing.T, text string) *scenario.Doc {
 	t.Helper()
-	d, err := scenario.Text("s.ini", []byte(text))
+	d, err := scenario.Parse("s.ini", []byte(text))
 	require.NoError(t, err)
 	return d
 }
--- a/internal/lab/virtual/link.go
+++ b/internal/lab/virtual/link.go
@@ -64,7 +64,7 @@
 			m.x.AttemptEnded(a, choice.NotSent, nil, "")
 			continue
 		}
-		m.link(i).place(a, calls[i]%max(m.w.plan.Settings.Bundle, 1) == 0)
+		m.link(i).place(a, calls[i]%max(m.w.plan.Settings.MaxPartsPerCall, 1) == 0)
 		calls[i]++
 	}
 }
@@ -94,7 +94,7 @@
 	m.trace(a, "is given up at", fmt.Sprint(v))
 	l.carry(func() {
 		if f.taken && f.gen == l.gen {
-			m.w.Servers[l.server].GiveUp(&f.job)
+			m.w.Servers[l.server].Cancel(&f.job)
 		}
 	}, f.gen)
 	if v == choice.NoAnswer && l.heardAt < f.sentAt && l.gen == f.gen {
@@ -224,13 +224,13 @@
 	s := w.Servers[l.server]
 	class := a.Text
 	f := &flight{l: l, a: a, gen: l.gen, sentAt: w.loop.Now(), seen: w.j.ArrivedFrom(m.n, a.PartID, s.Name, w.time())}
-	if !w.plan.Holds(l.server, a.Shard) {
+	if !w.plan.HasShard(l.server, a.Shard) {
 		w.j.Astray(a.PartID, s.Name)
 	}
 	ask, rest, _ := strings.Cut(a.PartID, "-")
 	_, shard, _ := strings.Cut(rest, ".")
-	f.job = model.Job{ID: a.PartID, Ask: ask, Class: class, Shard: a.Shard, Work: w.Work[class].Of(ask, shard), Until: a.Deadline.Sub(epoch),
-		Done: l.done, Ran: ran, Tag: f, Call: head}
+	f.job = model.Job{ID: a.PartID, Request: ask, Class: class, Shard: a.Shard, Work: w.Work[class].Of(ask, shard), Deadline: a.Deadline.Sub(epoch),
+		Done: l.done, OnRun: ran, Tag: f, FirstOfCall: head}
 	if query, _, ok := strings.Cut(a.PartID, "."); ok && m.keys[query] != "" {
 		f.job.Key = m.keys[query] + "." + shard
 	}
@@ -251,7 +251,7 @@
 			return
 		}
 		f.taken = true
-		s.Take(&f.job)
+		s.Submit(&f.job)
 	}, f.gen)
 }
 
@@ -376,7 +376,7 @@
 	for _, f := range out {
 		f.seen.Over(w.time(), "")
 		if f.taken {
-			w.Servers[l.server].GiveUp(&f.job)
+			w.Servers[l.server].Cancel(&f.job)
 		}
 	}
 	l.gen++
--- a/internal/lab/virtual/mixer.go
+++ b/internal/lab/virtual/mixer.go
@@ -86,9 +86,9 @@
 	w := m.w
 	m.life++
 	m.asks, m.links, m.stops = make(map[string]*ask), make(map[int]*link), make(map[int]time.Duration)
-	m.leaving, m.watches, m.woken = false, w.plan.Settings.Look > 0, false
-	m.keys, m.look = make(map[string]string), model.Rand(w.plan.Draw, "look", fmt.Sprint(m.n), fmt.Sprint(m.life)).Float64
-	seed := w.plan.MixerSeed(m.n, m.life)
+	m.leaving, m.watches, m.woken = false, w.plan.Settings.PollInterval > 0, false
+	m.keys, m.look = make(map[string]string), model.Rand(w.plan.RunSeed, "look", fmt.Sprint(m.n), fmt.Sprint(m.life)).Float64
+	seed := w.plan.ProxySeed(m.n, m.life)
 	d, err := w.opt.Decide(&w.World, m.n, m.life, seed, w.set.Router)
 	if err != nil {
 		return err
@@ -102,7 +102,7 @@
 		}
 	}
 	var leaves exchange.Upstream = m
-	if wrap := w.opt.Sabotage.Leaves; wrap != nil {
+	if wrap := w.opt.Mutations.WrapUpstream; wrap != nil {
 		leaves = wrap(m.n, leaves, m.x)
 	}
 	m.x.Attach(leaves)
@@ -121,7 +121,7 @@
 	m.drop()
 	w := m.w
 	life := m.life
-	w.loop.Post(w.plan.Mixers.Notice, func() {
+	w.loop.Post(w.plan.Proxies.DetectDelay, func() {
 		if m.life == life && m.x == nil {
 			m.fronted = false
 			w.front()
@@ -156,7 +156,7 @@
 		w.loop.Post(100*time.Millisecond, m.back) // it has not ended yet
 		return
 	}
-	w.loop.Post(w.plan.Mixers.Boot, func() {
+	w.loop.Post(w.plan.Proxies.StartDelay, func() {
 		if m.x != nil {
 			return
 		}
@@ -210,7 +210,7 @@
 		m.w.rec.Level(c.At.Sub(epoch), m.n, c.From, c.To, c.Why)
 	}
 	m.levels += len(r.Past)
-	if most := m.w.plan.Expect.Levels; most > 0 && m.levels > most {
+	if most := m.w.plan.Expect.MaxLevelChanges; most > 0 && m.levels > most {
 		m.w.rec.Broke(fmt.Sprintf("mixer %d changed its level %d times, and %d are allowed", m.n, m.levels, most))
 	}
 }
@@ -227,10 +227,10 @@
 	}
 	a.life = m.life
 	t := a.t
-	q := &exchange.Query{ID: t.ID, Class: t.Ask.Class.Name, Text: t.Ask.Class.Name, ClientRetry: t.Repeat, ReceivedAt: w.time(),
-		Timeout: t.Patience - min(unseen, t.Patience/unseenShare), Tenant: t.Ask.Tenant, Key: t.Ask.Key}
-	for _, p := range t.Ask.Parts {
-		q.Parts = append(q.Parts, exchange.Part{Shard: p.Shard, Weight: p.Weight, Key: t.Ask.Key})
+	q := &exchange.Query{ID: t.ID, Class: t.Request.Class.Name, Text: t.Request.Class.Name, ClientRetry: t.IsRetry, ReceivedAt: w.time(),
+		Timeout: t.Timeout - min(unseen, t.Timeout/unseenShare), Tenant: t.Request.Tenant, Key: t.Request.Key}
+	for _, p := range t.Request.Parts {
+		q.Parts = append(q.Parts, exchange.Part{Shard: p.Shard, Weight: p.Weight, Key: t.Request.Key})
 	}
 	if q.Key != "" {
 		m.keys[q.ID] = q.Key
@@ -280,10 +280,10 @@
 // mayStart notes from when on nothing may start on a server; since is how long ago the
 // news may have counted as told.
 func (m *mixer) mayStart(server int, ready bool, since choice.Micros) {
-	if ready || m.w.opt.Sabotage.Undrain {
+	if ready || m.w.opt.Mutations.IgnoreDrain {
 		delete(m.stops, server)
 	} else if _, told := m.stops[server]; !told {
-		m.stops[server] = m.w.loop.Now() + max(m.w.plan.Settings.Grace-drainMargin-time.Duration(since)*time.Microsecond, 0)
+		m.stops[server] = m.w.loop.Now() + max(m.w.plan.Settings.DrainGrace-drainMargin-time.Duration(since)*time.Microsecond, 0)
 	}
 }
 
--- a/internal/lab/virtual/shared_test.go
+++ b/internal/lab/virtual/shared_test.go
@@ -66,19 +66,19 @@
 		"", "[fault s]\ndo = list-silent\nat = 3s\nfor = 6s\n[fault d]\ndo = drain\nat = 2s\nfor = 9s\nshare = 0.4\napart = 700ms\n",
 		"[fault r]\ndo = release\nat = 2s\nfor = 3500ms\nextra = 3s\napart = 1s\nshare = 0.9\n",
 	} {
-		r := play(t, ringed+f, Options{Keep: true})
+		r := play(t, ringed+f, Options{KeepRows: true})
 		require.Empty(t, r.Unmet(), "%s", r.Verdict.Faults)
 		require.Greater(t, r.Summary.Goodput, 0.9)
 		require.LessOrEqual(t, r.Summary.Worst10, r.Summary.Goodput+1e-9)
 	}
-	r := play(t, ringed+"[fault d]\ndo = drain\nat = 2s\nshare = 0.4\n", Options{Sabotage: Sabotage{Undrain: true}})
+	r := play(t, ringed+"[fault d]\ndo = drain\nat = 2s\nshare = 0.4\n", Options{Mutations: Mutations{IgnoreDrain: true}})
 	require.Zero(t, r.Verdict.Drained, "the decisions alone keep to a drain")
 }
 
 // Calls have a cost: more of it for the same queries shows in what the servers did.
 func TestCallsCost(t *testing.T) {
 	work := func(text string) (sum int64) {
-		for _, s := range play(t, text, Options{Keep: true}).Seconds {
+		for _, s := range play(t, text, Options{KeepRows: true}).Seconds {
 			sum += s.Work
 		}
 		return sum
@@ -86,14 +86,14 @@
 	free, dear := work(strings.Replace(ringed, "per-call-work = 8ms", "per-call-work = 0s", 1)), work(ringed)
 	require.Greater(t, dear, free)
 	// Two calls or three for a query of nine parts in a row, one for a fix.
-	r := play(t, ringed, Options{Keep: true})
+	r := play(t, ringed, Options{KeepRows: true})
 	calls := float64(dear-free) / 8000
 	require.Less(t, calls, 0.55*float64(r.Summary.Parts))
 }
 
 // Tenants and the worst ten seconds are told, and a run without them tells neither ill.
 func TestWorst(t *testing.T) {
-	r := play(t, ringed+"[burst b]\nat = 5s\nfor = 10s\nfactor = 6\ntenant = small\n", Options{Keep: true})
+	r := play(t, ringed+"[burst b]\nat = 5s\nfor = 10s\nfactor = 6\ntenant = small\n", Options{KeepRows: true})
 	over := 0
 	for _, q := range r.Queries {
 		if q.Value < 0.5 {
--- a/internal/lab/virtual/sources.go
+++ b/internal/lab/virtual/sources.go
@@ -44,9 +44,9 @@
 
 func (w *world) buildSources() {
 	for i, l := range w.lists {
-		s := &source{list: l, told: slices.Clone(l.Whole()), index: 1}
+		s := &source{list: l, told: slices.Clone(l.Entries()), index: 1}
 		w.sources = append(w.sources, s)
-		l.Tell = func(news []model.Entry) {
+		l.Publish = func(news []model.Entry) {
 			s.index++
 			for _, e := range news {
 				s.told[e.Server] = e
@@ -55,7 +55,7 @@
 				m.tells(i, news)
 			}
 		}
-		l.Turn = func(c model.Change) { w.turn(i, c) }
+		l.OnFault = func(c model.Change) { w.turn(i, c) }
 	}
 	w.loop.Post(beat, w.beat)
 }
@@ -79,13 +79,13 @@
 		step = -1
 	}
 	switch c.Do {
-	case model.Mute:
+	case model.ListSilent:
 		s.mute += step
-	case model.Broken:
+	case model.ListDown:
 		s.down += step
-	case model.Empty:
+	case model.ListEmpty:
 		s.empty += step
-	case model.Reset:
+	case model.ListReset:
 		if !c.On {
 			return
 		}
@@ -95,7 +95,7 @@
 	}
 	s.index++
 	for _, m := range w.mixers {
-		m.tellsAll(i, c.Do == model.Reset)
+		m.tellsAll(i, c.Do == model.ListReset)
 	}
 }
 
@@ -113,7 +113,7 @@
 	}
 	o := membership.Observation{Source: s.list.Name, Index: s.index}
 	for _, e := range news {
-		if e.Standing == model.Deleted {
+		if e.Status == model.Deleted {
 			o.Removed = append(o.Removed, w.plan.Servers[e.Server].Name)
 		} else {
 			o.Claims = append(o.Claims, w.claim(e))
@@ -134,7 +134,7 @@
 	}
 	o := membership.Observation{Source: s.list.Name, Index: s.index, Complete: true, Reset: reset}
 	for _, e := range s.told {
-		if s.empty == 0 && e.Standing != model.Deleted {
+		if s.empty == 0 && e.Status != model.Deleted {
 			o.Claims = append(o.Claims, w.claim(e))
 		}
 	}
@@ -143,9 +143,9 @@
 
 func (w *world) claim(e model.Entry) membership.Claim {
 	spec := &w.plan.Servers[e.Server]
-	c := membership.Claim{Name: spec.Name, Addresses: []string{spec.Name}, Site: spec.Site, Kind: spec.Group, Cell: (spec.Cell + e.Shift) % w.plan.Groups[0].Cells,
-		HasCell: true, Drain: e.Standing == model.Draining, Weight: 1}
-	if e.Standing == model.Sick {
+	c := membership.Claim{Name: spec.Name, Addresses: []string{spec.Name}, Site: spec.Site, Kind: spec.Group, Cell: (spec.Cell + e.CellShift) % w.plan.Groups[0].Cells,
+		HasCell: true, Drain: e.Status == model.Draining, Weight: 1}
+	if e.Status == model.Unhealthy {
 		c.Health = membership.Critical
 	}
 	if e.Since >= 0 {
@@ -161,7 +161,7 @@
 	later := w.near(m)
 	if ttl := w.plan.Source(o.Source).TTL; o.Source == "dns" && len(o.Claims)+len(o.Removed) > 0 {
 		m.merge.n++
-		later += time.Duration(model.Luck(w.plan.Draw, "dns", fmt.Sprint(m.n), fmt.Sprint(m.merge.n)) * float64(ttl))
+		later += time.Duration(model.Uniform(w.plan.RunSeed, "dns", fmt.Sprint(m.n), fmt.Sprint(m.merge.n)) * float64(ttl))
 	}
 	// A source is asked one call after the other: its answers come in order.
 	at := max(w.loop.Now()+later, m.merge.last[o.Source])
@@ -229,7 +229,7 @@
 func (w *world) reconfigure(c model.Change) {
 	w.inForce = w.plan.Members.Sources
 	if c.On {
-		w.inForce = c.Others
+		w.inForce = c.SwitchTo
 	}
 	for _, m := range w.mixers {
 		if m.x == nil {
--- a/internal/lab/virtual/virtual.go
+++ b/internal/lab/virtual/virtual.go
@@ -50,42 +50,42 @@
 
 // World is a run's true state, for policies that see it.
 type World struct {
-	Servers []*model.Server
-	Index   map[string]int
-	Reaches func(mixer, server int) bool
-	Now     func() time.Duration
-	Work    map[string]*model.Work
+	Servers   []*model.Server
+	Index     map[string]int
+	Reachable func(mixer, server int) bool
+	Now       func() time.Duration
+	Work      map[string]*model.Work
 }
 
 // Decide makes what decides for a mixer in its life of that number.
 type Decide func(w *World, mixer, life int, seed uint64, set choice.Settings) (exchange.Decider, error)
 
 // Mixer is the module that serves.
-func Mixer(_ *World, _, _ int, seed uint64, set choice.Settings) (exchange.Decider, error) {
+func ProxyDecider(_ *World, _, _ int, seed uint64, set choice.Settings) (exchange.Decider, error) {
 	return choice.New(seed, set)
 }
 
 // Options are how a plan is played.
 type Options struct {
-	Decide   Decide // nil: Mixer
-	Policy   string // its name; empty: mixer
-	Keep     bool   // the rows of asks, servers and seconds
-	Progress func(at, of time.Duration, events int64)
-	Trace    func(at time.Duration, query, text string) // of every query; the text is made only where it is set
-	Sabotage Sabotage
-	Most     int64 // events; 0: event.Most
+	Decide    Decide // nil: Mixer
+	Policy    string // its name; empty: mixer
+	KeepRows  bool   // the rows of asks, servers and seconds
+	Progress  func(at, of time.Duration, events int64)
+	Trace     func(at time.Duration, query, text string) // of every query; the text is made only where it is set
+	Mutations Mutations
+	MaxEvents int64 // events; 0: event.Most
 }
 
 // Sabotage breaks the rig or the mixers on purpose: a judge that can't fail judges
 // nothing. Each field that is set breaks one rule.
-type Sabotage struct {
-	Leaves   func(mixer int, l exchange.Upstream, x *exchange.Exchange) exchange.Upstream // between the exchange and the links
-	Value    func(server, part string) string                                             // what the client is told in a value's place
-	Final    func(f *exchange.Final) *exchange.Final                                      // the answer; nil: none is given
-	Twice    bool                                                                         // every answer is given twice
-	Delay    time.Duration                                                                // every answer is held back so long
-	Undrain  bool                                                                         // links go on though the list says that a server drains
-	Settings func(*settings.Settings)                                                     // what the mixers are told
+type Mutations struct {
+	WrapUpstream   func(mixer int, l exchange.Upstream, x *exchange.Exchange) exchange.Upstream // between the exchange and the links
+	ReplaceValue   func(server, part string) string                                             // what the client is told in a value's place
+	ReplaceFinal   func(f *exchange.Final) *exchange.Final                                      // the answer; nil: none is given
+	AnswerTwice    bool                                                                         // every answer is given twice
+	AnswerDelay    time.Duration                                                                // every answer is held back so long
+	IgnoreDrain    bool                                                                         // links go on though the list says that a server drains
+	ChangeSettings func(*settings.Settings)                                                     // what the mixers are told
 }
 
 type world struct {
@@ -119,7 +119,7 @@
 func Run(ctx context.Context, p *scenario.Plan, opt Options) (*record.Run, error) {
 	begun := time.Now()
 	if opt.Decide == nil {
-		opt.Decide = Mixer
+		opt.Decide = ProxyDecider
 	}
 	if opt.Policy == "" {
 		opt.Policy = "mixer"
@@ -139,48 +139,48 @@
 }
 
 func build(ctx context.Context, p *scenario.Plan, opt Options) (*world, error) {
-	text, err := p.MixerSettings()
+	text, err := p.ProxySettings()
 	if err != nil {
 		return nil, err
 	}
-	w := &world{ctx: ctx, opt: opt, plan: p, loop: &event.Loop{Most: opt.Most}, net: p.NewNetwork(), sent: make(map[string]int),
-		rec: record.New(p, "virtual", opt.Policy, opt.Keep), vanish: make([]int, len(p.Servers))}
+	w := &world{ctx: ctx, opt: opt, plan: p, loop: &event.Loop{Most: opt.MaxEvents}, net: p.NewNetwork(), sent: make(map[string]int),
+		rec: record.New(p, "virtual", opt.Policy, opt.KeepRows), vanish: make([]int, len(p.Servers))}
 	if w.set, err = settings.Decode(settings.Flatten(gjson.ParseBytes(text))); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	if opt.Sabotage.Settings != nil {
-		opt.Sabotage.Settings(&w.set)
+	if opt.Mutations.ChangeSettings != nil {
+		opt.Mutations.ChangeSettings(&w.set)
 	}
 	var classes []judge.Class
 	for _, c := range p.Scenario.Classes {
-		classes = append(classes, judge.Class{Name: c.Name, Unsafe: c.Effect != "free", Need: c.Need, Floor: c.Floor})
+		classes = append(classes, judge.Class{Name: c.Name, Unsafe: c.Effect != "free", Need: c.RequiredShare, Floor: c.MinShare})
 	}
-	w.j = judge.New(classes, p.Settings.Grace+judge.Slack)
-	w.j.Allow(p.Settings.Cap, p.Settings.Parallel)
+	w.j = judge.New(classes, p.Settings.DrainGrace+judge.Slack)
+	w.j.Allow(p.Settings.AttemptCap, p.Settings.ParallelAttempts)
 	w.Index = make(map[string]int)
 	w.Now, w.Work = w.loop.Now, p.Work
 	for i, spec := range p.Servers {
 		s := model.NewServer(sched{w.loop}, spec)
 		w.Servers, w.sites = append(w.Servers, s), append(w.sites, w.net.Site(spec.Site))
 		w.Index[spec.Name] = i
-		s.Fell = func(s *model.Server) {
+		s.OnOverload = func(s *model.Server) {
 			w.j.Fell(s.Name, w.time())
 			w.note("%s was pushed over while it was cold", s.Name)
 		}
-		s.Down = func(*model.Server) { w.down(i) }
-		s.Up = func(*model.Server) { w.up(i) }
+		s.OnDown = func(*model.Server) { w.down(i) }
+		s.OnUp = func(*model.Server) { w.up(i) }
 	}
-	w.Reaches = func(mixer, server int) bool {
-		return w.vanish[server] == 0 && w.net.Open(w.mixers[mixer].site, w.sites[server]) && w.net.Open(w.sites[server], w.mixers[mixer].site)
+	w.Reachable = func(mixer, server int) bool {
+		return w.vanish[server] == 0 && w.net.Reachable(w.mixers[mixer].site, w.sites[server]) && w.net.Reachable(w.sites[server], w.mixers[mixer].site)
 	}
 	w.lists = p.NewLists(func(int) model.Sched { return sched{w.loop} })
 	if w.inForce = p.Members.Sources; w.sourcesOn() {
 		w.buildSources()
 	} else {
-		w.lists[0].Tell, w.lists[0].Hold = w.tell, p.Settings.Look > 0
+		w.lists[0].Publish, w.lists[0].BufferSilent = w.tell, p.Settings.PollInterval > 0
 	}
-	for n := range p.Mixers.Count {
-		m := &mixer{w: w, n: n, site: w.net.Site(p.MixerSite(n))}
+	for n := range p.Proxies.Count {
+		m := &mixer{w: w, n: n, site: w.net.Site(p.ProxySite(n))}
 		w.mixers = append(w.mixers, m)
 		if err := m.start(); err != nil {
 			return nil, err
@@ -188,8 +188,8 @@
 		m.fronted = true
 	}
 	w.front()
-	w.clients = &model.Clients{Sched: sched{w.loop}, Classes: p.Classes, Tenants: p.NewTenants(), OverWorth: p.Over, Retry: p.Retry(), Seed: p.Draw, Length: p.Length, Pick: w.pick, Send: w.send,
-		Leave: w.leave, Over: func(a *model.Ask) {
+	w.clients = &model.Clients{Sched: sched{w.loop}, Classes: p.Classes, Tenants: p.NewTenants(), OverQuotaValue: p.OverQuotaValue, Retry: p.Retry(), Seed: p.RunSeed, Length: p.Length, SelectProxy: w.pick, Send: w.send,
+		Disconnect: w.leave, OnFinish: func(a *model.Request) {
 			w.rec.Over(a, w.sent[a.ID])
 			delete(w.sent, a.ID)
 		}}
@@ -207,7 +207,7 @@
 	p := w.plan
 	longest := time.Duration(0)
 	for _, c := range p.Classes {
-		longest = max(longest, c.Patience)
+		longest = max(longest, c.Timeout)
 	}
 	end := p.Length + longest + overtime
 	w.loop.Tick = func() error {
@@ -226,9 +226,9 @@
 	}
 	for s := 1; time.Duration(s)*time.Second <= p.Length; s++ {
 		w.loop.Post(time.Duration(s)*time.Second, func() {
-			if w.opt.Keep {
+			if w.opt.KeepRows {
 				for _, v := range w.Servers {
-					w.rec.Look(s-1, &v.Spec, v.Look())
+					w.rec.Look(s-1, &v.Spec, v.TakeStats())
 				}
 			}
 		})
@@ -244,7 +244,7 @@
 		if err := w.loop.Run(at); err != nil {
 			return err
 		}
-		if at >= p.Length && w.clients.Open == 0 {
+		if at >= p.Length && w.clients.InFlight == 0 {
 			break
 		}
 	}
@@ -252,7 +252,7 @@
 	if err := w.loop.Run(w.loop.Now() + 2*time.Second); err != nil {
 		return err
 	}
-	if n := w.clients.Open; n > 0 {
+	if n := w.clients.InFlight; n > 0 {
 		w.rec.Broke(fmt.Sprintf("%d asks were not over %v after the load", n, overtime+longest))
 		for _, m := range w.mixers {
 			for _, id := range sorted(m.asks) {
@@ -276,28 +276,28 @@
 			w.net.Cut(c.To, c.From, c.On)
 		}
 		w.note("%v %s to %s", c, w.net.Sites()[c.From], w.net.Sites()[c.To])
-	case c.Do == model.Kill, c.Do == model.Restart:
+	case c.Do == model.KillProxy, c.Do == model.RestartProxy:
 		w.note("%v %d", c, c.Target)
 		m := w.mixers[c.Target]
 		switch {
 		case !c.On:
 			m.back()
-		case c.Do == model.Kill:
+		case c.Do == model.KillProxy:
 			m.kill()
 		default:
 			m.leave()
 		}
-	case c.Do == model.Switch:
-		w.note("%v %s", c, strings.Join(c.Others, " "))
+	case c.Do == model.SwitchSources:
+		w.note("%v %s", c, strings.Join(c.SwitchTo, " "))
 		w.reconfigure(c)
-	case c.Target < 0 || model.ByList(c.Do):
+	case c.Target < 0 || model.ChangesEntry(c.Do):
 		if c.Target >= 0 {
 			w.note("%v %s", c, w.Servers[c.Target].Name)
 		} else {
 			w.note("%v", c)
 		}
 		for _, l := range w.lists {
-			l.Strike(c)
+			l.Apply(c)
 		}
 	default:
 		s := w.Servers[c.Target]
@@ -309,7 +309,7 @@
 				w.vanish[c.Target]--
 			}
 		}
-		s.Strike(c)
+		s.Apply(c)
 	}
 }
 
@@ -340,11 +340,11 @@
 
 // ---- Discovery.
 
-var states = map[model.Standing]choice.State{model.Serving: choice.Ready, model.Draining: choice.Draining, model.Deleted: choice.Gone}
+var states = map[model.Status]choice.State{model.Serving: choice.Ready, model.Draining: choice.Draining, model.Deleted: choice.Gone}
 
 func (w *world) row(e model.Entry) choice.Server {
 	spec := &w.plan.Servers[e.Server]
-	row := choice.Server{ID: spec.Name, Zone: spec.Site, Kind: spec.Group, Cell: spec.Cell, State: states[e.Standing], Scale: 1}
+	row := choice.Server{ID: spec.Name, Zone: spec.Site, Kind: spec.Group, Cell: spec.Cell, State: states[e.Status], Scale: 1}
 	if e.Since >= 0 {
 		row.UpSince = epoch.Add(e.Since).UnixMicro()
 	}
@@ -355,7 +355,7 @@
 func (w *world) tell(news []model.Entry) {
 	w.version++
 	for _, e := range news {
-		switch e.Standing {
+		switch e.Status {
 		case model.Draining:
 			w.j.Told(w.plan.Servers[e.Server].Name, w.time())
 		case model.Serving:
@@ -371,7 +371,7 @@
 			continue
 		}
 		l := choice.List{Form: choice.Delta, Version: w.version, Servers: rows}
-		look := w.plan.Settings.Look
+		look := w.plan.Settings.PollInterval
 		if look == 0 {
 			m.hear(l)
 			continue
@@ -392,8 +392,8 @@
 // whole is the list as discovery has it.
 func (w *world) whole(form choice.Form) choice.List {
 	l := choice.List{Form: form, Version: w.version}
-	for _, e := range w.lists[0].Whole() {
-		if e.Standing != model.Deleted {
+	for _, e := range w.lists[0].Entries() {
+		if e.Status != model.Deleted {
 			l.Servers = append(l.Servers, w.row(e))
 		}
 	}
@@ -426,7 +426,7 @@
 
 // ask is a try at a mixer.
 type ask struct {
-	t    *model.Try
+	t    *model.Attempt
 	q    *exchange.Query
 	seen *judge.Query
 	m    *mixer
@@ -434,24 +434,24 @@
 	over bool
 }
 
-func (w *world) send(t *model.Try) {
-	m := w.mixers[t.Mixer]
+func (w *world) send(t *model.Attempt) {
+	m := w.mixers[t.Proxy]
 	a := &ask{t: t, m: m}
-	a.seen = &judge.Query{ID: t.ID, Class: t.Ask.Class.Name, Due: epoch.Add(t.Ask.Due), Sent: w.time(), Patience: t.Patience}
-	for _, p := range t.Ask.Parts {
+	a.seen = &judge.Query{ID: t.ID, Class: t.Request.Class.Name, Due: epoch.Add(t.Request.Due), Sent: w.time(), Patience: t.Timeout}
+	for _, p := range t.Request.Parts {
 		a.seen.Parts = append(a.seen.Parts, judge.Part{Shard: p.Shard, Weight: p.Weight})
 	}
 	w.j.Sent(a.seen)
 	m.asks[t.ID] = a
 	if w.opt.Trace != nil {
-		w.opt.Trace(w.loop.Now(), t.Ask.ID, fmt.Sprintf("try %d of class %s goes to mixer %d, %d parts, %v left", t.N, t.Ask.Class.Name, m.n, len(t.Ask.Parts), t.Patience))
+		w.opt.Trace(w.loop.Now(), t.Request.ID, fmt.Sprintf("try %d of class %s goes to mixer %d, %d parts, %v left", t.N, t.Request.Class.Name, m.n, len(t.Request.Parts), t.Timeout))
 	}
 	w.loop.Post(w.near(m), func() { m.take(a) })
 }
 
 // leave: a client closes its connection.
-func (w *world) leave(t *model.Try) {
-	m := w.mixers[t.Mixer]
+func (w *world) leave(t *model.Attempt) {
+	m := w.mixers[t.Proxy]
 	a := m.asks[t.ID]
 	if a == nil || a.over {
 		return
@@ -480,14 +480,14 @@
 	}
 	w.j.Ended(a.seen)
 	if w.opt.Trace != nil {
-		w.opt.Trace(w.loop.Now(), a.t.Ask.ID, fmt.Sprintf("try %d ends: %v whole=%v share=%.2f retry-after=%v", a.t.N, r.Kind, r.Whole, r.Share, r.RetryAfter))
+		w.opt.Trace(w.loop.Now(), a.t.Request.ID, fmt.Sprintf("try %d ends: %v whole=%v share=%.2f retry-after=%v", a.t.N, r.Kind, r.Complete, r.Share, r.RetryAfter))
 	}
 	w.clients.Reply(a.t, r)
 }
 
 // final is a mixer's answer, on its way to the client.
 func (w *world) final(a *ask, f exchange.Final) {
-	if change := w.opt.Sabotage.Final; change != nil {
+	if change := w.opt.Mutations.ReplaceFinal; change != nil {
 		g := change(&f)
 		if g == nil {
 			return
@@ -498,10 +498,10 @@
 	outcome := judge.Failed
 	switch f.Ending {
 	case exchange.Answered:
-		outcome, r.Kind, r.Whole = judge.Answered, model.Answered, f.Complete
+		outcome, r.Kind, r.Complete = judge.Answered, model.Answered, f.Complete
 		for _, h := range f.Hits {
-			if i := slices.IndexFunc(a.t.Ask.Parts, func(p model.PartAsk) bool { return p.Shard == h.Shard }); i >= 0 {
-				r.Share += a.t.Ask.Parts[i].Weight
+			if i := slices.IndexFunc(a.t.Request.Parts, func(p model.PartRequest) bool { return p.Shard == h.Shard }); i >= 0 {
+				r.Share += a.t.Request.Parts[i].Weight
 			}
 		}
 	case exchange.Refused:
@@ -512,16 +512,16 @@
 		r.Kind = model.Failed
 	}
 	m, times := a.m, 1
-	if w.opt.Sabotage.Twice {
+	if w.opt.Mutations.AnswerTwice {
 		times = 2
 	}
 	for range times {
-		w.loop.Post(w.near(m)+w.opt.Sabotage.Delay, func() {
+		w.loop.Post(w.near(m)+w.opt.Mutations.AnswerDelay, func() {
 			if !a.over {
-				a.seen.Whole = r.Whole
+				a.seen.Whole = r.Complete
 				for _, h := range f.Hits {
 					value := h.Value
-					if change := w.opt.Sabotage.Value; change != nil {
+					if change := w.opt.Mutations.ReplaceValue; change != nil {
 						value = change("", value)
 					}
 					a.seen.Hits = append(a.seen.Hits, judge.Hit{Shard: h.Shard, Value: value})
--- a/internal/lab/virtual/virtual_test.go
+++ b/internal/lab/virtual/virtual_test.go
@@ -46,7 +46,7 @@
 
 func play(t *testing.T, text string, opt Options) *record.Run {
 	t.Helper()
-	doc, err := scenario.Text("test.ini", []byte(text))
+	doc, err := scenario.Parse("test.ini", []byte(text))
 	require.NoError(t, err)
 	s, err := doc.Scenario(nil)
 	require.NoError(t, err)
@@ -77,45 +77,45 @@
 	}
 	cases := []struct {
 		rule, text string
-		how        Sabotage
+		how        Mutations
 		seen       func(*record.Run) int
 		words      string
 	}{
-		{"a query gets an answer", small, Sabotage{Final: func(*exchange.Final) *exchange.Final { return nil }},
+		{"a query gets an answer", small, Mutations{ReplaceFinal: func(*exchange.Final) *exchange.Final { return nil }},
 			func(r *record.Run) int { return r.Verdict.Lost }, "lost: query"},
-		{"in time", small, Sabotage{Delay: 3 * time.Second}, func(r *record.Run) int { return r.Verdict.Late }, "late: query"},
-		{"one answer", small, Sabotage{Twice: true}, func(r *record.Run) int { return r.Verdict.Doubled }, "was answered twice"},
-		{"one attempt at a time", small + "[fault f]\ndo = hang\nat = 2s\nparts = 0.3\n", Sabotage{Settings: func(s *settings.Settings) { s.Router.ParallelAttempts = true }},
+		{"in time", small, Mutations{AnswerDelay: 3 * time.Second}, func(r *record.Run) int { return r.Verdict.Late }, "late: query"},
+		{"one answer", small, Mutations{AnswerTwice: true}, func(r *record.Run) int { return r.Verdict.Doubled }, "was answered twice"},
+		{"one attempt at a time", small + "[fault f]\ndo = hang\nat = 2s\nparts = 0.3\n", Mutations{ChangeSettings: func(s *settings.Settings) { s.Router.ParallelAttempts = true }},
 			func(r *record.Run) int { return r.Verdict.Doubled }, "was out at"},
-		{"the cap on attempts", small + "[fault f]\ndo = busy\nat = 2s\nfor = 5s\n", Sabotage{Settings: func(s *settings.Settings) { s.Router.AttemptCap = 12 }},
+		{"the cap on attempts", small + "[fault f]\ndo = busy\nat = 2s\nfor = 5s\n", Mutations{ChangeSettings: func(s *settings.Settings) { s.Router.AttemptCap = 12 }},
 			func(r *record.Run) int { return r.Verdict.Capped }, "are allowed"},
-		{"unsafe parts once", failing, Sabotage{Settings: unsafe}, func(r *record.Run) int { return r.Verdict.Doubled }, "of book-trip ran"},
-		{"nothing new to a drained server", draining, Sabotage{Undrain: true, Settings: func(s *settings.Settings) { s.Router.DrainGrace = 60_000_000 }},
+		{"unsafe parts once", failing, Mutations{ChangeSettings: unsafe}, func(r *record.Run) int { return r.Verdict.Doubled }, "of book-trip ran"},
+		{"nothing new to a drained server", draining, Mutations{IgnoreDrain: true, ChangeSettings: func(s *settings.Settings) { s.Router.DrainGrace = 60_000_000 }},
 			func(r *record.Run) int { return r.Verdict.Drained }, "after its drain was told"},
-		{"also where one source alone told", told, Sabotage{Undrain: true, Settings: func(s *settings.Settings) { s.Router.DrainGrace = 60_000_000 }},
+		{"also where one source alone told", told, Mutations{IgnoreDrain: true, ChangeSettings: func(s *settings.Settings) { s.Router.DrainGrace = 60_000_000 }},
 			func(r *record.Run) int { return r.Verdict.Drained }, "after its drain was told"},
-		{"nothing to a server that does not hold it", small, Sabotage{Leaves: func(_ int, l exchange.Upstream, _ *exchange.Exchange) exchange.Upstream { return &strayer{Upstream: l} }},
+		{"nothing to a server that does not hold it", small, Mutations{WrapUpstream: func(_ int, l exchange.Upstream, _ *exchange.Exchange) exchange.Upstream { return &strayer{Upstream: l} }},
 			func(r *record.Run) int { return r.Verdict.Astray }, "which does not hold it"},
-		{"whole marks are honest", small, Sabotage{Final: func(f *exchange.Final) *exchange.Final { f.Hits = f.Hits[:min(len(f.Hits), 1)]; return f }},
+		{"whole marks are honest", small, Mutations{ReplaceFinal: func(f *exchange.Final) *exchange.Final { f.Hits = f.Hits[:min(len(f.Hits), 1)]; return f }},
 			func(r *record.Run) int { return r.Verdict.Wrong }, "marked whole with"},
-		{"the least share", small, Sabotage{Final: func(f *exchange.Final) *exchange.Final {
+		{"the least share", small, Mutations{ReplaceFinal: func(f *exchange.Final) *exchange.Final {
 			f.Complete, f.Hits = false, f.Hits[:min(len(f.Hits), 1)]
 			return f
 		}}, func(r *record.Run) int { return r.Verdict.Wrong }, "and the least is"},
-		{"values come from servers", small, Sabotage{Value: func(_, v string) string { return v + "!" }},
+		{"values come from servers", small, Mutations{ReplaceValue: func(_, v string) string { return v + "!" }},
 			func(r *record.Run) int { return r.Verdict.Wrong }, "no leaf server made"},
-		{"a refusal promises", failing, Sabotage{Final: func(f *exchange.Final) *exchange.Final {
+		{"a refusal promises", failing, Mutations{ReplaceFinal: func(f *exchange.Final) *exchange.Final {
 			if f.Ending == exchange.Failed {
 				f.Ending = exchange.Refused
 			}
 			return f
 		}}, func(r *record.Run) int { return r.Verdict.Wrong }, "was refused, and a part of it ran"},
-		{"only what was asked for", small, Sabotage{Leaves: func(_ int, l exchange.Upstream, _ *exchange.Exchange) exchange.Upstream { return &renamer{Upstream: l} }},
+		{"only what was asked for", small, Mutations{WrapUpstream: func(_ int, l exchange.Upstream, _ *exchange.Exchange) exchange.Upstream { return &renamer{Upstream: l} }},
 			func(r *record.Run) int { return r.Verdict.Wrong }, "was asked for by no client"},
 	}
 	for _, c := range cases {
 		t.Run(c.rule, func(t *testing.T) {
-			r := play(t, c.text, Options{Sabotage: c.how})
+			r := play(t, c.text, Options{Mutations: c.how})
 			require.Positive(t, c.seen(r), "%+v", r.Summary)
 			require.Contains(t, strings.Join(r.Verdict.Faults, "\n"), c.words)
 			require.NotEmpty(t, r.Unmet())
@@ -180,7 +180,7 @@
 retry-failed = yes
 `
 	digest := func(text string) string {
-		files, err := play(t, text, Options{Keep: true}).Files()
+		files, err := play(t, text, Options{KeepRows: true}).Files()
 		require.NoError(t, err)
 		return record.Digest(files)
 	}
@@ -201,7 +201,7 @@
 		"do = list-silent\nat = 2s\nfor = 5s", "do = release\nat = 2s\nfor = 4s\napart = 2s", "do = busy\nat = 3s\nfor = 3s\nshare = 0.3", "do = slow\nat = 3s\nfor = 4s\nshare = 0.3\nfactor = 20",
 	} {
 		t.Run(strings.Fields(f)[2], func(t *testing.T) {
-			r := play(t, small+"[fault f]\n"+f+"\n", Options{Keep: true})
+			r := play(t, small+"[fault f]\n"+f+"\n", Options{KeepRows: true})
 			require.Empty(t, r.Unmet(), "%s", r.Verdict.Faults)
 			require.NotEmpty(t, r.Events)
 			require.Greater(t, r.Summary.Goodput, 0.8)
@@ -221,13 +221,13 @@
 
 // A run that never ends is stopped and says so; one that is called off ends at once.
 func TestEnds(t *testing.T) {
-	doc, err := scenario.Text("test.ini", []byte(small))
+	doc, err := scenario.Parse("test.ini", []byte(small))
 	require.NoError(t, err)
 	s, err := doc.Scenario(nil)
 	require.NoError(t, err)
 	p, err := s.Plan(1)
 	require.NoError(t, err)
-	_, err = Run(context.Background(), p, Options{Most: 5000})
+	_, err = Run(context.Background(), p, Options{MaxEvents: 5000})
 	require.ErrorIs(t, err, event.ErrEndless)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
