--- a/internal/lab/compare/compare.go
+++ b/internal/lab/compare/compare.go
@@ -26,7 +26,7 @@
 
 // leastPairs is how many pairs a verdict wants: resamples of fewer hold too few
 // different means for an interval to be worth its name.
-const leastPairs = 5
+const minPairs = 5
 
 // Row is one figure of both sides.
 type Row struct {
@@ -49,13 +49,13 @@
 )
 
 // figure is what is compared; up tells whether more is better.
-type figure struct {
-	name string
-	up   bool
-	of   func(record.Summary) float64
+type metric struct {
+	name           string
+	higherIsBetter bool
+	value          func(record.Summary) float64
 }
 
-var figures = []figure{
+var metrics = []metric{
 	{"goodput", true, func(s record.Summary) float64 { return s.Goodput }},
 	{"refused share", false, func(s record.Summary) float64 { return float64(s.Refused) / float64(max(s.Asked, 1)) }},
 	{"failed share", false, func(s record.Summary) float64 { return float64(s.Failed) / float64(max(s.Asked, 1)) }},
@@ -70,25 +70,25 @@
 // Compare pairs the runs of both sides. Where neither side has two variations, they
 // are paired by seed alone.
 func Compare(a, b *sweep.Result) ([]Row, error) {
-	one := len(labels(a)) == 1 && len(labels(b)) == 1
+	unlabelled := len(labels(a)) == 1 && len(labels(b)) == 1
 	type key struct {
 		label string
 		seed  int
 	}
-	of := func(o sweep.RunResult) key {
-		if one {
+	keyOf := func(o sweep.RunResult) key {
+		if unlabelled {
 			return key{"-", o.Seed}
 		}
 		return key{o.Label, o.Seed}
 	}
 	left := make(map[key]record.Summary)
 	for _, o := range a.Runs {
-		left[of(o)] = o.Summary
+		left[keyOf(o)] = o.Summary
 	}
 	pairs := make(map[string][][2]record.Summary)
 	var order []string
 	for _, o := range b.Runs {
-		k := of(o)
+		k := keyOf(o)
 		if s, ok := left[k]; ok {
 			if pairs[k.label] == nil {
 				order = append(order, k.label)
@@ -101,8 +101,8 @@
 	}
 	var out []Row
 	for _, label := range order {
-		for _, f := range figures {
-			out = append(out, row(label, f, pairs[label]))
+		for _, f := range metrics {
+			out = append(out, compareMetric(label, f, pairs[label]))
 		}
 	}
 	return out, nil
@@ -118,11 +118,11 @@
 	return out
 }
 
-func row(label string, f figure, pairs [][2]record.Summary) Row {
+func compareMetric(label string, f metric, pairs [][2]record.Summary) Row {
 	r := Row{Variation: label, Figure: f.name, Pairs: len(pairs)}
 	var a, b, diff []float64
 	for _, p := range pairs {
-		x, y := f.of(p[0]), f.of(p[1])
+		x, y := f.value(p[0]), f.value(p[1])
 		a, b, diff = append(a, x), append(b, y), append(diff, y-x)
 	}
 	r.A, r.B, r.Diff = stat.Mean(a, nil), stat.Mean(b, nil), stat.Mean(diff, nil)
@@ -130,13 +130,13 @@
 	switch {
 	case same:
 		r.Verdict, r.Known = Same, true
-	case len(pairs) < leastPairs:
+	case len(pairs) < minPairs:
 		r.Verdict = Inconclusive
 	default:
 		r.Known = true
 		r.Low, r.High = Bootstrap(diff, Resamples, ConfidenceLevel)
 		switch {
-		case r.Low > 0 == f.up && (r.Low > 0 || r.High < 0):
+		case r.Low > 0 == f.higherIsBetter && (r.Low > 0 || r.High < 0):
 			r.Verdict = Better
 		case r.Low > 0 || r.High < 0:
 			r.Verdict = Worse
--- a/internal/lab/compare/compare_test.go
+++ b/internal/lab/compare/compare_test.go
@@ -56,7 +56,7 @@
 
 // The interval of a mean holds the true mean about as often as it says.
 func TestCoverage(t *testing.T) {
-	held := 0
+	covered := 0
 	for i := range 200 {
 		var sample []float64
 		for k := range 20 {
@@ -66,8 +66,8 @@
 		}
 		low, high := Bootstrap(sample, 500, 0.95)
 		if low <= 0.4995 && 0.4995 <= high {
-			held++
+			covered++
 		}
 	}
-	require.Greater(t, held, 160, fmt.Sprint(held))
+	require.Greater(t, covered, 160, fmt.Sprint(covered))
 }
--- a/internal/lab/hunt/hunt.go
+++ b/internal/lab/hunt/hunt.go
@@ -53,7 +53,7 @@
 }
 
 // judge plays a scenario under both policies.
-func judge(ctx context.Context, doc *scenario.Doc, values []scenario.Value, seed int) (*Result, error) {
+func evaluate(ctx context.Context, doc *scenario.Doc, values []scenario.Value, seed int) (*Result, error) {
 	s, err := doc.Scenario(values)
 	if err != nil {
 		return nil, err
@@ -79,7 +79,7 @@
 }
 
 // knobs are the keys that a hunt turns, with what each is multiplied by.
-func knobs(doc *scenario.Doc, s *scenario.Scenario) []string {
+func searchKeys(doc *scenario.Doc, s *scenario.Scenario) []string {
 	out := []string{"rate", "fleet.speed-spread", "network.jitter", "list.lag", "clients.retries"}
 	for _, c := range s.Classes {
 		out = append(out, "class."+c.Name+".rate", "class."+c.Name+".parts", "class."+c.Name+".zipf")
@@ -97,20 +97,20 @@
 }
 
 // turn changes one knob of a scenario by up to a factor of two.
-func turn(r *rand.Rand, doc *scenario.Doc, values []scenario.Value) ([]scenario.Value, bool) {
+func mutate(r *rand.Rand, doc *scenario.Doc, values []scenario.Value) ([]scenario.Value, bool) {
 	s, err := doc.Scenario(values)
 	if err != nil {
 		return nil, false
 	}
-	keys := knobs(doc, s)
+	keys := searchKeys(doc, s)
 	key := keys[r.IntN(len(keys))]
-	now := current(s, key)
-	if now == "" {
+	value := current(s, key)
+	if value == "" {
 		return nil, false
 	}
 	factor := []float64{0.5, 0.7, 0.85, 1.2, 1.5, 2}[r.IntN(6)]
-	next := scaled(now, factor)
-	if next == now {
+	next := scaled(value, factor)
+	if next == value {
 		return nil, false
 	}
 	out := slices.DeleteFunc(slices.Clone(values), func(v scenario.Value) bool { return v.Key == key })
@@ -187,7 +187,7 @@
 	if err != nil {
 		return nil, err
 	}
-	best, err := judge(ctx, doc, values, first.Seed)
+	best, err := evaluate(ctx, doc, values, first.Seed)
 	if err != nil {
 		return nil, err
 	}
@@ -195,32 +195,32 @@
 	opt.Logf("begin        loss %.4f (mixer %.4f, a policy that sees all %.4f), %d broken", best.Loss, best.ProxyGoodput, best.OracleGoodput, best.Broken)
 	r := rand.New(rand.NewPCG(opt.Seed, 3))
 	for round := range opt.Rounds {
-		var tries []*Result
+		var candidates []*Result
 		for range opt.Candidates {
 			v, seed := best.Values, best.Seed
 			for range 1 + r.IntN(3) {
-				if next, ok := turn(r, doc, v); ok {
+				if next, ok := mutate(r, doc, v); ok {
 					v = next
 				}
 			}
 			if r.IntN(3) == 0 {
 				seed = first.Seed + r.IntN(1000)
 			}
-			tries = append(tries, &Result{Values: v, Seed: seed})
+			candidates = append(candidates, &Result{Values: v, Seed: seed})
 		}
-		if err := all(ctx, opt.Workers, len(tries), func(i int) error {
-			f, err := judge(ctx, doc, tries[i].Values, tries[i].Seed)
+		if err := runJobs(ctx, opt.Workers, len(candidates), func(i int) error {
+			f, err := evaluate(ctx, doc, candidates[i].Values, candidates[i].Seed)
 			if ctx.Err() != nil {
 				return ctx.Err()
 			}
 			if err == nil { // one whose values are out of their range is passed over
-				tries[i] = f
+				candidates[i] = f
 			}
 			return nil
 		}); err != nil {
 			return nil, err
 		}
-		for _, f := range tries {
+		for _, f := range candidates {
 			if f.Doc == nil {
 				continue
 			}
@@ -244,11 +244,11 @@
 }
 
 // mostShrinks bounds the runs that shrinking may take, about.
-const mostShrinks = 400
+const maxShrinkRuns = 400
 
 // keeps tells whether a smaller scenario still shows what the larger one did: the
 // broken rule, or three quarters of the loss.
-func keeps(small, large *Result) bool {
+func stillShows(small, large *Result) bool {
 	if large.Broken > 0 {
 		return small.Broken > 0
 	}
@@ -265,7 +265,7 @@
 	best := *f
 	best.Doc, best.Values = doc, nil
 	played := 0
-	try := func(d *scenario.Doc, v []scenario.Value) (bool, error) {
+	attempt := func(d *scenario.Doc, v []scenario.Value) (bool, error) {
 		if len(v) > 0 {
 			fixed, err := d.Fixed(v)
 			if err != nil {
@@ -273,42 +273,42 @@
 			}
 			d = fixed
 		}
-		g, err := judge(ctx, d, nil, best.Seed)
+		g, err := evaluate(ctx, d, nil, best.Seed)
 		if ctx.Err() != nil {
 			return false, ctx.Err()
 		}
 		if err != nil {
 			return false, nil // not a scenario any more
 		}
-		if played += 2; !keeps(g, f) {
+		if played += 2; !stillShows(g, f) {
 			return false, nil
 		}
 		g.Shrunk = best.Shrunk + 1
 		best = *g
 		return true, nil
 	}
-	for again := true; again; {
-		again = false
-		if played >= mostShrinks {
+	for progressed := true; progressed; {
+		progressed = false
+		if played >= maxShrinkRuns {
 			break
 		}
 		for _, section := range best.Doc.Sections() {
 			if section == "scenario" {
 				continue
 			}
-			ok, err := try(best.Doc.Without(section), nil)
+			ok, err := attempt(best.Doc.Without(section), nil)
 			if err != nil {
 				return nil, played, err
 			}
 			if ok {
-				again = true
+				progressed = true
 				continue
 			}
 			for _, key := range best.Doc.Keys(section) {
-				if ok, err := try(best.Doc.WithoutKey(section, key), nil); err != nil {
+				if ok, err := attempt(best.Doc.WithoutKey(section, key), nil); err != nil {
 					return nil, played, err
 				} else if ok {
-					again = true
+					progressed = true
 				}
 			}
 		}
@@ -317,21 +317,21 @@
 			return nil, played, err
 		}
 		// Each of these ends: it halves something that has a least.
-		var halves [][]scenario.Value
+		var reductions [][]scenario.Value
 		if s.Length >= 4*time.Second {
-			halves = append(halves, []scenario.Value{{Key: "length", Value: (s.Length / 2).String()}})
+			reductions = append(reductions, []scenario.Value{{Key: "length", Value: (s.Length / 2).String()}})
 		}
 		if n := s.Groups[0].Cells; n > 1 {
-			halves = append(halves, []scenario.Value{{Key: "fleet.cells", Value: fmt.Sprint(n / 2)}, {Key: "rate", Value: fmt.Sprintf("%.4g", s.Rate/2)}})
+			reductions = append(reductions, []scenario.Value{{Key: "fleet.cells", Value: fmt.Sprint(n / 2)}, {Key: "rate", Value: fmt.Sprintf("%.4g", s.Rate/2)}})
 		}
 		if n := s.Proxies.Count; n > 1 {
-			halves = append(halves, []scenario.Value{{Key: "mixers.count", Value: fmt.Sprint(n / 2)}})
+			reductions = append(reductions, []scenario.Value{{Key: "mixers.count", Value: fmt.Sprint(n / 2)}})
 		}
-		for _, v := range halves {
-			if ok, err := try(best.Doc, v); err != nil {
+		for _, v := range reductions {
+			if ok, err := attempt(best.Doc, v); err != nil {
 				return nil, played, err
 			} else if ok {
-				again = true
+				progressed = true
 			}
 		}
 		if opt.Progress != nil {
@@ -342,7 +342,7 @@
 }
 
 // all runs n jobs on so many workers.
-func all(ctx context.Context, workers, n int, job func(int) error) error {
+func runJobs(ctx context.Context, workers, n int, job func(int) error) error {
 	if workers <= 0 {
 		workers = runtime.NumCPU()
 	}
@@ -411,7 +411,7 @@
 	}
 	var mu sync.Mutex
 	done := 0
-	err := all(ctx, workers, len(jobs), func(k int) error {
+	err := runJobs(ctx, workers, len(jobs), func(k int) error {
 		j := jobs[k]
 		plan, err := docs[j.file].Plan(uint64(j.seed))
 		if err != nil {
--- a/internal/lab/hunt/hunt_test.go
+++ b/internal/lab/hunt/hunt_test.go
@@ -42,7 +42,7 @@
 func TestHunt(t *testing.T) {
 	doc, err := scenario.Parse("h.ini", []byte(text))
 	require.NoError(t, err)
-	begin, err := judge(context.Background(), doc, nil, 1)
+	begin, err := evaluate(context.Background(), doc, nil, 1)
 	require.NoError(t, err)
 	opt := Options{Rounds: 2, Candidates: 4, Seed: 1, Logf: func(string, ...any) {}}
 	f, err := Hunt(context.Background(), doc, opt)
@@ -52,7 +52,7 @@
 	require.NotContains(t, f.Text, "nothing")
 	again, err := scenario.Parse("found.ini", []byte(f.Text))
 	require.NoError(t, err)
-	g, err := judge(context.Background(), again, nil, f.Seed)
+	g, err := evaluate(context.Background(), again, nil, f.Seed)
 	require.NoError(t, err)
 	require.Equal(t, f.Loss, g.Loss)
 	same, err := Hunt(context.Background(), doc, opt)
--- a/internal/lab/model/client.go
+++ b/internal/lab/model/client.go
@@ -40,13 +40,13 @@
 	Quota  float64 // queries a second within its share; 0: all are
 	Bursts []Burst // of its own
 
-	left  float64
-	at    time.Duration
-	known bool
+	tokens   float64
+	filledAt time.Duration
+	filled   bool
 }
 
 // now is its part of the load at a time.
-func (t *Tenant) now(at time.Duration) float64 {
+func (t *Tenant) usageAt(at time.Duration) float64 {
 	u := t.Usage
 	for _, b := range t.Bursts {
 		if at >= b.At && at < b.At+b.For {
@@ -57,22 +57,22 @@
 }
 
 // saved is how many seconds of its quota a tenant may have saved up.
-const saved = 1.0
+const maxSavedSeconds = 1.0
 
 // within takes a query off what a tenant has left of its share, if that is enough.
-func (t *Tenant) within(at time.Duration) bool {
+func (t *Tenant) takeFromQuota(at time.Duration) bool {
 	if t.Quota <= 0 {
 		return true
 	}
-	most := max(1, t.Quota*saved)
-	if !t.known { // nothing is used up yet
-		t.left, t.known = most, true
+	limit := max(1, t.Quota*maxSavedSeconds)
+	if !t.filled { // nothing is used up yet
+		t.tokens, t.filled = limit, true
 	}
-	t.left = min(t.left+(at-t.at).Seconds()*t.Quota, most)
-	if t.at = at; t.left < 1 {
+	t.tokens = min(t.tokens+(at-t.filledAt).Seconds()*t.Quota, limit)
+	if t.filledAt = at; t.tokens < 1 {
 		return false
 	}
-	t.left--
+	t.tokens--
 	return true
 }
 
@@ -115,7 +115,7 @@
 	Finished bool
 
 	leaveAt time.Duration
-	pause   time.Duration
+	backoff time.Duration
 }
 
 // Try is one query to a mixer.
@@ -128,8 +128,8 @@
 	At      time.Duration
 	Timeout time.Duration
 
-	over  bool
-	leave Timer
+	finished   bool
+	leaveTimer Timer
 }
 
 // Kind is how a try ended.
@@ -174,44 +174,44 @@
 
 	InFlight int // asks not over
 
-	r *rand.Rand
-	n []int
+	rng    *rand.Rand
+	counts []int
 }
 
 // Begin starts the load.
 func (c *Clients) Begin() {
-	c.r = Rand(c.Seed, "clients")
-	c.n = make([]int, len(c.Classes))
+	c.rng = Rand(c.Seed, "clients")
+	c.counts = make([]int, len(c.Classes))
 	for i, class := range c.Classes {
 		class.Index = i
 		class.Arrivals.Begin(c.Seed, class.Name)
-		c.arm(class)
+		c.scheduleNext(class)
 	}
 }
 
-func (c *Clients) arm(class *Class) {
+func (c *Clients) scheduleNext(class *Class) {
 	at, ok := class.Arrivals.Next(c.Length)
 	if !ok {
 		return
 	}
 	c.Sched.After(at-c.Sched.Now(), func() {
-		c.ask(class, at)
-		c.arm(class)
+		c.newRequest(class, at)
+		c.scheduleNext(class)
 	})
 }
 
 // ask makes an ask. What it is hangs on the seed and its own number within its
 // class, not on what came before it.
-func (c *Clients) ask(class *Class, due time.Duration) {
-	c.n[class.Index]++
-	a := &Request{ID: strconv.Itoa(class.Index) + "q" + strconv.FormatInt(int64(c.n[class.Index]), 36), Class: class, Due: due}
+func (c *Clients) newRequest(class *Class, due time.Duration) {
+	c.counts[class.Index]++
+	a := &Request{ID: strconv.Itoa(class.Index) + "q" + strconv.FormatInt(int64(c.counts[class.Index]), 36), Class: class, Due: due}
 	r := Rand(c.Seed, "ask", class.Name, a.ID)
 	a.FollowsAdvice = r.Float64() < c.Retry.AdviceShare
 	a.Value = class.Value
 	if len(c.Tenants) > 0 {
-		c.tenant(a, r)
+		c.assignTenant(a, r)
 	}
-	shards := c.shards(a, r)
+	shards := c.selectShards(a, r)
 	sum := 0.0
 	for _, s := range shards {
 		w := 1.0
@@ -228,21 +228,21 @@
 	if class.LeaveAfter != nil && r.Float64() < class.LeaveShare {
 		a.leaveAt = min(a.leaveAt, due+class.LeaveAfter.Draw(r))
 	}
-	a.pause = c.Retry.Backoff
+	a.backoff = c.Retry.Backoff
 	c.InFlight++
-	c.try(a, r.Uint64())
+	c.attempt(a, r.Uint64())
 }
 
 // tenant draws who asks.
-func (c *Clients) tenant(a *Request, r *rand.Rand) {
-	all := 0.0
+func (c *Clients) assignTenant(a *Request, r *rand.Rand) {
+	total := 0.0
 	for _, t := range c.Tenants {
-		all += t.now(a.Due)
+		total += t.usageAt(a.Due)
 	}
-	luck := r.Float64() * all
+	draw := r.Float64() * total
 	for i, t := range c.Tenants {
-		if luck -= t.now(a.Due); luck < 0 || i == len(c.Tenants)-1 {
-			if a.Tenant = t.Name; !t.within(a.Due) {
+		if draw -= t.usageAt(a.Due); draw < 0 || i == len(c.Tenants)-1 {
+			if a.Tenant = t.Name; !t.takeFromQuota(a.Due) {
 				a.OverQuota = true
 				a.Value *= c.OverQuotaValue
 			}
@@ -252,7 +252,7 @@
 }
 
 // shards draws what an ask needs. What has the same key in one class needs the same.
-func (c *Clients) shards(a *Request, r *rand.Rand) []int {
+func (c *Clients) selectShards(a *Request, r *rand.Rand) []int {
 	class := a.Class
 	if class.Keys != nil {
 		k := strconv.Itoa(class.Keys.Draw(r, 1)[0])
@@ -274,24 +274,24 @@
 	return out
 }
 
-func (c *Clients) try(a *Request, luck uint64) {
+func (c *Clients) attempt(a *Request, hash uint64) {
 	now := c.Sched.Now()
-	left := a.Due + a.Class.Timeout - now
-	if a.leaveAt <= now || left <= 0 {
-		c.over(a)
+	timeLeft := a.Due + a.Class.Timeout - now
+	if a.leaveAt <= now || timeLeft <= 0 {
+		c.finish(a)
 		return
 	}
-	t := &Attempt{Request: a, N: a.Attempts, ID: a.ID + "-" + strconv.Itoa(a.Attempts), At: now, Timeout: left, Proxy: c.SelectProxy(luck)}
+	t := &Attempt{Request: a, N: a.Attempts, ID: a.ID + "-" + strconv.Itoa(a.Attempts), At: now, Timeout: timeLeft, Proxy: c.SelectProxy(hash)}
 	t.IsRetry = c.Retry.MarkRetries && t.N > 0
 	a.Attempts++
 	if t.Proxy < 0 {
-		c.note(t, Reply{Kind: Lost})
-		c.again(t, Reply{Kind: Refused})
+		c.recordBest(t, Reply{Kind: Lost})
+		c.retryOrFinish(t, Reply{Kind: Refused})
 		return
 	}
 	if a.leaveAt < a.Due+a.Class.Timeout {
-		t.leave = c.Sched.After(a.leaveAt-now, func() {
-			if !t.over {
+		t.leaveTimer = c.Sched.After(a.leaveAt-now, func() {
+			if !t.finished {
 				c.Disconnect(t)
 			}
 		})
@@ -301,24 +301,24 @@
 
 // Reply ends a try; only the first call for it counts.
 func (c *Clients) Reply(t *Attempt, r Reply) {
-	if t.over {
+	if t.finished {
 		return
 	}
-	t.over = true
-	if t.leave != nil {
-		t.leave.Stop()
+	t.finished = true
+	if t.leaveTimer != nil {
+		t.leaveTimer.Stop()
 	}
-	c.note(t, r)
+	c.recordBest(t, r)
 	switch {
 	case r.Kind == Refused, r.Kind == Failed && c.Retry.AfterFailure && !t.Request.Class.Unsafe:
-		c.again(t, r)
+		c.retryOrFinish(t, r)
 	default:
-		c.over(t.Request)
+		c.finish(t.Request)
 	}
 }
 
 // note keeps what earns most.
-func (c *Clients) note(t *Attempt, r Reply) {
+func (c *Clients) recordBest(t *Attempt, r Reply) {
 	a := t.Request
 	a.Ended = c.Sched.Now()
 	earned := a.Class.ValueShare(r, a.Ended-a.Due)
@@ -345,26 +345,26 @@
 	return w
 }
 
-func (c *Clients) again(t *Attempt, r Reply) {
+func (c *Clients) retryOrFinish(t *Attempt, r Reply) {
 	a := t.Request
-	luck := Mix(c.Seed, "again", t.ID)
-	pause := a.pause
+	hash := Mix(c.Seed, "again", t.ID)
+	backoff := a.backoff
 	if a.FollowsAdvice && r.RetryAfter > 0 {
-		pause = r.RetryAfter
+		backoff = r.RetryAfter
 	}
-	pause += time.Duration(float64(pause) * c.Retry.Jitter * unit(luck))
+	backoff += time.Duration(float64(backoff) * c.Retry.Jitter * unit(hash))
 	if c.Retry.BackoffFactor > 0 {
-		a.pause = time.Duration(float64(a.pause) * c.Retry.BackoffFactor)
+		a.backoff = time.Duration(float64(a.backoff) * c.Retry.BackoffFactor)
 	}
-	left := a.Due + a.Class.Timeout - c.Sched.Now() - pause
-	if t.N >= c.Retry.MaxRetries || left < c.Retry.MinTimeLeft || left <= 0 {
-		c.over(a)
+	timeLeft := a.Due + a.Class.Timeout - c.Sched.Now() - backoff
+	if t.N >= c.Retry.MaxRetries || timeLeft < c.Retry.MinTimeLeft || timeLeft <= 0 {
+		c.finish(a)
 		return
 	}
-	c.Sched.After(pause, func() { c.try(a, Mix(luck, "mixer")) })
+	c.Sched.After(backoff, func() { c.attempt(a, Mix(hash, "mixer")) })
 }
 
-func (c *Clients) over(a *Request) {
+func (c *Clients) finish(a *Request) {
 	if !a.Finished {
 		a.Finished = true
 		c.InFlight--
--- a/internal/lab/model/dist.go
+++ b/internal/lab/model/dist.go
@@ -20,13 +20,13 @@
 const MaxDuration = 10 * time.Minute
 
 // mostValues bounds an empirical distribution.
-const mostValues = 1 << 20
+const maxValues = 1 << 20
 
 // Dist is a distribution of spans.
 type Dist struct {
 	text string
 	mean float64 // in seconds
-	most float64
+	max  float64
 	draw func(src rand.Source) float64 // in seconds
 }
 
@@ -42,13 +42,13 @@
 // Each may end with "most SPAN": what is above is drawn as that.
 func ParseDist(text, dir string) (*Dist, error) {
 	f := strings.Fields(text)
-	most := MaxDuration
+	maxValue := MaxDuration
 	if n := len(f); n > 2 && f[n-2] == "most" {
 		d, err := time.ParseDuration(f[n-1])
 		if err != nil || d <= 0 || d > MaxDuration {
 			return nil, fmt.Errorf("most %q is not a span within 1ns to %v", f[n-1], MaxDuration)
 		}
-		most, f = d, f[:n-2]
+		maxValue, f = d, f[:n-2]
 	}
 	if len(f) == 0 {
 		return nil, fmt.Errorf("no distribution; there are: fixed, exp, lognormal, gamma, pareto, empirical")
@@ -63,13 +63,13 @@
 		}
 		return d.Seconds(), nil
 	}
-	number := func(i int, least, mostOf float64) (float64, error) {
+	number := func(i int, low, high float64) (float64, error) {
 		if i >= len(f) {
 			return 0, fmt.Errorf("%s wants a number behind the span", f[0])
 		}
 		v, err := strconv.ParseFloat(f[i], 64)
-		if err != nil || !(v >= least && v <= mostOf) {
-			return 0, fmt.Errorf("%q is not a number within %v to %v", f[i], least, mostOf)
+		if err != nil || !(v >= low && v <= high) {
+			return 0, fmt.Errorf("%q is not a number within %v to %v", f[i], low, high)
 		}
 		return v, nil
 	}
@@ -80,12 +80,12 @@
 	if len(f) > want {
 		return nil, fmt.Errorf("%q is too much behind %s", f[want], f[0])
 	}
-	d := &Dist{text: text, most: most.Seconds()}
+	d := &Dist{text: text, max: maxValue.Seconds()}
 	if f[0] == "empirical" {
 		if len(f) < 2 {
 			return nil, fmt.Errorf("empirical wants a file")
 		}
-		return d, d.empirical(f[1], dir)
+		return d, d.loadEmpirical(f[1], dir)
 	}
 	a, err := span(1)
 	if err != nil {
@@ -121,7 +121,7 @@
 	return d, nil
 }
 
-func (d *Dist) empirical(file, dir string) error {
+func (d *Dist) loadEmpirical(file, dir string) error {
 	if !strings.HasPrefix(file, "/") && dir != "" {
 		file = dir + "/" + file
 	}
@@ -141,8 +141,8 @@
 		if err != nil || v < 0 || v > MaxDuration {
 			return fmt.Errorf("%s:%d: %.40q is not a span within 0 to %v", file, n, line, MaxDuration)
 		}
-		if values = append(values, v.Seconds()); len(values) > mostValues {
-			return fmt.Errorf("%s:%d: more than %d values", file, n, mostValues)
+		if values = append(values, v.Seconds()); len(values) > maxValues {
+			return fmt.Errorf("%s:%d: more than %d values", file, n, maxValues)
 		}
 		d.mean += v.Seconds()
 	}
@@ -172,7 +172,7 @@
 
 // Draw draws a span.
 func (d *Dist) Draw(src rand.Source) time.Duration {
-	return time.Duration(min(max(d.draw(src), 0), d.most) * float64(time.Second))
+	return time.Duration(min(max(d.draw(src), 0), d.max) * float64(time.Second))
 }
 
 // Work is what the parts of a class cost a server of speed 1.
@@ -202,38 +202,38 @@
 // (Zipf 1949; Breslau et al. 1999 for requests); skew 0 is even. Which one has
 // which rank is drawn from the seed.
 type Zipf struct {
-	upTo  []float64 // the chance of all ranks up to this one
-	order []int
+	cumulative []float64 // the chance of all ranks up to this one
+	byRank     []int
 }
 
 // NewZipf returns a Zipf over n.
 func NewZipf(n int, skew float64, seed uint64) *Zipf {
-	z := &Zipf{upTo: make([]float64, n), order: Rand(seed, "zipf").Perm(n)}
+	z := &Zipf{cumulative: make([]float64, n), byRank: Rand(seed, "zipf").Perm(n)}
 	sum := 0.0
 	for k := range n {
 		sum += math.Pow(float64(k+1), -skew)
-		z.upTo[k] = sum
+		z.cumulative[k] = sum
 	}
 	for k := range n {
-		z.upTo[k] /= sum
+		z.cumulative[k] /= sum
 	}
 	return z
 }
 
 // Draw draws so many different ones, at most all.
 func (z *Zipf) Draw(r *rand.Rand, count int) []int {
-	n := len(z.upTo)
+	n := len(z.cumulative)
 	count = min(count, n)
 	out := make([]int, 0, count)
 	seen := make(map[int]bool, count)
 	for tries := 0; len(out) < count; tries++ {
-		k := min(sort.SearchFloat64s(z.upTo, r.Float64()), n-1)
+		k := min(sort.SearchFloat64s(z.cumulative, r.Float64()), n-1)
 		if tries > 20*count { // the rest are rare: the next one not yet drawn
-			for seen[z.order[k]] {
+			for seen[z.byRank[k]] {
 				k = (k + 1) % n
 			}
 		}
-		if s := z.order[k]; !seen[s] {
+		if s := z.byRank[k]; !seen[s] {
 			seen[s] = true
 			out = append(out, s)
 		}
--- a/internal/lab/model/fault.go
+++ b/internal/lab/model/fault.go
@@ -105,20 +105,20 @@
 }
 
 // mostChanges bounds a script.
-const mostChanges = 1 << 20
+const maxChanges = 1 << 20
 
 // Script draws the faults out over a run of that length.
 func Script(faults []*Fault, seed uint64, length time.Duration) ([]Change, error) {
 	var out []Change
 	for _, f := range faults {
 		r := Rand(seed, "fault", f.Name)
-		times := 0
+		occurrence := 0
 		for at := f.At; at < length; at += f.Every {
-			if times++; f.Times > 0 && times > f.Times {
+			if occurrence++; f.Times > 0 && occurrence > f.Times {
 				break
 			}
-			if times > mostChanges {
-				return nil, fmt.Errorf("fault %s: the script has more than %d changes", f.Name, mostChanges)
+			if occurrence > maxChanges {
+				return nil, fmt.Errorf("fault %s: the script has more than %d changes", f.Name, maxChanges)
 			}
 			hits := r.Float64() < f.Chance
 			targets := []int{-1}
@@ -131,19 +131,19 @@
 				slices.Sort(targets)
 			}
 			for i, target := range targets {
-				begin := at + time.Duration(i)*f.Stagger
-				if !hits || begin >= length {
+				start := at + time.Duration(i)*f.Stagger
+				if !hits || start >= length {
 					continue
 				}
-				steps, later := f.steps()
+				steps, offsets := f.steps()
 				for k, s := range steps {
-					out = append(out, Change{At: begin + later[k], On: true, Target: target, Fault: s})
+					out = append(out, Change{At: start + offsets[k], On: true, Target: target, Fault: s})
 					if f.For > 0 {
-						out = append(out, Change{At: begin + max(f.For, later[k]), Target: target, Fault: s})
+						out = append(out, Change{At: start + max(f.For, offsets[k]), Target: target, Fault: s})
 					}
 				}
-				if len(out) > mostChanges {
-					return nil, fmt.Errorf("fault %s: the script has more than %d changes", f.Name, mostChanges)
+				if len(out) > maxChanges {
+					return nil, fmt.Errorf("fault %s: the script has more than %d changes", f.Name, maxChanges)
 				}
 			}
 			if f.Every <= 0 {
@@ -185,9 +185,9 @@
 			e.Slow = 1
 		}
 	case Hang:
-		e.Hang = hit(e.Hang, c)
+		e.Hang = addShare(e.Hang, c)
 	case Fail:
-		e.Fail = hit(e.Fail, c)
+		e.Fail = addShare(e.Fail, c)
 	default:
 		return false
 	}
@@ -197,7 +197,7 @@
 
 // hit adds a fault's share to what holds for its class, or takes it back. Shares of
 // faults that overlap add up.
-func hit(m map[string]float64, c Change) map[string]float64 {
+func addShare(m map[string]float64, c Change) map[string]float64 {
 	if m == nil {
 		m = make(map[string]float64)
 	}
--- a/internal/lab/model/list.go
+++ b/internal/lab/model/list.go
@@ -38,43 +38,43 @@
 	BufferSilent  bool           // lists are pushed: nothing is told while it is mute, whatever stands in for it
 	Exponential   func() float64 // exponential, mean 1
 
-	now   []Entry // as it would be told
-	lies  map[int]int
-	moved map[int]int
-	drain map[int]int
-	gone  map[int]bool
-	extra time.Duration
-	mute  int
-	held  []Entry // while it is mute
-	last  time.Duration
+	entries     []Entry // as it would be told
+	omitted     map[int]int
+	wrongCell   map[int]int
+	draining    map[int]int
+	ended       map[int]bool
+	extraLag    time.Duration
+	silent      int
+	buffered    []Entry // while it is mute
+	lastPublish time.Duration
 }
 
 // Begin starts a list of so many servers, all serving for long.
 func (l *List) Begin(servers int) {
-	l.lies, l.drain, l.gone, l.moved = make(map[int]int), make(map[int]int), make(map[int]bool), make(map[int]int)
+	l.omitted, l.draining, l.ended, l.wrongCell = make(map[int]int), make(map[int]int), make(map[int]bool), make(map[int]int)
 	for i := range servers {
-		l.now = append(l.now, Entry{Server: i, Since: -1})
+		l.entries = append(l.entries, Entry{Server: i, Since: -1})
 	}
 }
 
 // Whole is the list as it is now.
-func (l *List) Entries() []Entry { return l.now }
+func (l *List) Entries() []Entry { return l.entries }
 
 // Down notes that a process has ended; Up that it runs.
 func (l *List) Down(server int) {
 	l.Sched.After(l.DetectDelay, func() {
-		if l.gone[server] {
-			l.put(server)
+		if l.ended[server] {
+			l.updateEntry(server)
 		}
 	})
-	l.gone[server] = true
+	l.ended[server] = true
 }
 
 // Up notes that a process runs since now.
 func (l *List) Up(server int) {
-	delete(l.gone, server)
-	l.now[server].Since = l.Sched.Now()
-	l.put(server)
+	delete(l.ended, server)
+	l.entries[server].Since = l.Sched.Now()
+	l.updateEntry(server)
 }
 
 // Strike has a change take hold of the list, or let it go.
@@ -88,70 +88,70 @@
 	}
 	switch c.Do {
 	case Drain:
-		l.drain[c.Target] += step
-		l.put(c.Target)
+		l.draining[c.Target] += step
+		l.updateEntry(c.Target)
 	case ListOmit:
-		l.lies[c.Target] += step
-		l.put(c.Target)
+		l.omitted[c.Target] += step
+		l.updateEntry(c.Target)
 	case ListWrongCell:
-		l.moved[c.Target] += step
-		l.put(c.Target)
+		l.wrongCell[c.Target] += step
+		l.updateEntry(c.Target)
 	case ListDown, ListEmpty, ListReset, DNSTruncate, DNSJunk:
 		if l.OnFault != nil {
 			l.OnFault(c)
 		}
 	case ListLate:
-		l.extra += time.Duration(step) * c.Delay
+		l.extraLag += time.Duration(step) * c.Delay
 	case ListSilent:
 		if l.OnFault != nil {
 			if l.OnFault(c); !l.BufferSilent {
 				return
 			}
 		}
-		if l.mute += step; l.mute == 0 {
-			held := l.held
-			l.held = nil
-			l.tell(held)
+		if l.silent += step; l.silent == 0 {
+			buffered := l.buffered
+			l.buffered = nil
+			l.publishLater(buffered)
 		}
 	}
 }
 
 // put tells what holds of a server, if that is new.
-func (l *List) put(server int) {
-	e := Entry{Server: server, Since: l.now[server].Since}
+func (l *List) updateEntry(server int) {
+	e := Entry{Server: server, Since: l.entries[server].Since}
 	switch {
-	case l.gone[server] && l.KeepsEnded && l.lies[server] == 0:
+	case l.ended[server] && l.KeepsEnded && l.omitted[server] == 0:
 		e.Status = Unhealthy
-	case l.lies[server] > 0 || l.gone[server]:
+	case l.omitted[server] > 0 || l.ended[server]:
 		e.Status = Deleted
-	case l.drain[server] > 0:
+	case l.draining[server] > 0:
 		e.Status = Draining
 	}
-	if l.moved[server] > 0 {
+	if l.wrongCell[server] > 0 {
 		e.CellShift = 1
 	}
-	l.now[server] = e
-	if l.mute > 0 {
-		l.held = append(l.held, e)
+	l.entries[server] = e
+	if l.silent > 0 {
+		l.buffered = append(l.buffered, e)
 		return
 	}
-	l.tell([]Entry{e})
+	l.publishLater([]Entry{e})
 }
 
-func (l *List) tell(news []Entry) {
-	if len(news) == 0 {
+func (l *List) publishLater(changes []Entry) {
+	if len(changes) == 0 {
 		return
 	}
-	at := l.Sched.Now() + l.Lag + l.extra
+	at := l.Sched.Now() + l.Lag + l.extraLag
 	if l.Jitter > 0 {
 		at += time.Duration(l.Exponential() * float64(l.Jitter))
 	}
-	l.last = max(l.last, at) // news never overtakes what came before it
-	l.Sched.After(l.last-l.Sched.Now(), func() {
-		if l.BufferSilent && l.mute > 0 { // it was on its way as the list fell silent
-			l.held = append(l.held, news...)
+	l.lastPublish = max(l.lastPublish, at) // news never overtakes what came before it
+	l.Sched.After(l.lastPublish-l.Sched.Now(), func() {
+		if l.BufferSilent && l.silent > 0 { // it was on its way as the list fell silent
+			l.buffered = append(l.buffered, changes...)
 			return
 		}
-		l.Publish(news)
+		l.Publish(changes)
 	})
 }
--- a/internal/lab/model/load.go
+++ b/internal/lab/model/load.go
@@ -88,18 +88,18 @@
 	Bursts []Burst
 	Trace  []time.Duration // instead, where there are any
 
-	r    *rand.Rand
-	at   time.Duration
-	most float64
-	next int
+	r       *rand.Rand
+	at      time.Duration
+	maxRate float64
+	next    int
 }
 
 // Begin readies the arrivals of a class.
 func (a *Arrivals) Begin(seed uint64, class string) {
 	a.r, a.at, a.next = Rand(seed, "arrivals", class), 0, 0
-	a.most = a.Rate * a.Curve.Max()
+	a.maxRate = a.Rate * a.Curve.Max()
 	for _, b := range a.Bursts {
-		a.most *= max(b.Factor, 1)
+		a.maxRate *= max(b.Factor, 1)
 	}
 }
 
@@ -124,12 +124,12 @@
 		a.next++
 		return a.Trace[a.next-1], true
 	}
-	if a.most <= 0 {
+	if a.maxRate <= 0 {
 		return 0, false
 	}
 	for a.at < end {
-		a.at += time.Duration(a.r.ExpFloat64() / a.most * float64(time.Second))
-		if a.at < end && a.r.Float64()*a.most < a.RateAt(a.at) {
+		a.at += time.Duration(a.r.ExpFloat64() / a.maxRate * float64(time.Second))
+		if a.at < end && a.r.Float64()*a.maxRate < a.RateAt(a.at) {
 			return a.at, true
 		}
 	}
@@ -137,7 +137,7 @@
 }
 
 // mostTrace bounds a trace.
-const mostTrace = 4 << 20
+const maxTraceQueries = 4 << 20
 
 // ReadTrace reads a recorded trace: a line for each query with the seconds since
 // the begin in front; what stands behind a comma is passed over.
@@ -162,8 +162,8 @@
 		if len(out) > 0 && at < out[len(out)-1] {
 			return nil, fmt.Errorf("%s:%d: %.40q comes before the line above", file, n, text)
 		}
-		if out = append(out, at); len(out) > mostTrace {
-			return nil, fmt.Errorf("%s:%d: more than %d queries", file, n, mostTrace)
+		if out = append(out, at); len(out) > maxTraceQueries {
+			return nil, fmt.Errorf("%s:%d: more than %d queries", file, n, maxTraceQueries)
 		}
 	}
 	if err := lines.Err(); err != nil {
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -20,31 +20,31 @@
 
 const ms = time.Millisecond
 
-type seen struct {
-	ends map[string]End
-	at   map[string]time.Duration
-	l    *event.Loop
+type outcomes struct {
+	end map[string]End
+	at  map[string]time.Duration
+	l   *event.Loop
 }
 
-func put(l *event.Loop, s *Server, s2 *seen, at time.Duration, id, class string, work time.Duration) *Job {
-	j := &Job{ID: id, Class: class, Work: work, Done: func(j *Job, e End) { s2.ends[j.ID], s2.at[j.ID] = e, l.Now() }}
+func submitAt(l *event.Loop, s *Server, got *outcomes, at time.Duration, id, class string, work time.Duration) *Job {
+	j := &Job{ID: id, Class: class, Work: work, Done: func(j *Job, e End) { got.end[j.ID], got.at[j.ID] = e, l.Now() }}
 	l.Post(at, func() { s.Submit(j) })
 	return j
 }
 
-func stage(spec Spec) (*event.Loop, *Server, *seen) {
+func newTestServer(spec Spec) (*event.Loop, *Server, *outcomes) {
 	l := &event.Loop{}
-	return l, NewServer(sched{l}, spec), &seen{make(map[string]End), make(map[string]time.Duration), l}
+	return l, NewServer(sched{l}, spec), &outcomes{make(map[string]End), make(map[string]time.Duration), l}
 }
 
 // Two cores share what is in four slots; the fifth waits, the seventh is turned away.
 func TestServerWork(t *testing.T) {
-	l, s, got := stage(Spec{Cores: 2, Speed: 2, Slots: 4, QueueLimit: 2, Queue: FIFO})
+	l, s, got := newTestServer(Spec{Cores: 2, Speed: 2, Slots: 4, QueueLimit: 2, Queue: FIFO})
 	for i, id := range []string{"a", "b", "c", "d", "e", "f", "g"} {
-		put(l, s, got, time.Duration(i)*time.Nanosecond, id, "x", 40*ms)
+		submitAt(l, s, got, time.Duration(i)*time.Nanosecond, id, "x", 40*ms)
 	}
 	require.NoError(t, l.Run(time.Second))
-	require.Equal(t, Busy, got.ends["g"])
+	require.Equal(t, Busy, got.end["g"])
 	// Four parts of 40 ms on two cores of speed 2: 40 ms; then two more alone: 20 ms.
 	require.InDelta(t, 40, got.at["d"].Seconds()*1000, 0.1)
 	require.InDelta(t, 60, got.at["f"].Seconds()*1000, 0.1)
@@ -57,11 +57,11 @@
 
 func TestQueues(t *testing.T) {
 	for how, want := range map[Discipline]string{FIFO: "a b c d", LIFO: "a d c b", Shortest: "a c d b", Fair: "a c b d"} {
-		l, s, got := stage(Spec{Cores: 1, Speed: 1, QueueLimit: 9, Queue: how})
-		put(l, s, got, 0, "a", "x", 10*ms)
-		put(l, s, got, 1*ms, "b", "x", 30*ms)
-		put(l, s, got, 2*ms, "c", "y", 10*ms)
-		put(l, s, got, 3*ms, "d", "x", 20*ms)
+		l, s, got := newTestServer(Spec{Cores: 1, Speed: 1, QueueLimit: 9, Queue: how})
+		submitAt(l, s, got, 0, "a", "x", 10*ms)
+		submitAt(l, s, got, 1*ms, "b", "x", 30*ms)
+		submitAt(l, s, got, 2*ms, "c", "y", 10*ms)
+		submitAt(l, s, got, 3*ms, "d", "x", 20*ms)
 		require.NoError(t, l.Run(time.Second))
 		var order []string
 		for range 4 {
@@ -81,42 +81,42 @@
 // A server that holds too much works slower; a part given up while it waits never
 // runs; one that hangs stays; a pause delays all and answers nothing meanwhile.
 func TestServerTrouble(t *testing.T) {
-	l, s, got := stage(Spec{Cores: 1, Speed: 1, QueueLimit: 50, Queue: FIFO, Knee: 1, KneeLoss: 1})
-	j := put(l, s, got, 1*ms, "given-up", "x", 10*ms)
-	put(l, s, got, 0, "a", "x", 10*ms)
+	l, s, got := newTestServer(Spec{Cores: 1, Speed: 1, QueueLimit: 50, Queue: FIFO, Knee: 1, KneeLoss: 1})
+	j := submitAt(l, s, got, 1*ms, "given-up", "x", 10*ms)
+	submitAt(l, s, got, 0, "a", "x", 10*ms)
 	l.Post(2*ms, func() { s.Cancel(j) })
 	require.NoError(t, l.Run(time.Second))
-	require.NotContains(t, got.ends, "given-up")
+	require.NotContains(t, got.end, "given-up")
 	require.InDelta(t, 10.5, got.at["a"].Seconds()*1000, 0.1) // half as fast for the millisecond with two
 
-	l, s, got = stage(Spec{Cores: 1, Speed: 1, QueueLimit: 1, Queue: FIFO})
+	l, s, got = newTestServer(Spec{Cores: 1, Speed: 1, QueueLimit: 1, Queue: FIFO})
 	on := Change{On: true, Fault: &Fault{Do: Pause}}
 	off := Change{Fault: &Fault{Do: Pause}}
 	l.Post(5*ms, func() { s.Apply(on); s.Apply(on) })
 	l.Post(10*ms, func() { s.Apply(off) })
 	l.Post(25*ms, func() { s.Apply(off) })
-	put(l, s, got, 0, "a", "x", 10*ms)
+	submitAt(l, s, got, 0, "a", "x", 10*ms)
 	for i, id := range []string{"b", "c", "d"} {
-		put(l, s, got, time.Duration(6+i)*ms, id, "x", 10*ms)
+		submitAt(l, s, got, time.Duration(6+i)*ms, id, "x", 10*ms)
 	}
 	require.NoError(t, l.Run(time.Second))
 	require.InDelta(t, 30, got.at["a"].Seconds()*1000, 0.1)
-	require.Equal(t, Busy, got.ends["c"])
+	require.Equal(t, Busy, got.end["c"])
 	require.GreaterOrEqual(t, got.at["c"], 25*ms)
 
-	l, s, got = stage(Spec{Cores: 4, Speed: 1, QueueLimit: 9, Queue: FIFO})
+	l, s, got = newTestServer(Spec{Cores: 4, Speed: 1, QueueLimit: 9, Queue: FIFO})
 	for _, c := range []Change{{On: true, Fault: &Fault{Do: Slow, Factor: 2}}, {On: true, Fault: &Fault{Do: Slow, Factor: 3}},
 		{On: true, Fault: &Fault{Do: Hang, Class: "y", PartShare: 1}}, {On: true, Fault: &Fault{Do: Fail, Class: "z", PartShare: 1}}} {
 		s.Apply(c)
 	}
 	l.Post(60*ms, func() { s.Apply(Change{Fault: &Fault{Do: Slow, Factor: 3}}) })
 	for _, class := range []string{"x", "y", "z"} {
-		put(l, s, got, 0, class, class, 20*ms)
+		submitAt(l, s, got, 0, class, class, 20*ms)
 	}
 	require.NoError(t, l.Run(time.Second))
 	require.InDelta(t, 80, got.at["x"].Seconds()*1000, 0.1) // 60 ms at a sixth, then 10 ms of work at a half
-	require.Equal(t, Err, got.ends["z"])
-	require.NotContains(t, got.ends, "y")
+	require.Equal(t, Err, got.end["z"])
+	require.NotContains(t, got.end, "y")
 	require.Equal(t, 1, s.Pending())
 }
 
@@ -124,9 +124,9 @@
 // keep it down must both let go.
 func TestCold(t *testing.T) {
 	cold := SlowStart{InitialShare: 0.2, WarmupTime: 10 * time.Second, OverloadMultiple: 2, OverloadWindow: time.Second, Downtime: 500 * ms}
-	l, s, got := stage(Spec{Cores: 1, Speed: 1, QueueLimit: 1000, Queue: FIFO, SlowStart: cold})
-	fell, ups := 0, 0
-	s.OnOverload, s.OnUp = func(*Server) { fell++ }, func(*Server) { ups++ }
+	l, s, got := newTestServer(Spec{Cores: 1, Speed: 1, QueueLimit: 1000, Queue: FIFO, SlowStart: cold})
+	overloads, ups := 0, 0
+	s.OnOverload, s.OnUp = func(*Server) { overloads++ }, func(*Server) { ups++ }
 	die := Change{On: true, Fault: &Fault{Do: Die}}
 	s.Apply(die)
 	s.Apply(die)
@@ -136,14 +136,14 @@
 	require.False(t, up)
 	s.Apply(die)
 	require.InDelta(t, 0.2, s.CapacityShare(), 1e-9)
-	put(l, s, got, 0, "a", "x", 20*ms)
+	submitAt(l, s, got, 0, "a", "x", 20*ms)
 	require.NoError(t, l.Run(time.Second))
 	require.InDelta(t, 95, got.at["a"].Seconds()*1000, 6) // at a fifth, and a little more each step
 	for i := range 100 {
-		put(l, s, got, time.Duration(i)*ms, "p", "x", 20*ms)
+		submitAt(l, s, got, time.Duration(i)*ms, "p", "x", 20*ms)
 	}
 	require.NoError(t, l.Run(1200*ms))
-	require.Equal(t, 1, fell)
+	require.Equal(t, 1, overloads)
 	require.NoError(t, l.Run(3*time.Second))
 	require.Equal(t, 2, ups)
 	require.NoError(t, l.Run(20*time.Second))
@@ -217,7 +217,7 @@
 			count[s]++
 		}
 	}
-	require.Greater(t, count[z.order[0]], 3*count[z.order[10]])
+	require.Greater(t, count[z.byRank[0]], 3*count[z.byRank[10]])
 	require.Len(t, z.Draw(r, 99), 50)
 }
 
--- a/internal/lab/model/net.go
+++ b/internal/lab/model/net.go
@@ -20,7 +20,7 @@
 const RTO = 200 * time.Millisecond
 
 // mostLosses bounds the losses of one message; beyond, it is as on a cut link.
-const mostLosses = 8
+const maxLosses = 8
 
 // Network is all ways between sites.
 type Network struct {
@@ -89,7 +89,7 @@
 	if l.Loss > 0 {
 		rto := RTO
 		for losses := 0; n.r.Float64() < l.Loss; losses++ {
-			if losses == mostLosses {
+			if losses == maxLosses {
 				return 0, false
 			}
 			d += rto
--- a/internal/lab/model/server.go
+++ b/internal/lab/model/server.go
@@ -89,8 +89,8 @@
 const (
 	waiting jobState = iota + 1
 	running
-	held // hangs
-	over
+	hanging // hangs
+	finished
 )
 
 // Effects are what faults do to a server at the moment. Several may hold at once.
@@ -121,35 +121,35 @@
 	// ended (what was out there is lost) and Up that it runs again.
 	OnOverload, OnDown, OnUp func(*Server)
 
-	sched Sched
-	r     func() float64 // luck of its own
-	up    bool
-	since time.Duration // of its start
-	cold  bool
-	done  int // parts since the start
-
-	at       time.Duration // to which the service time has been counted
-	service  float64       // seconds that each running part has had, as if alone on a core of speed 1
-	rate     float64       // of the service time
-	alarm    Timer
-	alarmFor float64 // the service time it is set for
-	alarmAt  time.Duration
-	heap     []*Job
-	room     queue
-	waits    int
-	hung     int
-	inbox    []*Job // what has come while the world stood still
-	seq      int64
-
-	met   map[string]int64 // by key: when it was met last, as a number of seq
-	metAt []meeting        // in that order, with what was met again since
-
-	sent  []sentWork // to a cold server, in the window
-	sum   float64
-	stats Stats
-}
-
-type meeting struct {
+	sched     Sched
+	random    func() float64 // luck of its own
+	up        bool
+	startedAt time.Duration // of its start
+	slowStart bool
+	partsDone int // parts since the start
+
+	countedAt    time.Duration // to which the service time has been counted
+	service      float64       // seconds that each running part has had, as if alone on a core of speed 1
+	rate         float64       // of the service time
+	timer        Timer
+	timerFinish  float64 // the service time it is set for
+	timerAt      time.Duration
+	heap         []*Job
+	queue        waitQueue
+	queued       int
+	hangingCount int
+	unread       []*Job // what has come while the world stood still
+	seq          int64
+
+	cachedKeys map[string]int64 // by key: when it was met last, as a number of seq
+	keyUses    []keyUse         // in that order, with what was met again since
+
+	sentInWindow []sentWork // to a cold server, in the window
+	sentTotal    float64
+	stats        Stats
+}
+
+type keyUse struct {
 	key string
 	seq int64
 	at  time.Duration
@@ -163,30 +163,30 @@
 // NewServer returns a server that runs and is warm.
 func NewServer(s Sched, spec Spec) *Server {
 	r := Rand(spec.Seed, "server", spec.Name)
-	v := &Server{Spec: spec, sched: s, r: r.Float64, up: true}
-	v.room.how = spec.Queue
+	v := &Server{Spec: spec, sched: s, random: r.Float64, up: true}
+	v.queue.discipline = spec.Queue
 	return v
 }
 
 // Running tells whether its process runs, and since when.
-func (s *Server) Running() (bool, time.Duration) { return s.up, s.since }
+func (s *Server) Running() (bool, time.Duration) { return s.up, s.startedAt }
 
 // Held counts the parts it has.
-func (s *Server) Pending() int { return len(s.heap) + s.waits + s.hung + len(s.inbox) }
+func (s *Server) Pending() int { return len(s.heap) + s.queued + s.hangingCount + len(s.unread) }
 
 // Share is the share of its capacity that it has, for being cold.
 func (s *Server) CapacityShare() float64 {
-	if !s.cold {
+	if !s.slowStart {
 		return 1
 	}
-	age := s.sched.Now() - s.since
+	age := s.sched.Now() - s.startedAt
 	share := float64(age) / float64(s.SlowStart.WarmupTime)
 	if s.SlowStart.WarmupParts > 0 {
-		share = max(share, float64(s.done)/float64(s.SlowStart.WarmupParts))
+		share = max(share, float64(s.partsDone)/float64(s.SlowStart.WarmupParts))
 	}
 	if share >= 1 {
-		s.cold = false
-		s.sent, s.sum = nil, 0
+		s.slowStart = false
+		s.sentInWindow, s.sentTotal = nil, 0
 		return 1
 	}
 	return s.SlowStart.InitialShare + (1-s.SlowStart.InitialShare)*share
@@ -207,22 +207,22 @@
 // ColdRoom is the work that a cold server may be sent now before it falls, in
 // seconds of a core of speed 1, without the slack for chance; a warm one bears all.
 func (s *Server) SlowStartHeadroom() float64 {
-	if !s.cold || s.SlowStart.OverloadMultiple <= 0 || s.CapacityShare() >= 1 {
+	if !s.slowStart || s.SlowStart.OverloadMultiple <= 0 || s.CapacityShare() >= 1 {
 		return math.Inf(1)
 	}
-	room := s.SlowStart.OverloadMultiple * s.Capacity() * s.SlowStart.OverloadWindow.Seconds()
-	for _, w := range s.sent {
+	headroom := s.SlowStart.OverloadMultiple * s.Capacity() * s.SlowStart.OverloadWindow.Seconds()
+	for _, w := range s.sentInWindow {
 		if w.at > s.sched.Now()-s.SlowStart.OverloadWindow {
-			room -= w.work
+			headroom -= w.work
 		}
 	}
-	return room
+	return headroom
 }
 
 // Backlog is the work of what it has, in seconds of a core of speed 1.
 func (s *Server) Backlog() float64 {
-	s.count()
-	sum := s.room.work
+	s.advance()
+	sum := s.queue.work
 	for _, j := range s.heap {
 		sum += max(j.finish-s.service, 0)
 	}
@@ -231,11 +231,11 @@
 
 // Sick tells whether a part of a class would come to nothing there.
 func (s *Server) Unavailable(class string) bool {
-	return !s.up || s.Effects.Paused > 0 || s.Effects.Busy > 0 || strike(s.Effects.Hang, class) > 0 || strike(s.Effects.Fail, class) > 0
+	return !s.up || s.Effects.Paused > 0 || s.Effects.Busy > 0 || shareFor(s.Effects.Hang, class) > 0 || shareFor(s.Effects.Fail, class) > 0
 }
 
 // strike is the share of a class's parts that an effect hits.
-func strike(m map[string]float64, class string) float64 {
+func shareFor(m map[string]float64, class string) float64 {
 	if len(m) == 0 {
 		return 0
 	}
@@ -246,45 +246,45 @@
 // ends before.
 func (s *Server) Submit(j *Job) {
 	if !s.up {
-		j.state = over
+		j.state = finished
 		return
 	}
 	s.stats.Received++
 	s.seq++
 	j.seq, j.index = s.seq, -1
 	if s.Effects.Paused > 0 { // nobody reads
-		s.inbox = append(s.inbox, j)
+		s.unread = append(s.unread, j)
 		return
 	}
-	if s.push(j) {
+	if s.overloads(j) {
 		return // it fell over: all that was there is lost, this part with it
 	}
 	switch {
 	case s.Effects.Busy > 0:
 		s.end(j, Busy)
-	case s.r() < strike(s.Effects.Fail, j.Class):
+	case s.random() < shareFor(s.Effects.Fail, j.Class):
 		if j.OnRun != nil {
 			j.OnRun(j)
 		}
 		s.end(j, Err)
-	case s.r() < strike(s.Effects.Hang, j.Class):
-		j.state = held
-		s.hung++
+	case s.random() < shareFor(s.Effects.Hang, j.Class):
+		j.state = hanging
+		s.hangingCount++
 		if j.OnRun != nil {
 			j.OnRun(j)
 		}
 	case len(s.heap) < s.slots():
-		s.room.turn = j.Class
+		s.queue.lastClass = j.Class
 		s.start(j)
-		s.settle()
-	case s.waits >= s.QueueLimit:
+		s.updateRate()
+	case s.queued >= s.QueueLimit:
 		s.end(j, Busy)
 	default:
 		j.state = waiting
-		s.waits++
-		s.room.push(j)
+		s.queued++
+		s.queue.push(j)
 		if s.Knee > 0 {
-			s.settle() // held more, it may work slower
+			s.updateRate() // held more, it may work slower
 		}
 	}
 	s.stats.MaxPending = max(s.stats.MaxPending, s.Pending())
@@ -293,23 +293,23 @@
 func (s *Server) slots() int { return max(s.Slots, s.Cores) }
 
 // push counts what a cold server is sent and tells whether that pushed it over.
-func (s *Server) push(j *Job) bool {
-	if !s.cold || s.SlowStart.OverloadMultiple <= 0 || s.SlowStart.OverloadWindow <= 0 || s.CapacityShare() >= 1 {
+func (s *Server) overloads(j *Job) bool {
+	if !s.slowStart || s.SlowStart.OverloadMultiple <= 0 || s.SlowStart.OverloadWindow <= 0 || s.CapacityShare() >= 1 {
 		return false
 	}
 	now, work := s.sched.Now(), j.Work.Seconds()
-	s.sent = append(s.sent, sentWork{now, work})
-	s.sum += work
-	most := 0.0
-	for len(s.sent) > 0 && s.sent[0].at <= now-s.SlowStart.OverloadWindow {
-		s.sum -= s.sent[0].work
-		s.sent = s.sent[1:]
+	s.sentInWindow = append(s.sentInWindow, sentWork{now, work})
+	s.sentTotal += work
+	heaviest := 0.0
+	for len(s.sentInWindow) > 0 && s.sentInWindow[0].at <= now-s.SlowStart.OverloadWindow {
+		s.sentTotal -= s.sentInWindow[0].work
+		s.sentInWindow = s.sentInWindow[1:]
 	}
-	for _, w := range s.sent {
-		most = max(most, w.work)
+	for _, w := range s.sentInWindow {
+		heaviest = max(heaviest, w.work)
 	}
 	// A little slack for chance: the three heaviest parts a window may bring.
-	if s.sum <= s.SlowStart.OverloadMultiple*s.Capacity()*s.SlowStart.OverloadWindow.Seconds()+3*most {
+	if s.sentTotal <= s.SlowStart.OverloadMultiple*s.Capacity()*s.SlowStart.OverloadWindow.Seconds()+3*heaviest {
 		return false
 	}
 	if s.OnOverload != nil {
@@ -325,7 +325,7 @@
 	if s.up && s.Spec.Handshake > 0 {
 		s.seq++
 		s.start(&Job{Work: s.Spec.Handshake, seq: s.seq, index: -1})
-		s.settle()
+		s.updateRate()
 	}
 }
 
@@ -334,27 +334,27 @@
 func (s *Server) Cancel(j *Job) {
 	switch j.state {
 	case waiting:
-		s.waits--
-		s.room.work -= j.Work.Seconds()
-		j.state = over // the room drops it when it comes to it
+		s.queued--
+		s.queue.work -= j.Work.Seconds()
+		j.state = finished // the room drops it when it comes to it
 		if s.Knee > 0 {
-			s.settle()
+			s.updateRate()
 		}
 	case running:
 		if s.CancelsRunning {
-			s.count()
-			s.takeOut(j)
-			j.state = over
-			s.next()
-			s.settle()
+			s.advance()
+			s.removeFromHeap(j)
+			j.state = finished
+			s.startQueued()
+			s.updateRate()
 		} else {
 			j.Done = nil
 		}
-	case held:
-		s.hung--
-		j.state = over
+	case hanging:
+		s.hangingCount--
+		j.state = finished
 	case 0:
-		j.state = over
+		j.state = finished
 	}
 }
 
@@ -363,22 +363,22 @@
 	if !s.up {
 		return
 	}
-	s.count()
+	s.advance()
 	s.up = false
 	for _, j := range s.heap {
-		j.state = over
+		j.state = finished
 	}
 	s.heap = nil
-	s.room.each(func(j *Job) { j.state = over })
-	s.room = queue{how: s.Queue}
-	s.waits, s.hung = 0, 0
-	for _, j := range s.inbox {
-		j.state = over
-	}
-	s.inbox = nil
-	s.sent, s.sum = nil, 0
-	s.met, s.metAt = nil, nil
-	s.settle()
+	s.queue.each(func(j *Job) { j.state = finished })
+	s.queue = waitQueue{discipline: s.Queue}
+	s.queued, s.hangingCount = 0, 0
+	for _, j := range s.unread {
+		j.state = finished
+	}
+	s.unread = nil
+	s.sentInWindow, s.sentTotal = nil, 0
+	s.cachedKeys, s.keyUses = nil, nil
+	s.updateRate()
 	if s.OnDown != nil {
 		s.OnDown(s)
 	}
@@ -390,9 +390,9 @@
 	if s.up || s.Effects.Dead > 0 {
 		return
 	}
-	s.count()
-	s.up, s.since, s.done = true, s.sched.Now(), 0
-	s.cold = cold && s.SlowStart.WarmupTime > 0
+	s.advance()
+	s.up, s.startedAt, s.partsDone = true, s.sched.Now(), 0
+	s.slowStart = cold && s.SlowStart.WarmupTime > 0
 	if s.OnUp != nil {
 		s.OnUp(s)
 	}
@@ -400,14 +400,14 @@
 
 // Changed is to be called after a change of Effects.
 func (s *Server) EffectsChanged() {
-	s.settle()
-	if s.Effects.Paused > 0 || len(s.inbox) == 0 {
+	s.updateRate()
+	if s.Effects.Paused > 0 || len(s.unread) == 0 {
 		return
 	}
-	inbox := s.inbox
-	s.inbox = nil
+	inbox := s.unread
+	s.unread = nil
 	for _, j := range inbox {
-		if j.state != over {
+		if j.state != finished {
 			s.stats.Received--
 			s.Submit(j)
 		}
@@ -416,7 +416,7 @@
 
 // Look tells what it did since the last look.
 func (s *Server) TakeStats() Stats {
-	s.count()
+	s.advance()
 	st := s.stats
 	st.Pending, st.Running, st.Up, st.CapacityShare = s.Pending(), len(s.heap), s.up, s.CapacityShare()
 	st.MaxPending = max(st.MaxPending, st.Pending)
@@ -429,9 +429,9 @@
 // and one alarm for the first (processor sharing by virtual time, Zhang 1990).
 
 func (s *Server) start(j *Job) {
-	s.count()
+	s.advance()
 	j.state = running
-	if s.meets(j.Key) {
+	if s.useKey(j.Key) {
 		j.Work -= time.Duration(s.KeyCache.Gain * float64(j.Work))
 	}
 	if j.FirstOfCall {
@@ -440,57 +440,57 @@
 	j.finish = s.service + j.Work.Seconds()
 	j.index = len(s.heap)
 	s.heap = append(s.heap, j)
-	s.up1(j.index)
+	s.siftUp(j.index)
 	if j.OnRun != nil {
 		j.OnRun(j)
 	}
 }
 
 // meets notes a key, and tells whether it was met lately.
-func (s *Server) meets(key string) bool {
+func (s *Server) useKey(key string) bool {
 	if key == "" || s.KeyCache.Gain <= 0 {
 		return false
 	}
 	now := s.sched.Now()
-	forget := func() {
-		if m := s.metAt[0]; s.met[m.key] == m.seq { // else it was met again since
-			delete(s.met, m.key)
+	evictOldest := func() {
+		if m := s.keyUses[0]; s.cachedKeys[m.key] == m.seq { // else it was met again since
+			delete(s.cachedKeys, m.key)
 		}
-		s.metAt = s.metAt[1:]
+		s.keyUses = s.keyUses[1:]
 	}
-	for len(s.metAt) > 0 && s.metAt[0].at < now-s.KeyCache.TTL {
-		forget()
+	for len(s.keyUses) > 0 && s.keyUses[0].at < now-s.KeyCache.TTL {
+		evictOldest()
 	}
-	_, known := s.met[key]
-	for !known && len(s.met) >= s.KeyCache.MaxKeys {
-		forget()
+	_, known := s.cachedKeys[key]
+	for !known && len(s.cachedKeys) >= s.KeyCache.MaxKeys {
+		evictOldest()
 	}
-	if s.met == nil {
-		s.met = make(map[string]int64)
+	if s.cachedKeys == nil {
+		s.cachedKeys = make(map[string]int64)
 	}
 	s.seq++
-	s.met[key] = s.seq
-	s.metAt = append(s.metAt, meeting{key, s.seq, now})
+	s.cachedKeys[key] = s.seq
+	s.keyUses = append(s.keyUses, keyUse{key, s.seq, now})
 	return known
 }
 
 // count brings the service time up to now.
-func (s *Server) count() {
+func (s *Server) advance() {
 	now := s.sched.Now()
-	if dt := now - s.at; dt > 0 {
+	if dt := now - s.countedAt; dt > 0 {
 		got := s.rate * dt.Seconds()
 		s.service += got
 		s.stats.Work += time.Duration(got * float64(len(s.heap)) * float64(time.Second))
-		s.at = now
+		s.countedAt = now
 	}
 }
 
 // coldStep is how often the rate of a server that warms is set anew.
-const coldStep = 100 * time.Millisecond
+const slowStartStep = 100 * time.Millisecond
 
 // settle sets the rate and the alarm for what ends first.
-func (s *Server) settle() {
-	s.count()
+func (s *Server) updateRate() {
+	s.advance()
 	rate := 0.0
 	if n := len(s.heap); n > 0 && s.up && s.Effects.Paused == 0 {
 		rate = s.Speed * s.CapacityShare()
@@ -500,59 +500,59 @@
 		if n > s.Cores {
 			rate *= float64(s.Cores) / float64(n)
 		}
-		if held := s.Pending(); s.Knee > 0 && held > s.Knee {
-			rate /= 1 + s.KneeLoss*float64(held-s.Knee)/float64(s.Knee)
+		if pending := s.Pending(); s.Knee > 0 && pending > s.Knee {
+			rate /= 1 + s.KneeLoss*float64(pending-s.Knee)/float64(s.Knee)
 		}
 	}
 	first := 0.0
 	if len(s.heap) > 0 {
 		first = s.heap[0].finish
 	}
-	if s.alarm != nil && rate == s.rate && first == s.alarmFor && rate > 0 && s.alarmAt > s.sched.Now() {
+	if s.timer != nil && rate == s.rate && first == s.timerFinish && rate > 0 && s.timerAt > s.sched.Now() {
 		return
 	}
 	s.rate = rate
-	if s.alarm != nil {
-		s.alarm.Stop()
-		s.alarm = nil
+	if s.timer != nil {
+		s.timer.Stop()
+		s.timer = nil
 	}
 	if rate <= 0 {
 		return
 	}
 	wait := time.Duration((first-s.service)/rate*float64(time.Second)) + 1
-	if wait = max(wait, 0); s.cold {
-		wait = min(wait, coldStep)
+	if wait = max(wait, 0); s.slowStart {
+		wait = min(wait, slowStartStep)
 	}
-	s.alarmFor, s.alarmAt = first, s.sched.Now()+wait
-	s.alarm = s.sched.After(wait, s.due)
+	s.timerFinish, s.timerAt = first, s.sched.Now()+wait
+	s.timer = s.sched.After(wait, s.finishDue)
 }
 
 // due ends what has had its service.
-func (s *Server) due() {
-	s.alarm = nil
-	s.count()
+func (s *Server) finishDue() {
+	s.timer = nil
+	s.advance()
 	for len(s.heap) > 0 && s.heap[0].finish <= s.service+1e-9 {
 		j := s.heap[0]
-		s.takeOut(j)
-		s.done++
-		s.next()
+		s.removeFromHeap(j)
+		s.partsDone++
+		s.startQueued()
 		if j.ID != "" { // else it was a handshake
 			s.end(j, OK)
 		}
 	}
-	s.settle()
+	s.updateRate()
 }
 
 // next starts what waits while there are slots.
-func (s *Server) next() {
+func (s *Server) startQueued() {
 	for s.up && len(s.heap) < s.slots() {
-		j := s.room.pop(s.r)
+		j := s.queue.pop(s.random)
 		if j == nil {
 			return
 		}
-		s.waits--
+		s.queued--
 		if j.Deadline > 0 && j.Deadline <= s.sched.Now() { // nobody waits for it any more
-			j.state = over
+			j.state = finished
 			continue
 		}
 		s.start(j)
@@ -560,7 +560,7 @@
 }
 
 func (s *Server) end(j *Job, e End) {
-	j.state = over
+	j.state = finished
 	switch e {
 	case OK:
 		s.stats.Served++
@@ -578,7 +578,7 @@
 	return a.finish < b.finish || a.finish == b.finish && a.seq < b.seq
 }
 
-func (s *Server) up1(i int) {
+func (s *Server) siftUp(i int) {
 	h := s.heap
 	for i > 0 {
 		p := (i - 1) / 2
@@ -591,7 +591,7 @@
 	}
 }
 
-func (s *Server) down1(i int) {
+func (s *Server) siftDown(i int) {
 	h := s.heap
 	for {
 		c := 2*i + 1
@@ -610,52 +610,52 @@
 	}
 }
 
-func (s *Server) takeOut(j *Job) {
+func (s *Server) removeFromHeap(j *Job) {
 	i, last := j.index, len(s.heap)-1
 	s.heap[i] = s.heap[last]
 	s.heap[i].index = i
 	s.heap[last] = nil
 	s.heap = s.heap[:last]
 	if i < last {
-		s.down1(i)
-		s.up1(i)
+		s.siftDown(i)
+		s.siftUp(i)
 	}
 	j.index = -1
 }
 
 // queue is a waiting room. What was given up stays in it until it is come to.
-type queue struct {
-	how  Discipline
-	jobs []*Job
-	head int
-	work float64 // of what waits, in seconds
-	turn string  // fair: the class served last
+type waitQueue struct {
+	discipline Discipline
+	jobs       []*Job
+	head       int
+	work       float64 // of what waits, in seconds
+	lastClass  string  // fair: the class served last
 }
 
-func (q *queue) push(j *Job) {
+func (q *waitQueue) push(j *Job) {
 	q.jobs = append(q.jobs, j)
 	q.work += j.Work.Seconds()
 }
 
-func (q *queue) each(f func(*Job)) {
+func (q *waitQueue) each(f func(*Job)) {
 	for _, j := range q.jobs[q.head:] {
 		f(j)
 	}
 }
 
 // pop takes the next one out; nil: none waits.
-func (q *queue) pop(luck func() float64) *Job {
+func (q *waitQueue) pop(random func() float64) *Job {
 	if q.head > 64 && q.head > len(q.jobs)/2 {
 		q.jobs = append(q.jobs[:0], q.jobs[q.head:]...)
 		q.head = 0
 	}
 	for q.head < len(q.jobs) {
 		i := q.head
-		switch q.how {
+		switch q.discipline {
 		case LIFO:
 			i = len(q.jobs) - 1
 		case Random:
-			i += int(luck() * float64(len(q.jobs)-q.head))
+			i += int(random() * float64(len(q.jobs)-q.head))
 		case Shortest:
 			for k := i + 1; k < len(q.jobs); k++ {
 				if q.jobs[k].state == waiting && (q.jobs[i].state != waiting || q.jobs[k].Work < q.jobs[i].Work) {
@@ -663,7 +663,7 @@
 				}
 			}
 		case Fair:
-			i = q.fair()
+			i = q.nextFair()
 		}
 		j := q.jobs[i]
 		switch {
@@ -677,7 +677,7 @@
 		}
 		if j.state == waiting {
 			q.work = max(q.work-j.Work.Seconds(), 0)
-			q.turn = j.Class
+			q.lastClass = j.Class
 			return j
 		}
 	}
@@ -687,14 +687,14 @@
 
 // fair finds the first of the class whose turn it is: the next by name after the
 // one served last that has any waiting.
-func (q *queue) fair() int {
+func (q *waitQueue) nextFair() int {
 	best, first := -1, -1
 	for i := q.head; i < len(q.jobs); i++ {
 		j := q.jobs[i]
 		if j.state != waiting {
 			continue
 		}
-		if j.Class > q.turn && (best < 0 || j.Class < q.jobs[best].Class) {
+		if j.Class > q.lastClass && (best < 0 || j.Class < q.jobs[best].Class) {
 			best = i
 		}
 		if first < 0 || j.Class < q.jobs[first].Class {
--- a/internal/lab/model/shared_test.go
+++ b/internal/lab/model/shared_test.go
@@ -13,7 +13,7 @@
 // The first part of a call bears what the call costs; a key met lately is less work, and
 // only so many are remembered for so long, by a process that lives.
 func TestCallsAndKeys(t *testing.T) {
-	l, s, got := stage(Spec{Cores: 1, Speed: 1, Slots: 1, QueueLimit: 20, Queue: FIFO, CallWork: 80 * ms, KeyCache: KeyCache{Gain: 0.5, TTL: time.Second, MaxKeys: 2}})
+	l, s, got := newTestServer(Spec{Cores: 1, Speed: 1, Slots: 1, QueueLimit: 20, Queue: FIFO, CallWork: 80 * ms, KeyCache: KeyCache{Gain: 0.5, TTL: time.Second, MaxKeys: 2}})
 	at := time.Duration(0)
 	for _, c := range []struct {
 		id, key string
@@ -28,7 +28,7 @@
 		{"i", "k3", false, 0, 50},
 	} {
 		at += c.wait
-		j := put(l, s, got, at-l.Now(), c.id, "x", 100*ms)
+		j := submitAt(l, s, got, at-l.Now(), c.id, "x", 100*ms)
 		j.FirstOfCall, j.Key = c.call, c.key
 		at += time.Duration(c.want * float64(ms))
 		require.NoError(t, l.Run(at+time.Microsecond))
@@ -37,14 +37,14 @@
 	}
 	l.Post(at-l.Now(), func() { s.Die(); s.Start(false) })
 	at += ms
-	j := put(l, s, got, at-l.Now(), "z", "x", 100*ms)
+	j := submitAt(l, s, got, at-l.Now(), "z", "x", 100*ms)
 	j.Key = "k3"
 	require.NoError(t, l.Run(at+time.Second))
 	require.InDelta(t, 100, (got.at["z"]-at).Seconds()*1000, 0.1)
 }
 
 // asked lets clients ask for a while and returns what they asked.
-func asked(c *Clients, length time.Duration) []*Request {
+func runClients(c *Clients, length time.Duration) []*Request {
 	var all []*Request
 	l := &event.Loop{}
 	c.Sched, c.Seed, c.Length = sched{l}, 3, length
@@ -60,7 +60,7 @@
 	class := &Class{Name: "x", Parts: 4, MaxParts: 7, Contiguous: true, Shards: 48, Zipf: NewZipf(48, 0.3, 1), Keys: NewZipf(50, 0.5, 1), Timeout: time.Second, Value: 1,
 		Arrivals: Arrivals{Rate: 50}}
 	byKey, sizes := make(map[string][]int), make(map[int]bool)
-	for _, a := range asked(&Clients{Classes: []*Class{class}}, 20*time.Second) {
+	for _, a := range runClients(&Clients{Classes: []*Class{class}}, 20*time.Second) {
 		var shards []int
 		for i, p := range a.Parts {
 			shards = append(shards, p.Shard)
@@ -81,23 +81,23 @@
 func TestTenants(t *testing.T) {
 	tenants := []*Tenant{{Name: "a", Usage: 3, Quota: 100}, {Name: "b", Usage: 1, Quota: 20, Bursts: []Burst{{At: 20 * time.Second, For: 20 * time.Second, Factor: 4}}}}
 	class := &Class{Name: "x", Parts: 1, Zipf: NewZipf(8, 0, 1), Timeout: time.Second, Value: 2, Arrivals: Arrivals{Rate: 40, Bursts: []Burst{{At: 20 * time.Second, For: 20 * time.Second, Factor: 1.75}}}}
-	n, beyond := make(map[string][2]int), make(map[string]int)
-	for _, a := range asked(&Clients{Classes: []*Class{class}, Tenants: tenants, OverQuotaValue: 0.2}, 40*time.Second) {
+	n, overQuota := make(map[string][2]int), make(map[string]int)
+	for _, a := range runClients(&Clients{Classes: []*Class{class}, Tenants: tenants, OverQuotaValue: 0.2}, 40*time.Second) {
 		half := n[a.Tenant]
 		half[int(a.Due/(20*time.Second))]++
 		n[a.Tenant] = half
 		want := 2.0
 		if a.OverQuota {
-			beyond[a.Tenant]++
+			overQuota[a.Tenant]++
 			want = 0.4
 		}
 		require.Equal(t, want, a.Value)
 	}
-	near := func(want float64, got int) { require.InDelta(t, want, got, 5*math.Sqrt(want)) }
-	near(600, n["a"][0])
-	near(600, n["a"][1])
-	near(200, n["b"][0])
-	near(800, n["b"][1])
-	require.Zero(t, beyond["a"])
-	near(400, beyond["b"]) // of 40 a second, 20 are within
+	requireNear := func(want float64, got int) { require.InDelta(t, want, got, 5*math.Sqrt(want)) }
+	requireNear(600, n["a"][0])
+	requireNear(600, n["a"][1])
+	requireNear(200, n["b"][0])
+	requireNear(800, n["b"][1])
+	require.Zero(t, overQuota["a"])
+	requireNear(400, overQuota["b"]) // of 40 a second, 20 are within
 }
--- a/internal/lab/scenario/file.go
+++ b/internal/lab/scenario/file.go
@@ -255,8 +255,8 @@
 
 // Bounds of files.
 const (
-	mostIncludes   = 16
-	mostVariations = 10_000
+	maxIncludes   = 16
+	maxVariations = 10_000
 )
 
 // Doc is a scenario's document with what it includes, and its variations.
@@ -293,8 +293,8 @@
 }
 
 func build(file string, doc *inifile.Doc) (*Doc, error) {
-	left := mostIncludes
-	doc, err := include(doc, &left, []string{file})
+	budget := maxIncludes
+	doc, err := include(doc, &budget, []string{file})
 	if err != nil {
 		return nil, err
 	}
@@ -314,8 +314,8 @@
 			if len(v.Values) == 0 {
 				return nil, s.Errorf(k.Name, "no values")
 			}
-			if total *= len(v.Values); total > mostVariations {
-				return nil, s.Errorf(k.Name, "more than %d variations", mostVariations)
+			if total *= len(v.Values); total > maxVariations {
+				return nil, s.Errorf(k.Name, "more than %d variations", maxVariations)
 			}
 			d.Varies = append(d.Varies, v)
 		}
@@ -326,7 +326,7 @@
 
 // include puts what a document includes below it: a key of the document's own
 // stands over the included one's.
-func include(doc *inifile.Doc, left *int, on []string) (*inifile.Doc, error) {
+func include(doc *inifile.Doc, budget *int, including []string) (*inifile.Doc, error) {
 	out := &inifile.Doc{File: doc.File}
 	var own []*inifile.Section
 	for _, s := range doc.Sections {
@@ -342,39 +342,39 @@
 		}
 		for _, f := range files.Files {
 			path := filepath.Join(filepath.Dir(doc.File), f)
-			if slices.Contains(on, path) {
+			if slices.Contains(including, path) {
 				return nil, s.Errorf("files", "%s includes itself", f)
 			}
-			if *left--; *left < 0 {
-				return nil, s.Errorf("files", "more than %d files", mostIncludes)
+			if *budget--; *budget < 0 {
+				return nil, s.Errorf("files", "more than %d files", maxIncludes)
 			}
 			sub, err := inifile.Read(path)
 			if err != nil {
 				return nil, s.Errorf("files", "%v", err)
 			}
-			if sub, err = include(sub, left, append(slices.Clone(on), path)); err != nil {
+			if sub, err = include(sub, budget, append(slices.Clone(including), path)); err != nil {
 				return nil, err
 			}
-			lay(out, sub.Sections)
+			mergeSections(out, sub.Sections)
 		}
 	}
-	lay(out, own)
+	mergeSections(out, own)
 	return out, nil
 }
 
-func lay(doc *inifile.Doc, sections []*inifile.Section) {
+func mergeSections(doc *inifile.Doc, sections []*inifile.Section) {
 	for _, s := range sections {
 		i := slices.IndexFunc(doc.Sections, func(o *inifile.Section) bool { return o.Name == s.Name })
 		if i < 0 {
 			doc.Sections = append(doc.Sections, s)
 			continue
 		}
-		doc.Sections[i] = over(doc.Sections[i], s.Keys, s.File, s.Line)
+		doc.Sections[i] = overrideKeys(doc.Sections[i], s.Keys, s.File, s.Line)
 	}
 }
 
 // over lays keys over a section's; complaints then name the file of the later.
-func over(s *inifile.Section, keys []inifile.Key, file string, line int) *inifile.Section {
+func overrideKeys(s *inifile.Section, keys []inifile.Key, file string, line int) *inifile.Section {
 	out := *s
 	out.File, out.Line, out.Keys = file, line, slices.Clone(s.Keys)
 	for i := range out.Keys {
@@ -427,9 +427,9 @@
 			continue
 		}
 		s := doc.Sections[i]
-		doc.Sections[i] = over(s, []inifile.Key{k}, s.File, s.Line)
+		doc.Sections[i] = overrideKeys(s, []inifile.Key{k}, s.File, s.Line)
 	}
-	s, err := decode(d.File, doc)
+	s, err := decodeScenario(d.File, doc)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/scenario/plan.go
+++ b/internal/lab/scenario/plan.go
@@ -24,17 +24,17 @@
 	MaxParts   = 400_000_000
 )
 
-func decode(file string, doc *inifile.Doc) (*Scenario, error) {
+func decodeScenario(file string, doc *inifile.Doc) (*Scenario, error) {
 	s := &Scenario{File: file, doc: doc}
 	for _, into := range []any{&s.Proxies, &s.Settings, &s.Network, &s.Clients, &s.Load, &s.List, &s.Members, &s.Levels, &s.Expect} {
 		inifile.SetDefaults(into)
 	}
 	main := Group{Name: "fleet"}
 	inifile.SetDefaults(&main)
-	at := make(map[string]*inifile.Section)
+	sections := make(map[string]*inifile.Section)
 	var groups []Group
 	for _, sec := range doc.Sections {
-		at[sec.Name] = sec
+		sections[sec.Name] = sec
 		var err error
 		switch sec.Name {
 		case "scenario":
@@ -83,9 +83,9 @@
 				groups = append(groups, g)
 			case "link":
 				l := Link{}
-				var more string
+				var rest string
 				l.From, l.To, _ = strings.Cut(sec.Label, " ")
-				if l.To, more, _ = strings.Cut(l.To, " "); l.To == "" || more != "" {
+				if l.To, rest, _ = strings.Cut(l.To, " "); l.To == "" || rest != "" {
 					return nil, sec.Errorf("", "a link is [link SITE SITE]")
 				}
 				err = sec.Decode(&l)
@@ -129,13 +129,13 @@
 		}
 	}
 	s.Groups = append([]Group{main}, groups...)
-	if at["scenario"] == nil {
+	if sections["scenario"] == nil {
 		return nil, &inifile.Error{File: file, Problem: "no section [scenario]"}
 	}
 	if len(s.Classes) == 0 {
 		return nil, &inifile.Error{File: file, Problem: "no section [class NAME]: there would be no load"}
 	}
-	if err := s.check(at); err != nil {
+	if err := s.check(sections); err != nil {
 		return nil, err
 	}
 	_, err := s.Plan(uint64(s.Seed))
@@ -169,7 +169,7 @@
 
 // check looks at what sections say of each other.
 func (s *Scenario) check(at map[string]*inifile.Section) error {
-	or := func(name string) *inifile.Section {
+	sectionOrMain := func(name string) *inifile.Section {
 		if at[name] != nil {
 			return at[name]
 		}
@@ -183,13 +183,13 @@
 		return nil
 	}
 	if len(s.Network.Sites) == 0 {
-		return or("network").Errorf("sites", "there must be one")
+		return sectionOrMain("network").Errorf("sites", "there must be one")
 	}
 	if s.Warmup >= s.Length {
-		return or("scenario").Errorf("warmup", "%v is not before the end, %v", s.Warmup, s.Length)
+		return sectionOrMain("scenario").Errorf("warmup", "%v is not before the end, %v", s.Warmup, s.Length)
 	}
 	if f.Width > f.Cells {
-		return or("fleet").Errorf("width", "%d is more than there are cells, %d", f.Width, f.Cells)
+		return sectionOrMain("fleet").Errorf("width", "%d is more than there are cells, %d", f.Width, f.Cells)
 	}
 	servers := 0
 	for i := range s.Groups {
@@ -206,7 +206,7 @@
 		}
 	}
 	if servers < 1 || servers > MaxServers {
-		return or("fleet").Errorf("replicas", "%d servers in all, not within 1 to %d", servers, MaxServers)
+		return sectionOrMain("fleet").Errorf("replicas", "%d servers in all, not within 1 to %d", servers, MaxServers)
 	}
 	for _, l := range s.Links {
 		for _, name := range []string{l.From, l.To} {
@@ -311,7 +311,7 @@
 }
 
 // factor is what a burst makes of all arrivals: a tenant's alone is of its part.
-func (s *Scenario) factor(b Burst) float64 {
+func (s *Scenario) burstFactor(b Burst) float64 {
 	if b.Tenant == "" {
 		return b.Factor
 	}
@@ -362,7 +362,7 @@
 		m.Arrivals = model.Arrivals{Rate: c.Rate * s.Rate, Curve: curve}
 		for _, b := range s.Bursts {
 			if b.Class == "" || b.Class == c.Name {
-				m.Arrivals.Bursts = append(m.Arrivals.Bursts, model.Burst{At: b.At, For: b.For, Factor: s.factor(b)})
+				m.Arrivals.Bursts = append(m.Arrivals.Bursts, model.Burst{At: b.At, For: b.For, Factor: s.burstFactor(b)})
 			}
 		}
 		if c.Trace != "" {
@@ -408,13 +408,13 @@
 func (s *Scenario) fault(x Fault, servers []model.Spec) (*model.Fault, error) {
 	f := &model.Fault{Name: x.Name, Do: x.Do, At: x.At, For: x.For, Every: x.Every, Times: x.Times, Chance: x.Chance, Share: x.Share, Stagger: x.Stagger,
 		Class: x.Class, PartShare: x.PartShare, Factor: x.Factor, Warm: x.Warm, Both: x.Both, Source: x.Source, SwitchTo: x.SwitchTo, Delay: x.Delay}
-	words := strings.Fields(x.Targets)
-	if len(words) == 0 {
-		words = []string{"all"}
+	selector := strings.Fields(x.Targets)
+	if len(selector) == 0 {
+		selector = []string{"all"}
 	}
 	number := func() int {
-		if len(words) == 2 {
-			if n, err := strconv.Atoi(words[1]); err == nil {
+		if len(selector) == 2 {
+			if n, err := strconv.Atoi(selector[1]); err == nil {
 				return n
 			}
 		}
@@ -422,14 +422,14 @@
 	}
 	switch {
 	case x.Do == model.Cut:
-		if len(words) != 2 || !slices.Contains(s.Network.Sites, words[0]) || !slices.Contains(s.Network.Sites, words[1]) {
+		if len(selector) != 2 || !slices.Contains(s.Network.Sites, selector[0]) || !slices.Contains(s.Network.Sites, selector[1]) {
 			return nil, fmt.Errorf("%q is not two of the sites: %s", x.Targets, strings.Join(s.Network.Sites, ", "))
 		}
-		f.From, f.To = slices.Index(s.Network.Sites, words[0]), slices.Index(s.Network.Sites, words[1])
+		f.From, f.To = slices.Index(s.Network.Sites, selector[0]), slices.Index(s.Network.Sites, selector[1])
 	case model.TargetsList(x.Do):
 	case model.TargetsProxies(x.Do):
 		for i := range s.Proxies.Count {
-			if words[0] == "all" && len(words) == 1 || words[0] == "mixer" && number() == i {
+			if selector[0] == "all" && len(selector) == 1 || selector[0] == "mixer" && number() == i {
 				f.Targets = append(f.Targets, i)
 			}
 		}
@@ -439,23 +439,23 @@
 	default:
 		g := s.Groups[0]
 		for i, v := range servers {
-			hit := false
+			matches := false
 			switch {
-			case len(words) == 1:
-				hit = words[0] == "all"
-			case len(words) != 2:
-			case words[0] == "server":
-				hit = v.Name == words[1]
-			case words[0] == "cell":
-				hit = v.Cell == number()
-			case words[0] == "shard":
-				hit = number() >= 0 && number() < g.Shards && (v.Cell-number()%g.Cells+g.Cells)%g.Cells < g.Width
-			case words[0] == "site":
-				hit = v.Site == words[1]
-			case words[0] == "group":
-				hit = v.Group == words[1]
+			case len(selector) == 1:
+				matches = selector[0] == "all"
+			case len(selector) != 2:
+			case selector[0] == "server":
+				matches = v.Name == selector[1]
+			case selector[0] == "cell":
+				matches = v.Cell == number()
+			case selector[0] == "shard":
+				matches = number() >= 0 && number() < g.Shards && (v.Cell-number()%g.Cells+g.Cells)%g.Cells < g.Width
+			case selector[0] == "site":
+				matches = v.Site == selector[1]
+			case selector[0] == "group":
+				matches = v.Group == selector[1]
 			}
-			if hit {
+			if matches {
 				f.Targets = append(f.Targets, i)
 			}
 		}
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -9,39 +9,39 @@
 	"github.com/stretchr/testify/require"
 )
 
-const good = "[scenario]\nname = x\n[class a]\nrate = 5\n"
+const validText = "[scenario]\nname = x\n[class a]\nrate = 5\n"
 
 // What is absurd is an error that names file, section, key and line; never a hang.
 func TestBad(t *testing.T) {
 	for text, want := range map[string]string{
-		"":                                                                "no section [scenario]",
-		"[scenario]\nname = x\n":                                          "no section [class NAME]",
-		good + "[fleet]\ncells = 0\n":                                     `x.ini:6: [fleet] cells: "0" is not within`,
-		good + "[fleet]\nreplicas = 0\n":                                  "0 servers in all",
-		good + "[fleet]\ncores = -4\n":                                    `x.ini:6: [fleet] cores`,
-		good + "[fleet]\ncels = 4\n":                                      "is cells meant?",
-		good + "[fleet]\nwidth = 9\n":                                     "is more than there are cells",
-		good + "[fleet]\ncells = 20000\nreplicas = 64\n":                  "not within 1 to 20000",
-		good + "[class b]\nrate = 1000000000\n":                           `rate: "1000000000" is not within`,
-		good + "[class b]\nrate = 1000000\nparts = 4000\n[x y]\n":         "no such section",
-		good + "[class b]\nrate = 1000000\nparts = 4000\n":                "the run would have",
-		good + "[class b]\nfloor = 0.9\nneed = 0.5\n":                     "x.ini:6: [class b] floor: 0.9 is above need",
-		good + "[class b]\nwork = lognormal 10ms\n":                       "[class b] work: lognormal wants a number",
-		good + "[class b]\naim = 9s\n":                                    "is above patience",
-		good + "[class b]\ntrace = nowhere\n":                             "no such file",
-		good + "[load]\ncurve = 5:1\n":                                    "[load] curve",
-		good + "[fault f]\ndo = die\n":                                    "at must be given",
-		good + "[fault f]\ndo = explode\nat = 1s\n":                       "is none of",
-		good + "[fault f]\ndo = die\nat = 1s\nwho = server z\n":           "names no server",
-		good + "[fault f]\ndo = cut\nat = 1s\nwho = amman irbid\n":        "is not two of the sites",
-		good + "[fault f]\ndo = die\nat = 90s\n":                          "is not before the end",
-		good + "[fault f]\ndo = die\nat = 1s\nevery = 1s\n":               "with every it must be given",
-		good + "[fault f]\ndo = pause\nat = 0s\nevery = 1ns\nfor = 1ns\n": "more than 1048576 changes",
-		good + "[link amman]\n":                                           "a link is [link SITE SITE]",
-		good + "[link amman mars]\n":                                      "is none of the sites",
-		good + "[burst b]\nat = 1s\nfor = 1s\nclass = z\n":                "there is no class",
-		"[include]\nfiles = none.ini\n" + good:                            "no such file",
-		"[vary]\nrate = ,\n" + good:                                       "no values",
+		"":                                                                     "no section [scenario]",
+		"[scenario]\nname = x\n":                                               "no section [class NAME]",
+		validText + "[fleet]\ncells = 0\n":                                     `x.ini:6: [fleet] cells: "0" is not within`,
+		validText + "[fleet]\nreplicas = 0\n":                                  "0 servers in all",
+		validText + "[fleet]\ncores = -4\n":                                    `x.ini:6: [fleet] cores`,
+		validText + "[fleet]\ncels = 4\n":                                      "is cells meant?",
+		validText + "[fleet]\nwidth = 9\n":                                     "is more than there are cells",
+		validText + "[fleet]\ncells = 20000\nreplicas = 64\n":                  "not within 1 to 20000",
+		validText + "[class b]\nrate = 1000000000\n":                           `rate: "1000000000" is not within`,
+		validText + "[class b]\nrate = 1000000\nparts = 4000\n[x y]\n":         "no such section",
+		validText + "[class b]\nrate = 1000000\nparts = 4000\n":                "the run would have",
+		validText + "[class b]\nfloor = 0.9\nneed = 0.5\n":                     "x.ini:6: [class b] floor: 0.9 is above need",
+		validText + "[class b]\nwork = lognormal 10ms\n":                       "[class b] work: lognormal wants a number",
+		validText + "[class b]\naim = 9s\n":                                    "is above patience",
+		validText + "[class b]\ntrace = nowhere\n":                             "no such file",
+		validText + "[load]\ncurve = 5:1\n":                                    "[load] curve",
+		validText + "[fault f]\ndo = die\n":                                    "at must be given",
+		validText + "[fault f]\ndo = explode\nat = 1s\n":                       "is none of",
+		validText + "[fault f]\ndo = die\nat = 1s\nwho = server z\n":           "names no server",
+		validText + "[fault f]\ndo = cut\nat = 1s\nwho = amman irbid\n":        "is not two of the sites",
+		validText + "[fault f]\ndo = die\nat = 90s\n":                          "is not before the end",
+		validText + "[fault f]\ndo = die\nat = 1s\nevery = 1s\n":               "with every it must be given",
+		validText + "[fault f]\ndo = pause\nat = 0s\nevery = 1ns\nfor = 1ns\n": "more than 1048576 changes",
+		validText + "[link amman]\n":                                           "a link is [link SITE SITE]",
+		validText + "[link amman mars]\n":                                      "is none of the sites",
+		validText + "[burst b]\nat = 1s\nfor = 1s\nclass = z\n":                "there is no class",
+		"[include]\nfiles = none.ini\n" + validText:                            "no such file",
+		"[vary]\nrate = ,\n" + validText:                                       "no values",
 	} {
 		doc, err := Parse("x.ini", []byte(text))
 		if err == nil {
@@ -60,7 +60,7 @@
 		require.NoError(t, os.WriteFile(file, []byte(text), 0o600))
 		return file
 	}
-	write("base.ini", good+"[fleet]\ncells = 2\ncores = 3\n")
+	write("base.ini", validText+"[fleet]\ncells = 2\ncores = 3\n")
 	top := write("top.ini", "[include]\nfiles = base.ini\n[fleet]\ncores = 7\n[vary]\nrate = 1, 2\nclass.a.parts = 1, 2, 3\n")
 	doc, err := Open(top)
 	require.NoError(t, err)
@@ -79,22 +79,22 @@
 	require.NoError(t, err)
 	require.Equal(t, s.String(), again.String())
 
-	write("base.ini", good+"[fleet]\ncells = 2\ncores = no\n")
+	write("base.ini", validText+"[fleet]\ncells = 2\ncores = no\n")
 	_, err = Open(write("more.ini", "[include]\nfiles = base.ini\n[fleet]\ncells = 3\n"))
 	require.NoError(t, err)
 	_, err = Read(filepath.Join(dir, "more.ini"))
 	require.ErrorContains(t, err, "base.ini:7: [fleet] cores")
-	write("a.ini", "[include]\nfiles = b.ini\n"+good)
-	write("b.ini", "[include]\nfiles = a.ini\n"+good)
+	write("a.ini", "[include]\nfiles = b.ini\n"+validText)
+	write("b.ini", "[include]\nfiles = a.ini\n"+validText)
 	_, err = Open(filepath.Join(dir, "a.ini"))
 	require.ErrorContains(t, err, "includes itself")
-	_, err = Parse("v.ini", []byte("[vary]\nrate = "+strings.Repeat("1, ", 10001)+"2\n"+good))
+	_, err = Parse("v.ini", []byte("[vary]\nrate = "+strings.Repeat("1, ", 10001)+"2\n"+validText))
 	require.ErrorContains(t, err, "more than 10000 variations")
 }
 
 func FuzzScenario(f *testing.F) {
-	f.Add([]byte(good))
-	f.Add([]byte(good + "[fleet]\ncells = 3\n[fault f]\ndo = release\nat = 1s\nfor = 9s\nwho = cell 1\n[vary]\nrate = 1, 2\n"))
+	f.Add([]byte(validText))
+	f.Add([]byte(validText + "[fleet]\ncells = 3\n[fault f]\ndo = release\nat = 1s\nfor = 9s\nwho = cell 1\n[vary]\nrate = 1, 2\n"))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		doc, err := Parse("x.ini", text)
 		if err != nil {
--- a/internal/lab/sweep/sweep.go
+++ b/internal/lab/sweep/sweep.go
@@ -102,7 +102,7 @@
 	defer cancel(nil)
 	var mu sync.Mutex
 	shares := make([]float64, len(jobs))
-	tell := func(at int, share float64) {
+	reportProgress := func(at int, share float64) {
 		mu.Lock()
 		defer mu.Unlock()
 		if shares[at] = share; opt.Progress != nil {
@@ -123,11 +123,11 @@
 		go func() {
 			defer all.Done()
 			for j := range queue {
-				if err := one(ctx, j.scenario, j.one, opt, func(share float64, _ string) { tell(j.at, min(share, 0.999)) }); err != nil {
+				if err := runOne(ctx, j.scenario, j.one, opt, func(share float64, _ string) { reportProgress(j.at, min(share, 0.999)) }); err != nil {
 					cancel(fmt.Errorf("%s, seed %d: %w", j.one.Label, j.one.Seed, err))
 					return
 				}
-				tell(j.at, 1)
+				reportProgress(j.at, 1)
 			}
 		}()
 	}
@@ -162,10 +162,10 @@
 }
 
 // one plays one run, or takes what was played before with the same scenario.
-func one(ctx context.Context, s *scenario.Scenario, o *RunResult, opt Options, progress func(float64, string)) error {
+func runOne(ctx context.Context, s *scenario.Scenario, o *RunResult, opt Options, progress func(float64, string)) error {
 	text := s.String()
 	if o.Dir != "" {
-		if was, err := os.ReadFile(filepath.Join(o.Dir, record.ScenarioFile)); err == nil && string(was) == text {
+		if savedText, err := os.ReadFile(filepath.Join(o.Dir, record.ScenarioFile)); err == nil && string(savedText) == text {
 			if saved, digest, err := finished(o.Dir); err == nil && saved.Summary.Seed == int64(o.Seed) &&
 				saved.Summary.Policy == policy(opt.Play) && saved.Summary.Drive == drive(opt.Play) {
 				o.Summary, o.Digest, o.Unmet, o.Skipped = saved.Summary, digest, saved.Unmet, true
--- a/internal/lab/sweep/sweep_test.go
+++ b/internal/lab/sweep/sweep_test.go
@@ -39,10 +39,10 @@
 // A sweep that was interrupted goes on where it was, and ends as one that was not;
 // what a changed scenario played before does not count.
 func TestResume(t *testing.T) {
-	whole, err := Run(context.Background(), doc(t, text), Options{Dir: t.TempDir(), Workers: 3})
+	uninterrupted, err := Run(context.Background(), doc(t, text), Options{Dir: t.TempDir(), Workers: 3})
 	require.NoError(t, err)
-	require.Len(t, whole.Runs, 8)
-	require.True(t, whole.Pass())
+	require.Len(t, uninterrupted.Runs, 8)
+	require.True(t, uninterrupted.Pass())
 
 	dir := t.TempDir()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -61,8 +61,8 @@
 		if o.Skipped {
 			done++
 		}
-		require.Equal(t, whole.Runs[i].Digest, o.Digest)
-		require.Equal(t, whole.Runs[i].Summary, o.Summary)
+		require.Equal(t, uninterrupted.Runs[i].Digest, o.Digest)
+		require.Equal(t, uninterrupted.Runs[i].Summary, o.Summary)
 	}
 	require.Equal(t, 3, done)
 	loaded, err := Load(dir)
--- a/internal/lab/virtual/link.go
+++ b/internal/lab/virtual/link.go
@@ -16,116 +16,116 @@
 
 // link stands for all connections of a mixer to one server.
 type link struct {
-	m       *mixer
-	server  int
-	gen     int // of the connections: what came on older ones counts for nothing
-	open    bool
-	dialing bool
-	waiting []waiter
-	out     map[*exchange.Attempt]*flight
-	usedAt  time.Duration
-	heardAt time.Duration
-	lastTo  time.Duration // what goes one way comes in order
-	lastFro time.Duration
+	m           *proxy
+	server      int
+	generation  int // of the connections: what came on older ones counts for nothing
+	open        bool
+	dialing     bool
+	waiting     []queuedAttempt
+	inFlight    map[*exchange.Attempt]*flight
+	usedAt      time.Duration
+	answeredAt  time.Duration
+	lastArrival time.Duration // what goes one way comes in order
+	lastAnswer  time.Duration
 }
 
 // waiter is an attempt that waits for a connection.
-type waiter struct {
-	a    *exchange.Attempt
-	head bool // of its call
+type queuedAttempt struct {
+	a           *exchange.Attempt
+	firstOfCall bool // of its call
 }
 
 // flight is an attempt that is out.
 type flight struct {
-	l      *link
-	a      *exchange.Attempt
-	gen    int
-	sentAt time.Duration
-	job    model.Job
-	taken  bool // the server has it
-	seen   *judge.Attempt
+	l          *link
+	a          *exchange.Attempt
+	generation int
+	sentAt     time.Duration
+	job        model.Job
+	delivered  bool // the server has it
+	judged     *judge.Attempt
 }
 
-func (m *mixer) link(server int) *link {
+func (m *proxy) link(server int) *link {
 	l := m.links[server]
 	if l == nil {
-		l = &link{m: m, server: server, out: make(map[*exchange.Attempt]*flight)}
+		l = &link{m: m, server: server, inFlight: make(map[*exchange.Attempt]*flight)}
 		m.links[server] = l
 	}
 	return l
 }
 
 // Send starts attempts.
-func (m *mixer) Send(attempts []*exchange.Attempt) {
+func (m *proxy) Send(attempts []*exchange.Attempt) {
 	calls := make(map[int]int) // by server: parts so far
 	for _, a := range attempts {
 		i, known := m.w.server(a.Server)
-		if stop, told := m.stops[i]; !known || told && m.w.loop.Now() >= stop {
-			m.x.AttemptEnded(a, choice.NotSent, nil, "")
+		if stop, stopping := m.drainStops[i]; !known || stopping && m.w.loop.Now() >= stop {
+			m.exchange.AttemptEnded(a, choice.NotSent, nil, "")
 			continue
 		}
-		m.link(i).place(a, calls[i]%max(m.w.plan.Settings.MaxPartsPerCall, 1) == 0)
+		m.link(i).sendOrQueue(a, calls[i]%max(m.w.plan.Settings.MaxPartsPerCall, 1) == 0)
 		calls[i]++
 	}
 }
 
 // Cancel ends the wait for an attempt, once the server has been told.
-func (m *mixer) Cancel(a *exchange.Attempt, v choice.Verdict) {
+func (m *proxy) Cancel(a *exchange.Attempt, v choice.Verdict) {
 	i, _ := m.w.server(a.Server)
 	l := m.links[i]
 	if l == nil {
 		return
 	}
-	if i := slices.IndexFunc(l.waiting, func(x waiter) bool { return x.a == a }); i >= 0 {
+	if i := slices.IndexFunc(l.waiting, func(x queuedAttempt) bool { return x.a == a }); i >= 0 {
 		l.waiting = slices.Delete(l.waiting, i, i+1)
 		if v == choice.NoAnswer { // it was never sent, so it never ran
 			v = choice.NotSent
 		}
-		m.x.AttemptEnded(a, v, nil, "")
+		m.exchange.AttemptEnded(a, v, nil, "")
 		return
 	}
-	f := l.out[a]
+	f := l.inFlight[a]
 	if f == nil {
 		return
 	}
-	delete(l.out, a)
+	delete(l.inFlight, a)
 	now := m.w.loop.Now()
-	f.seen.Over(m.w.time(), "")
+	f.judged.Over(m.w.time(), "")
 	m.trace(a, "is given up at", fmt.Sprint(v))
-	l.carry(func() {
-		if f.taken && f.gen == l.gen {
+	l.deliver(func() {
+		if f.delivered && f.generation == l.generation {
 			m.w.Servers[l.server].Cancel(&f.job)
 		}
-	}, f.gen)
-	if v == choice.NoAnswer && l.heardAt < f.sentAt && l.gen == f.gen {
+	}, f.generation)
+	if v == choice.NoAnswer && l.answeredAt < f.sentAt && l.generation == f.generation {
 		l.open = false // it fell silent: the next goes out on a new one
 	}
 	l.usedAt = now
-	m.x.AttemptEnded(a, v, nil, "")
+	m.exchange.AttemptEnded(a, v, nil, "")
 }
 
-func (m *mixer) trace(a *exchange.Attempt, what, more string) {
+func (m *proxy) trace(a *exchange.Attempt, what, detail string) {
 	if t := m.w.opt.Trace; t != nil {
 		ask, _, _ := strings.Cut(a.PartID, "-")
-		t(m.w.loop.Now(), ask, fmt.Sprintf("part %s attempt %d %s %s %s", a.PartID, a.Index, what, a.Server, more))
+		t(m.w.loop.Now(), ask, fmt.Sprintf("part %s attempt %d %s %s %s", a.PartID, a.Index, what, a.Server, detail))
 	}
 }
 
 // Probe tests a server.
-func (m *mixer) Probe(server string) {
-	w, life, begun := m.w, m.life, m.w.loop.Now()
+func (m *proxy) Probe(server string) {
+	w, life, begun := m.w, m.incarnation, m.w.loop.Now()
 	i, _ := w.server(server)
 	end := func(after time.Duration, v choice.Verdict) {
 		w.loop.Post(after, func() {
-			if m.life == life && m.x != nil {
-				m.x.ProbeEnded(server, w.loop.Now()-begun, v, nil)
+			if m.incarnation == life && m.exchange != nil {
+				m.exchange.ProbeEnded(server, w.loop.Now()-begun, v, nil)
 			}
 		})
 	}
 	d, ok := w.net.Delay(m.site, w.sites[i])
 	up, _ := w.Servers[i].Running()
 	switch {
-	case !ok || w.vanish[i] > 0 || w.Servers[i].Effects.Paused > 0:
+	case !ok || w.vanished[i] > 0 || w.Servers[i].Effects.Paused > 0:
 		end(time.Second, choice.NoAnswer)
 	case !up:
 		end(2*d, choice.NoConnection)
@@ -135,26 +135,26 @@
 }
 
 // Release closes the idle connections to a server.
-func (m *mixer) Release(server string) {
+func (m *proxy) Release(server string) {
 	i, _ := m.w.server(server)
-	if l := m.links[i]; l != nil && len(l.out) == 0 {
+	if l := m.links[i]; l != nil && len(l.inFlight) == 0 {
 		l.open = false
-		l.gen++
+		l.generation++
 	}
 }
 
-func (l *link) place(a *exchange.Attempt, head bool) {
+func (l *link) sendOrQueue(a *exchange.Attempt, firstOfCall bool) {
 	now := l.m.w.loop.Now()
-	keep := time.Duration(float64(l.m.w.plan.Settings.Keepalive) * idleShare)
-	if l.open && len(l.out) == 0 && now-l.usedAt > keep {
+	maxIdle := time.Duration(float64(l.m.w.plan.Settings.Keepalive) * idleFraction)
+	if l.open && len(l.inFlight) == 0 && now-l.usedAt > maxIdle {
 		l.open = false
-		l.gen++
+		l.generation++
 	}
 	if l.open {
-		l.transmit(a, head)
+		l.transmit(a, firstOfCall)
 		return
 	}
-	l.waiting = append(l.waiting, waiter{a, head})
+	l.waiting = append(l.waiting, queuedAttempt{a, firstOfCall})
 	l.dial()
 }
 
@@ -164,10 +164,10 @@
 		return
 	}
 	l.dialing = true
-	w, m, life := l.m.w, l.m, l.m.life
+	w, m, life := l.m.w, l.m, l.m.incarnation
 	fail := func(after time.Duration) {
 		w.loop.Post(after, func() {
-			if m.life != life || m.x == nil {
+			if m.incarnation != life || m.exchange == nil {
 				return
 			}
 			l.dialing = false
@@ -175,210 +175,210 @@
 			l.waiting = nil
 			for _, x := range waiting {
 				m.trace(x.a, "finds no connection to", "")
-				m.x.AttemptEnded(x.a, choice.NoConnection, nil, "")
+				m.exchange.AttemptEnded(x.a, choice.NoConnection, nil, "")
 			}
 		})
 	}
-	there, ok := w.net.Delay(m.site, w.sites[l.server])
-	if !ok || w.vanish[l.server] > 0 {
+	toServer, ok := w.net.Delay(m.site, w.sites[l.server])
+	if !ok || w.vanished[l.server] > 0 {
 		fail(w.plan.Settings.Dial)
 		return
 	}
-	w.loop.Post(there, func() {
-		if m.life != life || m.x == nil {
+	w.loop.Post(toServer, func() {
+		if m.incarnation != life || m.exchange == nil {
 			return
 		}
 		s := w.Servers[l.server]
-		back, ok := w.net.Delay(w.sites[l.server], m.site)
-		if !ok || w.vanish[l.server] > 0 {
-			fail(max(w.plan.Settings.Dial-there, 0))
+		toProxy, ok := w.net.Delay(w.sites[l.server], m.site)
+		if !ok || w.vanished[l.server] > 0 {
+			fail(max(w.plan.Settings.Dial-toServer, 0))
 			return
 		}
 		if up, _ := s.Running(); !up {
-			fail(back)
+			fail(toProxy)
 			return
 		}
 		s.Handshake()
-		w.loop.Post(back, func() {
-			if m.life != life || m.x == nil {
+		w.loop.Post(toProxy, func() {
+			if m.incarnation != life || m.exchange == nil {
 				return
 			}
 			l.dialing, l.open = false, true
-			l.heardAt, l.usedAt = w.loop.Now(), w.loop.Now()
+			l.answeredAt, l.usedAt = w.loop.Now(), w.loop.Now()
 			waiting := l.waiting
 			l.waiting = nil
 			for _, x := range waiting {
-				if stop, told := m.stops[l.server]; told && w.loop.Now() >= stop {
-					m.x.AttemptEnded(x.a, choice.NotSent, nil, "")
+				if stop, stopping := m.drainStops[l.server]; stopping && w.loop.Now() >= stop {
+					m.exchange.AttemptEnded(x.a, choice.NotSent, nil, "")
 					continue
 				}
-				l.transmit(x.a, x.head)
+				l.transmit(x.a, x.firstOfCall)
 			}
 		})
 	})
 }
 
 // transmit writes an attempt, as the head of a frame or behind it.
-func (l *link) transmit(a *exchange.Attempt, head bool) {
+func (l *link) transmit(a *exchange.Attempt, firstOfCall bool) {
 	m, w := l.m, l.m.w
 	s := w.Servers[l.server]
 	class := a.Text
-	f := &flight{l: l, a: a, gen: l.gen, sentAt: w.loop.Now(), seen: w.j.ArrivedFrom(m.n, a.PartID, s.Name, w.time())}
+	f := &flight{l: l, a: a, generation: l.generation, sentAt: w.loop.Now(), judged: w.judge.ArrivedFrom(m.n, a.PartID, s.Name, w.time())}
 	if !w.plan.HasShard(l.server, a.Shard) {
-		w.j.Astray(a.PartID, s.Name)
+		w.judge.Astray(a.PartID, s.Name)
 	}
 	ask, rest, _ := strings.Cut(a.PartID, "-")
 	_, shard, _ := strings.Cut(rest, ".")
 	f.job = model.Job{ID: a.PartID, Request: ask, Class: class, Shard: a.Shard, Work: w.Work[class].Of(ask, shard), Deadline: a.Deadline.Sub(epoch),
-		Done: l.done, OnRun: ran, Tag: f, FirstOfCall: head}
+		Done: l.serverAnswered, OnRun: recordRun, Tag: f, FirstOfCall: firstOfCall}
 	if query, _, ok := strings.Cut(a.PartID, "."); ok && m.keys[query] != "" {
 		f.job.Key = m.keys[query] + "." + shard
 	}
-	w.sent[ask]++
-	l.out[a] = f
+	w.attemptsSent[ask]++
+	l.inFlight[a] = f
 	l.usedAt = w.loop.Now()
 	if w.opt.Trace != nil {
 		m.trace(a, "goes to", fmt.Sprintf("until %v, work %v", a.Deadline.Sub(epoch), f.job.Work))
 	}
-	l.carry(func() {
-		if f.gen != l.gen {
+	l.deliver(func() {
+		if f.generation != l.generation {
 			return
 		}
 		if up, _ := s.Running(); !up {
-			if w.vanish[l.server] == 0 {
-				l.reset()
+			if w.vanished[l.server] == 0 {
+				l.sendReset()
 			}
 			return
 		}
-		f.taken = true
+		f.delivered = true
 		s.Submit(&f.job)
-	}, f.gen)
+	}, f.generation)
 }
 
-func ran(j *model.Job) { j.Tag.(*flight).seen.Ran() }
+func recordRun(j *model.Job) { j.Tag.(*flight).judged.Ran() }
 
 // carry has something arrive at the server, in order, unless it is lost on the way.
-func (l *link) carry(arrive func(), gen int) {
+func (l *link) deliver(arrive func(), generation int) {
 	w := l.m.w
 	d, ok := w.net.Delay(l.m.site, w.sites[l.server])
-	if !ok || w.vanish[l.server] > 0 {
+	if !ok || w.vanished[l.server] > 0 {
 		return
 	}
-	at := max(w.loop.Now()+d, l.lastTo)
-	l.lastTo = at
+	at := max(w.loop.Now()+d, l.lastArrival)
+	l.lastArrival = at
 	w.loop.Post(at-w.loop.Now(), func() {
-		if w.vanish[l.server] == 0 {
+		if w.vanished[l.server] == 0 {
 			arrive()
 		}
 	})
 }
 
 // done is a server's answer, on its way.
-func (l *link) done(j *model.Job, e model.End) {
+func (l *link) serverAnswered(j *model.Job, e model.End) {
 	f, w, m := j.Tag.(*flight), l.m.w, l.m
-	if f.gen != l.gen {
+	if f.generation != l.generation {
 		return
 	}
 	d, ok := w.net.Delay(w.sites[l.server], m.site)
-	if !ok || w.vanish[l.server] > 0 {
+	if !ok || w.vanished[l.server] > 0 {
 		return
 	}
-	if l.out[f.a] == f {
+	if l.inFlight[f.a] == f {
 		value := ""
 		if e == model.OK {
 			value = valueOf(f.a)
 		}
-		f.seen.Over(w.time(), value)
+		f.judged.Over(w.time(), value)
 	}
-	at := max(w.loop.Now()+d, l.lastFro)
-	l.lastFro = at
-	w.loop.Post(at-w.loop.Now(), func() { l.answer(f, e) })
+	at := max(w.loop.Now()+d, l.lastAnswer)
+	l.lastAnswer = at
+	w.loop.Post(at-w.loop.Now(), func() { l.receiveAnswer(f, e) })
 }
 
 // valueOf is what a server makes for a part: it names both.
 func valueOf(a *exchange.Attempt) string { return a.Server + "/" + a.PartID }
 
-func (l *link) answer(f *flight, e model.End) {
+func (l *link) receiveAnswer(f *flight, e model.End) {
 	m := l.m
-	if m.x == nil || l.out[f.a] != f || f.gen != l.gen {
+	if m.exchange == nil || l.inFlight[f.a] != f || f.generation != l.generation {
 		return
 	}
-	delete(l.out, f.a)
-	l.heardAt, l.usedAt = m.w.loop.Now(), m.w.loop.Now()
+	delete(l.inFlight, f.a)
+	l.answeredAt, l.usedAt = m.w.loop.Now(), m.w.loop.Now()
 	if m.w.opt.Trace != nil {
 		m.trace(f.a, "is answered by", []string{"ok", "err", "busy"}[e])
 	}
 	switch e {
 	case model.OK:
-		m.x.AttemptEnded(f.a, choice.Served, nil, valueOf(f.a))
+		m.exchange.AttemptEnded(f.a, choice.Served, nil, valueOf(f.a))
 	case model.Err:
-		m.x.AttemptEnded(f.a, choice.ServerError, nil, "")
+		m.exchange.AttemptEnded(f.a, choice.ServerError, nil, "")
 	default:
-		m.x.AttemptEnded(f.a, choice.Rejected, nil, "")
+		m.exchange.AttemptEnded(f.a, choice.Rejected, nil, "")
 	}
 }
 
 // reset: the server's machine says that there is no such connection.
-func (l *link) reset() {
+func (l *link) sendReset() {
 	m, w := l.m, l.m.w
-	gen := l.gen
+	gen := l.generation
 	d, ok := w.net.Delay(w.sites[l.server], m.site)
 	if !ok {
 		return
 	}
 	w.loop.Post(d, func() {
-		if l.gen == gen && m.x != nil {
-			l.broken()
+		if l.generation == gen && m.exchange != nil {
+			l.failInFlight()
 		}
 	})
 }
 
 // broken ends all that is out.
-func (l *link) broken() {
+func (l *link) failInFlight() {
 	m := l.m
-	l.gen++
+	l.generation++
 	l.open = false
-	lost := make([]*flight, 0, len(l.out))
-	for _, f := range l.out {
+	lost := make([]*flight, 0, len(l.inFlight))
+	for _, f := range l.inFlight {
 		lost = append(lost, f)
 	}
 	slices.SortFunc(lost, func(a, b *flight) int { return strings.Compare(a.a.PartID, b.a.PartID) })
-	clear(l.out)
+	clear(l.inFlight)
 	for _, f := range lost {
-		f.seen.Over(m.w.time(), "")
+		f.judged.Over(m.w.time(), "")
 		m.trace(f.a, "lost its connection to", "")
-		m.x.AttemptEnded(f.a, choice.ConnectionLost, nil, "")
+		m.exchange.AttemptEnded(f.a, choice.ConnectionLost, nil, "")
 	}
 }
 
 // serverGone: the process has ended. A machine that has vanished says nothing.
-func (l *link) serverGone() {
-	if l.m.w.vanish[l.server] == 0 && (l.open || len(l.out) > 0) {
-		l.reset()
+func (l *link) serverEnded() {
+	if l.m.w.vanished[l.server] == 0 && (l.open || len(l.inFlight) > 0) {
+		l.sendReset()
 	}
 }
 
 // serverBack: connections of before are reset once something is sent; here at once.
-func (l *link) serverBack() {
-	if l.open || len(l.out) > 0 {
-		l.reset()
+func (l *link) serverRestarted() {
+	if l.open || len(l.inFlight) > 0 {
+		l.sendReset()
 	}
 }
 
 // close: the mixer's process has ended; the server gives up what it had from it.
 func (l *link) close() {
 	w := l.m.w
-	out := make([]*flight, 0, len(l.out))
-	for _, f := range l.out {
+	out := make([]*flight, 0, len(l.inFlight))
+	for _, f := range l.inFlight {
 		out = append(out, f)
 	}
 	slices.SortFunc(out, func(a, b *flight) int { return strings.Compare(a.a.PartID, b.a.PartID) })
 	for _, f := range out {
-		f.seen.Over(w.time(), "")
-		if f.taken {
+		f.judged.Over(w.time(), "")
+		if f.delivered {
 			w.Servers[l.server].Cancel(&f.job)
 		}
 	}
-	l.gen++
-	l.out, l.waiting = make(map[*exchange.Attempt]*flight), nil
+	l.generation++
+	l.inFlight, l.waiting = make(map[*exchange.Attempt]*flight), nil
 }
--- a/internal/lab/virtual/mixer.go
+++ b/internal/lab/virtual/mixer.go
@@ -15,220 +15,220 @@
 	"saddleport/internal/lab/model"
 )
 
-type mixer struct {
-	w       *world
-	n       int
-	site    int
-	life    int
-	x       *exchange.Exchange // nil: it does not run
-	fronted bool               // the front deals queries to it
-	leaving bool
-	watches bool
-	asks    map[string]*ask
-	links   map[int]*link
-	stops   map[int]time.Duration // from when on nothing may go to a server
-	levels  int                   // changes of the level in lives before
-	merge   *merging              // nil: there is one source
-	keys    map[string]string     // of queries that have one, by id
-	look    func() float64        // where lists are pushed: luck of its looks at the agent
-	looked  time.Duration         // the last of them that finds news
+type proxy struct {
+	w            *world
+	n            int
+	site         int
+	incarnation  int
+	exchange     *exchange.Exchange // nil: it does not run
+	balanced     bool               // the front deals queries to it
+	draining     bool
+	watches      bool
+	attempts     map[string]*clientAttempt
+	links        map[int]*link
+	drainStops   map[int]time.Duration // from when on nothing may go to a server
+	levelChanges int                   // changes of the level in lives before
+	merge        *sourceMerge          // nil: there is one source
+	keys         map[string]string     // of queries that have one, by id
+	pollDraw     func() float64        // where lists are pushed: luck of its looks at the agent
+	lastPoll     time.Duration         // the last of them that finds news
 
-	alarm   *event.Timer
-	alarmAt time.Duration
-	woken   bool
+	timer       *event.Timer
+	timerAt     time.Duration
+	wakePending bool
 }
 
 // ---- The drive of its exchange.
 
 // Now is virtual time.
-func (m *mixer) Now() time.Time { return m.w.time() }
+func (m *proxy) Now() time.Time { return m.w.time() }
 
 // Wake asks for a turn at this instant.
-func (m *mixer) Wake() {
-	if m.woken {
+func (m *proxy) Wake() {
+	if m.wakePending {
 		return
 	}
-	m.woken = true
-	life := m.life
+	m.wakePending = true
+	life := m.incarnation
 	m.w.loop.Post(0, func() {
-		if m.life == life && m.x != nil {
-			m.turn()
+		if m.incarnation == life && m.exchange != nil {
+			m.runExchange()
 		}
 	})
 }
 
-func (m *mixer) turn() {
-	m.woken = false
-	next, due := m.x.Turn()
-	if !due || m.x == nil {
+func (m *proxy) runExchange() {
+	m.wakePending = false
+	next, due := m.exchange.Turn()
+	if !due || m.exchange == nil {
 		return
 	}
 	at := max(next.Sub(epoch), m.w.loop.Now())
-	if m.alarm != nil {
-		if m.alarmAt == at {
+	if m.timer != nil {
+		if m.timerAt == at {
 			return
 		}
-		m.alarm.Stop()
+		m.timer.Stop()
 	}
-	life := m.life
-	m.alarmAt = at
-	m.alarm = m.w.loop.After(at-m.w.loop.Now(), func() {
-		m.alarm = nil
-		if m.life == life && m.x != nil {
-			m.turn()
+	life := m.incarnation
+	m.timerAt = at
+	m.timer = m.w.loop.After(at-m.w.loop.Now(), func() {
+		m.timer = nil
+		if m.incarnation == life && m.exchange != nil {
+			m.runExchange()
 		}
 	})
 }
 
 // ---- Its life.
 
-func (m *mixer) start() error {
+func (m *proxy) start() error {
 	w := m.w
-	m.life++
-	m.asks, m.links, m.stops = make(map[string]*ask), make(map[int]*link), make(map[int]time.Duration)
-	m.leaving, m.watches, m.woken = false, w.plan.Settings.PollInterval > 0, false
-	m.keys, m.look = make(map[string]string), model.Rand(w.plan.RunSeed, "look", fmt.Sprint(m.n), fmt.Sprint(m.life)).Float64
-	seed := w.plan.ProxySeed(m.n, m.life)
-	d, err := w.opt.Decide(&w.World, m.n, m.life, seed, w.set.Router)
+	m.incarnation++
+	m.attempts, m.links, m.drainStops = make(map[string]*clientAttempt), make(map[int]*link), make(map[int]time.Duration)
+	m.draining, m.watches, m.wakePending = false, w.plan.Settings.PollInterval > 0, false
+	m.keys, m.pollDraw = make(map[string]string), model.Rand(w.plan.RunSeed, "look", fmt.Sprint(m.n), fmt.Sprint(m.incarnation)).Float64
+	seed := w.plan.ProxySeed(m.n, m.incarnation)
+	d, err := w.opt.Decide(&w.World, m.n, m.incarnation, seed, w.settings.Router)
 	if err != nil {
 		return err
 	}
-	if m.x, err = exchange.NewOn(m, d, seed, w.set); err != nil {
+	if m.exchange, err = exchange.NewOn(m, d, seed, w.settings); err != nil {
 		return err
 	}
 	if len(w.plan.Levels.Names) > 0 {
-		if err := m.x.SetLevels(w.plan.Levels, w.plan.Level); err != nil {
+		if err := m.exchange.SetLevels(w.plan.Levels, w.plan.Level); err != nil {
 			return err
 		}
 	}
-	var leaves exchange.Upstream = m
+	var upstream exchange.Upstream = m
 	if wrap := w.opt.Mutations.WrapUpstream; wrap != nil {
-		leaves = wrap(m.n, leaves, m.x)
+		upstream = wrap(m.n, upstream, m.exchange)
 	}
-	m.x.Attach(leaves)
-	if w.sourcesOn() {
-		return m.merges()
+	m.exchange.Attach(upstream)
+	if w.hasSources() {
+		return m.startMerge()
 	}
-	m.hear(w.whole(choice.Cached))
+	m.receiveListLater(w.currentList(choice.Cached))
 	return nil
 }
 
 // kill ends the process: what it had is gone.
-func (m *mixer) kill() {
-	if m.x == nil {
+func (m *proxy) kill() {
+	if m.exchange == nil {
 		return
 	}
-	m.drop()
+	m.endProcess()
 	w := m.w
-	life := m.life
+	life := m.incarnation
 	w.loop.Post(w.plan.Proxies.DetectDelay, func() {
-		if m.life == life && m.x == nil {
-			m.fronted = false
-			w.front()
+		if m.incarnation == life && m.exchange == nil {
+			m.balanced = false
+			w.updateBalanced()
 		}
 	})
 }
 
 // leave ends the process as planned: it takes nothing new, and ends when all that
 // it has is answered.
-func (m *mixer) leave() {
-	if m.x == nil {
+func (m *proxy) drain() {
+	if m.exchange == nil {
 		return
 	}
-	m.leaving, m.fronted = true, false
-	m.w.front()
-	m.left()
+	m.draining, m.balanced = true, false
+	m.w.updateBalanced()
+	m.stopIfDrained()
 }
 
-func (m *mixer) left() {
-	if m.leaving && m.x != nil && m.x.Open() == 0 && len(m.asks) == 0 {
-		m.drop()
+func (m *proxy) stopIfDrained() {
+	if m.draining && m.exchange != nil && m.exchange.Open() == 0 && len(m.attempts) == 0 {
+		m.endProcess()
 	}
 }
 
 // back starts the process again.
-func (m *mixer) back() {
+func (m *proxy) restart() {
 	w := m.w
-	if m.x != nil {
-		if !m.leaving {
+	if m.exchange != nil {
+		if !m.draining {
 			return
 		}
-		w.loop.Post(100*time.Millisecond, m.back) // it has not ended yet
+		w.loop.Post(100*time.Millisecond, m.restart) // it has not ended yet
 		return
 	}
 	w.loop.Post(w.plan.Proxies.StartDelay, func() {
-		if m.x != nil {
+		if m.exchange != nil {
 			return
 		}
 		if err := m.start(); err != nil {
-			w.rec.Broke(fmt.Sprintf("mixer %d did not start again: %v", m.n, err))
+			w.recorder.Broke(fmt.Sprintf("mixer %d did not start again: %v", m.n, err))
 			return
 		}
-		m.fronted = true
-		w.front()
+		m.balanced = true
+		w.updateBalanced()
 	})
 }
 
 // drop ends it at once.
-func (m *mixer) drop() {
-	m.abandon()
+func (m *proxy) endProcess() {
+	m.failOpenAttempts()
 	m.stop()
 }
 
 // abandon tells the clients of what is open that nobody will answer.
-func (m *mixer) abandon() {
+func (m *proxy) failOpenAttempts() {
 	w := m.w
-	for _, id := range sorted(m.asks) {
-		a := m.asks[id]
-		w.loop.Post(w.near(m), func() { w.reply(a, judge.Died, model.Reply{Kind: model.Lost}) })
+	for _, id := range sortedIDs(m.attempts) {
+		a := m.attempts[id]
+		w.loop.Post(w.localDelay(m), func() { w.endAttempt(a, judge.Died, model.Reply{Kind: model.Lost}) })
 	}
 }
 
 // stop ends the exchange and its connections.
-func (m *mixer) stop() {
-	if m.x == nil {
+func (m *proxy) stop() {
+	if m.exchange == nil {
 		return
 	}
-	m.levelsOver()
-	m.x = nil
-	if m.alarm != nil {
-		m.alarm.Stop()
-		m.alarm = nil
+	m.recordLevels()
+	m.exchange = nil
+	if m.timer != nil {
+		m.timer.Stop()
+		m.timer = nil
 	}
-	for _, i := range sortedInts(m.links) {
+	for _, i := range sortedServers(m.links) {
 		m.links[i].close()
 	}
 }
 
 // levelsOver notes what the levels of a mixer that ends have done.
-func (m *mixer) levelsOver() {
-	r := m.x.LevelsSnapshot()
+func (m *proxy) recordLevels() {
+	r := m.exchange.LevelsSnapshot()
 	if r == nil {
 		return
 	}
 	for _, c := range r.Past {
-		m.w.rec.Level(c.At.Sub(epoch), m.n, c.From, c.To, c.Why)
+		m.w.recorder.Level(c.At.Sub(epoch), m.n, c.From, c.To, c.Why)
 	}
-	m.levels += len(r.Past)
-	if most := m.w.plan.Expect.MaxLevelChanges; most > 0 && m.levels > most {
-		m.w.rec.Broke(fmt.Sprintf("mixer %d changed its level %d times, and %d are allowed", m.n, m.levels, most))
+	m.levelChanges += len(r.Past)
+	if limit := m.w.plan.Expect.MaxLevelChanges; limit > 0 && m.levelChanges > limit {
+		m.w.recorder.Broke(fmt.Sprintf("mixer %d changed its level %d times, and %d are allowed", m.n, m.levelChanges, limit))
 	}
 }
 
 // ---- Queries.
 
-func (m *mixer) take(a *ask) {
+func (m *proxy) receiveQuery(a *clientAttempt) {
 	w := m.w
-	if m.x == nil || a.over {
-		if !a.over { // the connection is refused
-			w.loop.Post(w.near(m), func() { w.reply(a, judge.Died, model.Reply{Kind: model.Failed}) })
+	if m.exchange == nil || a.finished {
+		if !a.finished { // the connection is refused
+			w.loop.Post(w.localDelay(m), func() { w.endAttempt(a, judge.Died, model.Reply{Kind: model.Failed}) })
 		}
 		return
 	}
-	a.life = m.life
+	a.incarnation = m.incarnation
 	t := a.t
 	q := &exchange.Query{ID: t.ID, Class: t.Request.Class.Name, Text: t.Request.Class.Name, ClientRetry: t.IsRetry, ReceivedAt: w.time(),
-		Timeout: t.Timeout - min(unseen, t.Timeout/unseenShare), Tenant: t.Request.Tenant, Key: t.Request.Key}
+		Timeout: t.Timeout - min(networkAllowance, t.Timeout/networkAllowanceDivisor), Tenant: t.Request.Tenant, Key: t.Request.Key}
 	for _, p := range t.Request.Parts {
 		q.Parts = append(q.Parts, exchange.Part{Shard: p.Shard, Weight: p.Weight, Key: t.Request.Key})
 	}
@@ -237,76 +237,76 @@
 	}
 	q.Done = func(f exchange.Final) {
 		delete(m.keys, q.ID)
-		w.final(a, f)
-		if m.leaving {
-			w.loop.Post(time.Millisecond, m.left)
+		w.deliverFinal(a, f)
+		if m.draining {
+			w.loop.Post(time.Millisecond, m.stopIfDrained)
 		}
 	}
 	a.q = q
-	m.x.Submit(q)
+	m.exchange.Submit(q)
 }
 
 // ---- The list.
 
 // hear has news of the list come in, after the way from discovery: the mixer's own site.
-func (m *mixer) hear(l choice.List) {
-	life := m.life
-	m.w.loop.Post(m.w.near(m), func() {
-		if m.life != life || m.x == nil {
+func (m *proxy) receiveListLater(l choice.List) {
+	life := m.incarnation
+	m.w.loop.Post(m.w.localDelay(m), func() {
+		if m.incarnation != life || m.exchange == nil {
 			return
 		}
-		m.hears(l)
+		m.applyList(l)
 	})
 }
 
 // hears takes a list for the links and hands it to the exchange.
-func (m *mixer) hears(l choice.List) {
-	named := make(map[int]bool, len(l.Servers))
+func (m *proxy) applyList(l choice.List) {
+	listed := make(map[int]bool, len(l.Servers))
 	for _, row := range l.Servers {
 		i, _ := m.w.server(row.ID)
-		named[i] = true
-		m.mayStart(i, row.State == choice.Ready, l.Since)
+		listed[i] = true
+		m.updateDrainStop(i, row.State == choice.Ready, l.Since)
 	}
 	if l.Form != choice.Delta {
 		for i := range m.w.Servers {
-			if !named[i] {
-				m.mayStart(i, false, l.Since)
+			if !listed[i] {
+				m.updateDrainStop(i, false, l.Since)
 			}
 		}
 	}
-	m.x.UpdateServers(l)
+	m.exchange.UpdateServers(l)
 }
 
 // mayStart notes from when on nothing may start on a server; since is how long ago the
 // news may have counted as told.
-func (m *mixer) mayStart(server int, ready bool, since choice.Micros) {
+func (m *proxy) updateDrainStop(server int, ready bool, since choice.Micros) {
 	if ready || m.w.opt.Mutations.IgnoreDrain {
-		delete(m.stops, server)
-	} else if _, told := m.stops[server]; !told {
-		m.stops[server] = m.w.loop.Now() + max(m.w.plan.Settings.DrainGrace-drainMargin-time.Duration(since)*time.Microsecond, 0)
+		delete(m.drainStops, server)
+	} else if _, stopping := m.drainStops[server]; !stopping {
+		m.drainStops[server] = m.w.loop.Now() + max(m.w.plan.Settings.DrainGrace-drainMargin-time.Duration(since)*time.Microsecond, 0)
 	}
 }
 
 // Watch is the exchange's wish to be told of the list. Discovery answers the whole.
-func (m *mixer) Watch(on bool) {
+func (m *proxy) Watch(on bool) {
 	if m.watches = on; on {
 		m.Fetch()
 	}
 }
 
 // Fetch asks for the whole list once.
-func (m *mixer) Fetch() {
-	life := m.life
-	m.w.loop.Post(m.w.near(m), func() {
-		if m.life == life && m.x != nil && m.merge != nil {
-			m.known()
-		} else if m.life == life && m.x != nil {
-			m.hear(m.w.whole(choice.Full))
+func (m *proxy) Fetch() {
+	life := m.incarnation
+	m.w.loop.Post(m.w.localDelay(m), func() {
+		if m.incarnation == life && m.exchange != nil && m.merge != nil {
+			m.deliverFullList()
+		} else if m.incarnation == life && m.exchange != nil {
+			m.receiveListLater(m.w.currentList(choice.Full))
 		}
 	})
 }
 
-func sorted(m map[string]*ask) []string {
+func sortedIDs(m map[string]*clientAttempt) []string {
 	out := make([]string, 0, len(m))
 	for id := range m {
 		out = append(out, id)
@@ -315,7 +315,7 @@
 	return out
 }
 
-func sortedInts(m map[int]*link) []int {
+func sortedServers(m map[int]*link) []int {
 	out := make([]int, 0, len(m))
 	for i := range m {
 		out = append(out, i)
--- a/internal/lab/virtual/shared_test.go
+++ b/internal/lab/virtual/shared_test.go
@@ -10,7 +10,7 @@
 )
 
 // ringed is a small ring with all that the heat scenarios have.
-const ringed = `[scenario]
+const ringScenario = `[scenario]
 name   = ringed
 length = 20s
 warmup = 1s
@@ -66,12 +66,12 @@
 		"", "[fault s]\ndo = list-silent\nat = 3s\nfor = 6s\n[fault d]\ndo = drain\nat = 2s\nfor = 9s\nshare = 0.4\napart = 700ms\n",
 		"[fault r]\ndo = release\nat = 2s\nfor = 3500ms\nextra = 3s\napart = 1s\nshare = 0.9\n",
 	} {
-		r := play(t, ringed+f, Options{KeepRows: true})
+		r := play(t, ringScenario+f, Options{KeepRows: true})
 		require.Empty(t, r.Unmet(), "%s", r.Verdict.Faults)
 		require.Greater(t, r.Summary.Goodput, 0.9)
 		require.LessOrEqual(t, r.Summary.Worst10, r.Summary.Goodput+1e-9)
 	}
-	r := play(t, ringed+"[fault d]\ndo = drain\nat = 2s\nshare = 0.4\n", Options{Mutations: Mutations{IgnoreDrain: true}})
+	r := play(t, ringScenario+"[fault d]\ndo = drain\nat = 2s\nshare = 0.4\n", Options{Mutations: Mutations{IgnoreDrain: true}})
 	require.Zero(t, r.Verdict.Drained, "the decisions alone keep to a drain")
 }
 
@@ -83,17 +83,17 @@
 		}
 		return sum
 	}
-	free, dear := work(strings.Replace(ringed, "per-call-work = 8ms", "per-call-work = 0s", 1)), work(ringed)
-	require.Greater(t, dear, free)
+	free, costly := work(strings.Replace(ringScenario, "per-call-work = 8ms", "per-call-work = 0s", 1)), work(ringScenario)
+	require.Greater(t, costly, free)
 	// Two calls or three for a query of nine parts in a row, one for a fix.
-	r := play(t, ringed, Options{KeepRows: true})
-	calls := float64(dear-free) / 8000
+	r := play(t, ringScenario, Options{KeepRows: true})
+	calls := float64(costly-free) / 8000
 	require.Less(t, calls, 0.55*float64(r.Summary.Parts))
 }
 
 // Tenants and the worst ten seconds are told, and a run without them tells neither ill.
 func TestWorst(t *testing.T) {
-	r := play(t, ringed+"[burst b]\nat = 5s\nfor = 10s\nfactor = 6\ntenant = small\n", Options{KeepRows: true})
+	r := play(t, ringScenario+"[burst b]\nat = 5s\nfor = 10s\nfactor = 6\ntenant = small\n", Options{KeepRows: true})
 	over := 0
 	for _, q := range r.Queries {
 		if q.Value < 0.5 {
--- a/internal/lab/virtual/sources.go
+++ b/internal/lab/virtual/sources.go
@@ -18,61 +18,61 @@
 )
 
 // beat is how often a source that has no news says so: a call that was waited out.
-const beat = 2 * time.Second
+const idleAnswerInterval = 2 * time.Second
 
 // source is one source as it stands.
 type source struct {
-	list  *model.List
-	told  []model.Entry // what it has told, by server
-	index int64
-	mute  int
-	down  int
-	empty int
+	list    *model.List
+	entries []model.Entry // what it has told, by server
+	index   int64
+	silent  int
+	down    int
+	empty   int
 }
 
 // merging is a mixer's merge.
-type merging struct {
-	core  *membership.Members
-	rows  *members.ListBuilder
-	timer *event.Timer
-	n     int64
-	last  map[string]time.Duration
-	begun bool // the decisions have had a whole list
+type sourceMerge struct {
+	core            *membership.Members
+	rows            *members.ListBuilder
+	timer           *event.Timer
+	dnsObservations int64
+	lastArrival     map[string]time.Duration
+	delivered       bool // the decisions have had a whole list
 }
 
-func (w *world) sourcesOn() bool { return len(w.plan.Members.Sources) > 0 }
+func (w *world) hasSources() bool { return len(w.plan.Members.Sources) > 0 }
 
 func (w *world) buildSources() {
 	for i, l := range w.lists {
-		s := &source{list: l, told: slices.Clone(l.Entries()), index: 1}
+		s := &source{list: l, entries: slices.Clone(l.Entries()), index: 1}
 		w.sources = append(w.sources, s)
-		l.Publish = func(news []model.Entry) {
+		l.Publish = func(changes []model.Entry) {
 			s.index++
-			for _, e := range news {
-				s.told[e.Server] = e
+			for _, e := range changes {
+				s.entries[e.Server] = e
 			}
-			for _, m := range w.mixers {
-				m.tells(i, news)
+			for _, m := range w.proxies {
+				m.sendChanges(i, changes)
 			}
 		}
-		l.OnFault = func(c model.Change) { w.turn(i, c) }
+		l.OnFault = func(c model.Change) { w.applySourceFault(i, c) }
 	}
-	w.loop.Post(beat, w.beat)
+	w.loop.Post(idleAnswerInterval, w.sendIdleAnswers)
 }
 
-func (w *world) beat() {
+func (w *world) sendIdleAnswers() {
 	for i := range w.sources {
-		for _, m := range w.mixers {
-			m.tells(i, nil)
+		for _, m := range w.proxies {
+			m.sendChanges(i, nil)
 		}
 	}
 	if w.loop.Now() < w.plan.Length+overtime {
-		w.loop.Post(beat, w.beat)
+		w.loop.Post(idleAnswerInterval, w.sendIdleAnswers)
 	}
 }
 
 // turn has a fault take hold of a source as a whole, or let it go.
-func (w *world) turn(i int, c model.Change) {
+func (w *world) applySourceFault(i int, c model.Change) {
 	s := w.sources[i]
 	step := 1
 	if !c.On {
@@ -80,7 +80,7 @@
 	}
 	switch c.Do {
 	case model.ListSilent:
-		s.mute += step
+		s.silent += step
 	case model.ListDown:
 		s.down += step
 	case model.ListEmpty:
@@ -94,51 +94,51 @@
 		return
 	}
 	s.index++
-	for _, m := range w.mixers {
-		m.tellsAll(i, c.Do == model.ListReset)
+	for _, m := range w.proxies {
+		m.sendFullAnswer(i, c.Do == model.ListReset)
 	}
 }
 
 // tells has news of a source come in at a mixer.
-func (m *mixer) tells(i int, news []model.Entry) {
+func (m *proxy) sendChanges(i int, changes []model.Entry) {
 	w, s := m.w, m.w.sources[i]
 	switch {
-	case m.x == nil || s.mute > 0:
+	case m.exchange == nil || s.silent > 0:
 		return
 	case s.down > 0:
-		m.observes(membership.Observation{Source: s.list.Name, Failed: true})
+		m.observeLater(membership.Observation{Source: s.list.Name, Failed: true})
 		return
 	case s.empty > 0:
 		return
 	}
 	o := membership.Observation{Source: s.list.Name, Index: s.index}
-	for _, e := range news {
+	for _, e := range changes {
 		if e.Status == model.Deleted {
 			o.Removed = append(o.Removed, w.plan.Servers[e.Server].Name)
 		} else {
 			o.Claims = append(o.Claims, w.claim(e))
 		}
 	}
-	m.observes(o)
+	m.observeLater(o)
 }
 
 // tellsAll has a whole answer of a source come in at a mixer.
-func (m *mixer) tellsAll(i int, reset bool) {
+func (m *proxy) sendFullAnswer(i int, reset bool) {
 	w, s := m.w, m.w.sources[i]
-	if m.x == nil || s.mute > 0 {
+	if m.exchange == nil || s.silent > 0 {
 		return
 	}
 	if s.down > 0 {
-		m.observes(membership.Observation{Source: s.list.Name, Failed: true})
+		m.observeLater(membership.Observation{Source: s.list.Name, Failed: true})
 		return
 	}
 	o := membership.Observation{Source: s.list.Name, Index: s.index, Complete: true, Reset: reset}
-	for _, e := range s.told {
+	for _, e := range s.entries {
 		if s.empty == 0 && e.Status != model.Deleted {
 			o.Claims = append(o.Claims, w.claim(e))
 		}
 	}
-	m.observes(o)
+	m.observeLater(o)
 }
 
 func (w *world) claim(e model.Entry) membership.Claim {
@@ -156,92 +156,92 @@
 
 // observes has an answer come in after the way from the source: the mixer's own site;
 // DNS is asked once in a record's lifetime.
-func (m *mixer) observes(o membership.Observation) {
-	w, life := m.w, m.life
-	later := w.near(m)
+func (m *proxy) observeLater(o membership.Observation) {
+	w, life := m.w, m.incarnation
+	delay := w.localDelay(m)
 	if ttl := w.plan.Source(o.Source).TTL; o.Source == "dns" && len(o.Claims)+len(o.Removed) > 0 {
-		m.merge.n++
-		later += time.Duration(model.Uniform(w.plan.RunSeed, "dns", fmt.Sprint(m.n), fmt.Sprint(m.merge.n)) * float64(ttl))
+		m.merge.dnsObservations++
+		delay += time.Duration(model.Uniform(w.plan.RunSeed, "dns", fmt.Sprint(m.n), fmt.Sprint(m.merge.dnsObservations)) * float64(ttl))
 	}
 	// A source is asked one call after the other: its answers come in order.
-	at := max(w.loop.Now()+later, m.merge.last[o.Source])
-	m.merge.last[o.Source] = at
+	at := max(w.loop.Now()+delay, m.merge.lastArrival[o.Source])
+	m.merge.lastArrival[o.Source] = at
 	w.loop.Post(at-w.loop.Now(), func() {
-		if m.life != life || m.x == nil {
+		if m.incarnation != life || m.exchange == nil {
 			return
 		}
 		for _, c := range o.Claims {
-			w.j.ToldBy(m.n, o.Source, c.Name, c.Drain, w.time())
+			w.judge.ToldBy(m.n, o.Source, c.Name, c.Drain, w.time())
 		}
 		if m.merge.core.Observe(w.time().UnixMicro(), o) == nil {
-			m.step()
+			m.stepMerge()
 		}
 	})
 }
 
 // merges gives a mixer that starts its merge, and what the sources say.
-func (m *mixer) merges() error {
+func (m *proxy) startMerge() error {
 	w := m.w
-	core, err := membership.New(w.plan.Members.MergeSettings(w.inForce))
+	core, err := membership.New(w.plan.Members.MergeSettings(w.activeSources))
 	if err != nil {
 		return err
 	}
-	m.merge = &merging{last: make(map[string]time.Duration), core: core, rows: members.NewListBuilder(w.time().UnixMicro())}
+	m.merge = &sourceMerge{lastArrival: make(map[string]time.Duration), core: core, rows: members.NewListBuilder(w.time().UnixMicro())}
 	for i := range w.sources {
-		m.tellsAll(i, false)
+		m.sendFullAnswer(i, false)
 	}
 	return nil
 }
 
 // step is what source/members does in service.
-func (m *mixer) step() {
+func (m *proxy) stepMerge() {
 	w, g := m.w, m.merge
 	now := w.time().UnixMicro()
 	changed := g.core.Step(now)
-	if rows, _ := g.rows.Delta(now, changed); len(rows) > 0 && g.begun {
+	if rows, _ := g.rows.Delta(now, changed); len(rows) > 0 && g.delivered {
 		w.version++
-		m.hears(choice.List{Form: choice.Delta, Version: w.version, Servers: rows})
+		m.applyList(choice.List{Form: choice.Delta, Version: w.version, Servers: rows})
 	}
 	if g.timer != nil {
 		g.timer.Stop()
 		g.timer = nil
 	}
 	if due := g.core.Due(); due > 0 {
-		life := m.life
+		life := m.incarnation
 		g.timer = w.loop.After(time.Duration(max(due-now, 1))*time.Microsecond, func() {
 			g.timer = nil
-			if m.life == life && m.x != nil {
-				m.step()
+			if m.incarnation == life && m.exchange != nil {
+				m.stepMerge()
 			}
 		})
 	}
 }
 
 // known hands the whole merged list to the decisions.
-func (m *mixer) known() {
+func (m *proxy) deliverFullList() {
 	list, _ := m.merge.rows.Full(m.w.time().UnixMicro(), m.merge.core.All())
-	m.merge.begun = true
+	m.merge.delivered = true
 	m.w.version++
-	m.hears(choice.List{Form: choice.Full, Version: m.w.version, Servers: list})
+	m.applyList(choice.List{Form: choice.Full, Version: m.w.version, Servers: list})
 }
 
 // reconfigure puts other sources in force at every mixer, as SIGHUP does.
 func (w *world) reconfigure(c model.Change) {
-	w.inForce = w.plan.Members.Sources
+	w.activeSources = w.plan.Members.Sources
 	if c.On {
-		w.inForce = c.SwitchTo
+		w.activeSources = c.SwitchTo
 	}
-	for _, m := range w.mixers {
-		if m.x == nil {
+	for _, m := range w.proxies {
+		if m.exchange == nil {
 			continue
 		}
-		if err := m.merge.core.Configure(w.plan.Members.MergeSettings(w.inForce)); err != nil {
-			w.rec.Broke(err.Error())
+		if err := m.merge.core.Configure(w.plan.Members.MergeSettings(w.activeSources)); err != nil {
+			w.recorder.Broke(err.Error())
 			continue
 		}
-		m.step()
+		m.stepMerge()
 		for i := range w.sources {
-			m.tellsAll(i, false)
+			m.sendFullAnswer(i, false)
 		}
 	}
 }
--- a/internal/lab/virtual/virtual.go
+++ b/internal/lab/virtual/virtual.go
@@ -31,18 +31,18 @@
 // What the mixer's own sides do with time: the figures of internal/downstream and
 // internal/upstream.
 const (
-	unseen      = 30 * time.Millisecond
-	unseenShare = 10
-	idleShare   = 0.9
-	drainMargin = 500 * time.Millisecond
-	connsEach   = 4
+	networkAllowance        = 30 * time.Millisecond
+	networkAllowanceDivisor = 10
+	idleFraction            = 0.9
+	drainMargin             = 500 * time.Millisecond
+	connsEach               = 4
 )
 
 const (
-	settleEvery = 5 * time.Second // the judge lets go of what is over
-	linger      = 10 * time.Second
-	overtime    = 30 * time.Second // after the load and the longest patience, until all must be over
-	goneSoon    = time.Second      // a killed mixer's connections are reset so soon
+	judgeInterval = 5 * time.Second // the judge lets go of what is over
+	judgeDelay    = 10 * time.Second
+	overtime      = 30 * time.Second // after the load and the longest patience, until all must be over
+	goneSoon      = time.Second      // a killed mixer's connections are reset so soon
 )
 
 // epoch is when virtual time begins, on the clock that the mixers see.
@@ -90,24 +90,24 @@
 
 type world struct {
 	World
-	ctx     context.Context
-	opt     Options
-	plan    *scenario.Plan
-	loop    *event.Loop
-	net     *model.Network
-	set     settings.Settings
-	sites   []int // of the servers
-	mixers  []*mixer
-	fronts  []int         // mixers that the front deals queries to
-	vanish  []int         // faults that keep a server's machine away
-	lists   []*model.List // [0] alone without [members]
-	sources []*source     // with [members]
-	inForce []string      // of these
-	version int64
-	clients *model.Clients
-	j       *judge.Judge
-	rec     *record.Recorder
-	sent    map[string]int // attempts of an ask that is not over
+	ctx             context.Context
+	opt             Options
+	plan            *scenario.Plan
+	loop            *event.Loop
+	net             *model.Network
+	settings        settings.Settings
+	sites           []int // of the servers
+	proxies         []*proxy
+	balancedProxies []int         // mixers that the front deals queries to
+	vanished        []int         // faults that keep a server's machine away
+	lists           []*model.List // [0] alone without [members]
+	sources         []*source     // with [members]
+	activeSources   []string      // of these
+	version         int64
+	clients         *model.Clients
+	judge           *judge.Judge
+	recorder        *record.Recorder
+	attemptsSent    map[string]int // attempts of an ask that is not over
 }
 
 // sched is the loop as models know it.
@@ -131,7 +131,7 @@
 	if err := w.play(); err != nil {
 		return nil, err
 	}
-	run := w.rec.Done(w.j.Judge(epoch.Add(p.Window[0]), epoch.Add(p.Window[1])))
+	run := w.recorder.Done(w.judge.Judge(epoch.Add(p.Window[0]), epoch.Add(p.Window[1])))
 	var mem runtime.MemStats
 	runtime.ReadMemStats(&mem)
 	run.Machine = record.Machine{Wall: time.Since(begun), Events: w.loop.Done(), PeakMiB: int64(mem.Sys >> 20), Threads: 1}
@@ -143,20 +143,20 @@
 	if err != nil {
 		return nil, err
 	}
-	w := &world{ctx: ctx, opt: opt, plan: p, loop: &event.Loop{Most: opt.MaxEvents}, net: p.NewNetwork(), sent: make(map[string]int),
-		rec: record.New(p, "virtual", opt.Policy, opt.KeepRows), vanish: make([]int, len(p.Servers))}
-	if w.set, err = settings.Decode(settings.Flatten(gjson.ParseBytes(text))); err != nil {
+	w := &world{ctx: ctx, opt: opt, plan: p, loop: &event.Loop{Most: opt.MaxEvents}, net: p.NewNetwork(), attemptsSent: make(map[string]int),
+		recorder: record.New(p, "virtual", opt.Policy, opt.KeepRows), vanished: make([]int, len(p.Servers))}
+	if w.settings, err = settings.Decode(settings.Flatten(gjson.ParseBytes(text))); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	if opt.Mutations.ChangeSettings != nil {
-		opt.Mutations.ChangeSettings(&w.set)
+		opt.Mutations.ChangeSettings(&w.settings)
 	}
 	var classes []judge.Class
 	for _, c := range p.Scenario.Classes {
 		classes = append(classes, judge.Class{Name: c.Name, Unsafe: c.Effect != "free", Need: c.RequiredShare, Floor: c.MinShare})
 	}
-	w.j = judge.New(classes, p.Settings.DrainGrace+judge.Slack)
-	w.j.Allow(p.Settings.AttemptCap, p.Settings.ParallelAttempts)
+	w.judge = judge.New(classes, p.Settings.DrainGrace+judge.Slack)
+	w.judge.Allow(p.Settings.AttemptCap, p.Settings.ParallelAttempts)
 	w.Index = make(map[string]int)
 	w.Now, w.Work = w.loop.Now, p.Work
 	for i, spec := range p.Servers {
@@ -164,42 +164,42 @@
 		w.Servers, w.sites = append(w.Servers, s), append(w.sites, w.net.Site(spec.Site))
 		w.Index[spec.Name] = i
 		s.OnOverload = func(s *model.Server) {
-			w.j.Fell(s.Name, w.time())
-			w.note("%s was pushed over while it was cold", s.Name)
+			w.judge.Fell(s.Name, w.time())
+			w.recordEvent("%s was pushed over while it was cold", s.Name)
 		}
-		s.OnDown = func(*model.Server) { w.down(i) }
-		s.OnUp = func(*model.Server) { w.up(i) }
+		s.OnDown = func(*model.Server) { w.serverDown(i) }
+		s.OnUp = func(*model.Server) { w.serverUp(i) }
 	}
 	w.Reachable = func(mixer, server int) bool {
-		return w.vanish[server] == 0 && w.net.Reachable(w.mixers[mixer].site, w.sites[server]) && w.net.Reachable(w.sites[server], w.mixers[mixer].site)
+		return w.vanished[server] == 0 && w.net.Reachable(w.proxies[mixer].site, w.sites[server]) && w.net.Reachable(w.sites[server], w.proxies[mixer].site)
 	}
 	w.lists = p.NewLists(func(int) model.Sched { return sched{w.loop} })
-	if w.inForce = p.Members.Sources; w.sourcesOn() {
+	if w.activeSources = p.Members.Sources; w.hasSources() {
 		w.buildSources()
 	} else {
-		w.lists[0].Publish, w.lists[0].BufferSilent = w.tell, p.Settings.PollInterval > 0
+		w.lists[0].Publish, w.lists[0].BufferSilent = w.publishList, p.Settings.PollInterval > 0
 	}
 	for n := range p.Proxies.Count {
-		m := &mixer{w: w, n: n, site: w.net.Site(p.ProxySite(n))}
-		w.mixers = append(w.mixers, m)
+		m := &proxy{w: w, n: n, site: w.net.Site(p.ProxySite(n))}
+		w.proxies = append(w.proxies, m)
 		if err := m.start(); err != nil {
 			return nil, err
 		}
-		m.fronted = true
+		m.balanced = true
 	}
-	w.front()
-	w.clients = &model.Clients{Sched: sched{w.loop}, Classes: p.Classes, Tenants: p.NewTenants(), OverQuotaValue: p.OverQuotaValue, Retry: p.Retry(), Seed: p.RunSeed, Length: p.Length, SelectProxy: w.pick, Send: w.send,
-		Disconnect: w.leave, OnFinish: func(a *model.Request) {
-			w.rec.Over(a, w.sent[a.ID])
-			delete(w.sent, a.ID)
+	w.updateBalanced()
+	w.clients = &model.Clients{Sched: sched{w.loop}, Classes: p.Classes, Tenants: p.NewTenants(), OverQuotaValue: p.OverQuotaValue, Retry: p.Retry(), Seed: p.RunSeed, Length: p.Length, SelectProxy: w.selectProxy, Send: w.sendQuery,
+		Disconnect: w.clientLeaves, OnFinish: func(a *model.Request) {
+			w.recorder.Over(a, w.attemptsSent[a.ID])
+			delete(w.attemptsSent, a.ID)
 		}}
 	return w, nil
 }
 
 func (w *world) time() time.Time { return epoch.Add(w.loop.Now()) }
 
-func (w *world) note(format string, args ...any) {
-	w.rec.Event(w.loop.Now(), fmt.Sprintf(format, args...))
+func (w *world) recordEvent(format string, args ...any) {
+	w.recorder.Event(w.loop.Now(), fmt.Sprintf(format, args...))
 }
 
 // play lets the load run, and then on until all is over.
@@ -217,18 +217,18 @@
 		return w.ctx.Err()
 	}
 	for _, c := range p.Changes {
-		w.loop.Post(c.At, func() { w.change(c) })
+		w.loop.Post(c.At, func() { w.applyChange(c) })
 	}
-	for at := settleEvery; at < end; at += settleEvery {
+	for at := judgeInterval; at < end; at += judgeInterval {
 		w.loop.Post(at, func() {
-			w.j.Settle(w.time().Add(-linger), epoch.Add(p.Window[0]), epoch.Add(p.Window[1]))
+			w.judge.Settle(w.time().Add(-judgeDelay), epoch.Add(p.Window[0]), epoch.Add(p.Window[1]))
 		})
 	}
 	for s := 1; time.Duration(s)*time.Second <= p.Length; s++ {
 		w.loop.Post(time.Duration(s)*time.Second, func() {
 			if w.opt.KeepRows {
 				for _, v := range w.Servers {
-					w.rec.Look(s-1, &v.Spec, v.TakeStats())
+					w.recorder.Look(s-1, &v.Spec, v.TakeStats())
 				}
 			}
 		})
@@ -253,60 +253,60 @@
 		return err
 	}
 	if n := w.clients.InFlight; n > 0 {
-		w.rec.Broke(fmt.Sprintf("%d asks were not over %v after the load", n, overtime+longest))
-		for _, m := range w.mixers {
-			for _, id := range sorted(m.asks) {
-				m.asks[id].seen.Detail = "no answer came"
-				w.reply(m.asks[id], judge.Lost, model.Reply{Kind: model.Lost})
+		w.recorder.Broke(fmt.Sprintf("%d asks were not over %v after the load", n, overtime+longest))
+		for _, m := range w.proxies {
+			for _, id := range sortedIDs(m.attempts) {
+				m.attempts[id].judged.Detail = "no answer came"
+				w.endAttempt(m.attempts[id], judge.Lost, model.Reply{Kind: model.Lost})
 			}
 		}
 	}
-	for _, m := range w.mixers {
+	for _, m := range w.proxies {
 		m.stop()
 	}
 	return nil
 }
 
 // change has a fault take hold of something, or let it go.
-func (w *world) change(c model.Change) {
+func (w *world) applyChange(c model.Change) {
 	switch {
 	case c.Do == model.Cut:
 		w.net.Cut(c.From, c.To, c.On)
 		if c.Both {
 			w.net.Cut(c.To, c.From, c.On)
 		}
-		w.note("%v %s to %s", c, w.net.Sites()[c.From], w.net.Sites()[c.To])
+		w.recordEvent("%v %s to %s", c, w.net.Sites()[c.From], w.net.Sites()[c.To])
 	case c.Do == model.KillProxy, c.Do == model.RestartProxy:
-		w.note("%v %d", c, c.Target)
-		m := w.mixers[c.Target]
+		w.recordEvent("%v %d", c, c.Target)
+		m := w.proxies[c.Target]
 		switch {
 		case !c.On:
-			m.back()
+			m.restart()
 		case c.Do == model.KillProxy:
 			m.kill()
 		default:
-			m.leave()
+			m.drain()
 		}
 	case c.Do == model.SwitchSources:
-		w.note("%v %s", c, strings.Join(c.SwitchTo, " "))
+		w.recordEvent("%v %s", c, strings.Join(c.SwitchTo, " "))
 		w.reconfigure(c)
 	case c.Target < 0 || model.ChangesEntry(c.Do):
 		if c.Target >= 0 {
-			w.note("%v %s", c, w.Servers[c.Target].Name)
+			w.recordEvent("%v %s", c, w.Servers[c.Target].Name)
 		} else {
-			w.note("%v", c)
+			w.recordEvent("%v", c)
 		}
 		for _, l := range w.lists {
 			l.Apply(c)
 		}
 	default:
 		s := w.Servers[c.Target]
-		w.note("%v %s", c, s.Name)
+		w.recordEvent("%v %s", c, s.Name)
 		if c.Do == model.Vanish {
 			if c.On {
-				w.vanish[c.Target]++
+				w.vanished[c.Target]++
 			} else {
-				w.vanish[c.Target]--
+				w.vanished[c.Target]--
 			}
 		}
 		s.Apply(c)
@@ -314,26 +314,26 @@
 }
 
 // down: a server's process has ended.
-func (w *world) down(server int) {
+func (w *world) serverDown(server int) {
 	for _, l := range w.lists {
 		l.Down(server)
 	}
-	for _, m := range w.mixers {
+	for _, m := range w.proxies {
 		if l := m.links[server]; l != nil {
-			l.serverGone()
+			l.serverEnded()
 		}
 	}
 }
 
-func (w *world) up(server int) {
-	w.note("%s runs again", w.Servers[server].Name)
-	w.j.Restarted(w.Servers[server].Name, len(w.mixers))
+func (w *world) serverUp(server int) {
+	w.recordEvent("%s runs again", w.Servers[server].Name)
+	w.judge.Restarted(w.Servers[server].Name, len(w.proxies))
 	for _, l := range w.lists {
 		l.Up(server)
 	}
-	for _, m := range w.mixers {
+	for _, m := range w.proxies {
 		if l := m.links[server]; l != nil {
-			l.serverBack()
+			l.serverRestarted()
 		}
 	}
 }
@@ -352,45 +352,45 @@
 }
 
 // tell has discovery write news to the mixers that watch.
-func (w *world) tell(news []model.Entry) {
+func (w *world) publishList(changes []model.Entry) {
 	w.version++
-	for _, e := range news {
+	for _, e := range changes {
 		switch e.Status {
 		case model.Draining:
-			w.j.Told(w.plan.Servers[e.Server].Name, w.time())
+			w.judge.Told(w.plan.Servers[e.Server].Name, w.time())
 		case model.Serving:
-			w.j.Told(w.plan.Servers[e.Server].Name, time.Time{})
+			w.judge.Told(w.plan.Servers[e.Server].Name, time.Time{})
 		}
 	}
-	rows := make([]choice.Server, 0, len(news))
-	for _, e := range news {
+	rows := make([]choice.Server, 0, len(changes))
+	for _, e := range changes {
 		rows = append(rows, w.row(e))
 	}
-	for _, m := range w.mixers {
-		if m.x == nil || !m.watches {
+	for _, m := range w.proxies {
+		if m.exchange == nil || !m.watches {
 			continue
 		}
 		l := choice.List{Form: choice.Delta, Version: w.version, Servers: rows}
 		look := w.plan.Settings.PollInterval
 		if look == 0 {
-			m.hear(l)
+			m.receiveListLater(l)
 			continue
 		}
 		// The agent holds it, and that counts as told; the mixer's next look finds it.
 		l.Since = look.Microseconds()
-		life := m.life
-		at := max(w.loop.Now()+time.Duration(m.look()*float64(look)), m.looked)
-		m.looked = at
+		life := m.incarnation
+		at := max(w.loop.Now()+time.Duration(m.pollDraw()*float64(look)), m.lastPoll)
+		m.lastPoll = at
 		w.loop.Post(at-w.loop.Now(), func() {
-			if m.life == life && m.x != nil {
-				m.hears(l)
+			if m.incarnation == life && m.exchange != nil {
+				m.applyList(l)
 			}
 		})
 	}
 }
 
 // whole is the list as discovery has it.
-func (w *world) whole(form choice.Form) choice.List {
+func (w *world) currentList(form choice.Form) choice.List {
 	l := choice.List{Form: form, Version: w.version}
 	for _, e := range w.lists[0].Entries() {
 		if e.Status != model.Deleted {
@@ -402,83 +402,83 @@
 
 // ---- Clients.
 
-func (w *world) front() {
-	w.fronts = w.fronts[:0]
-	for _, m := range w.mixers {
-		if m.fronted {
-			w.fronts = append(w.fronts, m.n)
+func (w *world) updateBalanced() {
+	w.balancedProxies = w.balancedProxies[:0]
+	for _, m := range w.proxies {
+		if m.balanced {
+			w.balancedProxies = append(w.balancedProxies, m.n)
 		}
 	}
 }
 
-func (w *world) pick(luck uint64) int {
-	if len(w.fronts) == 0 {
+func (w *world) selectProxy(draw uint64) int {
+	if len(w.balancedProxies) == 0 {
 		return -1
 	}
-	return w.fronts[luck%uint64(len(w.fronts))]
+	return w.balancedProxies[draw%uint64(len(w.balancedProxies))]
 }
 
 // near is the way between a client and its mixer: they share a site.
-func (w *world) near(m *mixer) time.Duration {
+func (w *world) localDelay(m *proxy) time.Duration {
 	d, _ := w.net.Delay(m.site, m.site)
 	return d
 }
 
 // ask is a try at a mixer.
-type ask struct {
-	t    *model.Attempt
-	q    *exchange.Query
-	seen *judge.Query
-	m    *mixer
-	life int
-	over bool
+type clientAttempt struct {
+	t           *model.Attempt
+	q           *exchange.Query
+	judged      *judge.Query
+	proxy       *proxy
+	incarnation int
+	finished    bool
 }
 
-func (w *world) send(t *model.Attempt) {
-	m := w.mixers[t.Proxy]
-	a := &ask{t: t, m: m}
-	a.seen = &judge.Query{ID: t.ID, Class: t.Request.Class.Name, Due: epoch.Add(t.Request.Due), Sent: w.time(), Patience: t.Timeout}
+func (w *world) sendQuery(t *model.Attempt) {
+	m := w.proxies[t.Proxy]
+	a := &clientAttempt{t: t, proxy: m}
+	a.judged = &judge.Query{ID: t.ID, Class: t.Request.Class.Name, Due: epoch.Add(t.Request.Due), Sent: w.time(), Patience: t.Timeout}
 	for _, p := range t.Request.Parts {
-		a.seen.Parts = append(a.seen.Parts, judge.Part{Shard: p.Shard, Weight: p.Weight})
+		a.judged.Parts = append(a.judged.Parts, judge.Part{Shard: p.Shard, Weight: p.Weight})
 	}
-	w.j.Sent(a.seen)
-	m.asks[t.ID] = a
+	w.judge.Sent(a.judged)
+	m.attempts[t.ID] = a
 	if w.opt.Trace != nil {
 		w.opt.Trace(w.loop.Now(), t.Request.ID, fmt.Sprintf("try %d of class %s goes to mixer %d, %d parts, %v left", t.N, t.Request.Class.Name, m.n, len(t.Request.Parts), t.Timeout))
 	}
-	w.loop.Post(w.near(m), func() { m.take(a) })
+	w.loop.Post(w.localDelay(m), func() { m.receiveQuery(a) })
 }
 
 // leave: a client closes its connection.
-func (w *world) leave(t *model.Attempt) {
-	m := w.mixers[t.Proxy]
-	a := m.asks[t.ID]
-	if a == nil || a.over {
+func (w *world) clientLeaves(t *model.Attempt) {
+	m := w.proxies[t.Proxy]
+	a := m.attempts[t.ID]
+	if a == nil || a.finished {
 		return
 	}
-	w.reply(a, judge.Gone, model.Reply{Kind: model.Left})
-	w.loop.Post(w.near(m), func() {
-		if m.x != nil && m.life == a.life && a.q != nil {
-			m.x.ClientLeft(a.q)
+	w.endAttempt(a, judge.Gone, model.Reply{Kind: model.Left})
+	w.loop.Post(w.localDelay(m), func() {
+		if m.exchange != nil && m.incarnation == a.incarnation && a.q != nil {
+			m.exchange.ClientLeft(a.q)
 		}
 	})
 }
 
 // reply ends a try at its client.
-func (w *world) reply(a *ask, outcome judge.Outcome, r model.Reply) {
-	if a.over {
+func (w *world) endAttempt(a *clientAttempt, outcome judge.Outcome, r model.Reply) {
+	if a.finished {
 		// The end of a killed mixer's connection may cross its answer: that is no second one.
-		if outcome != judge.Gone && outcome != judge.Died && a.seen.Outcome != judge.Gone && a.seen.Outcome != judge.Died {
-			a.seen.Extra = true
+		if outcome != judge.Gone && outcome != judge.Died && a.judged.Outcome != judge.Gone && a.judged.Outcome != judge.Died {
+			a.judged.Extra = true
 		}
 		return
 	}
-	a.over = true
-	a.seen.Ended, a.seen.Outcome = w.time(), outcome
-	if a.m.asks[a.t.ID] == a {
-		delete(a.m.asks, a.t.ID)
+	a.finished = true
+	a.judged.Ended, a.judged.Outcome = w.time(), outcome
+	if a.proxy.attempts[a.t.ID] == a {
+		delete(a.proxy.attempts, a.t.ID)
 	}
-	w.j.Ended(a.seen)
+	w.judge.Ended(a.judged)
 	if w.opt.Trace != nil {
 		w.opt.Trace(w.loop.Now(), a.t.Request.ID, fmt.Sprintf("try %d ends: %v whole=%v share=%.2f retry-after=%v", a.t.N, r.Kind, r.Complete, r.Share, r.RetryAfter))
 	}
@@ -486,7 +486,7 @@
 }
 
 // final is a mixer's answer, on its way to the client.
-func (w *world) final(a *ask, f exchange.Final) {
+func (w *world) deliverFinal(a *clientAttempt, f exchange.Final) {
 	if change := w.opt.Mutations.ReplaceFinal; change != nil {
 		g := change(&f)
 		if g == nil {
@@ -511,23 +511,23 @@
 	default:
 		r.Kind = model.Failed
 	}
-	m, times := a.m, 1
+	m, copies := a.proxy, 1
 	if w.opt.Mutations.AnswerTwice {
-		times = 2
+		copies = 2
 	}
-	for range times {
-		w.loop.Post(w.near(m)+w.opt.Mutations.AnswerDelay, func() {
-			if !a.over {
-				a.seen.Whole = r.Complete
+	for range copies {
+		w.loop.Post(w.localDelay(m)+w.opt.Mutations.AnswerDelay, func() {
+			if !a.finished {
+				a.judged.Whole = r.Complete
 				for _, h := range f.Hits {
 					value := h.Value
 					if change := w.opt.Mutations.ReplaceValue; change != nil {
 						value = change("", value)
 					}
-					a.seen.Hits = append(a.seen.Hits, judge.Hit{Shard: h.Shard, Value: value})
+					a.judged.Hits = append(a.judged.Hits, judge.Hit{Shard: h.Shard, Value: value})
 				}
 			}
-			w.reply(a, outcome, r)
+			w.endAttempt(a, outcome, r)
 		})
 	}
 }
--- a/internal/lab/virtual/virtual_test.go
+++ b/internal/lab/virtual/virtual_test.go
@@ -66,9 +66,9 @@
 	failing := small + "[fault f]\ndo = fail\nat = 2s\nparts = 0.7\n"
 	draining := small + "[fault d]\ndo = drain\nat = 2s\nwho = cell 1\n"
 	returning := strings.ReplaceAll(small, "rate  = 40", "rate  = 300") + "[fault d]\ndo = die\nat = 2s\nfor = 3s\nwho = cell 1\n"
-	told := small + "[members]\nsources = list, consul\n[fault d]\ndo = drain\nsource = consul\nat = 2s\nwho = cell 1\n"
-	for _, fair := range []string{failing, draining, returning, told} {
-		require.Zero(t, play(t, fair, Options{}).Verdict.Broken(), "%s", play(t, fair, Options{}).Verdict.Faults)
+	toldByOne := small + "[members]\nsources = list, consul\n[fault d]\ndo = drain\nsource = consul\nat = 2s\nwho = cell 1\n"
+	for _, unmutated := range []string{failing, draining, returning, toldByOne} {
+		require.Zero(t, play(t, unmutated, Options{}).Verdict.Broken(), "%s", play(t, unmutated, Options{}).Verdict.Faults)
 	}
 	unsafe := func(s *settings.Settings) {
 		for i := range s.Router.Classes {
@@ -77,9 +77,9 @@
 	}
 	cases := []struct {
 		rule, text string
-		how        Mutations
-		seen       func(*record.Run) int
-		words      string
+		mutations  Mutations
+		count      func(*record.Run) int
+		fault      string
 	}{
 		{"a query gets an answer", small, Mutations{ReplaceFinal: func(*exchange.Final) *exchange.Final { return nil }},
 			func(r *record.Run) int { return r.Verdict.Lost }, "lost: query"},
@@ -92,9 +92,11 @@
 		{"unsafe parts once", failing, Mutations{ChangeSettings: unsafe}, func(r *record.Run) int { return r.Verdict.Doubled }, "of book-trip ran"},
 		{"nothing new to a drained server", draining, Mutations{IgnoreDrain: true, ChangeSettings: func(s *settings.Settings) { s.Router.DrainGrace = 60_000_000 }},
 			func(r *record.Run) int { return r.Verdict.Drained }, "after its drain was told"},
-		{"also where one source alone told", told, Mutations{IgnoreDrain: true, ChangeSettings: func(s *settings.Settings) { s.Router.DrainGrace = 60_000_000 }},
+		{"also where one source alone told", toldByOne, Mutations{IgnoreDrain: true, ChangeSettings: func(s *settings.Settings) { s.Router.DrainGrace = 60_000_000 }},
 			func(r *record.Run) int { return r.Verdict.Drained }, "after its drain was told"},
-		{"nothing to a server that does not hold it", small, Mutations{WrapUpstream: func(_ int, l exchange.Upstream, _ *exchange.Exchange) exchange.Upstream { return &strayer{Upstream: l} }},
+		{"nothing to a server that does not hold it", small, Mutations{WrapUpstream: func(_ int, l exchange.Upstream, _ *exchange.Exchange) exchange.Upstream {
+			return &misrouter{Upstream: l}
+		}},
 			func(r *record.Run) int { return r.Verdict.Astray }, "which does not hold it"},
 		{"whole marks are honest", small, Mutations{ReplaceFinal: func(f *exchange.Final) *exchange.Final { f.Hits = f.Hits[:min(len(f.Hits), 1)]; return f }},
 			func(r *record.Run) int { return r.Verdict.Wrong }, "marked whole with"},
@@ -110,27 +112,29 @@
 			}
 			return f
 		}}, func(r *record.Run) int { return r.Verdict.Wrong }, "was refused, and a part of it ran"},
-		{"only what was asked for", small, Mutations{WrapUpstream: func(_ int, l exchange.Upstream, _ *exchange.Exchange) exchange.Upstream { return &renamer{Upstream: l} }},
+		{"only what was asked for", small, Mutations{WrapUpstream: func(_ int, l exchange.Upstream, _ *exchange.Exchange) exchange.Upstream {
+			return &partRenamer{Upstream: l}
+		}},
 			func(r *record.Run) int { return r.Verdict.Wrong }, "was asked for by no client"},
 	}
 	for _, c := range cases {
 		t.Run(c.rule, func(t *testing.T) {
-			r := play(t, c.text, Options{Mutations: c.how})
-			require.Positive(t, c.seen(r), "%+v", r.Summary)
-			require.Contains(t, strings.Join(r.Verdict.Faults, "\n"), c.words)
+			r := play(t, c.text, Options{Mutations: c.mutations})
+			require.Positive(t, c.count(r), "%+v", r.Summary)
+			require.Contains(t, strings.Join(r.Verdict.Faults, "\n"), c.fault)
 			require.NotEmpty(t, r.Unmet())
 		})
 	}
 }
 
 // strayer sends now and then a part to the first server that it has seen, whatever that holds.
-type strayer struct {
+type misrouter struct {
 	exchange.Upstream
 	first string
 	n     int
 }
 
-func (s *strayer) Send(list []*exchange.Attempt) {
+func (s *misrouter) Send(list []*exchange.Attempt) {
 	for _, a := range list {
 		if s.first == "" {
 			s.first = a.Server
@@ -143,12 +147,12 @@
 }
 
 // renamer sends parts under names that nobody gave them.
-type renamer struct {
+type partRenamer struct {
 	exchange.Upstream
 	n int
 }
 
-func (r *renamer) Send(list []*exchange.Attempt) {
+func (r *partRenamer) Send(list []*exchange.Attempt) {
 	for _, a := range list {
 		if r.n++; r.n%50 == 0 {
 			a.PartID = strings.Replace(a.PartID, "-", "x-", 1)
