--- a/internal/lab/model/client.go
+++ b/internal/lab/model/client.go
@@ -1,7 +1,7 @@
 package model
 
-// Clients: what they ask, how long they wait, and what they do when they are told
-// no. The same code asks on both drives; only the sending is the drive's.
+// This file models clients: what they request, how long they wait, and how they retry after a
+// rejection. Both drivers use it; only sending a query differs between them.
 
 import (
 	"math/rand/v2"
@@ -9,43 +9,43 @@
 	"time"
 )
 
-// Class is what clients ask for.
+// Class is a class of requests.
 type Class struct {
 	Name           string
-	Index          int // tells its asks from other classes'
+	Index          int // index in Clients.Classes; part of each request ID
 	Arrivals       Arrivals
 	Parts          int
-	MaxParts       int // each query has between Parts and so many; 0: Parts
-	Zipf           *Zipf
-	Contiguous     bool          // its shards are neighbours, the first one drawn
-	Shards         int           // of the fleet, with Row
-	Keys           *Zipf         // of what queries concern; nil: they have no key. One key always wants the same shards.
+	MaxParts       int           // each query has between Parts and MaxParts parts; 0: exactly Parts
+	Zipf           *Zipf         // popularity of the shards
+	Contiguous     bool          // the shards of a query are consecutive, starting at one that is drawn
+	Shards         int           // number of shards in the fleet; used with Contiguous
+	Keys           *Zipf         // popularity of the keys that queries are about; nil: queries have no key. Within a class a key always needs the same shards.
 	UnequalWeights bool          // parts have unequal weights
-	LatencyTarget  time.Duration // within it an answer earns its full worth
-	Timeout        time.Duration // over all tries
-	LeaveShare     float64       // share of clients that leave before
-	LeaveAfter     *Dist         // when they do
+	LatencyTarget  time.Duration // an answer within this time earns its full value
+	Timeout        time.Duration // over all attempts of a request
+	LeaveShare     float64       // share of clients that disconnect before the timeout
+	LeaveAfter     *Dist         // when those clients disconnect
 	Unsafe         bool
 	Value          float64
 	RequiredShare  float64
 	MinShare       float64
-	PartialValue   float64 // an answer that is not whole earns this times its share over Need
+	PartialValue   float64 // a partial answer earns this times its share divided by RequiredShare
 	LateValue      float64
 }
 
-// Tenant is one of those who share the mixers.
+// Tenant is one of the customers that share the proxies.
 type Tenant struct {
 	Name   string
-	Usage  float64 // its part of the load, beside the others'
-	Quota  float64 // queries a second within its share; 0: all are
-	Bursts []Burst // of its own
+	Usage  float64 // its weight in the load, relative to the other tenants
+	Quota  float64 // queries per second within its quota; 0: unlimited
+	Bursts []Burst // bursts of this tenant alone
 
 	tokens   float64
 	filledAt time.Duration
 	filled   bool
 }
 
-// now is its part of the load at a time.
+// usageAt returns the tenant's weight in the load at a time.
 func (t *Tenant) usageAt(at time.Duration) float64 {
 	u := t.Usage
 	for _, b := range t.Bursts {
@@ -56,16 +56,17 @@
 	return u
 }
 
-// saved is how many seconds of its quota a tenant may have saved up.
+// maxSavedSeconds is the size of a tenant's token bucket, in seconds of its quota.
 const maxSavedSeconds = 1.0
 
-// within takes a query off what a tenant has left of its share, if that is enough.
+// takeFromQuota takes one query from the tenant's token bucket; it returns false if less than
+// one token is left.
 func (t *Tenant) takeFromQuota(at time.Duration) bool {
 	if t.Quota <= 0 {
 		return true
 	}
 	limit := max(1, t.Quota*maxSavedSeconds)
-	if !t.filled { // nothing is used up yet
+	if !t.filled { // the bucket starts full
 		t.tokens, t.filled = limit, true
 	}
 	t.tokens = min(t.tokens+(at-t.filledAt).Seconds()*t.Quota, limit)
@@ -76,27 +77,27 @@
 	return true
 }
 
-// Retry is what clients do after a refusal.
+// Retry is how clients retry after a rejection.
 type Retry struct {
-	MaxRetries    int           // tries beside the first
-	Backoff       time.Duration // before the next, where no advice was given or is heeded
-	Jitter        float64       // the pause is stretched by up to this share, at random
-	AdviceShare   float64       // share of clients that wait as long as advised
-	MarkRetries   bool          // later tries are marked
-	AfterFailure  bool          // classes without unsafe parts are asked again after failures too
-	BackoffFactor float64       // each pause is this times the one before
-	MinTimeLeft   time.Duration // with less time left than this they do not ask again
+	MaxRetries    int           // in addition to the first attempt
+	Backoff       time.Duration // before the next attempt, if no Retry-After was given or the client ignores it
+	Jitter        float64       // a backoff is extended by up to this share, at random
+	AdviceShare   float64       // share of clients that wait as long as Retry-After says
+	MarkRetries   bool          // retries are marked as such
+	AfterFailure  bool          // classes without unsafe parts are retried after failures too
+	BackoffFactor float64       // factor from one backoff to the next
+	MinTimeLeft   time.Duration // a client with less time left than this does not retry
 }
 
-// PartAsk is a part that is asked for.
+// PartRequest is one part of a request.
 type PartRequest struct {
 	Shard  int
 	Weight float64
 }
 
-// Ask is what one client wants: one or more tries.
+// Request is what one client wants; it takes one or more attempts.
 type Request struct {
-	ID            string // names its work
+	ID            string // the work of its parts is drawn from this name
 	Class         *Class
 	Due           time.Duration
 	Parts         []PartRequest
@@ -105,25 +106,25 @@
 
 	Key       string
 	Tenant    string
-	OverQuota bool    // its tenant asks for more than its share
-	Value     float64 // of a whole answer in time
+	OverQuota bool    // the tenant has exceeded its quota
+	Value     float64 // of a complete answer within the latency target
 
-	// How it ended: of the try that earned most.
+	// The result of the attempt that earned the most.
 	Ended    time.Duration
 	Outcome  Reply
-	Earned   float64 // of Value
+	Earned   float64 // as a share of Value
 	Finished bool
 
 	leaveAt time.Duration
 	backoff time.Duration
 }
 
-// Try is one query to a mixer.
+// Attempt is one query sent to a proxy for a request.
 type Attempt struct {
 	Request *Request
 	ID      string
 	N       int
-	IsRetry bool // marked as a later try
+	IsRetry bool // marked as a retry
 	Proxy   int
 	At      time.Duration
 	Timeout time.Duration
@@ -132,10 +133,10 @@
 	leaveTimer Timer
 }
 
-// Kind is how a try ended.
+// Kind is how an attempt ended.
 type Kind int
 
-// The kinds.
+// The kinds of ending.
 const (
 	Answered Kind = iota
 	Refused
@@ -144,12 +145,12 @@
 	Left
 )
 
-// Kinds are their names.
+// Kinds holds the names of the kinds.
 var Kinds = []string{"answered", "refused", "failed", "lost", "left"}
 
 func (k Kind) String() string { return Kinds[k] }
 
-// Reply is what came of a try.
+// Reply is the result of an attempt.
 type Reply struct {
 	Kind       Kind
 	Complete   bool
@@ -157,28 +158,28 @@
 	RetryAfter time.Duration
 }
 
-// Clients are all clients of a run.
+// Clients models all clients of a run.
 type Clients struct {
 	Sched       Sched
 	Classes     []*Class
 	Retry       Retry
 	Seed        uint64
-	Length      time.Duration      // of the load
-	SelectProxy func(r uint64) int // a mixer that the front deals out; below 0: none is up
-	Send        func(*Attempt)     // must not block; Reply ends it
-	Disconnect  func(*Attempt)     // the client closes its connection; Reply may still come
+	Length      time.Duration      // how long load is generated
+	SelectProxy func(r uint64) int // a proxy selected by the load balancer; below 0: none is available
+	Send        func(*Attempt)     // sends an attempt; must not block. Reply ends the attempt.
+	Disconnect  func(*Attempt)     // the client closes its connection; Reply may still be called
 	OnFinish    func(*Request)
 
-	Tenants        []*Tenant // in turn by chance; none: queries have no tenant
-	OverQuotaValue float64   // of what a query beyond its tenant's share is worth
+	Tenants        []*Tenant // selected at random by usage; empty: queries have no tenant
+	OverQuotaValue float64   // value of a query above its tenant's quota, as a share of its normal value
 
-	InFlight int // asks not over
+	InFlight int // unfinished requests
 
 	rng    *rand.Rand
 	counts []int
 }
 
-// Begin starts the load.
+// Begin starts to generate load.
 func (c *Clients) Begin() {
 	c.rng = Rand(c.Seed, "clients")
 	c.counts = make([]int, len(c.Classes))
@@ -200,8 +201,8 @@
 	})
 }
 
-// ask makes an ask. What it is hangs on the seed and its own number within its
-// class, not on what came before it.
+// newRequest creates a request and sends its first attempt. Its properties depend only on the
+// seed and on its number within the class, not on earlier requests.
 func (c *Clients) newRequest(class *Class, due time.Duration) {
 	c.counts[class.Index]++
 	a := &Request{ID: strconv.Itoa(class.Index) + "q" + strconv.FormatInt(int64(c.counts[class.Index]), 36), Class: class, Due: due}
@@ -233,7 +234,7 @@
 	c.attempt(a, r.Uint64())
 }
 
-// tenant draws who asks.
+// assignTenant selects the tenant of a request at random, weighted by usage.
 func (c *Clients) assignTenant(a *Request, r *rand.Rand) {
 	total := 0.0
 	for _, t := range c.Tenants {
@@ -251,7 +252,8 @@
 	}
 }
 
-// shards draws what an ask needs. What has the same key in one class needs the same.
+// selectShards selects the shards of a request. Requests with the same key in one class need
+// the same shards.
 func (c *Clients) selectShards(a *Request, r *rand.Rand) []int {
 	class := a.Class
 	if class.Keys != nil {
@@ -299,7 +301,7 @@
 	c.Send(t)
 }
 
-// Reply ends a try; only the first call for it counts.
+// Reply ends an attempt; later calls for the same attempt are ignored.
 func (c *Clients) Reply(t *Attempt, r Reply) {
 	if t.finished {
 		return
@@ -317,7 +319,7 @@
 	}
 }
 
-// note keeps what earns most.
+// recordBest keeps the reply that earns the most.
 func (c *Clients) recordBest(t *Attempt, r Reply) {
 	a := t.Request
 	a.Ended = c.Sched.Now()
@@ -327,7 +329,7 @@
 	}
 }
 
-// Worth is what a reply earns after so long, in shares of the class's value.
+// ValueShare returns what a reply earns after a given time, as a share of the class's value.
 func (c *Class) ValueShare(r Reply, after time.Duration) float64 {
 	if r.Kind != Answered || after > c.Timeout {
 		return 0
--- a/internal/lab/model/dist.go
+++ b/internal/lab/model/dist.go
@@ -1,6 +1,6 @@
 package model
 
-// Distributions of spans, most of them gonum's.
+// This file holds distributions of durations, most of them from gonum.
 
 import (
 	"bufio"
@@ -16,13 +16,13 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// MostSpan bounds every span drawn: a heavy tail has no end of its own.
+// MaxDuration bounds every duration drawn, since heavy-tailed distributions are unbounded.
 const MaxDuration = 10 * time.Minute
 
-// mostValues bounds an empirical distribution.
+// maxValues bounds the number of values in an empirical distribution.
 const maxValues = 1 << 20
 
-// Dist is a distribution of spans.
+// Dist is a distribution of durations.
 type Dist struct {
 	text string
 	mean float64 // in seconds
@@ -30,16 +30,17 @@
 	draw func(src rand.Source) float64 // in seconds
 }
 
-// ParseDist reads a distribution; a file counts from dir. The forms:
+// ParseDist parses a distribution; a relative file name is resolved against dir. The forms:
 //
 //	fixed SPAN
 //	exp MEAN                     exponential
 //	lognormal MEDIAN SIGMA       sigma of the logarithm (Gaddum 1945; service times: Harchol-Balter 2013, ch. 20)
 //	gamma MEAN SHAPE             shape 1 is exponential, above it is steadier
 //	pareto LEAST ALPHA           alpha above 1: below, there is no mean
-//	empirical FILE               a span on each line, drawn by the inverse of their distribution
 //
-// Each may end with "most SPAN": what is above is drawn as that.
+// empirical FILE               one duration a line, drawn by inverse transform sampling
+//
+// A form may end with "most SPAN", which caps the values drawn.
 func ParseDist(text, dir string) (*Dist, error) {
 	f := strings.Fields(text)
 	maxValue := MaxDuration
@@ -167,26 +168,26 @@
 
 func (d *Dist) String() string { return d.text }
 
-// Mean is the distribution's mean; what "most" cuts off is not left out of it.
+// Mean returns the mean of the distribution before the cap of "most" is applied.
 func (d *Dist) Mean() time.Duration { return time.Duration(d.mean * float64(time.Second)) }
 
-// Draw draws a span.
+// Draw returns a random duration.
 func (d *Dist) Draw(src rand.Source) time.Duration {
 	return time.Duration(min(max(d.draw(src), 0), d.max) * float64(time.Second))
 }
 
-// Work is what the parts of a class cost a server of speed 1.
+// Work draws how much work the parts of a class are for a server of speed 1.
 type Work struct {
 	Dist       *Dist
-	QuerySigma float64 // of the logarithm of a factor that all parts of a query share
+	QuerySigma float64 // sigma of the logarithm of a factor that all parts of a query share
 	Seed       uint64
 
 	pcg rand.PCG
 }
 
-// Of draws the work of a part: the same for every try of the same ask, at every
-// server and on both drives. The parts of one query share a factor, so that a heavy
-// query is heavy everywhere (correlated parts); its mean is 1.
+// Of returns the work of a part: the same for every attempt of a request, on every server and
+// with both drivers. The parts of one query share a random factor with mean 1, which makes
+// their work correlated: a heavy query is heavy on every shard.
 func (w *Work) Of(ask, shard string) time.Duration {
 	w.pcg.Seed(w.Seed, Mix(w.Seed, ask, shard))
 	d := w.Dist.Draw(&w.pcg)
@@ -198,15 +199,15 @@
 	return min(max(d, time.Microsecond), MaxDuration)
 }
 
-// Zipf draws one of n with the chance of rank k in proportion to 1/k^skew
-// (Zipf 1949; Breslau et al. 1999 for requests); skew 0 is even. Which one has
-// which rank is drawn from the seed.
+// Zipf draws from n items; the item of rank k has a probability proportional to 1/k^skew (Zipf
+// 1949; Breslau et al. 1999 for requests). With skew 0 all are equally likely. The seed
+// determines which item has which rank.
 type Zipf struct {
-	cumulative []float64 // the chance of all ranks up to this one
+	cumulative []float64 // cumulative probability up to each rank
 	byRank     []int
 }
 
-// NewZipf returns a Zipf over n.
+// NewZipf returns a Zipf distribution over n items.
 func NewZipf(n int, skew float64, seed uint64) *Zipf {
 	z := &Zipf{cumulative: make([]float64, n), byRank: Rand(seed, "zipf").Perm(n)}
 	sum := 0.0
@@ -220,7 +221,7 @@
 	return z
 }
 
-// Draw draws so many different ones, at most all.
+// Draw returns count different items, or all of them if there are fewer.
 func (z *Zipf) Draw(r *rand.Rand, count int) []int {
 	n := len(z.cumulative)
 	count = min(count, n)
@@ -228,7 +229,7 @@
 	seen := make(map[int]bool, count)
 	for tries := 0; len(out) < count; tries++ {
 		k := min(sort.SearchFloat64s(z.cumulative, r.Float64()), n-1)
-		if tries > 20*count { // the rest are rare: the next one not yet drawn
+		if tries > 20*count { // the remaining items are rare: take the next one that was not drawn
 			for seen[z.byRank[k]] {
 				k = (k + 1) % n
 			}
--- a/internal/lab/model/fault.go
+++ b/internal/lab/model/fault.go
@@ -1,7 +1,7 @@
 package model
 
-// Faults: a script of what goes wrong, drawn out into a list of changes before the
-// run begins, so that both drives play the same one.
+// This file holds faults. They are expanded into a list of changes before the run, so that
+// both drivers apply the same ones.
 
 import (
 	"cmp"
@@ -10,39 +10,39 @@
 	"time"
 )
 
-// What a fault does.
+// The faults.
 const (
-	Die           = "die"     // the process ends: connections are reset, new ones refused
-	Vanish        = "vanish"  // the machine is gone: nothing is heard, nothing reset
-	Hang          = "hang"    // takes parts and answers none
-	Slow          = "slow"    // works slower by a factor
-	Fail          = "fail"    // answers err at once
-	RejectParts   = "busy"    // turns away
-	Pause         = "pause"   // stops the world: no work, no answer; connections stay
-	Drain         = "drain"   // the list says so; it is gone at the end, or serves on
-	Release       = "release" // drains, ends and starts again, one after the other
-	Cut           = "cut"     // a way between sites carries nothing
-	ListLate      = "list-late"
-	ListOmit      = "list-lie"     // the list drops servers that are well
-	ListSilent    = "list-silent"  // the list says nothing
-	ListDown      = "list-down"    // calls to the list fail at once
-	ListEmpty     = "list-empty"   // the list says that there is nobody
-	ListReset     = "list-reset"   // its index begins anew
-	ListWrongCell = "list-cell"    // the list names another cell for servers
-	DNSTruncate   = "dns-truncate" // answers do not fit into a datagram
-	DNSJunk       = "dns-junk"     // datagrams that answer nothing come before each answer
-	SwitchSources = "sources"      // the mixers' operator file names other sources, and they get SIGHUP
+	Die           = "die"          // the process ends: connections are reset, new ones are refused
+	Vanish        = "vanish"       // the machine disappears: packets are dropped, nothing is reset
+	Hang          = "hang"         // accepts parts and answers none
+	Slow          = "slow"         // the server works slower by a factor
+	Fail          = "fail"         // answers err at once
+	RejectParts   = "busy"         // rejects every part
+	Pause         = "pause"        // the process stops: no work and no answers; connections stay open
+	Drain         = "drain"        // the list reports the server as draining; it is gone at the end, or serves again
+	Release       = "release"      // servers drain, stop and restart, one after the other
+	Cut           = "cut"          // a one-way network path between sites drops everything
+	ListLate      = "list-late"    // list changes are delayed
+	ListOmit      = "list-lie"     // the list omits healthy servers
+	ListSilent    = "list-silent"  // the list sends no changes
+	ListDown      = "list-down"    // requests for the list fail at once
+	ListEmpty     = "list-empty"   // the list is empty
+	ListReset     = "list-reset"   // the index of the list starts over
+	ListWrongCell = "list-cell"    // the list gives a wrong cell for servers
+	DNSTruncate   = "dns-truncate" // answers exceed the size of a datagram
+	DNSJunk       = "dns-junk"     // unrelated datagrams precede each answer
+	SwitchSources = "sources"      // the proxies' operator file names other sources, and they receive SIGHUP
 	KillProxy     = "kill-mixer"
-	RestartProxy  = "restart-mixer" // as planned: it ends what it has
+	RestartProxy  = "restart-mixer" // a graceful restart: open queries are finished
 )
 
-// Kinds of faults, for those who read them.
+// FaultKinds lists all faults, for documentation and validation.
 var FaultKinds = []string{Die, Vanish, Hang, Slow, Fail, RejectParts, Pause, Drain, Release, Cut, ListLate, ListOmit, ListSilent, ListDown, ListEmpty, ListReset, ListWrongCell, DNSTruncate, DNSJunk, SwitchSources, KillProxy, RestartProxy}
 
-// OnMixers tells whether a fault is one of mixers, OnList of the list.
+// TargetsProxies reports whether a fault affects proxies.
 func TargetsProxies(do string) bool { return do == KillProxy || do == RestartProxy }
 
-// OnList tells whether a fault is one of the list as a whole.
+// TargetsList reports whether a fault affects a whole list.
 func TargetsList(do string) bool {
 	switch do {
 	case ListLate, ListSilent, ListDown, ListEmpty, ListReset, DNSTruncate, DNSJunk, SwitchSources:
@@ -51,34 +51,34 @@
 	return false
 }
 
-// ByList tells whether a fault is one of what the list says of servers.
+// ChangesEntry reports whether a fault affects the list entries of single servers.
 func ChangesEntry(do string) bool { return do == Drain || do == ListOmit || do == ListWrongCell }
 
-// Fault is one fault of a script.
+// Fault is one fault of a scenario.
 type Fault struct {
 	Name      string
 	Do        string
 	At        time.Duration
-	For       time.Duration // 0: to the end
-	Every     time.Duration // again and again, from one begin to the next; 0: once
-	Times     int           // at most so often; 0: until the end
-	Chance    float64       // that each time comes to pass; above 0
-	Targets   []int         // servers or mixers it may hit
-	Share     float64       // of these, drawn anew each time
-	Stagger   time.Duration // between one and the next that it hits
-	Class     string        // hang, fail: "" is all
-	PartShare float64       // hang, fail: share of the parts
+	For       time.Duration // 0: until the end of the run
+	Every     time.Duration // interval between repetitions, from start to start; 0: once
+	Times     int           // maximum number of repetitions; 0: until the end of the run
+	Chance    float64       // probability that each repetition happens; above 0
+	Targets   []int         // servers or proxies that it can affect
+	Share     float64       // share of Targets that is affected, drawn again for each repetition
+	Stagger   time.Duration // delay between one affected target and the next
+	Class     string        // hang, fail: affected class; "": all
+	PartShare float64       // hang, fail: affected share of the parts
 	Factor    float64       // slow
-	Warm      bool          // die, vanish, release: back warm
+	Warm      bool          // die, vanish, release: the server restarts without slow start
 	From      int           // cut
 	To        int           // cut
 	Both      bool          // cut
-	Source    string        // of the list's: which one; empty: all
-	SwitchTo  []string      // sources: those in force while it holds
-	Delay     time.Duration // list-late: so much later; release: from the drain to the end of the process
+	Source    string        // list faults: affected source; empty: all
+	SwitchTo  []string      // sources: the sources in use during the fault
+	Delay     time.Duration // list-late: added delay; release: time from the drain to the end of the process
 }
 
-// steps are the faults that one stands for, with how much later each begins.
+// steps returns the faults that a fault consists of, and the delay of each.
 func (f *Fault) steps() ([]*Fault, []time.Duration) {
 	if f.Do != Release {
 		return []*Fault{f}, []time.Duration{0}
@@ -88,11 +88,11 @@
 	return []*Fault{&drain, &die}, []time.Duration{0, f.Delay}
 }
 
-// Change is one step of a script: a fault takes hold of something, or lets it go.
+// Change is the start or the end of a fault at one target.
 type Change struct {
 	At     time.Duration
 	On     bool
-	Target int // server or mixer; -1: none
+	Target int // server or proxy; -1: none
 	*Fault
 }
 
@@ -104,10 +104,10 @@
 	return fmt.Sprintf("%s: %s", c.Name, what)
 }
 
-// mostChanges bounds a script.
+// maxChanges bounds the number of changes in a run.
 const maxChanges = 1 << 20
 
-// Script draws the faults out over a run of that length.
+// Script expands the faults into the changes of a run of the given length.
 func Script(faults []*Fault, seed uint64, length time.Duration) ([]Change, error) {
 	var out []Change
 	for _, f := range faults {
@@ -155,8 +155,8 @@
 	return out, nil
 }
 
-// Strike has a change take hold of a server, or let it go. It tells whether the
-// change was one of a server's at all; drains are the list's.
+// Apply applies a change to a server. It returns false if the change does not affect servers
+// directly; drains are changes of the list.
 func (s *Server) Apply(c Change) bool {
 	e := &s.Effects
 	step := 1
@@ -195,8 +195,8 @@
 	return true
 }
 
-// hit adds a fault's share to what holds for its class, or takes it back. Shares of
-// faults that overlap add up.
+// addShare adds a fault's share to its class, or removes it. The shares of overlapping faults
+// add up.
 func addShare(m map[string]float64, c Change) map[string]float64 {
 	if m == nil {
 		m = make(map[string]float64)
--- a/internal/lab/model/list.go
+++ b/internal/lab/model/list.go
@@ -1,55 +1,56 @@
 package model
 
-// The server list as discovery tells it: late, in order, sometimes silent or wrong.
+// This file models the server list of a discovery service: delayed, in order, and sometimes
+// unresponsive or wrong.
 
 import "time"
 
-// Standing is what the list says of a server.
+// Status is a server's status in the list.
 type Status int
 
-// The standings.
+// The statuses.
 const (
 	Serving Status = iota
 	Draining
 	Deleted
-	Unhealthy // its checks are critical
+	Unhealthy // its health checks are critical
 )
 
-// Entry is news of one server.
+// Entry is the list entry of one server.
 type Entry struct {
 	Server    int
 	Status    Status
-	Since     time.Duration // its last start; below 0: long ago
-	CellShift int           // added to its cell: a lie
+	Since     time.Duration // when the server last started; below 0: before the run
+	CellShift int           // added to its cell, for ListWrongCell
 }
 
-// List is a discovery service's view. It knows of processes that run, drain or are
-// gone; that one has died it notes after Notice.
+// List models a discovery service. It knows which processes run, drain or have ended; the end
+// of a process is noticed after DetectDelay.
 type List struct {
 	Name          string
-	KeepsEnded    bool // a process that has ended stays named, as sick
-	ReportsDrains bool // drains that are not told to one source by name are told here too
+	KeepsEnded    bool // a process that has ended stays listed, as unhealthy
+	ReportsDrains bool // a drain fault without a source is reported by this list too
 	Sched         Sched
-	Lag           time.Duration // until news is told
-	Jitter        time.Duration // mean of an exponential added to it
+	Lag           time.Duration // from a change to its publication
+	Jitter        time.Duration // mean of an exponential delay added to Lag
 	DetectDelay   time.Duration
 	Publish       func([]Entry)
-	OnFault       func(c Change) // a fault of the whole list that its stand-in has to show; nil: none does
-	BufferSilent  bool           // lists are pushed: nothing is told while it is mute, whatever stands in for it
-	Exponential   func() float64 // exponential, mean 1
+	OnFault       func(c Change) // faults of the whole list that its stand-in has to implement; nil: none
+	BufferSilent  bool           // pushed lists: changes are buffered while the list is silent, also if OnFault implements the fault
+	Exponential   func() float64 // exponentially distributed, mean 1
 
-	entries     []Entry // as it would be told
+	entries     []Entry // current entries, by server
 	omitted     map[int]int
 	wrongCell   map[int]int
 	draining    map[int]int
 	ended       map[int]bool
 	extraLag    time.Duration
 	silent      int
-	buffered    []Entry // while it is mute
+	buffered    []Entry // changes made while the list is silent
 	lastPublish time.Duration
 }
 
-// Begin starts a list of so many servers, all serving for long.
+// Begin initializes a list of servers that have all been serving since before the run.
 func (l *List) Begin(servers int) {
 	l.omitted, l.draining, l.ended, l.wrongCell = make(map[int]int), make(map[int]int), make(map[int]bool), make(map[int]int)
 	for i := range servers {
@@ -57,10 +58,10 @@
 	}
 }
 
-// Whole is the list as it is now.
+// Entries returns the current entries.
 func (l *List) Entries() []Entry { return l.entries }
 
-// Down notes that a process has ended; Up that it runs.
+// Down records that a process has ended.
 func (l *List) Down(server int) {
 	l.Sched.After(l.DetectDelay, func() {
 		if l.ended[server] {
@@ -70,14 +71,14 @@
 	l.ended[server] = true
 }
 
-// Up notes that a process runs since now.
+// Up records that a process has started.
 func (l *List) Up(server int) {
 	delete(l.ended, server)
 	l.entries[server].Since = l.Sched.Now()
 	l.updateEntry(server)
 }
 
-// Strike has a change take hold of the list, or let it go.
+// Apply applies a change to the list.
 func (l *List) Apply(c Change) {
 	if c.Source != "" && c.Source != l.Name || c.Do == Drain && c.Source == "" && !l.ReportsDrains {
 		return
@@ -116,7 +117,7 @@
 	}
 }
 
-// put tells what holds of a server, if that is new.
+// updateEntry recomputes the entry of a server and publishes it.
 func (l *List) updateEntry(server int) {
 	e := Entry{Server: server, Since: l.entries[server].Since}
 	switch {
@@ -146,9 +147,9 @@
 	if l.Jitter > 0 {
 		at += time.Duration(l.Exponential() * float64(l.Jitter))
 	}
-	l.lastPublish = max(l.lastPublish, at) // news never overtakes what came before it
+	l.lastPublish = max(l.lastPublish, at) // changes are delivered in order
 	l.Sched.After(l.lastPublish-l.Sched.Now(), func() {
-		if l.BufferSilent && l.silent > 0 { // it was on its way as the list fell silent
+		if l.BufferSilent && l.silent > 0 { // the change was on its way when the list became silent
 			l.buffered = append(l.buffered, changes...)
 			return
 		}
--- a/internal/lab/model/load.go
+++ b/internal/lab/model/load.go
@@ -1,8 +1,8 @@
 package model
 
-// When queries are asked: open-loop arrivals whose rate follows a curve and bursts,
-// or a recorded trace. Whether an answer is late changes nothing here, so a slow
-// mixer can't slow its own load (Schroeder et al. 2006).
+// This file generates arrivals: open loop, at a rate that follows a curve and bursts, or from
+// a recorded trace. Arrivals don't depend on answers, so a slow proxy can't reduce its own
+// load (Schroeder et al. 2006).
 
 import (
 	"bufio"
@@ -15,8 +15,8 @@
 	"time"
 )
 
-// Curve is a factor over time, straight between its points; before the first it is
-// the first's, after the last the last's.
+// Curve is a factor over time: piecewise linear, and constant before the first and after the
+// last point.
 type Curve []Point
 
 // Point is one point of a curve.
@@ -25,7 +25,7 @@
 	Factor float64
 }
 
-// ParseCurve reads "0s:1, 30s:2.5, 60s:0.5".
+// ParseCurve parses a curve such as "0s:1, 30s:2.5, 60s:0.5".
 func ParseCurve(text string) (Curve, error) {
 	var c Curve
 	for item := range strings.SplitSeq(text, ",") {
@@ -46,7 +46,7 @@
 	return c, nil
 }
 
-// Factor is the curve's value at a time.
+// Factor returns the value of the curve at a time.
 func (c Curve) Factor(at time.Duration) float64 {
 	if len(c) == 0 {
 		return 1
@@ -62,7 +62,7 @@
 	return a.Factor + (b.Factor-a.Factor)*float64(at-a.At)/float64(b.At-a.At)
 }
 
-// Most is the curve's greatest value.
+// Max returns the maximum of the curve.
 func (c Curve) Max() float64 {
 	if len(c) == 0 {
 		return 1
@@ -74,19 +74,19 @@
 	return m
 }
 
-// Burst is a span of more load.
+// Burst is a period with a different load.
 type Burst struct {
 	At, For time.Duration
 	Factor  float64
 	Class   string // "": all
 }
 
-// Arrivals are the times at which a class is asked for.
+// Arrivals generates the arrival times of a class.
 type Arrivals struct {
-	Rate   float64 // a second, before curve and bursts
+	Rate   float64 // per second, before curve and bursts
 	Curve  Curve
 	Bursts []Burst
-	Trace  []time.Duration // instead, where there are any
+	Trace  []time.Duration // used instead of Rate if not empty
 
 	r       *rand.Rand
 	at      time.Duration
@@ -94,7 +94,7 @@
 	next    int
 }
 
-// Begin readies the arrivals of a class.
+// Begin initializes the arrivals of a class.
 func (a *Arrivals) Begin(seed uint64, class string) {
 	a.r, a.at, a.next = Rand(seed, "arrivals", class), 0, 0
 	a.maxRate = a.Rate * a.Curve.Max()
@@ -103,7 +103,7 @@
 	}
 }
 
-// Now is the rate at a time.
+// RateAt returns the rate at a time, per second.
 func (a *Arrivals) RateAt(at time.Duration) float64 {
 	rate := a.Rate * a.Curve.Factor(at)
 	for _, b := range a.Bursts {
@@ -114,8 +114,8 @@
 	return rate
 }
 
-// Next is the time of the next arrival before end; false: there is none. Poisson of
-// a rate that changes, by thinning (Lewis and Shedler 1979).
+// Next returns the time of the next arrival before end, or false if there is none. It
+// generates a nonhomogeneous Poisson process by thinning (Lewis and Shedler 1979).
 func (a *Arrivals) Next(end time.Duration) (time.Duration, bool) {
 	if len(a.Trace) > 0 {
 		if a.next >= len(a.Trace) || a.Trace[a.next] >= end {
@@ -136,11 +136,11 @@
 	return 0, false
 }
 
-// mostTrace bounds a trace.
+// maxTraceQueries bounds the length of a trace.
 const maxTraceQueries = 4 << 20
 
-// ReadTrace reads a recorded trace: a line for each query with the seconds since
-// the begin in front; what stands behind a comma is passed over.
+// ReadTrace reads a recorded trace: one query a line, starting with its time in seconds since
+// the start of the trace; anything after a comma is ignored.
 func ReadTrace(file string) ([]time.Duration, error) {
 	h, err := os.Open(file)
 	if err != nil {
--- a/internal/lab/model/model.go
+++ b/internal/lab/model/model.go
@@ -1,11 +1,10 @@
-// Package model is what the emulator is made of: leaf servers, the network between
-// sites, clients with their arrivals and retries, and faults. It owns what these do
-// and draws their luck; docs/design/emulator.md gives each model's source and limits.
-// It must never know which drive it runs on: the clock and the alarms are its
-// caller's, and one goroutine at a time is in it. Nor may a draw hang on the order
-// in which things are asked for: what belongs to a part is drawn from the seed and
-// the part's name alone, so that two runs with the same seed ask for the same work
-// whatever the mixer does.
+// Package model holds the models of the emulator: leaf servers, the network between sites,
+// clients with their arrivals and retries, and faults, with all their random draws;
+// docs/design/emulator.md gives each model's source and limits. It must not depend on the
+// driver that runs it: the caller provides the clock and the timers, and only one goroutine at
+// a time may use the package. A draw must not depend on the order of calls: the properties of
+// a part are drawn from the seed and the part's name alone, so that two runs with the same
+// seed request the same work whatever the proxies decide.
 package model
 
 import (
@@ -13,17 +12,17 @@
 	"time"
 )
 
-// Sched is the clock and the alarms of a drive. Now counts from the run's begin.
+// Sched is the clock and the timers of a driver. Now counts from the start of the run.
 type Sched interface {
 	Now() time.Duration
 	After(d time.Duration, f func()) Timer
 }
 
-// Timer is an alarm; Stop tells whether it was still to fire.
+// Timer is a timer; Stop reports whether it was still pending.
 type Timer interface{ Stop() bool }
 
-// Mix folds a text into a seed: FNV-1a, finished as by splitmix64, so that texts
-// which differ in one place give seeds that share nothing.
+// Mix hashes texts into a seed: FNV-1a with the finalizer of splitmix64, so that texts that
+// differ in one character give unrelated seeds.
 func Mix(seed uint64, texts ...string) uint64 {
 	h := uint64(14695981039346656037) ^ seed*0x9e3779b97f4a7c15
 	for _, s := range texts {
@@ -39,7 +38,7 @@
 	return h ^ h>>31
 }
 
-// Rand is a source for one purpose of a seed.
+// Rand returns a random source for one purpose of a seed.
 func Rand(seed uint64, texts ...string) *rand.Rand {
 	return rand.New(rand.NewPCG(seed, Mix(seed, texts...)))
 }
@@ -47,5 +46,5 @@
 // unit maps a hash to [0, 1).
 func unit(h uint64) float64 { return float64(h>>11) / (1 << 53) }
 
-// Luck is the share in [0, 1) that a seed gives to a name.
+// Uniform returns the number in [0, 1) that a seed assigns to a name.
 func Uniform(seed uint64, texts ...string) float64 { return unit(Mix(seed, texts...)) }
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -37,7 +37,7 @@
 	return l, NewServer(sched{l}, spec), &outcomes{make(map[string]End), make(map[string]time.Duration), l}
 }
 
-// Two cores share what is in four slots; the fifth waits, the seventh is turned away.
+// Two cores share the parts in four slots; the fifth part waits and the seventh is rejected.
 func TestServerWork(t *testing.T) {
 	l, s, got := newTestServer(Spec{Cores: 2, Speed: 2, Slots: 4, QueueLimit: 2, Queue: FIFO})
 	for i, id := range []string{"a", "b", "c", "d", "e", "f", "g"} {
@@ -78,8 +78,9 @@
 	}
 }
 
-// A server that holds too much works slower; a part given up while it waits never
-// runs; one that hangs stays; a pause delays all and answers nothing meanwhile.
+// A server with too many pending parts works slower; a part cancelled while it waits never
+// runs; a part that hangs stays pending; a pause delays everything and answers nothing
+// meanwhile.
 func TestServerTrouble(t *testing.T) {
 	l, s, got := newTestServer(Spec{Cores: 1, Speed: 1, QueueLimit: 50, Queue: FIFO, Knee: 1, KneeLoss: 1})
 	j := submitAt(l, s, got, 1*ms, "given-up", "x", 10*ms)
@@ -87,7 +88,7 @@
 	l.Post(2*ms, func() { s.Cancel(j) })
 	require.NoError(t, l.Run(time.Second))
 	require.NotContains(t, got.end, "given-up")
-	require.InDelta(t, 10.5, got.at["a"].Seconds()*1000, 0.1) // half as fast for the millisecond with two
+	require.InDelta(t, 10.5, got.at["a"].Seconds()*1000, 0.1) // half as fast during the millisecond with two parts
 
 	l, s, got = newTestServer(Spec{Cores: 1, Speed: 1, QueueLimit: 1, Queue: FIFO})
 	on := Change{On: true, Fault: &Fault{Do: Pause}}
@@ -120,8 +121,8 @@
 	require.Equal(t, 1, s.Pending())
 }
 
-// A cold server warms by time; pushed over, it falls and comes back; two faults that
-// keep it down must both let go.
+// A server in slow start warms up with time; overloaded, it crashes and restarts. If two
+// faults keep it down, it restarts only after both have ended.
 func TestCold(t *testing.T) {
 	cold := SlowStart{InitialShare: 0.2, WarmupTime: 10 * time.Second, OverloadMultiple: 2, OverloadWindow: time.Second, Downtime: 500 * ms}
 	l, s, got := newTestServer(Spec{Cores: 1, Speed: 1, QueueLimit: 1000, Queue: FIFO, SlowStart: cold})
@@ -138,7 +139,7 @@
 	require.InDelta(t, 0.2, s.CapacityShare(), 1e-9)
 	submitAt(l, s, got, 0, "a", "x", 20*ms)
 	require.NoError(t, l.Run(time.Second))
-	require.InDelta(t, 95, got.at["a"].Seconds()*1000, 6) // at a fifth, and a little more each step
+	require.InDelta(t, 95, got.at["a"].Seconds()*1000, 6) // at a fifth of the speed, and a little more with each step
 	for i := range 100 {
 		submitAt(l, s, got, time.Duration(i)*ms, "p", "x", 20*ms)
 	}
@@ -164,7 +165,7 @@
 		require.InEpsilon(t, d.Mean().Seconds(), stat.Mean(all, nil), 0.05, text)
 		require.Equal(t, w.Of("q", "1"), w.Of("q", "1"))
 	}
-	// Parts of one query go together, parts of two do not.
+	// The work of parts of one query is correlated, that of two queries is not.
 	d, err := ParseDist("fixed 10ms", "")
 	require.NoError(t, err)
 	w := Work{Dist: d, QuerySigma: 1, Seed: 1}
@@ -176,7 +177,7 @@
 	}
 }
 
-// Arrivals follow rate, curve and bursts; a trace is taken as it is.
+// Arrivals follow rate, curve and bursts; the times of a trace are used unchanged.
 func TestArrivals(t *testing.T) {
 	curve, err := ParseCurve("0s:1, 10s:1, 20s:3")
 	require.NoError(t, err)
@@ -221,7 +222,8 @@
 	require.Len(t, z.Draw(r, 99), 50)
 }
 
-// Loss costs time-outs, jitter its mean, and a cut loses all, one way or both.
+// Each loss adds a retransmission timeout, jitter adds its mean, and a partition drops
+// everything, in one direction or both.
 func TestNetwork(t *testing.T) {
 	n := NewNetwork([]string{"a", "b"}, Link{Delay: ms}, Link{Delay: 5 * ms, Jitter: 2 * ms, Loss: 0.1}, 1)
 	sum := 0.0
@@ -241,7 +243,7 @@
 	require.True(t, ok)
 }
 
-// A script is drawn from its seed: shares, chance, repeats, and the steps of a release.
+// The changes depend on the seed: shares, chance, repetitions, and the steps of a release.
 func TestScript(t *testing.T) {
 	f := []*Fault{{Name: "a", Do: Die, At: time.Second, For: 500 * ms, Every: 2 * time.Second, Times: 3, Chance: 1, Targets: []int{0, 1, 2, 3, 4, 5, 6, 7}, Share: 0.25},
 		{Name: "r", Do: Release, At: 0, For: 3 * time.Second, Delay: time.Second, Chance: 1, Targets: []int{5}, Share: 1},
@@ -260,7 +262,7 @@
 	require.ErrorContains(t, err, "more than")
 }
 
-// Clients heed advice, stop at their patience and their tries, and leave.
+// Clients follow Retry-After, stop at their timeout or their last retry, and disconnect early.
 func TestClients(t *testing.T) {
 	l := &event.Loop{}
 	class := &Class{Name: "x", Arrivals: Arrivals{Trace: []time.Duration{0}}, Parts: 2, Zipf: NewZipf(4, 0, 1), LatencyTarget: 100 * ms, Timeout: time.Second, Value: 1, RequiredShare: 1, MinShare: 0.5, PartialValue: 0.8, LateValue: 0.1}
@@ -275,7 +277,7 @@
 	c.Begin()
 	require.NoError(t, l.Run(10*time.Second))
 	require.Len(t, over, 1)
-	require.Len(t, tries, 4) // 0, 305, 610, 915 ms; the next would come after its patience
+	require.Len(t, tries, 4) // at 0, 305, 610, 915 ms; the next would be after the timeout
 	require.False(t, tries[0].IsRetry)
 	require.True(t, tries[3].IsRetry)
 	require.Equal(t, 85*ms, tries[3].Timeout)
--- a/internal/lab/model/net.go
+++ b/internal/lab/model/net.go
@@ -1,39 +1,41 @@
 package model
 
-// The network between sites: delay, jitter, loss as what TCP makes of it, and links
-// that are cut, one way or both.
+// This file models the network between sites: delay, jitter, packet loss as a TCP connection
+// experiences it, and partitions in one or both directions.
 
 import (
 	"math/rand/v2"
 	"time"
 )
 
-// Link is the way from one site to another.
+// Link is the one-way path from one site to another.
 type Link struct {
 	Delay  time.Duration // one way
-	Jitter time.Duration // mean of an exponential added to it
-	Loss   float64       // share of messages that are lost once, and again with the same chance
+	Jitter time.Duration // mean of an exponential delay added to Delay
+	Loss   float64       // probability that a message is lost; a retransmission is lost with the same probability
 }
 
-// RTO is what one loss costs: the least retransmission time-out of common systems
+// RTO is the delay added by one loss: the minimum retransmission timeout of common systems
 // (RFC 6298 has 1 s; Linux 200 ms).
 const RTO = 200 * time.Millisecond
 
-// mostLosses bounds the losses of one message; beyond, it is as on a cut link.
+// maxLosses bounds the losses of one message; after more, the message is dropped as on a
+// partitioned link.
 const maxLosses = 8
 
-// Network is all ways between sites.
+// Network holds the paths between all sites.
 type Network struct {
 	Local Link // within a site
 
 	sites map[string]int
 	names []string
 	links []Link
-	cuts  []int // how many faults cut the way
+	cuts  []int // number of faults that partition each path
 	r     *rand.Rand
 }
 
-// NewNetwork returns a network between these sites; every way is far until Set.
+// NewNetwork returns a network between sites; all paths between different sites are far until
+// Set changes them.
 func NewNetwork(sites []string, local, far Link, seed uint64) *Network {
 	n := &Network{Local: local, sites: make(map[string]int), names: sites, links: make([]Link, len(sites)*len(sites)),
 		cuts: make([]int, len(sites)*len(sites)), r: Rand(seed, "network")}
@@ -49,7 +51,7 @@
 	return n
 }
 
-// Site is a site's number; -1: there is none of that name.
+// Site returns a site's index, or -1 if there is no site of that name.
 func (n *Network) Site(name string) int {
 	if i, ok := n.sites[name]; ok {
 		return i
@@ -57,13 +59,13 @@
 	return -1
 }
 
-// Sites are their names, by number.
+// Sites returns the site names by index.
 func (n *Network) Sites() []string { return n.names }
 
-// Set sets one way.
+// Set changes the path in one direction.
 func (n *Network) Set(from, to int, l Link) { n.links[from*len(n.names)+to] = l }
 
-// Cut cuts a way, or takes one cut back.
+// Cut adds or removes one partition of a path.
 func (n *Network) Cut(from, to int, on bool) {
 	if on {
 		n.cuts[from*len(n.names)+to]++
@@ -72,10 +74,10 @@
 	}
 }
 
-// Open tells whether anything gets through.
+// Reachable reports whether messages get through.
 func (n *Network) Reachable(from, to int) bool { return n.cuts[from*len(n.names)+to] == 0 }
 
-// Delay draws how long a message is under way; ok is false where it never comes.
+// Delay draws the delay of a message; ok is false if it is never delivered.
 func (n *Network) Delay(from, to int) (d time.Duration, ok bool) {
 	at := from*len(n.names) + to
 	if n.cuts[at] > 0 {
--- a/internal/lab/model/server.go
+++ b/internal/lab/model/server.go
@@ -1,86 +1,85 @@
 package model
 
-// A leaf server: cores that work on parts in slots, a waiting room, and the ways in
-// which it goes wrong.
+// This file models a leaf server: cores that work on parts in slots, a queue, and its faults.
 
 import (
 	"math"
 	"time"
 )
 
-// Discipline is how a server picks what waits.
+// Discipline is the order in which a server takes parts from its queue.
 type Discipline string
 
-// The disciplines.
+// The queue disciplines.
 const (
 	FIFO     Discipline = "fifo"
 	LIFO     Discipline = "lifo"
 	Random   Discipline = "random"
-	Shortest Discipline = "shortest" // the least work first
-	Fair     Discipline = "fair"     // the classes in turn
+	Shortest Discipline = "shortest" // least work first
+	Fair     Discipline = "fair"     // round robin between the classes
 )
 
-// Spec is what a server is.
+// Spec is the configuration of a server.
 type Spec struct {
 	Name, Site, Group string
 	Cell              int
 	Cores             int
-	Speed             float64 // work that a core does a second
-	Slots             int     // parts in work at once; more than Cores share them
-	QueueLimit        int     // parts that wait; beyond, they are turned away
+	Speed             float64 // work that a core does per second
+	Slots             int     // parts in service at once; if there are more than Cores, they share the cores
+	QueueLimit        int     // parts in the queue; further ones are rejected
 	Queue             Discipline
-	Knee              int     // parts held above which it becomes less efficient; 0: never
-	KneeLoss          float64 // at twice the knee it works 1/(1+Loss) as fast, and so on
-	CancelsRunning    bool    // a part in work that is given up stops
+	Knee              int     // number of pending parts above which efficiency falls; 0: never
+	KneeLoss          float64 // with twice Knee parts pending it works 1/(1+KneeLoss) as fast, and so on linearly
+	CancelsRunning    bool    // a part in service that is cancelled stops
 	Handshake         time.Duration
-	CallWork          time.Duration // of a call, beside its parts'
+	CallWork          time.Duration // work of a call in addition to its parts
 	KeyCache          KeyCache
 	SlowStart         SlowStart
 	Seed              uint64
 }
 
-// Keys is how a server remembers: a part whose key and shard it met lately is less work.
+// KeyCache is a server's cache: a part whose key and shard were used recently is less work.
 type KeyCache struct {
-	Gain    float64       // so much less; 0: it remembers nothing
-	TTL     time.Duration // for so long
-	MaxKeys int           // and so many; the one met longest ago goes first
+	Gain    float64       // share of the work that a hit saves; 0: there is no cache
+	TTL     time.Duration // since the last use
+	MaxKeys int           // capacity; the least recently used key is evicted first
 }
 
-// Cold is how a server starts.
+// SlowStart is how a server warms up after a start.
 type SlowStart struct {
-	InitialShare     float64       // of its capacity, at the start
-	WarmupTime       time.Duration // until it is warm, however little it does; 0: it starts warm
-	WarmupParts      int           // or until it has done so many parts; 0: time alone
-	OverloadMultiple float64       // sent more than this multiple of its capacity; 0: it bears all
-	OverloadWindow   time.Duration // over so long, it falls
-	Downtime         time.Duration // and is back, cold, after this
+	InitialShare     float64       // share of its capacity at the start
+	WarmupTime       time.Duration // until it has warmed up, however little it does; 0: it starts warm
+	WarmupParts      int           // or until it has finished so many parts; 0: by time alone
+	OverloadMultiple float64       // it crashes if it is sent more than this multiple of its capacity; 0: never
+	OverloadWindow   time.Duration // period over which the work sent is summed
+	Downtime         time.Duration // until it restarts after such a crash, warming up again
 }
 
 // End is how a part ended at a server.
 type End int
 
-// The ends.
+// The endings.
 const (
 	OK   End = iota
-	Err      // it may have run
-	Busy     // it never ran
+	Err      // the part may have run
+	Busy     // the part was rejected and never ran
 )
 
-// Job is a part at a server. The first fields are its sender's.
+// Job is a part at a server. The exported fields are set by the sender.
 type Job struct {
 	ID, Request, Class string
 	Shard              int
-	Work               time.Duration // of a core of speed 1
-	FirstOfCall        bool          // the first of its call: it bears what that costs
-	Key                string        // with its shard; empty: none
-	Deadline           time.Duration // when its sender stops waiting; 0: unknown
+	Work               time.Duration // time on a core of speed 1
+	FirstOfCall        bool          // first part of its call, which includes the call's own work
+	Key                string        // cache key, including the shard; empty: none
+	Deadline           time.Duration // when the sender stops waiting; 0: unknown
 	Done               func(*Job, End)
-	OnRun              func(*Job) // it is run from now on; may be nil
-	Tag                any        // the sender's
+	OnRun              func(*Job) // called when the part starts to run; may be nil
+	Tag                any        // for the sender's use
 
 	finish float64 // in service time
 	seq    int64
-	index  int // in the running heap; below 0: not in it
+	index  int // in the heap of running parts; below 0: not in it
 	state  jobState
 }
 
@@ -89,62 +88,62 @@
 const (
 	waiting jobState = iota + 1
 	running
-	hanging // hangs
+	hanging // will never be answered
 	finished
 )
 
-// Effects are what faults do to a server at the moment. Several may hold at once.
+// Effects are the current effects of faults on a server. Several can overlap.
 type Effects struct {
-	Dead   int     // so many faults keep the process down
-	Paused int     // so many pauses hold
+	Dead   int     // number of faults that keep the process down
+	Paused int     // number of active pauses
 	Slow   float64 // product of the factors; 0 counts as 1
 	Hang   map[string]float64
-	Fail   map[string]float64 // by class, "" is all: the share of parts
+	Fail   map[string]float64 // share of the parts by class; "": all
 	Busy   int
 }
 
-// Stats is what a server did since the last look.
+// Stats is what a server did since the last call of TakeStats.
 type Stats struct {
 	Received, Served, Failed, Busy int64
-	Pending, Running               int // now
+	Pending, Running               int // at present
 	MaxPending                     int
-	Work                           time.Duration // done, in core time of speed 1
+	Work                           time.Duration // done, in core time at speed 1
 	Up                             bool
-	CapacityShare                  float64 // of its capacity that it has
+	CapacityShare                  float64 // current share of its full capacity
 }
 
 // Server is one emulated leaf server.
 type Server struct {
 	Spec
 	Effects Effects
-	// Fell is told that a cold server was pushed over; Down that its process has
-	// ended (what was out there is lost) and Up that it runs again.
+	// OnOverload is called when a server crashes from overload while it warms up; OnDown when the
+	// process has ended (its parts are lost) and OnUp when it runs again.
 	OnOverload, OnDown, OnUp func(*Server)
 
 	sched     Sched
-	random    func() float64 // luck of its own
+	random    func() float64 // the server's own random source
 	up        bool
-	startedAt time.Duration // of its start
-	slowStart bool
-	partsDone int // parts since the start
+	startedAt time.Duration // start of the process
+	slowStart bool          // warming up
+	partsDone int           // since the start
 
-	countedAt    time.Duration // to which the service time has been counted
-	service      float64       // seconds that each running part has had, as if alone on a core of speed 1
-	rate         float64       // of the service time
+	countedAt    time.Duration // time up to which the service time was advanced
+	service      float64       // seconds that each running part has had, at speed 1 and on a core of its own
+	rate         float64       // of the service time, per second
 	timer        Timer
-	timerFinish  float64 // the service time it is set for
+	timerFinish  float64 // the service time that the timer is set for
 	timerAt      time.Duration
 	heap         []*Job
 	queue        waitQueue
-	queued       int
+	queued       int // without cancelled parts
 	hangingCount int
-	unread       []*Job // what has come while the world stood still
+	unread       []*Job // parts that arrived during a pause
 	seq          int64
 
-	cachedKeys map[string]int64 // by key: when it was met last, as a number of seq
-	keyUses    []keyUse         // in that order, with what was met again since
+	cachedKeys map[string]int64 // the sequence number of each key's last use
+	keyUses    []keyUse         // all uses in order, including outdated ones
 
-	sentInWindow []sentWork // to a cold server, in the window
+	sentInWindow []sentWork // to a server that warms up
 	sentTotal    float64
 	stats        Stats
 }
@@ -160,7 +159,7 @@
 	work float64
 }
 
-// NewServer returns a server that runs and is warm.
+// NewServer returns a server that runs and has warmed up.
 func NewServer(s Sched, spec Spec) *Server {
 	r := Rand(spec.Seed, "server", spec.Name)
 	v := &Server{Spec: spec, sched: s, random: r.Float64, up: true}
@@ -168,13 +167,14 @@
 	return v
 }
 
-// Running tells whether its process runs, and since when.
+// Running reports whether the process runs, and since when.
 func (s *Server) Running() (bool, time.Duration) { return s.up, s.startedAt }
 
-// Held counts the parts it has.
+// Pending returns the number of unfinished parts.
 func (s *Server) Pending() int { return len(s.heap) + s.queued + s.hangingCount + len(s.unread) }
 
-// Share is the share of its capacity that it has, for being cold.
+// CapacityShare returns the share of its full capacity that the server has; it is below 1
+// while the server warms up.
 func (s *Server) CapacityShare() float64 {
 	if !s.slowStart {
 		return 1
@@ -192,7 +192,8 @@
 	return s.SlowStart.InitialShare + (1-s.SlowStart.InitialShare)*share
 }
 
-// Capacity is the work it can do a second at the moment, in seconds of a core of speed 1.
+// Capacity returns the work that the server can currently do per second, in seconds of a core
+// of speed 1.
 func (s *Server) Capacity() float64 {
 	if !s.up || s.Effects.Paused > 0 {
 		return 0
@@ -204,8 +205,9 @@
 	return float64(s.Cores) * s.Speed * s.CapacityShare() / slow
 }
 
-// ColdRoom is the work that a cold server may be sent now before it falls, in
-// seconds of a core of speed 1, without the slack for chance; a warm one bears all.
+// SlowStartHeadroom returns the work that can be sent now to a server that warms up before it
+// crashes, in seconds of a core of speed 1 and without the allowance for chance. It is
+// infinite for one that has warmed up.
 func (s *Server) SlowStartHeadroom() float64 {
 	if !s.slowStart || s.SlowStart.OverloadMultiple <= 0 || s.CapacityShare() >= 1 {
 		return math.Inf(1)
@@ -219,7 +221,7 @@
 	return headroom
 }
 
-// Backlog is the work of what it has, in seconds of a core of speed 1.
+// Backlog returns the remaining work of all parts, in seconds of a core of speed 1.
 func (s *Server) Backlog() float64 {
 	s.advance()
 	sum := s.queue.work
@@ -229,12 +231,12 @@
 	return sum
 }
 
-// Sick tells whether a part of a class would come to nothing there.
+// Unavailable reports whether a part of a class would fail on this server.
 func (s *Server) Unavailable(class string) bool {
 	return !s.up || s.Effects.Paused > 0 || s.Effects.Busy > 0 || shareFor(s.Effects.Hang, class) > 0 || shareFor(s.Effects.Fail, class) > 0
 }
 
-// strike is the share of a class's parts that an effect hits.
+// shareFor returns the share of a class's parts that an effect hits.
 func shareFor(m map[string]float64, class string) float64 {
 	if len(m) == 0 {
 		return 0
@@ -242,8 +244,8 @@
 	return max(m[""], m[class])
 }
 
-// Take takes a part. Its Done is called once, unless it is given up or the process
-// ends before.
+// Submit hands a part to the server. Its Done is called once, unless the part is cancelled or
+// the process ends first.
 func (s *Server) Submit(j *Job) {
 	if !s.up {
 		j.state = finished
@@ -252,12 +254,12 @@
 	s.stats.Received++
 	s.seq++
 	j.seq, j.index = s.seq, -1
-	if s.Effects.Paused > 0 { // nobody reads
+	if s.Effects.Paused > 0 { // a paused process does not read
 		s.unread = append(s.unread, j)
 		return
 	}
 	if s.overloads(j) {
-		return // it fell over: all that was there is lost, this part with it
+		return // the server crashed, and this part is lost with the others
 	}
 	switch {
 	case s.Effects.Busy > 0:
@@ -283,7 +285,7 @@
 		j.state = waiting
 		s.queued++
 		s.queue.push(j)
-		if s.Knee > 0 {
+		if s.Knee > 0 { // with more parts pending the server may be slower
 			s.updateRate() // held more, it may work slower
 		}
 	}
@@ -292,7 +294,8 @@
 
 func (s *Server) slots() int { return max(s.Slots, s.Cores) }
 
-// push counts what a cold server is sent and tells whether that pushed it over.
+// overloads adds a part to the work sent during slow start and reports whether the server
+// crashed from overload.
 func (s *Server) overloads(j *Job) bool {
 	if !s.slowStart || s.SlowStart.OverloadMultiple <= 0 || s.SlowStart.OverloadWindow <= 0 || s.CapacityShare() >= 1 {
 		return false
@@ -308,7 +311,7 @@
 	for _, w := range s.sentInWindow {
 		heaviest = max(heaviest, w.work)
 	}
-	// A little slack for chance: the three heaviest parts a window may bring.
+	// An allowance for chance: three times the heaviest part in the window.
 	if s.sentTotal <= s.SlowStart.OverloadMultiple*s.Capacity()*s.SlowStart.OverloadWindow.Seconds()+3*heaviest {
 		return false
 	}
@@ -320,7 +323,7 @@
 	return true
 }
 
-// Handshake is the work of a new connection.
+// Handshake adds the work of a new connection.
 func (s *Server) Handshake() {
 	if s.up && s.Spec.Handshake > 0 {
 		s.seq++
@@ -329,14 +332,14 @@
 	}
 }
 
-// GiveUp takes a part back that its sender does not wait for any more. One in work
-// goes on, unless the server stops such.
+// Cancel withdraws a part that its sender no longer waits for. A part in service continues
+// unless CancelsRunning is set.
 func (s *Server) Cancel(j *Job) {
 	switch j.state {
 	case waiting:
 		s.queued--
 		s.queue.work -= j.Work.Seconds()
-		j.state = finished // the room drops it when it comes to it
+		j.state = finished // pop drops it from the queue later
 		if s.Knee > 0 {
 			s.updateRate()
 		}
@@ -384,8 +387,8 @@
 	}
 }
 
-// Start starts the process again unless a fault keeps it down; cold, if it is to
-// and knows of cold.
+// Start starts the process unless a fault keeps it down. If cold is set and slow start is
+// configured, the server has to warm up.
 func (s *Server) Start(cold bool) {
 	if s.up || s.Effects.Dead > 0 {
 		return
@@ -398,7 +401,7 @@
 	}
 }
 
-// Changed is to be called after a change of Effects.
+// EffectsChanged must be called after a change of Effects.
 func (s *Server) EffectsChanged() {
 	s.updateRate()
 	if s.Effects.Paused > 0 || len(s.unread) == 0 {
@@ -414,7 +417,7 @@
 	}
 }
 
-// Look tells what it did since the last look.
+// TakeStats returns what the server did since the last call.
 func (s *Server) TakeStats() Stats {
 	s.advance()
 	st := s.stats
@@ -424,9 +427,9 @@
 	return st
 }
 
-// ---- Work. All running parts progress at one rate, so what orders their ends is
-// how much service each has still to get: one heap by the service time of its end,
-// and one alarm for the first (processor sharing by virtual time, Zhang 1990).
+// ---- Work. All running parts progress at the same rate, so the order of completion is the
+// order of remaining service: one heap by the service time at completion, and one timer for
+// the first (processor sharing by virtual time, Zhang 1990).
 
 func (s *Server) start(j *Job) {
 	s.advance()
@@ -446,14 +449,14 @@
 	}
 }
 
-// meets notes a key, and tells whether it was met lately.
+// useKey records a use of a key and reports whether the key was cached.
 func (s *Server) useKey(key string) bool {
 	if key == "" || s.KeyCache.Gain <= 0 {
 		return false
 	}
 	now := s.sched.Now()
 	evictOldest := func() {
-		if m := s.keyUses[0]; s.cachedKeys[m.key] == m.seq { // else it was met again since
+		if m := s.keyUses[0]; s.cachedKeys[m.key] == m.seq { // otherwise it was used again later
 			delete(s.cachedKeys, m.key)
 		}
 		s.keyUses = s.keyUses[1:]
@@ -474,7 +477,7 @@
 	return known
 }
 
-// count brings the service time up to now.
+// advance advances the service time to the current time.
 func (s *Server) advance() {
 	now := s.sched.Now()
 	if dt := now - s.countedAt; dt > 0 {
@@ -485,10 +488,10 @@
 	}
 }
 
-// coldStep is how often the rate of a server that warms is set anew.
+// slowStartStep is how often the rate of a server that warms up is updated.
 const slowStartStep = 100 * time.Millisecond
 
-// settle sets the rate and the alarm for what ends first.
+// updateRate updates the service rate and the timer for the next completion.
 func (s *Server) updateRate() {
 	s.advance()
 	rate := 0.0
@@ -527,7 +530,7 @@
 	s.timer = s.sched.After(wait, s.finishDue)
 }
 
-// due ends what has had its service.
+// finishDue finishes the parts that have received their service.
 func (s *Server) finishDue() {
 	s.timer = nil
 	s.advance()
@@ -536,14 +539,14 @@
 		s.removeFromHeap(j)
 		s.partsDone++
 		s.startQueued()
-		if j.ID != "" { // else it was a handshake
+		if j.ID != "" { // otherwise it is a handshake
 			s.end(j, OK)
 		}
 	}
 	s.updateRate()
 }
 
-// next starts what waits while there are slots.
+// startQueued starts queued parts while slots are free.
 func (s *Server) startQueued() {
 	for s.up && len(s.heap) < s.slots() {
 		j := s.queue.pop(s.random)
@@ -551,7 +554,7 @@
 			return
 		}
 		s.queued--
-		if j.Deadline > 0 && j.Deadline <= s.sched.Now() { // nobody waits for it any more
+		if j.Deadline > 0 && j.Deadline <= s.sched.Now() { // its sender no longer waits
 			j.state = finished
 			continue
 		}
@@ -623,13 +626,14 @@
 	j.index = -1
 }
 
-// queue is a waiting room. What was given up stays in it until it is come to.
+// waitQueue holds the parts that wait for a slot. Cancelled parts stay in it until pop reaches
+// them.
 type waitQueue struct {
 	discipline Discipline
 	jobs       []*Job
 	head       int
-	work       float64 // of what waits, in seconds
-	lastClass  string  // fair: the class served last
+	work       float64 // of the waiting parts, in seconds
+	lastClass  string  // fair: class of the part served last
 }
 
 func (q *waitQueue) push(j *Job) {
@@ -643,7 +647,7 @@
 	}
 }
 
-// pop takes the next one out; nil: none waits.
+// pop removes the next part; it returns nil if none waits.
 func (q *waitQueue) pop(random func() float64) *Job {
 	if q.head > 64 && q.head > len(q.jobs)/2 {
 		q.jobs = append(q.jobs[:0], q.jobs[q.head:]...)
@@ -670,7 +674,7 @@
 		case i == q.head:
 			q.jobs[i] = nil
 			q.head++
-		default: // the order of the others stays
+		default: // keep the order of the others
 			copy(q.jobs[i:], q.jobs[i+1:])
 			q.jobs[len(q.jobs)-1] = nil
 			q.jobs = q.jobs[:len(q.jobs)-1]
@@ -685,8 +689,8 @@
 	return nil
 }
 
-// fair finds the first of the class whose turn it is: the next by name after the
-// one served last that has any waiting.
+// nextFair returns the index of the first part of the class whose turn it is: the next class
+// by name, after the one served last, that has a part waiting.
 func (q *waitQueue) nextFair() int {
 	best, first := -1, -1
 	for i := q.head; i < len(q.jobs); i++ {
--- a/internal/lab/model/shared_test.go
+++ b/internal/lab/model/shared_test.go
@@ -10,8 +10,8 @@
 	"saddleport/internal/lab/event"
 )
 
-// The first part of a call bears what the call costs; a key met lately is less work, and
-// only so many are remembered for so long, by a process that lives.
+// The first part of a call includes the work of the call. A recently used key is less work;
+// the cache is bounded in size and time, and a restart empties it.
 func TestCallsAndKeys(t *testing.T) {
 	l, s, got := newTestServer(Spec{Cores: 1, Speed: 1, Slots: 1, QueueLimit: 20, Queue: FIFO, CallWork: 80 * ms, KeyCache: KeyCache{Gain: 0.5, TTL: time.Second, MaxKeys: 2}})
 	at := time.Duration(0)
@@ -23,8 +23,8 @@
 	}{
 		{"a", "", true, 0, 180}, {"b", "", false, 0, 100}, // a call of two parts
 		{"c", "k1", false, 0, 100}, {"d", "k1", false, 0, 50},
-		{"e", "k1", true, 2 * time.Second, 180},                                            // met too long ago
-		{"f", "k2", false, 0, 100}, {"g", "k3", false, 0, 100}, {"h", "k1", false, 0, 100}, // the third pushed the first out
+		{"e", "k1", true, 2 * time.Second, 180},                                            // expired
+		{"f", "k2", false, 0, 100}, {"g", "k3", false, 0, 100}, {"h", "k1", false, 0, 100}, // the third key evicted the first
 		{"i", "k3", false, 0, 50},
 	} {
 		at += c.wait
@@ -43,7 +43,7 @@
 	require.InDelta(t, 100, (got.at["z"]-at).Seconds()*1000, 0.1)
 }
 
-// asked lets clients ask for a while and returns what they asked.
+// runClients lets clients send requests for a while and returns all requests.
 func runClients(c *Clients, length time.Duration) []*Request {
 	var all []*Request
 	l := &event.Loop{}
@@ -55,7 +55,7 @@
 	return all
 }
 
-// Shards of a query stand in a row, and what has one key wants the same ones.
+// The shards of a query are consecutive, and requests with the same key need the same shards.
 func TestRowsAndKeys(t *testing.T) {
 	class := &Class{Name: "x", Parts: 4, MaxParts: 7, Contiguous: true, Shards: 48, Zipf: NewZipf(48, 0.3, 1), Keys: NewZipf(50, 0.5, 1), Timeout: time.Second, Value: 1,
 		Arrivals: Arrivals{Rate: 50}}
@@ -76,8 +76,8 @@
 	require.Equal(t, map[int]bool{4: true, 5: true, 6: true, 7: true}, sizes)
 }
 
-// Load is dealt out by usage; a tenant's burst is its own, and what goes beyond its quota
-// is worth less, while the others' is not.
+// Load is distributed by usage. A tenant's burst affects that tenant only, and its queries
+// above its quota have a lower value, while those of the others keep theirs.
 func TestTenants(t *testing.T) {
 	tenants := []*Tenant{{Name: "a", Usage: 3, Quota: 100}, {Name: "b", Usage: 1, Quota: 20, Bursts: []Burst{{At: 20 * time.Second, For: 20 * time.Second, Factor: 4}}}}
 	class := &Class{Name: "x", Parts: 1, Zipf: NewZipf(8, 0, 1), Timeout: time.Second, Value: 2, Arrivals: Arrivals{Rate: 40, Bursts: []Burst{{At: 20 * time.Second, For: 20 * time.Second, Factor: 1.75}}}}
@@ -99,5 +99,5 @@
 	requireNear(200, n["b"][0])
 	requireNear(800, n["b"][1])
 	require.Zero(t, overQuota["a"])
-	requireNear(400, overQuota["b"]) // of 40 a second, 20 are within
+	requireNear(400, overQuota["b"]) // 20 of 40 per second are within the quota
 }
