--- a/internal/lab/model/dist.go
+++ b/internal/lab/model/dist.go
@@ -36,9 +36,8 @@
 //	exp MEAN                     exponential
 //	lognormal MEDIAN SIGMA       sigma of the logarithm (Gaddum 1945; service times: Harchol-Balter 2013, ch. 20)
 //	gamma MEAN SHAPE             shape 1 is exponential, above it is steadier
-//	pareto LEAST ALPHA           alpha above 1: below, there is no mean
-//
-// empirical FILE               one duration a line, drawn by inverse transform sampling
+//	pareto LEAST ALPHA           alpha above 1: otherwise there is no mean
+//	empirical FILE               one duration a line, drawn by inverse transform sampling
 //
 // A form may end with "most SPAN", which caps the values drawn.
 func ParseDist(text, dir string) (*Dist, error) {
@@ -47,48 +46,48 @@
 	if n := len(f); n > 2 && f[n-2] == "most" {
 		d, err := time.ParseDuration(f[n-1])
 		if err != nil || d <= 0 || d > MaxDuration {
-			return nil, fmt.Errorf("most %q is not a span within 1ns to %v", f[n-1], MaxDuration)
+			return nil, fmt.Errorf("most %q is not a duration from 1ns to %v", f[n-1], MaxDuration)
 		}
 		maxValue, f = d, f[:n-2]
 	}
 	if len(f) == 0 {
-		return nil, fmt.Errorf("no distribution; there are: fixed, exp, lognormal, gamma, pareto, empirical")
+		return nil, fmt.Errorf("no distribution is given; the distributions are fixed, exp, lognormal, gamma, pareto, empirical")
 	}
-	span := func(i int) (float64, error) {
+	duration := func(i int) (float64, error) {
 		if i >= len(f) {
-			return 0, fmt.Errorf("%s wants a span", f[0])
+			return 0, fmt.Errorf("%s needs a duration", f[0])
 		}
 		d, err := time.ParseDuration(f[i])
 		if err != nil || d <= 0 || d > MaxDuration {
-			return 0, fmt.Errorf("%q is not a span above 0 and within %v", f[i], MaxDuration)
+			return 0, fmt.Errorf("%q is not a duration above 0 and at most %v", f[i], MaxDuration)
 		}
 		return d.Seconds(), nil
 	}
 	number := func(i int, low, high float64) (float64, error) {
 		if i >= len(f) {
-			return 0, fmt.Errorf("%s wants a number behind the span", f[0])
+			return 0, fmt.Errorf("%s wants a number after the duration", f[0])
 		}
 		v, err := strconv.ParseFloat(f[i], 64)
 		if err != nil || !(v >= low && v <= high) {
-			return 0, fmt.Errorf("%q is not a number within %v to %v", f[i], low, high)
+			return 0, fmt.Errorf("%q is not a number from %v to %v", f[i], low, high)
 		}
 		return v, nil
 	}
 	want := map[string]int{"fixed": 2, "exp": 2, "lognormal": 3, "gamma": 3, "pareto": 3, "empirical": 2}[f[0]]
 	if want == 0 {
-		return nil, fmt.Errorf("%q is no distribution; there are: fixed, exp, lognormal, gamma, pareto, empirical", f[0])
+		return nil, fmt.Errorf("%q is not a distribution; the distributions are fixed, exp, lognormal, gamma, pareto, empirical", f[0])
 	}
 	if len(f) > want {
-		return nil, fmt.Errorf("%q is too much behind %s", f[want], f[0])
+		return nil, fmt.Errorf("unexpected %q after the arguments of %s", f[want], f[0])
 	}
 	d := &Dist{text: text, max: maxValue.Seconds()}
 	if f[0] == "empirical" {
 		if len(f) < 2 {
-			return nil, fmt.Errorf("empirical wants a file")
+			return nil, fmt.Errorf("empirical needs a file")
 		}
 		return d, d.loadEmpirical(f[1], dir)
 	}
-	a, err := span(1)
+	a, err := duration(1)
 	if err != nil {
 		return nil, err
 	}
@@ -140,7 +139,7 @@
 		}
 		v, err := time.ParseDuration(line)
 		if err != nil || v < 0 || v > MaxDuration {
-			return fmt.Errorf("%s:%d: %.40q is not a span within 0 to %v", file, n, line, MaxDuration)
+			return fmt.Errorf("%s:%d: %.40q is not a duration from 0 to %v", file, n, line, MaxDuration)
 		}
 		if values = append(values, v.Seconds()); len(values) > maxValues {
 			return fmt.Errorf("%s:%d: more than %d values", file, n, maxValues)
--- a/internal/lab/model/load.go
+++ b/internal/lab/model/load.go
@@ -36,10 +36,10 @@
 		d, err := time.ParseDuration(strings.TrimSpace(at))
 		v, err2 := strconv.ParseFloat(strings.TrimSpace(factor), 64)
 		if !ok || err != nil || err2 != nil || d < 0 || !(v >= 0 && v <= 1000) {
-			return nil, fmt.Errorf("%q is not SPAN:FACTOR with a factor within 0 to 1000", item)
+			return nil, fmt.Errorf("%q is not SPAN:FACTOR with a factor from 0 to 1000", item)
 		}
 		if len(c) > 0 && d <= c[len(c)-1].At {
-			return nil, fmt.Errorf("%q does not come after the point before it", item)
+			return nil, fmt.Errorf("%q is not later than the point before it", item)
 		}
 		c = append(c, Point{d, v})
 	}
@@ -160,7 +160,7 @@
 		}
 		at := time.Duration(v * float64(time.Second))
 		if len(out) > 0 && at < out[len(out)-1] {
-			return nil, fmt.Errorf("%s:%d: %.40q comes before the line above", file, n, text)
+			return nil, fmt.Errorf("%s:%d: %.40q is earlier than the line before it", file, n, text)
 		}
 		if out = append(out, at); len(out) > maxTraceQueries {
 			return nil, fmt.Errorf("%s:%d: more than %d queries", file, n, maxTraceQueries)
--- a/internal/lab/virtual/link.go
+++ b/internal/lab/virtual/link.go
@@ -1,6 +1,6 @@
 package virtual
 
-// The connections of a mixer to a server, as internal/upstream keeps them.
+// This file models the connections of a proxy to a server; it follows internal/upstream.
 
 import (
 	"fmt"
@@ -14,35 +14,35 @@
 	"saddleport/internal/lab/model"
 )
 
-// link stands for all connections of a mixer to one server.
+// link stands for all connections of a proxy to one server.
 type link struct {
 	m           *proxy
 	server      int
-	generation  int // of the connections: what came on older ones counts for nothing
+	generation  int // of the connections; results from older generations are ignored
 	open        bool
 	dialing     bool
 	waiting     []queuedAttempt
 	inFlight    map[*exchange.Attempt]*flight
 	usedAt      time.Duration
 	answeredAt  time.Duration
-	lastArrival time.Duration // what goes one way comes in order
-	lastAnswer  time.Duration
+	lastArrival time.Duration // arrivals at the server stay in order
+	lastAnswer  time.Duration // answers stay in order
 }
 
-// waiter is an attempt that waits for a connection.
+// queuedAttempt is an attempt that waits for a connection.
 type queuedAttempt struct {
 	a           *exchange.Attempt
 	firstOfCall bool // of its call
 }
 
-// flight is an attempt that is out.
+// flight is an attempt that was sent and has not ended.
 type flight struct {
 	l          *link
 	a          *exchange.Attempt
 	generation int
 	sentAt     time.Duration
 	job        model.Job
-	delivered  bool // the server has it
+	delivered  bool // the server has received it
 	judged     *judge.Attempt
 }
 
@@ -57,7 +57,7 @@
 
 // Send starts attempts.
 func (m *proxy) Send(attempts []*exchange.Attempt) {
-	calls := make(map[int]int) // by server: parts so far
+	calls := make(map[int]int) // parts so far, by server
 	for _, a := range attempts {
 		i, known := m.w.server(a.Server)
 		if stop, stopping := m.drainStops[i]; !known || stopping && m.w.loop.Now() >= stop {
@@ -69,7 +69,8 @@
 	}
 }
 
-// Cancel ends the wait for an attempt, once the server has been told.
+// Cancel cancels an attempt. The server is notified, and the attempt ends at once for the
+// exchange.
 func (m *proxy) Cancel(a *exchange.Attempt, v choice.Verdict) {
 	i, _ := m.w.server(a.Server)
 	l := m.links[i]
@@ -78,7 +79,7 @@
 	}
 	if i := slices.IndexFunc(l.waiting, func(x queuedAttempt) bool { return x.a == a }); i >= 0 {
 		l.waiting = slices.Delete(l.waiting, i, i+1)
-		if v == choice.NoAnswer { // it was never sent, so it never ran
+		if v == choice.NoAnswer { // it was never sent, so it can't have run
 			v = choice.NotSent
 		}
 		m.exchange.AttemptEnded(a, v, nil, "")
@@ -91,14 +92,14 @@
 	delete(l.inFlight, a)
 	now := m.w.loop.Now()
 	f.judged.Over(m.w.time(), "")
-	m.trace(a, "is given up at", fmt.Sprint(v))
+	m.trace(a, "is cancelled at", fmt.Sprint(v))
 	l.deliver(func() {
 		if f.delivered && f.generation == l.generation {
 			m.w.Servers[l.server].Cancel(&f.job)
 		}
 	}, f.generation)
 	if v == choice.NoAnswer && l.answeredAt < f.sentAt && l.generation == f.generation {
-		l.open = false // it fell silent: the next goes out on a new one
+		l.open = false // the connection is unresponsive: the next attempt uses a new one
 	}
 	l.usedAt = now
 	m.exchange.AttemptEnded(a, v, nil, "")
@@ -111,7 +112,7 @@
 	}
 }
 
-// Probe tests a server.
+// Probe checks whether a server responds.
 func (m *proxy) Probe(server string) {
 	w, life, begun := m.w, m.incarnation, m.w.loop.Now()
 	i, _ := w.server(server)
@@ -158,7 +159,7 @@
 	l.dial()
 }
 
-// dial opens a connection: a way there, and one back.
+// dial opens a connection, which takes one round trip.
 func (l *link) dial() {
 	if l.dialing {
 		return
@@ -174,7 +175,7 @@
 			waiting := l.waiting
 			l.waiting = nil
 			for _, x := range waiting {
-				m.trace(x.a, "finds no connection to", "")
+				m.trace(x.a, "has no connection to", "")
 				m.exchange.AttemptEnded(x.a, choice.NoConnection, nil, "")
 			}
 		})
@@ -218,7 +219,7 @@
 	})
 }
 
-// transmit writes an attempt, as the head of a frame or behind it.
+// transmit sends an attempt, as the first part of a call or a later one.
 func (l *link) transmit(a *exchange.Attempt, firstOfCall bool) {
 	m, w := l.m, l.m.w
 	s := w.Servers[l.server]
@@ -257,7 +258,8 @@
 
 func recordRun(j *model.Job) { j.Tag.(*flight).judged.Ran() }
 
-// carry has something arrive at the server, in order, unless it is lost on the way.
+// deliver runs arrive at the server after the network delay, in order, unless the network
+// loses it.
 func (l *link) deliver(arrive func(), generation int) {
 	w := l.m.w
 	d, ok := w.net.Delay(l.m.site, w.sites[l.server])
@@ -273,7 +275,7 @@
 	})
 }
 
-// done is a server's answer, on its way.
+// serverAnswered sends a server's answer to the proxy.
 func (l *link) serverAnswered(j *model.Job, e model.End) {
 	f, w, m := j.Tag.(*flight), l.m.w, l.m
 	if f.generation != l.generation {
@@ -295,7 +297,7 @@
 	w.loop.Post(at-w.loop.Now(), func() { l.receiveAnswer(f, e) })
 }
 
-// valueOf is what a server makes for a part: it names both.
+// valueOf returns the value that a server computes for a part; it names both.
 func valueOf(a *exchange.Attempt) string { return a.Server + "/" + a.PartID }
 
 func (l *link) receiveAnswer(f *flight, e model.End) {
@@ -318,7 +320,7 @@
 	}
 }
 
-// reset: the server's machine says that there is no such connection.
+// sendReset resets the connections: the server's machine doesn't know them any more.
 func (l *link) sendReset() {
 	m, w := l.m, l.m.w
 	gen := l.generation
@@ -333,7 +335,7 @@
 	})
 }
 
-// broken ends all that is out.
+// failInFlight ends all attempts in flight with ConnectionLost.
 func (l *link) failInFlight() {
 	m := l.m
 	l.generation++
@@ -351,21 +353,24 @@
 	}
 }
 
-// serverGone: the process has ended. A machine that has vanished says nothing.
+// serverEnded handles the end of the server's process: its machine resets the connections,
+// unless it has vanished.
 func (l *link) serverEnded() {
 	if l.m.w.vanished[l.server] == 0 && (l.open || len(l.inFlight) > 0) {
 		l.sendReset()
 	}
 }
 
-// serverBack: connections of before are reset once something is sent; here at once.
+// serverRestarted resets the connections to the previous process. A real server resets them
+// when something is sent; here it happens at once.
 func (l *link) serverRestarted() {
 	if l.open || len(l.inFlight) > 0 {
 		l.sendReset()
 	}
 }
 
-// close: the mixer's process has ended; the server gives up what it had from it.
+// close handles the end of the proxy's process: the server cancels the parts it received from
+// it.
 func (l *link) close() {
 	w := l.m.w
 	out := make([]*flight, 0, len(l.inFlight))
--- a/internal/lab/virtual/mixer.go
+++ b/internal/lab/virtual/mixer.go
@@ -1,6 +1,7 @@
 package virtual
 
-// A mixer in virtual time: an exchange on the loop, and its life.
+// This file models a proxy in virtual time: an exchange on the event loop, with starts and
+// stops.
 
 import (
 	"fmt"
@@ -20,30 +21,30 @@
 	n            int
 	site         int
 	incarnation  int
-	exchange     *exchange.Exchange // nil: it does not run
-	balanced     bool               // the front deals queries to it
+	exchange     *exchange.Exchange // nil: the process is not running
+	balanced     bool               // the load balancer sends it queries
 	draining     bool
 	watches      bool
 	attempts     map[string]*clientAttempt
 	links        map[int]*link
-	drainStops   map[int]time.Duration // from when on nothing may go to a server
-	levelChanges int                   // changes of the level in lives before
+	drainStops   map[int]time.Duration // the time from which nothing may be sent to a server
+	levelChanges int                   // changes of the service level in earlier incarnations
 	merge        *sourceMerge          // nil: there is one source
-	keys         map[string]string     // of queries that have one, by id
-	pollDraw     func() float64        // where lists are pushed: luck of its looks at the agent
-	lastPoll     time.Duration         // the last of them that finds news
+	keys         map[string]string     // keys of queries by query ID
+	pollDraw     func() float64        // pushed lists: random delay until the proxy polls its agent
+	lastPoll     time.Duration         // time of the last poll that found a change
 
 	timer       *event.Timer
 	timerAt     time.Duration
 	wakePending bool
 }
 
-// ---- The drive of its exchange.
+// ---- The event loop of its exchange.
 
-// Now is virtual time.
+// Now returns the virtual time.
 func (m *proxy) Now() time.Time { return m.w.time() }
 
-// Wake asks for a turn at this instant.
+// Wake schedules a run of the exchange at the current time.
 func (m *proxy) Wake() {
 	if m.wakePending {
 		return
@@ -80,7 +81,7 @@
 	})
 }
 
-// ---- Its life.
+// ---- Starts and stops.
 
 func (m *proxy) start() error {
 	w := m.w
@@ -113,7 +114,7 @@
 	return nil
 }
 
-// kill ends the process: what it had is gone.
+// kill ends the process at once: its open queries are lost.
 func (m *proxy) kill() {
 	if m.exchange == nil {
 		return
@@ -129,8 +130,8 @@
 	})
 }
 
-// leave ends the process as planned: it takes nothing new, and ends when all that
-// it has is answered.
+// drain shuts the process down gracefully: it accepts nothing new, and ends when all its
+// queries have been answered.
 func (m *proxy) drain() {
 	if m.exchange == nil {
 		return
@@ -146,7 +147,7 @@
 	}
 }
 
-// back starts the process again.
+// restart starts the process again.
 func (m *proxy) restart() {
 	w := m.w
 	if m.exchange != nil {
@@ -169,13 +170,13 @@
 	})
 }
 
-// drop ends it at once.
+// endProcess ends the process at once.
 func (m *proxy) endProcess() {
 	m.failOpenAttempts()
 	m.stop()
 }
 
-// abandon tells the clients of what is open that nobody will answer.
+// failOpenAttempts reports to the clients of all open queries that the connection was lost.
 func (m *proxy) failOpenAttempts() {
 	w := m.w
 	for _, id := range sortedIDs(m.attempts) {
@@ -184,7 +185,7 @@
 	}
 }
 
-// stop ends the exchange and its connections.
+// stop stops the exchange and closes the connections.
 func (m *proxy) stop() {
 	if m.exchange == nil {
 		return
@@ -200,7 +201,7 @@
 	}
 }
 
-// levelsOver notes what the levels of a mixer that ends have done.
+// recordLevels records the level changes of a proxy that stops.
 func (m *proxy) recordLevels() {
 	r := m.exchange.LevelsSnapshot()
 	if r == nil {
@@ -246,9 +247,10 @@
 	m.exchange.Submit(q)
 }
 
-// ---- The list.
+// ---- The server list.
 
-// hear has news of the list come in, after the way from discovery: the mixer's own site.
+// receiveListLater applies a list after the network delay within the proxy's site, where
+// discovery runs.
 func (m *proxy) receiveListLater(l choice.List) {
 	life := m.incarnation
 	m.w.loop.Post(m.w.localDelay(m), func() {
@@ -259,7 +261,7 @@
 	})
 }
 
-// hears takes a list for the links and hands it to the exchange.
+// applyList updates the drain times of the links and hands the list to the exchange.
 func (m *proxy) applyList(l choice.List) {
 	listed := make(map[int]bool, len(l.Servers))
 	for _, row := range l.Servers {
@@ -277,8 +279,8 @@
 	m.exchange.UpdateServers(l)
 }
 
-// mayStart notes from when on nothing may start on a server; since is how long ago the
-// news may have counted as told.
+// updateDrainStop records from when on nothing may be sent to a server. since is how long ago
+// the list may have become known to the proxy's agent, in microseconds.
 func (m *proxy) updateDrainStop(server int, ready bool, since choice.Micros) {
 	if ready || m.w.opt.Mutations.IgnoreDrain {
 		delete(m.drainStops, server)
@@ -287,14 +289,15 @@
 	}
 }
 
-// Watch is the exchange's wish to be told of the list. Discovery answers the whole.
+// Watch subscribes to changes of the list, or unsubscribes. Discovery answers a subscription
+// with the full list.
 func (m *proxy) Watch(on bool) {
 	if m.watches = on; on {
 		m.Fetch()
 	}
 }
 
-// Fetch asks for the whole list once.
+// Fetch requests the full list once.
 func (m *proxy) Fetch() {
 	life := m.incarnation
 	m.w.loop.Post(m.w.localDelay(m), func() {
--- a/internal/lab/virtual/shared_test.go
+++ b/internal/lab/virtual/shared_test.go
@@ -9,7 +9,7 @@
 	"saddleport/internal/lab/record"
 )
 
-// ringed is a small ring with all that the heat scenarios have.
+// ringScenario is a small ring that uses the features of the large shared scenarios.
 const ringScenario = `[scenario]
 name   = ringed
 length = 20s
@@ -59,8 +59,8 @@
 quota = 35
 `
 
-// The rules hold where lists are pushed, while the agent is silent, and where servers
-// drain in that time; and a mixer that does not heed the agent is seen.
+// The rules hold with pushed lists, while the agent is silent and while servers drain during
+// that time; and a proxy that ignores the agent is detected.
 func TestPushedLists(t *testing.T) {
 	for _, f := range []string{
 		"", "[fault s]\ndo = list-silent\nat = 3s\nfor = 6s\n[fault d]\ndo = drain\nat = 2s\nfor = 9s\nshare = 0.4\napart = 700ms\n",
@@ -75,7 +75,8 @@
 	require.Zero(t, r.Verdict.Drained, "the decisions alone keep to a drain")
 }
 
-// Calls have a cost: more of it for the same queries shows in what the servers did.
+// Calls have a cost: the same queries with a higher cost per call show more work at the
+// servers.
 func TestCallsCost(t *testing.T) {
 	work := func(text string) (sum int64) {
 		for _, s := range play(t, text, Options{KeepRows: true}).Seconds {
@@ -85,13 +86,14 @@
 	}
 	free, costly := work(strings.Replace(ringScenario, "per-call-work = 8ms", "per-call-work = 0s", 1)), work(ringScenario)
 	require.Greater(t, costly, free)
-	// Two calls or three for a query of nine parts in a row, one for a fix.
+	// A query of nine consecutive parts takes two or three calls, one of class fix takes one.
 	r := play(t, ringScenario, Options{KeepRows: true})
 	calls := float64(costly-free) / 8000
 	require.Less(t, calls, 0.55*float64(r.Summary.Parts))
 }
 
-// Tenants and the worst ten seconds are told, and a run without them tells neither ill.
+// The result of the tenants and of the worst ten seconds is recorded; without tenants the
+// tenant result is 1.
 func TestWorst(t *testing.T) {
 	r := play(t, ringScenario+"[burst b]\nat = 5s\nfor = 10s\nfactor = 6\ntenant = small\n", Options{KeepRows: true})
 	over := 0
--- a/internal/lab/virtual/sources.go
+++ b/internal/lab/virtual/sources.go
@@ -1,8 +1,8 @@
 package virtual
 
-// Several sources of the list, in virtual time: each mixer has the merge that serves
-// (core/membership), fed by models of what the sources tell. Where a scenario has no
-// [members] nothing of this runs.
+// This file models several sources of the server list in virtual time: each proxy runs the
+// production merge (core/membership) on the answers of model sources. It is used only if the
+// scenario has [members].
 
 import (
 	"fmt"
@@ -17,27 +17,28 @@
 	"saddleport/internal/source/members"
 )
 
-// beat is how often a source that has no news says so: a call that was waited out.
+// idleAnswerInterval is how often a source without changes answers, as at the end of a long
+// poll.
 const idleAnswerInterval = 2 * time.Second
 
-// source is one source as it stands.
+// source is the current state of one source.
 type source struct {
 	list    *model.List
-	entries []model.Entry // what it has told, by server
+	entries []model.Entry // what it has published, by server
 	index   int64
 	silent  int
 	down    int
 	empty   int
 }
 
-// merging is a mixer's merge.
+// sourceMerge is the merge of one proxy.
 type sourceMerge struct {
 	core            *membership.Members
 	rows            *members.ListBuilder
 	timer           *event.Timer
 	dnsObservations int64
 	lastArrival     map[string]time.Duration
-	delivered       bool // the decisions have had a whole list
+	delivered       bool // the decisions have received a full list
 }
 
 func (w *world) hasSources() bool { return len(w.plan.Members.Sources) > 0 }
@@ -71,7 +72,7 @@
 	}
 }
 
-// turn has a fault take hold of a source as a whole, or let it go.
+// applySourceFault starts or ends a fault of a whole source.
 func (w *world) applySourceFault(i int, c model.Change) {
 	s := w.sources[i]
 	step := 1
@@ -90,7 +91,7 @@
 			return
 		}
 		s.index = 1
-	default: // truncation and junk are the sockets' alone
+	default: // truncated and unrelated datagrams exist only with real sockets
 		return
 	}
 	s.index++
@@ -99,7 +100,7 @@
 	}
 }
 
-// tells has news of a source come in at a mixer.
+// sendChanges sends changes from a source to a proxy.
 func (m *proxy) sendChanges(i int, changes []model.Entry) {
 	w, s := m.w, m.w.sources[i]
 	switch {
@@ -122,7 +123,7 @@
 	m.observeLater(o)
 }
 
-// tellsAll has a whole answer of a source come in at a mixer.
+// sendFullAnswer sends a full answer from a source to a proxy.
 func (m *proxy) sendFullAnswer(i int, reset bool) {
 	w, s := m.w, m.w.sources[i]
 	if m.exchange == nil || s.silent > 0 {
@@ -154,8 +155,8 @@
 	return c
 }
 
-// observes has an answer come in after the way from the source: the mixer's own site;
-// DNS is asked once in a record's lifetime.
+// observeLater delivers an answer after the network delay within the proxy's site, where the
+// source runs. DNS changes are found at a random time within the lifetime of a record.
 func (m *proxy) observeLater(o membership.Observation) {
 	w, life := m.w, m.incarnation
 	delay := w.localDelay(m)
@@ -163,7 +164,7 @@
 		m.merge.dnsObservations++
 		delay += time.Duration(model.Uniform(w.plan.RunSeed, "dns", fmt.Sprint(m.n), fmt.Sprint(m.merge.dnsObservations)) * float64(ttl))
 	}
-	// A source is asked one call after the other: its answers come in order.
+	// A proxy calls a source sequentially: its answers arrive in order.
 	at := max(w.loop.Now()+delay, m.merge.lastArrival[o.Source])
 	m.merge.lastArrival[o.Source] = at
 	w.loop.Post(at-w.loop.Now(), func() {
@@ -179,7 +180,7 @@
 	})
 }
 
-// merges gives a mixer that starts its merge, and what the sources say.
+// startMerge creates the merge of a starting proxy and requests full answers from all sources.
 func (m *proxy) startMerge() error {
 	w := m.w
 	core, err := membership.New(w.plan.Members.MergeSettings(w.activeSources))
@@ -193,7 +194,7 @@
 	return nil
 }
 
-// step is what source/members does in service.
+// stepMerge does what source/members does in production.
 func (m *proxy) stepMerge() {
 	w, g := m.w, m.merge
 	now := w.time().UnixMicro()
@@ -217,7 +218,7 @@
 	}
 }
 
-// known hands the whole merged list to the decisions.
+// deliverFullList hands the full merged list to the decisions.
 func (m *proxy) deliverFullList() {
 	list, _ := m.merge.rows.Full(m.w.time().UnixMicro(), m.merge.core.All())
 	m.merge.delivered = true
@@ -225,7 +226,7 @@
 	m.applyList(choice.List{Form: choice.Full, Version: m.w.version, Servers: list})
 }
 
-// reconfigure puts other sources in force at every mixer, as SIGHUP does.
+// reconfigure changes the active sources of every proxy, as SIGHUP does.
 func (w *world) reconfigure(c model.Change) {
 	w.activeSources = w.plan.Members.Sources
 	if c.On {
@@ -246,8 +247,8 @@
 	}
 }
 
-// server is the server that the decisions mean: one that changed its cell has another
-// name with them.
+// server returns the index of the server with an ID of the decisions, in which a server that
+// changed its cell has a suffix.
 func (w *world) server(id string) (int, bool) {
 	name, _, _ := strings.Cut(id, "~")
 	i, known := w.Index[name]
--- a/internal/lab/virtual/virtual.go
+++ b/internal/lab/virtual/virtual.go
@@ -1,11 +1,11 @@
-// Package virtual is the emulator's virtual drive: the mixers' own exchange and
-// decisions, emulated servers, clients, discovery and network in one process, on a
-// discrete-event loop without sockets. It owns how these meet. It must never read
-// the machine's clock for anything that a result shows, walk a map where the order
-// could be seen, or decide anything for a mixer.
+// Package virtual is the emulator's virtual driver: the proxies' own exchange and decisions,
+// with emulated servers, clients, discovery and network, in one process on a discrete-event
+// loop without sockets. Results must be deterministic: the package must not use the machine's
+// clock for anything that a result shows, nor iterate over a map where the order matters. It
+// must not make decisions for a proxy.
 //
-// What stands in for the mixer's sockets (link.go) follows internal/downstream and
-// internal/upstream: where it does less, docs/design/emulator.md says so.
+// The replacement for the proxy's sockets (link.go) follows internal/downstream and
+// internal/upstream; docs/design/emulator.md lists where it does less.
 package virtual
 
 import (
@@ -28,7 +28,7 @@
 	"saddleport/internal/settings"
 )
 
-// What the mixer's own sides do with time: the figures of internal/downstream and
+// Time limits of the proxy's connections, equal to those of internal/downstream and
 // internal/upstream.
 const (
 	networkAllowance        = 30 * time.Millisecond
@@ -39,16 +39,16 @@
 )
 
 const (
-	judgeInterval = 5 * time.Second // the judge lets go of what is over
+	judgeInterval = 5 * time.Second // how often the judge discards finished queries
 	judgeDelay    = 10 * time.Second
-	overtime      = 30 * time.Second // after the load and the longest patience, until all must be over
-	goneSoon      = time.Second      // a killed mixer's connections are reset so soon
+	overtime      = 30 * time.Second // time after the load and the longest client timeout by which everything must have finished
+	goneSoon      = time.Second      // delay until the connections of a killed proxy are reset
 )
 
-// epoch is when virtual time begins, on the clock that the mixers see.
+// epoch is the start of virtual time on the clock that the proxies see.
 var epoch = time.Unix(1_900_000_000, 0).UTC()
 
-// World is a run's true state, for policies that see it.
+// World is the true state of a run, for policies that may see it.
 type World struct {
 	Servers   []*model.Server
 	Index     map[string]int
@@ -57,35 +57,35 @@
 	Work      map[string]*model.Work
 }
 
-// Decide makes what decides for a mixer in its life of that number.
+// Decide creates the decider of a proxy in an incarnation.
 type Decide func(w *World, mixer, life int, seed uint64, set choice.Settings) (exchange.Decider, error)
 
-// Mixer is the module that serves.
+// ProxyDecider creates the production decider.
 func ProxyDecider(_ *World, _, _ int, seed uint64, set choice.Settings) (exchange.Decider, error) {
 	return choice.New(seed, set)
 }
 
-// Options are how a plan is played.
+// Options configures a run.
 type Options struct {
-	Decide    Decide // nil: Mixer
-	Policy    string // its name; empty: mixer
-	KeepRows  bool   // the rows of asks, servers and seconds
+	Decide    Decide // nil: ProxyDecider
+	Policy    string // name of the policy; empty: mixer
+	KeepRows  bool   // keep the rows of requests, servers and seconds
 	Progress  func(at, of time.Duration, events int64)
-	Trace     func(at time.Duration, query, text string) // of every query; the text is made only where it is set
+	Trace     func(at time.Duration, query, text string) // called for every query; nil: the text is not formatted
 	Mutations Mutations
-	MaxEvents int64 // events; 0: event.Most
+	MaxEvents int64 // bound on events; 0: event.Most
 }
 
-// Sabotage breaks the rig or the mixers on purpose: a judge that can't fail judges
-// nothing. Each field that is set breaks one rule.
+// Mutations breaks the rig or the proxies on purpose, to test that the judge detects
+// violations. Each field breaks one rule.
 type Mutations struct {
-	WrapUpstream   func(mixer int, l exchange.Upstream, x *exchange.Exchange) exchange.Upstream // between the exchange and the links
-	ReplaceValue   func(server, part string) string                                             // what the client is told in a value's place
-	ReplaceFinal   func(f *exchange.Final) *exchange.Final                                      // the answer; nil: none is given
-	AnswerTwice    bool                                                                         // every answer is given twice
-	AnswerDelay    time.Duration                                                                // every answer is held back so long
-	IgnoreDrain    bool                                                                         // links go on though the list says that a server drains
-	ChangeSettings func(*settings.Settings)                                                     // what the mixers are told
+	WrapUpstream   func(mixer int, l exchange.Upstream, x *exchange.Exchange) exchange.Upstream // wraps the links of a proxy
+	ReplaceValue   func(server, part string) string                                             // replaces a value in the answer to the client
+	ReplaceFinal   func(f *exchange.Final) *exchange.Final                                      // replaces the answer; nil: no answer is given
+	AnswerTwice    bool                                                                         // every answer is sent twice
+	AnswerDelay    time.Duration                                                                // every answer is delayed by this
+	IgnoreDrain    bool                                                                         // links keep sending to draining servers
+	ChangeSettings func(*settings.Settings)                                                     // changes the proxies' settings
 }
 
 type world struct {
@@ -96,26 +96,26 @@
 	loop            *event.Loop
 	net             *model.Network
 	settings        settings.Settings
-	sites           []int // of the servers
+	sites           []int // by server
 	proxies         []*proxy
-	balancedProxies []int         // mixers that the front deals queries to
-	vanished        []int         // faults that keep a server's machine away
-	lists           []*model.List // [0] alone without [members]
+	balancedProxies []int         // proxies that the load balancer sends queries to
+	vanished        []int         // number of faults that keep a server's machine away
+	lists           []*model.List // only [0] without [members]
 	sources         []*source     // with [members]
-	activeSources   []string      // of these
+	activeSources   []string      // names of the sources in use
 	version         int64
 	clients         *model.Clients
 	judge           *judge.Judge
 	recorder        *record.Recorder
-	attemptsSent    map[string]int // attempts of an ask that is not over
+	attemptsSent    map[string]int // by request, of unfinished requests
 }
 
-// sched is the loop as models know it.
+// sched adapts the event loop to the models.
 type sched struct{ *event.Loop }
 
 func (s sched) After(d time.Duration, f func()) model.Timer { return s.Loop.After(d, f) }
 
-// Run plays a plan.
+// Run runs a plan.
 func Run(ctx context.Context, p *scenario.Plan, opt Options) (*record.Run, error) {
 	begun := time.Now()
 	if opt.Decide == nil {
@@ -202,7 +202,7 @@
 	w.recorder.Event(w.loop.Now(), fmt.Sprintf(format, args...))
 }
 
-// play lets the load run, and then on until all is over.
+// play runs the load, and then continues until everything has finished.
 func (w *world) play() error {
 	p := w.plan
 	longest := time.Duration(0)
@@ -248,7 +248,7 @@
 			break
 		}
 	}
-	// What is still on its way to the servers and back: a few seconds.
+	// Messages that are still on their way to and from the servers take a few seconds.
 	if err := w.loop.Run(w.loop.Now() + 2*time.Second); err != nil {
 		return err
 	}
@@ -267,7 +267,7 @@
 	return nil
 }
 
-// change has a fault take hold of something, or let it go.
+// applyChange starts or ends a fault.
 func (w *world) applyChange(c model.Change) {
 	switch {
 	case c.Do == model.Cut:
@@ -313,7 +313,7 @@
 	}
 }
 
-// down: a server's process has ended.
+// serverDown handles the end of a server's process.
 func (w *world) serverDown(server int) {
 	for _, l := range w.lists {
 		l.Down(server)
@@ -351,7 +351,7 @@
 	return row
 }
 
-// tell has discovery write news to the mixers that watch.
+// publishList sends changes of the list to the proxies that watch it.
 func (w *world) publishList(changes []model.Entry) {
 	w.version++
 	for _, e := range changes {
@@ -376,7 +376,8 @@
 			m.receiveListLater(l)
 			continue
 		}
-		// The agent holds it, and that counts as told; the mixer's next look finds it.
+		// The agent has the list from now on, which counts as notified; the proxy finds it when it
+		// polls the agent.
 		l.Since = look.Microseconds()
 		life := m.incarnation
 		at := max(w.loop.Now()+time.Duration(m.pollDraw()*float64(look)), m.lastPoll)
@@ -389,7 +390,7 @@
 	}
 }
 
-// whole is the list as discovery has it.
+// currentList returns discovery's current list.
 func (w *world) currentList(form choice.Form) choice.List {
 	l := choice.List{Form: form, Version: w.version}
 	for _, e := range w.lists[0].Entries() {
@@ -418,13 +419,13 @@
 	return w.balancedProxies[draw%uint64(len(w.balancedProxies))]
 }
 
-// near is the way between a client and its mixer: they share a site.
+// localDelay returns the delay between a client and its proxy, which share a site.
 func (w *world) localDelay(m *proxy) time.Duration {
 	d, _ := w.net.Delay(m.site, m.site)
 	return d
 }
 
-// ask is a try at a mixer.
+// clientAttempt is an attempt of a client at a proxy.
 type clientAttempt struct {
 	t           *model.Attempt
 	q           *exchange.Query
@@ -449,7 +450,7 @@
 	w.loop.Post(w.localDelay(m), func() { m.receiveQuery(a) })
 }
 
-// leave: a client closes its connection.
+// clientLeaves closes a client's connection.
 func (w *world) clientLeaves(t *model.Attempt) {
 	m := w.proxies[t.Proxy]
 	a := m.attempts[t.ID]
@@ -464,10 +465,10 @@
 	})
 }
 
-// reply ends a try at its client.
+// endAttempt ends an attempt at its client.
 func (w *world) endAttempt(a *clientAttempt, outcome judge.Outcome, r model.Reply) {
 	if a.finished {
-		// The end of a killed mixer's connection may cross its answer: that is no second one.
+		// The reset of a killed proxy's connection may cross its answer; that is not a second answer.
 		if outcome != judge.Gone && outcome != judge.Died && a.judged.Outcome != judge.Gone && a.judged.Outcome != judge.Died {
 			a.judged.Extra = true
 		}
@@ -485,7 +486,7 @@
 	w.clients.Reply(a.t, r)
 }
 
-// final is a mixer's answer, on its way to the client.
+// deliverFinal sends a proxy's answer to the client.
 func (w *world) deliverFinal(a *clientAttempt, f exchange.Final) {
 	if change := w.opt.Mutations.ReplaceFinal; change != nil {
 		g := change(&f)
--- a/internal/lab/virtual/virtual_test.go
+++ b/internal/lab/virtual/virtual_test.go
@@ -57,17 +57,17 @@
 	return run
 }
 
-// Each rule, and a mixer or a rig that breaks it: the judge must see it, and see
-// nothing where nothing is broken.
-func TestSabotage(t *testing.T) {
+// For each rule, a mutation of the proxies or the rig breaks it: the judge must detect the
+// violation, and must report nothing for the unmutated runs.
+func TestJudgeDetectsMutations(t *testing.T) {
 	clean := play(t, small, Options{})
 	require.Empty(t, clean.Unmet())
 	require.Greater(t, clean.Summary.Goodput, 0.99)
 	failing := small + "[fault f]\ndo = fail\nat = 2s\nparts = 0.7\n"
 	draining := small + "[fault d]\ndo = drain\nat = 2s\nwho = cell 1\n"
 	returning := strings.ReplaceAll(small, "rate  = 40", "rate  = 300") + "[fault d]\ndo = die\nat = 2s\nfor = 3s\nwho = cell 1\n"
-	toldByOne := small + "[members]\nsources = list, consul\n[fault d]\ndo = drain\nsource = consul\nat = 2s\nwho = cell 1\n"
-	for _, unmutated := range []string{failing, draining, returning, toldByOne} {
+	drainingByOneSource := small + "[members]\nsources = list, consul\n[fault d]\ndo = drain\nsource = consul\nat = 2s\nwho = cell 1\n"
+	for _, unmutated := range []string{failing, draining, returning, drainingByOneSource} {
 		require.Zero(t, play(t, unmutated, Options{}).Verdict.Broken(), "%s", play(t, unmutated, Options{}).Verdict.Faults)
 	}
 	unsafe := func(s *settings.Settings) {
@@ -81,38 +81,38 @@
 		count      func(*record.Run) int
 		fault      string
 	}{
-		{"a query gets an answer", small, Mutations{ReplaceFinal: func(*exchange.Final) *exchange.Final { return nil }},
+		{"every query is answered", small, Mutations{ReplaceFinal: func(*exchange.Final) *exchange.Final { return nil }},
 			func(r *record.Run) int { return r.Verdict.Lost }, "lost: query"},
-		{"in time", small, Mutations{AnswerDelay: 3 * time.Second}, func(r *record.Run) int { return r.Verdict.Late }, "late: query"},
-		{"one answer", small, Mutations{AnswerTwice: true}, func(r *record.Run) int { return r.Verdict.Doubled }, "was answered twice"},
-		{"one attempt at a time", small + "[fault f]\ndo = hang\nat = 2s\nparts = 0.3\n", Mutations{ChangeSettings: func(s *settings.Settings) { s.Router.ParallelAttempts = true }},
+		{"answers are in time", small, Mutations{AnswerDelay: 3 * time.Second}, func(r *record.Run) int { return r.Verdict.Late }, "late: query"},
+		{"a query has one answer", small, Mutations{AnswerTwice: true}, func(r *record.Run) int { return r.Verdict.Doubled }, "was answered twice"},
+		{"a part has one attempt at a time", small + "[fault f]\ndo = hang\nat = 2s\nparts = 0.3\n", Mutations{ChangeSettings: func(s *settings.Settings) { s.Router.ParallelAttempts = true }},
 			func(r *record.Run) int { return r.Verdict.Doubled }, "was out at"},
-		{"the cap on attempts", small + "[fault f]\ndo = busy\nat = 2s\nfor = 5s\n", Mutations{ChangeSettings: func(s *settings.Settings) { s.Router.AttemptCap = 12 }},
+		{"attempts are capped", small + "[fault f]\ndo = busy\nat = 2s\nfor = 5s\n", Mutations{ChangeSettings: func(s *settings.Settings) { s.Router.AttemptCap = 12 }},
 			func(r *record.Run) int { return r.Verdict.Capped }, "are allowed"},
-		{"unsafe parts once", failing, Mutations{ChangeSettings: unsafe}, func(r *record.Run) int { return r.Verdict.Doubled }, "of book-trip ran"},
-		{"nothing new to a drained server", draining, Mutations{IgnoreDrain: true, ChangeSettings: func(s *settings.Settings) { s.Router.DrainGrace = 60_000_000 }},
+		{"unsafe parts run once", failing, Mutations{ChangeSettings: unsafe}, func(r *record.Run) int { return r.Verdict.Doubled }, "of book-trip ran"},
+		{"a drained server receives nothing new", draining, Mutations{IgnoreDrain: true, ChangeSettings: func(s *settings.Settings) { s.Router.DrainGrace = 60_000_000 }},
 			func(r *record.Run) int { return r.Verdict.Drained }, "after its drain was told"},
-		{"also where one source alone told", toldByOne, Mutations{IgnoreDrain: true, ChangeSettings: func(s *settings.Settings) { s.Router.DrainGrace = 60_000_000 }},
+		{"a drain that one source reports is enough", drainingByOneSource, Mutations{IgnoreDrain: true, ChangeSettings: func(s *settings.Settings) { s.Router.DrainGrace = 60_000_000 }},
 			func(r *record.Run) int { return r.Verdict.Drained }, "after its drain was told"},
-		{"nothing to a server that does not hold it", small, Mutations{WrapUpstream: func(_ int, l exchange.Upstream, _ *exchange.Exchange) exchange.Upstream {
+		{"a part goes only to servers that have its shard", small, Mutations{WrapUpstream: func(_ int, l exchange.Upstream, _ *exchange.Exchange) exchange.Upstream {
 			return &misrouter{Upstream: l}
 		}},
 			func(r *record.Run) int { return r.Verdict.Astray }, "which does not hold it"},
-		{"whole marks are honest", small, Mutations{ReplaceFinal: func(f *exchange.Final) *exchange.Final { f.Hits = f.Hits[:min(len(f.Hits), 1)]; return f }},
+		{"answers marked complete are complete", small, Mutations{ReplaceFinal: func(f *exchange.Final) *exchange.Final { f.Hits = f.Hits[:min(len(f.Hits), 1)]; return f }},
 			func(r *record.Run) int { return r.Verdict.Wrong }, "marked whole with"},
-		{"the least share", small, Mutations{ReplaceFinal: func(f *exchange.Final) *exchange.Final {
+		{"partial answers have the minimum share", small, Mutations{ReplaceFinal: func(f *exchange.Final) *exchange.Final {
 			f.Complete, f.Hits = false, f.Hits[:min(len(f.Hits), 1)]
 			return f
 		}}, func(r *record.Run) int { return r.Verdict.Wrong }, "and the least is"},
 		{"values come from servers", small, Mutations{ReplaceValue: func(_, v string) string { return v + "!" }},
 			func(r *record.Run) int { return r.Verdict.Wrong }, "no leaf server made"},
-		{"a refusal promises", failing, Mutations{ReplaceFinal: func(f *exchange.Final) *exchange.Final {
+		{"a rejected query has not run", failing, Mutations{ReplaceFinal: func(f *exchange.Final) *exchange.Final {
 			if f.Ending == exchange.Failed {
 				f.Ending = exchange.Refused
 			}
 			return f
 		}}, func(r *record.Run) int { return r.Verdict.Wrong }, "was refused, and a part of it ran"},
-		{"only what was asked for", small, Mutations{WrapUpstream: func(_ int, l exchange.Upstream, _ *exchange.Exchange) exchange.Upstream {
+		{"servers receive only parts that clients requested", small, Mutations{WrapUpstream: func(_ int, l exchange.Upstream, _ *exchange.Exchange) exchange.Upstream {
 			return &partRenamer{Upstream: l}
 		}},
 			func(r *record.Run) int { return r.Verdict.Wrong }, "was asked for by no client"},
@@ -127,7 +127,7 @@
 	}
 }
 
-// strayer sends now and then a part to the first server that it has seen, whatever that holds.
+// misrouter sends every 20th part to the first server it has seen, whatever shards that server has.
 type misrouter struct {
 	exchange.Upstream
 	first string
@@ -146,7 +146,7 @@
 	s.Upstream.Send(list)
 }
 
-// renamer sends parts under names that nobody gave them.
+// partRenamer sends every 50th part under a name that no client gave it.
 type partRenamer struct {
 	exchange.Upstream
 	n int
@@ -161,8 +161,8 @@
 	r.Upstream.Send(list)
 }
 
-// The same scenario and seed give the same bytes, on one core and on four, and
-// another seed gives others.
+// The same scenario and seed give the same bytes, also on one core, and another seed
+// gives different ones.
 func TestSameBytes(t *testing.T) {
 	text := small + `[fault q]
 do = die
@@ -195,9 +195,9 @@
 	require.NotEqual(t, first, digest(strings.Replace(text, "name   = small", "name   = small\nseed = 2", 1)))
 }
 
-// Faults play as scripted: what is cut off or vanished is silent and breaks no rule,
-// a mixer that is killed loses what it had and no more, one restarted as planned
-// loses nothing, and the list's lies and silence cost no rule.
+// Faults happen as scripted and break no rule: partitioned and vanished servers are
+// unresponsive, a killed proxy loses only its own queries, a gracefully restarted one loses
+// nothing, and the list omits servers or stops sending changes.
 func TestFaults(t *testing.T) {
 	for _, f := range []string{
 		"do = vanish\nat = 3s\nfor = 3s\nshare = 0.3", "do = cut\nat = 3s\nfor = 3s\nwho = amman zarqa\nboth = no", "do = pause\nat = 2s\nfor = 500ms\nevery = 1s\nshare = 0.2",
@@ -223,7 +223,7 @@
 	}
 }
 
-// A run that never ends is stopped and says so; one that is called off ends at once.
+// A run with too many events is stopped with an error; a cancelled run ends at once.
 func TestEnds(t *testing.T) {
 	doc, err := scenario.Parse("test.ini", []byte(small))
 	require.NoError(t, err)
