--- a/internal/lab/compare/compare.go
+++ b/internal/lab/compare/compare.go
@@ -1,6 +1,6 @@
-// Package compare sets two sweeps, or two runs, side by side: paired by variation
-// and seed, with bootstrap confidence intervals. It owns the word better, worse or
-// can't tell, and must never say one of the first two where the interval holds zero.
+// Package compare compares two sweeps or two runs, paired by variation and seed, with
+// bootstrap confidence intervals. A verdict is better or worse only if the interval excludes
+// zero.
 package compare
 
 import (
@@ -18,24 +18,24 @@
 	"saddleport/internal/lab/sweep"
 )
 
-// Resamples of the bootstrap (Efron 1979, percentile interval) and its level.
+// Resamples of the bootstrap (Efron 1979, percentile interval) and its confidence level.
 const (
 	Resamples       = 4000
 	ConfidenceLevel = 0.95
 )
 
-// leastPairs is how many pairs a verdict wants: resamples of fewer hold too few
-// different means for an interval to be worth its name.
+// minPairs is the minimum number of pairs for a verdict: resamples of fewer pairs have too few
+// distinct means for a useful interval.
 const minPairs = 5
 
-// Row is one figure of both sides.
+// Row is one metric of both sides.
 type Row struct {
 	Variation string
 	Figure    string
 	Pairs     int
 	A, B      float64 // means
 	Diff      float64 // mean of B - A over the pairs
-	Known     bool    // Low and High hold
+	Known     bool    // Low and High are set
 	Low, High float64 // of Diff
 	Verdict   string
 }
@@ -48,7 +48,7 @@
 	Same         = "same"
 )
 
-// figure is what is compared; up tells whether more is better.
+// metric is a value that is compared.
 type metric struct {
 	name           string
 	higherIsBetter bool
@@ -67,8 +67,8 @@
 	}},
 }
 
-// Compare pairs the runs of both sides. Where neither side has two variations, they
-// are paired by seed alone.
+// Compare pairs the runs of both sides by variation and seed. If neither side has more than
+// one variation, they are paired by seed alone.
 func Compare(a, b *sweep.Result) ([]Row, error) {
 	unlabelled := len(labels(a)) == 1 && len(labels(b)) == 1
 	type key struct {
@@ -97,7 +97,7 @@
 		}
 	}
 	if len(order) == 0 {
-		return nil, errors.New("the two have no variation and seed in common")
+		return nil, errors.New("the two sides have no variation and seed in common")
 	}
 	var out []Row
 	for _, label := range order {
@@ -147,8 +147,8 @@
 	return r
 }
 
-// Bootstrap is the interval of the mean of a sample at a level, from so many
-// resamples. The same sample gives the same interval.
+// Bootstrap returns the confidence interval of the mean of a sample. The same sample gives the
+// same interval.
 func Bootstrap(sample []float64, resamples int, level float64) (low, high float64) {
 	r := rand.New(rand.NewPCG(uint64(len(sample)), 7))
 	means := make([]float64, resamples)
@@ -164,7 +164,7 @@
 	return stat.Quantile(tail, stat.Empirical, means, nil), stat.Quantile(1-tail, stat.Empirical, means, nil)
 }
 
-// Print writes the table.
+// Print writes the rows as a table.
 func Print(w io.Writer, rows []Row) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintf(t, "variation\tfigure\tpairs\tA\tB\tB - A\t%.0f%% interval\tB is\t\n", 100*ConfidenceLevel)
--- a/internal/lab/compare/compare_test.go
+++ b/internal/lab/compare/compare_test.go
@@ -30,8 +30,8 @@
 	return out
 }
 
-// A difference that all seeds show is told; one that is within their spread is not.
-// Pairing takes out what the seeds themselves bring.
+// A difference that all seeds show is reported; one within their spread is not. Pairing
+// removes the variation that the seeds contribute.
 func TestVerdicts(t *testing.T) {
 	hard := func(seed int) float64 { return float64(seed*7%10) / 100 }
 	a := side(12, func(s int) record.Summary {
@@ -54,13 +54,13 @@
 	require.ErrorContains(t, err, "in common")
 }
 
-// The interval of a mean holds the true mean about as often as it says.
+// The interval contains the true mean about as often as its level says.
 func TestCoverage(t *testing.T) {
 	covered := 0
 	for i := range 200 {
 		var sample []float64
 		for k := range 20 {
-			// Even draws over 0 to 1, by a golden ratio shuffled a little by i.
+			// Uniform values in [0, 1), from a linear sequence varied by i.
 			x := float64((i*7919+k*104729+k*k*31)%1000) / 1000
 			sample = append(sample, x)
 		}
--- a/internal/lab/hunt/hunt.go
+++ b/internal/lab/hunt/hunt.go
@@ -1,7 +1,7 @@
-// Package hunt searches scenarios near a given one for the worst loss or a broken
-// rule, and shrinks what it finds. It owns what "near" means and when to stop. It
-// must never call a loss what no policy could have earned: what a policy that sees
-// the true state gets on the same run is the measure.
+// Package hunt searches for scenarios, similar to a given one, with the largest loss or a
+// broken rule, and shrinks what it finds. Loss is measured against a policy that sees the true
+// state on the same run, so that only value which some policy could have earned counts as
+// lost.
 package hunt
 
 import (
@@ -21,30 +21,30 @@
 	"saddleport/internal/lab/scenario"
 )
 
-// Options are how a hunt goes.
+// Options configures a hunt.
 type Options struct {
 	Rounds     int // generations
-	Candidates int // candidates of one
+	Candidates int // candidates per generation
 	Seed       uint64
 	Workers    int
 	Progress   func(share float64, remark string)
 	Logf       func(format string, a ...any)
 }
 
-// Find is one scenario with what it lost.
+// Result is one scenario and its loss.
 type Result struct {
 	Doc                         *scenario.Doc
-	Values                      []scenario.Value // as set so far, over the file that was given
+	Values                      []scenario.Value // values set so far, over those of the given file
 	Seed                        int
 	ProxyGoodput, OracleGoodput float64
-	Loss                        float64 // Oracle - Mixer, at least 0; a broken rule counts 1 more
+	Loss                        float64 // OracleGoodput - ProxyGoodput, at least 0; score adds 1 for a broken rule
 	Broken                      int
 	Faults                      []string
 	Text                        string
 	Shrunk, Played              int
 }
 
-// score is what the hunt climbs on.
+// score is the objective that the hunt maximizes.
 func (f *Result) score() float64 {
 	if f.Broken > 0 {
 		return 1 + f.Loss
@@ -52,7 +52,7 @@
 	return f.Loss
 }
 
-// judge plays a scenario under both policies.
+// evaluate runs a scenario under both policies.
 func evaluate(ctx context.Context, doc *scenario.Doc, values []scenario.Value, seed int) (*Result, error) {
 	s, err := doc.Scenario(values)
 	if err != nil {
@@ -78,7 +78,7 @@
 	return f, nil
 }
 
-// knobs are the keys that a hunt turns, with what each is multiplied by.
+// searchKeys returns the keys that a hunt changes.
 func searchKeys(doc *scenario.Doc, s *scenario.Scenario) []string {
 	out := []string{"rate", "fleet.speed-spread", "network.jitter", "list.lag", "clients.retries"}
 	for _, c := range s.Classes {
@@ -96,7 +96,7 @@
 	})
 }
 
-// turn changes one knob of a scenario by up to a factor of two.
+// mutate scales one key of a scenario by up to a factor of two.
 func mutate(r *rand.Rand, doc *scenario.Doc, values []scenario.Value) ([]scenario.Value, bool) {
 	s, err := doc.Scenario(values)
 	if err != nil {
@@ -117,7 +117,7 @@
 	return append(out, scenario.Value{Key: key, Value: next}), true
 }
 
-// current is a knob's value as the scenario has it.
+// current returns the value of a key in the scenario, or "" if it can't be scaled.
 func current(s *scenario.Scenario, key string) string {
 	num := func(v float64) string { return fmt.Sprintf("%.4g", v) }
 	part := strings.Split(key, ".")
@@ -180,7 +180,7 @@
 	return fmt.Sprintf("%.4g", f*by)
 }
 
-// Hunt searches, and shrinks the worst that it finds.
+// Hunt searches for the worst scenario and shrinks it.
 func Hunt(ctx context.Context, doc *scenario.Doc, opt Options) (*Result, error) {
 	values := doc.Variations()[0]
 	first, err := doc.Scenario(values)
@@ -213,7 +213,7 @@
 			if ctx.Err() != nil {
 				return ctx.Err()
 			}
-			if err == nil { // one whose values are out of their range is passed over
+			if err == nil { // candidates with values out of range are skipped
 				candidates[i] = f
 			}
 			return nil
@@ -243,10 +243,10 @@
 	return small, nil
 }
 
-// mostShrinks bounds the runs that shrinking may take, about.
+// maxShrinkRuns is the number of runs after which shrinking starts no further pass.
 const maxShrinkRuns = 400
 
-// keeps tells whether a smaller scenario still shows what the larger one did: the
+// stillShows reports whether a smaller scenario still shows what the larger one did: the
 // broken rule, or three quarters of the loss.
 func stillShows(small, large *Result) bool {
 	if large.Broken > 0 {
@@ -255,8 +255,8 @@
 	return small.Loss >= 0.75*large.Loss
 }
 
-// shrink takes out sections and keys, and shortens the run, while what was found
-// stays. It ends when a whole pass takes nothing out.
+// shrink removes sections and keys and shortens the run as long as the finding remains. It
+// ends when a complete pass removes nothing.
 func shrink(ctx context.Context, f *Result, opt Options) (*Result, int, error) {
 	doc, err := f.Doc.Fixed(f.Values)
 	if err != nil {
@@ -278,7 +278,7 @@
 			return false, ctx.Err()
 		}
 		if err != nil {
-			return false, nil // not a scenario any more
+			return false, nil // no longer a valid scenario
 		}
 		if played += 2; !stillShows(g, f) {
 			return false, nil
@@ -316,7 +316,7 @@
 		if err != nil {
 			return nil, played, err
 		}
-		// Each of these ends: it halves something that has a least.
+		// Each of these reductions terminates, since it halves a value that has a minimum.
 		var reductions [][]scenario.Value
 		if s.Length >= 4*time.Second {
 			reductions = append(reductions, []scenario.Value{{Key: "length", Value: (s.Length / 2).String()}})
@@ -341,7 +341,7 @@
 	return &best, played, nil
 }
 
-// all runs n jobs on so many workers.
+// runJobs runs n jobs on the given number of workers; 0 means one for each CPU.
 func runJobs(ctx context.Context, workers, n int, job func(int) error) error {
 	if workers <= 0 {
 		workers = runtime.NumCPU()
@@ -378,7 +378,7 @@
 	return first
 }
 
-// Ranked is one scenario of a ranking.
+// Ranked is the result of one scenario in a ranking.
 type Ranked struct {
 	File                  string
 	Seeds                 int
@@ -387,8 +387,8 @@
 	Broken                int
 }
 
-// Rank plays scenarios under the mixer's policy, one that sees all, and one that
-// draws at random, and puts the greatest loss first.
+// Rank runs scenarios under the proxies' policy, one that sees the true state, and one that
+// selects at random, and sorts them by loss, largest first.
 func Rank(ctx context.Context, files []string, seeds, workers int, progress func(float64, string)) ([]Ranked, error) {
 	out := make([]Ranked, len(files))
 	type job struct {
@@ -457,7 +457,7 @@
 	return out, nil
 }
 
-// PrintRank writes a ranking.
+// PrintRank writes a ranking as a table.
 func PrintRank(w io.Writer, rows []Ranked) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "scenario\tseeds\tmixer\tsees all\trandom\tloss\tbroken rules\t")
--- a/internal/lab/hunt/hunt_test.go
+++ b/internal/lab/hunt/hunt_test.go
@@ -37,8 +37,8 @@
 at = 1s
 `
 
-// A hunt finds no less than it began with, its find plays as it says, and what is
-// shrunk shows the same and is smaller; the same hunt finds the same.
+// A hunt finds at least about the loss it started with; the result can be reproduced from its
+// text, and the shrunk scenario is smaller; the same hunt gives the same result.
 func TestHunt(t *testing.T) {
 	doc, err := scenario.Parse("h.ini", []byte(text))
 	require.NoError(t, err)
--- a/internal/lab/scenario/mass_test.go
+++ b/internal/lab/scenario/mass_test.go
@@ -1,5 +1,5 @@
-// This file holds the full-size drills to the size the operators' standing test plays: it reads
-// every drills/mass-*.ini and must never run one (the emulator's tests do that).
+// This file checks the size of the full-size drills that the operators' standing test plays.
+// It reads every drills/mass-*.ini and must not run one (the emulator's tests do that).
 package scenario
 
 import (
--- a/internal/lab/scenario/plan.go
+++ b/internal/lab/scenario/plan.go
@@ -1,7 +1,7 @@
 package scenario
 
-// This file checks what the sections say together, and draws a scenario out into a
-// plan: servers, ways, classes, changes.
+// This file validates the sections against each other and expands a scenario into a plan:
+// servers, network, classes and changes.
 
 import (
 	"encoding/json"
@@ -17,7 +17,7 @@
 	"saddleport/internal/lab/model"
 )
 
-// What a run may ask for at most.
+// Bounds on the size of a run.
 const (
 	MaxServers = 20_000
 	MaxQueries = 50_000_000
@@ -77,7 +77,7 @@
 				err = sec.Decode(&g)
 				for _, k := range []string{"cells", "width", "shards"} {
 					if err == nil && sec.Has(k) {
-						err = sec.Errorf(k, "is [fleet]'s alone")
+						err = sec.Errorf(k, "is a key of [fleet] only")
 					}
 				}
 				groups = append(groups, g)
@@ -86,7 +86,7 @@
 				var rest string
 				l.From, l.To, _ = strings.Cut(sec.Label, " ")
 				if l.To, rest, _ = strings.Cut(l.To, " "); l.To == "" || rest != "" {
-					return nil, sec.Errorf("", "a link is [link SITE SITE]")
+					return nil, sec.Errorf("", "the section must be [link SITE SITE]")
 				}
 				err = sec.Decode(&l)
 				s.Links = append(s.Links, l)
@@ -133,7 +133,7 @@
 		return nil, &inifile.Error{File: file, Problem: "no section [scenario]"}
 	}
 	if len(s.Classes) == 0 {
-		return nil, &inifile.Error{File: file, Problem: "no section [class NAME]: there would be no load"}
+		return nil, &inifile.Error{File: file, Problem: "no section [class NAME], so there is no load"}
 	}
 	if err := s.check(sections); err != nil {
 		return nil, err
@@ -143,7 +143,7 @@
 }
 
 func unknown(sec *inifile.Section) error {
-	return sec.Errorf("", "no such section; there are: include, vary, scenario, mixers, settings, fleet, group NAME, network, link A B, clients, class NAME, load, burst NAME, tenant NAME, list, members, source NAME, levels, level NAME, fault NAME, expect")
+	return sec.Errorf("", "unknown section; the sections are include, vary, scenario, mixers, settings, fleet, group NAME, network, link A B, clients, class NAME, load, burst NAME, tenant NAME, list, members, source NAME, levels, level NAME, fault NAME, expect")
 }
 
 func (c *Class) check(sec *inifile.Section) error {
@@ -156,7 +156,7 @@
 	case c.LatencyTarget > c.Timeout:
 		return sec.Errorf("aim", "%v is above patience, %v", c.LatencyTarget, c.Timeout)
 	case strings.ContainsAny(c.Name, " .,/"):
-		return sec.Errorf("", "a class has a name of one word, without . , /")
+		return sec.Errorf("", "a class name must not contain spaces or any of . , /")
 	}
 	if _, err := model.ParseDist(c.Work, dir); err != nil {
 		return sec.Errorf("work", "%v", err)
@@ -167,7 +167,7 @@
 	return nil
 }
 
-// check looks at what sections say of each other.
+// check validates the sections against each other.
 func (s *Scenario) check(at map[string]*inifile.Section) error {
 	sectionOrMain := func(name string) *inifile.Section {
 		if at[name] != nil {
@@ -178,18 +178,18 @@
 	f := &s.Groups[0]
 	site := func(sec *inifile.Section, key, name string) error {
 		if !slices.Contains(s.Network.Sites, name) {
-			return sec.Errorf(key, "%q is none of the sites: %s", name, strings.Join(s.Network.Sites, ", "))
+			return sec.Errorf(key, "%q is not one of the sites: %s", name, strings.Join(s.Network.Sites, ", "))
 		}
 		return nil
 	}
 	if len(s.Network.Sites) == 0 {
-		return sectionOrMain("network").Errorf("sites", "there must be one")
+		return sectionOrMain("network").Errorf("sites", "there must be at least one site")
 	}
 	if s.Warmup >= s.Length {
-		return sectionOrMain("scenario").Errorf("warmup", "%v is not before the end, %v", s.Warmup, s.Length)
+		return sectionOrMain("scenario").Errorf("warmup", "%v is not less than the length, %v", s.Warmup, s.Length)
 	}
 	if f.Width > f.Cells {
-		return sectionOrMain("fleet").Errorf("width", "%d is more than there are cells, %d", f.Width, f.Cells)
+		return sectionOrMain("fleet").Errorf("width", "%d is more than the number of cells, %d", f.Width, f.Cells)
 	}
 	servers := 0
 	for i := range s.Groups {
@@ -206,7 +206,7 @@
 		}
 	}
 	if servers < 1 || servers > MaxServers {
-		return sectionOrMain("fleet").Errorf("replicas", "%d servers in all, not within 1 to %d", servers, MaxServers)
+		return sectionOrMain("fleet").Errorf("replicas", "%d servers in total, not from 1 to %d", servers, MaxServers)
 	}
 	for _, l := range s.Links {
 		for _, name := range []string{l.From, l.To} {
@@ -226,7 +226,7 @@
 		}
 		queries, parts = queries+q, parts+q*float64(max(c.Parts, c.MaxParts))
 		if queries > MaxQueries || parts > MaxParts {
-			return at["class "+c.Name].Errorf("rate", "the run would have %.3g queries of %.3g parts by this class; at most %.0e and %.0e", queries, parts, float64(MaxQueries), float64(MaxParts))
+			return at["class "+c.Name].Errorf("rate", "up to this class the run has %.3g queries with %.3g parts; the limits are %.0e and %.0e", queries, parts, float64(MaxQueries), float64(MaxParts))
 		}
 	}
 	for _, b := range s.Bursts {
@@ -237,32 +237,32 @@
 			return at["burst "+b.Name].Errorf("tenant", "there is no tenant %q", b.Tenant)
 		}
 		if b.Tenant != "" && b.Class != "" {
-			return at["burst "+b.Name].Errorf("class", "a tenant's burst is of all classes")
+			return at["burst "+b.Name].Errorf("class", "must not be set together with tenant")
 		}
 	}
 	for _, o := range s.Sources {
 		if !slices.Contains(s.Lists(), o.Name) {
-			return at["source "+o.Name].Errorf("", "%s is none of the sources: %s", o.Name, strings.Join(s.Lists(), ", "))
+			return at["source "+o.Name].Errorf("", "%s is not one of the sources: %s", o.Name, strings.Join(s.Lists(), ", "))
 		}
 	}
 	for _, x := range s.Faults {
 		sec := at["fault "+x.Name]
 		if x.Source != "" && !slices.Contains(s.Lists(), x.Source) {
-			return sec.Errorf("source", "%s is none of the sources: %s", x.Source, strings.Join(s.Lists(), ", "))
+			return sec.Errorf("source", "%s is not one of the sources: %s", x.Source, strings.Join(s.Lists(), ", "))
 		}
 		if (x.Do == model.DNSTruncate || x.Do == model.DNSJunk) && x.Source != "dns" {
-			return sec.Errorf("source", "%s is a fault of dns", x.Do)
+			return sec.Errorf("source", "%s needs the source dns", x.Do)
 		}
 		if x.Do == model.ListReset && x.Source != "consul" {
-			return sec.Errorf("source", "%s is a fault of consul", x.Do)
+			return sec.Errorf("source", "%s needs the source consul", x.Do)
 		}
 		if x.Do == model.SwitchSources {
 			if len(x.SwitchTo) == 0 || len(s.Members.Sources) == 0 {
-				return sec.Errorf("to", "wants sources, and [members] sources must be on")
+				return sec.Errorf("to", "must list sources, and [members] sources must be set")
 			}
 			for _, to := range x.SwitchTo {
 				if !slices.Contains(s.Lists(), to) {
-					return sec.Errorf("to", "%s is none of the sources: %s", to, strings.Join(s.Lists(), ", "))
+					return sec.Errorf("to", "%s is not one of the sources: %s", to, strings.Join(s.Lists(), ", "))
 				}
 			}
 		}
@@ -270,13 +270,13 @@
 			return sec.Errorf("class", "there is no class %q", x.Class)
 		}
 		if x.At >= s.Length {
-			return sec.Errorf("at", "%v is not before the end, %v", x.At, s.Length)
+			return sec.Errorf("at", "%v is not less than the length, %v", x.At, s.Length)
 		}
 		if x.Every > 0 && x.For == 0 {
-			return sec.Errorf("for", "with every it must be given")
+			return sec.Errorf("for", "must be set together with every")
 		}
 		if x.Do == model.Release && x.For < x.Delay {
-			return sec.Errorf("for", "%v ends before the process does, %v after the drain", x.For, x.Delay)
+			return sec.Errorf("for", "%v ends before the process, which ends %v after the drain", x.For, x.Delay)
 		}
 		if _, err := s.fault(x, s.specs(1)); err != nil {
 			return sec.Errorf("who", "%v", err)
@@ -285,18 +285,18 @@
 	return nil
 }
 
-// Plan is a scenario drawn out with a seed.
+// Plan is a scenario expanded with a seed.
 type Plan struct {
 	*Scenario
-	RunSeed uint64 // the seed
+	RunSeed uint64 // the seed of this run; Seed is that of the file
 	Servers []model.Spec
 	Changes []model.Change
 	Classes []*model.Class
 	Work    map[string]*model.Work
-	Window  [2]time.Duration // what is due within counts
+	Window  [2]time.Duration // requests due within it are counted
 }
 
-// NewTenants are the plan's tenants, with nothing used up.
+// NewTenants returns the plan's tenants with full token buckets.
 func (p *Plan) NewTenants() (out []*model.Tenant) {
 	for _, t := range p.Tenants {
 		m := &model.Tenant{Name: t.Name, Usage: t.Usage, Quota: t.Quota}
@@ -310,7 +310,8 @@
 	return out
 }
 
-// factor is what a burst makes of all arrivals: a tenant's alone is of its part.
+// burstFactor returns the factor by which a burst raises all arrivals: a burst of one tenant
+// raises only that tenant's part.
 func (s *Scenario) burstFactor(b Burst) float64 {
 	if b.Tenant == "" {
 		return b.Factor
@@ -324,7 +325,7 @@
 	return 1 + (b.Factor-1)*own/all
 }
 
-// Plan draws the scenario out.
+// Plan expands the scenario with a seed.
 func (s *Scenario) Plan(seed uint64) (*Plan, error) {
 	p := &Plan{Scenario: s, RunSeed: seed, Servers: s.specs(seed), Work: make(map[string]*model.Work), Window: [2]time.Duration{s.Warmup, s.Length}}
 	var faults []*model.Fault
@@ -376,7 +377,7 @@
 	return p, nil
 }
 
-// specs names the servers: s-CELL-REPLICA, and NAME-CELL-REPLICA in a group.
+// specs returns the servers, named s-CELL-REPLICA, or NAME-CELL-REPLICA in a group.
 func (s *Scenario) specs(seed uint64) []model.Spec {
 	var out []model.Spec
 	f := s.Groups[0]
@@ -423,7 +424,7 @@
 	switch {
 	case x.Do == model.Cut:
 		if len(selector) != 2 || !slices.Contains(s.Network.Sites, selector[0]) || !slices.Contains(s.Network.Sites, selector[1]) {
-			return nil, fmt.Errorf("%q is not two of the sites: %s", x.Targets, strings.Join(s.Network.Sites, ", "))
+			return nil, fmt.Errorf("%q does not name two of the sites: %s", x.Targets, strings.Join(s.Network.Sites, ", "))
 		}
 		f.From, f.To = slices.Index(s.Network.Sites, selector[0]), slices.Index(s.Network.Sites, selector[1])
 	case model.TargetsList(x.Do):
@@ -434,7 +435,7 @@
 			}
 		}
 		if len(f.Targets) == 0 {
-			return nil, fmt.Errorf("%q is neither all nor mixer 0 to mixer %d", x.Targets, s.Proxies.Count-1)
+			return nil, fmt.Errorf("%q is neither all nor one of mixer 0 to mixer %d", x.Targets, s.Proxies.Count-1)
 		}
 	default:
 		g := s.Groups[0]
@@ -460,13 +461,13 @@
 			}
 		}
 		if len(f.Targets) == 0 {
-			return nil, fmt.Errorf("%q names no server; say all, server NAME, cell N, shard N, site NAME or group NAME", x.Targets)
+			return nil, fmt.Errorf("%q matches no server; use all, server NAME, cell N, shard N, site NAME or group NAME", x.Targets)
 		}
 	}
 	return f, nil
 }
 
-// NewNetwork is the plan's network.
+// NewNetwork returns the plan's network.
 func (p *Plan) NewNetwork() *model.Network {
 	n := p.Network
 	net := model.NewNetwork(n.Sites, model.Link{Delay: n.Local, Jitter: n.Jitter, Loss: n.Loss}, model.Link{Delay: n.Far, Jitter: n.Jitter, Loss: n.Loss}, p.RunSeed)
@@ -480,22 +481,23 @@
 	return net
 }
 
-// MixerSite is the site of a mixer.
+// ProxySite returns the site of a proxy.
 func (p *Plan) ProxySite(n int) string { return p.Network.Sites[n%len(p.Network.Sites)] }
 
-// Retry is what clients do after a refusal.
+// Retry returns how clients retry.
 func (p *Plan) Retry() model.Retry {
 	c := p.Clients
 	return model.Retry{MaxRetries: c.Retries, Backoff: c.Backoff, Jitter: c.Jitter, AdviceShare: c.AdviceShare, MarkRetries: c.MarkRetries, AfterFailure: c.RetryAfterFailure, BackoffFactor: c.BackoffFactor, MinTimeLeft: c.MinTimeLeft}
 }
 
-// Holds tells whether a server holds a shard.
+// HasShard reports whether a server has a shard.
 func (p *Plan) HasShard(server, shard int) bool {
 	g := p.Groups[0]
 	return ((p.Servers[server].Cell-shard)%g.Cells+g.Cells)%g.Cells < g.Width
 }
 
-// Lists are the sources of the list: the platform's alone, or those of [members].
+// Lists returns the names of the sources of the server list: those of [members], or list
+// alone.
 func (s *Scenario) Lists() []string {
 	if len(s.Members.Sources) > 0 {
 		return s.Members.Sources
@@ -503,7 +505,7 @@
 	return []string{"list"}
 }
 
-// Source is how a source tells.
+// Source returns the configuration of a source.
 func (s *Scenario) Source(name string) Source {
 	if i := slices.IndexFunc(s.Sources, func(o Source) bool { return o.Name == name }); i >= 0 {
 		return s.Sources[i]
@@ -516,7 +518,7 @@
 	return o
 }
 
-// NewLists are the plan's lists, one for each source; Tell and Turn are the drive's.
+// NewLists returns the plan's lists, one for each source; the driver sets Publish and OnFault.
 func (p *Plan) NewLists(s func(n int) model.Sched) (out []*model.List) {
 	for i, name := range p.Lists() {
 		o := p.Source(name)
@@ -527,12 +529,12 @@
 	return out
 }
 
-// MixerSeed is the seed of a mixer's decisions in its life of that number.
+// ProxySeed returns the seed of a proxy's decisions in an incarnation.
 func (p *Plan) ProxySeed(n, life int) uint64 {
 	return model.Mix(p.RunSeed, "mixer", strconv.Itoa(n), strconv.Itoa(life))
 }
 
-// MixerSettings is what the platform tells each mixer, as its configuration has it.
+// ProxySettings returns the proxies' settings in the format of the platform.
 func (p *Plan) ProxySettings() ([]byte, error) {
 	list := func(f func(Class) any) []any {
 		var out []any
@@ -567,7 +569,7 @@
 			"fall-multiple": g.OverloadMultiple, "start-capacity": g.SlowStartShare}})
 }
 
-// Servers counts the servers.
+// Servers returns the number of servers.
 func (s *Scenario) Servers() (n int) {
 	for _, g := range s.Groups {
 		n += s.Groups[0].Cells * g.Replicas
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -11,20 +11,21 @@
 
 const validText = "[scenario]\nname = x\n[class a]\nrate = 5\n"
 
-// What is absurd is an error that names file, section, key and line; never a hang.
+// An invalid value is an error that names file, section, key and line; it never makes a run
+// hang.
 func TestBad(t *testing.T) {
 	for text, want := range map[string]string{
 		"":                                                                     "no section [scenario]",
 		"[scenario]\nname = x\n":                                               "no section [class NAME]",
 		validText + "[fleet]\ncells = 0\n":                                     `x.ini:6: [fleet] cells: "0" is not within`,
-		validText + "[fleet]\nreplicas = 0\n":                                  "0 servers in all",
+		validText + "[fleet]\nreplicas = 0\n":                                  "0 servers in total",
 		validText + "[fleet]\ncores = -4\n":                                    `x.ini:6: [fleet] cores`,
 		validText + "[fleet]\ncels = 4\n":                                      "is cells meant?",
-		validText + "[fleet]\nwidth = 9\n":                                     "is more than there are cells",
-		validText + "[fleet]\ncells = 20000\nreplicas = 64\n":                  "not within 1 to 20000",
+		validText + "[fleet]\nwidth = 9\n":                                     "is more than the number of cells",
+		validText + "[fleet]\ncells = 20000\nreplicas = 64\n":                  "not from 1 to 20000",
 		validText + "[class b]\nrate = 1000000000\n":                           `rate: "1000000000" is not within`,
-		validText + "[class b]\nrate = 1000000\nparts = 4000\n[x y]\n":         "no such section",
-		validText + "[class b]\nrate = 1000000\nparts = 4000\n":                "the run would have",
+		validText + "[class b]\nrate = 1000000\nparts = 4000\n[x y]\n":         "unknown section",
+		validText + "[class b]\nrate = 1000000\nparts = 4000\n":                "up to this class the run has",
 		validText + "[class b]\nfloor = 0.9\nneed = 0.5\n":                     "x.ini:6: [class b] floor: 0.9 is above need",
 		validText + "[class b]\nwork = lognormal 10ms\n":                       "[class b] work: lognormal wants a number",
 		validText + "[class b]\naim = 9s\n":                                    "is above patience",
@@ -32,13 +33,13 @@
 		validText + "[load]\ncurve = 5:1\n":                                    "[load] curve",
 		validText + "[fault f]\ndo = die\n":                                    "at must be given",
 		validText + "[fault f]\ndo = explode\nat = 1s\n":                       "is none of",
-		validText + "[fault f]\ndo = die\nat = 1s\nwho = server z\n":           "names no server",
-		validText + "[fault f]\ndo = cut\nat = 1s\nwho = amman irbid\n":        "is not two of the sites",
-		validText + "[fault f]\ndo = die\nat = 90s\n":                          "is not before the end",
-		validText + "[fault f]\ndo = die\nat = 1s\nevery = 1s\n":               "with every it must be given",
+		validText + "[fault f]\ndo = die\nat = 1s\nwho = server z\n":           "matches no server",
+		validText + "[fault f]\ndo = cut\nat = 1s\nwho = amman irbid\n":        "does not name two of the sites",
+		validText + "[fault f]\ndo = die\nat = 90s\n":                          "is not less than the length",
+		validText + "[fault f]\ndo = die\nat = 1s\nevery = 1s\n":               "must be set together with every",
 		validText + "[fault f]\ndo = pause\nat = 0s\nevery = 1ns\nfor = 1ns\n": "more than 1048576 changes",
-		validText + "[link amman]\n":                                           "a link is [link SITE SITE]",
-		validText + "[link amman mars]\n":                                      "is none of the sites",
+		validText + "[link amman]\n":                                           "the section must be [link SITE SITE]",
+		validText + "[link amman mars]\n":                                      "is not one of the sites",
 		validText + "[burst b]\nat = 1s\nfor = 1s\nclass = z\n":                "there is no class",
 		"[include]\nfiles = none.ini\n" + validText:                            "no such file",
 		"[vary]\nrate = ,\n" + validText:                                       "no values",
@@ -51,8 +52,8 @@
 	}
 }
 
-// A file stands over what it includes; complaints name the file they are in;
-// variations are all combinations.
+// A file overrides what it includes; errors name the file that they are in; the variations are
+// all combinations.
 func TestLayers(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, text string) string {
@@ -72,7 +73,7 @@
 	require.Equal(t, 2.0, s.Rate)
 	require.Equal(t, 2, s.Classes[0].Parts)
 	require.Equal(t, "rate=2 class.a.parts=2", Label(s.Values))
-	// Written as one file it is the same scenario.
+	// Written as one file, it is the same scenario.
 	flat, err := Parse("flat.ini", []byte(s.String()))
 	require.NoError(t, err)
 	again, err := flat.Scenario(nil)
--- a/internal/lab/sweep/sweep.go
+++ b/internal/lab/sweep/sweep.go
@@ -1,6 +1,6 @@
-// Package sweep plays all variations of a scenario with all its seeds, on all
-// cores. It owns the folder of a sweep: a run folder for each, and the table of
-// all. It must never count a run that was not finished, nor play one again that was.
+// Package sweep runs all variations of a scenario with all its seeds, on all cores, and
+// manages the directory of a sweep: a run directory for each run, and the table of all runs.
+// An unfinished run must never be counted, and a finished run must not be run again.
 package sweep
 
 import (
@@ -23,17 +23,17 @@
 	"saddleport/internal/lab/scenario"
 )
 
-// Options are how a sweep is played.
+// Options configures a sweep.
 type Options struct {
 	Play     play.Options
-	Dir      string // of the sweep; empty: nothing is kept
-	Repeats  int    // seeds; 0: the scenario's
-	Workers  int    // 0: as many as cores
-	KeepRows bool   // keep the rows of asks and seconds too
+	Dir      string // directory of the sweep; empty: nothing is saved
+	Repeats  int    // number of seeds; 0: the scenario's
+	Workers  int    // 0: one for each CPU
+	KeepRows bool   // also keep the rows of requests and seconds
 	Progress func(share float64, remark string)
 }
 
-// One is one run of a sweep.
+// RunResult is the result of one run of a sweep.
 type RunResult struct {
 	Variation int
 	Label     string
@@ -42,20 +42,20 @@
 	Summary   record.Summary
 	Digest    string
 	Unmet     []string
-	Skipped   bool // it had been played before
+	Skipped   bool // loaded from an earlier sweep
 }
 
-// Result is a whole sweep.
+// Result is the result of a sweep.
 type Result struct {
 	Name string
 	Runs []RunResult
 }
 
-// RunsFile is the table of all runs in a sweep's folder.
+// RunsFile is the table of all runs in a sweep's directory.
 const RunsFile = "runs.parquet"
 
-// Run plays a sweep. An interrupt keeps what has been finished; the same sweep into
-// the same folder then goes on from there.
+// Run runs a sweep. After an interrupt the finished runs stay; the same sweep into the same
+// directory then continues from there.
 func Run(ctx context.Context, doc *scenario.Doc, opt Options) (*Result, error) {
 	variations := doc.Variations()
 	first, err := doc.Scenario(variations[0])
@@ -95,7 +95,7 @@
 	if workers <= 0 {
 		workers = runtime.NumCPU()
 	}
-	if opt.Play.Drive == play.Real {
+	if opt.Play.Drive == play.Real { // concurrent runs in real time would disturb each other
 		workers = 1 // runs in real time would disturb each other
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
@@ -161,7 +161,7 @@
 	return res, nil
 }
 
-// one plays one run, or takes what was played before with the same scenario.
+// runOne runs one run, or loads the result of an earlier run of the same scenario.
 func runOne(ctx context.Context, s *scenario.Scenario, o *RunResult, opt Options, progress func(float64, string)) error {
 	text := s.String()
 	if o.Dir != "" {
@@ -204,7 +204,7 @@
 	return p.Drive
 }
 
-// finished reads a run folder; only a whole one has its digest.
+// finished loads a run directory; only a completed run has a digest.
 func finished(dir string) (*record.Saved, string, error) {
 	digest, err := os.ReadFile(filepath.Join(dir, record.DigestFile))
 	if err != nil {
@@ -219,7 +219,7 @@
 	return &s, strings.TrimSpace(string(digest)), err
 }
 
-// Load reads a sweep's folder, or a single run's.
+// Load reads the directory of a sweep or of a single run.
 func Load(dir string) (*Result, error) {
 	res := &Result{Name: filepath.Base(dir)}
 	add := func(dir string) error {
@@ -245,17 +245,17 @@
 		}
 	}
 	if len(res.Runs) == 0 {
-		return nil, fmt.Errorf("%s holds no run", dir)
+		return nil, fmt.Errorf("%s contains no finished run", dir)
 	}
 	return res, nil
 }
 
-// Pass tells whether all runs passed.
+// Pass reports whether all runs passed.
 func (r *Result) Pass() bool {
 	return !slices.ContainsFunc(r.Runs, func(o RunResult) bool { return len(o.Unmet) > 0 })
 }
 
-// Print writes a table: a line for each variation, over its seeds.
+// Print writes a table with a line for each variation, aggregated over its seeds.
 func (r *Result) Print(w interface{ Write([]byte) (int, error) }) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "variation\tseeds\tgoodput mean\tleast\tmost\trefused\tfailed\tattempts a query\tp99 median\tbroken rules\tnot met\t")
--- a/internal/lab/sweep/sweep_test.go
+++ b/internal/lab/sweep/sweep_test.go
@@ -36,8 +36,8 @@
 	return d
 }
 
-// A sweep that was interrupted goes on where it was, and ends as one that was not;
-// what a changed scenario played before does not count.
+// An interrupted sweep resumes where it stopped and gives the same results as an uninterrupted
+// one; finished runs of a scenario that has changed since are not reused.
 func TestResume(t *testing.T) {
 	uninterrupted, err := Run(context.Background(), doc(t, text), Options{Dir: t.TempDir(), Workers: 3})
 	require.NoError(t, err)
@@ -53,7 +53,7 @@
 		}
 	}})
 	require.ErrorIs(t, err, context.Canceled)
-	// A folder without its digest was not finished.
+	// A directory without a digest is an unfinished run.
 	require.NoError(t, os.MkdirAll(filepath.Join(dir, "v001-s4"), 0o755))
 	again, err := Run(context.Background(), doc(t, text), Options{Dir: dir, Workers: 2})
 	require.NoError(t, err)
@@ -75,5 +75,5 @@
 		require.False(t, o.Skipped)
 	}
 	_, err = Load(t.TempDir())
-	require.ErrorContains(t, err, "holds no run")
+	require.ErrorContains(t, err, "contains no finished run")
 }
