--- a/internal/lab/model/dist.go
+++ b/internal/lab/model/dist.go
@@ -24,10 +24,10 @@
 
 // Dist is a distribution of durations.
 type Dist struct {
-	text string
-	mean float64 // in seconds
-	max  float64
-	draw func(src rand.Source) float64 // in seconds
+	text  string
+	mean  float64 // in seconds
+	limit float64
+	draw  func(src rand.Source) float64 // in seconds
 }
 
 // ParseDist parses a distribution; a relative file name is resolved against dir. The forms:
@@ -80,7 +80,7 @@
 	if len(f) > want {
 		return nil, fmt.Errorf("unexpected %q after the arguments of %s", f[want], f[0])
 	}
-	d := &Dist{text: text, max: maxValue.Seconds()}
+	d := &Dist{text: text, limit: maxValue.Seconds()}
 	if f[0] == "empirical" {
 		if len(f) < 2 {
 			return nil, fmt.Errorf("empirical needs a file")
@@ -172,7 +172,7 @@
 
 // Draw returns a random duration.
 func (d *Dist) Draw(src rand.Source) time.Duration {
-	return time.Duration(min(max(d.draw(src), 0), d.max) * float64(time.Second))
+	return time.Duration(min(max(d.draw(src), 0), d.limit) * float64(time.Second))
 }
 
 // Work draws how much work the parts of a class are for a server of speed 1.
--- a/internal/lab/model/server.go
+++ b/internal/lab/model/server.go
@@ -286,7 +286,7 @@
 		s.queued++
 		s.queue.push(j)
 		if s.Knee > 0 { // with more parts pending the server may be slower
-			s.updateRate() // held more, it may work slower
+			s.updateRate() // with more parts pending the server may be slower
 		}
 	}
 	s.stats.MaxPending = max(s.stats.MaxPending, s.Pending())
--- a/internal/lab/scenario/file.go
+++ b/internal/lab/scenario/file.go
@@ -29,7 +29,7 @@
 	OverQuotaValue float64       `ini:"over-share-worth" default:"1" range:"0..1" help:"value of a query above its tenant's quota, as a share of its normal value"`
 }
 
-// Mixers is the section [mixers].
+// Proxies is the section [mixers].
 type Proxies struct {
 	Count       int           `ini:"count" default:"2" range:"1..1000"`
 	Cores       float64       `ini:"cores" default:"1" range:"0.05..64" help:"real driver only"`
--- a/internal/lab/virtual/link.go
+++ b/internal/lab/virtual/link.go
@@ -16,7 +16,7 @@
 
 // link stands for all connections of a proxy to one server.
 type link struct {
-	m           *proxy
+	proxy       *proxy
 	server      int
 	generation  int // of the connections; results from older generations are ignored
 	open        bool
@@ -46,34 +46,34 @@
 	judged     *judge.Attempt
 }
 
-func (m *proxy) link(server int) *link {
-	l := m.links[server]
+func (p *proxy) link(server int) *link {
+	l := p.links[server]
 	if l == nil {
-		l = &link{m: m, server: server, inFlight: make(map[*exchange.Attempt]*flight)}
-		m.links[server] = l
+		l = &link{proxy: p, server: server, inFlight: make(map[*exchange.Attempt]*flight)}
+		p.links[server] = l
 	}
 	return l
 }
 
 // Send starts attempts.
-func (m *proxy) Send(attempts []*exchange.Attempt) {
+func (p *proxy) Send(attempts []*exchange.Attempt) {
 	calls := make(map[int]int) // parts so far, by server
 	for _, a := range attempts {
-		i, known := m.w.server(a.Server)
-		if stop, stopping := m.drainStops[i]; !known || stopping && m.w.loop.Now() >= stop {
-			m.exchange.AttemptEnded(a, choice.NotSent, nil, "")
+		i, known := p.w.server(a.Server)
+		if stop, stopping := p.drainStops[i]; !known || stopping && p.w.loop.Now() >= stop {
+			p.exchange.AttemptEnded(a, choice.NotSent, nil, "")
 			continue
 		}
-		m.link(i).sendOrQueue(a, calls[i]%max(m.w.plan.Settings.MaxPartsPerCall, 1) == 0)
+		p.link(i).sendOrQueue(a, calls[i]%max(p.w.plan.Settings.MaxPartsPerCall, 1) == 0)
 		calls[i]++
 	}
 }
 
 // Cancel cancels an attempt. The server is notified, and the attempt ends at once for the
 // exchange.
-func (m *proxy) Cancel(a *exchange.Attempt, v choice.Verdict) {
-	i, _ := m.w.server(a.Server)
-	l := m.links[i]
+func (p *proxy) Cancel(a *exchange.Attempt, v choice.Verdict) {
+	i, _ := p.w.server(a.Server)
+	l := p.links[i]
 	if l == nil {
 		return
 	}
@@ -82,7 +82,7 @@
 		if v == choice.NoAnswer { // it was never sent, so it can't have run
 			v = choice.NotSent
 		}
-		m.exchange.AttemptEnded(a, v, nil, "")
+		p.exchange.AttemptEnded(a, v, nil, "")
 		return
 	}
 	f := l.inFlight[a]
@@ -90,40 +90,40 @@
 		return
 	}
 	delete(l.inFlight, a)
-	now := m.w.loop.Now()
-	f.judged.Over(m.w.time(), "")
-	m.trace(a, "is cancelled at", fmt.Sprint(v))
+	now := p.w.loop.Now()
+	f.judged.Over(p.w.time(), "")
+	p.trace(a, "is cancelled at", fmt.Sprint(v))
 	l.deliver(func() {
 		if f.delivered && f.generation == l.generation {
-			m.w.Servers[l.server].Cancel(&f.job)
+			p.w.Servers[l.server].Cancel(&f.job)
 		}
 	}, f.generation)
 	if v == choice.NoAnswer && l.answeredAt < f.sentAt && l.generation == f.generation {
 		l.open = false // the connection is unresponsive: the next attempt uses a new one
 	}
 	l.usedAt = now
-	m.exchange.AttemptEnded(a, v, nil, "")
+	p.exchange.AttemptEnded(a, v, nil, "")
 }
 
-func (m *proxy) trace(a *exchange.Attempt, what, detail string) {
-	if t := m.w.opt.Trace; t != nil {
+func (p *proxy) trace(a *exchange.Attempt, what, detail string) {
+	if t := p.w.opt.Trace; t != nil {
 		ask, _, _ := strings.Cut(a.PartID, "-")
-		t(m.w.loop.Now(), ask, fmt.Sprintf("part %s attempt %d %s %s %s", a.PartID, a.Index, what, a.Server, detail))
+		t(p.w.loop.Now(), ask, fmt.Sprintf("part %s attempt %d %s %s %s", a.PartID, a.Index, what, a.Server, detail))
 	}
 }
 
 // Probe checks whether a server responds.
-func (m *proxy) Probe(server string) {
-	w, life, begun := m.w, m.incarnation, m.w.loop.Now()
+func (p *proxy) Probe(server string) {
+	w, incarnation, started := p.w, p.incarnation, p.w.loop.Now()
 	i, _ := w.server(server)
 	end := func(after time.Duration, v choice.Verdict) {
 		w.loop.Post(after, func() {
-			if m.incarnation == life && m.exchange != nil {
-				m.exchange.ProbeEnded(server, w.loop.Now()-begun, v, nil)
+			if p.incarnation == incarnation && p.exchange != nil {
+				p.exchange.ProbeEnded(server, w.loop.Now()-started, v, nil)
 			}
 		})
 	}
-	d, ok := w.net.Delay(m.site, w.sites[i])
+	d, ok := w.net.Delay(p.site, w.sites[i])
 	up, _ := w.Servers[i].Running()
 	switch {
 	case !ok || w.vanished[i] > 0 || w.Servers[i].Effects.Paused > 0:
@@ -136,17 +136,17 @@
 }
 
 // Release closes the idle connections to a server.
-func (m *proxy) Release(server string) {
-	i, _ := m.w.server(server)
-	if l := m.links[i]; l != nil && len(l.inFlight) == 0 {
+func (p *proxy) Release(server string) {
+	i, _ := p.w.server(server)
+	if l := p.links[i]; l != nil && len(l.inFlight) == 0 {
 		l.open = false
 		l.generation++
 	}
 }
 
 func (l *link) sendOrQueue(a *exchange.Attempt, firstOfCall bool) {
-	now := l.m.w.loop.Now()
-	maxIdle := time.Duration(float64(l.m.w.plan.Settings.Keepalive) * idleFraction)
+	now := l.proxy.w.loop.Now()
+	maxIdle := time.Duration(float64(l.proxy.w.plan.Settings.Keepalive) * idleFraction)
 	if l.open && len(l.inFlight) == 0 && now-l.usedAt > maxIdle {
 		l.open = false
 		l.generation++
@@ -165,32 +165,32 @@
 		return
 	}
 	l.dialing = true
-	w, m, life := l.m.w, l.m, l.m.incarnation
+	w, p, incarnation := l.proxy.w, l.proxy, l.proxy.incarnation
 	fail := func(after time.Duration) {
 		w.loop.Post(after, func() {
-			if m.incarnation != life || m.exchange == nil {
+			if p.incarnation != incarnation || p.exchange == nil {
 				return
 			}
 			l.dialing = false
 			waiting := l.waiting
 			l.waiting = nil
 			for _, x := range waiting {
-				m.trace(x.a, "has no connection to", "")
-				m.exchange.AttemptEnded(x.a, choice.NoConnection, nil, "")
+				p.trace(x.a, "has no connection to", "")
+				p.exchange.AttemptEnded(x.a, choice.NoConnection, nil, "")
 			}
 		})
 	}
-	toServer, ok := w.net.Delay(m.site, w.sites[l.server])
+	toServer, ok := w.net.Delay(p.site, w.sites[l.server])
 	if !ok || w.vanished[l.server] > 0 {
 		fail(w.plan.Settings.Dial)
 		return
 	}
 	w.loop.Post(toServer, func() {
-		if m.incarnation != life || m.exchange == nil {
+		if p.incarnation != incarnation || p.exchange == nil {
 			return
 		}
 		s := w.Servers[l.server]
-		toProxy, ok := w.net.Delay(w.sites[l.server], m.site)
+		toProxy, ok := w.net.Delay(w.sites[l.server], p.site)
 		if !ok || w.vanished[l.server] > 0 {
 			fail(max(w.plan.Settings.Dial-toServer, 0))
 			return
@@ -201,7 +201,7 @@
 		}
 		s.Handshake()
 		w.loop.Post(toProxy, func() {
-			if m.incarnation != life || m.exchange == nil {
+			if p.incarnation != incarnation || p.exchange == nil {
 				return
 			}
 			l.dialing, l.open = false, true
@@ -209,8 +209,8 @@
 			waiting := l.waiting
 			l.waiting = nil
 			for _, x := range waiting {
-				if stop, stopping := m.drainStops[l.server]; stopping && w.loop.Now() >= stop {
-					m.exchange.AttemptEnded(x.a, choice.NotSent, nil, "")
+				if stop, stopping := p.drainStops[l.server]; stopping && w.loop.Now() >= stop {
+					p.exchange.AttemptEnded(x.a, choice.NotSent, nil, "")
 					continue
 				}
 				l.transmit(x.a, x.firstOfCall)
@@ -221,10 +221,10 @@
 
 // transmit sends an attempt, as the first part of a call or a later one.
 func (l *link) transmit(a *exchange.Attempt, firstOfCall bool) {
-	m, w := l.m, l.m.w
+	p, w := l.proxy, l.proxy.w
 	s := w.Servers[l.server]
 	class := a.Text
-	f := &flight{l: l, a: a, generation: l.generation, sentAt: w.loop.Now(), judged: w.judge.ArrivedFrom(m.n, a.PartID, s.Name, w.time())}
+	f := &flight{l: l, a: a, generation: l.generation, sentAt: w.loop.Now(), judged: w.judge.ArrivedFrom(p.n, a.PartID, s.Name, w.time())}
 	if !w.plan.HasShard(l.server, a.Shard) {
 		w.judge.Astray(a.PartID, s.Name)
 	}
@@ -232,14 +232,14 @@
 	_, shard, _ := strings.Cut(rest, ".")
 	f.job = model.Job{ID: a.PartID, Request: ask, Class: class, Shard: a.Shard, Work: w.Work[class].Of(ask, shard), Deadline: a.Deadline.Sub(epoch),
 		Done: l.serverAnswered, OnRun: recordRun, Tag: f, FirstOfCall: firstOfCall}
-	if query, _, ok := strings.Cut(a.PartID, "."); ok && m.keys[query] != "" {
-		f.job.Key = m.keys[query] + "." + shard
+	if query, _, ok := strings.Cut(a.PartID, "."); ok && p.keys[query] != "" {
+		f.job.Key = p.keys[query] + "." + shard
 	}
 	w.attemptsSent[ask]++
 	l.inFlight[a] = f
 	l.usedAt = w.loop.Now()
 	if w.opt.Trace != nil {
-		m.trace(a, "goes to", fmt.Sprintf("until %v, work %v", a.Deadline.Sub(epoch), f.job.Work))
+		p.trace(a, "goes to", fmt.Sprintf("until %v, work %v", a.Deadline.Sub(epoch), f.job.Work))
 	}
 	l.deliver(func() {
 		if f.generation != l.generation {
@@ -261,8 +261,8 @@
 // deliver runs arrive at the server after the network delay, in order, unless the network
 // loses it.
 func (l *link) deliver(arrive func(), generation int) {
-	w := l.m.w
-	d, ok := w.net.Delay(l.m.site, w.sites[l.server])
+	w := l.proxy.w
+	d, ok := w.net.Delay(l.proxy.site, w.sites[l.server])
 	if !ok || w.vanished[l.server] > 0 {
 		return
 	}
@@ -277,11 +277,11 @@
 
 // serverAnswered sends a server's answer to the proxy.
 func (l *link) serverAnswered(j *model.Job, e model.End) {
-	f, w, m := j.Tag.(*flight), l.m.w, l.m
+	f, w, p := j.Tag.(*flight), l.proxy.w, l.proxy
 	if f.generation != l.generation {
 		return
 	}
-	d, ok := w.net.Delay(w.sites[l.server], m.site)
+	d, ok := w.net.Delay(w.sites[l.server], p.site)
 	if !ok || w.vanished[l.server] > 0 {
 		return
 	}
@@ -301,35 +301,35 @@
 func valueOf(a *exchange.Attempt) string { return a.Server + "/" + a.PartID }
 
 func (l *link) receiveAnswer(f *flight, e model.End) {
-	m := l.m
-	if m.exchange == nil || l.inFlight[f.a] != f || f.generation != l.generation {
+	p := l.proxy
+	if p.exchange == nil || l.inFlight[f.a] != f || f.generation != l.generation {
 		return
 	}
 	delete(l.inFlight, f.a)
-	l.answeredAt, l.usedAt = m.w.loop.Now(), m.w.loop.Now()
-	if m.w.opt.Trace != nil {
-		m.trace(f.a, "is answered by", []string{"ok", "err", "busy"}[e])
+	l.answeredAt, l.usedAt = p.w.loop.Now(), p.w.loop.Now()
+	if p.w.opt.Trace != nil {
+		p.trace(f.a, "is answered by", []string{"ok", "err", "busy"}[e])
 	}
 	switch e {
 	case model.OK:
-		m.exchange.AttemptEnded(f.a, choice.Served, nil, valueOf(f.a))
+		p.exchange.AttemptEnded(f.a, choice.Served, nil, valueOf(f.a))
 	case model.Err:
-		m.exchange.AttemptEnded(f.a, choice.ServerError, nil, "")
+		p.exchange.AttemptEnded(f.a, choice.ServerError, nil, "")
 	default:
-		m.exchange.AttemptEnded(f.a, choice.Rejected, nil, "")
+		p.exchange.AttemptEnded(f.a, choice.Rejected, nil, "")
 	}
 }
 
 // sendReset resets the connections: the server's machine doesn't know them any more.
 func (l *link) sendReset() {
-	m, w := l.m, l.m.w
+	p, w := l.proxy, l.proxy.w
 	gen := l.generation
-	d, ok := w.net.Delay(w.sites[l.server], m.site)
+	d, ok := w.net.Delay(w.sites[l.server], p.site)
 	if !ok {
 		return
 	}
 	w.loop.Post(d, func() {
-		if l.generation == gen && m.exchange != nil {
+		if l.generation == gen && p.exchange != nil {
 			l.failInFlight()
 		}
 	})
@@ -337,7 +337,7 @@
 
 // failInFlight ends all attempts in flight with ConnectionLost.
 func (l *link) failInFlight() {
-	m := l.m
+	p := l.proxy
 	l.generation++
 	l.open = false
 	lost := make([]*flight, 0, len(l.inFlight))
@@ -347,16 +347,16 @@
 	slices.SortFunc(lost, func(a, b *flight) int { return strings.Compare(a.a.PartID, b.a.PartID) })
 	clear(l.inFlight)
 	for _, f := range lost {
-		f.judged.Over(m.w.time(), "")
-		m.trace(f.a, "lost its connection to", "")
-		m.exchange.AttemptEnded(f.a, choice.ConnectionLost, nil, "")
+		f.judged.Over(p.w.time(), "")
+		p.trace(f.a, "lost its connection to", "")
+		p.exchange.AttemptEnded(f.a, choice.ConnectionLost, nil, "")
 	}
 }
 
 // serverEnded handles the end of the server's process: its machine resets the connections,
 // unless it has vanished.
 func (l *link) serverEnded() {
-	if l.m.w.vanished[l.server] == 0 && (l.open || len(l.inFlight) > 0) {
+	if l.proxy.w.vanished[l.server] == 0 && (l.open || len(l.inFlight) > 0) {
 		l.sendReset()
 	}
 }
@@ -372,7 +372,7 @@
 // close handles the end of the proxy's process: the server cancels the parts it received from
 // it.
 func (l *link) close() {
-	w := l.m.w
+	w := l.proxy.w
 	out := make([]*flight, 0, len(l.inFlight))
 	for _, f := range l.inFlight {
 		out = append(out, f)
--- a/internal/lab/virtual/sources.go
+++ b/internal/lab/virtual/sources.go
@@ -34,7 +34,7 @@
 // sourceMerge is the merge of one proxy.
 type sourceMerge struct {
 	core            *membership.Members
-	rows            *members.ListBuilder
+	list            *members.ListBuilder
 	timer           *event.Timer
 	dnsObservations int64
 	lastArrival     map[string]time.Duration
@@ -52,8 +52,8 @@
 			for _, e := range changes {
 				s.entries[e.Server] = e
 			}
-			for _, m := range w.proxies {
-				m.sendChanges(i, changes)
+			for _, p := range w.proxies {
+				p.sendChanges(i, changes)
 			}
 		}
 		l.OnFault = func(c model.Change) { w.applySourceFault(i, c) }
@@ -63,8 +63,8 @@
 
 func (w *world) sendIdleAnswers() {
 	for i := range w.sources {
-		for _, m := range w.proxies {
-			m.sendChanges(i, nil)
+		for _, p := range w.proxies {
+			p.sendChanges(i, nil)
 		}
 	}
 	if w.loop.Now() < w.plan.Length+overtime {
@@ -95,19 +95,19 @@
 		return
 	}
 	s.index++
-	for _, m := range w.proxies {
-		m.sendFullAnswer(i, c.Do == model.ListReset)
+	for _, p := range w.proxies {
+		p.sendFullAnswer(i, c.Do == model.ListReset)
 	}
 }
 
 // sendChanges sends changes from a source to a proxy.
-func (m *proxy) sendChanges(i int, changes []model.Entry) {
-	w, s := m.w, m.w.sources[i]
+func (p *proxy) sendChanges(i int, changes []model.Entry) {
+	w, s := p.w, p.w.sources[i]
 	switch {
-	case m.exchange == nil || s.silent > 0:
+	case p.exchange == nil || s.silent > 0:
 		return
 	case s.down > 0:
-		m.observeLater(membership.Observation{Source: s.list.Name, Failed: true})
+		p.observeLater(membership.Observation{Source: s.list.Name, Failed: true})
 		return
 	case s.empty > 0:
 		return
@@ -120,17 +120,17 @@
 			o.Claims = append(o.Claims, w.claim(e))
 		}
 	}
-	m.observeLater(o)
+	p.observeLater(o)
 }
 
 // sendFullAnswer sends a full answer from a source to a proxy.
-func (m *proxy) sendFullAnswer(i int, reset bool) {
-	w, s := m.w, m.w.sources[i]
-	if m.exchange == nil || s.silent > 0 {
+func (p *proxy) sendFullAnswer(i int, reset bool) {
+	w, s := p.w, p.w.sources[i]
+	if p.exchange == nil || s.silent > 0 {
 		return
 	}
 	if s.down > 0 {
-		m.observeLater(membership.Observation{Source: s.list.Name, Failed: true})
+		p.observeLater(membership.Observation{Source: s.list.Name, Failed: true})
 		return
 	}
 	o := membership.Observation{Source: s.list.Name, Index: s.index, Complete: true, Reset: reset}
@@ -139,7 +139,7 @@
 			o.Claims = append(o.Claims, w.claim(e))
 		}
 	}
-	m.observeLater(o)
+	p.observeLater(o)
 }
 
 func (w *world) claim(e model.Entry) membership.Claim {
@@ -157,73 +157,73 @@
 
 // observeLater delivers an answer after the network delay within the proxy's site, where the
 // source runs. DNS changes are found at a random time within the lifetime of a record.
-func (m *proxy) observeLater(o membership.Observation) {
-	w, life := m.w, m.incarnation
-	delay := w.localDelay(m)
+func (p *proxy) observeLater(o membership.Observation) {
+	w, incarnation := p.w, p.incarnation
+	delay := w.localDelay(p)
 	if ttl := w.plan.Source(o.Source).TTL; o.Source == "dns" && len(o.Claims)+len(o.Removed) > 0 {
-		m.merge.dnsObservations++
-		delay += time.Duration(model.Uniform(w.plan.RunSeed, "dns", fmt.Sprint(m.n), fmt.Sprint(m.merge.dnsObservations)) * float64(ttl))
+		p.merge.dnsObservations++
+		delay += time.Duration(model.Uniform(w.plan.RunSeed, "dns", fmt.Sprint(p.n), fmt.Sprint(p.merge.dnsObservations)) * float64(ttl))
 	}
 	// A proxy calls a source sequentially: its answers arrive in order.
-	at := max(w.loop.Now()+delay, m.merge.lastArrival[o.Source])
-	m.merge.lastArrival[o.Source] = at
+	at := max(w.loop.Now()+delay, p.merge.lastArrival[o.Source])
+	p.merge.lastArrival[o.Source] = at
 	w.loop.Post(at-w.loop.Now(), func() {
-		if m.incarnation != life || m.exchange == nil {
+		if p.incarnation != incarnation || p.exchange == nil {
 			return
 		}
 		for _, c := range o.Claims {
-			w.judge.ToldBy(m.n, o.Source, c.Name, c.Drain, w.time())
+			w.judge.ToldBy(p.n, o.Source, c.Name, c.Drain, w.time())
 		}
-		if m.merge.core.Observe(w.time().UnixMicro(), o) == nil {
-			m.stepMerge()
+		if p.merge.core.Observe(w.time().UnixMicro(), o) == nil {
+			p.stepMerge()
 		}
 	})
 }
 
 // startMerge creates the merge of a starting proxy and requests full answers from all sources.
-func (m *proxy) startMerge() error {
-	w := m.w
+func (p *proxy) startMerge() error {
+	w := p.w
 	core, err := membership.New(w.plan.Members.MergeSettings(w.activeSources))
 	if err != nil {
 		return err
 	}
-	m.merge = &sourceMerge{lastArrival: make(map[string]time.Duration), core: core, rows: members.NewListBuilder(w.time().UnixMicro())}
+	p.merge = &sourceMerge{lastArrival: make(map[string]time.Duration), core: core, list: members.NewListBuilder(w.time().UnixMicro())}
 	for i := range w.sources {
-		m.sendFullAnswer(i, false)
+		p.sendFullAnswer(i, false)
 	}
 	return nil
 }
 
 // stepMerge does what source/members does in production.
-func (m *proxy) stepMerge() {
-	w, g := m.w, m.merge
+func (p *proxy) stepMerge() {
+	w, g := p.w, p.merge
 	now := w.time().UnixMicro()
 	changed := g.core.Step(now)
-	if rows, _ := g.rows.Delta(now, changed); len(rows) > 0 && g.delivered {
+	if rows, _ := g.list.Delta(now, changed); len(rows) > 0 && g.delivered {
 		w.version++
-		m.applyList(choice.List{Form: choice.Delta, Version: w.version, Servers: rows})
+		p.applyList(choice.List{Form: choice.Delta, Version: w.version, Servers: rows})
 	}
 	if g.timer != nil {
 		g.timer.Stop()
 		g.timer = nil
 	}
 	if due := g.core.Due(); due > 0 {
-		life := m.incarnation
+		incarnation := p.incarnation
 		g.timer = w.loop.After(time.Duration(max(due-now, 1))*time.Microsecond, func() {
 			g.timer = nil
-			if m.incarnation == life && m.exchange != nil {
-				m.stepMerge()
+			if p.incarnation == incarnation && p.exchange != nil {
+				p.stepMerge()
 			}
 		})
 	}
 }
 
 // deliverFullList hands the full merged list to the decisions.
-func (m *proxy) deliverFullList() {
-	list, _ := m.merge.rows.Full(m.w.time().UnixMicro(), m.merge.core.All())
-	m.merge.delivered = true
-	m.w.version++
-	m.applyList(choice.List{Form: choice.Full, Version: m.w.version, Servers: list})
+func (p *proxy) deliverFullList() {
+	list, _ := p.merge.list.Full(p.w.time().UnixMicro(), p.merge.core.All())
+	p.merge.delivered = true
+	p.w.version++
+	p.applyList(choice.List{Form: choice.Full, Version: p.w.version, Servers: list})
 }
 
 // reconfigure changes the active sources of every proxy, as SIGHUP does.
@@ -232,17 +232,17 @@
 	if c.On {
 		w.activeSources = c.SwitchTo
 	}
-	for _, m := range w.proxies {
-		if m.exchange == nil {
+	for _, p := range w.proxies {
+		if p.exchange == nil {
 			continue
 		}
-		if err := m.merge.core.Configure(w.plan.Members.MergeSettings(w.activeSources)); err != nil {
+		if err := p.merge.core.Configure(w.plan.Members.MergeSettings(w.activeSources)); err != nil {
 			w.recorder.Broke(err.Error())
 			continue
 		}
-		m.stepMerge()
+		p.stepMerge()
 		for i := range w.sources {
-			m.sendFullAnswer(i, false)
+			p.sendFullAnswer(i, false)
 		}
 	}
 }
--- a/internal/lab/virtual/virtual.go
+++ b/internal/lab/virtual/virtual.go
@@ -39,10 +39,10 @@
 )
 
 const (
-	judgeInterval = 5 * time.Second // how often the judge discards finished queries
-	judgeDelay    = 10 * time.Second
-	overtime      = 30 * time.Second // time after the load and the longest client timeout by which everything must have finished
-	goneSoon      = time.Second      // delay until the connections of a killed proxy are reset
+	judgeInterval  = 5 * time.Second // how often the judge discards finished queries
+	judgeDelay     = 10 * time.Second
+	overtime       = 30 * time.Second // time after the load and the longest client timeout by which everything must have finished
+	connResetDelay = time.Second      // delay until the connections of a killed proxy are reset
 )
 
 // epoch is the start of virtual time on the clock that the proxies see.
@@ -57,8 +57,8 @@
 	Work      map[string]*model.Work
 }
 
-// Decide creates the decider of a proxy in an incarnation.
-type Decide func(w *World, mixer, life int, seed uint64, set choice.Settings) (exchange.Decider, error)
+// Decide creates the decider of a proxy for one incarnation of its process.
+type Decide func(w *World, mixer, incarnation int, seed uint64, set choice.Settings) (exchange.Decider, error)
 
 // ProxyDecider creates the production decider.
 func ProxyDecider(_ *World, _, _ int, seed uint64, set choice.Settings) (exchange.Decider, error) {
@@ -116,7 +116,7 @@
 func (s sched) After(d time.Duration, f func()) model.Timer { return s.Loop.After(d, f) }
 
 // Run runs a plan.
-func Run(ctx context.Context, p *scenario.Plan, opt Options) (*record.Run, error) {
+func Run(ctx context.Context, plan *scenario.Plan, opt Options) (*record.Run, error) {
 	begun := time.Now()
 	if opt.Decide == nil {
 		opt.Decide = ProxyDecider
@@ -124,27 +124,27 @@
 	if opt.Policy == "" {
 		opt.Policy = "mixer"
 	}
-	w, err := build(ctx, p, opt)
+	w, err := build(ctx, plan, opt)
 	if err != nil {
 		return nil, err
 	}
 	if err := w.play(); err != nil {
 		return nil, err
 	}
-	run := w.recorder.Done(w.judge.Judge(epoch.Add(p.Window[0]), epoch.Add(p.Window[1])))
+	run := w.recorder.Done(w.judge.Judge(epoch.Add(plan.Window[0]), epoch.Add(plan.Window[1])))
 	var mem runtime.MemStats
 	runtime.ReadMemStats(&mem)
 	run.Machine = record.Machine{Wall: time.Since(begun), Events: w.loop.Done(), PeakMiB: int64(mem.Sys >> 20), Threads: 1}
 	return run, nil
 }
 
-func build(ctx context.Context, p *scenario.Plan, opt Options) (*world, error) {
-	text, err := p.ProxySettings()
+func build(ctx context.Context, plan *scenario.Plan, opt Options) (*world, error) {
+	text, err := plan.ProxySettings()
 	if err != nil {
 		return nil, err
 	}
-	w := &world{ctx: ctx, opt: opt, plan: p, loop: &event.Loop{Most: opt.MaxEvents}, net: p.NewNetwork(), attemptsSent: make(map[string]int),
-		recorder: record.New(p, "virtual", opt.Policy, opt.KeepRows), vanished: make([]int, len(p.Servers))}
+	w := &world{ctx: ctx, opt: opt, plan: plan, loop: &event.Loop{Most: opt.MaxEvents}, net: plan.NewNetwork(), attemptsSent: make(map[string]int),
+		recorder: record.New(plan, "virtual", opt.Policy, opt.KeepRows), vanished: make([]int, len(plan.Servers))}
 	if w.settings, err = settings.Decode(settings.Flatten(gjson.ParseBytes(text))); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
@@ -152,14 +152,14 @@
 		opt.Mutations.ChangeSettings(&w.settings)
 	}
 	var classes []judge.Class
-	for _, c := range p.Scenario.Classes {
+	for _, c := range plan.Scenario.Classes {
 		classes = append(classes, judge.Class{Name: c.Name, Unsafe: c.Effect != "free", Need: c.RequiredShare, Floor: c.MinShare})
 	}
-	w.judge = judge.New(classes, p.Settings.DrainGrace+judge.Slack)
-	w.judge.Allow(p.Settings.AttemptCap, p.Settings.ParallelAttempts)
+	w.judge = judge.New(classes, plan.Settings.DrainGrace+judge.Slack)
+	w.judge.Allow(plan.Settings.AttemptCap, plan.Settings.ParallelAttempts)
 	w.Index = make(map[string]int)
-	w.Now, w.Work = w.loop.Now, p.Work
-	for i, spec := range p.Servers {
+	w.Now, w.Work = w.loop.Now, plan.Work
+	for i, spec := range plan.Servers {
 		s := model.NewServer(sched{w.loop}, spec)
 		w.Servers, w.sites = append(w.Servers, s), append(w.sites, w.net.Site(spec.Site))
 		w.Index[spec.Name] = i
@@ -173,22 +173,22 @@
 	w.Reachable = func(mixer, server int) bool {
 		return w.vanished[server] == 0 && w.net.Reachable(w.proxies[mixer].site, w.sites[server]) && w.net.Reachable(w.sites[server], w.proxies[mixer].site)
 	}
-	w.lists = p.NewLists(func(int) model.Sched { return sched{w.loop} })
-	if w.activeSources = p.Members.Sources; w.hasSources() {
+	w.lists = plan.NewLists(func(int) model.Sched { return sched{w.loop} })
+	if w.activeSources = plan.Members.Sources; w.hasSources() {
 		w.buildSources()
 	} else {
-		w.lists[0].Publish, w.lists[0].BufferSilent = w.publishList, p.Settings.PollInterval > 0
+		w.lists[0].Publish, w.lists[0].BufferSilent = w.publishList, plan.Settings.PollInterval > 0
 	}
-	for n := range p.Proxies.Count {
-		m := &proxy{w: w, n: n, site: w.net.Site(p.ProxySite(n))}
-		w.proxies = append(w.proxies, m)
-		if err := m.start(); err != nil {
+	for n := range plan.Proxies.Count {
+		p := &proxy{w: w, n: n, site: w.net.Site(plan.ProxySite(n))}
+		w.proxies = append(w.proxies, p)
+		if err := p.start(); err != nil {
 			return nil, err
 		}
-		m.balanced = true
+		p.balanced = true
 	}
 	w.updateBalanced()
-	w.clients = &model.Clients{Sched: sched{w.loop}, Classes: p.Classes, Tenants: p.NewTenants(), OverQuotaValue: p.OverQuotaValue, Retry: p.Retry(), Seed: p.RunSeed, Length: p.Length, SelectProxy: w.selectProxy, Send: w.sendQuery,
+	w.clients = &model.Clients{Sched: sched{w.loop}, Classes: plan.Classes, Tenants: plan.NewTenants(), OverQuotaValue: plan.OverQuotaValue, Retry: plan.Retry(), Seed: plan.RunSeed, Length: plan.Length, SelectProxy: w.selectProxy, Send: w.sendQuery,
 		Disconnect: w.clientLeaves, OnFinish: func(a *model.Request) {
 			w.recorder.Over(a, w.attemptsSent[a.ID])
 			delete(w.attemptsSent, a.ID)
@@ -204,27 +204,27 @@
 
 // play runs the load, and then continues until everything has finished.
 func (w *world) play() error {
-	p := w.plan
+	plan := w.plan
 	longest := time.Duration(0)
-	for _, c := range p.Classes {
+	for _, c := range plan.Classes {
 		longest = max(longest, c.Timeout)
 	}
-	end := p.Length + longest + overtime
+	end := plan.Length + longest + overtime
 	w.loop.Tick = func() error {
 		if w.opt.Progress != nil {
 			w.opt.Progress(min(w.loop.Now(), end), end, w.loop.Done())
 		}
 		return w.ctx.Err()
 	}
-	for _, c := range p.Changes {
+	for _, c := range plan.Changes {
 		w.loop.Post(c.At, func() { w.applyChange(c) })
 	}
 	for at := judgeInterval; at < end; at += judgeInterval {
 		w.loop.Post(at, func() {
-			w.judge.Settle(w.time().Add(-judgeDelay), epoch.Add(p.Window[0]), epoch.Add(p.Window[1]))
+			w.judge.Settle(w.time().Add(-judgeDelay), epoch.Add(plan.Window[0]), epoch.Add(plan.Window[1]))
 		})
 	}
-	for s := 1; time.Duration(s)*time.Second <= p.Length; s++ {
+	for s := 1; time.Duration(s)*time.Second <= plan.Length; s++ {
 		w.loop.Post(time.Duration(s)*time.Second, func() {
 			if w.opt.KeepRows {
 				for _, v := range w.Servers {
@@ -238,13 +238,13 @@
 		if err := w.ctx.Err(); err != nil {
 			return err
 		}
-		if at = min(at+time.Second, end); at < p.Length {
-			at = p.Length
+		if at = min(at+time.Second, end); at < plan.Length {
+			at = plan.Length
 		}
 		if err := w.loop.Run(at); err != nil {
 			return err
 		}
-		if at >= p.Length && w.clients.InFlight == 0 {
+		if at >= plan.Length && w.clients.InFlight == 0 {
 			break
 		}
 	}
@@ -254,15 +254,15 @@
 	}
 	if n := w.clients.InFlight; n > 0 {
 		w.recorder.Broke(fmt.Sprintf("%d asks were not over %v after the load", n, overtime+longest))
-		for _, m := range w.proxies {
-			for _, id := range sortedIDs(m.attempts) {
-				m.attempts[id].judged.Detail = "no answer came"
-				w.endAttempt(m.attempts[id], judge.Lost, model.Reply{Kind: model.Lost})
+		for _, p := range w.proxies {
+			for _, id := range sortedIDs(p.attempts) {
+				p.attempts[id].judged.Detail = "no answer came"
+				w.endAttempt(p.attempts[id], judge.Lost, model.Reply{Kind: model.Lost})
 			}
 		}
 	}
-	for _, m := range w.proxies {
-		m.stop()
+	for _, p := range w.proxies {
+		p.stop()
 	}
 	return nil
 }
@@ -278,14 +278,14 @@
 		w.recordEvent("%v %s to %s", c, w.net.Sites()[c.From], w.net.Sites()[c.To])
 	case c.Do == model.KillProxy, c.Do == model.RestartProxy:
 		w.recordEvent("%v %d", c, c.Target)
-		m := w.proxies[c.Target]
+		p := w.proxies[c.Target]
 		switch {
 		case !c.On:
-			m.restart()
+			p.restart()
 		case c.Do == model.KillProxy:
-			m.kill()
+			p.kill()
 		default:
-			m.drain()
+			p.drain()
 		}
 	case c.Do == model.SwitchSources:
 		w.recordEvent("%v %s", c, strings.Join(c.SwitchTo, " "))
@@ -318,8 +318,8 @@
 	for _, l := range w.lists {
 		l.Down(server)
 	}
-	for _, m := range w.proxies {
-		if l := m.links[server]; l != nil {
+	for _, p := range w.proxies {
+		if l := p.links[server]; l != nil {
 			l.serverEnded()
 		}
 	}
@@ -331,8 +331,8 @@
 	for _, l := range w.lists {
 		l.Up(server)
 	}
-	for _, m := range w.proxies {
-		if l := m.links[server]; l != nil {
+	for _, p := range w.proxies {
+		if l := p.links[server]; l != nil {
 			l.serverRestarted()
 		}
 	}
@@ -366,25 +366,25 @@
 	for _, e := range changes {
 		rows = append(rows, w.row(e))
 	}
-	for _, m := range w.proxies {
-		if m.exchange == nil || !m.watches {
+	for _, p := range w.proxies {
+		if p.exchange == nil || !p.watches {
 			continue
 		}
 		l := choice.List{Form: choice.Delta, Version: w.version, Servers: rows}
 		look := w.plan.Settings.PollInterval
 		if look == 0 {
-			m.receiveListLater(l)
+			p.receiveListLater(l)
 			continue
 		}
 		// The agent has the list from now on, which counts as notified; the proxy finds it when it
 		// polls the agent.
 		l.Since = look.Microseconds()
-		life := m.incarnation
-		at := max(w.loop.Now()+time.Duration(m.pollDraw()*float64(look)), m.lastPoll)
-		m.lastPoll = at
+		incarnation := p.incarnation
+		at := max(w.loop.Now()+time.Duration(p.pollDraw()*float64(look)), p.lastPoll)
+		p.lastPoll = at
 		w.loop.Post(at-w.loop.Now(), func() {
-			if m.incarnation == life && m.exchange != nil {
-				m.applyList(l)
+			if p.incarnation == incarnation && p.exchange != nil {
+				p.applyList(l)
 			}
 		})
 	}
@@ -405,9 +405,9 @@
 
 func (w *world) updateBalanced() {
 	w.balancedProxies = w.balancedProxies[:0]
-	for _, m := range w.proxies {
-		if m.balanced {
-			w.balancedProxies = append(w.balancedProxies, m.n)
+	for _, p := range w.proxies {
+		if p.balanced {
+			w.balancedProxies = append(w.balancedProxies, p.n)
 		}
 	}
 }
@@ -420,8 +420,8 @@
 }
 
 // localDelay returns the delay between a client and its proxy, which share a site.
-func (w *world) localDelay(m *proxy) time.Duration {
-	d, _ := w.net.Delay(m.site, m.site)
+func (w *world) localDelay(p *proxy) time.Duration {
+	d, _ := w.net.Delay(p.site, p.site)
 	return d
 }
 
@@ -436,31 +436,31 @@
 }
 
 func (w *world) sendQuery(t *model.Attempt) {
-	m := w.proxies[t.Proxy]
-	a := &clientAttempt{t: t, proxy: m}
+	p := w.proxies[t.Proxy]
+	a := &clientAttempt{t: t, proxy: p}
 	a.judged = &judge.Query{ID: t.ID, Class: t.Request.Class.Name, Due: epoch.Add(t.Request.Due), Sent: w.time(), Patience: t.Timeout}
-	for _, p := range t.Request.Parts {
-		a.judged.Parts = append(a.judged.Parts, judge.Part{Shard: p.Shard, Weight: p.Weight})
+	for _, part := range t.Request.Parts {
+		a.judged.Parts = append(a.judged.Parts, judge.Part{Shard: part.Shard, Weight: part.Weight})
 	}
 	w.judge.Sent(a.judged)
-	m.attempts[t.ID] = a
+	p.attempts[t.ID] = a
 	if w.opt.Trace != nil {
-		w.opt.Trace(w.loop.Now(), t.Request.ID, fmt.Sprintf("try %d of class %s goes to mixer %d, %d parts, %v left", t.N, t.Request.Class.Name, m.n, len(t.Request.Parts), t.Timeout))
+		w.opt.Trace(w.loop.Now(), t.Request.ID, fmt.Sprintf("try %d of class %s goes to mixer %d, %d parts, %v left", t.N, t.Request.Class.Name, p.n, len(t.Request.Parts), t.Timeout))
 	}
-	w.loop.Post(w.localDelay(m), func() { m.receiveQuery(a) })
+	w.loop.Post(w.localDelay(p), func() { p.receiveQuery(a) })
 }
 
 // clientLeaves closes a client's connection.
 func (w *world) clientLeaves(t *model.Attempt) {
-	m := w.proxies[t.Proxy]
-	a := m.attempts[t.ID]
+	p := w.proxies[t.Proxy]
+	a := p.attempts[t.ID]
 	if a == nil || a.finished {
 		return
 	}
 	w.endAttempt(a, judge.Gone, model.Reply{Kind: model.Left})
-	w.loop.Post(w.localDelay(m), func() {
-		if m.exchange != nil && m.incarnation == a.incarnation && a.q != nil {
-			m.exchange.ClientLeft(a.q)
+	w.loop.Post(w.localDelay(p), func() {
+		if p.exchange != nil && p.incarnation == a.incarnation && a.q != nil {
+			p.exchange.ClientLeft(a.q)
 		}
 	})
 }
@@ -501,7 +501,7 @@
 	case exchange.Answered:
 		outcome, r.Kind, r.Complete = judge.Answered, model.Answered, f.Complete
 		for _, h := range f.Hits {
-			if i := slices.IndexFunc(a.t.Request.Parts, func(p model.PartRequest) bool { return p.Shard == h.Shard }); i >= 0 {
+			if i := slices.IndexFunc(a.t.Request.Parts, func(part model.PartRequest) bool { return part.Shard == h.Shard }); i >= 0 {
 				r.Share += a.t.Request.Parts[i].Weight
 			}
 		}
@@ -512,12 +512,12 @@
 	default:
 		r.Kind = model.Failed
 	}
-	m, copies := a.proxy, 1
+	p, copies := a.proxy, 1
 	if w.opt.Mutations.AnswerTwice {
 		copies = 2
 	}
 	for range copies {
-		w.loop.Post(w.localDelay(m)+w.opt.Mutations.AnswerDelay, func() {
+		w.loop.Post(w.localDelay(p)+w.opt.Mutations.AnswerDelay, func() {
 			if !a.finished {
 				a.judged.Whole = r.Complete
 				for _, h := range f.Hits {
