--- a/internal/lab/compare/compare.go
+++ b/internal/lab/compare/compare.go
@@ -108,6 +108,7 @@
 	return out, nil
 }
 
+// labels returns the distinct variations of a sweep.
 func labels(r *sweep.Result) []string {
 	var out []string
 	for _, o := range r.Runs {
@@ -118,6 +119,7 @@
 	return out
 }
 
+// compareMetric compares one metric over the pairs of a variation.
 func compareMetric(label string, f metric, pairs [][2]record.Summary) Row {
 	r := Row{Variation: label, Figure: f.name, Pairs: len(pairs)}
 	var a, b, diff []float64
--- a/internal/lab/hunt/hunt.go
+++ b/internal/lab/hunt/hunt.go
@@ -167,6 +167,7 @@
 	return ""
 }
 
+// scaled multiplies a duration or a number, written as text, by a factor.
 func scaled(v string, by float64) string {
 	if d, err := time.ParseDuration(v); err == nil {
 		return time.Duration(float64(d) * by).Round(time.Microsecond).String()
--- a/internal/lab/model/client.go
+++ b/internal/lab/model/client.go
@@ -190,6 +190,7 @@
 	}
 }
 
+// scheduleNext schedules the next arrival of a class.
 func (c *Clients) scheduleNext(class *Class) {
 	at, ok := class.Arrivals.Next(c.Length)
 	if !ok {
@@ -276,6 +277,8 @@
 	return out
 }
 
+// attempt sends a request to a proxy, or finishes the request if its time is over. hash selects
+// the proxy.
 func (c *Clients) attempt(a *Request, hash uint64) {
 	now := c.Sched.Now()
 	timeLeft := a.Due + a.Class.Timeout - now
@@ -347,6 +350,8 @@
 	return w
 }
 
+// retryOrFinish schedules a retry of a request, or finishes the request if it has no retries or
+// too little time left.
 func (c *Clients) retryOrFinish(t *Attempt, r Reply) {
 	a := t.Request
 	hash := Mix(c.Seed, "again", t.ID)
@@ -366,6 +371,7 @@
 	c.Sched.After(backoff, func() { c.attempt(a, Mix(hash, "mixer")) })
 }
 
+// finish ends a request.
 func (c *Clients) finish(a *Request) {
 	if !a.Finished {
 		a.Finished = true
--- a/internal/lab/model/dist.go
+++ b/internal/lab/model/dist.go
@@ -121,6 +121,7 @@
 	return d, nil
 }
 
+// loadEmpirical reads the values of an empirical distribution from a file.
 func (d *Dist) loadEmpirical(file, dir string) error {
 	if !strings.HasPrefix(file, "/") && dir != "" {
 		file = dir + "/" + file
--- a/internal/lab/model/list.go
+++ b/internal/lab/model/list.go
@@ -139,6 +139,7 @@
 	l.publishLater([]Entry{e})
 }
 
+// publishLater publishes changes after the lag, and after all earlier changes.
 func (l *List) publishLater(changes []Entry) {
 	if len(changes) == 0 {
 		return
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -81,7 +81,7 @@
 // A server with too many pending parts works slower; a part cancelled while it waits never
 // runs; a part that hangs stays pending; a pause delays everything and answers nothing
 // meanwhile.
-func TestServerTrouble(t *testing.T) {
+func TestServerFaults(t *testing.T) {
 	l, s, got := newTestServer(Spec{Cores: 1, Speed: 1, QueueLimit: 50, Queue: FIFO, Knee: 1, KneeLoss: 1})
 	j := submitAt(l, s, got, 1*ms, "given-up", "x", 10*ms)
 	submitAt(l, s, got, 0, "a", "x", 10*ms)
@@ -123,7 +123,7 @@
 
 // A server in slow start warms up with time; overloaded, it crashes and restarts. If two
 // faults keep it down, it restarts only after both have ended.
-func TestCold(t *testing.T) {
+func TestSlowStart(t *testing.T) {
 	cold := SlowStart{InitialShare: 0.2, WarmupTime: 10 * time.Second, OverloadMultiple: 2, OverloadWindow: time.Second, Downtime: 500 * ms}
 	l, s, got := newTestServer(Spec{Cores: 1, Speed: 1, QueueLimit: 1000, Queue: FIFO, SlowStart: cold})
 	overloads, ups := 0, 0
--- a/internal/lab/model/server.go
+++ b/internal/lab/model/server.go
@@ -98,7 +98,7 @@
 	Paused int     // number of active pauses
 	Slow   float64 // product of the factors; 0 counts as 1
 	Hang   map[string]float64
-	Fail   map[string]float64 // share of the parts by class; "": all
+	Fail   map[string]float64 // Hang and Fail: affected share of the parts by class; "": all
 	Busy   int
 }
 
@@ -148,12 +148,14 @@
 	stats        Stats
 }
 
+// keyUse is one use of a cache key.
 type keyUse struct {
 	key string
 	seq int64
 	at  time.Duration
 }
 
+// sentWork is the work of one part that was sent during slow start.
 type sentWork struct {
 	at   time.Duration
 	work float64
@@ -292,6 +294,7 @@
 	s.stats.MaxPending = max(s.stats.MaxPending, s.Pending())
 }
 
+// slots returns the number of parts that can be in service.
 func (s *Server) slots() int { return max(s.Slots, s.Cores) }
 
 // overloads adds a part to the work sent during slow start and reports whether the server
@@ -431,6 +434,7 @@
 // order of remaining service: one heap by the service time at completion, and one timer for
 // the first (processor sharing by virtual time, Zhang 1990).
 
+// start starts to run a part.
 func (s *Server) start(j *Job) {
 	s.advance()
 	j.state = running
@@ -562,6 +566,7 @@
 	}
 }
 
+// end ends a part and reports its result.
 func (s *Server) end(j *Job, e End) {
 	j.state = finished
 	switch e {
@@ -577,6 +582,7 @@
 	}
 }
 
+// less orders running parts by completion.
 func (s *Server) less(a, b *Job) bool {
 	return a.finish < b.finish || a.finish == b.finish && a.seq < b.seq
 }
@@ -613,6 +619,7 @@
 	}
 }
 
+// removeFromHeap removes a running part.
 func (s *Server) removeFromHeap(j *Job) {
 	i, last := j.index, len(s.heap)-1
 	s.heap[i] = s.heap[last]
--- a/internal/lab/model/shared_test.go
+++ b/internal/lab/model/shared_test.go
@@ -56,7 +56,7 @@
 }
 
 // The shards of a query are consecutive, and requests with the same key need the same shards.
-func TestRowsAndKeys(t *testing.T) {
+func TestContiguousShardsAndKeys(t *testing.T) {
 	class := &Class{Name: "x", Parts: 4, MaxParts: 7, Contiguous: true, Shards: 48, Zipf: NewZipf(48, 0.3, 1), Keys: NewZipf(50, 0.5, 1), Timeout: time.Second, Value: 1,
 		Arrivals: Arrivals{Rate: 50}}
 	byKey, sizes := make(map[string][]int), make(map[int]bool)
--- a/internal/lab/scenario/file.go
+++ b/internal/lab/scenario/file.go
@@ -361,6 +361,7 @@
 	return out, nil
 }
 
+// mergeSections adds sections to a document; their keys override those of existing sections.
 func mergeSections(doc *inifile.Doc, sections []*inifile.Section) {
 	for _, s := range sections {
 		i := slices.IndexFunc(doc.Sections, func(o *inifile.Section) bool { return o.Name == s.Name })
--- a/internal/lab/scenario/plan.go
+++ b/internal/lab/scenario/plan.go
@@ -24,6 +24,7 @@
 	MaxParts   = 400_000_000
 )
 
+// decodeScenario decodes and validates the sections of a document.
 func decodeScenario(file string, doc *inifile.Doc) (*Scenario, error) {
 	s := &Scenario{File: file, doc: doc}
 	for _, into := range []any{&s.Proxies, &s.Settings, &s.Network, &s.Clients, &s.Load, &s.List, &s.Members, &s.Levels, &s.Expect} {
@@ -146,6 +147,7 @@
 	return sec.Errorf("", "unknown section; the sections are include, vary, scenario, mixers, settings, fleet, group NAME, network, link A B, clients, class NAME, load, burst NAME, tenant NAME, list, members, source NAME, levels, level NAME, fault NAME, expect")
 }
 
+// check validates the keys of a class.
 func (c *Class) check(sec *inifile.Section) error {
 	dir := filepath.Dir(sec.File)
 	switch {
@@ -406,6 +408,7 @@
 	return out
 }
 
+// fault converts a fault and resolves its targets.
 func (s *Scenario) fault(x Fault, servers []model.Spec) (*model.Fault, error) {
 	f := &model.Fault{Name: x.Name, Do: x.Do, At: x.At, For: x.For, Every: x.Every, Times: x.Times, Chance: x.Chance, Share: x.Share, Stagger: x.Stagger,
 		Class: x.Class, PartShare: x.PartShare, Factor: x.Factor, Warm: x.Warm, Both: x.Both, Source: x.Source, SwitchTo: x.SwitchTo, Delay: x.Delay}
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -13,7 +13,7 @@
 
 // An invalid value is an error that names file, section, key and line; it never makes a run
 // hang.
-func TestBad(t *testing.T) {
+func TestInvalidScenarios(t *testing.T) {
 	for text, want := range map[string]string{
 		"":                                                                     "no section [scenario]",
 		"[scenario]\nname = x\n":                                               "no section [class NAME]",
@@ -54,7 +54,7 @@
 
 // A file overrides what it includes; errors name the file that they are in; the variations are
 // all combinations.
-func TestLayers(t *testing.T) {
+func TestIncludesAndVariations(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, text string) string {
 		file := filepath.Join(dir, name)
--- a/internal/lab/virtual/link.go
+++ b/internal/lab/virtual/link.go
@@ -105,6 +105,7 @@
 	p.exchange.AttemptEnded(a, v, nil, "")
 }
 
+// trace writes a line to the trace of a query.
 func (p *proxy) trace(a *exchange.Attempt, what, detail string) {
 	if t := p.w.opt.Trace; t != nil {
 		ask, _, _ := strings.Cut(a.PartID, "-")
@@ -144,6 +145,8 @@
 	}
 }
 
+// sendOrQueue sends an attempt, or queues it until a connection is open. A connection that was
+// idle for too long is replaced.
 func (l *link) sendOrQueue(a *exchange.Attempt, firstOfCall bool) {
 	now := l.proxy.w.loop.Now()
 	maxIdle := time.Duration(float64(l.proxy.w.plan.Settings.Keepalive) * idleFraction)
@@ -256,6 +259,7 @@
 	}, f.generation)
 }
 
+// recordRun records for the judge that a part has run.
 func recordRun(j *model.Job) { j.Tag.(*flight).judged.Ran() }
 
 // deliver runs arrive at the server after the network delay, in order, unless the network
@@ -300,6 +304,7 @@
 // valueOf returns the value that a server computes for a part; it names both.
 func valueOf(a *exchange.Attempt) string { return a.Server + "/" + a.PartID }
 
+// receiveAnswer ends an attempt with the server's answer.
 func (l *link) receiveAnswer(f *flight, e model.End) {
 	p := l.proxy
 	if p.exchange == nil || l.inFlight[f.a] != f || f.generation != l.generation {
--- a/internal/lab/virtual/proxy.go
+++ b/internal/lab/virtual/proxy.go
@@ -16,6 +16,7 @@
 	"saddleport/internal/lab/model"
 )
 
+// proxy is one proxy process, or the absence of one while it is down.
 type proxy struct {
 	w            *world
 	n            int
@@ -58,6 +59,7 @@
 	})
 }
 
+// runExchange runs the exchange and sets the timer for its next run.
 func (p *proxy) runExchange() {
 	p.wakePending = false
 	next, due := p.exchange.Turn()
@@ -83,6 +85,7 @@
 
 // ---- Starts and stops.
 
+// start starts the process with new decisions and an empty list.
 func (p *proxy) start() error {
 	w := p.w
 	p.incarnation++
@@ -141,6 +144,7 @@
 	p.stopIfDrained()
 }
 
+// stopIfDrained ends a draining process that has nothing left to answer.
 func (p *proxy) stopIfDrained() {
 	if p.draining && p.exchange != nil && p.exchange.Open() == 0 && len(p.attempts) == 0 {
 		p.endProcess()
@@ -218,6 +222,7 @@
 
 // ---- Queries.
 
+// receiveQuery submits a client's query to the exchange.
 func (p *proxy) receiveQuery(a *clientAttempt) {
 	w := p.w
 	if p.exchange == nil || a.finished {
--- a/internal/lab/virtual/shared_test.go
+++ b/internal/lab/virtual/shared_test.go
@@ -94,7 +94,7 @@
 
 // The result of the tenants and of the worst ten seconds is recorded; without tenants the
 // tenant result is 1.
-func TestWorst(t *testing.T) {
+func TestWorstSpanAndTenant(t *testing.T) {
 	r := play(t, ringScenario+"[burst b]\nat = 5s\nfor = 10s\nfactor = 6\ntenant = small\n", Options{KeepRows: true})
 	over := 0
 	for _, q := range r.Queries {
--- a/internal/lab/virtual/sources.go
+++ b/internal/lab/virtual/sources.go
@@ -43,6 +43,7 @@
 
 func (w *world) hasSources() bool { return len(w.plan.Members.Sources) > 0 }
 
+// buildSources connects the lists of the scenario to the proxies' merges.
 func (w *world) buildSources() {
 	for i, l := range w.lists {
 		s := &source{list: l, entries: slices.Clone(l.Entries()), index: 1}
@@ -61,6 +62,7 @@
 	w.loop.Post(idleAnswerInterval, w.sendIdleAnswers)
 }
 
+// sendIdleAnswers sends an answer without changes from every source to every proxy.
 func (w *world) sendIdleAnswers() {
 	for i := range w.sources {
 		for _, p := range w.proxies {
@@ -142,6 +144,7 @@
 	p.observeLater(o)
 }
 
+// claim converts a list entry to the claim that a source makes about the server.
 func (w *world) claim(e model.Entry) membership.Claim {
 	spec := &w.plan.Servers[e.Server]
 	c := membership.Claim{Name: spec.Name, Addresses: []string{spec.Name}, Site: spec.Site, Kind: spec.Group, Cell: (spec.Cell + e.CellShift) % w.plan.Groups[0].Cells,
--- a/internal/lab/virtual/virtual.go
+++ b/internal/lab/virtual/virtual.go
@@ -88,6 +88,7 @@
 	ChangeSettings func(*settings.Settings)                                                     // changes the proxies' settings
 }
 
+// world is the complete state of a run.
 type world struct {
 	World
 	ctx             context.Context
@@ -198,6 +199,7 @@
 
 func (w *world) time() time.Time { return epoch.Add(w.loop.Now()) }
 
+// recordEvent adds an event to the record of the run.
 func (w *world) recordEvent(format string, args ...any) {
 	w.recorder.Event(w.loop.Now(), fmt.Sprintf(format, args...))
 }
@@ -325,6 +327,7 @@
 	}
 }
 
+// serverUp handles the start of a server's process.
 func (w *world) serverUp(server int) {
 	w.recordEvent("%s runs again", w.Servers[server].Name)
 	w.judge.Restarted(w.Servers[server].Name, len(w.proxies))
@@ -342,6 +345,7 @@
 
 var states = map[model.Status]choice.State{model.Serving: choice.Ready, model.Draining: choice.Draining, model.Deleted: choice.Gone}
 
+// row converts a list entry to the form that the decisions take.
 func (w *world) row(e model.Entry) choice.Server {
 	spec := &w.plan.Servers[e.Server]
 	row := choice.Server{ID: spec.Name, Zone: spec.Site, Kind: spec.Group, Cell: spec.Cell, State: states[e.Status], Scale: 1}
@@ -403,6 +407,7 @@
 
 // ---- Clients.
 
+// updateBalanced updates the proxies that the load balancer sends queries to.
 func (w *world) updateBalanced() {
 	w.balancedProxies = w.balancedProxies[:0]
 	for _, p := range w.proxies {
@@ -412,6 +417,7 @@
 	}
 }
 
+// selectProxy returns the proxy that the load balancer selects, or -1 if none is available.
 func (w *world) selectProxy(draw uint64) int {
 	if len(w.balancedProxies) == 0 {
 		return -1
@@ -435,6 +441,7 @@
 	finished    bool
 }
 
+// sendQuery sends a client's attempt to its proxy.
 func (w *world) sendQuery(t *model.Attempt) {
 	p := w.proxies[t.Proxy]
 	a := &clientAttempt{t: t, proxy: p}
--- a/internal/lab/virtual/virtual_test.go
+++ b/internal/lab/virtual/virtual_test.go
@@ -163,7 +163,7 @@
 
 // The same scenario and seed give the same bytes, also on one core, and another seed
 // gives different ones.
-func TestSameBytes(t *testing.T) {
+func TestDeterministicOutput(t *testing.T) {
 	text := small + `[fault q]
 do = die
 at = 3s
@@ -224,7 +224,7 @@
 }
 
 // A run with too many events is stopped with an error; a cancelled run ends at once.
-func TestEnds(t *testing.T) {
+func TestRunEndsEarly(t *testing.T) {
 	doc, err := scenario.Parse("test.ini", []byte(small))
 	require.NoError(t, err)
 	s, err := doc.Scenario(nil)
