--- a/cmd/agent/main.go
+++ b/cmd/agent/main.go
@@ -1,5 +1,5 @@
-// Command agent runs beside a proxy: it keeps the link to the control plane and feeds the
-// proxy over loopback.
+// Command agent runs beside a proxy: it maintains the connection to the control plane and
+// serves configuration updates to the proxy over loopback.
 package main
 
 import "saddleport/internal/node/cli"
--- a/cmd/controlplane/main.go
+++ b/cmd/controlplane/main.go
@@ -1,5 +1,5 @@
-// Command controlplane takes heartbeats of servers and configurations of operators, keeps
-// them on disk and brings them to all agents.
+// Command controlplane receives the heartbeats of servers and the configurations of operators,
+// stores them on disk and distributes them to all agents.
 package main
 
 import "saddleport/internal/node/cli"
--- a/cmd/lens/main.go
+++ b/cmd/lens/main.go
@@ -1,5 +1,5 @@
-// Command lens is the old name of saddlectl, kept for one version. It starts saddlectl, which
-// stands in the same folder.
+// Command lens is the old name of saddlectl, kept for one version. It executes saddlectl from
+// its own directory.
 package main
 
 import (
@@ -11,19 +11,19 @@
 )
 
 func main() {
-	if err := runNew(); err != nil {
+	if err := execSaddlectl(); err != nil {
 		fmt.Fprintln(os.Stderr, "lens:", err)
 		os.Exit(1)
 	}
 }
 
-// runNew replaces this process by saddlectl, under the old name so that it says what it is
-// called now.
-func runNew() error {
-	self, err := os.Executable()
+// execSaddlectl replaces this process by saddlectl. It passes the old name on as the first
+// argument, so that saddlectl prints a warning with the new name. It returns only on an error.
+func execSaddlectl() error {
+	executable, err := os.Executable()
 	if err != nil {
 		return err
 	}
-	path := filepath.Join(filepath.Dir(self), "saddlectl")
-	return errors.Join(errors.New("start saddlectl in its place"), syscall.Exec(path, os.Args, os.Environ()))
+	path := filepath.Join(filepath.Dir(executable), "saddlectl")
+	return errors.Join(errors.New("cannot execute saddlectl"), syscall.Exec(path, os.Args, os.Environ()))
 }
--- a/cmd/proxy/main.go
+++ b/cmd/proxy/main.go
@@ -1,4 +1,5 @@
-// Command proxy takes requests of clients, sends them to servers and answers them.
+// Command proxy receives requests from clients, forwards them to servers and returns the
+// answers.
 package main
 
 import "saddleport/internal/node/cli"
--- a/cmd/saddlectl/main.go
+++ b/cmd/saddlectl/main.go
@@ -1,5 +1,6 @@
-// Command saddlectl is the toolbox of the system: it checks files, looks at running
-// processes, searches the control plane for broken rules and measures.
+// Command saddlectl is the operators' and developers' tool: it checks files, inspects running
+// processes, searches schedules of the control plane for violated invariants, and runs
+// measurements, the demo and soak tests.
 package main
 
 import (
@@ -19,11 +20,11 @@
 	if name := filepath.Base(os.Args[0]); name == "lens" {
 		cli.WarnOldName(name, "saddlectl")
 	}
-	toolbox := cli.Toolbox()
+	root := cli.Toolbox()
 	measure := measure.Command()
 	measure.AddCommand(testcluster.Command(), answers.Command())
-	toolbox.AddCommand(modelcheck.Command(), measure, testcluster.DemoCommand(), soak.Command())
-	if err := toolbox.Execute(); err != nil {
+	root.AddCommand(modelcheck.Command(), measure, testcluster.DemoCommand(), soak.Command())
+	if err := root.Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "saddlectl:", err)
 		os.Exit(soak.ExitCode(err))
 	}
--- a/cmd/saddleport/standing_test.go
+++ b/cmd/saddleport/standing_test.go
@@ -1,11 +1,10 @@
 package main
 
-// This file holds the mixer to what the operators' full-size bench needs of a
-// process (docs/design/standing.md): built with cgo and the external linker so
-// that it is linked dynamically against the C library, and nothing in it that
-// starts another program, forks, or moves bytes by splice, sendfile or
-// io_uring. It reads the deploy file, the import graph and the built binary;
-// it must never start the mixer.
+// The tests in this file check the requirements of the operators' full-size bench
+// (docs/design/standing.md): the proxy is built with cgo and the external linker, so that
+// it is linked dynamically against the C library, and it contains no code that starts
+// another program, forks, or moves bytes by splice, sendfile or io_uring. The tests read
+// the deploy file, the import graph and the built binary; they never start the proxy.
 
 import (
 	"bytes"
@@ -22,8 +21,8 @@
 
 const root = "../.."
 
-// TestBuildLineLinksExternally reads deploy/balancer.toml: the build turns cgo
-// on and asks for the external linker, and run ends by exec.
+// TestBuildLineLinksExternally checks in deploy/balancer.toml that the build line enables
+// cgo and the external linker, and that the run line replaces the shell by exec.
 func TestBuildLineLinksExternally(t *testing.T) {
 	raw, err := os.ReadFile(filepath.Join(root, "deploy", "balancer.toml"))
 	require.NoError(t, err)
@@ -33,36 +32,36 @@
 	require.Contains(t, string(build[1]), "-ldflags=-linkmode=external")
 	run := regexp.MustCompile(`(?m)^run = "([^"]*)"`).FindSubmatch(raw)
 	require.NotNil(t, run, "deploy/balancer.toml: no run line")
-	require.True(t, strings.HasPrefix(string(run[1]), "exec "), "run must end in one process by exec: %q", run[1])
+	require.True(t, strings.HasPrefix(string(run[1]), "exec "), "the run line must start a single process by exec: %q", run[1])
 	require.NotContains(t, string(run[1]), "&", "run must not start a second process")
 	require.NotContains(t, string(run[1]), "|", "run must not start a second process")
 }
 
-// refused are the packages whose use the bench's system-call filter refuses:
+// forbiddenPackages lists packages that make system calls which the bench's filter rejects:
 // they start programs or load code from disk.
-var refused = []string{"os/exec", "plugin"}
+var forbiddenPackages = []string{"os/exec", "plugin"}
 
-// TestMixerImportsNothingRefused walks the mixer's import graph.
-func TestMixerImportsNothingRefused(t *testing.T) {
+// TestProxyImportsNoForbiddenPackage checks the import graph of the proxy.
+func TestProxyImportsNoForbiddenPackage(t *testing.T) {
 	if _, err := exec.LookPath("go"); err != nil {
 		t.Fatalf("the go tool is needed to read the import graph: %v", err)
 	}
 	out, err := exec.Command("go", "list", "-deps", "saddleport/cmd/saddleport").Output()
 	require.NoError(t, err)
 	deps := strings.Fields(string(out))
-	require.Contains(t, deps, "saddleport/internal/exchange", "the graph looks wrong")
-	for _, p := range refused {
-		require.NotContains(t, deps, p, "the mixer imports %s", p)
+	require.Contains(t, deps, "saddleport/internal/exchange", "the import graph must contain the exchange")
+	for _, p := range forbiddenPackages {
+		require.NotContains(t, deps, p, "the proxy imports %s", p)
 	}
 }
 
-// forbidden are calls in the mixer's own code that fork, start a program or
-// hand bytes between descriptors in the kernel.
-var forbidden = regexp.MustCompile(`\b(syscall\.ForkExec|syscall\.Exec|os\.StartProcess|unix\.Splice|unix\.Sendfile|syscall\.Sendfile|syscall\.Splice|unix\.Tee|io_uring|unix\.Fork)\b`)
+// forbiddenCalls matches calls that fork, start a program or move bytes between file
+// descriptors inside the kernel.
+var forbiddenCalls = regexp.MustCompile(`\b(syscall\.ForkExec|syscall\.Exec|os\.StartProcess|unix\.Splice|unix\.Sendfile|syscall\.Sendfile|syscall\.Splice|unix\.Tee|io_uring|unix\.Fork)\b`)
 
-// TestMixerSourceCallsNothingRefused reads the Go files of the mixer's own
-// packages (tests aside).
-func TestMixerSourceCallsNothingRefused(t *testing.T) {
+// TestProxySourceMakesNoForbiddenCall searches the Go files of this module's packages that
+// the proxy imports, without their tests.
+func TestProxySourceMakesNoForbiddenCall(t *testing.T) {
 	out, err := exec.Command("go", "list", "-deps", "-f", "{{if .Module}}{{if eq .Module.Path \"saddleport\"}}{{.Dir}}{{end}}{{end}}", "saddleport/cmd/saddleport").Output()
 	require.NoError(t, err)
 	dirs := strings.Fields(string(out))
@@ -77,24 +76,24 @@
 			src, err := os.ReadFile(f)
 			require.NoError(t, err)
 			for i, line := range bytes.Split(src, []byte("\n")) {
-				if m := forbidden.Find(line); m != nil {
-					t.Errorf("%s:%d calls %s, which the standing bench refuses", f, i+1, m)
+				if m := forbiddenCalls.Find(line); m != nil {
+					t.Errorf("%s:%d calls %s, which the bench's system-call filter rejects", f, i+1, m)
 				}
 			}
 		}
 	}
 }
 
-// TestBuiltMixerIsDynamic reads bin/saddleport as the deploy build left it:
-// an interpreter and libc among the needed libraries. CI builds before it
-// tests; elsewhere a missing binary is told, not failed.
-func TestBuiltMixerIsDynamic(t *testing.T) {
+// TestBuiltProxyIsDynamic checks that bin/saddleport, as the deploy build made it, names an
+// interpreter and needs libc. CI runs the build before the tests; elsewhere the test is
+// skipped if the binary is missing.
+func TestBuiltProxyIsDynamic(t *testing.T) {
 	path := filepath.Join(root, "bin", "saddleport")
 	if _, err := os.Stat(path); err != nil {
 		if os.Getenv("CI") != "" {
-			t.Fatalf("CI runs the deploy build first, and %s is missing", path)
+			t.Fatalf("%s is missing, although CI runs the deploy build before the tests", path)
 		}
-		t.Skipf("%s not built; run the deploy build", path)
+		t.Skipf("%s is not built; run the deploy build", path)
 	}
 	f, err := elf.Open(path)
 	require.NoError(t, err)
@@ -105,7 +104,7 @@
 			interp = true
 		}
 	}
-	require.True(t, interp, "%s has no interpreter: linked statically", path)
+	require.True(t, interp, "%s has no interpreter: it is linked statically", path)
 	libs, err := f.ImportedLibraries()
 	require.NoError(t, err)
 	libc := false
@@ -114,5 +113,5 @@
 			libc = true
 		}
 	}
-	require.True(t, libc, "%s does not need libc: %v", path, libs)
+	require.True(t, libc, "%s does not need libc; its libraries: %v", path, libs)
 }
--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -1,5 +1,5 @@
-// Command wirehost plays decision modules on the simulator's wire: batches on
-// standard input, replies on standard output, complaints on standard error.
+// Command wirehost runs the decision logic for the simulator: it reads batches of events from
+// standard input and writes replies to standard output and errors to standard error.
 package main
 
 import (
--- a/internal/app/hooks.go
+++ b/internal/app/hooks.go
@@ -156,7 +156,7 @@
 
 // Ask speaks to the mixer that runs with the operator file, and prints the state
 // of its hooks.
-func (h *HookCommands) Ask(words ...string) error {
+func (h *HookCommands) Call(words ...string) error {
 	if h.Operator == "" {
 		return errors.New("give --operator FILE: its section [control] names the mixer's socket")
 	}
