--- a/internal/app/admin.go
+++ b/internal/app/admin.go
@@ -1,6 +1,6 @@
 package app
 
-// This file asks a running mixer, and tells which build this is.
+// This file implements the commands counters, version and check-config.
 
 import (
 	"errors"
@@ -18,40 +18,40 @@
 	"saddleport/internal/source/consul"
 )
 
-// Counters asks the mixer that runs on a configuration what it has counted.
+// Counters prints the counters of the proxy that runs with the configuration.
 func Counters(w io.Writer, c *Config) error {
 	return countersAt(w, c.listen)
 }
 
 func countersAt(w io.Writer, addr string) error {
-	nc, err := net.DialTimeout("tcp", addr, askTime)
+	conn, err := net.DialTimeout("tcp", addr, requestTimeout)
 	if err != nil {
 		return err
 	}
-	defer nc.Close()
-	nc.SetDeadline(time.Now().Add(askTime))
-	if _, err := nc.Write(httpwire.AppendGet(nil, addr, "/-/counters")); err != nil {
+	defer conn.Close()
+	conn.SetDeadline(time.Now().Add(requestTimeout))
+	if _, err := conn.Write(httpwire.AppendGet(nil, addr, "/-/counters")); err != nil {
 		return err
 	}
-	r := httpwire.NewReader(nc)
-	if err := r.Await(); err != nil {
+	reader := httpwire.NewReader(conn)
+	if err := reader.Await(); err != nil {
 		return err
 	}
-	p, err := r.Response()
-	if err == nil && p.Status != 200 {
-		err = fmt.Errorf("status %d", p.Status)
+	response, err := reader.Response()
+	if err == nil && response.Status != 200 {
+		err = fmt.Errorf("status %d", response.Status)
 	}
 	if err == nil {
-		_, err = w.Write(p.Body)
+		_, err = w.Write(response.Body)
 	}
 	return err
 }
 
-// Version writes which build this is.
+// Version prints the revision and the Go version of this build.
 func Version(w io.Writer) error {
 	revision, info, ok := "unknown", (*debug.BuildInfo)(nil), false
 	if info, ok = debug.ReadBuildInfo(); !ok {
-		return errors.New("no build information")
+		return errors.New("the program has no build information")
 	}
 	for _, s := range info.Settings {
 		if s.Key == "vcs.revision" {
@@ -62,9 +62,10 @@
 	return err
 }
 
-// CheckConfig reads both files and says what is wrong with them. Either may be
-// left out, not both.
-// explain adds what of a deployment's settings the mixer behaves by.
+// CheckConfig checks the configuration and the operator file, with the hook set and the files
+// that they name, and returns the first error. Either path may be empty, but not both. It prints
+// a summary; with explain, it prints the settings that change the proxy's behaviour in place of
+// the configuration's summary.
 func CheckConfig(w io.Writer, config, operator string, explain, asJSON bool) error {
 	if config == "" && operator == "" {
 		return errors.New("nothing to check: give --config, BALANCER_CONFIG or --operator")
@@ -104,10 +105,10 @@
 		hooks = len(set.Hooks)
 	}
 	if slices.Contains(o.Members.Sources, "consul") || o.Consul.RegisterAs != "" {
-		if _, err := consul.New(o.Consul, nil); err != nil { // the files that it names
+		if _, err := consul.New(o.Consul, nil); err != nil { // reads the token and CA files that the section names
 			return err
 		}
 	}
-	_, err = fmt.Fprintf(w, "operator=%s hooks=%d sources=%s\n", operator, hooks, strings.Join(o.ranked(), ","))
+	_, err = fmt.Fprintf(w, "operator=%s hooks=%d sources=%s\n", operator, hooks, strings.Join(o.sourceNames(), ","))
 	return err
 }
--- a/internal/app/config.go
+++ b/internal/app/config.go
@@ -1,7 +1,7 @@
 package app
 
-// This file reads the platform's configuration. It must never fill in what the
-// platform does not say but by the platform's own variables.
+// This file reads the platform's configuration. Values that the file lacks come from the
+// platform's environment variables only; there are no other defaults.
 
 import (
 	"errors"
@@ -20,7 +20,7 @@
 	"saddleport/internal/source/targets"
 )
 
-// Config is what the platform tells a mixer.
+// Config is the configuration that the platform gives a proxy.
 type Config struct {
 	path                    string
 	env                     func(string) string
@@ -30,15 +30,15 @@
 	memoryMB, sockets       int
 	settings                settings.Settings
 	known                   choice.List
-	addrs                   targets.Addrs
-	pace                    downstream.Limits
-	stay                    time.Duration
-	look                    time.Duration // tests: where lists are pushed, how long an answer may take
-	operator                string        // the operator file; empty: none
+	knownAddrs              targets.Addrs
+	clientLimits            downstream.Limits
+	connGrace               time.Duration
+	pollTimeout             time.Duration // set by tests: timeout of a poll of the agent that pushes lists; 0: the default
+	operator                string        // path of the operator file; empty if there is none
 }
 
-// Load reads the configuration; the platform's variables stand in for what it
-// does not say.
+// Load reads the configuration. The platform's environment variables, which env returns, replace
+// the name and addresses that the file lacks.
 func Load(path string, env func(string) string) (*Config, error) {
 	if path == "" {
 		return nil, errors.New("no configuration: give --config or BALANCER_CONFIG")
@@ -47,11 +47,11 @@
 	if err != nil {
 		return nil, err
 	}
-	c, err := decode(text, env)
+	cfg, err := decode(text, env)
 	if err == nil {
-		c.path, c.env = path, env
+		cfg.path, cfg.env = path, env
 	}
-	return c, err
+	return cfg, err
 }
 
 func decode(text []byte, env func(string) string) (*Config, error) {
@@ -59,58 +59,58 @@
 	if !gjson.ValidBytes(text) || !doc.IsObject() {
 		return nil, errors.New("configuration: not a JSON object")
 	}
-	told := func(field, variable string) string {
+	setting := func(field, variable string) string {
 		if v := doc.Get(field); v.Exists() {
 			return v.String()
 		}
 		return env(variable)
 	}
-	c := &Config{pace: downstream.DefaultLimits, stay: stayTime, name: told("name", "BALANCER_NAME"), listen: told("listen", "BALANCER_LISTEN"),
-		discovery: told("discovery", "BALANCER_DISCOVERY")}
-	for field, addr := range map[string]string{"listen": c.listen, "discovery": c.discovery} {
+	cfg := &Config{clientLimits: downstream.DefaultLimits, connGrace: defaultConnGrace, name: setting("name", "BALANCER_NAME"), listen: setting("listen", "BALANCER_LISTEN"),
+		discovery: setting("discovery", "BALANCER_DISCOVERY")}
+	for field, addr := range map[string]string{"listen": cfg.listen, "discovery": cfg.discovery} {
 		if _, _, err := net.SplitHostPort(addr); err != nil {
 			return nil, &settings.FieldError{Path: field, Problem: fmt.Sprintf("%q is not an address", addr)}
 		}
 	}
 	var err error
-	if c.seed, err = strconv.ParseUint(doc.Get("seed").String(), 16, 64); err != nil {
+	if cfg.seed, err = strconv.ParseUint(doc.Get("seed").String(), 16, 64); err != nil {
 		return nil, &settings.FieldError{Path: "seed", Problem: "not 16 hex digits"}
 	}
-	number := func(path string, least, most float64) float64 {
+	number := func(path string, lowest, highest float64) float64 {
 		v := doc.Get(path)
-		if err == nil && (v.Type != gjson.Number || v.Num < least || v.Num > most) {
-			err = &settings.FieldError{Path: path, Problem: fmt.Sprintf("%q is not a number within %v to %v", v.Raw, least, most)}
+		if err == nil && (v.Type != gjson.Number || v.Num < lowest || v.Num > highest) {
+			err = &settings.FieldError{Path: path, Problem: fmt.Sprintf("%q is not a number within %v to %v", v.Raw, lowest, highest)}
 		}
 		return v.Num
 	}
-	c.cores = number("limits.cores", 0.01, 1024)
-	c.memoryMB = int(number("limits.memory_mb", 16, 1<<20))
-	c.sockets = int(number("limits.sockets", spareFiles+2*leafShare, 1<<20))
+	cfg.cores = number("limits.cores", 0.01, 1024)
+	cfg.memoryMB = int(number("limits.memory_mb", 16, 1<<20))
+	cfg.sockets = int(number("limits.sockets", reservedFiles+2*serverConnsDivisor, 1<<20))
 	if err != nil {
 		return nil, err
 	}
 	if !doc.Get("settings").IsObject() {
 		return nil, &settings.FieldError{Path: "settings", Problem: "not an object"}
 	}
-	if c.settings, err = settings.Decode(settings.Flatten(doc.Get("settings"))); err != nil {
+	if cfg.settings, err = settings.Decode(settings.Flatten(doc.Get("settings"))); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	if known := doc.Get("known"); known.Type != gjson.Null { // neither absent nor null
-		if c.known, c.addrs, err = targets.Parse([]byte(known.Raw), c.settings.Router.Cells, true); err != nil {
+	if list := doc.Get("known"); list.Type != gjson.Null { // neither absent nor null
+		if cfg.known, cfg.knownAddrs, err = targets.Parse([]byte(list.Raw), cfg.settings.Router.Cells, true); err != nil {
 			return nil, fmt.Errorf("known: %w", err)
 		}
 	}
-	c.known.Form = choice.Cached
-	return c, nil
+	cfg.known.Form = choice.Cached
+	return cfg, nil
 }
 
-// Summary is one line on what the configuration holds.
+// Summary returns a line that describes the configuration.
 func (c *Config) Summary() string {
 	return fmt.Sprintf("name=%s listen=%s discovery=%s classes=%d known=%d", c.name, c.listen, c.discovery,
 		len(c.settings.Router.Classes), len(c.known.Servers))
 }
 
-// Check tells whether a mixer could run on the configuration.
+// Check returns an error if a proxy could not run with the configuration.
 func (c *Config) Check() error {
 	_, err := exchange.New(c.seed, c.settings)
 	return err
--- a/internal/app/hooks.go
+++ b/internal/app/hooks.go
@@ -1,7 +1,7 @@
 package app
 
-// This file is what the hooks commands do: offline on a folder, or by the control
-// socket of a running mixer. It must never print a state that it did not ask for.
+// This file implements the hooks commands, which work offline on a directory or send a request
+// to the control socket of a running proxy. Each prints only state that it has just read.
 
 import (
 	"encoding/json"
@@ -18,14 +18,14 @@
 	"saddleport/internal/hook"
 )
 
-// HookCommands are the flags that all hooks commands share.
+// HookCommands implements the hooks commands; its fields are the flags that they share.
 type HookCommands struct {
 	Out              io.Writer
 	Config, Operator string
 	JSON             bool
 }
 
-// loader loads sets as the files say; both files may be missing.
+// loader returns a loader of hook sets for the given files; both files are optional.
 func (h *HookCommands) loader() (*hook.Loader, error) {
 	o, err := LoadOperator(h.Operator)
 	if err != nil {
@@ -48,7 +48,7 @@
 	return e.Encode(v)
 }
 
-// Check loads a set and runs its self-tests.
+// Check loads the hook set in a directory, which runs its self-tests, and prints a summary.
 func (h *HookCommands) Check(dir string) error {
 	l, err := h.loader()
 	if err != nil {
@@ -65,7 +65,8 @@
 	return err
 }
 
-// Test runs a set's self-tests and tells how each went.
+// Test runs the self-tests of a hook set and prints the result of each. It returns an error if one
+// failed.
 func (h *HookCommands) Test(dir string) error {
 	l, err := h.loader()
 	if err != nil {
@@ -95,7 +96,7 @@
 		return failed
 	}
 	t := tabwriter.NewWriter(h.Out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(t, "test\thook\tresult\ttook\t")
+	fmt.Fprintln(t, "test\thook\tresult\tduration\t")
 	for _, r := range results {
 		result := "ok"
 		if r.Err != nil {
@@ -109,7 +110,7 @@
 	return failed
 }
 
-// Run plays one query through a set.
+// Run runs one query, described by a JSON file, through a hook set and prints each hook call.
 func (h *HookCommands) Run(dir, query string) error {
 	l, err := h.loader()
 	if err != nil {
@@ -132,17 +133,17 @@
 		return h.encode(map[string]any{"steps": steps, "end": end})
 	}
 	t := tabwriter.NewWriter(h.Out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(t, "point\tshard\thook\ttook\tasked for\t")
+	fmt.Fprintln(t, "point\tshard\thook\tduration\tresult\t")
 	for _, s := range steps {
 		shard := "-"
 		if s.Part >= 0 {
 			shard = fmt.Sprint(s.Part)
 		}
-		did := s.Answer
+		outcome := s.Answer
 		if s.Fault != "" {
-			did = "FAULT " + s.Fault
+			outcome = "FAULT " + s.Fault
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%v\t%s\t\n", s.Point, shard, s.Hook, s.Took.Round(time.Microsecond), did)
+		fmt.Fprintf(t, "%s\t%s\t%s\t%v\t%s\t\n", s.Point, shard, s.Hook, s.Took.Round(time.Microsecond), outcome)
 		for _, l := range s.Logged {
 			fmt.Fprintf(t, "\t\t\t\tlog: %s\t\n", l)
 		}
@@ -154,27 +155,27 @@
 	return err
 }
 
-// Ask speaks to the mixer that runs with the operator file, and prints the state
-// of its hooks.
-func (h *HookCommands) Call(words ...string) error {
+// Call sends a hooks command to the running proxy whose control socket the operator file names,
+// and prints the state of its hooks.
+func (h *HookCommands) Call(args ...string) error {
 	if h.Operator == "" {
-		return errors.New("give --operator FILE: its section [control] names the mixer's socket")
+		return errors.New("give --operator FILE: its section [control] names the socket of the proxy")
 	}
 	o, err := LoadOperator(h.Operator)
 	if err != nil {
 		return err
 	}
 	var r hook.Report
-	if err := control.Call(o.Control.Socket, &r, append([]string{"hooks"}, words...)...); err != nil {
+	if err := control.Call(o.Control.Socket, &r, append([]string{"hooks"}, args...)...); err != nil {
 		return err
 	}
 	if h.JSON {
 		return h.encode(r)
 	}
 	if r.Set == "" {
-		fmt.Fprintln(h.Out, "no set is in force")
+		fmt.Fprintln(h.Out, "no hook set is loaded")
 	} else {
-		fmt.Fprintf(h.Out, "set %s, version %d, from %s; %d calls run, %d wait\n", r.Set, r.Version, r.Dir, r.Running, r.Waiting)
+		fmt.Fprintf(h.Out, "set %s, version %d, from %s; %d calls running, %d waiting\n", r.Set, r.Version, r.Dir, r.Running, r.Waiting)
 	}
 	if r.Rejected != "" {
 		fmt.Fprintf(h.Out, "the last reload was rejected: %s\n", r.Rejected)
@@ -193,7 +194,7 @@
 			faults += n
 		}
 		if s.QuarantineLeftMS > 0 {
-			s.State += fmt.Sprintf(" (%.1f s more)", float64(s.QuarantineLeftMS)/1000)
+			s.State += fmt.Sprintf(" (%.1f s left)", float64(s.QuarantineLeftMS)/1000)
 		}
 		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\t%d\t%d\t<%d\t<%d\t%s\t\n", s.Name, s.Engine, strings.Join(s.Points, ","), classes,
 			s.OnFailure, s.State, s.Calls, faults, s.P50us, s.P99us, s.Reason)
--- a/internal/app/members.go
+++ b/internal/app/members.go
@@ -1,7 +1,7 @@
 package app
 
-// This file turns the sources of leaf servers on and over, as the operator file says,
-// and is what the members commands do.
+// This file starts, replaces and stops the sources of leaf servers that the operator file
+// configures, and implements the members commands.
 
 import (
 	"encoding/json"
@@ -28,8 +28,9 @@
 	"saddleport/internal/upstream"
 )
 
-// keyed names the key that a settings' check found fault with.
-func keyed(err error) error {
+// keyError turns an error of the form "key: problem", as checks of settings return it, into an
+// operator.KeyError. Other errors stay as they are.
+func keyError(err error) error {
 	if err == nil {
 		return nil
 	}
@@ -41,138 +42,141 @@
 
 func (o *Operator) checkMembers() error {
 	if err := o.Members.Check(); err != nil {
-		return keyed(err)
+		return keyError(err)
 	}
-	for _, s := range o.Members.Sources {
+	for _, source := range o.Members.Sources {
 		switch {
-		case s == "consul" && len(o.Consul.Addrs) == 0:
-			return &operator.KeyError{Key: "sources", Problem: "consul: [consul] addresses names none"}
-		case s == "dns" && (len(o.DNS.Names) == 0 || len(o.DNS.Resolvers) == 0):
-			return &operator.KeyError{Key: "sources", Problem: "dns: [dns] wants names and resolvers"}
+		case source == "consul" && len(o.Consul.Addrs) == 0:
+			return &operator.KeyError{Key: "sources", Problem: "consul: the setting addresses in section [consul] is empty"}
+		case source == "dns" && (len(o.DNS.Names) == 0 || len(o.DNS.Resolvers) == 0):
+			return &operator.KeyError{Key: "sources", Problem: "dns: section [dns] needs names and resolvers"}
 		}
 	}
 	return nil
 }
 
-// ranked are the sources as the merge knows them.
-func (o *Operator) ranked() (out []string) {
-	for _, s := range o.Members.Sources {
-		switch s {
+// sourceNames returns the names that the membership merge has for the configured sources, the
+// highest-ranked first.
+func (o *Operator) sourceNames() (out []string) {
+	for _, source := range o.Members.Sources {
+		switch source {
 		case "consul":
 			out = append(out, consul.Names(o.Consul)...)
 		case "dns":
 			out = append(out, dnssrv.Names(o.DNS)...)
 		default:
-			out = append(out, s)
+			out = append(out, source)
 		}
 	}
 	return out
 }
 
-// memberships is the merge with the sources that feed it.
-type memberships struct {
+// memberSources is the membership merge with the sources that report to it.
+type memberSources struct {
 	*members.Service
 	cfg *Config
 
 	mu      sync.Mutex
-	running map[string]*running // by the operator file's word
-	list    *targets.Watch
+	running map[string]*runningSource // by the source's name in the operator file
+	list    *targets.Watch            // the platform's list; nil if it is not a source
 }
 
-type running struct {
-	set  any // of which it was made
-	stop chan struct{}
-	over chan struct{}
+type runningSource struct {
+	settings any // that the source was started with
+	stop     chan struct{}
+	done     chan struct{} // closed when the source has stopped
 }
 
-// newMembers makes the merge; nothing is asked before start.
-func newMembers(cfg *Config, op *Operator, b *upstream.Pool) (*memberships, error) {
-	s, err := members.New(op.Members.MergeSettings(op.ranked()), cfg.settings.Router.Cells, b)
+// newMemberSources makes the membership merge. apply starts the sources.
+func newMemberSources(cfg *Config, op *Operator, pool *upstream.Pool) (*memberSources, error) {
+	service, err := members.New(op.Members.MergeSettings(op.sourceNames()), cfg.settings.Router.Cells, pool)
 	if err != nil {
 		return nil, err
 	}
 	if cfg.settings.Router.Probes {
-		s.SetProbe(b.Reachable)
+		service.SetProbe(pool.Reachable)
 	}
-	return &memberships{Service: s, cfg: cfg, running: make(map[string]*running)}, nil
+	return &memberSources{Service: service, cfg: cfg, running: make(map[string]*runningSource)}, nil
 }
 
-// apply has the sources run that the operator file names. One whose settings have not
-// changed goes on. After an error all is as before.
-func (m *memberships) apply(op *Operator) error {
+// apply starts the sources that the operator file names and stops all others. A source whose
+// settings have not changed keeps running. If the settings of a source are invalid, apply returns
+// an error before it changes anything.
+func (m *memberSources) apply(op *Operator) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	type making struct {
-		name string
-		set  any
-		run  func(stop <-chan struct{})
+	type plannedSource struct {
+		name     string
+		settings any
+		run      func(stop <-chan struct{}) // nil: the running source stays
 	}
-	var next []making
+	var plannedSources []plannedSource
 	for _, name := range op.Members.Sources {
 		switch name {
 		case "consul":
-			k := making{name: name, set: op.Consul}
-			if r := m.running[name]; r == nil || !reflect.DeepEqual(r.set, k.set) {
+			planned := plannedSource{name: name, settings: op.Consul}
+			if r := m.running[name]; r == nil || !reflect.DeepEqual(r.settings, planned.settings) {
 				c, err := consul.New(op.Consul, m)
 				if err != nil {
 					return err
 				}
-				k.run = c.Run
+				planned.run = c.Run
 			}
-			next = append(next, k)
+			plannedSources = append(plannedSources, planned)
 		case "dns":
-			k := making{name: name, set: op.DNS}
-			if r := m.running[name]; r == nil || !reflect.DeepEqual(r.set, k.set) {
-				k.run = dnssrv.New(op.DNS, m).Run
+			planned := plannedSource{name: name, settings: op.DNS}
+			if r := m.running[name]; r == nil || !reflect.DeepEqual(r.settings, planned.settings) {
+				planned.run = dnssrv.New(op.DNS, m).Run
 			}
-			next = append(next, k)
+			plannedSources = append(plannedSources, planned)
 		default:
-			k := making{name: name}
+			planned := plannedSource{name: name}
 			if m.running[name] == nil {
-				seed := m.cfg.known
-				seed.Form = choice.Cached
-				w := targets.New(targets.Config{Addr: m.cfg.discovery, Cells: m.cfg.settings.Router.Cells, Index: seed.Version,
-					MultiAddress: true, Pushed: m.cfg.settings.Pushed, PollTimeout: m.cfg.look}, members.List{To: m})
-				m.list = w
-				k.run = func(stop <-chan struct{}) {
-					if len(seed.Servers) > 0 {
-						members.List{To: m}.UpdateList(seed, m.cfg.addrs)
+				initial := m.cfg.known
+				initial.Form = choice.Cached
+				watch := targets.New(targets.Config{Addr: m.cfg.discovery, Cells: m.cfg.settings.Router.Cells, Index: initial.Version,
+					MultiAddress: true, Pushed: m.cfg.settings.Pushed, PollTimeout: m.cfg.pollTimeout}, members.List{To: m})
+				m.list = watch
+				planned.run = func(stop <-chan struct{}) {
+					if len(initial.Servers) > 0 {
+						members.List{To: m}.UpdateList(initial, m.cfg.knownAddrs)
 					}
-					w.Watch(true)
-					w.Run(stop)
+					watch.Watch(true)
+					watch.Run(stop)
 				}
 			}
-			next = append(next, k)
+			plannedSources = append(plannedSources, planned)
 		}
 	}
-	// A source that goes, or is made anew, ends before its name means another.
+	// A removed or changed source stops before the merge gets its new settings, so that it can't
+	// report under a name that now belongs to another source.
 	for name, r := range m.running {
-		if i := slices.IndexFunc(next, func(k making) bool { return k.name == name }); i < 0 || next[i].run != nil {
+		if i := slices.IndexFunc(plannedSources, func(planned plannedSource) bool { return planned.name == name }); i < 0 || plannedSources[i].run != nil {
 			close(r.stop)
-			<-r.over
+			<-r.done
 			delete(m.running, name)
 			if name == members.ListName {
 				m.list = nil
 			}
 		}
 	}
-	if err := m.Configure(op.Members.MergeSettings(op.ranked())); err != nil {
+	if err := m.Configure(op.Members.MergeSettings(op.sourceNames())); err != nil {
 		return err
 	}
-	for _, k := range next {
-		if k.run == nil {
+	for _, planned := range plannedSources {
+		if planned.run == nil {
 			continue
 		}
-		r := &running{k.set, make(chan struct{}), make(chan struct{})}
-		m.running[k.name] = r
-		go func() { k.run(r.stop); close(r.over) }()
+		r := &runningSource{planned.settings, make(chan struct{}), make(chan struct{})}
+		m.running[planned.name] = r
+		go func() { planned.run(r.stop); close(r.done) }()
 	}
-	log.Info("sources", "in-force", strings.Join(op.ranked(), ","))
+	log.Info("sources", "in-force", strings.Join(op.sourceNames(), ","))
 	return nil
 }
 
-// moved turns to another discovery service.
-func (m *memberships) moved(addr string) {
+// switchDiscovery makes the platform's list come from another discovery address.
+func (m *memberSources) switchDiscovery(addr string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.list != nil {
@@ -180,21 +184,21 @@
 	}
 }
 
-// end ends the sources.
-func (m *memberships) end() {
+// stopAll stops all sources and waits until they have stopped.
+func (m *memberSources) stopAll() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, r := range m.running {
 		close(r.stop)
 	}
 	for _, r := range m.running {
-		<-r.over
+		<-r.done
 	}
 	clear(m.running)
 }
 
-// page is the endpoint's text.
-func (m *memberships) page() string {
+// reportJSON returns the body of the members endpoint: the report as JSON, or an error's text.
+func (m *memberSources) reportJSON() string {
 	r, err := m.Report("", 10_000)
 	if err != nil {
 		return err.Error()
@@ -206,29 +210,30 @@
 	return string(text)
 }
 
-// ---- The commands.
+// The members commands.
 
-// Members prints what a running mixer believes of its leaf servers: of one, or of
-// all; again and again, with watch, until ctx ends.
+// Members prints the state of the leaf servers in the running proxy whose control socket the
+// operator file names: of one server, or of all if name is empty. With watch, it then prints
+// each change, polling once a second until done is closed.
 func Members(w io.Writer, operatorFile, name string, asJSON, watch bool, done <-chan struct{}) error {
-	o, err := LoadOperator(operatorFile)
+	old, err := LoadOperator(operatorFile)
 	if err != nil {
 		return err
 	}
-	ask := func() (*members.Report, error) {
+	fetch := func() (*members.Report, error) {
 		var r members.Report
-		return &r, control.Call(o.Control.Socket, &r, "members", "show", url.QueryEscape(name))
+		return &r, control.Call(old.Control.Socket, &r, "members", "show", url.QueryEscape(name))
 	}
-	r, err := ask()
+	r, err := fetch()
 	if err != nil {
 		return err
 	}
 	if err := showMembers(w, r, name, asJSON); err != nil || !watch {
 		return err
 	}
-	was := make(map[string]membership.Explanation)
-	for _, b := range r.Members {
-		was[b.Name] = b
+	previous := make(map[string]membership.Explanation)
+	for _, member := range r.Members {
+		previous[member.Name] = member
 	}
 	floor := r.Floor
 	for {
@@ -237,32 +242,32 @@
 			return nil
 		case <-time.After(time.Second):
 		}
-		r, err := ask()
+		r, err := fetch()
 		if err != nil {
 			return err
 		}
-		at := time.Now().Format("15:04:05")
+		timestamp := time.Now().Format("15:04:05")
 		if r.Floor != floor {
 			floor = r.Floor
-			fmt.Fprintf(w, "%s  floor in force: %v\n", at, floor)
+			fmt.Fprintf(w, "%s  floor active: %v\n", timestamp, floor)
 		}
-		now := make(map[string]membership.Explanation)
-		for _, b := range r.Members {
-			now[b.Name] = b
-			if o, had := was[b.Name]; !had || o.State != b.State || o.Reason != b.Reason || o.Cell != b.Cell || !slices.Equal(o.Addresses, b.Addresses) {
+		current := make(map[string]membership.Explanation)
+		for _, member := range r.Members {
+			current[member.Name] = member
+			if old, known := previous[member.Name]; !known || old.State != member.State || old.Reason != member.Reason || old.Cell != member.Cell || !slices.Equal(old.Addresses, member.Addresses) {
 				if asJSON {
-					json.NewEncoder(w).Encode(b)
+					json.NewEncoder(w).Encode(member)
 				} else {
-					fmt.Fprintf(w, "%s  %s  %v  cell %d  %s  (%s)\n", at, b.Name, b.State, b.Cell, strings.Join(b.Addresses, " "), b.Reason)
+					fmt.Fprintf(w, "%s  %s  %v  cell %d  %s  (%s)\n", timestamp, member.Name, member.State, member.Cell, strings.Join(member.Addresses, " "), member.Reason)
 				}
 			}
 		}
-		for name := range was {
-			if _, still := now[name]; !still {
-				fmt.Fprintf(w, "%s  %s  forgotten\n", at, name)
+		for name := range previous {
+			if _, present := current[name]; !present {
+				fmt.Fprintf(w, "%s  %s  forgotten\n", timestamp, name)
 			}
 		}
-		was = now
+		previous = current
 	}
 }
 
@@ -272,78 +277,78 @@
 		e.SetIndent("", "  ")
 		return e.Encode(r)
 	}
-	span := func(us int64) string {
+	formatAge := func(us int64) string {
 		return (time.Duration(us) * time.Microsecond).Round(100 * time.Millisecond).String()
 	}
-	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
+	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	if name == "" {
-		fmt.Fprintf(w, "%d ready, %d draining, %d withheld, %d gone; %d changes, %d returns held back for flapping", r.Ready, r.Draining, r.Withheld, r.Gone, r.Changes, r.Damped)
+		fmt.Fprintf(w, "%d ready, %d draining, %d withheld, %d gone; %d changes, %d returns delayed by flap damping", r.Ready, r.Draining, r.Withheld, r.Gone, r.Changes, r.Damped)
 		if r.Floor {
-			fmt.Fprint(w, "; FLOOR IN FORCE: a mass disappearance is not believed yet")
+			fmt.Fprint(w, "; FLOOR ACTIVE: servers that disappeared together are kept for now")
 		}
 		fmt.Fprintln(w)
 		if r.Refused+r.Skipped > 0 {
-			fmt.Fprintf(w, "%d servers were beyond most-servers, %d said to be in cells that are not there\n", r.Refused, r.Skipped)
+			fmt.Fprintf(w, "%d servers rejected beyond most-servers, %d skipped because their cell does not exist\n", r.Refused, r.Skipped)
 		}
-		fmt.Fprintln(t, "source\theard\tlast answer\tindex\tservers\tcalls\tfailed\tolder news\t")
+		fmt.Fprintln(table, "source\tresponsive\tlast answer\tindex\tservers\tcalls\tfailed\tstale answers\t")
 		for _, s := range r.Sources {
-			heard, age := "yes", "never"
+			responsive, age := "yes", "never"
 			if !s.Responsive {
-				heard = "SILENT"
+				responsive = "SILENT"
 			}
 			if s.Age >= 0 {
-				age = span(s.Age) + " ago"
+				age = formatAge(s.Age) + " ago"
 			}
-			fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%d\t%d\t%d\t%d\t\n", s.Name, heard, age, s.Index, s.Servers, s.Calls, s.Failed, s.Old)
+			fmt.Fprintf(table, "%s\t%s\t%s\t%d\t%d\t%d\t%d\t%d\t\n", s.Name, responsive, age, s.Index, s.Servers, s.Calls, s.Failed, s.Old)
 		}
-		if err := t.Flush(); err != nil {
+		if err := table.Flush(); err != nil {
 			return err
 		}
 		fmt.Fprintln(w)
 	}
-	t = tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(t, "server\tstate\tcell\taddresses\twhy\tsources\t")
-	for _, b := range r.Members {
-		var says []string
-		for _, x := range b.Reports {
-			word := "names it"
+	table = tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(table, "server\tstate\tcell\taddresses\treason\tsources\t")
+	for _, member := range r.Members {
+		var reports []string
+		for _, report := range member.Reports {
+			claim := "listed"
 			switch {
-			case x.Dropped:
-				word = "dropped it"
-			case x.Drain:
-				word = "drain"
-			case x.Health == membership.Critical:
-				word = "critical"
-			case x.Health == membership.Warning:
-				word = "warning"
+			case report.Dropped:
+				claim = "dropped"
+			case report.Drain:
+				claim = "drain"
+			case report.Health == membership.Critical:
+				claim = "critical"
+			case report.Health == membership.Warning:
+				claim = "warning"
 			}
-			if !x.Responsive {
-				word += " (silent)"
+			if !report.Responsive {
+				claim += " (unresponsive)"
 			}
-			says = append(says, x.Source+": "+word)
+			reports = append(reports, report.Source+": "+claim)
 		}
-		fmt.Fprintf(t, "%s\t%v\t%d\t%s\t%s\t%s\t\n", b.Name, b.State, b.Cell, strings.Join(b.Addresses, " "), b.Reason, strings.Join(says, "; "))
+		fmt.Fprintf(table, "%s\t%v\t%d\t%s\t%s\t%s\t\n", member.Name, member.State, member.Cell, strings.Join(member.Addresses, " "), member.Reason, strings.Join(reports, "; "))
 	}
-	if err := t.Flush(); err != nil {
+	if err := table.Flush(); err != nil {
 		return err
 	}
 	if name != "" {
 		fmt.Fprintln(w)
-		t = tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-		fmt.Fprintln(t, "source\theard\tage\tsays\tcell\tchecks\taddresses\t")
-		for _, x := range r.Members[0].Reports {
-			cell, word := "-", "named"
-			if x.HasCell {
-				cell = fmt.Sprint(x.Cell)
+		table = tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
+		fmt.Fprintln(table, "source\tresponsive\tage\treports\tcell\tchecks\taddresses\t")
+		for _, report := range r.Members[0].Reports {
+			cell, claim := "-", "named"
+			if report.HasCell {
+				cell = fmt.Sprint(report.Cell)
 			}
-			if x.Dropped {
-				word = "dropped"
-			} else if x.Drain {
-				word = "draining"
+			if report.Dropped {
+				claim = "dropped"
+			} else if report.Drain {
+				claim = "draining"
 			}
-			fmt.Fprintf(t, "%s\t%v\t%s\t%s\t%s\t%s\t%s\t\n", x.Source, x.Responsive, span(x.Age), word, cell, []string{"-", "passing", "warning", "critical"}[x.Health], strings.Join(x.Addresses, " "))
+			fmt.Fprintf(table, "%s\t%v\t%s\t%s\t%s\t%s\t%s\t\n", report.Source, report.Responsive, formatAge(report.Age), claim, cell, []string{"-", "passing", "warning", "critical"}[report.Health], strings.Join(report.Addresses, " "))
 		}
-		return t.Flush()
+		return table.Flush()
 	}
 	if r.More > 0 {
 		fmt.Fprintf(w, "and %d more; --json or /-/members has up to 10,000\n", r.More)
@@ -351,23 +356,23 @@
 	return nil
 }
 
-// members does what the control socket asks.
-func (m *mixer) membersCommand(words []string) (any, error) {
-	if m.members == nil {
-		return nil, errors.New("this mixer has the platform's list alone: [members] sources names none")
+// membersCommand runs a members command of the control socket.
+func (p *proxy) membersCommand(args []string) (any, error) {
+	if p.members == nil {
+		return nil, errors.New("this proxy has only the platform's list: the setting sources in section [members] is empty")
 	}
 	name := ""
-	if len(words) == 3 {
+	if len(args) == 3 {
 		var err error
-		if name, err = url.QueryUnescape(words[2]); err != nil {
+		if name, err = url.QueryUnescape(args[2]); err != nil {
 			return nil, err
 		}
 	}
-	return m.members.Report(name, 1000)
+	return p.members.Report(name, 1000)
 }
 
-// rooted has paths of the operator file count from its folder.
-func rooted(file string, paths ...*string) {
+// resolvePaths resolves relative paths against the directory of the operator file.
+func resolvePaths(file string, paths ...*string) {
 	for _, p := range paths {
 		if *p != "" && !filepath.IsAbs(*p) {
 			*p = filepath.Join(filepath.Dir(file), *p)
--- a/internal/app/memory.go
+++ b/internal/app/memory.go
@@ -1,27 +1,27 @@
 package app
 
-// This file owns the mixer's reading of its own memory, logged beside the counters
-// so that a long day's curve can be read from the log. It reads the Go runtime's
-// metrics only; it must never read files or start anything (the standing bench
-// refuses both).
+// This file reads the memory use of the proxy, which is logged with the counters so that its
+// course over a day can be seen in the log. It reads only the metrics of the Go runtime: the
+// operators' bench (docs/design/standing.md) rejects reading files and starting programs.
 
 import (
 	"runtime/metrics"
 )
 
-// memoryNames are the runtime's metrics read, in bytes but for goroutines.
-var memoryNames = []string{
-	"/memory/classes/total:bytes",         // all the runtime has mapped
-	"/memory/classes/heap/released:bytes", // of that, given back to the system
-	"/memory/classes/heap/objects:bytes",  // live and not yet swept objects
+// memoryMetrics names the runtime metrics that memoryPairs reads. All but the goroutines are in
+// bytes.
+var memoryMetrics = []string{
+	"/memory/classes/total:bytes",         // all memory that the runtime has mapped
+	"/memory/classes/heap/released:bytes", // the part of it that was returned to the operating system
+	"/memory/classes/heap/objects:bytes",  // live objects, and dead ones that are not swept yet
 	"/sched/goroutines:goroutines",
 }
 
-// memoryPairs returns key=value pairs for the log: held_kb (mapped less released,
-// near what the system counts as resident), heap_kb, mapped_kb, goroutines.
+// memoryPairs returns keys and values for the log: held_kb (mapped minus released memory, close
+// to the resident size that the system counts), heap_kb, mapped_kb and goroutines.
 func memoryPairs() []any {
-	samples := make([]metrics.Sample, len(memoryNames))
-	for i, n := range memoryNames {
+	samples := make([]metrics.Sample, len(memoryMetrics))
+	for i, n := range memoryMetrics {
 		samples[i].Name = n
 	}
 	metrics.Read(samples)
--- a/internal/app/operator.go
+++ b/internal/app/operator.go
@@ -1,7 +1,7 @@
 package app
 
-// This file names the sections of the operator file, and does what it says. A
-// subsystem adds its own by a line in Operator, one in sections and one in apply.
+// This file declares the sections of the operator file and applies them. A subsystem adds its
+// section by a line in Operator, one in sections and one in apply.
 
 import (
 	"errors"
@@ -26,7 +26,7 @@
 	"saddleport/internal/source/segments"
 )
 
-// Operator is what the operator file says.
+// Operator holds the settings of the operator file, one field for each section.
 type Operator struct {
 	File     *operator.File
 	Log      logs.Settings
@@ -47,13 +47,13 @@
 		{Name: "hooks", Help: "hooks of one's own", Into: &o.Hooks, Check: o.Hooks.Check},
 		{Name: "segments", Help: "segments that split, merge and move", Into: &o.Segments, Check: o.checkSegments},
 		{Name: "members", Help: "where leaf servers come from", Into: &o.Members, Check: o.checkMembers},
-		{Name: "consul", Help: "Consul's catalogue and health as a source", Into: &o.Consul, Check: func() error { return keyed(o.Consul.Check()) }},
-		{Name: "dns", Help: "DNS SRV records as a source", Into: &o.DNS, Check: func() error { return keyed(o.DNS.Check()) }},
+		{Name: "consul", Help: "Consul's catalogue and health as a source", Into: &o.Consul, Check: func() error { return keyError(o.Consul.Check()) }},
+		{Name: "dns", Help: "DNS SRV records as a source", Into: &o.DNS, Check: func() error { return keyError(o.DNS.Check()) }},
 		{Name: "levels", Help: "reduced service, by named levels", Into: &o.Levels, Check: o.checkLevels},
 		{Name: "level", Help: "a level of reduced service", ForLabel: func(label string) (any, func() error) {
 			l := &exchange.LevelSettings{Name: label}
 			o.Level = append(o.Level, l)
-			return l, func() error { return keyed(l.Check(nil)) }
+			return l, func() error { return keyError(l.Check(nil)) }
 		}},
 	}
 }
@@ -67,8 +67,8 @@
 	return nil
 }
 
-// LoadOperator reads the operator file; an empty path means that there is none.
-// Paths in it that are not absolute count from its folder.
+// LoadOperator reads the operator file; with an empty path it returns the defaults. Relative
+// paths in the file are resolved against the file's directory.
 func LoadOperator(path string) (*Operator, error) {
 	o := &Operator{}
 	f, err := operator.Load(path, o.sections())
@@ -76,76 +76,77 @@
 		return nil, err
 	}
 	o.File = f
-	rooted(path, &o.Hooks.Dir, &o.Control.Socket, &o.Consul.TokenFile, &o.Consul.CAFile)
+	resolvePaths(path, &o.Hooks.Dir, &o.Control.Socket, &o.Consul.TokenFile, &o.Consul.CAFile)
 	return o, nil
 }
 
-// Engines are the hooks' engines by the manifest's words.
+// Engines returns the hook engines by the names that manifests use.
 func Engines() map[string]hook.Engine {
 	return map[string]hook.Engine{"starlark": starlark.Engine{}, "wasm": &wasm.Engine{}, "wasm-fresh": &wasm.Engine{Fresh: true}}
 }
 
-// Loader loads sets as a mixer with these settings would; without classes, any
-// class may be named.
+// Loader returns a loader of hook sets with the limits of these settings. If classes is empty,
+// hooks may name any class.
 func (o *Operator) Loader(classes []choice.Class) *hook.Loader {
 	return &hook.Loader{Engines: Engines(), Classes: classes, Workers: o.Hooks.Workers, Memory: o.Hooks.Memory}
 }
 
-// apply turns to what the operator file says now. Without a file nothing is
-// touched. A set is loaded while the mixer serves on.
-func (m *mixer) apply(op *Operator) {
-	m.mu.Lock()
-	m.op = op
-	m.mu.Unlock()
+// apply applies the settings of the operator file that may change at run time. Without a file it
+// changes nothing. Hook sets are not loaded here: reload does that in the background.
+func (p *proxy) apply(op *Operator) {
+	p.mu.Lock()
+	p.operator = op
+	p.mu.Unlock()
 	if op.File.Path == "" {
 		return
 	}
 	logs.Apply(op.Log)
-	m.host.Apply(op.Hooks)
-	m.procs()
+	p.hooks.Apply(op.Hooks)
+	p.setMaxProcs()
 }
 
-// procs gives hooks processors of their own: with one, a hook that loops would
-// hold up all until the scheduler takes it away, 10 ms later.
-func (m *mixer) procs() {
-	n := max(1, int(math.Ceil(m.cfg.cores)))
-	if m.op.Hooks.Dir != "" {
-		n += m.op.Hooks.Workers
+// setMaxProcs adds a processor for each hook worker to GOMAXPROCS. With a single processor, a
+// hook in an endless loop would block all other goroutines until the scheduler preempts it
+// after 10 ms.
+func (p *proxy) setMaxProcs() {
+	n := max(1, int(math.Ceil(p.cfg.cores)))
+	if p.operator.Hooks.Dir != "" {
+		n += p.operator.Hooks.Workers
 	}
 	runtime.GOMAXPROCS(n)
 }
 
-// command does what an operator asks on the control socket.
-func (m *mixer) command(words []string) (any, error) {
-	switch line := strings.Join(words, " "); {
+// command runs a command of the control socket and returns its result.
+func (p *proxy) command(args []string) (any, error) {
+	switch line := strings.Join(args, " "); {
 	case line == "hooks list":
-		return m.host.Report(), nil
+		return p.hooks.Report(), nil
 	case line == "hooks reload":
-		if err := m.host.Reload(m.dir()); err != nil {
+		if err := p.hooks.Reload(p.hooksDir()); err != nil {
 			return nil, err
 		}
-		return m.host.Report(), nil
-	case len(words) == 3 && words[0] == "hooks" && (words[1] == "enable" || words[1] == "disable"):
-		if err := m.host.Enable(words[2], words[1] == "enable"); err != nil {
+		return p.hooks.Report(), nil
+	case len(args) == 3 && args[0] == "hooks" && (args[1] == "enable" || args[1] == "disable"):
+		if err := p.hooks.Enable(args[2], args[1] == "enable"); err != nil {
 			return nil, err
 		}
-		return m.host.Report(), nil
-	case len(words) >= 2 && words[0] == "segments" && m.feed == nil:
-		return nil, errors.New("this mixer has no placement feed: [segments] feed names none")
+		return p.hooks.Report(), nil
+	case len(args) >= 2 && args[0] == "segments" && p.feed == nil:
+		return nil, errors.New("this proxy has no placement feed: the setting feed in section [segments] is empty")
 	case line == "segments show":
-		return m.feed.Report(1000), nil
-	case len(words) == 3 && words[0] == "segments" && words[1] == "explain":
-		key, err := url.QueryUnescape(words[2])
+		return p.feed.Report(1000), nil
+	case len(args) == 3 && args[0] == "segments" && args[1] == "explain":
+		key, err := url.QueryUnescape(args[2])
 		if err != nil {
 			return nil, err
 		}
-		return m.feed.Explain(key)
-	case len(words) >= 2 && len(words) <= 3 && words[0] == "members" && words[1] == "show":
-		return m.membersCommand(words)
-	case len(words) >= 2 && words[0] == "level":
-		return m.levelCommand(words[1:])
+		return p.feed.Explain(key)
+	case len(args) >= 2 && len(args) <= 3 && args[0] == "members" && args[1] == "show":
+		return p.membersCommand(args)
+	case len(args) >= 2 && args[0] == "level":
+		return p.levelCommand(args[1:])
 	case line == "counters":
-		return m.x.Counters.String(), nil
+		return p.exchange.Counters.String(), nil
 	}
-	return nil, fmt.Errorf("%.100q: there is no such word", strings.Join(words, " "))
+	return nil, fmt.Errorf("unknown command %.100q", strings.Join(args, " "))
 }
--- a/internal/app/segments.go
+++ b/internal/app/segments.go
@@ -1,6 +1,6 @@
 package app
 
-// This file is what the segments commands do.
+// This file implements the segments commands.
 
 import (
 	"encoding/json"
@@ -16,7 +16,7 @@
 	"saddleport/internal/source/segments"
 )
 
-// SegmentsCheck reads a whole map from a file and says what is wrong with it.
+// SegmentsCheck checks a file with a complete segment map and prints a summary.
 func SegmentsCheck(w io.Writer, file string) error {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -27,7 +27,7 @@
 		return fmt.Errorf("%s: %w", file, err)
 	}
 	if u.Base != 0 {
-		return fmt.Errorf("%s: follows on epoch %d: a whole map is wanted", file, u.Base)
+		return fmt.Errorf("%s: the map is an update of epoch %d; a complete map is required", file, u.Base)
 	}
 	m, err := (*placement.Map)(nil).Apply(&u)
 	if err != nil {
@@ -37,7 +37,8 @@
 	return err
 }
 
-// SegmentsShow prints what a running mixer believes of the map.
+// SegmentsShow prints the segment map of the running proxy whose control socket the operator
+// file names, and the state of its feed.
 func SegmentsShow(w io.Writer, operator string, asJSON bool) error {
 	o, err := LoadOperator(operator)
 	if err != nil {
@@ -52,18 +53,18 @@
 		e.SetIndent("", "  ")
 		return e.Encode(r)
 	}
-	heard := "never heard of"
+	lastAnswer := "no answer yet"
 	if r.HeardMS >= 0 {
-		heard = "last heard of " + (time.Duration(r.HeardMS) * time.Millisecond).Round(100*time.Millisecond).String() + " ago"
+		lastAnswer = "last answer " + (time.Duration(r.HeardMS) * time.Millisecond).Round(100*time.Millisecond).String() + " ago"
 	}
 	if r.Stale {
-		heard += ", STALE"
+		lastAnswer += ", STALE"
 	}
-	fmt.Fprintf(w, "feed %s: %s; %d calls, %d spared, %d maps refused\n", r.Feed, heard, r.Calls, r.Spared, r.Refused)
+	fmt.Fprintf(w, "feed %s: %s; %d calls, %d suppressed, %d maps rejected\n", r.Feed, lastAnswer, r.Calls, r.Spared, r.Refused)
 	if r.Err != "" {
-		fmt.Fprintf(w, "last trouble: %s\n", r.Err)
+		fmt.Fprintf(w, "last error: %s\n", r.Err)
 	}
-	fmt.Fprintf(w, "epoch %d (servers named %d), %d segments on %d cells, %d of the past kept\n", r.Epoch, r.Wanted, r.Segments, r.Cells, r.Retired)
+	fmt.Fprintf(w, "epoch %d (servers reported %d), %d segments on %d cells, %d retired segments kept\n", r.Epoch, r.Wanted, r.Segments, r.Cells, r.Retired)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "segment\tkeys\tcell\tsince\t")
 	for _, s := range r.List {
@@ -78,7 +79,7 @@
 	return nil
 }
 
-// SegmentsExplain tells where a running mixer sends a key.
+// SegmentsExplain prints the segment, cell and servers to which a running proxy routes a key.
 func SegmentsExplain(w io.Writer, operator, key string) error {
 	o, err := LoadOperator(operator)
 	if err != nil {
--- a/internal/app/serve.go
+++ b/internal/app/serve.go
@@ -1,6 +1,6 @@
-// Package app puts a mixer together: the configuration, the process's limits and
-// signals, the two sides, the exchange, and what the operator file turns on. It
-// must never decide anything about a query, and never end while an answer is owed.
+// Package app assembles the proxy: configuration, process limits, signals, downstream and
+// upstream connections, the exchange, and the features that the operator file enables. It makes
+// no decisions about queries, and the process does not exit while a query is unanswered.
 package app
 
 import (
@@ -33,25 +33,26 @@
 )
 
 const (
-	spareFiles   = 32                     // descriptors kept for all but connections of clients and leaf servers
-	keepShare    = 8                      // of all: beyond so many client connections those at rest are ended
-	leafShare    = 4                      // of the rest, one in so many is for leaf servers
-	memoryShare  = 0.6                    // of the limit: from there on the collector works harder
-	settleTime   = time.Second            // after SIGTERM: new requests are expected at least so long
-	stayTime     = 600 * time.Millisecond // after SIGTERM: open connections go on; the platform grants the longest deadline and 0.7 s
-	quietTime    = 400 * time.Millisecond // without news, before the listener is closed
-	lastChance   = 100 * time.Millisecond // for a request that crosses the end of its connection
-	pollTime     = 10 * time.Millisecond
-	askTime      = 2 * time.Second // for a running mixer's answer
-	listenTime   = 5 * time.Second
-	countersTime = 10 * time.Second
+	reservedFiles      = 32                     // file descriptors reserved for everything but connections of clients and to leaf servers
+	softLimitDivisor   = 8                      // idle client connections are closed above 1/8 of the descriptor limit
+	serverConnsDivisor = 4                      // 1/4 of the unreserved descriptors are for connections to leaf servers
+	memoryLimitRatio   = 0.6                    // of the memory limit: above it the garbage collector works harder
+	minDrainTime       = time.Second            // after SIGTERM: new requests are expected for at least this long
+	defaultConnGrace   = 600 * time.Millisecond // after SIGTERM: client connections stay open this long; the platform grants the longest deadline and 0.7 s
+	quietPeriod        = 400 * time.Millisecond // without a query, before the listener is closed
+	idleCloseDelay     = 100 * time.Millisecond // for a request that is on its way when its connection is closed
+	drainPollInterval  = 10 * time.Millisecond
+	requestTimeout     = 2 * time.Second // for the answer of a running proxy
+	listenTimeout      = 5 * time.Second
+	countersInterval   = 10 * time.Second
 )
 
 var log = logs.For("app")
 
-// Serve runs a mixer until SIGTERM. Files that are wrong end the start.
+// Serve runs the proxy on a configuration file and an operator file (may be empty) until SIGTERM
+// or SIGINT. It returns an error if a file is invalid or the address can't be listened on.
 func Serve(config, operator string) error {
-	// Before all else: until it is asked for, SIGHUP ends the program.
+	// First of all, since SIGHUP terminates the process by default.
 	signals := make(chan os.Signal, 16)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	cfg, err := Load(config, os.Getenv)
@@ -66,160 +67,160 @@
 	return serve(cfg, ln, signals)
 }
 
-// mixer is one that runs.
-type mixer struct {
-	cfg  *Config
-	x    *exchange.Exchange
-	list *targets.Watch // nil: sources of [members] are on
-	host *hook.Host     // nil without an operator file
-	feed *segments.Feed // nil: shards are what the settings say
+// proxy is the running process.
+type proxy struct {
+	cfg      *Config
+	exchange *exchange.Exchange
+	list     *targets.Watch // the platform's server list; nil if [members] sources are configured
+	hooks    *hook.Host     // nil without an operator file
+	feed     *segments.Feed // nil if shards are fixed by the settings
 
-	members *memberships // nil: the platform's list alone
+	members *memberSources // nil if the platform's list is the only source
 
-	leave func() // takes the mixer out of Consul; nil: it is not there
+	deregister func() // removes the proxy from Consul; nil if it is not registered
 
-	mu sync.Mutex // commands come beside signals
-	op *Operator
+	mu       sync.Mutex // control commands run concurrently with signals
+	operator *Operator
 }
 
-// dir is the folder of the hooks.
-func (m *mixer) dir() string {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return m.op.Hooks.Dir
+// hooksDir returns the directory of the hook set; empty if there is none.
+func (p *proxy) hooksDir() string {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.operator.Hooks.Dir
 }
 
-// reload rereads the files and takes over what may change in service: the address
-// of discovery. A file that is wrong anywhere changes nothing: half of it might
-// belong to another version of the fleet.
-func (m *mixer) reload() {
-	c := m.cfg
-	now, err := Load(c.path, c.env)
+// reload reads both files again and applies what may change at run time: the address of
+// discovery, the member sources, log settings and hooks. An error in either file rejects the
+// whole reload, because the valid half might belong to another version of the fleet.
+func (p *proxy) reload() {
+	cfg := p.cfg
+	next, err := Load(cfg.path, cfg.env)
 	if err == nil {
-		err = now.Check()
+		err = next.Check()
 	}
 	var op *Operator
 	if err == nil {
-		op, err = LoadOperator(c.operator)
+		op, err = LoadOperator(cfg.operator)
 	}
 	if err != nil {
-		log.Error("reload-failed", "discovery", c.discovery, "err", err)
+		log.Error("reload-failed", "discovery", cfg.discovery, "err", err)
 		return
 	}
-	if m.members != nil && len(op.Members.Sources) > 0 {
-		if err := m.members.apply(op); err != nil { // a file that it names has gone
-			log.Error("reload-failed", "discovery", c.discovery, "err", err)
+	if p.members != nil && len(op.Members.Sources) > 0 {
+		if err := p.members.apply(op); err != nil { // for example, a file named there does not exist any more
+			log.Error("reload-failed", "discovery", cfg.discovery, "err", err)
 			return
 		}
 	}
-	var kept []string
-	if (m.members != nil) != (len(op.Members.Sources) > 0) {
-		kept = append(kept, "members")
+	var ignored []string
+	if (p.members != nil) != (len(op.Members.Sources) > 0) {
+		ignored = append(ignored, "members")
 	}
-	for field, same := range map[string]bool{"name": now.name == c.name, "listen": now.listen == c.listen,
-		"limits":   now.cores == c.cores && now.memoryMB == c.memoryMB && now.sockets == c.sockets,
-		"settings": reflect.DeepEqual(now.settings, c.settings)} {
+	for field, same := range map[string]bool{"name": next.name == cfg.name, "listen": next.listen == cfg.listen,
+		"limits":   next.cores == cfg.cores && next.memoryMB == cfg.memoryMB && next.sockets == cfg.sockets,
+		"settings": reflect.DeepEqual(next.settings, cfg.settings)} {
 		if !same {
-			kept = append(kept, field)
+			ignored = append(ignored, field)
 		}
 	}
-	slices.Sort(kept)
-	log.Info("reload", "discovery", now.discovery, "was", c.discovery, "kept", strings.Join(kept, ","))
-	if now.discovery != c.discovery {
-		c.discovery = now.discovery
-		if m.members != nil {
-			m.members.moved(c.discovery)
+	slices.Sort(ignored)
+	log.Info("reload", "discovery", next.discovery, "was", cfg.discovery, "kept", strings.Join(ignored, ","))
+	if next.discovery != cfg.discovery {
+		cfg.discovery = next.discovery
+		if p.members != nil {
+			p.members.switchDiscovery(cfg.discovery)
 		} else {
-			m.list.Switch(c.discovery)
+			p.list.Switch(cfg.discovery)
 		}
 	}
-	m.apply(op)
-	if m.host != nil { // a set takes a while to load; a bad one leaves the old one, and is logged
-		go m.host.Reload(m.dir())
+	p.apply(op)
+	if p.hooks != nil { // in the background, since loading takes a while; an invalid set is logged and the old one stays
+		go p.hooks.Reload(p.hooksDir())
 	}
 }
 
-// listen takes the address. After a restart the process before may hold it for a
-// moment yet, which must not end the start.
+// listen listens on an address. After a restart the previous process may still use it, so
+// listen retries for listenTimeout while the address is in use.
 func listen(addr string) (net.Listener, error) {
-	for until := time.Now().Add(listenTime); ; time.Sleep(listenTime / 50) {
+	for deadline := time.Now().Add(listenTimeout); ; time.Sleep(listenTimeout / 50) {
 		ln, err := net.Listen("tcp", addr)
-		if !errors.Is(err, syscall.EADDRINUSE) || time.Now().After(until) {
+		if !errors.Is(err, syscall.EADDRINUSE) || time.Now().After(deadline) {
 			return ln, err
 		}
 	}
 }
 
-// serve runs a mixer on a listener until a signal comes and all it has taken is
+// serve runs the proxy on a listener until a signal arrives and every accepted query is
 // answered.
 func serve(cfg *Config, ln net.Listener, signals <-chan os.Signal) error {
-	op, err := LoadOperator(cfg.operator)
+	operator, err := LoadOperator(cfg.operator)
 	if err != nil {
 		return err
 	}
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(cfg.cores))))
-	debug.SetMemoryLimit(int64(float64(cfg.memoryMB) * memoryShare * (1 << 20)))
-	x, err := exchange.New(cfg.seed, cfg.settings)
+	debug.SetMemoryLimit(int64(float64(cfg.memoryMB) * memoryLimitRatio * (1 << 20)))
+	ex, err := exchange.New(cfg.seed, cfg.settings)
 	if err != nil {
 		return err
 	}
-	leaves := (cfg.sockets - spareFiles) / leafShare
-	b := upstream.New(upstream.Config{Exchange: x, Settings: cfg.settings, MaxConns: leaves})
-	m := &mixer{cfg: cfg, x: x}
-	if len(op.Members.Sources) == 0 {
-		m.list = targets.New(targets.Config{Addr: cfg.discovery, Cells: cfg.settings.Router.Cells, Index: cfg.known.Version,
-			Pushed: cfg.settings.Pushed, PollTimeout: cfg.look}, b)
-		b.List = m.list
+	serverConns := (cfg.sockets - reservedFiles) / serverConnsDivisor
+	pool := upstream.New(upstream.Config{Exchange: ex, Settings: cfg.settings, MaxConns: serverConns})
+	p := &proxy{cfg: cfg, exchange: ex}
+	if len(operator.Members.Sources) == 0 {
+		p.list = targets.New(targets.Config{Addr: cfg.discovery, Cells: cfg.settings.Router.Cells, Index: cfg.known.Version,
+			Pushed: cfg.settings.Pushed, PollTimeout: cfg.pollTimeout}, pool)
+		pool.List = p.list
 	} else {
-		b.Stagger = op.Members.Stagger
-		if m.members, err = newMembers(cfg, op, b); err != nil {
+		pool.Stagger = operator.Members.Stagger
+		if p.members, err = newMemberSources(cfg, operator, pool); err != nil {
 			return err
 		}
-		b.List = m.members
-		x.Counters.Extra = m.members.Counters
-		if err := m.members.apply(op); err != nil {
+		pool.List = p.members
+		ex.Counters.Extra = p.members.Counters
+		if err := p.members.apply(operator); err != nil {
 			return err
 		}
-		defer m.members.end()
+		defer p.members.stopAll()
 	}
-	if len(op.Levels.Names) > 0 {
-		if err := x.SetLevels(op.Levels, op.levels()); err != nil {
+	if len(operator.Levels.Names) > 0 {
+		if err := ex.SetLevels(operator.Levels, operator.levelSettings()); err != nil {
 			return err
 		}
 	}
-	if op.Consul.RegisterAs != "" && len(op.Consul.Addrs) > 0 {
-		c, err := consul.New(op.Consul, nil)
+	if operator.Consul.RegisterAs != "" && len(operator.Consul.Addrs) > 0 {
+		c, err := consul.New(operator.Consul, nil)
 		if err != nil {
 			return err
 		}
-		gone, out := make(chan struct{}), make(chan struct{})
-		go func() { c.KeepRegistered(cfg.name, ln.Addr().String(), gone); close(out) }()
-		m.leave = sync.OnceFunc(func() { close(gone); <-out })
-		defer m.leave()
+		stopping, deregistered := make(chan struct{}), make(chan struct{})
+		go func() { c.KeepRegistered(cfg.name, ln.Addr().String(), stopping); close(deregistered) }()
+		p.deregister = sync.OnceFunc(func() { close(stopping); <-deregistered })
+		defer p.deregister()
 	}
-	if op.File.Path != "" {
-		m.host = hook.NewHost(op.Hooks, Engines(), cfg.settings.Router.Classes)
-		x.SetHooks(m.host, op.Hooks.ForwardTags)
-		if op.Hooks.Dir != "" {
-			if err := m.host.Reload(op.Hooks.Dir); err != nil {
+	if operator.File.Path != "" {
+		p.hooks = hook.NewHost(operator.Hooks, Engines(), cfg.settings.Router.Classes)
+		ex.SetHooks(p.hooks, operator.Hooks.ForwardTags)
+		if operator.Hooks.Dir != "" {
+			if err := p.hooks.Reload(operator.Hooks.Dir); err != nil {
 				return err
 			}
 		}
 	}
-	m.apply(op)
-	if op.Segments.Feed != "" {
+	p.apply(operator)
+	if operator.Segments.Feed != "" {
 		if w := cfg.settings.Router.Width; w > 1 {
-			return fmt.Errorf("[segments] feed: a shard is held by %d cells, and segments are held by one", w)
+			return fmt.Errorf("[segments] feed: each shard is on %d cells, but a segment must be on exactly one", w)
 		}
-		m.feed = segments.New(op.Segments, x)
-		x.SetMapSource(m.feed, op.Segments.MaxParts)
-		feeding, end := context.WithCancel(context.Background())
-		fed := make(chan struct{})
-		go func() { m.feed.Run(feeding); close(fed) }()
-		defer func() { end(); <-fed }()
+		p.feed = segments.New(operator.Segments, ex)
+		ex.SetMapSource(p.feed, operator.Segments.MaxParts)
+		feedCtx, stopFeed := context.WithCancel(context.Background())
+		feedStopped := make(chan struct{})
+		go func() { p.feed.Run(feedCtx); close(feedStopped) }()
+		defer func() { stopFeed(); <-feedStopped }()
 	}
-	if op.Control.Socket != "" {
-		c, err := control.Listen(op.Control.Socket, m.command)
+	if operator.Control.Socket != "" {
+		c, err := control.Listen(operator.Control.Socket, p.command)
 		if err != nil {
 			return err
 		}
@@ -229,88 +230,89 @@
 	for _, c := range cfg.settings.Router.Classes {
 		classes[c.Name] = true
 	}
-	p := &platform.Protocol{Exchange: x, Shards: cfg.settings.Router.Shards, Classes: classes, Segments: m.feed != nil}
-	f := downstream.New(downstream.Config{Exchange: x, Protocol: p, MaxClients: cfg.sockets - spareFiles - leaves,
-		SoftLimit: cfg.sockets / keepShare, Limits: cfg.pace})
-	if m.feed != nil { // segments are numbered as the map says
-		p.Shards, p.Ready = 0, m.feed.HasMap
+	protocol := &platform.Protocol{Exchange: ex, Shards: cfg.settings.Router.Shards, Classes: classes, Segments: p.feed != nil}
+	server := downstream.New(downstream.Config{Exchange: ex, Protocol: protocol, MaxClients: cfg.sockets - reservedFiles - serverConns,
+		SoftLimit: cfg.sockets / softLimitDivisor, Limits: cfg.clientLimits})
+	if p.feed != nil { // the map numbers the segments, so no shard count bounds them
+		protocol.Shards, protocol.Ready = 0, p.feed.HasMap
 	}
 	stop := make(chan struct{})
-	if m.members == nil {
-		b.UpdateList(cfg.known, cfg.addrs)
+	if p.members == nil {
+		pool.UpdateList(cfg.known, cfg.knownAddrs)
 	} else {
-		ready := p.Ready
-		p.Members = m.members.page
-		p.Ready = func() bool { return m.members.AnySourceAnswered() && (ready == nil || ready()) }
+		ready := protocol.Ready
+		protocol.Members = p.members.reportJSON
+		protocol.Ready = func() bool { return p.members.AnySourceAnswered() && (ready == nil || ready()) }
 	}
-	go x.Run(b, stop)
-	go b.Run(stop)
+	go ex.Run(pool, stop)
+	go pool.Run(stop)
 	served := make(chan error, 1)
-	go func() { served <- f.Serve(ln) }()
+	go func() { served <- server.Serve(ln) }()
 	log.Info("start", "name", cfg.name, "listen", ln.Addr(), "discovery", cfg.discovery, "known", len(cfg.known.Servers),
-		"clients", cfg.sockets-spareFiles-leaves, "leaves", leaves)
-	for _, x := range cfg.Traits() {
-		log.Debug("trait", "setting", x.Setting, "told", x.Told, "so", x.So)
+		"clients", cfg.sockets-reservedFiles-serverConns, "leaves", serverConns)
+	for _, effect := range cfg.SettingEffects() {
+		log.Debug("trait", "setting", effect.Setting, "told", effect.Value, "so", effect.Behaviour)
 	}
-	tick := time.NewTicker(countersTime)
+	tick := time.NewTicker(countersInterval)
 	defer tick.Stop()
-	for stopping := false; !stopping; {
+	for draining := false; !draining; {
 		select {
 		case <-tick.C:
-			log.Info("counters", "", logs.Pairs(x.Counters.String()))
+			log.Info("counters", "", logs.Pairs(ex.Counters.String()))
 			log.Info("memory", memoryPairs()...)
 		case err := <-served:
-			return fmt.Errorf("the listener ended: %w", err)
+			return fmt.Errorf("accepting connections failed: %w", err)
 		case s := <-signals:
 			if s == syscall.SIGHUP {
-				m.reload()
+				p.reload()
 				continue
 			}
-			log.Info("stopping", "signal", s, "open", x.Open())
-			stopping = true
-			if m.leave != nil { // beside all else: nobody is to find it there any more
-				go m.leave()
+			log.Info("stopping", "signal", s, "open", ex.Open())
+			draining = true
+			if p.deregister != nil { // at once and in the background, so that clients stop finding this proxy in Consul
+				go p.deregister()
 			}
 		}
 	}
-	// A configuration that comes while the mixer stops counts too: queries are
-	// still served, and drains are still to be learned.
+	// Reloads are applied during the shutdown too: queries are still served, so the proxy
+	// must still learn which servers drain.
 	sleep := func(d time.Duration) {
-		for end := time.After(d); ; {
+		for timer := time.After(d); ; {
 			select {
 			case s := <-signals:
 				if s == syscall.SIGHUP {
-					m.reload()
+					p.reload()
 				}
-			case <-end:
+			case <-timer:
 				return
 			}
 		}
 	}
-	f.MarkNotReady()
-	since := time.Now()
-	// Clients use the connections they have for as long as these stay open, and
-	// may have no other mixer yet: closed at once, they had nowhere to ask. What is
-	// taken in this time still has its whole deadline before SIGKILL.
-	for time.Since(since) < cfg.stay && (f.Clients() > 0 || time.Since(since) < settleTime) {
-		sleep(pollTime)
+	server.MarkNotReady()
+	stopBegun := time.Now()
+	// Clients use their open connections and may not know another proxy yet. If the
+	// connections were closed at once, these clients could not send queries anywhere. A query
+	// accepted during this time still has its complete deadline before SIGKILL.
+	for time.Since(stopBegun) < cfg.connGrace && (server.Clients() > 0 || time.Since(stopBegun) < minDrainTime) {
+		sleep(drainPollInterval)
 	}
-	f.CloseAfterResponses()
-	// New connections and queries are served until none has come for a while:
-	// what the kernel has accepted is ours, whether or not we have. Probes of the
-	// ready path do not count, or they would keep the mixer up for ever.
-	for time.Since(since) < settleTime || x.Open() > 0 || !f.QuietFor(quietTime) {
-		f.CloseIdle(lastChance)
-		sleep(pollTime)
+	server.CloseAfterResponses()
+	// New connections and queries are served until none has arrived for quietPeriod: a
+	// connection that the kernel has accepted must be served even if the process has not
+	// accepted it yet. Requests of the readiness path do not count, or the probes would keep
+	// the proxy running for ever.
+	for time.Since(stopBegun) < minDrainTime || ex.Open() > 0 || !server.QuietFor(quietPeriod) {
+		server.CloseIdle(idleCloseDelay)
+		sleep(drainPollInterval)
 	}
 	ln.Close()
-	for f.CloseIdle(lastChance); f.Clients() > 0; f.CloseIdle(lastChance) {
-		sleep(pollTime)
+	for server.CloseIdle(idleCloseDelay); server.Clients() > 0; server.CloseIdle(idleCloseDelay) {
+		sleep(drainPollInterval)
 	}
 	close(stop)
-	if m.host != nil {
-		m.host.Close()
+	if p.hooks != nil {
+		p.hooks.Close()
 	}
-	log.Info("stopped", "", logs.Pairs(x.Counters.String()))
+	log.Info("stopped", "", logs.Pairs(ex.Counters.String()))
 	return nil
 }
--- a/internal/app/traits.go
+++ b/internal/app/traits.go
@@ -1,8 +1,8 @@
 package app
 
-// This file tells what of a deployment's settings makes the mixer behave differently
-// from one deployment to the next. It must never decide anything: what it says is read
-// from the same settings that the decisions and the two sides are given.
+// This file explains which settings make the proxy behave differently from one deployment to
+// the next. It makes no decisions: it reads the same settings that the decision logic and the
+// downstream and upstream connections get.
 
 import (
 	"encoding/json"
@@ -15,63 +15,64 @@
 	"saddleport/internal/source/targets"
 )
 
-// Trait is one thing in which deployments differ.
-type Trait struct {
-	Setting string `json:"setting"` // the platform's name for it
-	Told    string `json:"told"`
-	So      string `json:"so"` // what the mixer does
+// SettingEffect explains how one setting changes the proxy's behaviour.
+type SettingEffect struct {
+	Setting   string `json:"setting"` // the platform's name of the setting
+	Value     string `json:"told"`
+	Behaviour string `json:"so"`
 }
 
-// Traits are those of a configuration, in the order in which a query meets them.
-func (c *Config) Traits() (out []Trait) {
-	r := c.settings.Router
-	us := func(m choice.Micros) string { return (time.Duration(m) * time.Microsecond).String() }
-	put := func(setting, told, so string, args ...any) {
-		out = append(out, Trait{setting, told, fmt.Sprintf(so, args...)})
+// SettingEffects returns the effects of a configuration, in the order in which they apply to a
+// query.
+func (c *Config) SettingEffects() (out []SettingEffect) {
+	router := c.settings.Router
+	duration := func(m choice.Micros) string { return (time.Duration(m) * time.Microsecond).String() }
+	add := func(setting, value, behaviour string, args ...any) {
+		out = append(out, SettingEffect{setting, value, fmt.Sprintf(behaviour, args...)})
 	}
 	if c.settings.Pushed {
-		put("discovery", "push", "the agent is looked at every %v, unasked; news binds from the look before on", targets.PollInterval)
+		add("discovery", "push", "the agent is polled every %v; a change counts from the time of the previous poll", targets.PollInterval)
 	} else {
-		put("discovery", "ask", "a watch is kept; without an answer the list is asked for again, %s at most between asks", us(r.AskWithin/4))
+		add("discovery", "ask", "a watch stays open; without an answer the list is requested again, at most %s after the last request", duration(router.AskWithin/4))
 	}
-	put("rules.drain-grace", us(r.DrainGrace), "nothing is begun on a server %s after its drain was told",
-		max(time.Duration(r.DrainGrace)*time.Microsecond-500*time.Millisecond, 0))
-	if r.MaxPartsPerCall > 1 {
-		put("family-info.bundle-max", fmt.Sprint(r.MaxPartsPerCall), "parts that one server holds go to it in one call where that makes calls fewer; a call costs %s", us(r.PerCallWork))
+	add("rules.drain-grace", duration(router.DrainGrace), "no attempt starts on a server later than %s after its drain was announced",
+		max(time.Duration(router.DrainGrace)*time.Microsecond-500*time.Millisecond, 0))
+	if router.MaxPartsPerCall > 1 {
+		add("family-info.bundle-max", fmt.Sprint(router.MaxPartsPerCall), "parts that the same server stores are sent in one call where that reduces the number of calls; a call costs %s", duration(router.PerCallWork))
 	} else {
-		put("family-info.bundle-max", fmt.Sprint(r.MaxPartsPerCall), "each part goes out by itself, to a replica of its own")
+		add("family-info.bundle-max", fmt.Sprint(router.MaxPartsPerCall), "each part is sent in a call of its own, to its own replica")
 	}
-	put("family-info.width", fmt.Sprintf("%d of %d cells, %d shards", r.Width, r.Cells, r.Shards), "a shard has the servers of %d cells in a row to draw from", r.Width)
-	for _, t := range r.Tenants {
-		put("tenants."+t.Name, fmt.Sprintf("%g/s", t.QuotaPerS), "beyond %.3g queries a second here (four seconds' worth may be saved up) it has half of each window",
-			t.QuotaPerS/float64(max(r.Routers, 1)))
+	add("family-info.width", fmt.Sprintf("%d of %d cells, %d shards", router.Width, router.Cells, router.Shards), "the replica of a shard is selected among the servers of %d consecutive cells", router.Width)
+	for _, t := range router.Tenants {
+		add("tenants."+t.Name, fmt.Sprintf("%g/s", t.QuotaPerS), "above %.3g queries a second at this proxy (four seconds of the quota can accumulate) the tenant gets half of each window",
+			t.QuotaPerS/float64(max(router.Routers, 1)))
 	}
-	if len(r.Tenants) == 0 {
-		put("tenants", "none", "all queries are alike; X-Customer is not looked at")
+	if len(router.Tenants) == 0 {
+		add("tenants", "none", "all queries are treated alike; X-Customer is ignored")
 	}
-	second := "one attempt of a part is out at a time; an overdue one is given up early enough for another"
-	if r.ParallelAttempts {
-		second = "an overdue part gets a second copy beside the first, within a budget"
+	parallel := "one attempt of a part is in flight at a time; an overdue one is cancelled early enough for another"
+	if router.ParallelAttempts {
+		parallel = "an overdue part gets a hedged request beside the first attempt, within a budget"
 	}
-	put("limits.parallel-tries", fmt.Sprint(r.ParallelAttempts), "%s", second)
-	put("limits.send-cap", fmt.Sprint(r.AttemptCap), "so many attempts a part")
-	if r.RetryBudget {
-		put("rules.extra-window", us(r.RetryBudgetWindow), "further attempts: %g and %g for each query and part taken in that span", r.RetryBudgetMin, r.RetryBudgetRatio)
+	add("limits.parallel-tries", fmt.Sprint(router.ParallelAttempts), "%s", parallel)
+	add("limits.send-cap", fmt.Sprint(router.AttemptCap), "the maximum number of attempts for a part")
+	if router.RetryBudget {
+		add("rules.extra-window", duration(router.RetryBudgetWindow), "budget of retries and hedges in this time: %g, and %g for each query and part accepted", router.RetryBudgetMin, router.RetryBudgetRatio)
 	}
-	for _, k := range r.Classes {
-		so := "all parts are needed"
-		if k.RequiredShare < 1 {
-			so = fmt.Sprintf("whole with %g of its weight; one part more is asked for, the rest stand by", k.RequiredShare)
+	for _, class := range router.Classes {
+		behaviour := "all parts are needed"
+		if class.RequiredShare < 1 {
+			behaviour = fmt.Sprintf("complete with %g of the weight; one additional part is requested, the others are in reserve", class.RequiredShare)
 		}
-		switch k.Effect {
+		switch class.Effect {
 		case choice.Unsafe:
-			so += "; a part that may have run is never sent again"
+			behaviour += "; a part that may have run is never retried"
 		case choice.Keyed:
-			so += fmt.Sprintf("; a part that may have run is sent again within %s alone", us(k.DedupWindow))
+			behaviour += fmt.Sprintf("; a part that may have run is retried within %s only", duration(class.DedupWindow))
 		}
-		put("class "+k.Name, fmt.Sprintf("aim %s", us(k.LatencyTarget)), "%s", so)
+		add("class "+class.Name, fmt.Sprintf("latency target %s", duration(class.LatencyTarget)), "%s", behaviour)
 	}
-	put("rules.cold", fmt.Sprintf("%s from %g", us(r.SlowStart), r.StartCapacity), "a server that has started gets a budget until then, and %s of it at once", parts(min(r.Width, max(r.MaxPartsPerCall, 1))))
+	add("rules.cold", fmt.Sprintf("%s from %g", duration(router.SlowStart), router.StartCapacity), "a server that has just started has a budget until then, and may get %s of it at once", parts(min(router.Width, max(router.MaxPartsPerCall, 1))))
 	return out
 }
 
@@ -82,17 +83,17 @@
 	return fmt.Sprintf("%d parts", n)
 }
 
-// Explain writes the traits of a configuration as a table or as JSON.
+// Explain prints the setting effects of a configuration, as a table or as JSON.
 func Explain(w io.Writer, c *Config, asJSON bool) error {
 	if asJSON {
 		e := json.NewEncoder(w)
 		e.SetIndent("", "  ")
-		return e.Encode(c.Traits())
+		return e.Encode(c.SettingEffects())
 	}
-	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(t, "setting\ttold\tso\t")
-	for _, x := range c.Traits() {
-		fmt.Fprintf(t, "%s\t%s\t%s\t\n", x.Setting, x.Told, x.So)
+	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(table, "setting\tvalue\tbehaviour\t")
+	for _, effect := range c.SettingEffects() {
+		fmt.Fprintf(table, "%s\t%s\t%s\t\n", effect.Setting, effect.Value, effect.Behaviour)
 	}
-	return t.Flush()
+	return table.Flush()
 }
