--- a/cmd/saddlelab/emulator.go
+++ b/cmd/saddlelab/emulator.go
@@ -1,6 +1,6 @@
 package main
 
-// The commands of the emulator and the experiment tool.
+// This file declares and implements the commands of the emulator.
 
 import (
 	"context"
@@ -29,14 +29,15 @@
 	"saddleport/internal/lab/sweep"
 )
 
-// emulated tells whether a file is a scenario's.
-func emulated(file string) (bool, error) {
+// isScenario reports whether a file is a scenario; otherwise it is a drill.
+func isScenario(file string) (bool, error) {
 	doc, err := inifile.Read(file)
 	return err == nil && scenario.Is(doc), err
 }
 
-// theProgram is the mixer to play: the one named, or the one beside this program.
-func theProgram(c *cli.Command) (string, error) {
+// proxyProgramPath returns the path of the proxy: that of the flag --program, or saddleport in the
+// directory of this program.
+func proxyProgramPath(c *cli.Command) (string, error) {
 	if p := c.String("program"); p != "" {
 		return p, nil
 	}
@@ -45,50 +46,50 @@
 }
 
 func emulatorCommands(program, asJSON cli.Flag) []*cli.Command {
-	driveFlag := &cli.StringFlag{Name: "drive", Value: play.Virtual, Usage: "`DRIVE`: virtual or real"}
-	policyFlag := &cli.StringFlag{Name: "policy", Value: play.Mixer, Usage: "`POLICY`: mixer, oracle (sees every server's true state) or random; virtual drive"}
-	one := func(f func(context.Context, *cli.Command) error, n int, want string) cli.ActionFunc {
+	driveFlag := &cli.StringFlag{Name: "drive", Value: play.Virtual, Usage: "`DRIVE`: virtual (no sockets) or real (the program, on loopback)"}
+	policyFlag := &cli.StringFlag{Name: "policy", Value: play.Mixer, Usage: "`POLICY` of the virtual drive: mixer (the proxy's decisions), oracle (knows the true state of each server) or random"}
+	withArgs := func(f func(context.Context, *cli.Command) error, n int, usage string) cli.ActionFunc {
 		return func(ctx context.Context, c *cli.Command) error {
 			if c.Args().Len() != n {
-				return errors.New(want)
+				return errors.New(usage)
 			}
 			return f(ctx, c)
 		}
 	}
 	return []*cli.Command{
-		{Name: "demo", Usage: "start a small fleet, discovery, two mixers and load on this machine, and watch", Flags: []cli.Flag{program,
-			&cli.DurationFlag{Name: "length", Usage: "live so long; 30s if not given"},
-			&cli.BoolFlag{Name: "stay", Usage: "live until interrupted, at most a day"},
-			&cli.StringFlag{Name: "out", Usage: "keep the report in this `DIR`"}},
+		{Name: "demo", Usage: "run a small fleet, discovery, two proxies and load on this machine, and show what happens", Flags: []cli.Flag{program,
+			&cli.DurationFlag{Name: "length", Usage: "duration; 30s if not given"},
+			&cli.BoolFlag{Name: "stay", Usage: "run until interrupted, at most a day"},
+			&cli.StringFlag{Name: "out", Usage: "write the report into this `DIR`"}},
 			Action: runDemo},
-		{Name: "sweep", Usage: "play all variations of a scenario with all its seeds, on all cores", ArgsUsage: "FILE", Flags: []cli.Flag{program, asJSON, driveFlag, policyFlag,
-			&cli.StringFlag{Name: "out", Usage: "keep the runs in this `DIR`; the same sweep into it goes on where it was interrupted"},
-			&cli.IntFlag{Name: "seeds", Usage: "so many; the scenario's repeats if not given"},
-			&cli.IntFlag{Name: "workers", Usage: "runs at once; as many as cores if not given"},
-			&cli.BoolFlag{Name: "rows", Usage: "keep the rows of asks, servers and seconds of each run too"}},
-			Action: one(runSweep, 1, "give one scenario's file")},
-		{Name: "compare", Usage: "set two sweeps or runs side by side, paired by seed: better, worse or can't tell", ArgsUsage: "A B", Flags: []cli.Flag{asJSON,
+		{Name: "sweep", Usage: "run all variations of a scenario with all its seeds, on all cores", ArgsUsage: "FILE", Flags: []cli.Flag{program, asJSON, driveFlag, policyFlag,
+			&cli.StringFlag{Name: "out", Usage: "write the runs into this `DIR`; if an earlier sweep into it was interrupted, the sweep continues from there"},
+			&cli.IntFlag{Name: "seeds", Usage: "number of seeds; the scenario's repeats if not given"},
+			&cli.IntFlag{Name: "workers", Usage: "concurrent runs; the number of cores if not given"},
+			&cli.BoolFlag{Name: "rows", Usage: "also write the rows of queries, servers and seconds of each run"}},
+			Action: withArgs(runSweep, 1, "expected exactly one argument: the file of a scenario")},
+		{Name: "compare", Usage: "compare two sweeps or runs, paired by seed: better, worse or undecided", ArgsUsage: "A B", Flags: []cli.Flag{asJSON,
 			&cli.StringFlag{Name: "report", Usage: "write an HTML `FILE`"}},
-			Action: one(runCompare, 2, "give two folders of sweeps or runs")},
-		{Name: "replay", Usage: "play one seed again and print the life of one query", ArgsUsage: "FILE", Flags: []cli.Flag{policyFlag,
-			&cli.IntFlag{Name: "seed", Usage: "the scenario's if not given"},
-			&cli.StringFlag{Name: "query", Usage: "the ask's `ID` (column id of queries.parquet); the one that lost most if not given"}},
-			Action: one(runReplay, 1, "give one scenario's file")},
-		{Name: "hunt", Usage: "search scenarios near one for the worst loss or a broken rule, and shrink it", ArgsUsage: "FILE", Flags: []cli.Flag{
-			&cli.IntFlag{Name: "rounds", Value: 8}, &cli.IntFlag{Name: "each", Value: 8, Usage: "candidates of a round"},
-			&cli.IntFlag{Name: "seed", Value: 1}, &cli.StringFlag{Name: "out", Usage: "write what was found into this `FILE`"}},
-			Action: one(runHunt, 1, "give one scenario's file")},
-		{Name: "rank", Usage: "which scenarios lose most against a policy that sees every server's true state", ArgsUsage: "FILE...", Flags: []cli.Flag{asJSON,
+			Action: withArgs(runCompare, 2, "expected two arguments: the directories of two sweeps or runs")},
+		{Name: "replay", Usage: "run one seed again and print the timeline of one query", ArgsUsage: "FILE", Flags: []cli.Flag{policyFlag,
+			&cli.IntFlag{Name: "seed", Usage: "the scenario's seed if not given"},
+			&cli.StringFlag{Name: "query", Usage: "the query's `ID` (column id of queries.parquet); the query with the largest loss of value if not given"}},
+			Action: withArgs(runReplay, 1, "expected exactly one argument: the file of a scenario")},
+		{Name: "hunt", Usage: "search the scenarios near a given one for the largest loss of value or a violated rule, and minimize the result", ArgsUsage: "FILE", Flags: []cli.Flag{
+			&cli.IntFlag{Name: "rounds", Value: 8}, &cli.IntFlag{Name: "each", Value: 8, Usage: "candidates in each round"},
+			&cli.IntFlag{Name: "seed", Value: 1}, &cli.StringFlag{Name: "out", Usage: "write the scenario that was found into this `FILE`"}},
+			Action: withArgs(runHunt, 1, "expected exactly one argument: the file of a scenario")},
+		{Name: "rank", Usage: "list which scenarios lose most value against a policy that knows the true state of each server", ArgsUsage: "FILE...", Flags: []cli.Flag{asJSON,
 			&cli.IntFlag{Name: "seeds", Value: 4}},
 			Action: runRank},
-		{Name: "report", Usage: "write a run's folder as one HTML file", ArgsUsage: "DIR", Flags: []cli.Flag{
-			&cli.StringFlag{Name: "out", Usage: "the `FILE`; report.html in the folder if not given"}},
-			Action: one(runReport, 1, "give one run's folder")},
-		{Name: "export", Usage: "write the tables of a run's folder as CSV", ArgsUsage: "DIR", Flags: []cli.Flag{
-			&cli.StringFlag{Name: "out", Usage: "the `DIR` to write into; the folder itself if not given"}},
-			Action: one(runExport, 1, "give one run's folder")},
-		{Name: "scale", Usage: "measure the virtual drive by size, on one core", Flags: []cli.Flag{asJSON,
-			&cli.DurationFlag{Name: "length", Value: 20 * time.Second, Usage: "of virtual time"},
+		{Name: "report", Usage: "write an HTML report of a run", ArgsUsage: "DIR", Flags: []cli.Flag{
+			&cli.StringFlag{Name: "out", Usage: "the HTML `FILE`; report.html in the run's directory if not given"}},
+			Action: withArgs(runReport, 1, "expected exactly one argument: the directory of a run")},
+		{Name: "export", Usage: "write the tables of a run as CSV files", ArgsUsage: "DIR", Flags: []cli.Flag{
+			&cli.StringFlag{Name: "out", Usage: "the `DIR` to write into; the run's directory if not given"}},
+			Action: withArgs(runExport, 1, "expected exactly one argument: the directory of a run")},
+		{Name: "scale", Usage: "measure the speed of the virtual drive by the size of the fleet, on one core", Flags: []cli.Flag{asJSON,
+			&cli.DurationFlag{Name: "length", Value: 20 * time.Second, Usage: "virtual time of each row"},
 			&cli.StringFlag{Name: "chart", Usage: "draw a chart into this `FILE` (.svg or .png)"},
 			&cli.StringFlag{Name: "profile", Usage: "write a CPU profile of the row with 1,600 servers into this `FILE`"}},
 			Action: func(ctx context.Context, c *cli.Command) error {
@@ -108,16 +109,16 @@
 				}
 				return t.Print(os.Stdout)
 			}},
-		{Name: "capacity", Usage: "measure what one mixer on one core does on real sockets, beside a loop that only moves the frames", Flags: []cli.Flag{asJSON, program,
-			&cli.DurationFlag{Name: "step", Value: 4 * time.Second, Usage: "of each rate"},
-			&cli.StringFlag{Name: "profile", Usage: "write a CPU profile of the mixer near its most into this `FILE`"}},
+		{Name: "capacity", Usage: "measure the throughput of one proxy on one core with real sockets, compared with a loop that only forwards frames", Flags: []cli.Flag{asJSON, program,
+			&cli.DurationFlag{Name: "step", Value: 4 * time.Second, Usage: "duration of each rate"},
+			&cli.StringFlag{Name: "profile", Usage: "write a CPU profile of the proxy near its highest rate into this `FILE`"}},
 			Action: func(ctx context.Context, c *cli.Command) error {
-				prog, err := theProgram(c)
+				proxyProgram, err := proxyProgramPath(c)
 				if err != nil {
 					return err
 				}
 				bar := show.NewBar(os.Stderr, "capacity")
-				t, err := bench.Capacity(ctx, prog, c.Duration("step"), c.String("profile"), bar.Set)
+				t, err := bench.Capacity(ctx, proxyProgram, c.Duration("step"), c.String("profile"), bar.Set)
 				bar.End()
 				if err != nil {
 					return err
@@ -127,12 +128,12 @@
 				}
 				return t.Print(os.Stdout)
 			}},
-		{Name: "bare", Hidden: true, Usage: "the loop that only moves frames (capacity starts it)", ArgsUsage: "CONFIG", Action: one(func(_ context.Context, c *cli.Command) error {
+		{Name: "bare", Hidden: true, Usage: "run the loop that only forwards frames (started by capacity)", ArgsUsage: "CONFIG", Action: withArgs(func(_ context.Context, c *cli.Command) error {
 			return bench.Bare(c.Args().First())
-		}, 1, "give a configuration")},
-		{Name: "profiled", Hidden: true, Usage: "the mixer under a profiler (capacity starts it)", ArgsUsage: "CONFIG PROFILE", Action: one(func(_ context.Context, c *cli.Command) error {
+		}, 1, "expected exactly one argument: a configuration")},
+		{Name: "profiled", Hidden: true, Usage: "run the proxy with a CPU profiler (started by capacity)", ArgsUsage: "CONFIG PROFILE", Action: withArgs(func(_ context.Context, c *cli.Command) error {
 			return bench.Profiled(c.Args().Get(0), c.Args().Get(1))
-		}, 2, "give a configuration and a file")},
+		}, 2, "expected two arguments: a configuration and a profile")},
 	}
 }
 
@@ -150,18 +151,18 @@
 	}
 	fmt.Println(r.Line())
 	if !r.Pass() {
-		return errFailed
+		return errDrillFailed
 	}
 	return nil
 }
 
-// runScenario plays one scenario, in its first variation or the one that is set.
+// runScenario runs one scenario, in its first variation with the overrides of --set.
 func runScenario(ctx context.Context, c *cli.Command) error {
 	doc, err := scenario.Open(c.Args().First())
 	if err != nil {
 		return err
 	}
-	values, err := chosen(doc, c.StringSlice("set"))
+	values, err := variationWithOverrides(doc, c.StringSlice("set"))
 	if err != nil {
 		return err
 	}
@@ -180,7 +181,7 @@
 	if err != nil {
 		return err
 	}
-	program, err := theProgram(c)
+	program, err := proxyProgramPath(c)
 	if err != nil {
 		return err
 	}
@@ -190,7 +191,7 @@
 	}
 	bar := show.NewBar(os.Stderr, s.Name)
 	run, err := play.Play(ctx, plan, play.Options{Decided: decided, Drive: c.String("drive"), Policy: c.String("policy"), Program: program, Keep: true, Progress: bar.Set, Operator: c.String("operator"),
-		Logs: logs(c.String("out"))})
+		Logs: logDir(c.String("out"))})
 	bar.End()
 	if err != nil {
 		return err
@@ -213,34 +214,36 @@
 	}
 	if out := c.String("out"); out != "" {
 		if _, err := run.Save(out, s.String()); err != nil {
-			return fmt.Errorf("the result could not be kept: %w", err)
+			return fmt.Errorf("write the result: %w", err)
 		}
 		if err := writeReport(out, filepath.Join(out, "report.html")); err != nil {
 			return err
 		}
-		fmt.Printf("kept in %s, with report.html\n", out)
+		fmt.Printf("written to %s, with report.html\n", out)
 	}
 	fmt.Println(run.Line())
 	if !run.Pass() {
-		return errFailed
+		return errDrillFailed
 	}
 	return nil
 }
 
-func logs(out string) string {
-	if out == "" {
+// logDir returns the directory for the proxies' logs of a run that is written to dir; empty if
+// the run is not written.
+func logDir(dir string) string {
+	if dir == "" {
 		return ""
 	}
-	return strings.TrimRight(out, "/") + "-logs"
+	return strings.TrimRight(dir, "/") + "-logs"
 }
 
-// chosen is the first variation with what --set says.
-func chosen(doc *scenario.Doc, set []string) ([]scenario.Value, error) {
+// variationWithOverrides returns the first variation with the overrides KEY=VALUE of --set.
+func variationWithOverrides(doc *scenario.Doc, set []string) ([]scenario.Value, error) {
 	values := slices.Clone(doc.Variations()[0])
 	for _, text := range set {
 		key, value, ok := strings.Cut(text, "=")
 		if !ok {
-			return nil, fmt.Errorf("--set %q is not KEY=VALUE", text)
+			return nil, fmt.Errorf("--set %q: expected KEY=VALUE", text)
 		}
 		values = append(slices.DeleteFunc(values, func(v scenario.Value) bool { return v.Key == key }), scenario.Value{Key: key, Value: value})
 	}
@@ -252,7 +255,7 @@
 	if err != nil {
 		return err
 	}
-	program, err := theProgram(c)
+	program, err := proxyProgramPath(c)
 	if err != nil {
 		return err
 	}
@@ -274,27 +277,27 @@
 				fmt.Printf("  %s, seed %d: not met: %s\n", o.Label, o.Seed, u)
 			}
 		}
-		return errFailed
+		return errDrillFailed
 	}
 	return err
 }
 
 func runCompare(_ context.Context, c *cli.Command) error {
-	var side [2]*sweep.Result
-	for i := range side {
+	var results [2]*sweep.Result
+	for i := range results {
 		var err error
-		if side[i], err = sweep.Load(c.Args().Get(i)); err != nil {
+		if results[i], err = sweep.Load(c.Args().Get(i)); err != nil {
 			return err
 		}
 	}
-	rows, err := compare.Compare(side[0], side[1])
+	rows, err := compare.Compare(results[0], results[1])
 	if err != nil {
 		return err
 	}
 	if file := c.String("report"); file != "" {
 		var runs [2]*record.Run
 		for i := range runs {
-			if r, _, err := record.Load(side[i].Runs[0].Dir); err == nil && len(r.Queries) > 0 {
+			if r, _, err := record.Load(results[i].Runs[0].Dir); err == nil && len(r.Queries) > 0 {
 				runs[i] = r
 			}
 		}
@@ -323,7 +326,7 @@
 		seed = uint64(c.Int("seed"))
 	}
 	query := c.String("query")
-	again := func(opt play.Options) (*record.Run, error) {
+	replay := func(opt play.Options) (*record.Run, error) {
 		plan, err := s.Plan(seed)
 		if err != nil {
 			return nil, err
@@ -332,20 +335,20 @@
 		return play.Play(ctx, plan, opt)
 	}
 	if query == "" {
-		run, err := again(play.Options{Keep: true})
+		run, err := replay(play.Options{Keep: true})
 		if err != nil {
 			return err
 		}
-		most := -1.0
+		largestLoss := -1.0
 		for _, q := range run.Queries {
-			if lost := q.Value - q.Earned; lost > most {
-				most, query = lost, q.ID
+			if lost := q.Value - q.Earned; lost > largestLoss {
+				largestLoss, query = lost, q.ID
 			}
 		}
 	}
 	found := false
-	if _, err := again(play.Options{Trace: func(at time.Duration, ask, text string) {
-		if ask == query {
+	if _, err := replay(play.Options{Trace: func(at time.Duration, id, text string) {
+		if id == query {
 			found = true
 			fmt.Printf("%12.6f  %s\n", at.Seconds(), text)
 		}
@@ -353,7 +356,7 @@
 		return err
 	}
 	if !found {
-		return fmt.Errorf("there is no ask %q in this run", query)
+		return fmt.Errorf("no query %q in this run", query)
 	}
 	return nil
 }
@@ -373,7 +376,7 @@
 	for _, x := range f.Faults {
 		fmt.Println("  " + x)
 	}
-	text := fmt.Sprintf("# Found by saddlelab hunt %s --seed %d in %d runs; play it with --seed %d.\n# The mixer gets %.4f, a policy that sees every server's true state %.4f; rules broken: %d.\n%s",
+	text := fmt.Sprintf("# Found by saddlelab hunt %s --seed %d in %d runs; run it with --seed %d.\n# The proxy gets %.4f, a policy that knows the true state of each server gets %.4f; violated rules: %d.\n%s",
 		filepath.Base(c.Args().First()), c.Int("seed"), f.Played, f.Seed, f.Mixer, f.Oracle, f.Broken, f.Text)
 	if out := c.String("out"); out != "" {
 		return os.WriteFile(out, []byte(text), 0o644)
@@ -384,7 +387,7 @@
 
 func runRank(ctx context.Context, c *cli.Command) error {
 	if c.Args().Len() == 0 {
-		return errors.New("give scenarios' files")
+		return errors.New("expected at least one argument: the file of a scenario")
 	}
 	bar := show.NewBar(os.Stderr, "rank")
 	rows, err := hunt.Rank(ctx, c.Args().Slice(), int(c.Int("seeds")), 0, bar.Set)
@@ -449,7 +452,7 @@
 	return nil
 }
 
-// exportCSV writes rows with the names of the Parquet schema in the first line.
+// exportCSV writes rows, a slice of structs, as CSV. The header has the names of the Parquet schema.
 func exportCSV(file string, list any) error {
 	f, err := os.Create(file)
 	if err != nil {
--- a/cmd/saddlelab/main.go
+++ b/cmd/saddlelab/main.go
@@ -1,5 +1,5 @@
-// Command saddlelab plays drills against the mixer and measures it. This file owns
-// the command line and nothing else: what the commands do is in internal/lab.
+// Command saddlelab runs drills and scenarios against the proxy and measures it. This package only
+// parses the command line; internal/lab implements the commands.
 package main
 
 import (
@@ -23,41 +23,41 @@
 	"saddleport/internal/lab/show"
 )
 
-// errFailed is a drill that was played and failed; it has been told already.
-var errFailed = errors.New("the drill failed")
+// errDrillFailed is returned for a drill that ran and failed; its result has already been printed.
+var errDrillFailed = errors.New("the drill failed")
 
 func main() {
-	program := &cli.StringFlag{Name: "program", Usage: "the mixer's `FILE`; the one beside this program if not given"}
+	program := &cli.StringFlag{Name: "program", Usage: "the program `FILE` of the proxy; saddleport in the directory of this program if not given"}
 	asJSON := &cli.BoolFlag{Name: "json", Usage: "print the result as JSON"}
 	root := &cli.Command{
 		Name:  "saddlelab",
-		Usage: "drills and measurements of the mixer, on this machine alone",
+		Usage: "drills and measurements of the proxy, on this machine only",
 		Commands: []*cli.Command{
-			{Name: "run", Usage: "play a drill or a scenario; exit 0 if it passes, 1 if not", ArgsUsage: "FILE",
+			{Name: "run", Usage: "run a drill or a scenario; exit with 0 if it passes, else with 1", ArgsUsage: "FILE",
 				Flags: []cli.Flag{program, asJSON,
-					&cli.StringFlag{Name: "drive", Value: "virtual", Usage: "scenario: `DRIVE` virtual (no sockets) or real (the program, on loopback)"},
-					&cli.StringFlag{Name: "policy", Value: "mixer", Usage: "scenario: `POLICY` mixer, oracle (sees every server's true state) or random"},
-					&cli.IntFlag{Name: "seed", Usage: "scenario: another seed"},
-					&cli.StringSliceFlag{Name: "set", Usage: "scenario: set `KEY=VALUE`, as fleet.cores=4 or rate=2"},
-					&cli.BoolFlag{Name: "decisions", Usage: "scenario, virtual drive: print a digest of all events and actions of the decisions"},
-					&cli.StringFlag{Name: "operator", Usage: "scenario, real drive: the mixers' operator `FILE`"},
-					&cli.StringFlag{Name: "out", Usage: "keep logs and the result in this `DIR`"},
-					&cli.DurationFlag{Name: "length", Usage: "play it so long instead; steps keep their times, those after it do not happen"}},
+					&cli.StringFlag{Name: "drive", Value: "virtual", Usage: "scenario: `DRIVE`, virtual (no sockets) or real (the program, on loopback)"},
+					&cli.StringFlag{Name: "policy", Value: "mixer", Usage: "scenario: `POLICY`, mixer (the proxy's decisions), oracle (knows the true state of each server) or random"},
+					&cli.IntFlag{Name: "seed", Usage: "scenario: the seed; the scenario's if not given"},
+					&cli.StringSliceFlag{Name: "set", Usage: "scenario: set `KEY=VALUE`, such as fleet.cores=4 or rate=2"},
+					&cli.BoolFlag{Name: "decisions", Usage: "scenario, virtual drive: print a digest of all events and actions of the decision logic"},
+					&cli.StringFlag{Name: "operator", Usage: "scenario, real drive: the operator `FILE` of the proxies"},
+					&cli.StringFlag{Name: "out", Usage: "write logs and the result into this `DIR`"},
+					&cli.DurationFlag{Name: "length", Usage: "duration; steps keep their times, and steps after the end are skipped"}},
 				Action: func(ctx context.Context, c *cli.Command) error {
 					if c.Args().Len() != 1 {
-						return errors.New("give one drill's or scenario's file")
+						return errors.New("expected exactly one argument: the file of a drill or a scenario")
 					}
-					if is, err := emulated(c.Args().First()); err != nil {
+					if is, err := isScenario(c.Args().First()); err != nil {
 						return err
 					} else if is {
 						return runScenario(ctx, c)
 					}
 					return run(ctx, c)
 				}},
-			{Name: "check", Usage: "read drills and scenarios and say what is wrong with them", ArgsUsage: "FILE...",
+			{Name: "check", Usage: "check the files of drills and scenarios and report the first error", ArgsUsage: "FILE...",
 				Action: func(_ context.Context, c *cli.Command) error {
 					for _, file := range c.Args().Slice() {
-						if is, err := emulated(file); err != nil {
+						if is, err := isScenario(file); err != nil {
 							return err
 						} else if is {
 							doc, err := scenario.Open(file)
@@ -69,7 +69,7 @@
 								if err != nil {
 									return err
 								}
-								fmt.Printf("%s: %s %s, %v, %d servers, %d mixers, %d classes, %d faults\n", file, s.Name, scenario.Label(v), s.Length, s.Servers(), s.Mixers.Count, len(s.Classes), len(s.Faults))
+								fmt.Printf("%s: %s %s, %v, %d servers, %d proxies, %d classes, %d faults\n", file, s.Name, scenario.Label(v), s.Length, s.Servers(), s.Mixers.Count, len(s.Classes), len(s.Faults))
 							}
 							continue
 						}
@@ -81,9 +81,9 @@
 					}
 					return nil
 				}},
-			{Name: "hook-cost", Usage: "measure what a hook costs, by engine and point", Flags: []cli.Flag{asJSON,
-				&cli.IntFlag{Name: "calls", Value: 5000, Usage: "calls counted for each row"},
-				&cli.StringFlag{Name: "guest", Usage: "a WebAssembly `FILE` of a hook that does nothing (sdk/build.sh makes it)", Value: "drills/sets/wasm/noop.wasm"}},
+			{Name: "hook-cost", Usage: "measure the cost of a hook call, by engine and hook point", Flags: []cli.Flag{asJSON,
+				&cli.IntFlag{Name: "calls", Value: 5000, Usage: "measured calls in each row"},
+				&cli.StringFlag{Name: "guest", Usage: "the WebAssembly `FILE` of a hook that does nothing (built by sdk/build.sh)", Value: "drills/sets/wasm/noop.wasm"}},
 				Action: func(ctx context.Context, c *cli.Command) error {
 					t, err := hookcost.Measure(ctx, c.String("guest"), int(c.Int("calls")))
 					if err != nil {
@@ -94,10 +94,10 @@
 					}
 					return t.Print(os.Stdout)
 				}},
-			cost("map-cost", "measure the map of segments by size", asJSON, func() (costs, error) {
+			sizeMeasurementCommand("map-cost", "measure the cost of a segment map by its number of segments", asJSON, func() (sizeMeasurement, error) {
 				return mapcost.Measure([]int{1000, 3000, 10000, 30000, 100000}, os.Stderr)
 			}),
-			cost("members-cost", "measure the merge of sources by the size of the fleet", asJSON, func() (costs, error) {
+			sizeMeasurementCommand("members-cost", "measure the cost of the membership merge by the size of the fleet", asJSON, func() (sizeMeasurement, error) {
 				return membercost.Measure([]int{100, 300, 1000, 5000, 10000}, os.Stderr)
 			}),
 		},
@@ -106,7 +106,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	if err := root.Run(ctx, os.Args); err != nil {
-		if !errors.Is(err, errFailed) {
+		if !errors.Is(err, errDrillFailed) {
 			fmt.Fprintln(os.Stderr, "saddlelab:", err)
 		}
 		os.Exit(1)
@@ -144,18 +144,18 @@
 	progress := show.New(os.Stderr)
 	defer progress.End()
 	opt := drill.Options{Program: program, Out: out, Progress: progress.Sample, Notice: progress.Notice}
-	var base *drill.Run
+	var baseline *drill.Run
 	if d.Compare {
-		if base, err = drill.Play(ctx, d, opt, false); err != nil {
+		if baseline, err = drill.Play(ctx, d, opt, false); err != nil {
 			return err
 		}
 	}
-	main, err := drill.Play(ctx, d, opt, d.Hooked() || d.Reshape.Segments > 0)
+	changed, err := drill.Play(ctx, d, opt, d.Hooked() || d.Reshape.Segments > 0)
 	if err != nil {
 		return err
 	}
 	progress.End()
-	r := drill.Weigh(d, base, main)
+	r := drill.Weigh(d, baseline, changed)
 	if out != "" {
 		if err := r.Save(out); err != nil {
 			return err
@@ -170,19 +170,20 @@
 	}
 	fmt.Println(r.Line())
 	if !r.Pass {
-		return errFailed
+		return errDrillFailed
 	}
 	return nil
 }
 
-// costs is a measurement by size.
-type costs interface {
+// sizeMeasurement is the result of a measurement by size.
+type sizeMeasurement interface {
 	Chart(file string) error
 	Print(w io.Writer) error
 }
 
-// cost is a command that measures by size, and draws a chart if it is to.
-func cost(name, usage string, asJSON cli.Flag, measure func() (costs, error)) *cli.Command {
+// sizeMeasurementCommand returns a command that runs a measurement by size, prints the result and
+// optionally draws a chart.
+func sizeMeasurementCommand(name, usage string, asJSON cli.Flag, measure func() (sizeMeasurement, error)) *cli.Command {
 	return &cli.Command{Name: name, Usage: usage, Flags: []cli.Flag{asJSON, &cli.StringFlag{Name: "chart", Usage: "draw a chart into this `FILE` (.png or .svg)"}},
 		Action: func(_ context.Context, c *cli.Command) error {
 			t, err := measure()
