--- a/internal/layout/doc.go
+++ b/internal/layout/doc.go
@@ -1,3 +1,3 @@
-// Package layout holds the tree to its layering: its tests read the import graph. It has no
-// code of its own.
+// Package layout contains tests that check the layering of the packages by their imports. It has
+// no other code.
 package layout
--- a/tools/soakmutants/main.go
+++ b/tools/soakmutants/main.go
@@ -1,6 +1,7 @@
-// Command soakmutants takes rules of the system out one at a time, each in a copy of the tree, and
-// runs a soak of each: a judge that has never caught anything proves nothing. It says which seed
-// finds which mutant, and ends with 1 if one is not found.
+// Command soakmutants tests the soak test itself by mutation: a judge that has never found a fault
+// proves nothing. For each mutant, it removes one rule of the system in a copy of the tree and runs
+// soaks with successive seeds until one finds the fault. It prints the seed that found each mutant
+// and exits with 1 if a mutant was not found.
 //
 //	go run ./tools/soakmutants [--only NAME] [--length 45s] [--seeds 4] [--seed 1]
 package main
@@ -16,61 +17,61 @@
 	"time"
 )
 
-// mutant is one rule taken out: in a file, one text is replaced by another.
+// mutant removes one rule by replacing a text that occurs once in a file.
 type mutant struct {
-	name, what    string
+	name, fault    string
 	file          string
-	old, replaced string
+	old, replacement string
 }
 
 var mutants = []mutant{
-	{"forgotten-peers", "processes that believed each other dead never call each other again (issue 52)",
+	{"forgotten-peers", "processes that considered each other dead never call each other again (issue 52)",
 		"internal/cluster/gossip/rejoin.go", "if now < g.nextRejoinAt {", "if now >= 0 {"},
-	{"dropped-change", "one proxy drops the changes of 8 s in every 16",
+	{"dropped-change", "one proxy drops the changes of 8 s in every 16 s",
 		"internal/node/proxy/proxy.go", "\tc, err := routeconfig.Parse(i.Value)\n", "\tif strings.HasSuffix(t.settings.Name, \"-2\") && time.Now().Unix()%16 < 8 {\n\t\treturn\n\t}\n\tc, err := routeconfig.Parse(i.Value)\n"},
 	{"late-change", "each change is applied 4 s late",
 		"internal/node/proxy/proxy.go", "\tt.routes.SetPlan(p)\n", "\ttime.AfterFunc(4*time.Second, func() { t.routes.SetPlan(p) })\n"},
-	{"older-change", "now and then the configuration before is put in force again",
+	{"older-change", "every eighth configuration is replaced by the previous one after 1 s",
 		"internal/node/proxy/proxy.go", "\tt.routes.SetPlan(p)\n", "\tif before := t.routes.Plan(); before != nil && c.Revision%8 == 0 {\n\t\ttime.AfterFunc(time.Second, func() { t.routes.SetPlan(before) })\n\t}\n\tt.routes.SetPlan(p)\n"},
-	{"withdrawn-route", "a withdrawn route is served on",
+	{"withdrawn-route", "a withdrawn route is still served",
 		"internal/downstream/httpserver/httpserver.go", "\tif route == nil {\n", "\tif route != nil {\n\t\tkept.Store(r.Path, p)\n\t} else if before, is := kept.Load(r.Path); is {\n\t\tp = before.(*Plan)\n\t\troute = p.Config.MatchRoute(r.Header.Get(\"Host\"), r.Path)\n\t}\n\tif route == nil {\n"},
 	{"invalid-taken", "weights that sum to 0 are valid",
 		"internal/cluster/routeconfig/routeconfig.go", "if sum <= 0 {", "if sum < 0 {"},
 	{"sent-twice", "a write is handled as if it were idempotent",
 		"internal/downstream/httpserver/plan.go", "if r.Idempotent {\n", "if r.Idempotent || r.MaxAttempts > 0 {\n"},
-	{"answer-swapped", "one in a hundred answers is that of the request before",
+	{"answer-swapped", "one in a hundred answers belongs to the previous request",
 		"internal/downstream/httpserver/httpserver.go", "\t\t\treturn c.WriteBytes(completeHead(f.Hits[0].Value, keep))\n", "\t\t\tanswer := f.Hits[0].Value\n\t\t\tif before, is := last.Swap(answer).(string); is && h.number.Add(1)%100 == 0 {\n\t\t\t\tanswer = before\n\t\t\t}\n\t\t\treturn c.WriteBytes(completeHead(answer, keep))\n"},
-	{"records-unordered", "the records of a gathered answer are not merged by their order",
+	{"records-unordered", "the records of a fan-out answer are not merged in their order",
 		"internal/downstream/httpserver/httpserver.go", "return cmp.Compare(b, a) })", "return 0 })"},
-	{"connection-closed", "one in two hundred connections is closed while its request is at a server",
+	{"connection-closed", "one in two hundred requests has its connection closed before its answer",
 		"internal/downstream/httpserver/httpserver.go", "\t\tif f.Ending == exchange.Answered {\n", "\t\tif h.number.Add(1)%200 == 0 {\n\t\t\treturn false\n\t\t}\n\t\tif f.Ending == exchange.Answered {\n"},
-	{"drain-ignored", "a server that is draining is asked as before",
+	{"drain-ignored", "a draining server gets requests as before",
 		"internal/node/proxy/proxy.go", "\t\trow.State = choice.Draining\n", "\t\trow.State = choice.Ready\n"},
-	{"stale-read", "the tail does not ask whether its view stands, nor a machine whether it has a quorum",
+	{"stale-read", "reads check neither that the tail's view is current nor that the machine has a quorum",
 		"internal/node/controlplane/handover.go", "func (c *replicaRunner) requireQuorum(ctx context.Context) error {\n", "func (c *replicaRunner) requireQuorum(ctx context.Context) error {\n\tif c != nil {\n\t\treturn nil\n\t}\n"},
 }
 
-// support is code that some mutants need beside their change.
+// support is additional code that some mutants need, in a file of the mutated package.
 var support = map[string]string{
 	"withdrawn-route": "package httpserver\n\nimport \"sync\"\n\nvar kept sync.Map\n",
 	"answer-swapped":  "package httpserver\n\nimport \"sync/atomic\"\n\nvar last atomic.Value\n",
 }
 
-// second is the other change of mutants that take two.
+// second is the second change of mutants that need two.
 var second = map[string]mutant{
-	"stale-read": {file: "internal/node/controlplane/replica.go", old: "chain.Mutations{}", replaced: "chain.Mutations{StaleRead: true}"},
-	"sent-twice": {file: "internal/downstream/httpserver/httpserver.go", old: "NonIdempotent: !route.Idempotent,", replaced: "NonIdempotent: false,"},
+	"stale-read": {file: "internal/node/controlplane/replica.go", old: "chain.Mutations{}", replacement: "chain.Mutations{StaleRead: true}"},
+	"sent-twice": {file: "internal/downstream/httpserver/httpserver.go", old: "NonIdempotent: !route.Idempotent,", replacement: "NonIdempotent: false,"},
 }
 
-var errText = errors.New("the text to replace is not there once: the mutant is out of date")
+var errOutOfDate = errors.New("the text to replace does not occur exactly once: the mutant is out of date")
 
 func main() {
-	only := flag.String("only", "", "the mutant to run; empty: all")
-	length := flag.Duration("length", 45*time.Second, "of each soak")
-	seeds := flag.Int("seeds", 4, "soaks of each mutant at most")
-	seed := flag.Uint64("seed", 1, "the first")
+	only := flag.String("only", "", "the mutant to run; all if empty")
+	length := flag.Duration("length", 45*time.Second, "duration of each soak")
+	seeds := flag.Int("seeds", 4, "maximum number of soaks of each mutant")
+	seed := flag.Uint64("seed", 1, "the first seed")
 	flag.Parse()
-	missed := 0
+	notFound := 0
 	for _, m := range mutants {
 		if *only != "" && *only != m.name {
 			continue
@@ -81,17 +82,18 @@
 			os.Exit(1)
 		}
 		if found == "" {
-			missed++
+			notFound++
 			found = "NOT FOUND"
 		}
-		fmt.Printf("%-18s %-90s %s\n", m.name, m.what, found)
+		fmt.Printf("%-18s %-90s %s\n", m.name, m.fault, found)
 	}
-	if missed > 0 {
+	if notFound > 0 {
 		os.Exit(1)
 	}
 }
 
-// run builds a mutant and soaks it, seed after seed, until something is found.
+// run builds a mutant and runs soaks with successive seeds until one finds something. It returns
+// an empty text if none does.
 func run(m mutant, length time.Duration, seeds int, first uint64) (found string, err error) {
 	dir, err := os.MkdirTemp("", "soak-mutant-")
 	if err != nil {
@@ -111,7 +113,7 @@
 		return "", fmt.Errorf("%w: %s", err, out)
 	}
 	for seed := first; seed < first+uint64(seeds); seed++ {
-		begin := time.Now()
+		started := time.Now()
 		soak := exec.Command(filepath.Join(tree, "target", "saddlectl"), "soak", "--seed", fmt.Sprint(seed), "--length", length.String(), "--out", filepath.Join(dir, "out"))
 		out, err := soak.Output()
 		var exit *exec.ExitError
@@ -119,13 +121,13 @@
 			return "", err
 		}
 		if line := firstFinding(string(out)); line != "" {
-			return fmt.Sprintf("seed %d, after %d s: %s", seed, int(time.Since(begin).Seconds()), line), nil
+			return fmt.Sprintf("seed %d, after %d s: %s", seed, int(time.Since(started).Seconds()), line), nil
 		}
 	}
 	return "", nil
 }
 
-// firstFinding returns the first line behind the count of findings.
+// firstFinding returns the first finding of a soak report, or an empty text if it has none.
 func firstFinding(report string) string {
 	_, rest, _ := strings.Cut(report, "\nfindings: ")
 	lines := strings.Split(rest, "\n")
@@ -147,9 +149,9 @@
 			return err
 		}
 		if strings.Count(string(text), change.old) != 1 {
-			return fmt.Errorf("%s: %q: %w", change.file, change.old, errText)
+			return fmt.Errorf("%s: %q: %w", change.file, change.old, errOutOfDate)
 		}
-		if err := os.WriteFile(file, []byte(strings.Replace(string(text), change.old, change.replaced, 1)), 0o644); err != nil {
+		if err := os.WriteFile(file, []byte(strings.Replace(string(text), change.old, change.replacement, 1)), 0o644); err != nil {
 			return err
 		}
 	}
