--- a/internal/app/config.go
+++ b/internal/app/config.go
@@ -29,10 +29,10 @@
 	cores                   float64
 	memoryMB, sockets       int
 	settings                settings.Settings
-	known                   choice.List
+	known                   choice.List // the servers known at the start; none if the file has no list
 	knownAddrs              targets.Addrs
 	clientLimits            downstream.Limits
-	connGrace               time.Duration
+	connGrace               time.Duration // how long client connections stay open after SIGTERM
 	pollTimeout             time.Duration // set by tests: timeout of a poll of the agent that pushes lists; 0: the default
 	operator                string        // path of the operator file; empty if there is none
 }
@@ -54,6 +54,7 @@
 	return cfg, err
 }
 
+// decode decodes and validates the text of a configuration.
 func decode(text []byte, env func(string) string) (*Config, error) {
 	doc := gjson.ParseBytes(text)
 	if !gjson.ValidBytes(text) || !doc.IsObject() {
--- a/internal/app/members.go
+++ b/internal/app/members.go
@@ -210,19 +210,17 @@
 	return string(text)
 }
 
-// The members commands.
-
 // Members prints the state of the leaf servers in the running proxy whose control socket the
 // operator file names: of one server, or of all if name is empty. With watch, it then prints
 // each change, polling once a second until done is closed.
 func Members(w io.Writer, operatorFile, name string, asJSON, watch bool, done <-chan struct{}) error {
-	old, err := LoadOperator(operatorFile)
+	op, err := LoadOperator(operatorFile)
 	if err != nil {
 		return err
 	}
 	fetch := func() (*members.Report, error) {
 		var r members.Report
-		return &r, control.Call(old.Control.Socket, &r, "members", "show", url.QueryEscape(name))
+		return &r, control.Call(op.Control.Socket, &r, "members", "show", url.QueryEscape(name))
 	}
 	r, err := fetch()
 	if err != nil {
@@ -284,7 +282,7 @@
 	if name == "" {
 		fmt.Fprintf(w, "%d ready, %d draining, %d withheld, %d gone; %d changes, %d returns delayed by flap damping", r.Ready, r.Draining, r.Withheld, r.Gone, r.Changes, r.Damped)
 		if r.Floor {
-			fmt.Fprint(w, "; FLOOR ACTIVE: servers that disappeared together are kept for now")
+			fmt.Fprint(w, "; FLOOR ACTIVE: the removal of many servers at once is not confirmed yet")
 		}
 		fmt.Fprintln(w)
 		if r.Refused+r.Skipped > 0 {
--- a/internal/app/serve.go
+++ b/internal/app/serve.go
@@ -92,7 +92,7 @@
 
 // reload reads both files again and applies what may change at run time: the address of
 // discovery, the member sources, log settings and hooks. An error in either file rejects the
-// whole reload, because the valid half might belong to another version of the fleet.
+// complete reload, because the valid half might belong to another version of the fleet.
 func (p *proxy) reload() {
 	cfg := p.cfg
 	next, err := Load(cfg.path, cfg.env)
--- a/tools/soakmutants/main.go
+++ b/tools/soakmutants/main.go
@@ -19,8 +19,8 @@
 
 // mutant removes one rule by replacing a text that occurs once in a file.
 type mutant struct {
-	name, fault    string
-	file          string
+	name, fault      string
+	file             string
 	old, replacement string
 }
 
