--- a/internal/app/admin.go
+++ b/internal/app/admin.go
@@ -39,7 +39,7 @@
 	}
 	response, err := reader.Response()
 	if err == nil && response.Status != 200 {
-		err = fmt.Errorf("status %d", response.Status)
+		err = fmt.Errorf("GET /-/counters returned status %d", response.Status)
 	}
 	if err == nil {
 		_, err = w.Write(response.Body)
--- a/internal/app/hooks.go
+++ b/internal/app/hooks.go
@@ -27,7 +27,7 @@
 
 // loader returns a loader of hook sets for the given files; both files are optional.
 func (h *HookCommands) loader() (*hook.Loader, error) {
-	o, err := LoadOperator(h.Operator)
+	op, err := LoadOperator(h.Operator)
 	if err != nil {
 		return nil, err
 	}
@@ -39,7 +39,7 @@
 		}
 		classes = cfg.settings.Router.Classes
 	}
-	return o.Loader(classes), nil
+	return op.Loader(classes), nil
 }
 
 func (h *HookCommands) encode(v any) error {
@@ -50,11 +50,11 @@
 
 // Check loads the hook set in a directory, which runs its self-tests, and prints a summary.
 func (h *HookCommands) Check(dir string) error {
-	l, err := h.loader()
+	loader, err := h.loader()
 	if err != nil {
 		return err
 	}
-	set, err := l.Load(dir)
+	set, err := loader.Load(dir)
 	if err != nil {
 		return err
 	}
@@ -68,11 +68,11 @@
 // Test runs the self-tests of a hook set and prints the result of each. It returns an error if one
 // failed.
 func (h *HookCommands) Test(dir string) error {
-	l, err := h.loader()
+	loader, err := h.loader()
 	if err != nil {
 		return err
 	}
-	results, failed, err := l.TestAll(dir)
+	results, failed, err := loader.TestAll(dir)
 	if err != nil {
 		return err
 	}
@@ -84,27 +84,27 @@
 		}
 		rows := []row{}
 		for _, r := range results {
-			x := row{Test: r.Test.Name, Hook: r.Test.Hook, Passed: r.Err == nil, TookMS: float64(r.Took.Microseconds()) / 1000}
+			next := row{Test: r.Test.Name, Hook: r.Test.Hook, Passed: r.Err == nil, TookMS: float64(r.Took.Microseconds()) / 1000}
 			if r.Err != nil {
-				x.Err = r.Err.Error()
+				next.Err = r.Err.Error()
 			}
-			rows = append(rows, x)
+			rows = append(rows, next)
 		}
 		if err := h.encode(rows); err != nil {
 			return err
 		}
 		return failed
 	}
-	t := tabwriter.NewWriter(h.Out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(t, "test\thook\tresult\tduration\t")
+	table := tabwriter.NewWriter(h.Out, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(table, "test\thook\tresult\tduration\t")
 	for _, r := range results {
 		result := "ok"
 		if r.Err != nil {
 			result = "FAILED: " + r.Err.Error()
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%v\t\n", r.Test.Name, r.Test.Hook, result, r.Took.Round(time.Microsecond))
+		fmt.Fprintf(table, "%s\t%s\t%s\t%v\t\n", r.Test.Name, r.Test.Hook, result, r.Took.Round(time.Microsecond))
 	}
-	if err := t.Flush(); err != nil {
+	if err := table.Flush(); err != nil {
 		return err
 	}
 	return failed
@@ -112,7 +112,7 @@
 
 // Run runs one query, described by a JSON file, through a hook set and prints each hook call.
 func (h *HookCommands) Run(dir, query string) error {
-	l, err := h.loader()
+	loader, err := h.loader()
 	if err != nil {
 		return err
 	}
@@ -120,35 +120,35 @@
 	if err != nil {
 		return err
 	}
-	v, err := hook.ParseView(text)
+	view, err := hook.ParseView(text)
 	if err != nil {
 		return fmt.Errorf("%s: %w", query, err)
 	}
-	set, err := l.Load(dir)
+	set, err := loader.Load(dir)
 	if err != nil {
 		return err
 	}
-	steps, end := l.Simulate(set, v)
+	steps, end := loader.Simulate(set, view)
 	if h.JSON {
 		return h.encode(map[string]any{"steps": steps, "end": end})
 	}
-	t := tabwriter.NewWriter(h.Out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(t, "point\tshard\thook\tduration\tresult\t")
-	for _, s := range steps {
+	table := tabwriter.NewWriter(h.Out, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(table, "point\tshard\thook\tduration\tresult\t")
+	for _, step := range steps {
 		shard := "-"
-		if s.Part >= 0 {
-			shard = fmt.Sprint(s.Part)
+		if step.Part >= 0 {
+			shard = fmt.Sprint(step.Part)
 		}
-		outcome := s.Answer
-		if s.Fault != "" {
-			outcome = "FAULT " + s.Fault
+		outcome := step.Answer
+		if step.Fault != "" {
+			outcome = "FAULT " + step.Fault
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%v\t%s\t\n", s.Point, shard, s.Hook, s.Took.Round(time.Microsecond), outcome)
-		for _, l := range s.Logged {
-			fmt.Fprintf(t, "\t\t\t\tlog: %s\t\n", l)
+		fmt.Fprintf(table, "%s\t%s\t%s\t%v\t%s\t\n", step.Point, shard, step.Hook, step.Took.Round(time.Microsecond), outcome)
+		for _, line := range step.Logged {
+			fmt.Fprintf(table, "\t\t\t\tlog: %s\t\n", line)
 		}
 	}
-	if err := t.Flush(); err != nil {
+	if err := table.Flush(); err != nil {
 		return err
 	}
 	_, err = fmt.Fprintf(h.Out, "end: %s\n", end)
@@ -161,43 +161,43 @@
 	if h.Operator == "" {
 		return errors.New("give --operator FILE: its section [control] names the socket of the proxy")
 	}
-	o, err := LoadOperator(h.Operator)
+	op, err := LoadOperator(h.Operator)
 	if err != nil {
 		return err
 	}
-	var r hook.Report
-	if err := control.Call(o.Control.Socket, &r, append([]string{"hooks"}, args...)...); err != nil {
+	var report hook.Report
+	if err := control.Call(op.Control.Socket, &report, append([]string{"hooks"}, args...)...); err != nil {
 		return err
 	}
 	if h.JSON {
-		return h.encode(r)
+		return h.encode(report)
 	}
-	if r.Set == "" {
+	if report.Set == "" {
 		fmt.Fprintln(h.Out, "no hook set is loaded")
 	} else {
-		fmt.Fprintf(h.Out, "set %s, version %d, from %s; %d calls running, %d waiting\n", r.Set, r.Version, r.Dir, r.Running, r.Waiting)
+		fmt.Fprintf(h.Out, "set %s, version %d, from %s; %d calls running, %d waiting\n", report.Set, report.Version, report.Dir, report.Running, report.Waiting)
 	}
-	if r.Rejected != "" {
-		fmt.Fprintf(h.Out, "the last reload was rejected: %s\n", r.Rejected)
+	if report.Rejected != "" {
+		fmt.Fprintf(h.Out, "the last reload was rejected: %s\n", report.Rejected)
 	}
-	if len(r.Hooks) == 0 {
+	if len(report.Hooks) == 0 {
 		return nil
 	}
-	t := tabwriter.NewWriter(h.Out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(t, "hook\tengine\tpoints\tclasses\ton failure\tstate\tcalls\tfaults\tp50 us\tp99 us\treason\t")
-	for _, s := range r.Hooks {
-		classes, faults := strings.Join(s.Classes, ","), int64(0)
+	table := tabwriter.NewWriter(h.Out, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(table, "hook\tengine\tpoints\tclasses\ton failure\tstate\tcalls\tfaults\tp50 us\tp99 us\treason\t")
+	for _, status := range report.Hooks {
+		classes, faults := strings.Join(status.Classes, ","), int64(0)
 		if classes == "" {
 			classes = "all"
 		}
-		for _, n := range s.Faults {
+		for _, n := range status.Faults {
 			faults += n
 		}
-		if s.QuarantineLeftMS > 0 {
-			s.State += fmt.Sprintf(" (%.1f s left)", float64(s.QuarantineLeftMS)/1000)
+		if status.QuarantineLeftMS > 0 {
+			status.State += fmt.Sprintf(" (%.1f s left)", float64(status.QuarantineLeftMS)/1000)
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\t%d\t%d\t<%d\t<%d\t%s\t\n", s.Name, s.Engine, strings.Join(s.Points, ","), classes,
-			s.OnFailure, s.State, s.Calls, faults, s.P50us, s.P99us, s.Reason)
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%s\t%d\t%d\t<%d\t<%d\t%s\t\n", status.Name, status.Engine, strings.Join(status.Points, ","), classes,
+			status.OnFailure, status.State, status.Calls, faults, status.P50us, status.P99us, status.Reason)
 	}
-	return t.Flush()
+	return table.Flush()
 }
