--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -1,8 +1,7 @@
-// Package control lets an operator speak to a running mixer on its own machine:
-// a Unix socket, one line asked, one JSON document answered. It owns the socket
-// and the bounds of what is asked. It must never be reachable by a client of the
-// mixer, keep a caller waiting without end, or do anything itself: what a word
-// means is its caller's.
+// Package control lets an operator send commands to a running proxy on the same machine: over a
+// Unix socket, one request line is answered by one JSON document. It owns the socket and the
+// limits of requests. It must never be reachable by a client of the proxy, let a caller wait
+// without a timeout, or execute commands itself: the Handler defines their meaning.
 package control
 
 import (
@@ -29,16 +28,17 @@
 	maxLine         = 4 << 10
 	maxReply        = 16 << 20
 	maxConns        = 8
-	requestTimeout  = 2 * time.Second  // for the line to come
-	responseTimeout = 60 * time.Second // for what it asks, and for its answer to be taken
+	requestTimeout  = 2 * time.Second  // to connect, and to receive the request line
+	responseTimeout = 60 * time.Second // of a call: for the command and its response together; in the server: to send the response
 )
 
 var log = logs.For("control")
 
-// Handler does what a line asks. What it returns is answered as JSON.
+// Handler executes a request, which is a line split at white space. Its result is encoded as
+// JSON; its error is sent as text.
 type Handler func(args []string) (any, error)
 
-// Server answers on a socket.
+// Server serves requests on a Unix socket, at most maxConns at a time.
 type Server struct {
 	ln      net.Listener
 	handle  Handler
@@ -46,8 +46,9 @@
 	running sync.WaitGroup
 }
 
-// Listen opens the socket; only this user may use it. A socket that a process
-// left behind is taken over, one that is answered is not.
+// Listen opens the socket at path with permissions for the current user only, and serves it. A
+// socket file left by a process that has ended is replaced. Listen fails if another process
+// answers on the socket, or if the file is not a socket.
 func Listen(path string, handle Handler) (*Server, error) {
 	if nc, err := net.DialTimeout("unix", path, requestTimeout); err == nil {
 		nc.Close()
@@ -55,7 +56,7 @@
 	}
 	if info, err := os.Lstat(path); err == nil {
 		if info.Mode()&os.ModeSocket == 0 {
-			return nil, fmt.Errorf("%s: is there and no socket", path)
+			return nil, fmt.Errorf("%s: exists and is not a socket", path)
 		}
 		if err := os.Remove(path); err != nil {
 			return nil, err
@@ -125,20 +126,21 @@
 	nc.Write(append(text, '\n'))
 }
 
-// Close ends the socket. What is being answered is finished.
+// Close closes the socket and waits for the requests in progress.
 func (s *Server) Close() {
 	s.ln.Close()
 	s.running.Wait()
 }
 
-// Ask speaks to the mixer behind a socket and fills into with its answer.
-func Call(path string, into any, args ...string) error {
+// Call sends a request to the proxy behind the socket at path and stores its response in
+// result. An error of the handler is returned with its text.
+func Call(path string, result any, args ...string) error {
 	if path == "" {
 		return errors.New("the operator file names no socket: set [control] socket")
 	}
 	nc, err := net.DialTimeout("unix", path, requestTimeout)
 	if err != nil {
-		return fmt.Errorf("no mixer answers: %w", err)
+		return fmt.Errorf("no proxy answers: %w", err)
 	}
 	defer nc.Close()
 	nc.SetDeadline(time.Now().Add(responseTimeout))
@@ -151,10 +153,10 @@
 	}
 	var r reply
 	if err := json.Unmarshal(text, &r); err != nil {
-		return fmt.Errorf("the mixer's answer can't be read: %w", err)
+		return fmt.Errorf("cannot decode the proxy's response: %w", err)
 	}
 	if r.Error != "" {
 		return errors.New(r.Error)
 	}
-	return json.Unmarshal(r.Value, into)
+	return json.Unmarshal(r.Value, result)
 }
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -31,9 +31,9 @@
 	_, err = Listen(path, nil)
 	require.ErrorContains(t, err, "another process answers there")
 	s.Close()
-	require.ErrorContains(t, Call(path, &got, "x"), "no mixer answers")
+	require.ErrorContains(t, Call(path, &got, "x"), "no proxy answers")
 
-	// What a process that died left behind is taken over; a file is not.
+	// A socket left by a process that has ended is replaced; a regular file is not.
 	ln, err := net.Listen("unix", path)
 	require.NoError(t, err)
 	ln.(*net.UnixListener).SetUnlinkOnClose(false)
@@ -43,6 +43,6 @@
 	s.Close()
 	require.NoError(t, os.WriteFile(path, nil, 0o600))
 	_, err = Listen(path, nil)
-	require.ErrorContains(t, err, "no socket")
+	require.ErrorContains(t, err, "is not a socket")
 	require.ErrorContains(t, Call("", nil), "names no socket")
 }
--- a/internal/inifile/decode.go
+++ b/internal/inifile/decode.go
@@ -1,14 +1,13 @@
 package inifile
 
-// This file turns sections into structs. A field's tags say all there is to know
-// of its key:
+// This file decodes sections into structs. The tags of a field define its key:
 //
-//	ini:"workers"        the key; a field without it is passed over
-//	default:"4"          the value where the file gives none
-//	range:"1..64"        the least and the most, in the field's own form
-//	oneof:"skip refuse"  the words allowed (for a list: for each item)
-//	need:"yes"           the file must give it
-//	help:"..."           one line for people
+//	ini:"workers"        the name of the key; a field without it is skipped
+//	default:"4"          the value if the file does not set the key
+//	range:"1..64"        the minimum and the maximum, in the form of the value
+//	oneof:"skip refuse"  the allowed values (of a list: for each item)
+//	need:"yes"           the file must set the key
+//	help:"..."           one line of description
 
 import (
 	"fmt"
@@ -20,7 +19,7 @@
 	"time"
 )
 
-// Bytes is a size. It is written with a unit: B, KiB, MiB or GiB.
+// Bytes is a size in bytes. It is written with a unit: B, KiB, MiB or GiB.
 type Bytes int64
 
 func (b Bytes) String() string {
@@ -37,21 +36,21 @@
 	size Bytes
 }{{"GiB", 1 << 30}, {"MiB", 1 << 20}, {"KiB", 1 << 10}, {"B", 1}}
 
-// Field is one key of a struct, as people are shown it.
+// Field describes one key of a struct for display.
 type Field struct {
 	Key, Value, Default, Range, Help string
-	Kind                             string // what form it has: "span", "size", "whole number", ...
+	Kind                             string // the type in words: "span" (a duration), "size", "whole number", ...
 }
 
-// Default fills a struct with its tags' defaults.
+// SetDefaults fills a struct with the defaults of its tags. It panics if a default is invalid.
 func SetDefaults(into any) {
 	if err := (&Section{}).Decode(into); err != nil && !strings.Contains(err.Error(), "must be given") {
-		panic("inifile: a default does not pass its own check: " + err.Error())
+		panic("inifile: invalid default: " + err.Error())
 	}
 }
 
-// Decode fills a struct from the section: what the section does not give gets its
-// default. The first fault, by line, is returned.
+// Decode fills a struct from the section. Keys that the section does not set get their defaults.
+// The error is that of the first invalid line or, if all lines are valid, a missing key.
 func (s *Section) Decode(into any) error {
 	v := reflect.ValueOf(into).Elem()
 	known := make(map[string]reflect.StructField)
@@ -87,7 +86,7 @@
 	return nil
 }
 
-// guess names the key that was probably meant.
+// suggestion returns a hint with the known key that is most similar to name, or "" if none is.
 func suggestion(name string, known []string) string {
 	best, bestDistance := "", 3
 	for _, k := range known {
@@ -101,7 +100,7 @@
 	return "; is " + best + " meant?"
 }
 
-// distance is the Levenshtein distance of two short words.
+// distance returns the Levenshtein distance of two strings, or 64 if one is longer than 64 bytes.
 func distance(a, b string) int {
 	if len(a) > 64 || len(b) > 64 {
 		return 64
@@ -124,7 +123,7 @@
 	return row[len(b)]
 }
 
-// Fields lists the keys of a struct with what they hold.
+// Fields returns the keys of a struct with their current values.
 func Fields(of any) []Field {
 	v := reflect.Indirect(reflect.ValueOf(of))
 	var out []Field
@@ -241,28 +240,28 @@
 				return fmt.Errorf("%q is none of: %s", item, strings.Join(oneof, ", "))
 			}
 			if slices.Contains(list, item) {
-				return fmt.Errorf("%q stands twice", item)
+				return fmt.Errorf("%q is listed twice", item)
 			}
 			list = append(list, item)
 		}
 		into.Set(reflect.ValueOf(list))
 	default:
-		panic("inifile: field " + f.Name + " has a type without a form")
+		panic("inifile: field " + f.Name + " has an unsupported type")
 	}
 	return nil
 }
 
-// Span reads a span of time, such as 250us, 3ms or 1m30s. A bare number has no
-// unit and is refused, 0 but for.
+// ParseDuration parses a duration, such as 250us, 3ms or 1m30s. A number without a unit is
+// rejected, except 0, and so is a negative duration.
 func ParseDuration(text string) (time.Duration, error) {
 	d, err := time.ParseDuration(text)
 	if err != nil || d < 0 {
-		return 0, fmt.Errorf("%q is not a span with a unit (us, ms, s, m, h)", text)
+		return 0, fmt.Errorf("%q is not a duration with a unit (us, ms, s, m, h)", text)
 	}
 	return d, nil
 }
 
-// Size reads a size with its unit.
+// ParseSize parses a size with its unit.
 func ParseSize(text string) (Bytes, error) {
 	for _, u := range units {
 		if number, ok := strings.CutSuffix(text, u.name); ok {
--- a/internal/inifile/inifile.go
+++ b/internal/inifile/inifile.go
@@ -1,13 +1,11 @@
-// Package inifile reads INI documents into typed structs. It owns the form of
-// every INI file of the project (operator file, hook manifests, drills): which
-// lines are allowed, how a value becomes a number, a span or a size, and the
-// words of a complaint. It must never know what a key is for, fill in a value
-// that neither the file nor a field's tag gives, or pass over what it does not
-// understand.
+// Package inifile decodes INI documents into typed structs. It owns the syntax of every INI
+// file of the project (operator file, hook manifests, drills): which lines are allowed, how a
+// value is parsed as a number, a duration or a size, and the texts of errors. It must never
+// know the meaning of a key, set a value that neither the file nor a field's tag gives, or
+// ignore a line that it does not understand.
 //
-// The text is taken apart by gopkg.in/ini.v1. That library keeps no line numbers
-// and merges what stands twice, so the lines are scanned beside it, and the two
-// readings must agree.
+// Values are parsed by gopkg.in/ini.v1. That library keeps no line numbers and merges repeated
+// sections and keys, so the lines are also scanned here, and both results must agree.
 package inifile
 
 import (
@@ -19,14 +17,14 @@
 	"gopkg.in/ini.v1"
 )
 
-// The bounds of a document.
+// The limits of a document.
 const (
 	MaxBytes = 256 << 10
 	MaxKeys  = 4096
 )
 
-// Error says what is wrong and where. Line counts from 1; 0 where no line is at
-// fault. Section and Key are empty where the fault is not in one.
+// Error is a problem and its location. Line counts from 1 and is 0 if the problem is not in one
+// line. Section and Key are empty if the problem is not in a section or key.
 type Error struct {
 	File, Section, Key string
 	Line               int
@@ -48,13 +46,13 @@
 	return b.String() + ": " + e.Problem
 }
 
-// Doc is a document: its sections in the order of the file.
+// Doc is a parsed document with its sections in file order.
 type Doc struct {
 	File     string
 	Sections []*Section
 }
 
-// Section is one section. Kind is the first word of its name, Label the rest:
+// Section is one section. Kind is its name up to the first space, Label the rest:
 // "[hook clinic]" has the kind "hook" and the label "clinic".
 type Section struct {
 	File, Name, Kind, Label string
@@ -62,14 +60,14 @@
 	Keys                    []Key
 }
 
-// Key is one line of a section.
+// Key is one key = value line of a section.
 type Key struct {
 	Name, Value string
 	Line        int
-	File        string // empty: the section's
+	File        string // empty: the file of the section
 }
 
-// Read reads a file.
+// Read reads and parses a file.
 func Read(file string) (*Doc, error) {
 	f, err := os.Open(file)
 	if err != nil {
@@ -88,7 +86,7 @@
 	return Parse(file, text[:n])
 }
 
-// Parse reads a text; file is its name in complaints.
+// Parse parses a text; file is its name in errors.
 func Parse(file string, text []byte) (*Doc, error) {
 	if len(text) > MaxBytes {
 		return nil, &Error{File: file, Problem: fmt.Sprintf("more than %d bytes", MaxBytes)}
@@ -106,11 +104,11 @@
 	for _, s := range doc.Sections {
 		got, err := parsed.GetSection(s.Name)
 		if err != nil || len(got.Keys()) != len(s.Keys) {
-			return nil, &Error{File: file, Section: s.Name, Line: s.Line, Problem: "can't be read; is a value longer than its line?"}
+			return nil, &Error{File: file, Section: s.Name, Line: s.Line, Problem: "cannot be parsed; does a value span several lines?"}
 		}
 		for i := range s.Keys {
 			if !got.HasKey(s.Keys[i].Name) {
-				return nil, &Error{File: file, Section: s.Name, Key: s.Keys[i].Name, Line: s.Keys[i].Line, Problem: "can't be read"}
+				return nil, &Error{File: file, Section: s.Name, Key: s.Keys[i].Name, Line: s.Keys[i].Line, Problem: "cannot be parsed"}
 			}
 			s.Keys[i].Value = got.Key(s.Keys[i].Name).Value()
 		}
@@ -118,7 +116,7 @@
 	return doc, nil
 }
 
-// scan finds the sections and keys with their lines.
+// scan finds the sections and keys with their line numbers.
 func scan(file, text string) (*Doc, error) {
 	doc := &Doc{File: file}
 	sectionLines := make(map[string]int)
@@ -138,14 +136,14 @@
 				rest = strings.TrimSpace(line[end+1:])
 			}
 			if end < 0 || rest != "" && rest[0] != '#' && rest[0] != ';' {
-				return nil, &Error{File: file, Line: lineNumber, Problem: fmt.Sprintf("%.40q is no section head", line)}
+				return nil, &Error{File: file, Line: lineNumber, Problem: fmt.Sprintf("%.40q is not a section header", line)}
 			}
 			name := strings.Join(strings.Fields(line[1:end]), " ")
 			if name == "" || name != line[1:end] || strings.EqualFold(name, ini.DefaultSection) {
-				return nil, &Error{File: file, Line: lineNumber, Problem: fmt.Sprintf("%.40q is no section name", line[1:end])}
+				return nil, &Error{File: file, Line: lineNumber, Problem: fmt.Sprintf("%.40q is not a valid section name", line[1:end])}
 			}
 			if earlier := sectionLines[name]; earlier > 0 {
-				return nil, &Error{File: file, Section: name, Line: lineNumber, Problem: fmt.Sprintf("stands on line %d already", earlier)}
+				return nil, &Error{File: file, Section: name, Line: lineNumber, Problem: fmt.Sprintf("already defined on line %d", earlier)}
 			}
 			sectionLines[name] = lineNumber
 			kind, label, _ := strings.Cut(name, " ")
@@ -160,13 +158,13 @@
 			return nil, &Error{File: file, Line: lineNumber, Problem: fmt.Sprintf("%.40q is neither a section nor key = value", line)}
 		}
 		if section == nil {
-			return nil, &Error{File: file, Key: key, Line: lineNumber, Problem: "stands before any section"}
+			return nil, &Error{File: file, Key: key, Line: lineNumber, Problem: "is set before the first section"}
 		}
 		if value = strings.TrimSpace(value); strings.HasPrefix(value, `"""`) || strings.HasPrefix(value, "`") {
-			return nil, &Error{File: file, Section: section.Name, Key: key, Line: lineNumber, Problem: "a value must end on its line"}
+			return nil, &Error{File: file, Section: section.Name, Key: key, Line: lineNumber, Problem: "a value must end on the line it starts on"}
 		}
 		if earlier := keyLines[key]; earlier > 0 {
-			return nil, &Error{File: file, Section: section.Name, Key: key, Line: lineNumber, Problem: fmt.Sprintf("stands on line %d already", earlier)}
+			return nil, &Error{File: file, Section: section.Name, Key: key, Line: lineNumber, Problem: fmt.Sprintf("already set on line %d", earlier)}
 		}
 		keyLines[key] = lineNumber
 		if keyCount++; keyCount > MaxKeys {
@@ -177,8 +175,8 @@
 	return doc, nil
 }
 
-// Fault is a complaint about a key of the section, or about the section itself
-// where it has no such key.
+// Errorf returns an *Error about a key of the section, located at the line of the key, or at the
+// line of the section if it does not set the key.
 func (s *Section) Errorf(key, format string, args ...any) error {
 	e := &Error{File: s.File, Section: s.Name, Key: key, Line: s.Line, Problem: fmt.Sprintf(format, args...)}
 	for _, k := range s.Keys {
@@ -191,7 +189,7 @@
 	return e
 }
 
-// Has tells whether the section gives a key.
+// Has reports whether the section sets a key.
 func (s *Section) Has(key string) bool {
 	for _, k := range s.Keys {
 		if k.Name == key {
--- a/internal/inifile/inifile_test.go
+++ b/internal/inifile/inifile_test.go
@@ -31,28 +31,28 @@
 	require.Equal(t, Field{Key: "memory", Value: "1GiB", Default: "4MiB", Range: "64KiB..1GiB", Kind: "size"}, Fields(&got)[2])
 }
 
-// Each fault names file, line, section and key.
+// Each error names the file, line, section and key.
 func TestFaults(t *testing.T) {
 	for text, want := range map[string]string{
 		"[s]\nname=x\nworkrs=1":            "x.ini:3: [s] workrs: no such key here; is workers meant?",
 		"[s]\nname=x\nworkers=65":          `x.ini:3: [s] workers: "65" is not within 1 to 64`,
 		"[s]\nname=x\nworkers=1.5":         `x.ini:3: [s] workers: "1.5" is not a whole number`,
-		"[s]\nname=x\nbudget=3":            `x.ini:3: [s] budget: "3" is not a span with a unit (us, ms, s, m, h)`,
+		"[s]\nname=x\nbudget=3":            `x.ini:3: [s] budget: "3" is not a duration with a unit (us, ms, s, m, h)`,
 		"[s]\nname=x\nbudget=2s":           `x.ini:3: [s] budget: "2s" is not within 100us to 1s`,
 		"[s]\nname=x\nmemory=3MB":          `x.ini:3: [s] memory: "3MB" is not a size with a unit (B, KiB, MiB, GiB)`,
 		"[s]\nname=x\nrule=maybe":          `x.ini:3: [s] rule: "maybe" is none of: skip, refuse`,
 		"[s]\nname=x\npoints=taken, later": `x.ini:3: [s] points: "later" is none of: taken, send`,
-		"[s]\nname=x\npoints=send,send":    `x.ini:3: [s] points: "send" stands twice`,
+		"[s]\nname=x\npoints=send,send":    `x.ini:3: [s] points: "send" is listed twice`,
 		"[s]\nname=x\non=1":                `x.ini:3: [s] on: "1" is neither yes nor no`,
 		"[s]\nname=x\nshare=NaN":           `x.ini:3: [s] share: "NaN" is not a number`,
 		"\n[s]\nrule=skip":                 `x.ini:2: [s]: name must be given`,
-		"[s]\nname=x\nname=y":              `x.ini:3: [s] name: stands on line 2 already`,
-		"[s]\nname=x\n[s]":                 `x.ini:3: [s]: stands on line 1 already`,
-		"name=x":                           `x.ini:1 name: stands before any section`,
+		"[s]\nname=x\nname=y":              `x.ini:3: [s] name: already set on line 2`,
+		"[s]\nname=x\n[s]":                 `x.ini:3: [s]: already defined on line 1`,
+		"name=x":                           `x.ini:1 name: is set before the first section`,
 		"[s]\nwhat":                        `x.ini:2: "what" is neither a section nor key = value`,
-		"[s\n":                             `x.ini:1: "[s" is no section head`,
-		"[DEFAULT]\n":                      `x.ini:1: "DEFAULT" is no section name`,
-		"[s]\nname=\"\"\"x\ny\"\"\"":       `x.ini:2: [s] name: a value must end on its line`,
+		"[s\n":                             `x.ini:1: "[s" is not a section header`,
+		"[DEFAULT]\n":                      `x.ini:1: "DEFAULT" is not a valid section name`,
+		"[s]\nname=\"\"\"x\ny\"\"\"":       `x.ini:2: [s] name: a value must end on the line it starts on`,
 	} {
 		doc, err := Parse("x.ini", []byte(text))
 		if err == nil {
@@ -62,8 +62,8 @@
 	}
 }
 
-// Whatever the text, reading it ends with a document or a complaint, and each key
-// of the document stands on the line it names.
+// Parsing any text ends with a document or an error, and each section and key of the document is
+// on the line that it gives.
 func FuzzParse(f *testing.F) {
 	f.Add("[log]\nlevel = info\n\n[hooks]\ndir = x # y\n")
 	f.Add("[a]\nb=\"c\"\nd='e'\n;f\n")
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -1,14 +1,13 @@
-// Package logs writes the program's log: one line an event, key=value, on
-// log/slog. It owns the form of a line, the level, and the bound on lines that
-// repeat. It must never block a caller on anything but the one write, drop a line
-// without counting it, or hold anything that grows with what peers send: the
-// events are words in the code.
+// Package logs writes the program's log through log/slog, as one line of key=value pairs per
+// event. It owns the format of a line, the level, and the rate limit of repeated lines. It must
+// never block a caller on anything but the one write, drop a line without counting it, or store
+// anything that grows with input from peers: event names are constants in the code.
 //
 // A line is
 //
 //	2026/12/01 13:20:59.123456 level=info component=back event=dial-failed server=s-3 err="..."
 //
-// Every event stands in docs/oncall.md; a test holds the page to the code.
+// Every event is documented in docs/oncall.md; a test compares the page with the code.
 package logs
 
 import (
@@ -28,7 +27,7 @@
 	Repeat int    `ini:"repeat" default:"20" range:"0..10000" help:"lines a second of one event; 0: no bound. unlogged= tells how many were left out"`
 }
 
-// sink is where all lines go.
+// sink is the destination of all lines, with the level and the rate limits.
 type sink struct {
 	level        slog.LevelVar
 	maxPerSecond atomic.Int64
@@ -40,7 +39,7 @@
 	buf    []byte
 }
 
-// gate bounds the lines of one event of one component.
+// eventLimit limits the lines of one event of one component to maxPerSecond.
 type eventLimit struct {
 	windowStart         time.Time
 	written, suppressed int
@@ -54,10 +53,10 @@
 	return s
 }
 
-// For returns the logger of a component. Its messages are the events' names.
+// For returns the logger of a component. Its messages must be event names.
 func For(component string) *slog.Logger { return slog.New(&handler{s: std, component: component}) }
 
-// Apply sets the level and the bound; it may be called at any time.
+// Apply sets the level and the rate limit. It may be called at any time.
 func Apply(set Settings) {
 	var level slog.Level
 	if level.UnmarshalText([]byte(set.Level)) == nil {
@@ -66,7 +65,7 @@
 	std.maxPerSecond.Store(int64(set.Repeat))
 }
 
-// To sends the lines elsewhere and returns what sends them back, for tests.
+// Redirect sends the lines to another writer and returns a function that undoes this, for tests.
 func Redirect(w io.Writer) (restore func()) {
 	std.mu.Lock()
 	defer std.mu.Unlock()
@@ -142,7 +141,7 @@
 	}
 	b = append(b, '\n')
 	s.buf = b
-	if cap(s.buf) > 64<<10 { // one long line must not be kept for ever
+	if cap(s.buf) > 64<<10 { // do not keep the buffer of one long line
 		s.buf = nil
 	}
 	_, err := s.w.Write(b)
@@ -161,10 +160,11 @@
 	return "debug"
 }
 
-// Pairs is a value that is key=value pairs already: it is written as it is.
+// Pairs is an attribute value that already consists of key=value pairs. It is written without its
+// key and without quotes.
 type Pairs string
 
-const maxValue = 2000 // bytes of one value in a line
+const maxValue = 2000 // bytes of one value; the rest is cut off
 
 func appendAttr(b []byte, group string, a slog.Attr) []byte {
 	v := a.Value.Resolve()
@@ -201,7 +201,7 @@
 	return strconv.AppendQuote(b, text)
 }
 
-// plain tells whether a value can stand without quotes.
+// plain reports whether a value can be written without quotes.
 func plain(s string) bool {
 	for i := range len(s) {
 		if c := s[i]; c <= ' ' || c >= 0x7f || c == '"' || c == '=' || c == '\\' {
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -36,8 +36,8 @@
 	require.Contains(t, out.String(), "event=counters set=x a=1 b=2\n")
 }
 
-// Lines of one event are bounded by the second; what was left out is told by the
-// next line, and other events are not held back.
+// The lines of one event are limited per second. The next line gives the number of suppressed
+// lines, and other events are not affected.
 func TestRepeat(t *testing.T) {
 	var out bytes.Buffer
 	now := time.Unix(100, 0)
@@ -61,7 +61,7 @@
 	require.Equal(t, 50, strings.Count(out.String(), "event=bad-query"))
 }
 
-// Each event in the code has its row on the on-call page, and each row its event.
+// Each event in the code has a row on the on-call page, and each row has an event in the code.
 func TestPage(t *testing.T) {
 	page, err := os.ReadFile("../../docs/oncall.md")
 	require.NoError(t, err)
@@ -82,7 +82,7 @@
 			if err != nil || d.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
 				return err
 			}
-			if strings.Contains(path, "internal/lab") || strings.Contains(path, "cmd/saddlelab") { // a tool: it prints tables
+			if strings.Contains(path, "internal/lab") || strings.Contains(path, "cmd/saddlelab") { // a command-line tool without a log page: it prints tables
 				return nil
 			}
 			f, err := parser.ParseFile(token.NewFileSet(), path, nil, 0)
@@ -100,7 +100,7 @@
 					return true
 				}
 				lit, ok := call.Args[0].(*ast.BasicLit)
-				require.True(t, ok, "%s: an event that is no word in the code", path)
+				require.True(t, ok, "%s: the event name is not a string literal", path)
 				event, err := strconv.Unquote(lit.Value)
 				require.NoError(t, err)
 				events = append(events, event)
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,8 +1,8 @@
-// Package operator reads the operator file: what an installation sets beside the
-// platform's configuration. It owns the reading, the checking as a whole, and the
-// printing with where each value came from. It knows no section: each is a struct
-// of the package that it configures, handed in by the wiring. It must never let a
-// part of a file count when another part is wrong.
+// Package operator reads the operator file, which holds the settings of an installation that are
+// not part of the platform's configuration. It owns reading the file, validating it as a unit,
+// and printing each value with its origin. It does not know the sections: each is a struct of
+// the package that it configures, passed in by the caller. It must never apply one part of a
+// file when another part is invalid.
 package operator
 
 import (
@@ -17,30 +17,30 @@
 	"saddleport/internal/inifile"
 )
 
-// Section is one section that the file may hold.
+// Section is one section that the file may contain.
 type Section struct {
 	Name string
 	Help string
-	// Into is a pointer to the struct that gets the values; see package inifile
-	// for its tags.
+	// Into is a pointer to the struct that receives the values; package inifile documents
+	// its tags.
 	Into any
-	// Check, if set, looks at the values once all of the file has been read.
-	// A *KeyError names the key that is at fault.
+	// Check, if set, validates the values after the entire file has been read. A *KeyError
+	// names the invalid key.
 	Check func() error
-	// Each, if set, is for sections [NAME LABEL], of which there may be several: it
-	// returns what gets the values of one and its check. Into and Check are nil then.
+	// ForLabel, if set, makes this a template for sections [NAME LABEL], of which there may be
+	// several: it returns the pointer and the check of one. Into and Check are nil then.
 	ForLabel func(label string) (into any, check func() error)
 }
 
-// KeyError is a fault of one key that its form does not show.
+// KeyError is an invalid value that its type, range and list of choices did not exclude.
 type KeyError struct{ Key, Problem string }
 
 func (e *KeyError) Error() string { return e.Key + ": " + e.Problem }
 
-// Origin says where a value came from.
+// Origin is the line that set a value.
 type Origin struct {
 	File string
-	Line int // 0: the default
+	Line int // 0: no line; the value is the default
 }
 
 func (o Origin) String() string {
@@ -50,16 +50,15 @@
 	return fmt.Sprintf("%s:%d", o.File, o.Line)
 }
 
-// File is a file that has been read and found right.
+// File is a file that has been read and validated.
 type File struct {
-	Path     string // empty: there is none, and all is as the defaults say
+	Path     string // empty: no file, all values are defaults
 	sections []Section
-	origins  map[string]Origin // by section and key
+	origins  map[string]Origin // keyed by section and key, separated by a space
 }
 
-// Load reads the file at path into the sections. With an empty path all get
-// their defaults. After an error the sections' structs are not to be used: hand
-// in fresh ones with each call.
+// Load reads the file at path into the structs of the sections. With an empty path all values
+// are defaults. After an error the structs must not be used: pass new ones with each call.
 func Load(path string, sections []Section) (*File, error) {
 	f := &File{Path: path, sections: sections, origins: make(map[string]Origin)}
 	for _, s := range sections {
@@ -77,7 +76,7 @@
 	return f, f.decode(doc)
 }
 
-// Parse is Load on a text.
+// Parse is Load for a text; path is the file's name in errors and origins.
 func Parse(path string, text []byte, sections []Section) (*File, error) {
 	f := &File{Path: path, sections: sections, origins: make(map[string]Origin)}
 	for _, s := range sections {
@@ -92,14 +91,15 @@
 	return f, f.decode(doc)
 }
 
+// decode fills the structs of the sections from a document and then runs all checks.
 func (f *File) decode(doc *inifile.Doc) error {
 	present := make(map[string]*inifile.Section)
 	for _, s := range doc.Sections {
 		known := f.findSection(s.Name)
 		if i := f.labelledIndex(s); known == nil && i >= 0 {
-			into, check := f.sections[i].ForLabel(s.Label)
-			inifile.SetDefaults(into)
-			f.sections = append(f.sections, Section{Name: s.Name, Help: f.sections[i].Help, Into: into, Check: check})
+			target, check := f.sections[i].ForLabel(s.Label)
+			inifile.SetDefaults(target)
+			f.sections = append(f.sections, Section{Name: s.Name, Help: f.sections[i].Help, Into: target, Check: check})
 			known = &f.sections[len(f.sections)-1]
 		}
 		if known == nil {
@@ -141,7 +141,7 @@
 	return nil
 }
 
-// each is the section of several that a section of the file is one of; below 0: none.
+// labelledIndex returns the index of the template for a labelled section, or -1 if there is none.
 func (f *File) labelledIndex(s *inifile.Section) int {
 	if s.Label == "" {
 		return -1
@@ -160,10 +160,10 @@
 	return out
 }
 
-// Print writes every value in force with its default, range and origin.
+// Print writes every current value with its type, default, range and origin.
 func (f *File) Print(w io.Writer) error {
 	if f.Path == "" {
-		fmt.Fprintln(w, "# no operator file: all is as the defaults say")
+		fmt.Fprintln(w, "# no operator file: all values are defaults")
 	} else {
 		fmt.Fprintf(w, "# %s\n", f.Path)
 	}
@@ -191,12 +191,12 @@
 	return nil
 }
 
-// Value is one key in force, for the JSON form.
+// Value is one key with its current value, for the JSON output.
 type Value struct {
 	Section, Key, Value, Default, Range, Origin, Help string
 }
 
-// Values lists every key in force.
+// Values returns every key with its current value.
 func (f *File) Values() []Value {
 	var out []Value
 	for _, s := range f.sections {
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -45,14 +45,14 @@
 		"[one]\nwait=1s\n\n[two]\n": "op.ini:4: [two]: no such section; there are: one",
 		"[one]\nwat=1s":             "op.ini:2: [one] wat: no such key here; is wait meant?",
 		"[one]\nwait=2h":            `op.ini:2: [one] wait: "2h" is not within 1ms to 1m`,
-		"[one]\nwait=1s\nwait = 2s": "op.ini:3: [one] wait: stands on line 2 already",
+		"[one]\nwait=1s\nwait = 2s": "op.ini:3: [one] wait: already set on line 2",
 	} {
 		_, err := Parse("op.ini", []byte(text), sections(&sample{}))
 		require.EqualError(t, err, want)
 	}
 }
 
-// Whatever the text: an error, or values within their ranges.
+// Any text gives either an error or values within their ranges.
 func FuzzOperator(f *testing.F) {
 	f.Add("[one]\nwait = 2s\ndir = x\n")
 	f.Add("[one]\r\nwait=9999999999h\n")
--- a/internal/paths/paths.go
+++ b/internal/paths/paths.go
@@ -1,7 +1,7 @@
-// Package paths reads settings and configurations: maps that a small reader of paths
-// walks. It owns how a value is found, converted and complained of by its path
-// ("routes[3].timeout_ms"). It must never keep a value that it could not read, stop at a
-// field that it does not know, or know what a value means.
+// Package paths reads settings and configurations, which are trees of maps and lists, by path
+// ("routes[3].timeout_ms"). It owns looking values up, converting them, and naming their paths
+// in errors. It must never return a value that it could not convert, reject a field that it does
+// not know, or know what a value means.
 package paths
 
 import (
@@ -16,21 +16,21 @@
 	"github.com/zeebo/errs"
 )
 
-// Error is the class of all complaints.
+// Error is the class of all errors of this package.
 var Error = errs.Class("settings")
 
-// Reader stands at one place of a tree of maps and lists. The zero Reader is a place
-// where nothing is.
+// Reader is a location in a tree of maps and lists. Its methods record the first error of the
+// tree, which Err returns. The zero Reader is a location without a value and records no errors.
 type Reader struct {
 	path     string
 	value    any
-	firstErr *error // the first complaint, shared by all readers of a tree
+	firstErr *error // the first error, shared by all readers of a tree
 }
 
-// Of returns a reader at the root of a tree as encoding/json makes it.
+// New returns a reader at the root of a tree that has the types of encoding/json.
 func New(v any) Reader { return Reader{value: v, firstErr: new(error)} }
 
-// JSON reads one JSON value; anything behind it is a complaint.
+// ParseJSON parses exactly one JSON value. Data after the value is an error.
 func ParseJSON(b []byte) (Reader, error) {
 	d := json.NewDecoder(bytes.NewReader(b))
 	d.UseNumber()
@@ -39,14 +39,13 @@
 		return Reader{}, Error.New("byte %d: %v", d.InputOffset(), err)
 	}
 	if _, err := d.Token(); err != io.EOF {
-		return Reader{}, Error.New("byte %d: something stands behind the value", d.InputOffset())
+		return Reader{}, Error.New("byte %d: unexpected data after the value", d.InputOffset())
 	}
 	return New(v), nil
 }
 
-// Lines reads lines of the form a.b=value into a tree of maps. A name that is a value in
-// one line and a map in another is a complaint; empty lines and those that begin with #
-// are passed over.
+// ParseLines parses lines of the form a.b=value into a tree of maps. A name that is a value in
+// one line and a map in another is an error. Empty lines and lines that begin with # are skipped.
 func ParseLines(text string) (Reader, error) {
 	root := map[string]any{}
 	n := 0
@@ -66,7 +65,7 @@
 			next, isMap := m[name].(map[string]any)
 			if !isMap {
 				if m[name] != nil {
-					return Reader{}, Error.New("line %d: %s: %s is a value already", n, path, name)
+					return Reader{}, Error.New("line %d: %s: %s already has a value", n, path, name)
 				}
 				next = map[string]any{}
 				m[name] = next
@@ -75,14 +74,14 @@
 		}
 		last := names[len(names)-1]
 		if _, isMap := m[last].(map[string]any); isMap {
-			return Reader{}, Error.New("line %d: %s has names below it already", n, path)
+			return Reader{}, Error.New("line %d: %s already has names below it", n, path)
 		}
 		m[last] = strings.TrimSpace(value)
 	}
 	return New(root), nil
 }
 
-// Err is the first complaint of the tree, nil where there is none.
+// Err returns the first error of the tree, or nil.
 func (r Reader) Err() error {
 	if r.firstErr == nil {
 		return nil
@@ -90,17 +89,17 @@
 	return *r.firstErr
 }
 
-// Path names the place.
+// Path returns the path of the location.
 func (r Reader) Path() string { return r.path }
 
-// Failf complains of the place.
+// Failf records an error at the location, unless the tree already has one.
 func (r Reader) Failf(format string, args ...any) {
 	if r.firstErr != nil && *r.firstErr == nil {
 		*r.firstErr = Error.New("%s: %s", r.path, fmt.Sprintf(format, args...))
 	}
 }
 
-// At goes down by names joined with dots.
+// At returns the location below this one whose names, joined by dots, are given.
 func (r Reader) At(path string) Reader {
 	for name := range strings.SplitSeq(path, ".") {
 		m, _ := r.value.(map[string]any)
@@ -113,10 +112,10 @@
 	return r
 }
 
-// Is tells whether anything is there.
+// Exists reports whether the location has a value.
 func (r Reader) Exists() bool { return r.value != nil }
 
-// Must is the same place; that nothing is there is a complaint.
+// Required returns the same location and records an error if it has no value.
 func (r Reader) Required() Reader {
 	if r.value == nil {
 		r.Failf("is missing")
@@ -124,7 +123,7 @@
 	return r
 }
 
-// Items are the places of a list; of a text, what its commas part.
+// Items returns the locations of the items of a list. A string is split at its commas.
 func (r Reader) Items() []Reader {
 	var items []Reader
 	switch v := r.value.(type) {
@@ -141,16 +140,16 @@
 			items = append(items, Reader{path: r.path + "[" + strconv.Itoa(i) + "]", value: strings.TrimSpace(x), firstErr: r.firstErr})
 		}
 	default:
-		r.Failf("is no list")
+		r.Failf("is not a list")
 	}
 	return items
 }
 
-// Names are the names below the place.
+// Keys returns the names directly below the location, in no particular order.
 func (r Reader) Keys() []string {
 	m, ok := r.value.(map[string]any)
 	if r.value != nil && !ok {
-		r.Failf("is no map")
+		r.Failf("is not a map")
 	}
 	names := make([]string, 0, len(m))
 	for name := range m {
@@ -159,15 +158,15 @@
 	return names
 }
 
-// Object complains unless a map is there.
+// Object returns the same location and records an error unless its value is a map.
 func (r Reader) Object() Reader {
 	if _, ok := r.value.(map[string]any); !ok {
-		r.Failf("is no object")
+		r.Failf("is not an object")
 	}
 	return r
 }
 
-// Text is the text at the place; "" where nothing is.
+// Text returns the string at the location, or "" if there is no value.
 func (r Reader) Text() string {
 	switch v := r.value.(type) {
 	case nil:
@@ -175,12 +174,13 @@
 	case string:
 		return v
 	default:
-		r.Failf("is no text")
+		r.Failf("is not a string")
 		return ""
 	}
 }
 
-// Number is the finite number at the place; 0 where nothing is.
+// Number returns the finite number at the location, or 0 if there is no value. A string is
+// parsed as a number.
 func (r Reader) Number() float64 {
 	var text string
 	switch v := r.value.(type) {
@@ -193,18 +193,19 @@
 	case float64:
 		return v
 	default:
-		r.Failf("is no number")
+		r.Failf("is not a number")
 		return 0
 	}
 	f, err := strconv.ParseFloat(text, 64)
 	if err != nil || math.IsNaN(f) || math.IsInf(f, 0) {
-		r.Failf("%.40q is no number", text)
+		r.Failf("%.40q is not a number", text)
 		return 0
 	}
 	return f
 }
 
-// Int is the whole number at the place; 0 where nothing is.
+// Int returns the integer at the location, or 0 if there is no value. A string is parsed as a
+// number.
 func (r Reader) Int() int64 {
 	var text string
 	switch v := r.value.(type) {
@@ -218,21 +219,23 @@
 	}
 	f := r.Number()
 	if f != math.Trunc(f) || math.Abs(f) > 1<<53 {
-		r.Failf("%v is no whole number", f)
+		r.Failf("%v is not a whole number", f)
 		return 0
 	}
 	return int64(f)
 }
 
-// NoText complains of a value that is a text, where numbers in texts are not taken.
+// NotString returns the same location and records an error if its value is a string, for numbers
+// that must not be given as strings.
 func (r Reader) NotString() Reader {
 	if text, is := r.value.(string); is {
-		r.Failf("%.40q is a text, not a number", text)
+		r.Failf("%.40q is a string, not a number", text)
 	}
 	return r
 }
 
-// Bool is the truth value at the place; false where nothing is.
+// Bool returns the boolean at the location, or false if there is no value. A string is parsed as
+// a boolean.
 func (r Reader) Bool() bool {
 	switch v := r.value.(type) {
 	case nil:
--- a/internal/paths/paths_test.go
+++ b/internal/paths/paths_test.go
@@ -16,7 +16,7 @@
 		So(r.At("b.none").Number(), ShouldEqual, 0)
 		So(r.Err(), ShouldBeNil)
 	})
-	Convey("What is wrong is told by its line or its path", t, func() {
+	Convey("Errors name the line or the path", t, func() {
 		for text, want := range map[string]string{"a": "line 1", "a=1\na.b=2": "line 2", "a.b=1\na=2": "line 2"} {
 			_, err := ParseLines(text)
 			So(err, ShouldNotBeNil)
@@ -25,12 +25,12 @@
 		r, _ := ParseLines("limits.memory_mb=lots\nx=1")
 		r.At("limits.memory_mb").Int()
 		r.At("y").Required() // only the first complaint is kept
-		So(r.Err().Error(), ShouldContainSubstring, `limits.memory_mb: "lots" is no number`)
+		So(r.Err().Error(), ShouldContainSubstring, `limits.memory_mb: "lots" is not a number`)
 	})
 }
 
 func TestJSON(t *testing.T) {
-	Convey("JSON is read whole", t, func() {
+	Convey("Exactly one JSON value is accepted", t, func() {
 		for _, text := range []string{"", "{", `{"a":1} x`, `{"a":1}{}`} {
 			_, err := ParseJSON([]byte(text))
 			So(err, ShouldNotBeNil)
@@ -42,7 +42,7 @@
 		items[1].At("b").Int()
 		So(r.Err().Error(), ShouldContainSubstring, "a[1].b")
 	})
-	Convey("A value of another sort is told, never guessed", t, func() {
+	Convey("A value of another type is an error and is not converted", t, func() {
 		for _, read := range []func(Reader){func(r Reader) { r.Int() }, func(r Reader) { r.Text() }, func(r Reader) { r.Bool() },
 			func(r Reader) { r.Items() }, func(r Reader) { r.Object() }} {
 			r, _ := ParseJSON([]byte(`{"a":[1.5,{"x":1e999}]}`))
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,7 +1,7 @@
-// Package settings is the one decoder of a deployment's settings. It owns the
-// names and units of the settings, whichever form they come in: the pairs of the
-// simulator's wire or the nested JSON of a mixer's configuration. It must never
-// fill in a figure that was not told, nor know where a text came from.
+// Package settings decodes a deployment's settings. It owns the names and units of the
+// settings in both of their forms: the path=value pairs of the simulator's protocol and the nested
+// JSON of a proxy's configuration. It must never substitute a value for a missing setting, or
+// depend on where a text came from.
 package settings
 
 import (
@@ -15,22 +15,22 @@
 	"saddleport/choice"
 )
 
-// Settings are what the decisions are told, and what only the sockets need.
+// Settings are the settings of the decisions and those that only the network side needs.
 type Settings struct {
 	Router         choice.Settings
-	MaxInFlight    int           // queries and parts held at once; 0: no limit told
-	StreamsPerConn int           // parts out on one leaf connection; 0: no limit told
-	DialTimeout    choice.Micros // a connection that is not up by then has failed
-	PullReports    bool          // load reports come in probe answers alone
-	Pushed         bool          // an agent holds the list as it was pushed; nobody asks for it
+	MaxInFlight    int           // limit of queries and parts in flight together; 0: none given
+	StreamsPerConn int           // limit of parts in flight on one leaf connection; 0: none given
+	DialTimeout    choice.Micros // a connection that is not established by then has failed
+	PullReports    bool          // load reports arrive only in probe responses
+	Pushed         bool          // the list is pushed to an agent, and the decisions do not request it
 }
 
-// FieldError names the setting that is wrong.
+// FieldError is an invalid setting; Path names it.
 type FieldError struct{ Path, Problem string }
 
 func (e *FieldError) Error() string { return "field " + e.Path + ": " + e.Problem }
 
-// ParseNumber reads a finite number.
+// ParseNumber parses a finite number.
 func ParseNumber(s string) (float64, error) {
 	f, err := strconv.ParseFloat(s, 64)
 	if err != nil || math.IsNaN(f) || math.IsInf(f, 0) {
@@ -39,7 +39,7 @@
 	return f, nil
 }
 
-// Pairs cuts path=value texts. A path told twice keeps its last value.
+// ParsePairs parses path=value arguments. The last value of a repeated path counts.
 func ParsePairs(args []string) (map[string]string, error) {
 	values := make(map[string]string, len(args))
 	for _, pair := range args {
@@ -52,8 +52,9 @@
 	return values, nil
 }
 
-// Flatten turns nested JSON into the paths of the simulator's wire: a list of
-// scalars is joined by commas, a list of objects told by .count and its items.
+// Flatten converts nested JSON into the paths of the simulator's protocol. A list of scalars
+// becomes one value joined by commas; a list of objects becomes PATH.count and the paths of its
+// numbered items.
 func Flatten(doc gjson.Result) map[string]string {
 	values := make(map[string]string)
 	flatten(values, "", doc)
@@ -92,7 +93,7 @@
 	}
 }
 
-// pairs are the settings by path, with the first complaint.
+// decoder reads settings by path and keeps the first error.
 type decoder struct {
 	values map[string]string
 	err    error
@@ -104,7 +105,7 @@
 	}
 }
 
-// number reads a setting; one that was not told is 0.
+// number returns a setting, or 0 if it is missing.
 func (p *decoder) number(path string) float64 {
 	s, present := p.values[path]
 	if !present {
@@ -123,7 +124,7 @@
 		return 0
 	}
 	n, err := strconv.ParseInt(s, 10, 64)
-	if err != nil { // some writers of JSON put 5000 as 5000.0
+	if err != nil { // some JSON encoders write 5000 as 5000.0
 		var f float64
 		if f, err = ParseNumber(s); err != nil || f != math.Trunc(f) || math.Abs(f) > 1<<53 {
 			p.fail(path, fmt.Sprintf("%q is not a whole number", s))
@@ -142,7 +143,7 @@
 	return s == "true"
 }
 
-// list reads a number per class; nil when it was not told.
+// perClass returns a list of one number for each class, or nil if the setting is missing.
 func (p *decoder) perClass(path string, classes int) []float64 {
 	s, present := p.values[path]
 	if !present {
@@ -220,7 +221,8 @@
 	return tenants
 }
 
-// Decode reads settings by path. Those it does not know are skipped.
+// Decode decodes settings by path. Unknown settings are ignored. The error is that of the first
+// invalid setting.
 func Decode(values map[string]string) (s Settings, err error) {
 	p := &decoder{values: values}
 	_, hasRetryBudget := p.values["rules.extra-window"]
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -1,7 +1,7 @@
 package settings
 
-// This file owns the proof that both forms of the settings mean the same. It must
-// never state a setting that is not recorded in testdata/.
+// This file tests that both forms of the settings decode to the same values. It must use only
+// settings that were recorded in testdata/.
 
 import (
 	"os"
@@ -12,8 +12,8 @@
 	"github.com/tidwall/gjson"
 )
 
-// TestForms reads the same settings in both forms, as they were recorded: the
-// mixer must be told exactly what the simulator's instance is.
+// TestForms decodes the same recorded settings in both forms: the proxy must get exactly the
+// settings that the simulator's instance gets.
 func TestForms(t *testing.T) {
 	nested, err := os.ReadFile("testdata/nested.json")
 	require.NoError(t, err)
--- a/internal/source/consul/consul.go
+++ b/internal/source/consul/consul.go
@@ -1,12 +1,12 @@
-// Package consul reads leaf servers from Consul's catalogue and health API, and keeps
-// the mixer registered there if it is to be. It speaks the published HTTP API: health
-// and catalogue endpoints with blocking queries, the rules on their index, consistency
-// modes, and the agent's service and check endpoints. It owns the calls, and what an
-// answer means as an observation of core/membership. It must never log or show the
-// token, press an agent that fails, read an answer without a bound, or take an answer
-// that a cluster without a leader gives for news.
+// Package consul discovers leaf servers through Consul's catalogue and health API and, if
+// configured, keeps the proxy registered as a service. It uses the published HTTP API: the
+// health and catalogue endpoints with blocking queries, the rules for their index, the
+// consistency modes, and the agent's service and check endpoints. The package owns the calls
+// and translates responses into observations for core/membership. It must never log or
+// print the token, call a failing agent without a backoff, read a response without a size
+// limit, or accept a response of a cluster without a leader as an update.
 //
-// Why not the official client: docs/design/membership.md.
+// docs/design/membership.md explains why the official client is not used.
 package consul
 
 import (
@@ -52,7 +52,7 @@
 	RegisterTTL  time.Duration `ini:"register-ttl" default:"15s" range:"1s..10m" help:"of its check, which it renews three times in this"`
 }
 
-// Check looks at the addresses.
+// Check validates the addresses and that a CA file is only given with TLS.
 func (s *Settings) Check() error {
 	for _, a := range s.Addrs {
 		if _, _, err := net.SplitHostPort(a); err != nil {
@@ -65,22 +65,22 @@
 		}
 	}
 	if s.CAFile != "" && !s.TLS {
-		return errors.New("ca-file: is given, and tls is off")
+		return errors.New("ca-file: requires tls = yes")
 	}
 	return nil
 }
 
 const (
-	responseTimeout = 5 * time.Second // beyond the wait
+	responseTimeout = 5 * time.Second // on top of the wait of a blocking query
 	minBackoff      = 200 * time.Millisecond
 	maxBackoff      = 5 * time.Second
 	maxTokenBytes   = 4 << 10
-	maxErrorText    = 256 // bytes of an error's text
+	maxErrorText    = 256 // bytes of an error response that are read
 )
 
 var log = logs.For("consul")
 
-// Client is the source, and what it registers. It may be asked from any goroutine.
+// Client is the Consul source; it also registers the proxy. It is safe for concurrent use.
 type Client struct {
 	settings Settings
 	sink     members.Sink
@@ -88,27 +88,28 @@
 
 	mu       sync.Mutex
 	token    string
-	nextAddr int // of the addresses
+	nextAddr int // index into Settings.Addrs, modulo their number
 }
 
-// New returns a source that has not asked yet.
-func New(set Settings, to members.Sink) (*Client, error) {
-	c := &Client{settings: set, sink: to}
-	transport := &http.Transport{MaxConnsPerHost: len(set.Datacentres) + 2, MaxIdleConnsPerHost: len(set.Datacentres) + 2, IdleConnTimeout: time.Minute,
+// New returns a source that reports to a sink. It makes no call before Run or KeepRegistered.
+// It fails if the CA file or the token file cannot be read.
+func New(settings Settings, sink members.Sink) (*Client, error) {
+	c := &Client{settings: settings, sink: sink}
+	transport := &http.Transport{MaxConnsPerHost: len(settings.Datacentres) + 2, MaxIdleConnsPerHost: len(settings.Datacentres) + 2, IdleConnTimeout: time.Minute,
 		DialContext: (&net.Dialer{Timeout: responseTimeout}).DialContext, TLSHandshakeTimeout: responseTimeout, ResponseHeaderTimeout: 0}
-	if set.CAFile != "" {
-		pem, err := os.ReadFile(set.CAFile)
+	if settings.CAFile != "" {
+		pem, err := os.ReadFile(settings.CAFile)
 		if err != nil {
 			return nil, fmt.Errorf("[consul] ca-file: %w", err)
 		}
 		pool := x509.NewCertPool()
 		if !pool.AppendCertsFromPEM(pem) {
-			return nil, fmt.Errorf("[consul] ca-file: %s holds no certificate", set.CAFile)
+			return nil, fmt.Errorf("[consul] ca-file: %s contains no certificate", settings.CAFile)
 		}
 		transport.TLSClientConfig = &tls.Config{RootCAs: pool, MinVersion: tls.VersionTLS12}
 	}
 	c.http = &http.Client{Transport: transport, CheckRedirect: func(*http.Request, []*http.Request) error {
-		return http.ErrUseLastResponse // a redirection would carry the token away
+		return http.ErrUseLastResponse // following a redirect could send the token to another server
 	}}
 	return c, c.readToken()
 }
@@ -128,7 +129,7 @@
 	}
 	token := strings.TrimSpace(string(text))
 	if token == "" || strings.ContainsAny(token, "\r\n\x00") {
-		return fmt.Errorf("[consul] token-file: %s holds no token", c.settings.TokenFile)
+		return fmt.Errorf("[consul] token-file: %s contains no valid token", c.settings.TokenFile)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -136,10 +137,11 @@
 	return nil
 }
 
-// Names implements members.Source: each datacentre is one in the merge.
+// Names implements members.Source: each datacentre is a separate source of the merge.
 func (c *Client) Names() []string { return Names(c.settings) }
 
-// Names are the sources that these settings make.
+// Names returns the names of the sources that the settings define: "consul", or
+// "consul.NAME" for each configured datacentre.
 func Names(s Settings) []string {
 	if len(s.Datacentres) == 0 {
 		return []string{"consul"}
@@ -169,22 +171,23 @@
 	watches.Wait()
 }
 
-// addr is the address that calls go to now; failed turns to the next one.
+// currentAddr returns the address that calls currently use. markFailed switches to the next.
 func (c *Client) currentAddr() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.settings.Addrs[c.nextAddr%len(c.settings.Addrs)]
 }
 
+// markFailed switches to the next address if addr is the current one.
 func (c *Client) markFailed(addr string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.settings.Addrs[c.nextAddr%len(c.settings.Addrs)] == addr { // else another call has turned already
+	if c.settings.Addrs[c.nextAddr%len(c.settings.Addrs)] == addr { // otherwise another call has already switched
 		c.nextAddr++
 	}
 }
 
-// statusError is an answer that is none.
+// statusError is a response with a status other than 200.
 type statusError struct {
 	code int
 	text string
@@ -192,7 +195,8 @@
 
 func (e *statusError) Error() string { return fmt.Sprintf("status %d: %s", e.code, e.text) }
 
-// call makes one call and reads its answer into a value, if it has one.
+// call makes one HTTP call, bounded by timeout. It decodes the response into result, unless
+// that is nil, and returns the response header. A status other than 200 is a *statusError.
 func (c *Client) call(ctx context.Context, method, addr, path string, query url.Values, body io.Reader, timeout time.Duration, result any) (http.Header, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -230,14 +234,14 @@
 	limited := &io.LimitedReader{R: resp.Body, N: int64(c.settings.MaxBytes) + 1}
 	err = json.NewDecoder(limited).Decode(result)
 	if limited.N <= 0 {
-		err = fmt.Errorf("an answer of more than %v: see [consul] most-bytes", c.settings.MaxBytes)
+		err = fmt.Errorf("response of more than %v: see [consul] most-bytes", c.settings.MaxBytes)
 	}
 	return resp.Header, err
 }
 
-// watch asks for one datacentre until ctx ends.
+// watch follows the service in one datacentre by blocking queries until ctx ends.
 func (c *Client) watch(ctx context.Context, source, dc string) {
-	index, verifying := int64(0), false // doubt: the index went back
+	index, verifying := int64(0), false // verifying: the index went backwards
 	backoff := minBackoff
 	for ctx.Err() == nil {
 		addr, since, consistency := c.currentAddr(), index, c.settings.Consistency
@@ -256,7 +260,7 @@
 			log.Warn("consul-failed", "source", source, "addr", addr, "err", err)
 			c.markFailed(addr)
 			c.sink.Observe(membership.Observation{Source: source, Failed: true})
-			pause := time.Duration(float64(backoff) * (0.5 + rand.Float64()/2)) // mixers must not come back in step
+			pause := time.Duration(float64(backoff) * (0.5 + rand.Float64()/2)) // jitter: proxies must not retry in step
 			backoff = min(2*backoff, maxBackoff)
 			select {
 			case <-ctx.Done():
@@ -266,14 +270,14 @@
 		}
 		backoff = minBackoff
 		if newIndex < index && !verifying {
-			// Either the index has begun anew, or a server that lags has answered. The
-			// leader's word, without an index, tells.
+			// Either the index was reset, or a lagging server has answered. A query to the
+			// leader (consistency mode default) without an index decides which.
 			log.Warn("consul-index", "source", source, "addr", addr, "was", index, "is", newIndex)
 			verifying = true
 			continue
 		}
 		c.sink.Observe(membership.Observation{Source: source, Index: newIndex, Complete: true, Reset: verifying, Claims: claims})
-		if newIndex == index && !verifying { // the wait was over, or there was none: do not spin
+		if newIndex == index && !verifying { // the wait expired, or the agent did not wait: avoid a busy loop
 			select {
 			case <-ctx.Done():
 			case <-time.After(idlePause(c.settings.Wait)):
@@ -283,25 +287,28 @@
 	}
 }
 
-// least is the pause after an answer without news: some agents answer at once.
+// idlePause returns the pause after a response without a change, because some agents answer
+// blocking queries immediately.
 func idlePause(wait time.Duration) time.Duration { return min(50*time.Millisecond, wait/4) }
 
-// fresh looks at what an answer says of itself, and returns its index.
+// checkHeader returns the index of a response. It rejects a response without a valid index,
+// from a cluster without a leader, or from a server whose last contact with the leader is
+// more than MaxStale ago.
 func (c *Client) checkHeader(header http.Header) (int64, error) {
 	index, err := strconv.ParseInt(header.Get("X-Consul-Index"), 10, 64)
 	if err != nil || index < 1 { // "sanity check that the index is at least 1"
-		return 0, fmt.Errorf("an answer with the index %q", header.Get("X-Consul-Index"))
+		return 0, fmt.Errorf("response with index %q", header.Get("X-Consul-Index"))
 	}
 	if header.Get("X-Consul-KnownLeader") == "false" {
-		return 0, errors.New("an answer of a cluster that knows no leader")
+		return 0, errors.New("response of a cluster without a leader")
 	}
 	if ms, err := strconv.ParseInt(header.Get("X-Consul-LastContact"), 10, 64); err == nil && time.Duration(ms)*time.Millisecond > c.settings.MaxStale {
-		return 0, fmt.Errorf("an answer of a server that heard the leader %d ms ago", ms)
+		return 0, fmt.Errorf("response of a server whose last contact with the leader was %d ms ago", ms)
 	}
 	return index, nil
 }
 
-// The parts of the API's objects that are read.
+// The fields of the API's objects that are used.
 type (
 	node struct {
 		Node, Address, Datacenter string
@@ -340,7 +347,8 @@
 	}
 )
 
-// ask makes one blocking query.
+// fetch makes one query, a blocking one if index is above 0, and returns the claims and the
+// response header.
 func (c *Client) fetch(ctx context.Context, addr, dc, consistency string, index int64) ([]membership.Claim, http.Header, error) {
 	query := url.Values{}
 	if dc != "" {
@@ -353,7 +361,7 @@
 	if index > 0 {
 		query.Set("index", strconv.FormatInt(index, 10))
 		query.Set("wait", strconv.FormatInt(c.settings.Wait.Milliseconds(), 10)+"ms")
-		timeout += c.settings.Wait + c.settings.Wait/16 // the agent adds up to a sixteenth
+		timeout += c.settings.Wait + c.settings.Wait/16 // the agent adds up to 1/16 of the wait as jitter
 	}
 	var entries []entry
 	if c.settings.Read == "catalogue" {
@@ -372,7 +380,7 @@
 	return c.claims(entries), header, err
 }
 
-// claims reads what entries say. One that can't be used costs no other.
+// claims converts entries into claims. An entry without a name or address is logged and skipped.
 func (c *Client) claims(entries []entry) []membership.Claim {
 	idCounts := make(map[string]int)
 	for _, e := range entries {
@@ -395,7 +403,7 @@
 		claim := membership.Claim{Name: attribute("name"), Kind: attribute("kind"), Site: attribute("site")}
 		switch {
 		case claim.Name != "":
-		case idCounts[s.ID] > 1: // an id is one agent's own
+		case idCounts[s.ID] > 1: // a service ID is unique only within one agent
 			claim.Name = e.Node.Node + "/" + s.ID
 		default:
 			claim.Name = s.ID
@@ -445,7 +453,8 @@
 	return out
 }
 
-// addresses are an instance's: its own, those it is tagged with, a Unix socket.
+// addresses returns the addresses of an instance: its own, its tagged LAN addresses, and its
+// Unix socket.
 func addresses(e entry) []string {
 	s := e.Service
 	host := s.Address
@@ -477,10 +486,11 @@
 	return out
 }
 
-// ---- The mixer's own entry.
+// ---- Registration of the proxy.
 
-// Keep registers the mixer and keeps its check up until stop is closed; then it takes
-// it out.
+// KeepRegistered registers the proxy as a service and renews its TTL check until stop is
+// closed; then it deregisters the proxy. The registered address is Settings.RegisterAddr or,
+// if that is empty, listen.
 func (c *Client) KeepRegistered(name, listen string, stop <-chan struct{}) {
 	address := c.settings.RegisterAddr
 	if address == "" {
@@ -515,7 +525,7 @@
 			if err == nil || !errors.As(err, &status) {
 				return err
 			}
-			registered = false // the agent knows it no more: it was started anew, or is another
+			registered = false // the agent no longer knows the service: it has restarted, or it is another agent
 		}
 		err := put("/v1/agent/service/register", map[string]any{"ID": id, "Name": c.settings.RegisterAs, "Address": host, "Port": portNumber,
 			"Check": map[string]any{"CheckID": "service:" + id, "TTL": c.settings.RegisterTTL.String(), "Status": "passing", "DeregisterCriticalServiceAfter": (20 * c.settings.RegisterTTL).String()}})
--- a/internal/source/consul/consul_test.go
+++ b/internal/source/consul/consul_test.go
@@ -48,7 +48,7 @@
 	return stop
 }
 
-// What instances, checks, maintenance, tags and meta say; changes come by the watch.
+// Instances, checks, maintenance mode, tags and metadata are read; the watch reports changes.
 func TestWatch(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	a := instance("a", 3)
@@ -81,8 +81,9 @@
 	stop()
 }
 
-// The leader is lost: no answer is news, also not one that a server gives by itself;
-// the index begins anew: the leader's word settles that; an old server is not believed.
+// While the cluster has no leader no response is accepted, not even one that a server gives
+// without the leader. A stale server is rejected. After the index was reset, a query to the
+// leader confirms the reset.
 func TestLeaderAndIndex(t *testing.T) {
 	srv, err := consulapi.Listen("trips", []consulapi.Instance{instance("a", 3)})
 	require.NoError(t, err)
@@ -93,19 +94,19 @@
 	srv.Set(func(f *consulapi.Faults) { f.NoLeader, f.Empty = true, true })
 	sink.Until(t, "a failure", func(o membership.Observation) bool { return o.Failed })
 	srv.Set(func(f *consulapi.Faults) { f.NoLeader, f.Empty, f.Contact = false, false, time.Minute })
-	sink.Until(t, "a failure for an old server", func(o membership.Observation) bool { return o.Failed })
+	sink.Until(t, "a failure for a stale server", func(o membership.Observation) bool { return o.Failed })
 	srv.Set(func(f *consulapi.Faults) { f.Contact = 0 })
 	sink.Until(t, "a again", func(o membership.Observation) bool { return observed.Named(o, "a") != nil && o.Index > first.Index })
 	srv.Reset()
 	o := sink.Until(t, "a reset", func(o membership.Observation) bool { return o.Reset })
 	require.Less(t, o.Index, first.Index)
 	srv.Put(instance("c", 1))
-	sink.Until(t, "news after the reset", func(o membership.Observation) bool { return observed.Named(o, "c") != nil && !o.Reset })
-	sink.Never(t, "an answer without a leader was taken for news", func(o membership.Observation) bool { return !o.Failed && len(o.Claims) == 0 })
+	sink.Until(t, "a change after the reset", func(o membership.Observation) bool { return observed.Named(o, "c") != nil && !o.Reset })
+	sink.Never(t, "a response without a leader was accepted", func(o membership.Observation) bool { return !o.Failed && len(o.Claims) == 0 })
 }
 
-// A silent agent is left for the next; the token comes from the file, is read again
-// when it has changed, and never stands in the log; TLS trusts the file alone.
+// An unreachable agent is skipped for the next. The token is read from the file, read again
+// after a call was rejected, and never logged. TLS trusts only the certificates of the CA file.
 func TestAddressesTokenTLS(t *testing.T) {
 	var log strings.Builder
 	defer logs.Redirect(&log)()
@@ -128,7 +129,7 @@
 	stop := start(t, settings(func(s *Settings) {
 		s.Addrs, s.TokenFile, s.TLS, s.CAFile = []string{dead.Addr, strings.TrimPrefix(proxy.URL, "https://")}, token, true, ca
 	}), sink)
-	sink.Until(t, "a refusal", func(o membership.Observation) bool { return o.Failed })
+	sink.Until(t, "a rejection", func(o membership.Observation) bool { return o.Failed })
 	require.NoError(t, os.WriteFile(token, []byte("s3cret-two"), 0o600))
 	sink.Until(t, "a", func(o membership.Observation) bool { return observed.Named(o, "a") != nil })
 	stop()
@@ -136,15 +137,15 @@
 
 	untrusting := &observed.Sink{}
 	start(t, settings(func(s *Settings) { s.Addrs, s.TLS = []string{strings.TrimPrefix(proxy.URL, "https://")}, true }), untrusting)
-	untrusting.Until(t, "an authority that is not trusted", func(o membership.Observation) bool { return o.Failed })
+	untrusting.Until(t, "an untrusted authority", func(o membership.Observation) bool { return o.Failed })
 	for _, s := range []Settings{settings(func(s *Settings) { s.TokenFile = ca + ".none" }), settings(func(s *Settings) { s.CAFile = token })} {
 		_, err := New(s, untrusting)
 		require.Error(t, err)
 	}
 }
 
-// Each datacentre is a source of its own, with its own watch; what the catalogue tells
-// has no checks.
+// Each datacentre is a separate source with its own watch. The catalogue has no health checks,
+// so health is unknown.
 func TestDatacentres(t *testing.T) {
 	a, b := instance("a", 1), instance("b", 2)
 	a.DC, b.DC, b.Status = "amman", "zarqa", "critical"
@@ -166,7 +167,7 @@
 	require.True(t, seen["consul.zarqa"].Claims[0].HasCell)
 }
 
-// An answer of any bytes, or of too many, is none.
+// Malformed and oversized responses are errors; unusable entries are skipped.
 func TestBadAnswers(t *testing.T) {
 	body := make(chan string, 1)
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -189,8 +190,8 @@
 	}
 }
 
-// The mixer's own entry is kept up, put back after the agent has lost it, and taken
-// out at the end.
+// The proxy's registration is renewed, restored after the agent has lost it, and removed at
+// the end.
 func TestKeepRegistered(t *testing.T) {
 	srv, err := consulapi.Listen("trips", nil)
 	require.NoError(t, err)
--- a/internal/source/dnssrv/ask.go
+++ b/internal/source/dnssrv/ask.go
@@ -1,6 +1,7 @@
 package dnssrv
 
-// This file asks one resolver one question. It owns what counts as an answer to it.
+// This file sends one question to one resolver and decides whether a message is a valid
+// response to it.
 
 import (
 	"context"
@@ -15,7 +16,7 @@
 	"saddleport/internal/core/resolve"
 )
 
-// answer is how a question ended.
+// queryResult is the result of one query.
 type queryResult struct {
 	outcome resolve.Outcome
 	records []dns.RR
@@ -26,8 +27,8 @@
 
 func failure(err error) queryResult { return queryResult{outcome: resolve.Failed, err: err} }
 
-// ask asks, within the timeout. A resolver that does not know EDNS is asked again
-// without it.
+// query sends one question and waits for the response, within the timeout of the settings.
+// If the resolver does not support EDNS, the question is sent again without it.
 func (s *Source) query(ctx context.Context, resolver string, tcp bool, name string, recordType uint16) queryResult {
 	ctx, cancel := context.WithTimeout(ctx, s.settings.Timeout)
 	defer cancel()
@@ -48,14 +49,14 @@
 	return failure(errors.New("unreachable"))
 }
 
-// exchange sends a question and waits for the answer to it: what answers another is
-// passed over, up to a bound.
+// exchange sends a question and waits for the matching response. Over UDP, up to
+// maxUnrelated messages that do not match the question are skipped.
 func (s *Source) exchange(ctx context.Context, resolver string, tcp bool, msg *dns.Msg) (*dns.Msg, error) {
 	network := "udp"
 	if tcp {
 		network = "tcp"
 	}
-	nc, err := (&net.Dialer{}).DialContext(ctx, network, resolver) // a port of its own for each question
+	nc, err := (&net.Dialer{}).DialContext(ctx, network, resolver) // each question has its own source port
 	if err != nil {
 		return nil, err
 	}
@@ -74,21 +75,21 @@
 		switch {
 		case err != nil && (tcp || errors.As(err, &nerr) || errors.Is(err, net.ErrClosed) || ctx.Err() != nil):
 			return nil, err
-		case err != nil: // a datagram that can't be read may be anybody's
+		case err != nil: // a malformed datagram may come from any sender
 			continue
 		case resp.Id != msg.Id || !resp.Response || len(resp.Question) != 1 || resp.Question[0].Qtype != msg.Question[0].Qtype ||
 			resp.Question[0].Qclass != dns.ClassINET || !strings.EqualFold(resp.Question[0].Name, msg.Question[0].Name):
 			if tcp {
-				return nil, errors.New("an answer to another question")
+				return nil, errors.New("the response does not match the question")
 			}
 			continue
 		}
 		return resp, nil
 	}
-	return nil, fmt.Errorf("%d datagrams that answer nothing", maxUnrelated)
+	return nil, fmt.Errorf("%d datagrams that do not answer the question", maxUnrelated)
 }
 
-// read tells what a message says to its question.
+// interpret returns the result that a response gives for its question.
 func (s *Source) interpret(resp *dns.Msg, name string, recordType uint16) queryResult {
 	switch {
 	case resp.Truncated:
@@ -100,7 +101,7 @@
 	}
 	result := queryResult{outcome: resolve.Answer, ttl: 1 << 62}
 	owner := name
-	for range 8 { // a chain of names, as far as is sensible
+	for range 8 { // follows at most 8 CNAME records
 		next := ""
 		for _, rr := range resp.Answer {
 			h := rr.Header()
@@ -133,7 +134,7 @@
 		}
 	}
 	if !soa && !resp.Authoritative && !resp.RecursionAvailable {
-		return queryResult{outcome: resolve.Refused, err: errors.New("lame: neither an authority nor a resolver")}
+		return queryResult{outcome: resolve.Refused, err: errors.New("lame: neither authoritative nor recursive")}
 	}
 	return result
 }
--- a/internal/source/dnssrv/dnssrv.go
+++ b/internal/source/dnssrv/dnssrv.go
@@ -1,9 +1,9 @@
-// Package dnssrv reads leaf servers from DNS SRV records (RFC 2782): a resolver of
-// its own on miekg/dns, since the system's tells neither lifetimes nor what failed.
-// It owns the questions that are open, and what answers mean as observations of
-// core/membership; core/resolve decides what is believed and whom to ask. It must
-// never take a record that nobody asked for, keep more than its bounds, or wait for a
-// resolver without an end.
+// Package dnssrv discovers leaf servers from DNS SRV records (RFC 2782). It has its own
+// resolver client, based on miekg/dns, because the system resolver reports neither TTLs
+// nor the cause of a failure. The package owns the lookups and translates responses into
+// observations for core/membership; core/resolve decides which records are valid and which
+// resolver is queried next. The package must never accept a record that it did not ask for,
+// store more records than its limits allow, or wait for a resolver without a timeout.
 package dnssrv
 
 import (
@@ -38,11 +38,11 @@
 	Parallel   int           `ini:"parallel" default:"8" range:"1..256" help:"questions that are out at once"`
 }
 
-// Check looks at names and addresses.
+// Check validates the names, the resolver addresses and the TTL bounds.
 func (s *Settings) Check() error {
 	for _, n := range s.Names {
 		if _, ok := dns.IsDomainName(n); !ok || !strings.HasPrefix(n, "_") {
-			return fmt.Errorf("names: %q is no SRV name", n)
+			return fmt.Errorf("names: %q is not an SRV name", n)
 		}
 	}
 	for _, r := range s.Resolvers {
@@ -59,26 +59,27 @@
 const (
 	minBackoff     = 250 * time.Millisecond
 	maxBackoff     = 5 * time.Second
-	reportInterval = 5 * time.Second // while records live, the source is heard
-	maxUnrelated   = 64              // datagrams that answer nothing, of one wait
-	maxAddrs       = 8               // of one target
+	reportInterval = 5 * time.Second // an unchanged zone is reported at least this often, so that the source counts as responsive
+	maxUnrelated   = 64              // unrelated or malformed datagrams that are skipped while one response is awaited
+	maxAddrs       = 8               // addresses used of one target
 )
 
 var log = logs.For("dns")
 
-// Source is the source. Each name is one in the merge.
+// Source queries the configured SRV names. Each name is a separate source of the merge.
 type Source struct {
 	settings Settings
 	sink     members.Sink
 }
 
-// New returns a source that has not asked yet.
-func New(set Settings, to members.Sink) *Source { return &Source{set, to} }
+// New returns a source that reports to sink. It sends no query before Run.
+func New(settings Settings, sink members.Sink) *Source { return &Source{settings, sink} }
 
 // Names implements members.Source.
 func (s *Source) Names() []string { return Names(s.settings) }
 
-// Names are the sources that these settings make.
+// Names returns the names of the sources that the settings define: "dns" for a single SRV
+// name, else "dns.1", "dns.2" and so on.
 func Names(s Settings) []string {
 	if len(s.Names) == 1 {
 		return []string{"dns"}
@@ -105,23 +106,23 @@
 	zones.Wait()
 }
 
-// item is one question with what was last answered to it.
+// lookup is one DNS question with the records of its last accepted response.
 type lookup struct {
 	question   *resolve.Question
 	name       string
 	recordType uint16
 	records    []dns.RR
-	attempted  bool // it has been answered, or has failed
+	attempted  bool // at least one query has been answered or has failed
 }
 
-// host is what is known of a target.
+// host holds the lookups of one SRV target.
 type host struct {
 	a, aaaa, txt *lookup
-	listed       bool
-	txtName      string // the name that its TXT record gave last
+	listed       bool   // named by the newest SRV response
+	txtName      string // the last server name that its TXT record gave
 }
 
-// zone is one SRV name. Its loop alone touches it.
+// zone is one SRV name with its targets. Only the goroutine of run uses it.
 type zone struct {
 	src        *Source
 	sourceName string
@@ -156,7 +157,7 @@
 	}
 }
 
-// items are all questions that are wanted now.
+// lookups returns the SRV lookup and the lookups of all current targets.
 func (z *zone) lookups() []*lookup {
 	out := []*lookup{z.srv}
 	for _, h := range z.hosts {
@@ -168,7 +169,7 @@
 	return out
 }
 
-// wait is how long nothing is to be done.
+// untilNextDue returns the time until the next query, status change or periodic report.
 func (z *zone) untilNextDue() time.Duration {
 	now := z.clock()
 	wakeAt := now + reportInterval.Microseconds()
@@ -182,7 +183,8 @@
 	return max(time.Duration(wakeAt-now)*time.Microsecond, time.Millisecond)
 }
 
-// round asks what is due, so many at once, and tells what became of the SRV question.
+// queryDue sends all queries that are due, at most Settings.Parallel at a time, and waits
+// for their results. It returns the outcome of the SRV query, or nil if that was not due.
 func (z *zone) queryDue(ctx context.Context) (srvOutcome *resolve.Outcome) {
 	type reply struct {
 		l *lookup
@@ -228,7 +230,8 @@
 	return srvOutcome
 }
 
-// targets takes the targets of a new answer, with the addresses that came along.
+// updateTargets replaces the set of targets by those of a new SRV response and stores the
+// addresses of its additional section.
 func (z *zone) updateTargets(result queryResult) {
 	for _, h := range z.hosts {
 		h.listed = false
@@ -277,7 +280,7 @@
 	}
 }
 
-// tell tells the merge what is believed now.
+// report passes the current state of the zone to the merge.
 func (z *zone) report(srvOutcome *resolve.Outcome) {
 	now := z.clock()
 	status := z.srv.question.Status(now)
@@ -291,7 +294,7 @@
 		}
 		return
 	}
-	if status == resolve.Fresh && z.index == 0 && z.firstLookupsPending(now) { // nothing half is told as the whole
+	if status == resolve.Fresh && z.index == 0 && z.firstLookupsPending(now) { // a partial list must not be reported as complete
 		return
 	}
 	z.index++
@@ -302,7 +305,7 @@
 	z.src.sink.Observe(observation)
 }
 
-// early tells whether first look-ups of targets are still out.
+// firstLookupsPending reports whether the first lookups of some target have not finished.
 func (z *zone) firstLookupsPending(now resolve.Micros) bool {
 	for _, h := range z.hosts {
 		if h.txt != nil && !h.txt.attempted || !h.a.attempted && h.a.question.Status(now) == resolve.Unknown {
@@ -312,7 +315,7 @@
 	return false
 }
 
-// believed are the records of a question that still count.
+// liveRecords returns the records of the last response while they are fresh or stale.
 func (l *lookup) liveRecords(now resolve.Micros) []dns.RR {
 	if s := l.question.Status(now); s == resolve.Fresh || s == resolve.Stale {
 		return l.records
@@ -320,8 +323,8 @@
 	return nil
 }
 
-// claims are what the records say of servers: of each cell those of the lowest
-// priority number alone (RFC 2782).
+// claims converts the records into claims about servers. In each cell only the targets
+// with the lowest priority number count (RFC 2782).
 func (z *zone) claims(now resolve.Micros) []membership.Claim {
 	type target struct {
 		membership.Claim
@@ -337,7 +340,7 @@
 		r := rr.(*dns.SRV)
 		name := strings.ToLower(r.Target)
 		h := z.hosts[name]
-		if h == nil || h.txt != nil && !h.txt.attempted { // its name is not known yet
+		if h == nil || h.txt != nil && !h.txt.attempted { // the server's name is not known before the TXT lookup has finished
 			continue
 		}
 		t := target{priority: r.Priority, weight: r.Weight}
@@ -392,7 +395,8 @@
 	return out
 }
 
-// describe reads what a target says of itself: in its TXT record, or in its name.
+// readAttributes reads the attributes of a target into a claim: from its TXT record or, with
+// the setting cell = label, the cell from its host name.
 func (z *zone) readAttributes(now resolve.Micros, h *host, c *membership.Claim) {
 	if h.txt == nil {
 		for label := range strings.SplitSeq(c.Name, ".") {
@@ -405,7 +409,7 @@
 	}
 	target := c.Name
 	defer func() {
-		if h.txtName != "" && h.txtName != target { // known by both, should the record be gone for a while
+		if h.txtName != "" && h.txtName != target { // both names identify the server, in case the TXT record is temporarily missing
 			c.Name, c.Aliases = h.txtName, []string{target}
 		}
 	}()
--- a/internal/source/dnssrv/dnssrv_test.go
+++ b/internal/source/dnssrv/dnssrv_test.go
@@ -18,7 +18,7 @@
 
 const name = "_trips._tcp.zarqa.example.org"
 
-// usable: the claim of a server that has all that a part needs.
+// usable reports whether the claim of a server has the cell and the addresses that parts need.
 func usable(o membership.Observation, id string) bool {
 	c := observed.Named(o, id)
 	return c != nil && c.HasCell && len(c.Addresses) > 0
@@ -58,14 +58,14 @@
 	return sink, shutdown
 }
 
-// Targets, addresses of both families, what TXT says; a drain and a target that goes
-// come with the records' lifetime.
+// Targets, addresses of both families and TXT attributes are reported. A drain and the removal
+// of a target are reported once the records have expired.
 func TestRecords(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	srv, err := dnsserver.Listen(name, 0, []dnsserver.Target{target("s-1", 3, "127.0.0.1", "::1"), target("s-2", 4, "127.0.0.2")})
 	require.NoError(t, err)
 	sink, stop := start(t, settings(nil, srv))
-	// What is told first is told whole: nobody is named before his cell is known.
+	// The first observation is complete: no server is reported before its cell is known.
 	o := sink.Until(t, "anything", func(o membership.Observation) bool { return true })
 	require.True(t, usable(o, "s-1") && usable(o, "s-2"), "%+v", o)
 	require.Equal(t, membership.Claim{Name: "s-1", Addresses: []string{"[::1]:7001", "127.0.0.1:7001"}, Site: "zarqa", Kind: "std-2c", Cell: 3, HasCell: true, Weight: 1, Aliases: []string{"s-1.zarqa.example.org"}}, *observed.Named(o, "s-1"))
@@ -84,8 +84,9 @@
 	srv.Close()
 }
 
-// Truncated: over TCP. No EDNS, no additional section: asked without, asked for. Junk
-// and answers to other questions: passed over.
+// A truncated response is repeated over TCP. A resolver without EDNS is queried without it,
+// and addresses missing from the additional section are queried. Malformed messages and
+// responses to other questions are skipped.
 func TestOddServers(t *testing.T) {
 	for scenario, setFault := range map[string]func(*dnsserver.Faults){
 		"truncated": func(setFault *dnsserver.Faults) { setFault.Truncate = true },
@@ -104,21 +105,21 @@
 			}
 		})
 	}
-	// Many targets do not fit into a datagram: all come, over TCP.
+	// Many targets do not fit into a datagram: they are fetched over TCP.
 	var many []dnsserver.Target
 	for i := range 200 {
 		many = append(many, target("s-"+string(rune('a'+i/26))+string(rune('a'+i%26)), i%4, "127.0.0.1"))
 	}
 	srv := listen(t, 60, many...)
 	sink, _ := start(t, settings(func(s *Settings) { s.Timeout, s.MaxTargets, s.Parallel = 10*time.Second, 150, 32 }, srv))
-	o := sink.Until(t, "all that may be", func(o membership.Observation) bool {
+	o := sink.Until(t, "the maximum number of targets", func(o membership.Observation) bool {
 		return len(o.Claims) == 150 && !slices.ContainsFunc(o.Claims, func(c membership.Claim) bool { return !usable(o, c.Name) })
 	})
 	require.Positive(t, srv.Asked("tcp"))
 	require.True(t, o.Complete)
 }
 
-// Resolvers that fail in every way are passed over for one that does not.
+// A resolver that fails, in whichever way, is skipped for one that works.
 func TestFailingResolvers(t *testing.T) {
 	for scenario, setFault := range map[string]func(*dnsserver.Faults){
 		"silent":   func(setFault *dnsserver.Faults) { setFault.Silent = true },
@@ -139,8 +140,8 @@
 	}
 }
 
-// A resolver that says that the name is not there, and one that has it: it is there.
-// Both say so: it is not.
+// If one resolver denies that the name exists and the other has it, the name exists. If both
+// deny it, it does not.
 func TestNoSuchName(t *testing.T) {
 	one, two := listen(t, 0, target("s-1", 3, "127.0.0.1")), listen(t, 0, target("s-1", 3, "127.0.0.1"))
 	one.Set(func(f *dnsserver.Faults) { f.Empty = true })
@@ -151,22 +152,23 @@
 	sink.Until(t, "nothing", func(o membership.Observation) bool { return !o.Failed && len(o.Claims) == 0 })
 }
 
-// A resolver that goes silent: what was said stands as stale, the source counts as
-// failed, and nothing is said to be gone; back again, it is heard.
+// When a resolver becomes unresponsive, its records stay in use as stale, the source is
+// reported as failed, and no server is reported as removed. Once the resolver responds again,
+// its records are used again.
 func TestUnresponsiveResolver(t *testing.T) {
 	srv := listen(t, 0, target("s-1", 3, "127.0.0.1"))
 	sink, _ := start(t, settings(func(s *Settings) { s.Timeout = 20 * time.Millisecond }, srv))
 	sink.Until(t, "s-1", func(o membership.Observation) bool { return usable(o, "s-1") })
 	srv.Set(func(f *dnsserver.Faults) { f.Silent = true })
 	sink.Until(t, "a failure", func(o membership.Observation) bool { return o.Failed })
-	sink.Until(t, "another", func(o membership.Observation) bool { return o.Failed })
+	sink.Until(t, "another failure", func(o membership.Observation) bool { return o.Failed })
 	srv.Set(func(f *dnsserver.Faults) { f.Silent = false })
 	sink.Until(t, "s-1 again", func(o membership.Observation) bool { return usable(o, "s-1") })
 	sink.Never(t, "an answer without s-1", func(o membership.Observation) bool { return !o.Failed && observed.Named(o, "s-1") == nil })
 }
 
-// RFC 2782: of each cell the lowest priority alone; weights count within it; the
-// target "." is none.
+// RFC 2782: in each cell only the targets of the lowest priority count, weights are relative
+// within that priority, and the target "." is no target.
 func TestPriorities(t *testing.T) {
 	a, b, c := target("s-1", 3, "127.0.0.1"), target("s-2", 3, "127.0.0.2"), target("s-3", 4, "127.0.0.3")
 	b.Priority, c.Priority = 10, 10
@@ -185,7 +187,7 @@
 	require.Equal(t, 2, o.Claims[0].Cell)
 }
 
-// FuzzRead reads any message as an answer.
+// FuzzRead interprets arbitrary messages as responses: no record of another type is returned.
 func FuzzRead(f *testing.F) {
 	m := new(dns.Msg).SetQuestion(name+".", dns.TypeSRV)
 	m.Response = true
--- a/internal/source/members/members.go
+++ b/internal/source/members/members.go
@@ -1,9 +1,8 @@
-// Package members runs the merge of several sources of leaf servers: it has the
-// clock, the timer and the log that core/membership must not have, and turns what
-// the merge says into the list that the client side and the decisions get. It must
-// never hold back a drain, hand on a server whose cell the fleet does not have, or
-// let the decisions see one server's parts go to a cell it is not in: a server that
-// changes its cell gets another name with them.
+// Package members merges several sources of leaf servers. It provides the clock, the timer and
+// the log that core/membership must not have, and converts the merged members into the list
+// that the upstream pool and the decisions receive. It must never delay a drain, pass on a
+// server of a cell that the fleet does not have, or let the decisions send parts to a server
+// for a cell that it is not in: a server that changes its cell gets another name in the list.
 package members
 
 import (
@@ -38,11 +37,11 @@
 	Stagger         time.Duration `ini:"stagger" default:"250ms" range:"10ms..10s" help:"between tries of the addresses of one server (RFC 8305)"`
 }
 
-// Check looks at what keys say of each other.
+// Check validates the keys against each other.
 func (s *Settings) Check() error {
 	for i, name := range s.Sources {
 		if slices.Contains(s.Sources[:i], name) {
-			return fmt.Errorf("sources: %s stands twice", name)
+			return fmt.Errorf("sources: %s is listed twice", name)
 		}
 	}
 	if s.FlapReuse > s.FlapSuppress {
@@ -51,8 +50,8 @@
 	return nil
 }
 
-// Merge are the settings of the merge. ranked are the sources as the merge knows
-// them, highest first: a source may be several there, such as a datacentre each.
+// MergeSettings returns the settings of the merge. ranked are the names of its sources, highest
+// rank first. One configured source may be several there, such as one for each datacentre.
 func (s *Settings) MergeSettings(ranked []string) membership.Settings {
 	us := func(d time.Duration) int64 { return d.Microseconds() }
 	out := membership.Settings{ByAddress: s.ByAddress, FloorShare: s.FloorShare, FloorMinServers: s.FloorMinServers, RemovalDelay: us(s.RemovalDelay), FlapHalfLife: us(s.FlapHalfLife),
@@ -66,20 +65,20 @@
 
 var log = logs.For("members")
 
-// Source is a source that runs beside the merge and tells it what it hears.
+// Source discovers servers and reports its observations to a Sink.
 type Source interface {
-	// Names are the sources that it is in the merge.
+	// Names returns the names of the source in the merge; it may count as several there.
 	Names() []string
-	// Run asks until stop is closed.
+	// Run queries the source until stop is closed.
 	Run(stop <-chan struct{})
 }
 
-// Sink takes what sources hear. Service is one; a virtual drive has its own.
+// Sink receives the observations of sources. Service implements it; the simulation has its own.
 type Sink interface {
 	Observe(o membership.Observation)
 }
 
-// Service is the merge in service.
+// Service runs the merge and passes its results to a targets.Receiver.
 type Service struct {
 	cells    int
 	receiver targets.Receiver
@@ -87,34 +86,35 @@
 
 	mu          sync.Mutex
 	core        *membership.Members
-	listWanted  bool // the decisions wait for a list
-	listSent    bool // the decisions have had a whole list
-	answered    bool // some source has answered
+	listWanted  bool // the decisions wait for a full list
+	listSent    bool // the decisions have received a full list
+	answered    bool // at least one source has answered
 	builder     *ListBuilder
 	version     int64
 	timer       *time.Timer
 	floorActive bool
 	changes     int64
-	skipped     int64 // claims of cells that are not there
+	skipped     int64 // claims with a cell that the fleet does not have
 	stopped     bool
-	probeServer func(addrs []string) bool // nil: probes are not allowed
+	probeServer func(addrs []string) bool // nil: new servers are not probed
 	probeSlots  chan struct{}
 }
 
-// mostProving bounds the new servers that are probed at once.
+// maxProbes limits the new servers that are probed at the same time.
 const maxProbes = 4
 
-// Prove gives the way to probe a new server: one that answers has had its first sign.
-// It must be called before anything is observed.
+// SetProbe sets the function that probes a new server: a server that answers is confirmed. It
+// must be called before the first observation.
 func (s *Service) SetProbe(probe func(addrs []string) bool) {
 	s.probeServer, s.probeSlots = probe, make(chan struct{}, maxProbes)
 }
 
-// probe probes a new server, where there is room. Under the lock.
+// probe probes a new server in the background, unless maxProbes are running. The caller holds
+// s.mu.
 func (s *Service) probe(m membership.Member) {
 	select {
 	case s.probeSlots <- struct{}{}:
-	default: // the same source again will do as a sign
+	default: // a second observation by the same source confirms the server too
 		return
 	}
 	go func() {
@@ -125,7 +125,7 @@
 	}()
 }
 
-// New returns a merge that has heard nothing. What it believes goes to a taker.
+// New returns a merge without observations that passes its results to a receiver.
 func New(settings membership.Settings, cells int, receiver targets.Receiver) (*Service, error) {
 	core, err := membership.New(settings)
 	if err != nil {
@@ -136,13 +136,13 @@
 	return s, nil
 }
 
-// clock is the exchange's: Unix time at the start, and monotonic from there.
+// clock returns the time as the exchange counts it: Unix time at the start, monotonic after.
 func (s *Service) clock() membership.Micros {
 	return s.start.UnixMicro() + time.Since(s.start).Microseconds()
 }
 
-// Configure takes other settings and sources; what sources that stay have said
-// stands.
+// Configure replaces the settings and the set of sources. Observations of sources that remain
+// stay valid.
 func (s *Service) Configure(settings membership.Settings) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -165,7 +165,7 @@
 			s.skipped++
 		}
 	}
-	if err := s.core.Observe(s.clock(), o); err != nil { // a source that has just been taken out
+	if err := s.core.Observe(s.clock(), o); err != nil { // the source has just been removed
 		log.Debug("member-late", "err", err)
 		return
 	}
@@ -176,7 +176,7 @@
 	}
 }
 
-// Sign notes that a server has answered: its first sign, if it wants one.
+// Confirm records that a server has answered a probe, which confirms a new server.
 func (s *Service) Confirm(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -184,22 +184,22 @@
 	s.step()
 }
 
-// step hands on what has changed, and sets the timer. Lines are written after that: a
-// log that is slow must not hold a drain up. Under the lock.
+// step passes changes on and sets the timer. Log lines are written after that, because a slow
+// log must not delay a drain. The caller holds s.mu.
 func (s *Service) step() {
 	if s.stopped {
 		return
 	}
 	now := s.clock()
 	changed := s.core.Step(now)
-	if rows, addrs := s.builder.Delta(now, changed); s.listWanted && s.answered {
+	if changes, addrs := s.builder.Delta(now, changed); s.listWanted && s.answered {
 		s.listWanted, s.listSent = false, true
 		s.version++
-		rowList, allAddrs := s.builder.Full(now, s.core.All())
-		s.receiver.UpdateList(choice.List{Form: choice.Full, Version: s.version, Servers: rowList}, allAddrs)
-	} else if len(rows) > 0 && s.listSent {
+		entries, allAddrs := s.builder.Full(now, s.core.All())
+		s.receiver.UpdateList(choice.List{Form: choice.Full, Version: s.version, Servers: entries}, allAddrs)
+	} else if len(changes) > 0 && s.listSent {
 		s.version++
-		s.receiver.UpdateList(choice.List{Form: choice.Delta, Version: s.version, Servers: rows}, addrs)
+		s.receiver.UpdateList(choice.List{Form: choice.Delta, Version: s.version, Servers: changes}, addrs)
 	}
 	for _, m := range changed {
 		s.changes++
@@ -225,8 +225,8 @@
 	}
 }
 
-// Watch implements upstream.Lister: the decisions get the whole list at once, or as soon
-// as any source has answered.
+// Watch implements upstream.Lister: the decisions get the full list immediately, or as soon as
+// any source has answered.
 func (s *Service) Watch(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -249,77 +249,77 @@
 	}
 }
 
-// Heard tells whether any source has answered.
+// AnySourceAnswered reports whether any source has answered.
 func (s *Service) AnySourceAnswered() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.answered
 }
 
-// Rows turns members into the decisions' rows. It holds what they were told, and of
-// a bounded number of names the cell that they first had.
+// ListBuilder converts members into the entries of the decisions' server list. It stores the
+// entries last sent and, for a bounded number of names, the cell that each had first.
 type ListBuilder struct {
-	sent       map[string]row
+	sent       map[string]entry
 	firstCells map[string]int
-	settledAt  membership.Micros // servers that appear before this have run for long, unless a source says when they started
+	settledAt  membership.Micros // servers that appear before this count as long started, unless a source reports their start
 }
 
-// settleTime is how long after its start a mixer hears of servers for the first time
-// that are not new: its sources answer one after the other, and first signs take time.
+// settleTime is the time after the start of a proxy in which servers that appear for the first
+// time are not assumed to be new: the sources answer one after the other, and confirmation
+// takes time.
 const settleTime = 5 * time.Second
 
-// longAgo is a start that the decisions take for one of long ago. With none they
-// would take a server that appears among changes for one that has just started.
+// startedLongAgo is a start time that the decisions treat as long ago. Without a start time they
+// would treat a server that appears in a list of changes as just started.
 const startedLongAgo = 1
 
-// mostCells bounds the names whose first cell is held.
+// maxFirstCells limits the names whose first cell is stored.
 const maxFirstCells = 1 << 16
 
-type row struct {
+type entry struct {
 	id string
 	choice.Server
 	addrs []string
 }
 
-// NewRows returns rows of which nothing has been told.
+// NewListBuilder returns a builder that has sent no entries yet.
 func NewListBuilder(now membership.Micros) *ListBuilder {
-	return &ListBuilder{sent: make(map[string]row), firstCells: make(map[string]int), settledAt: now + settleTime.Microseconds()}
+	return &ListBuilder{sent: make(map[string]entry), firstCells: make(map[string]int), settledAt: now + settleTime.Microseconds()}
 }
 
-func (r *ListBuilder) toRow(now membership.Micros, m membership.Member) row {
-	out := row{id: m.Name, addrs: m.Addresses, Server: choice.Server{Zone: m.Site, Kind: m.Kind, Cell: m.Cell, Scale: m.Weight, UpSince: m.Since}}
-	if out.Scale <= 0 {
-		out.Scale = 1
+func (r *ListBuilder) toEntry(now membership.Micros, m membership.Member) entry {
+	e := entry{id: m.Name, addrs: m.Addresses, Server: choice.Server{Zone: m.Site, Kind: m.Kind, Cell: m.Cell, Scale: m.Weight, UpSince: m.Since}}
+	if e.Scale <= 0 {
+		e.Scale = 1
 	}
 	switch m.State {
 	case membership.Ready:
-		out.State = choice.Ready
+		e.State = choice.Ready
 	case membership.Draining:
-		out.State = choice.Draining
+		e.State = choice.Draining
 	}
-	// The decisions never move a server: in another cell it is another one to them.
+	// The decisions never move a server between cells: in another cell it gets another name.
 	firstCell, known := r.firstCells[m.Name]
 	if !known && len(r.firstCells) < maxFirstCells {
 		firstCell, known = m.Cell, true
 		r.firstCells[m.Name] = firstCell
 	}
 	if !known || firstCell != m.Cell {
-		out.id = fmt.Sprintf("%s~%d", m.Name, m.Cell)
+		e.id = fmt.Sprintf("%s~%d", m.Name, m.Cell)
 	}
-	if prev, seen := r.sent[m.Name]; out.UpSince == 0 && (now < r.settledAt || seen && prev.UpSince == startedLongAgo) {
-		out.UpSince = startedLongAgo
+	if prev, seen := r.sent[m.Name]; e.UpSince == 0 && (now < r.settledAt || seen && prev.UpSince == startedLongAgo) {
+		e.UpSince = startedLongAgo
 	}
-	out.ID = out.id
-	return out
+	e.ID = e.id
+	return e
 }
 
-// Delta are the rows that members which changed make; a row that says what was told
-// is none.
+// Delta returns the entries for changed members. An entry equal to the one last sent is omitted.
 func (r *ListBuilder) Delta(now membership.Micros, changed []membership.Member) (list []choice.Server, addrs targets.Addrs) {
 	addrs = make(targets.Addrs)
 	for _, m := range changed {
 		prev, known := r.sent[m.Name]
-		next := r.toRow(now, m)
+		next := r.toEntry(now, m)
 		if next.State == choice.Gone {
 			delete(r.sent, m.Name)
 			if known {
@@ -341,11 +341,11 @@
 	return list, addrs
 }
 
-// Whole are the rows of all members, which now count as told.
+// Full returns the entries of all members and records them as sent.
 func (r *ListBuilder) Full(now membership.Micros, all []membership.Member) (list []choice.Server, addrs targets.Addrs) {
 	addrs = make(targets.Addrs)
 	for _, m := range all {
-		if next := r.toRow(now, m); next.State != choice.Gone {
+		if next := r.toEntry(now, m); next.State != choice.Gone {
 			r.sent[m.Name] = next
 			list = append(list, next.Server)
 			addrs[next.id] = next.addrs
@@ -354,9 +354,9 @@
 	return list, addrs
 }
 
-// ---- What operators see.
+// ---- Reports and counters.
 
-// Report is what is believed at a moment.
+// Report is the state of the merge at one moment.
 type Report struct {
 	Ready, Draining, Withheld, Gone int
 	Floor                           bool
@@ -364,10 +364,11 @@
 	Skipped                         int64
 	Sources                         []membership.SourceStatus
 	Members                         []membership.Explanation
-	More                            int // members that are not listed here
+	More                            int // number of members omitted from Members
 }
 
-// Report tells what is believed: of one server, or of all, but of so many at most.
+// Report returns the state of the merge: with an empty name for at most limit members, else
+// for one server. It fails if the server is unknown.
 func (s *Service) Report(name string, limit int) (*Report, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -380,7 +381,7 @@
 	if name != "" {
 		explanation, known := s.core.Explain(now, name)
 		if !known {
-			return nil, errors.New("no source has ever named " + name + ", or all have forgotten it")
+			return nil, errors.New("no source has reported the server " + name + ", or its entry has expired")
 		}
 		r.Members = append(r.Members, explanation)
 		return r, nil
@@ -396,7 +397,7 @@
 	return r, nil
 }
 
-// Counters are the figures for the mixer's counters.
+// Counters passes the figures of the merge to the proxy's counters.
 func (s *Service) Counters(put func(name string, v int64)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -425,27 +426,27 @@
 	}
 }
 
-// List is the platform's list as a source. It implements targets.Taker.
+// List makes the platform's list a source of the merge. It implements targets.Receiver.
 type List struct{ To Sink }
 
-// ListName is its name in the merge.
+// ListName is the name of List in the merge.
 const ListName = "list"
 
-// Told implements targets.Taker.
+// UpdateList implements targets.Receiver.
 func (l List) UpdateList(list choice.List, addrs targets.Addrs) {
 	observation := membership.Observation{Source: ListName, Index: list.Version, Complete: list.Form != choice.Delta, Reset: list.Form == choice.Full}
-	for _, row := range list.Servers {
-		if row.State == choice.Gone {
-			observation.Removed = append(observation.Removed, row.ID)
+	for _, server := range list.Servers {
+		if server.State == choice.Gone {
+			observation.Removed = append(observation.Removed, server.ID)
 			continue
 		}
-		observation.Claims = append(observation.Claims, membership.Claim{Name: row.ID, Addresses: addrs[row.ID], Site: row.Zone, Kind: row.Kind, Cell: row.Cell, HasCell: true,
-			Drain: row.State == choice.Draining, Weight: row.Scale, Since: row.UpSince})
+		observation.Claims = append(observation.Claims, membership.Claim{Name: server.ID, Addresses: addrs[server.ID], Site: server.Zone, Kind: server.Kind, Cell: server.Cell, HasCell: true,
+			Drain: server.State == choice.Draining, Weight: server.Scale, Since: server.UpSince})
 	}
 	l.To.Observe(observation)
 }
 
-// Failed implements targets.Taker.
+// FetchFailed implements targets.Receiver.
 func (l List) FetchFailed() {
 	l.To.Observe(membership.Observation{Source: ListName, Failed: true})
 }
--- a/internal/source/members/members_test.go
+++ b/internal/source/members/members_test.go
@@ -14,7 +14,7 @@
 	"saddleport/internal/source/targets"
 )
 
-// taken is what the client side and the decisions would have.
+// recorder stores the list as the upstream pool and the decisions would have it.
 type recorder struct {
 	mu    sync.Mutex
 	rows  map[string]choice.Server
@@ -62,15 +62,15 @@
 	return membership.Claim{Name: name, Cell: cell, HasCell: true, Addresses: addrs, Drain: drain}
 }
 
-// The whole list when it is asked for, changes after that; a drain known to one source
-// alone goes on at once; a server whose cell has changed is another one to the
-// decisions, and never the old one in the new cell.
+// The full list is sent on request, and changes after that. A drain known to a single source is
+// passed on immediately. A server whose cell has changed gets a new name in the list; its old
+// name never appears in the new cell.
 func TestService(t *testing.T) {
 	goroutines := goleak.IgnoreCurrent()
 	t.Cleanup(func() { goleak.VerifyNone(t, goroutines) })
 	s, rec := newService(t, nil, "list", "consul")
 	s.Watch(true)
-	require.Empty(t, rec.forms, "nothing has been heard")
+	require.Empty(t, rec.forms, "no source has answered")
 	l := List{To: s}
 	l.UpdateList(choice.List{Form: choice.Full, Version: 5, Servers: []choice.Server{{ID: "a", Cell: 1, State: choice.Ready, Scale: 1}, {ID: "b", Cell: 2, State: choice.Ready, Scale: 1}}},
 		targets.Addrs{"a": {"h:1"}, "b": {"h:2"}})
@@ -79,7 +79,7 @@
 	s.Observe(membership.Observation{Source: "consul", Index: 1, Complete: true, Claims: []membership.Claim{claim("a", 1, true), claim("b", 2, false)}})
 	require.Equal(t, choice.Draining, rec.state("a"))
 	require.Equal(t, []choice.Form{choice.Full, choice.Delta}, rec.forms)
-	// Two cells for one server: it is gone until they agree.
+	// The sources disagree on the cell: the server is removed until they agree.
 	s.Observe(membership.Observation{Source: "consul", Index: 2, Complete: true, Claims: []membership.Claim{claim("a", 1, true), claim("b", 5, false)}})
 	require.Equal(t, choice.Gone, rec.state("b"))
 	l.UpdateList(choice.List{Form: choice.Delta, Version: 6, Servers: []choice.Server{{ID: "b", Cell: 5, State: choice.Ready, Scale: 1}}}, targets.Addrs{"b": {"h:3"}})
@@ -87,12 +87,12 @@
 	require.Equal(t, choice.Ready, rec.state("b~5"))
 	require.Equal(t, 5, rec.rows["b~5"].Cell)
 	require.Equal(t, []string{"h:3"}, rec.addrs["b~5"])
-	// Back in its first cell it has its first name again.
+	// Back in its first cell, the server has its first name again.
 	s.Observe(membership.Observation{Source: "consul", Index: 3, Complete: true, Claims: []membership.Claim{claim("b", 2, false)}})
 	l.UpdateList(choice.List{Form: choice.Delta, Version: 7, Servers: []choice.Server{{ID: "b", Cell: 2, State: choice.Ready, Scale: 1}}}, targets.Addrs{"b": {"h:3"}})
 	require.Equal(t, choice.Gone, rec.state("b~5"))
 	require.Equal(t, choice.Ready, rec.state("b"))
-	// A cell that is not there is none.
+	// A cell that the fleet does not have counts as none.
 	s.Observe(membership.Observation{Source: "consul", Index: 4, Complete: true, Claims: []membership.Claim{claim("z", 99, false, "h:9")}})
 	r, err := s.Report("z", 0)
 	require.NoError(t, err)
@@ -102,8 +102,8 @@
 	require.Error(t, err)
 }
 
-// A new server of a source that is not trusted waits for a sign: here it answers a
-// probe. Time alone changes things too: the timer runs.
+// A new server of an untrusted source waits for confirmation: here, for its answer to a probe. The
+// timer applies changes that depend on time alone, such as the expiry of an unresponsive source.
 func TestConfirmationAndTimer(t *testing.T) {
 	s, rec := newService(t, func(s *Settings) {
 		s.ConfirmAfter, s.SilentAfter, s.ForgetAfter = time.Hour, time.Second, 200*time.Millisecond
@@ -112,16 +112,16 @@
 	s.SetProbe(func(addrs []string) bool { probed <- addrs; return addrs[0] == "h:1" })
 	s.Watch(true)
 	s.Observe(membership.Observation{Source: "consul", Index: 1, Complete: true, Claims: []membership.Claim{claim("z", 1, false, "h:9")}})
-	require.Equal(t, choice.Ready, rec.state("z"), "at the start there is nothing to set it beside")
+	require.Equal(t, choice.Ready, rec.state("z"), "the first observation needs no confirmation")
 	s.Observe(membership.Observation{Source: "consul", Index: 2, Claims: []membership.Claim{claim("a", 1, false, "h:1"), claim("b", 1, false, "h:2")}})
 	<-probed
 	<-probed
 	require.Eventually(t, func() bool { return rec.state("a") == choice.Ready }, 20*time.Second, time.Millisecond)
 	require.Equal(t, choice.Gone, rec.state("b"))
-	require.Eventually(t, func() bool { return rec.state("a") == choice.Gone }, 20*time.Second, time.Millisecond, "forgotten, in time")
+	require.Eventually(t, func() bool { return rec.state("a") == choice.Gone }, 20*time.Second, time.Millisecond, "expired")
 }
 
-// Sources are switched under way: what one that stays has said stands.
+// Sources are replaced at run time: the observations of a source that remains stay valid.
 func TestConfigure(t *testing.T) {
 	s, rec := newService(t, nil, "list", "consul")
 	s.Watch(true)
@@ -131,9 +131,9 @@
 	var set Settings
 	inifile.SetDefaults(&set)
 	require.NoError(t, s.Configure(set.MergeSettings([]string{"consul", "dns"})))
-	require.Equal(t, choice.Draining, rec.state("a"), "consul's word stands")
+	require.Equal(t, choice.Draining, rec.state("a"), "the observation of consul is still valid")
 	require.NoError(t, s.Configure(set.MergeSettings([]string{"list"})))
-	require.Equal(t, choice.Gone, rec.state("a"), "nobody who is left has named it")
+	require.Equal(t, choice.Gone, rec.state("a"), "no remaining source has reported it")
 	require.Error(t, s.Configure(membership.Settings{}))
-	s.Observe(membership.Observation{Source: "consul", Index: 9}) // late: passed over
+	s.Observe(membership.Observation{Source: "consul", Index: 9}) // a removed source: ignored
 }
--- a/internal/source/segments/segments.go
+++ b/internal/source/segments/segments.go
@@ -1,14 +1,13 @@
-// Package segments is the feed of the map of segments: JSON over HTTP, in the
-// manner of the platform's discovery. It owns the watch and what is believed of it.
-// It must never put an update in force that the map refuses, press a feed that
-// fails, or be slower to ask for news than what a server named allows.
+// Package segments watches the feed of the segment map: JSON over HTTP, with long polls like
+// those of the platform's discovery. It owns the watch and the current map. It must never
+// apply an update that the map rejects, call a failing feed without a backoff, or, after a
+// server has named a newer epoch, delay the fetch for longer than placement.Refresh requires.
 //
-//	GET /placement                        the whole map
-//	GET /placement?epoch=41&wait=20000    changes after epoch 41, waiting for them so
-//	                                      many milliseconds at most; or the whole map
+//	GET /placement                        the full map
+//	GET /placement?epoch=41&wait=20000    the changes after epoch 41, waiting for them up to
+//	                                      20000 milliseconds; or the full map
 //
-// An answer is a placement.Update; one whose epoch is the one asked for brings no
-// news.
+// A response is a placement.Update. A response with the requested epoch contains no change.
 package segments
 
 import (
@@ -37,17 +36,17 @@
 }
 
 const (
-	responseTimeout = 10 * time.Second // beyond the wait
+	responseTimeout = 10 * time.Second // on top of the wait of a long poll
 	minInterval     = 50 * time.Millisecond
 	maxBackoff      = 2 * time.Second
 )
 
 var log = logs.For("segments")
 
-// Taker gets each newer map.
+// MapReceiver receives each newer map.
 type MapReceiver interface{ UpdateMap(m *placement.Map) }
 
-// Feed is the watch on one feed.
+// Feed watches one placement feed and stores the newest map.
 type Feed struct {
 	settings Settings
 	receiver MapReceiver
@@ -58,7 +57,7 @@
 	current    *placement.Map
 	refresh    placement.Refresh
 	needFull   bool
-	interrupt  context.CancelFunc // ends the call, or the pause, at hand
+	interrupt  context.CancelFunc // cancels the current call or backoff
 	lastAnswer time.Time
 	lastErr    string
 	rejected   int64
@@ -66,22 +65,23 @@
 	fetchTimer *time.Timer
 }
 
-// New returns a feed that has not been asked yet.
-func New(s Settings, to MapReceiver) *Feed {
-	return &Feed{settings: s, receiver: to, start: time.Now(), needFull: true, http: &http.Client{Transport: &http.Transport{MaxConnsPerHost: 2, IdleConnTimeout: time.Minute}},
+// New returns a feed that passes each newer map to a receiver. It makes no call before Run.
+func New(settings Settings, receiver MapReceiver) *Feed {
+	return &Feed{settings: settings, receiver: receiver, start: time.Now(), needFull: true, http: &http.Client{Transport: &http.Transport{MaxConnsPerHost: 2, IdleConnTimeout: time.Minute}},
 		refresh: placement.Refresh{MinInterval: minInterval.Microseconds(), MaxBackoff: maxBackoff.Microseconds()}}
 }
 
 func (f *Feed) clock() int64 { return time.Since(f.start).Microseconds() }
 
-// RequestEpoch implements exchange.Segments: a server named a newer epoch.
+// RequestEpoch implements exchange.MapSource: a server named a newer epoch. It fetches the map
+// as soon as the rate limit of placement.Refresh allows.
 func (f *Feed) RequestEpoch(epoch int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.wantEpoch(epoch)
 }
 
-// want is under mu.
+// wantEpoch is RequestEpoch for callers that hold f.mu.
 func (f *Feed) wantEpoch(epoch int64) {
 	now := f.clock()
 	switch fetchAt := f.refresh.ObserveEpoch(now, epoch, f.current.Epoch()); {
@@ -99,7 +99,7 @@
 	}
 }
 
-// Run watches until ctx is done.
+// Run watches the feed until ctx is done.
 func (f *Feed) Run(ctx context.Context) {
 	defer f.http.CloseIdleConnections()
 	backoff := minInterval
@@ -108,7 +108,7 @@
 		f.mu.Lock()
 		f.interrupt = cancel
 		url, wait := fmt.Sprintf("http://%s/placement?epoch=%d&wait=%d", f.settings.Feed, f.current.Epoch(), f.settings.MaxWait.Milliseconds()), f.settings.MaxWait
-		if f.refresh.Fetching { // a server named a newer epoch: now, not when something changes
+		if f.refresh.Fetching { // a server named a newer epoch: request an immediate response instead of a long poll
 			url, wait = fmt.Sprintf("http://%s/placement?epoch=%d&wait=0", f.settings.Feed, f.current.Epoch()), 0
 		}
 		if f.needFull {
@@ -127,7 +127,7 @@
 			cancel()
 			continue
 		}
-		pause := time.Duration(float64(backoff) * (0.5 + rand.Float64()/2)) // mixers must not come back in step
+		pause := time.Duration(float64(backoff) * (0.5 + rand.Float64()/2)) // jitter: proxies must not retry in step
 		backoff = min(2*backoff, maxBackoff)
 		select {
 		case <-ctx.Done():
@@ -157,7 +157,7 @@
 	body := &io.LimitedReader{R: resp.Body, N: int64(f.settings.MaxBytes) + 1}
 	err = json.NewDecoder(body).Decode(&update)
 	if body.N <= 0 {
-		err = fmt.Errorf("an answer of more than %v: see [segments] most-bytes", f.settings.MaxBytes)
+		err = fmt.Errorf("response of more than %v: see [segments] most-bytes", f.settings.MaxBytes)
 	}
 	if err != nil {
 		return nil, err
@@ -165,7 +165,8 @@
 	return &update, nil
 }
 
-// took takes an answer and tells whether it was one that can be used.
+// handleAnswer applies the result of a call. It returns false if the call failed or its update
+// was rejected, so that the caller backs off.
 func (f *Feed) handleAnswer(update *placement.Update, err error) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -180,7 +181,7 @@
 		return false
 	}
 	f.lastAnswer = time.Now()
-	if update.Epoch == f.current.Epoch() && f.current != nil { // no news
+	if update.Epoch == f.current.Epoch() && f.current != nil { // no change
 		return true
 	}
 	m, err := f.current.Apply(update)
@@ -207,26 +208,26 @@
 	return true
 }
 
-// Held tells whether there is a map.
+// HasMap reports whether a map has been received.
 func (f *Feed) HasMap() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.current != nil
 }
 
-// Report is what is believed at a moment, and why.
+// Report is the state of the feed and of the current map.
 type Report struct {
 	Feed                     string
 	Epoch, Wanted            int64
 	Segments, Cells, Retired int
-	HeardMS                  int64 // ago; below 0: never
+	HeardMS                  int64 // milliseconds since the last response; -1: none yet
 	Stale                    bool
 	Refused, Calls, Spared   int64
 	Err                      string
 	List                     []placement.Segment `json:",omitempty"`
 }
 
-// Report tells what is believed.
+// Report returns the current state with at most list segments.
 func (f *Feed) Report(list int) Report {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -243,7 +244,7 @@
 	return report
 }
 
-// Explain tells where a key is, and what is known of its segment.
+// Explain is the placement of a key: its segment and the servers of the segment's cell.
 type Explain struct {
 	Key     string
 	Epoch   int64
@@ -251,13 +252,13 @@
 	Servers []string
 }
 
-// Explain explains a key.
+// Explain returns the placement of a key. It fails while no map has been received.
 func (f *Feed) Explain(key string) (Explain, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s, ok := f.current.Lookup(key)
 	if !ok {
-		return Explain{}, errors.New("no map is held yet")
+		return Explain{}, errors.New("no map has been received yet")
 	}
 	return Explain{key, f.current.Epoch(), s, f.current.Servers(s.Cell)}, nil
 }
--- a/internal/source/segments/segments_test.go
+++ b/internal/source/segments/segments_test.go
@@ -17,8 +17,8 @@
 	"saddleport/internal/inifile"
 )
 
-// feed answers what the test has lined up, then nothing new; a call that finds
-// nothing lined up waits for it.
+// feed is a scripted placement feed: it answers calls with the queued responses in order. A
+// call that finds the queue empty waits for a response.
 type feed struct {
 	mu        sync.Mutex
 	cond      *sync.Cond
@@ -66,8 +66,8 @@
 
 var cells = []placement.Cell{{ID: 0, Servers: []string{"a"}}}
 
-// News, a gap, lies, garbage, an old epoch and a failing feed: what is believed is
-// always the newest map that could be.
+// Changes, a gap, an invalid map, malformed and oversized responses, an old epoch and a failing
+// feed: the feed always uses the newest valid map.
 func TestFeed(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	f := &feed{}
@@ -90,13 +90,13 @@
 	require.EqualValues(t, 3, (<-maps).Epoch())
 	f.enqueue(placement.Update{Epoch: 4, Base: 3, Removed: []uint32{1}, Segments: []placement.Segment{{ID: 2, Range: placement.Range{To: "m"}}, {ID: 3, Range: placement.Range{From: "m"}}}})
 	require.Equal(t, 2, (<-maps).Len())
-	f.enqueue(placement.Update{Epoch: 9, Base: 8})                                                                                 // a gap: the whole is asked for
-	f.enqueue(placement.Update{Epoch: 9, Cells: cells, Segments: []placement.Segment{{ID: 9, Range: placement.Range{From: "a"}}}}) // a lie
-	f.enqueueFunc(func(watch http.ResponseWriter) { fmt.Fprint(watch, "{") })
-	f.enqueueFunc(func(watch http.ResponseWriter) {
-		fmt.Fprint(watch, `{"epoch":9,"removed":[`+strings.Repeat("1,", 40<<10)+`1]}`)
+	f.enqueue(placement.Update{Epoch: 9, Base: 8})                                                                                 // a gap: the full map is requested
+	f.enqueue(placement.Update{Epoch: 9, Cells: cells, Segments: []placement.Segment{{ID: 9, Range: placement.Range{From: "a"}}}}) // invalid: the range leaves a part of the keys uncovered
+	f.enqueueFunc(func(w http.ResponseWriter) { fmt.Fprint(w, "{") })
+	f.enqueueFunc(func(w http.ResponseWriter) {
+		fmt.Fprint(w, `{"epoch":9,"removed":[`+strings.Repeat("1,", 40<<10)+`1]}`)
 	}) // too long
-	f.enqueueFunc(func(watch http.ResponseWriter) { watch.WriteHeader(503) })
+	f.enqueueFunc(func(w http.ResponseWriter) { w.WriteHeader(503) })
 	f.enqueue(placement.Update{Epoch: 2, Cells: cells, Segments: []placement.Segment{{ID: 1}}}) // old
 	f.enqueue(placement.Update{Epoch: 10, Cells: cells, Segments: []placement.Segment{{ID: 10}}})
 	require.EqualValues(t, 10, (<-maps).Epoch())
@@ -108,14 +108,14 @@
 	require.NoError(t, err)
 	require.Equal(t, []string{"a"}, e.Servers)
 
-	// Ten thousand parts find out at once: one call more.
+	// 10000 requests for the same epoch at once cause a single fetch.
 	f.mu.Lock()
 	before := len(f.queries)
 	f.mu.Unlock()
 	for range 10000 {
 		watch.RequestEpoch(11)
 	}
-	for range 2 { // the call that was ended may take one with it
+	for range 2 { // the interrupted call may consume one response
 		f.enqueue(placement.Update{Epoch: 11, Base: 10})
 	}
 	require.EqualValues(t, 11, (<-maps).Epoch())
--- a/internal/source/targets/targets.go
+++ b/internal/source/targets/targets.go
@@ -1,7 +1,7 @@
-// Package targets is the platform's list of leaf servers. It owns the watch on
-// discovery, or the calls to an agent that lists are pushed to, and the reading of
-// their answers. It must never let the watch lapse while it is wanted, press a
-// service that fails, or hand on an entry that the router can't hold.
+// Package targets follows the platform's list of leaf servers. It owns the watch on the
+// discovery service, or the polling of an agent that lists are pushed to, and the decoding of
+// their responses. It must never let a wanted watch lapse, call a failing service without a
+// backoff, or pass on an entry that the router cannot represent.
 package targets
 
 import (
@@ -25,49 +25,49 @@
 )
 
 const (
-	initialWait     = 250 * time.Millisecond // of a new watch: the router waits for a sign that it stands
+	initialWait     = 250 * time.Millisecond // first wait of a new watch, short because the router waits for proof that the watch works
 	watchWait       = 10 * time.Second
-	responseTimeout = 2500 * time.Millisecond // beyond the wait: then the call has failed
+	responseTimeout = 2500 * time.Millisecond // on top of the wait; after that the call has failed
 	minBackoff      = 200 * time.Millisecond
 	maxBackoff      = 2 * time.Second
-	maxSince        = 1 << 50 // milliseconds; in microseconds it must still fit
+	maxSince        = 1 << 50 // milliseconds; the value in microseconds must fit into an int64
 
-	// An agent on this machine answers at once and at no cost, and what it holds counts
-	// as told: the rule on drains leaves no time to wait for one that is silent.
+	// An agent on this machine answers immediately and cheaply, and its list counts as
+	// known to the proxy: the rule on drains leaves no time to wait for an unresponsive agent.
 	defaultPollTimeout = 300 * time.Millisecond
-	// A service that answers a watch at once with nothing must not be called in a
-	// loop; the next call still comes soon enough for the watch to go on.
+	// A service that answers a watch immediately without changes must not be called in a
+	// busy loop; the next call still comes soon enough to keep the watch alive.
 	minInterval = 100 * time.Millisecond
 )
 
 var log = logs.For("targets")
 
-// LookEvery is the pause between looks at an agent.
+// PollInterval is the pause between two polls of an agent.
 const PollInterval = 100 * time.Millisecond
 
-// Addrs are the addresses of servers by name.
+// Addrs maps the names of servers to their addresses.
 type Addrs map[string][]string
 
-// Taker gets what discovery says, in order. It must not call the watch.
+// Receiver receives the results of calls in order. Its methods must not call the watch.
 type Receiver interface {
-	// Told brings a list, or changes to it; List.Since says how long ago it may have
-	// counted as told.
+	// UpdateList passes a full list or changes to it. List.Since is the longest time, in
+	// microseconds, for which the proxy may have counted as informed of it.
 	UpdateList(list choice.List, addrs Addrs)
-	// Failed says that a call brought nothing.
+	// FetchFailed reports a failed call.
 	FetchFailed()
 }
 
-// Config is what a Watch is told at its start.
+// Config configures a Watch.
 type Config struct {
-	Addr         string        // of discovery, or of the agent
-	Cells        int           // of the fleet
-	Index        int64         // version of the list that is known already
-	MultiAddress bool          // entries may have a list "addresses" beside the one address
-	Pushed       bool          // an agent holds what it is sent: it is looked at whether or not a watch was asked for
-	PollTimeout  time.Duration // where lists are pushed: an answer that takes longer is given up; 0: 300 ms
+	Addr         string        // of the discovery service or of the agent
+	Cells        int           // number of cells of the fleet
+	Index        int64         // version of the list that is already known
+	MultiAddress bool          // entries may have a list "addresses" in addition to "address"
+	Pushed       bool          // lists are pushed to an agent, which is polled even if no watch was requested
+	PollTimeout  time.Duration // with Pushed: timeout of one poll; 0: 300 ms
 }
 
-// Watch makes the calls, one after another: Run's loop alone does.
+// Watch calls the discovery service or polls the agent. Run makes all calls, one at a time.
 type Watch struct {
 	cells        int
 	multiAddress bool // an entry may have several addresses
@@ -78,16 +78,16 @@
 
 	mu       sync.Mutex
 	watching bool
-	needFull bool // the next call asks for the whole list
+	needFull bool // the next call requests the full list
 	addr     string
 	index    int64 // of the newest list
-	// current ends once what the calls under it ask for is not wanted any more: an
-	// answer that comes after that is dropped.
+	// callCtx is cancelled when its calls are superseded. A response that arrives after
+	// that is dropped.
 	callCtx    context.Context
 	cancelCall context.CancelFunc
 }
 
-// New returns a watch; it is not on yet, unless lists are pushed.
+// New returns a watch. It is inactive until Watch or Fetch, unless lists are pushed.
 func New(cfg Config, receiver Receiver) *Watch {
 	w := &Watch{cells: cfg.Cells, multiAddress: cfg.MultiAddress, pushed: cfg.Pushed, receiver: receiver, wake: make(chan struct{}, 1),
 		watching: cfg.Pushed, addr: cfg.Addr, index: cfg.Index, pollTimeout: cmp.Or(cfg.PollTimeout, defaultPollTimeout)}
@@ -95,7 +95,8 @@
 	return w
 }
 
-// Watch starts or ends the watch. One that stands is not started anew.
+// Watch starts or ends the watch. An active watch is not restarted. With Config.Pushed the
+// watch is always active.
 func (w *Watch) Watch(on bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -103,15 +104,15 @@
 	w.notify()
 }
 
-// Fetch asks for the whole list once.
+// Fetch requests the full list once.
 func (w *Watch) Fetch() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.requestFull()
 }
 
-// Switch turns to another discovery service. Its versions need not compare with
-// those of the one before, so it is asked for the whole list, and at once.
+// Switch changes to another discovery service. Its versions may not be comparable with those of
+// the previous service, so the full list is requested immediately.
 func (w *Watch) Switch(addr string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -119,9 +120,9 @@
 	w.requestFull()
 }
 
-// anew ends the call at hand, or the pause before the next, for the whole list.
-// Asked on a line of its own, that list could overtake or be overtaken by the
-// changes that the watch brings, and one of them would be lost.
+// requestFull cancels the current call, or the pause before the next, and requests the full
+// list on the same connection. On a connection of its own, the full list and the changes of the
+// watch could overtake each other, and one of them would be lost. The caller holds w.mu.
 func (w *Watch) requestFull() {
 	w.needFull = true
 	if w.cancelCall != nil {
@@ -148,7 +149,7 @@
 	var conn discoveryConn
 	defer conn.close()
 	wait, backoff := initialWait, minBackoff
-	// Until then the service had nothing to tell that it did not tell.
+	// The start of the last successful call: the service had reported all changes up to then.
 	upToDateAt := time.Now()
 	for {
 		select {
@@ -181,13 +182,13 @@
 		sentAt := time.Now()
 		body, err := conn.get(ctx, addr, path, timeout)
 		ok, changed := w.handleAnswer(ctx, addr, upToDateAt, body, err)
-		if ctx.Err() != nil { // the call was for what is not wanted any more
+		if ctx.Err() != nil { // the call was superseded
 			conn.close()
 			wait, backoff = initialWait, minBackoff
 			continue
 		}
 		if ok {
-			// The next call must come at once, or changes in between are lost.
+			// The next call must follow immediately, or changes in between are lost.
 			wait, backoff = watchWait, minBackoff
 			if upToDateAt = sentAt; !w.pushed && (changed || time.Since(sentAt) >= minInterval) {
 				continue
@@ -195,7 +196,7 @@
 		} else {
 			conn.close()
 		}
-		// All mixers share one discovery: they must not come back in step.
+		// Jitter: all proxies share one discovery service and must not retry in step.
 		pause := time.Duration(float64(backoff) * (0.5 + rand.Float64()/2))
 		switch {
 		case w.pushed:
@@ -215,9 +216,9 @@
 	}
 }
 
-// told hands on an answer of discovery, or that there was none; it tells whether there
-// was one, and whether it had news. What answers a call that has been ended since is
-// dropped: it may be of another service.
+// handleAnswer passes the result of a call to the receiver. It reports whether the call
+// succeeded and whether the response contained changes. The response to a call that has been
+// superseded is dropped, because it may be of another service.
 func (w *Watch) handleAnswer(ctx context.Context, addr string, upToDateAt time.Time, body []byte, err error) (ok, changed bool) {
 	var list choice.List
 	var addrs Addrs
@@ -230,7 +231,7 @@
 		return false, false
 	}
 	if err == nil && w.needFull && list.Form != choice.Full {
-		err = errors.New("the whole list was asked for, and changes came")
+		err = errors.New("the full list was requested, but the response contains only changes")
 	}
 	if err != nil {
 		log.Warn("discovery-failed", "addr", addr, "err", err)
@@ -250,8 +251,9 @@
 
 var states = map[string]choice.State{"SERVING": choice.Ready, "DRAINING": choice.Draining, "DELETED": choice.Gone}
 
-// Parse reads discovery's form of the list. An entry that can't be used is
-// passed over with a log line: one bad line must not cost the others.
+// Parse decodes a list in the format of the discovery service. An unusable entry is logged and
+// skipped, so that it does not affect the others. With multiAddress, the entries' additional
+// addresses are read too.
 func Parse(body []byte, cells int, multiAddress bool) (list choice.List, addrs Addrs, err error) {
 	doc := gjson.ParseBytes(body)
 	if !gjson.ValidBytes(body) || !doc.IsObject() {
@@ -291,10 +293,10 @@
 	return list, addrs, nil
 }
 
-// mostAddrs bounds the addresses of one server.
+// maxAddrs limits the addresses of one server.
 const maxAddrs = 8
 
-// addresses adds what an entry lists beside its one address.
+// addresses appends the valid additional addresses of an entry to out, up to maxAddrs in all.
 func addresses(entry gjson.Result, out []string) []string {
 	for _, a := range entry.Get("addresses").Array() {
 		addr := a.String()
@@ -306,7 +308,7 @@
 	return out
 }
 
-// closing is a context that ends when stop is closed.
+// stopContext returns a context that ends when stop is closed.
 func stopContext(stop <-chan struct{}) context.Context {
 	return chanContext{context.Background(), stop}
 }
@@ -327,7 +329,7 @@
 	}
 }
 
-// discoveryLine is a connection to discovery, kept from call to call.
+// discoveryConn is a connection to the discovery service, reused between calls.
 type discoveryConn struct {
 	addr string
 	nc   net.Conn
@@ -341,10 +343,10 @@
 	}
 }
 
-// get makes one call, which must be over within the time given, and ends at once
-// when ctx does.
+// get makes one call and returns the response body. The call fails after timeout, or as soon as
+// ctx ends.
 func (c *discoveryConn) get(ctx context.Context, addr, path string, timeout time.Duration) ([]byte, error) {
-	if c.addr != addr { // the service has moved while none was asked
+	if c.addr != addr { // the service has changed since the last call
 		c.close()
 	}
 	if c.nc == nil {
--- a/internal/source/targets/targets_test.go
+++ b/internal/source/targets/targets_test.go
@@ -14,9 +14,9 @@
 	"saddleport/choice"
 )
 
-const testTimeout = 20 * time.Second // no verdict hangs on a pace
+const testTimeout = 20 * time.Second // generous: no result depends on timing
 
-// agent is a scripted stand-in of what holds the list.
+// agent is a scripted replacement for the discovery service or the agent.
 type agent struct {
 	t  *testing.T
 	ln net.Listener
@@ -24,7 +24,7 @@
 	r  *bufio.Reader
 }
 
-// heard is one word of the watch.
+// update is one call of the receiver by the watch.
 type update struct {
 	list   choice.List
 	failed bool
@@ -51,7 +51,7 @@
 	a.nc, a.r = nc, bufio.NewReader(nc)
 }
 
-// asked reads one call and returns its path.
+// readRequest reads one request and returns its path.
 func (a *agent) readRequest() string {
 	first, err := a.r.ReadString('\n')
 	require.NoError(a.t, err)
@@ -87,39 +87,40 @@
 	case h := <-k:
 		return h
 	case <-time.After(testTimeout):
-		require.Fail(t, "nothing was told")
+		require.Fail(t, "no update was received")
 		return update{}
 	}
 }
 
-// Where lists are pushed nobody asks for a watch: the decisions have no call for it.
-// A mixer that waited to be asked heard of no drain at all.
+// Where lists are pushed, the decisions never request a watch. A proxy that polled the agent
+// only on request missed every drain.
 func TestPushedListIsPolledWithoutWatch(t *testing.T) {
 	a := listen(t)
 	_, received := start(t, Config{Addr: a.ln.Addr().String(), Index: 41, Pushed: true, PollTimeout: testTimeout})
 	a.accept()
 	require.Equal(t, "/api/targets?index=41&wait=0", a.readRequest())
-	a.respond(41, false) // no news is told to nobody
+	a.respond(41, false) // a response without changes is not passed on
 	require.Equal(t, "/api/targets?index=41&wait=0", a.readRequest())
 	a.respond(43, false, row("s-a", "DRAINING"))
 	h := received.next(t)
 	require.Equal(t, choice.Delta, h.list.Form)
 	require.Equal(t, choice.Draining, h.list.Servers[0].State)
 	require.Equal(t, "/api/targets?index=43&wait=0", a.readRequest())
-	a.respond(44, true, row("s-a", "SERVING")) // a whole list, after a gap
+	a.respond(44, true, row("s-a", "SERVING")) // a full list after a gap
 	h = received.next(t)
 	require.Equal(t, choice.Full, h.list.Form)
 	require.Equal(t, "/api/targets?index=44&wait=0", a.readRequest())
 }
 
-// An agent is silent while discovery is down. What it holds once it is back counts as
-// told since it got it, which may have been right after its last answer.
+// An agent does not answer while the discovery service is down. Once it answers again, the proxy
+// counts as informed of its list since the agent received it, which may have been right
+// after the agent's last response.
 func TestUnresponsiveAgentIsRetriedAndItsChangesAreBackdated(t *testing.T) {
 	a := listen(t)
 	var unresponsive atomic.Bool
 	unresponsive.Store(true)
 	startedAt := time.Now()
-	go func() { // each line is served by itself, as long as it lasts
+	go func() { // each connection is served by its own goroutine until it closes
 		for {
 			nc, err := a.ln.Accept()
 			if err != nil {
@@ -157,7 +158,7 @@
 	require.Greater(t, elapsed, 3*50*time.Millisecond)
 }
 
-// A service that answers a watch at once with nothing new is not called in a loop.
+// A service that answers a watch immediately without changes is not called in a busy loop.
 func TestWatchAnsweredAtOnceDoesNotSpin(t *testing.T) {
 	a := listen(t)
 	w, _ := start(t, Config{Addr: a.ln.Addr().String(), Index: 41})
