--- a/tools/soakmutants/main.go
+++ b/tools/soakmutants/main.go
@@ -27,11 +27,11 @@
 	{"forgotten-peers", "processes that believed each other dead never call each other again (issue 52)",
 		"internal/cluster/gossip/rejoin.go", "if now < g.nextRejoinAt {", "if now >= 0 {"},
 	{"dropped-change", "one proxy drops the changes of 8 s in every 16",
-		"internal/node/proxy/proxy.go", "\tc, err := routeconfig.Parse(i.Value)\n", "\tif strings.HasSuffix(t.settings.Name, \"-2\") && time.Now().Unix()%16 < 8 {\n\t\treturn\n\t}\n\tc, err := routeconfig.Parse(i.Value)\n"},
+		"internal/node/proxy/proxy.go", "\tconfig, err := routeconfig.Parse(entry.Value)\n", "\tif strings.HasSuffix(p.settings.Name, \"-2\") && time.Now().Unix()%16 < 8 {\n\t\treturn\n\t}\n\tconfig, err := routeconfig.Parse(entry.Value)\n"},
 	{"late-change", "each change is applied 4 s late",
-		"internal/node/proxy/proxy.go", "\tt.routes.Use(p)\n", "\ttime.AfterFunc(4*time.Second, func() { t.routes.Use(p) })\n"},
+		"internal/node/proxy/proxy.go", "\tp.routes.SetPlan(plan)\n", "\ttime.AfterFunc(4*time.Second, func() { p.routes.SetPlan(plan) })\n"},
 	{"older-change", "now and then the configuration before is put in force again",
-		"internal/node/proxy/proxy.go", "\tt.routes.Use(p)\n", "\tif before := t.routes.Plan(); before != nil && c.Revision%8 == 0 {\n\t\ttime.AfterFunc(time.Second, func() { t.routes.Use(before) })\n\t}\n\tt.routes.Use(p)\n"},
+		"internal/node/proxy/proxy.go", "\tp.routes.SetPlan(plan)\n", "\tif before := p.routes.Plan(); before != nil && config.Revision%8 == 0 {\n\t\ttime.AfterFunc(time.Second, func() { p.routes.SetPlan(before) })\n\t}\n\tp.routes.SetPlan(plan)\n"},
 	{"withdrawn-route", "a withdrawn route is served on",
 		"internal/downstream/httpserver/httpserver.go", "\tif route == nil {\n", "\tif route != nil {\n\t\tkept.Store(r.Path, p)\n\t} else if before, is := kept.Load(r.Path); is {\n\t\tp = before.(*Plan)\n\t\troute = p.Config.MatchRoute(r.Header.Get(\"Host\"), r.Path)\n\t}\n\tif route == nil {\n"},
 	{"invalid-taken", "weights that sum to 0 are valid",
@@ -39,13 +39,13 @@
 	{"sent-twice", "a write is handled as if it were idempotent",
 		"internal/downstream/httpserver/plan.go", "if r.Idempotent {\n", "if r.Idempotent || r.MaxAttempts > 0 {\n"},
 	{"answer-swapped", "one in a hundred answers is that of the request before",
-		"internal/downstream/httpserver/httpserver.go", "\t\t\treturn c.WriteBytes(closing(f.Hits[0].Value, keep))\n", "\t\t\tanswer := f.Hits[0].Value\n\t\t\tif before, is := last.Swap(answer).(string); is && g.number.Add(1)%100 == 0 {\n\t\t\t\tanswer = before\n\t\t\t}\n\t\t\treturn c.WriteBytes(closing(answer, keep))\n"},
+		"internal/downstream/httpserver/httpserver.go", "\t\t\treturn c.WriteBytes(completeHead(f.Hits[0].Value, keep))\n", "\t\t\tanswer := f.Hits[0].Value\n\t\t\tif before, is := last.Swap(answer).(string); is && h.number.Add(1)%100 == 0 {\n\t\t\t\tanswer = before\n\t\t\t}\n\t\t\treturn c.WriteBytes(completeHead(answer, keep))\n"},
 	{"records-unordered", "the records of a gathered answer are not merged by their order",
 		"internal/downstream/httpserver/httpserver.go", "return cmp.Compare(b, a) })", "return 0 })"},
 	{"connection-closed", "one in two hundred connections is closed while its request is at a server",
-		"internal/downstream/httpserver/httpserver.go", "\t\tif f.Ending == exchange.Answered {\n", "\t\tif g.number.Add(1)%200 == 0 {\n\t\t\treturn false\n\t\t}\n\t\tif f.Ending == exchange.Answered {\n"},
+		"internal/downstream/httpserver/httpserver.go", "\t\tif f.Ending == exchange.Answered {\n", "\t\tif h.number.Add(1)%200 == 0 {\n\t\t\treturn false\n\t\t}\n\t\tif f.Ending == exchange.Answered {\n"},
 	{"drain-ignored", "a server that is draining is asked as before",
-		"internal/node/proxy/proxy.go", "\t\trow.State = choice.Draining\n", "\t\trow.State = choice.Ready\n"},
+		"internal/node/proxy/proxy.go", "\t\tserver.State = choice.Draining\n", "\t\tserver.State = choice.Ready\n"},
 	{"stale-read", "the tail does not ask whether its view stands, nor a machine whether it has a quorum",
 		"internal/node/controlplane/handover.go", "func (c *replicaRunner) requireQuorum(ctx context.Context) error {\n", "func (c *replicaRunner) requireQuorum(ctx context.Context) error {\n\tif c != nil {\n\t\treturn nil\n\t}\n"},
 }
@@ -59,7 +59,7 @@
 // second is the other change of mutants that take two.
 var second = map[string]mutant{
 	"stale-read": {file: "internal/node/controlplane/replica.go", old: "chain.Mutations{}", replaced: "chain.Mutations{StaleRead: true}"},
-	"sent-twice": {file: "internal/downstream/httpserver/httpserver.go", old: "Once: !route.Idempotent,", replaced: "Once: false,"},
+	"sent-twice": {file: "internal/downstream/httpserver/httpserver.go", old: "NonIdempotent: !route.Idempotent,", replaced: "NonIdempotent: false,"},
 }
 
 var errText = errors.New("the text to replace is not there once: the mutant is out of date")
