--- a/internal/source/members/members.go
+++ b/internal/source/members/members.go
@@ -287,7 +287,7 @@
 	return &ListBuilder{sent: make(map[string]entry), firstCells: make(map[string]int), settledAt: now + settleTime.Microseconds()}
 }
 
-func (r *ListBuilder) toEntry(now membership.Micros, m membership.Member) entry {
+func (b *ListBuilder) toEntry(now membership.Micros, m membership.Member) entry {
 	e := entry{id: m.Name, addrs: m.Addresses, Server: choice.Server{Zone: m.Site, Kind: m.Kind, Cell: m.Cell, Scale: m.Weight, UpSince: m.Since}}
 	if e.Scale <= 0 {
 		e.Scale = 1
@@ -299,15 +299,15 @@
 		e.State = choice.Draining
 	}
 	// The decisions never move a server between cells: in another cell it gets another name.
-	firstCell, known := r.firstCells[m.Name]
-	if !known && len(r.firstCells) < maxFirstCells {
+	firstCell, known := b.firstCells[m.Name]
+	if !known && len(b.firstCells) < maxFirstCells {
 		firstCell, known = m.Cell, true
-		r.firstCells[m.Name] = firstCell
+		b.firstCells[m.Name] = firstCell
 	}
 	if !known || firstCell != m.Cell {
 		e.id = fmt.Sprintf("%s~%d", m.Name, m.Cell)
 	}
-	if prev, seen := r.sent[m.Name]; e.UpSince == 0 && (now < r.settledAt || seen && prev.UpSince == startedLongAgo) {
+	if prev, seen := b.sent[m.Name]; e.UpSince == 0 && (now < b.settledAt || seen && prev.UpSince == startedLongAgo) {
 		e.UpSince = startedLongAgo
 	}
 	e.ID = e.id
@@ -315,13 +315,13 @@
 }
 
 // Delta returns the entries for changed members. An entry equal to the one last sent is omitted.
-func (r *ListBuilder) Delta(now membership.Micros, changed []membership.Member) (list []choice.Server, addrs targets.Addrs) {
+func (b *ListBuilder) Delta(now membership.Micros, changed []membership.Member) (list []choice.Server, addrs targets.Addrs) {
 	addrs = make(targets.Addrs)
 	for _, m := range changed {
-		prev, known := r.sent[m.Name]
-		next := r.toEntry(now, m)
+		prev, known := b.sent[m.Name]
+		next := b.toEntry(now, m)
 		if next.State == choice.Gone {
-			delete(r.sent, m.Name)
+			delete(b.sent, m.Name)
 			if known {
 				list = append(list, choice.Server{ID: prev.id, Zone: prev.Zone, Kind: prev.Kind, Cell: prev.Cell, Scale: prev.Scale, State: choice.Gone})
 			}
@@ -334,7 +334,7 @@
 		if known && prev.Server == next.Server && slices.Equal(prev.addrs, next.addrs) {
 			continue
 		}
-		r.sent[m.Name] = next
+		b.sent[m.Name] = next
 		list = append(list, next.Server)
 		addrs[next.id] = next.addrs
 	}
@@ -342,11 +342,11 @@
 }
 
 // Full returns the entries of all members and records them as sent.
-func (r *ListBuilder) Full(now membership.Micros, all []membership.Member) (list []choice.Server, addrs targets.Addrs) {
+func (b *ListBuilder) Full(now membership.Micros, all []membership.Member) (list []choice.Server, addrs targets.Addrs) {
 	addrs = make(targets.Addrs)
 	for _, m := range all {
-		if next := r.toEntry(now, m); next.State != choice.Gone {
-			r.sent[m.Name] = next
+		if next := b.toEntry(now, m); next.State != choice.Gone {
+			b.sent[m.Name] = next
 			list = append(list, next.Server)
 			addrs[next.id] = next.addrs
 		}
