--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -21,7 +21,7 @@
 
 // Settings are the operator file's section [control].
 type Settings struct {
-	Socket string `ini:"socket" help:"the path of the Unix socket; none: nobody can speak to the mixer (counts from the next start)"`
+	Socket string `ini:"socket" help:"path of the Unix socket; none: the proxy accepts no commands (takes effect at the next start)"`
 }
 
 const (
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -23,8 +23,8 @@
 
 // Settings are the operator file's section [log].
 type Settings struct {
-	Level  string `ini:"level" default:"info" oneof:"debug info warn error" help:"the least level that is written"`
-	Repeat int    `ini:"repeat" default:"20" range:"0..10000" help:"lines a second of one event; 0: no bound. unlogged= tells how many were left out"`
+	Level  string `ini:"level" default:"info" oneof:"debug info warn error" help:"the lowest level that is logged"`
+	Repeat int    `ini:"repeat" default:"20" range:"0..10000" help:"lines per second of one event; 0: no limit. unlogged= gives the number left out"`
 }
 
 // sink is the destination of all lines, with the level and the rate limits.
--- a/internal/source/consul/consul.go
+++ b/internal/source/consul/consul.go
@@ -35,21 +35,21 @@
 
 // Settings are the operator file's section [consul].
 type Settings struct {
-	Addrs        []string      `ini:"addresses" help:"host:port of agents or servers, tried in turn"`
+	Addrs        []string      `ini:"addresses" help:"host:port of agents or servers; after a failure the next is used"`
 	Service      string        `ini:"service" default:"trips" help:"the service whose instances are leaf servers"`
-	Datacentres  []string      `ini:"datacentres" help:"asked one by one, the first ranked highest; none: the agent's own"`
-	Read         string        `ini:"read" default:"health" oneof:"health catalogue" help:"catalogue knows no checks: a stalled node stays"`
-	Wait         time.Duration `ini:"wait" default:"10s" range:"100ms..10m" help:"how long one blocking query waits for news"`
-	Consistency  string        `ini:"consistency" default:"stale" oneof:"default stale consistent" help:"who may answer: the leader, any server, a leader that has asked around"`
-	MaxStale     time.Duration `ini:"most-stale" default:"5s" range:"100ms..1h" help:"an answer of a server that heard the leader longer ago counts as none"`
-	Warning      string        `ini:"warning" default:"use" oneof:"use withhold" help:"servers with a warning"`
-	TokenFile    string        `ini:"token-file" help:"a file with the ACL token; read again when a call is refused"`
+	Datacentres  []string      `ini:"datacentres" help:"datacentres to query, highest rank first; none: the agent's own"`
+	Read         string        `ini:"read" default:"health" oneof:"health catalogue" help:"the catalogue has no health checks: a stalled node stays listed"`
+	Wait         time.Duration `ini:"wait" default:"10s" range:"100ms..10m" help:"how long one blocking query waits for changes"`
+	Consistency  string        `ini:"consistency" default:"stale" oneof:"default stale consistent" help:"who may answer: the leader, any server, a leader that has confirmed its role with its peers"`
+	MaxStale     time.Duration `ini:"most-stale" default:"5s" range:"100ms..1h" help:"an answer of a server whose last contact with the leader is longer ago is rejected"`
+	Warning      string        `ini:"warning" default:"use" oneof:"use withhold" help:"whether servers with a check in the warning state are used"`
+	TokenFile    string        `ini:"token-file" help:"file with the ACL token; read again when a call is rejected"`
 	TLS          bool          `ini:"tls" default:"no"`
-	CAFile       string        `ini:"ca-file" help:"with tls: a file of certificates to trust; none: the system's"`
-	MaxBytes     inifile.Bytes `ini:"most-bytes" default:"16MiB" range:"64KiB..1GiB" help:"of one answer; of a longer one nothing counts"`
-	RegisterAs   string        `ini:"register-as" help:"a service under which the mixer registers itself; none: it does not"`
-	RegisterAddr string        `ini:"register-address" help:"host:port that is registered; none: where it listens"`
-	RegisterTTL  time.Duration `ini:"register-ttl" default:"15s" range:"1s..10m" help:"of its check, which it renews three times in this"`
+	CAFile       string        `ini:"ca-file" help:"with tls: file of trusted certificates; none: the system's"`
+	MaxBytes     inifile.Bytes `ini:"most-bytes" default:"16MiB" range:"64KiB..1GiB" help:"limit of one answer; a longer one is rejected"`
+	RegisterAs   string        `ini:"register-as" help:"service name under which the proxy registers itself; none: it does not register"`
+	RegisterAddr string        `ini:"register-address" help:"host:port to register; none: the listen address"`
+	RegisterTTL  time.Duration `ini:"register-ttl" default:"15s" range:"1s..10m" help:"TTL of the registered check, which is renewed three times in this period"`
 }
 
 // Check validates the addresses and that a CA file is only given with TLS.
--- a/internal/source/dnssrv/dnssrv.go
+++ b/internal/source/dnssrv/dnssrv.go
@@ -26,16 +26,16 @@
 
 // Settings are the operator file's section [dns].
 type Settings struct {
-	Names      []string      `ini:"names" help:"SRV names, such as _trips._tcp.zarqa.example.org; the first is ranked highest"`
-	Resolvers  []string      `ini:"resolvers" help:"host:port each, tried in turn"`
-	Cell       string        `ini:"cell" default:"txt" oneof:"txt label" help:"where a target's cell stands: in its TXT record (cell=3), or in a label of its name (c3)"`
-	MinTTL     time.Duration `ini:"least-ttl" default:"1s" range:"100ms..1h" help:"a record is believed for so long at least"`
-	MaxTTL     time.Duration `ini:"most-ttl" default:"60s" range:"1s..24h" help:"and at most"`
-	StaleFor   time.Duration `ini:"stale-for" default:"5m" range:"0s..72h" help:"beyond its lifetime, while no resolver answers (RFC 8767)"`
-	Timeout    time.Duration `ini:"timeout" default:"1s" range:"50ms..30s" help:"for one answer"`
-	UDPSize    int           `ini:"udp-size" default:"1232" range:"512..4096" help:"the EDNS buffer that is told"`
-	MaxTargets int           `ini:"most-targets" default:"2000" range:"1..100000" help:"targets of one name; further ones are not taken"`
-	Parallel   int           `ini:"parallel" default:"8" range:"1..256" help:"questions that are out at once"`
+	Names      []string      `ini:"names" help:"SRV names, such as _trips._tcp.zarqa.example.org; the first has the highest rank"`
+	Resolvers  []string      `ini:"resolvers" help:"host:port of each resolver; after a failure the next is used"`
+	Cell       string        `ini:"cell" default:"txt" oneof:"txt label" help:"where a target's cell is found: in its TXT record (cell=3), or in a label of its name (c3)"`
+	MinTTL     time.Duration `ini:"least-ttl" default:"1s" range:"100ms..1h" help:"minimum time for which a record is valid"`
+	MaxTTL     time.Duration `ini:"most-ttl" default:"60s" range:"1s..24h" help:"maximum time for which a record is valid"`
+	StaleFor   time.Duration `ini:"stale-for" default:"5m" range:"0s..72h" help:"how long a record is used beyond its TTL while no resolver answers (RFC 8767)"`
+	Timeout    time.Duration `ini:"timeout" default:"1s" range:"50ms..30s" help:"timeout of one query"`
+	UDPSize    int           `ini:"udp-size" default:"1232" range:"512..4096" help:"the advertised EDNS buffer size"`
+	MaxTargets int           `ini:"most-targets" default:"2000" range:"1..100000" help:"limit of targets of one name; further ones are ignored"`
+	Parallel   int           `ini:"parallel" default:"8" range:"1..256" help:"limit of queries in flight at once"`
 }
 
 // Check validates the names, the resolver addresses and the TTL bounds.
--- a/internal/source/members/members.go
+++ b/internal/source/members/members.go
@@ -21,20 +21,20 @@
 
 // Settings are the operator file's section [members].
 type Settings struct {
-	Sources         []string      `ini:"sources" oneof:"list consul dns" help:"where leaf servers come from, the highest-ranked first; none: the platform's list alone, as ever"`
-	SilentAfter     time.Duration `ini:"silent-after" default:"30s" range:"1s..1h" help:"without an answer for so long a source is silent: it neither adds nor drops, and its word on cells and checks does not count"`
-	ForgetAfter     time.Duration `ini:"forget-after" default:"1h" range:"0s..720h" help:"silent for so long, what it said counts as never said; 0s: never"`
-	Trusted         []string      `ini:"trusted" default:"list" oneof:"list consul dns" help:"sources whose new servers need no first sign"`
-	ConfirmAfter    time.Duration `ini:"first-sign" default:"1s" range:"0s..1h" help:"a new server of another source waits for a second source, or for the same one again after so long"`
-	FloorShare      float64       `ini:"floor-share" default:"0.5" range:"0..1" help:"where more than this share would go at once, they stay for believe-after; 0: no floor"`
-	FloorMinServers int           `ini:"floor-least" default:"3" range:"1..100000" help:"and so many servers at least"`
-	RemovalDelay    time.Duration `ini:"believe-after" default:"20s" range:"0s..1h" help:"a mass disappearance is believed once it has been said for so long"`
-	FlapHalfLife    time.Duration `ini:"flap-half-life" default:"15s" range:"0s..1h" help:"each time a server goes costs it a penalty of 1, which halves in this time; 0s: flaps are not damped"`
-	FlapSuppress    float64       `ini:"flap-most" default:"2.5" range:"0.1..100" help:"above this penalty a return waits"`
-	FlapReuse       float64       `ini:"flap-again" default:"1" range:"0.1..100" help:"until it is below this"`
-	ByAddress       bool          `ini:"same-address" default:"no" help:"two names at one address are one server"`
-	MaxServers      int           `ini:"most-servers" default:"20000" range:"1..1000000" help:"beyond, new ones are not taken, and counted"`
-	Stagger         time.Duration `ini:"stagger" default:"250ms" range:"10ms..10s" help:"between tries of the addresses of one server (RFC 8305)"`
+	Sources         []string      `ini:"sources" oneof:"list consul dns" help:"where leaf servers come from, highest rank first; none: the platform's list only"`
+	SilentAfter     time.Duration `ini:"silent-after" default:"30s" range:"1s..1h" help:"a source without an answer for this long is unresponsive: it neither adds nor removes servers, and its cells and checks do not count"`
+	ForgetAfter     time.Duration `ini:"forget-after" default:"1h" range:"0s..720h" help:"the reports of a source that is unresponsive for this long are discarded; 0s: never"`
+	Trusted         []string      `ini:"trusted" default:"list" oneof:"list consul dns" help:"sources whose new servers need no confirmation"`
+	ConfirmAfter    time.Duration `ini:"first-sign" default:"1s" range:"0s..1h" help:"a new server of another source is confirmed by a second source, or by the same one again after this time"`
+	FloorShare      float64       `ini:"floor-share" default:"0.5" range:"0..1" help:"if more than this share of the servers would be removed at once, they stay for believe-after; 0: no floor"`
+	FloorMinServers int           `ini:"floor-least" default:"3" range:"1..100000" help:"the floor applies only if at least this many servers would be removed"`
+	RemovalDelay    time.Duration `ini:"believe-after" default:"20s" range:"0s..1h" help:"a mass removal takes effect once it has been reported for this long"`
+	FlapHalfLife    time.Duration `ini:"flap-half-life" default:"15s" range:"0s..1h" help:"each removal of a server adds a penalty of 1, which halves in this time; 0s: flaps are not damped"`
+	FlapSuppress    float64       `ini:"flap-most" default:"2.5" range:"0.1..100" help:"above this penalty the return of a server is delayed"`
+	FlapReuse       float64       `ini:"flap-again" default:"1" range:"0.1..100" help:"until its penalty is below this"`
+	ByAddress       bool          `ini:"same-address" default:"no" help:"two names with the same address are one server"`
+	MaxServers      int           `ini:"most-servers" default:"20000" range:"1..1000000" help:"limit of servers; further ones are rejected and counted"`
+	Stagger         time.Duration `ini:"stagger" default:"250ms" range:"10ms..10s" help:"delay between attempts on the addresses of one server (RFC 8305)"`
 }
 
 // Check validates the keys against each other.
--- a/internal/source/segments/segments.go
+++ b/internal/source/segments/segments.go
@@ -28,11 +28,11 @@
 
 // Settings are the operator file's section [segments].
 type Settings struct {
-	Feed       string        `ini:"feed" help:"host:port of the placement feed; none: shards are what the platform's settings say (counts from the next start)"`
-	MaxWait    time.Duration `ini:"watch" default:"20s" range:"100ms..60s" help:"how long one call waits for news"`
-	StaleAfter time.Duration `ini:"stale-after" default:"30s" range:"1s..24h" help:"without an answer for so long the map counts as stale: told, and used all the same"`
-	MaxBytes   inifile.Bytes `ini:"most-bytes" default:"16MiB" range:"64KiB..1GiB" help:"of one answer of the feed; of a longer one nothing counts"`
-	MaxParts   int           `ini:"most-parts" default:"256" range:"1..4096" help:"parts that one query may bring once its segments have split"`
+	Feed       string        `ini:"feed" help:"host:port of the placement feed; none: the platform's settings define the shards (takes effect at the next start)"`
+	MaxWait    time.Duration `ini:"watch" default:"20s" range:"100ms..60s" help:"how long one call waits for changes"`
+	StaleAfter time.Duration `ini:"stale-after" default:"30s" range:"1s..24h" help:"without an answer for this long the map is reported as stale, but stays in use"`
+	MaxBytes   inifile.Bytes `ini:"most-bytes" default:"16MiB" range:"64KiB..1GiB" help:"limit of one answer of the feed; a longer one is rejected"`
+	MaxParts   int           `ini:"most-parts" default:"256" range:"1..4096" help:"limit of the parts of one query once its segments have split"`
 }
 
 const (
