--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -16,7 +16,7 @@
 	path := filepath.Join(t.TempDir(), "s")
 	s, err := Listen(path, func(args []string) (any, error) {
 		if args[0] == "bad" {
-			return nil, errors.New("no such word")
+			return nil, errors.New("unknown command")
 		}
 		return args, nil
 	})
@@ -27,7 +27,7 @@
 	var got []string
 	require.NoError(t, Call(path, &got, "hooks", "list"))
 	require.Equal(t, []string{"hooks", "list"}, got)
-	require.EqualError(t, Call(path, &got, "bad"), "no such word")
+	require.EqualError(t, Call(path, &got, "bad"), "unknown command")
 	_, err = Listen(path, nil)
 	require.ErrorContains(t, err, "another process answers there")
 	s.Close()
--- a/internal/inifile/decode.go
+++ b/internal/inifile/decode.go
@@ -131,7 +131,7 @@
 		f := v.Type().Field(i)
 		if key := f.Tag.Get("ini"); key != "" {
 			out = append(out, Field{Key: key, Value: formatValue(v.Field(i).Interface()), Default: f.Tag.Get("default"),
-				Range: f.Tag.Get("range") + f.Tag.Get("oneof"), Help: f.Tag.Get("help"), Kind: formName(v.Field(i).Interface())})
+				Range: f.Tag.Get("range") + f.Tag.Get("oneof"), Help: f.Tag.Get("help"), Kind: typeName(v.Field(i).Interface())})
 		}
 	}
 	return out
@@ -144,7 +144,7 @@
 	return fmt.Sprint(v)
 }
 
-func formName(v any) string {
+func typeName(v any) string {
 	switch v.(type) {
 	case time.Duration:
 		return "span"
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -57,12 +57,12 @@
 func For(component string) *slog.Logger { return slog.New(&handler{s: std, component: component}) }
 
 // Apply sets the level and the rate limit. It may be called at any time.
-func Apply(set Settings) {
+func Apply(settings Settings) {
 	var level slog.Level
-	if level.UnmarshalText([]byte(set.Level)) == nil {
+	if level.UnmarshalText([]byte(settings.Level)) == nil {
 		std.level.Set(level)
 	}
-	std.maxPerSecond.Store(int64(set.Repeat))
+	std.maxPerSecond.Store(int64(settings.Repeat))
 }
 
 // Redirect sends the lines to another writer and returns a function that undoes this, for tests.
--- a/internal/paths/paths_test.go
+++ b/internal/paths/paths_test.go
@@ -24,7 +24,7 @@
 		}
 		r, _ := ParseLines("limits.memory_mb=lots\nx=1")
 		r.At("limits.memory_mb").Int()
-		r.At("y").Required() // only the first complaint is kept
+		r.At("y").Required() // only the first error is kept
 		So(r.Err().Error(), ShouldContainSubstring, `limits.memory_mb: "lots" is not a number`)
 	})
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -99,27 +99,27 @@
 	err    error
 }
 
-func (p *decoder) fail(path, problem string) {
-	if p.err == nil {
-		p.err = &FieldError{path, problem}
+func (d *decoder) fail(path, problem string) {
+	if d.err == nil {
+		d.err = &FieldError{path, problem}
 	}
 }
 
 // number returns a setting, or 0 if it is missing.
-func (p *decoder) number(path string) float64 {
-	s, present := p.values[path]
+func (d *decoder) number(path string) float64 {
+	s, present := d.values[path]
 	if !present {
 		return 0
 	}
 	f, err := ParseNumber(s)
 	if err != nil {
-		p.fail(path, err.Error())
+		d.fail(path, err.Error())
 	}
 	return f
 }
 
-func (p *decoder) integer(path string) int64 {
-	s, present := p.values[path]
+func (d *decoder) integer(path string) int64 {
+	s, present := d.values[path]
 	if !present {
 		return 0
 	}
@@ -127,7 +127,7 @@
 	if err != nil { // some JSON encoders write 5000 as 5000.0
 		var f float64
 		if f, err = ParseNumber(s); err != nil || f != math.Trunc(f) || math.Abs(f) > 1<<53 {
-			p.fail(path, fmt.Sprintf("%q is not a whole number", s))
+			d.fail(path, fmt.Sprintf("%q is not a whole number", s))
 			return 0
 		}
 		n = int64(f)
@@ -135,17 +135,17 @@
 	return n
 }
 
-func (p *decoder) bool(path string) bool {
-	s, present := p.values[path]
+func (d *decoder) bool(path string) bool {
+	s, present := d.values[path]
 	if present && s != "true" && s != "false" {
-		p.fail(path, fmt.Sprintf("%q is neither true nor false", s))
+		d.fail(path, fmt.Sprintf("%q is neither true nor false", s))
 	}
 	return s == "true"
 }
 
 // perClass returns a list of one number for each class, or nil if the setting is missing.
-func (p *decoder) perClass(path string, classes int) []float64 {
-	s, present := p.values[path]
+func (d *decoder) perClass(path string, classes int) []float64 {
+	s, present := d.values[path]
 	if !present {
 		return nil
 	}
@@ -153,13 +153,13 @@
 	for item := range strings.SplitSeq(s, ",") {
 		f, err := ParseNumber(item)
 		if err != nil {
-			p.fail(path, err.Error())
+			d.fail(path, err.Error())
 			return nil
 		}
 		out = append(out, f)
 	}
 	if len(out) != classes {
-		p.fail(path, fmt.Sprintf("%d values for %d classes", len(out), classes))
+		d.fail(path, fmt.Sprintf("%d values for %d classes", len(out), classes))
 		return nil
 	}
 	return out
@@ -174,35 +174,35 @@
 
 var effects = map[string]choice.Effect{"free": choice.Safe, "guarded": choice.Keyed, "single_shot": choice.Unsafe}
 
-func (p *decoder) count(path string) int {
-	n := p.integer(path)
+func (d *decoder) count(path string) int {
+	n := d.integer(path)
 	if n < 0 || n > 1<<16 {
-		p.fail(path, fmt.Sprintf("%d is not a count", n))
+		d.fail(path, fmt.Sprintf("%d is not a count", n))
 		return 0
 	}
 	return int(n)
 }
 
-func (p *decoder) classes() []choice.Class {
-	n := p.count("request-classes.count")
-	need, floor := p.perClass("family-info.need-by-class", n), p.perClass("family-info.class-floor", n)
-	partial, fetch := p.perClass("family-info.partial-earns", n), p.perClass("family-info.class-fetch", n)
+func (d *decoder) classes() []choice.Class {
+	n := d.count("request-classes.count")
+	need, floor := d.perClass("family-info.need-by-class", n), d.perClass("family-info.class-floor", n)
+	partial, fetch := d.perClass("family-info.partial-earns", n), d.perClass("family-info.class-fetch", n)
 	classes := make([]choice.Class, 0, n)
 	for i := range n {
 		prefix := fmt.Sprintf("request-classes.%d.", i)
-		effect, ok := effects[p.values[prefix+"effect"]]
+		effect, ok := effects[d.values[prefix+"effect"]]
 		if !ok {
-			p.fail(prefix+"effect", fmt.Sprintf("unknown effect %q", p.values[prefix+"effect"]))
+			d.fail(prefix+"effect", fmt.Sprintf("unknown effect %q", d.values[prefix+"effect"]))
 		}
 		classes = append(classes, choice.Class{
-			Name:                 p.values[prefix+"name"],
-			LatencyTarget:        p.integer(prefix + "aim"),
-			LatencyTargetStretch: p.number(prefix + "aim-stretch"),
-			Deadline:             p.integer(prefix + "deadline"),
-			DedupWindow:          p.integer(prefix + "memory-span"),
+			Name:                 d.values[prefix+"name"],
+			LatencyTarget:        d.integer(prefix + "aim"),
+			LatencyTargetStretch: d.number(prefix + "aim-stretch"),
+			Deadline:             d.integer(prefix + "deadline"),
+			DedupWindow:          d.integer(prefix + "memory-span"),
 			Effect:               effect,
-			LateValue:            p.number(prefix + "late-worth"),
-			Value:                p.number(prefix + "value"),
+			LateValue:            d.number(prefix + "late-worth"),
+			Value:                d.number(prefix + "value"),
 			RequiredShare:        valueAt(need, i),
 			MinShare:             valueAt(floor, i),
 			PartialValue:         valueAt(partial, i),
@@ -212,11 +212,11 @@
 	return classes
 }
 
-func (p *decoder) tenants() []choice.Tenant {
+func (d *decoder) tenants() []choice.Tenant {
 	tenants := make([]choice.Tenant, 0)
-	for i := range p.count("tenants.count") {
+	for i := range d.count("tenants.count") {
 		prefix := fmt.Sprintf("tenants.%d.", i)
-		tenants = append(tenants, choice.Tenant{Name: p.values[prefix+"name"], QuotaPerS: p.number(prefix + "quota-per-s")})
+		tenants = append(tenants, choice.Tenant{Name: d.values[prefix+"name"], QuotaPerS: d.number(prefix + "quota-per-s")})
 	}
 	return tenants
 }
@@ -224,42 +224,42 @@
 // Decode decodes settings by path. Unknown settings are ignored. The error is that of the first
 // invalid setting.
 func Decode(values map[string]string) (s Settings, err error) {
-	p := &decoder{values: values}
-	_, hasRetryBudget := p.values["rules.extra-window"]
+	d := &decoder{values: values}
+	_, hasRetryBudget := d.values["rules.extra-window"]
 	s.Router = choice.Settings{
-		Classes:           p.classes(),
-		Tenants:           p.tenants(),
-		Routers:           int(p.integer("balancers")),
-		Resolution:        p.integer("resolution"),
-		Shards:            p.count("family-info.slices"),
-		Cells:             p.count("family-info.places"),
-		Width:             p.count("family-info.width"),
-		MaxPartsPerCall:   p.count("family-info.bundle-max"),
-		PerCallWork:       p.integer("family-info.per-call-work"),
-		AskDiscovery:      p.values["discovery"] == "ask",
-		Cancel:            p.bool("limits.cancel"),
-		ParallelAttempts:  p.bool("limits.parallel-tries"),
-		Probes:            p.bool("limits.probes"),
-		RetryAdvice:       p.bool("limits.retry-after"),
-		MaxRetryAfter:     p.integer("limits.max-retry-after"),
-		AttemptCap:        p.count("limits.send-cap"),
-		Keepalive:         p.integer("limits.keepalive"),
-		AnswerSlack:       p.integer("rules.answer-slack"),
-		AskWithin:         p.integer("rules.ask-within"),
-		DrainGrace:        p.integer("rules.drain-grace"),
-		StartCapacity:     p.number("rules.start-capacity"),
-		SlowStart:         p.integer("rules.cold"),
-		OverloadMultiple:  p.number("rules.fall-multiple"),
-		OverloadWindow:    p.integer("rules.fall"),
+		Classes:           d.classes(),
+		Tenants:           d.tenants(),
+		Routers:           int(d.integer("balancers")),
+		Resolution:        d.integer("resolution"),
+		Shards:            d.count("family-info.slices"),
+		Cells:             d.count("family-info.places"),
+		Width:             d.count("family-info.width"),
+		MaxPartsPerCall:   d.count("family-info.bundle-max"),
+		PerCallWork:       d.integer("family-info.per-call-work"),
+		AskDiscovery:      d.values["discovery"] == "ask",
+		Cancel:            d.bool("limits.cancel"),
+		ParallelAttempts:  d.bool("limits.parallel-tries"),
+		Probes:            d.bool("limits.probes"),
+		RetryAdvice:       d.bool("limits.retry-after"),
+		MaxRetryAfter:     d.integer("limits.max-retry-after"),
+		AttemptCap:        d.count("limits.send-cap"),
+		Keepalive:         d.integer("limits.keepalive"),
+		AnswerSlack:       d.integer("rules.answer-slack"),
+		AskWithin:         d.integer("rules.ask-within"),
+		DrainGrace:        d.integer("rules.drain-grace"),
+		StartCapacity:     d.number("rules.start-capacity"),
+		SlowStart:         d.integer("rules.cold"),
+		OverloadMultiple:  d.number("rules.fall-multiple"),
+		OverloadWindow:    d.integer("rules.fall"),
 		RetryBudget:       hasRetryBudget,
-		RetryBudgetMin:    p.number("rules.spare-attempts"),
-		RetryBudgetRatio:  p.number("rules.extra-ratio"),
-		RetryBudgetWindow: p.integer("rules.extra-window"),
+		RetryBudgetMin:    d.number("rules.spare-attempts"),
+		RetryBudgetRatio:  d.number("rules.extra-ratio"),
+		RetryBudgetWindow: d.integer("rules.extra-window"),
 	}
-	s.MaxInFlight = p.count("limits.most-held")
-	s.StreamsPerConn = p.count("limits.streams-per-conn")
-	s.DialTimeout = p.integer("limits.dial-timeout")
-	s.Pushed = p.values["discovery"] == "push"
-	s.PullReports = p.values["report.source"] == "pull"
-	return s, p.err
+	s.MaxInFlight = d.count("limits.most-held")
+	s.StreamsPerConn = d.count("limits.streams-per-conn")
+	s.DialTimeout = d.integer("limits.dial-timeout")
+	s.Pushed = d.values["discovery"] == "push"
+	s.PullReports = d.values["report.source"] == "pull"
+	return s, d.err
 }
--- a/internal/source/consul/consul_test.go
+++ b/internal/source/consul/consul_test.go
@@ -197,14 +197,14 @@
 	require.NoError(t, err)
 	defer srv.Close()
 	c, err := New(settings(func(s *Settings) {
-		s.Addrs, s.RegisterAs, s.RegisterTTL = []string{srv.Addr}, "mixers", 60*time.Millisecond
+		s.Addrs, s.RegisterAs, s.RegisterTTL = []string{srv.Addr}, "proxies", 60*time.Millisecond
 	}), nil)
 	require.NoError(t, err)
 	stop, finished := make(chan struct{}), make(chan struct{})
 	go func() { c.KeepRegistered("n3", "127.0.0.1:8080", stop); close(finished) }()
 	require.Eventually(t, func() bool { _, n := srv.Calls(); return n > 2 && len(srv.Registered()) == 1 }, 20*time.Second, time.Millisecond)
 	srv.Forget()
-	require.Eventually(t, func() bool { return slices.Equal(srv.Registered(), []string{"mixers-n3"}) }, 20*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return slices.Equal(srv.Registered(), []string{"proxies-n3"}) }, 20*time.Second, time.Millisecond)
 	close(stop)
 	<-finished
 	require.Empty(t, srv.Registered())
--- a/internal/source/dnssrv/dnssrv_test.go
+++ b/internal/source/dnssrv/dnssrv_test.go
@@ -89,10 +89,10 @@
 // responses to other questions are skipped.
 func TestOddServers(t *testing.T) {
 	for scenario, setFault := range map[string]func(*dnsserver.Faults){
-		"truncated": func(setFault *dnsserver.Faults) { setFault.Truncate = true },
-		"no EDNS":   func(setFault *dnsserver.Faults) { setFault.NoEDNS = true },
-		"bare":      func(setFault *dnsserver.Faults) { setFault.Bare = true },
-		"storm":     func(setFault *dnsserver.Faults) { setFault.Storm = 30 },
+		"truncated": func(f *dnsserver.Faults) { f.Truncate = true },
+		"no EDNS":   func(f *dnsserver.Faults) { f.NoEDNS = true },
+		"bare":      func(f *dnsserver.Faults) { f.Bare = true },
+		"storm":     func(f *dnsserver.Faults) { f.Storm = 30 },
 	} {
 		t.Run(scenario, func(t *testing.T) {
 			t.Parallel()
@@ -122,12 +122,12 @@
 // A resolver that fails, in whichever way, is skipped for one that works.
 func TestFailingResolvers(t *testing.T) {
 	for scenario, setFault := range map[string]func(*dnsserver.Faults){
-		"silent":   func(setFault *dnsserver.Faults) { setFault.Silent = true },
-		"servfail": func(setFault *dnsserver.Faults) { setFault.Rcode = dns.RcodeServerFailure },
-		"refused":  func(setFault *dnsserver.Faults) { setFault.Rcode = dns.RcodeRefused },
-		"lame":     func(setFault *dnsserver.Faults) { setFault.Lame = true },
-		"lies":     func(setFault *dnsserver.Faults) { setFault.Lie = true },
-		"flood":    func(setFault *dnsserver.Faults) { setFault.Storm = 3 * maxUnrelated },
+		"silent":   func(f *dnsserver.Faults) { f.Silent = true },
+		"servfail": func(f *dnsserver.Faults) { f.Rcode = dns.RcodeServerFailure },
+		"refused":  func(f *dnsserver.Faults) { f.Rcode = dns.RcodeRefused },
+		"lame":     func(f *dnsserver.Faults) { f.Lame = true },
+		"lies":     func(f *dnsserver.Faults) { f.Lie = true },
+		"flood":    func(f *dnsserver.Faults) { f.Storm = 3 * maxUnrelated },
 	} {
 		t.Run(scenario, func(t *testing.T) {
 			t.Parallel()
--- a/internal/source/dnssrv/query.go
+++ b/internal/source/dnssrv/query.go
@@ -101,7 +101,7 @@
 	}
 	result := queryResult{outcome: resolve.Answer, ttl: 1 << 62}
 	owner := name
-	for range 8 { // follows at most 8 CNAME records
+	for range 8 { // the owner name and at most 7 CNAME records
 		next := ""
 		for _, rr := range resp.Answer {
 			h := rr.Header()
--- a/internal/source/segments/segments_test.go
+++ b/internal/source/segments/segments_test.go
@@ -62,7 +62,7 @@
 
 type receiver chan *placement.Map
 
-func (t receiver) UpdateMap(m *placement.Map) { t <- m }
+func (r receiver) UpdateMap(m *placement.Map) { r <- m }
 
 var cells = []placement.Cell{{ID: 0, Servers: []string{"a"}}}
 
--- a/internal/source/targets/targets.go
+++ b/internal/source/targets/targets.go
@@ -149,7 +149,8 @@
 	var conn discoveryConn
 	defer conn.close()
 	wait, backoff := initialWait, minBackoff
-	// The start of the last successful call: the service had reported all changes up to then.
+	// The start of the last successful call, initially of Run: by then the service had reported
+	// all earlier changes.
 	upToDateAt := time.Now()
 	for {
 		select {
@@ -318,11 +319,11 @@
 	stop <-chan struct{}
 }
 
-func (s chanContext) Done() <-chan struct{} { return s.stop }
+func (c chanContext) Done() <-chan struct{} { return c.stop }
 
-func (s chanContext) Err() error {
+func (c chanContext) Err() error {
 	select {
-	case <-s.stop:
+	case <-c.stop:
 		return context.Canceled
 	default:
 		return nil
--- a/internal/source/targets/targets_test.go
+++ b/internal/source/targets/targets_test.go
@@ -32,8 +32,8 @@
 
 type receiver chan update
 
-func (k receiver) UpdateList(l choice.List, _ Addrs) { k <- update{list: l} }
-func (k receiver) FetchFailed()                      { k <- update{failed: true} }
+func (r receiver) UpdateList(l choice.List, _ Addrs) { r <- update{list: l} }
+func (r receiver) FetchFailed()                      { r <- update{failed: true} }
 
 func listen(t *testing.T) *agent {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -82,10 +82,10 @@
 	return w, received
 }
 
-func (k receiver) next(t *testing.T) update {
+func (r receiver) next(t *testing.T) update {
 	select {
-	case h := <-k:
-		return h
+	case u := <-r:
+		return u
 	case <-time.After(testTimeout):
 		require.Fail(t, "no update was received")
 		return update{}
@@ -102,13 +102,13 @@
 	a.respond(41, false) // a response without changes is not passed on
 	require.Equal(t, "/api/targets?index=41&wait=0", a.readRequest())
 	a.respond(43, false, row("s-a", "DRAINING"))
-	h := received.next(t)
-	require.Equal(t, choice.Delta, h.list.Form)
-	require.Equal(t, choice.Draining, h.list.Servers[0].State)
+	u := received.next(t)
+	require.Equal(t, choice.Delta, u.list.Form)
+	require.Equal(t, choice.Draining, u.list.Servers[0].State)
 	require.Equal(t, "/api/targets?index=43&wait=0", a.readRequest())
 	a.respond(44, true, row("s-a", "SERVING")) // a full list after a gap
-	h = received.next(t)
-	require.Equal(t, choice.Full, h.list.Form)
+	u = received.next(t)
+	require.Equal(t, choice.Full, u.list.Form)
 	require.Equal(t, "/api/targets?index=44&wait=0", a.readRequest())
 }
 
@@ -149,12 +149,12 @@
 	}
 	elapsed := time.Since(startedAt)
 	unresponsive.Store(false)
-	h := received.next(t)
-	for h.failed { // a slow machine
-		h = received.next(t)
+	u := received.next(t)
+	for u.failed { // on a slow machine more polls may fail
+		u = received.next(t)
 	}
-	require.Equal(t, choice.Draining, h.list.Servers[0].State)
-	require.GreaterOrEqual(t, h.list.Since, (3 * 50 * time.Millisecond).Microseconds())
+	require.Equal(t, choice.Draining, u.list.Servers[0].State)
+	require.GreaterOrEqual(t, u.list.Since, (3 * 50 * time.Millisecond).Microseconds())
 	require.Greater(t, elapsed, 3*50*time.Millisecond)
 }
 
