--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -255,13 +255,13 @@
 
 // ---- The list of servers.
 
-// Failed implements targets.Taker.
+// FetchFailed implements targets.Receiver.
 func (p *Pool) FetchFailed() {
 	p.Exchange.Counters.ListFails.Add(1)
 	p.Exchange.UpdateServers(choice.List{Form: choice.Failed})
 }
 
-// Told implements targets.Taker: it applies a list to the connections and passes it to the
+// UpdateList implements targets.Receiver: it applies a list to the connections and passes it to the
 // exchange.
 func (p *Pool) UpdateList(list choice.List, addrs targets.Addrs) {
 	if list.Form != choice.Cached {
