--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,7 +1,7 @@
-// Package settings is the one decoder of a deployment's settings. It owns the
-// names and units of the settings, whichever form they come in: the pairs of the
-// simulator's wire or the nested JSON of a mixer's configuration. It must never
-// fill in a figure that was not told, nor know where a text came from.
+// Package settings decodes a deployment's settings. It owns the names and units of the
+// settings in both of their forms: the path=value pairs of the simulator's protocol and the nested
+// JSON of a proxy's configuration. It must never substitute a value for a missing setting, or
+// depend on where a text came from.
 package settings
 
 import (
@@ -15,22 +15,22 @@
 	"saddleport/choice"
 )
 
-// Settings are what the decisions are told, and what only the sockets need.
+// Settings are the settings of the decisions and those that only the network side needs.
 type Settings struct {
 	Router         choice.Settings
-	MaxInFlight    int           // queries and parts held at once; 0: no limit told
-	StreamsPerConn int           // parts out on one leaf connection; 0: no limit told
-	DialTimeout    choice.Micros // a connection that is not up by then has failed
-	PullReports    bool          // load reports come in probe answers alone
-	Pushed         bool          // an agent holds the list as it was pushed; nobody asks for it
+	MaxInFlight    int           // limit of queries and parts in flight together; 0: none given
+	StreamsPerConn int           // limit of parts in flight on one leaf connection; 0: none given
+	DialTimeout    choice.Micros // a connection that is not established by then has failed
+	PullReports    bool          // load reports arrive only in probe responses
+	Pushed         bool          // the list is pushed to an agent, and the decisions do not request it
 }
 
-// FieldError names the setting that is wrong.
+// FieldError is an invalid setting; Path names it.
 type FieldError struct{ Path, Problem string }
 
 func (e *FieldError) Error() string { return "field " + e.Path + ": " + e.Problem }
 
-// ParseNumber reads a finite number.
+// ParseNumber parses a finite number.
 func ParseNumber(s string) (float64, error) {
 	f, err := strconv.ParseFloat(s, 64)
 	if err != nil || math.IsNaN(f) || math.IsInf(f, 0) {
@@ -39,7 +39,7 @@
 	return f, nil
 }
 
-// Pairs cuts path=value texts. A path told twice keeps its last value.
+// ParsePairs parses path=value arguments. The last value of a repeated path counts.
 func ParsePairs(args []string) (map[string]string, error) {
 	values := make(map[string]string, len(args))
 	for _, pair := range args {
@@ -52,8 +52,9 @@
 	return values, nil
 }
 
-// Flatten turns nested JSON into the paths of the simulator's wire: a list of
-// scalars is joined by commas, a list of objects told by .count and its items.
+// Flatten converts nested JSON into the paths of the simulator's protocol. A list of scalars
+// becomes one value joined by commas; a list of objects becomes PATH.count and the paths of its
+// numbered items.
 func Flatten(doc gjson.Result) map[string]string {
 	values := make(map[string]string)
 	flatten(values, "", doc)
@@ -92,41 +93,41 @@
 	}
 }
 
-// pairs are the settings by path, with the first complaint.
+// decoder reads settings by path and keeps the first error.
 type decoder struct {
 	values map[string]string
 	err    error
 }
 
-func (p *decoder) fail(path, problem string) {
-	if p.err == nil {
-		p.err = &FieldError{path, problem}
+func (d *decoder) fail(path, problem string) {
+	if d.err == nil {
+		d.err = &FieldError{path, problem}
 	}
 }
 
-// number reads a setting; one that was not told is 0.
-func (p *decoder) number(path string) float64 {
-	s, present := p.values[path]
+// number returns a setting, or 0 if it is missing.
+func (d *decoder) number(path string) float64 {
+	s, present := d.values[path]
 	if !present {
 		return 0
 	}
 	f, err := ParseNumber(s)
 	if err != nil {
-		p.fail(path, err.Error())
+		d.fail(path, err.Error())
 	}
 	return f
 }
 
-func (p *decoder) integer(path string) int64 {
-	s, present := p.values[path]
+func (d *decoder) integer(path string) int64 {
+	s, present := d.values[path]
 	if !present {
 		return 0
 	}
 	n, err := strconv.ParseInt(s, 10, 64)
-	if err != nil { // some writers of JSON put 5000 as 5000.0
+	if err != nil { // some JSON encoders write 5000 as 5000.0
 		var f float64
 		if f, err = ParseNumber(s); err != nil || f != math.Trunc(f) || math.Abs(f) > 1<<53 {
-			p.fail(path, fmt.Sprintf("%q is not a whole number", s))
+			d.fail(path, fmt.Sprintf("%q is not a whole number", s))
 			return 0
 		}
 		n = int64(f)
@@ -134,17 +135,17 @@
 	return n
 }
 
-func (p *decoder) bool(path string) bool {
-	s, present := p.values[path]
+func (d *decoder) bool(path string) bool {
+	s, present := d.values[path]
 	if present && s != "true" && s != "false" {
-		p.fail(path, fmt.Sprintf("%q is neither true nor false", s))
+		d.fail(path, fmt.Sprintf("%q is neither true nor false", s))
 	}
 	return s == "true"
 }
 
-// list reads a number per class; nil when it was not told.
-func (p *decoder) perClass(path string, classes int) []float64 {
-	s, present := p.values[path]
+// perClass returns a list of one number for each class, or nil if the setting is missing.
+func (d *decoder) perClass(path string, classes int) []float64 {
+	s, present := d.values[path]
 	if !present {
 		return nil
 	}
@@ -152,13 +153,13 @@
 	for item := range strings.SplitSeq(s, ",") {
 		f, err := ParseNumber(item)
 		if err != nil {
-			p.fail(path, err.Error())
+			d.fail(path, err.Error())
 			return nil
 		}
 		out = append(out, f)
 	}
 	if len(out) != classes {
-		p.fail(path, fmt.Sprintf("%d values for %d classes", len(out), classes))
+		d.fail(path, fmt.Sprintf("%d values for %d classes", len(out), classes))
 		return nil
 	}
 	return out
@@ -173,35 +174,35 @@
 
 var effects = map[string]choice.Effect{"free": choice.Safe, "guarded": choice.Keyed, "single_shot": choice.Unsafe}
 
-func (p *decoder) count(path string) int {
-	n := p.integer(path)
+func (d *decoder) count(path string) int {
+	n := d.integer(path)
 	if n < 0 || n > 1<<16 {
-		p.fail(path, fmt.Sprintf("%d is not a count", n))
+		d.fail(path, fmt.Sprintf("%d is not a count", n))
 		return 0
 	}
 	return int(n)
 }
 
-func (p *decoder) classes() []choice.Class {
-	n := p.count("request-classes.count")
-	need, floor := p.perClass("family-info.need-by-class", n), p.perClass("family-info.class-floor", n)
-	partial, fetch := p.perClass("family-info.partial-earns", n), p.perClass("family-info.class-fetch", n)
+func (d *decoder) classes() []choice.Class {
+	n := d.count("request-classes.count")
+	need, floor := d.perClass("family-info.need-by-class", n), d.perClass("family-info.class-floor", n)
+	partial, fetch := d.perClass("family-info.partial-earns", n), d.perClass("family-info.class-fetch", n)
 	classes := make([]choice.Class, 0, n)
 	for i := range n {
 		prefix := fmt.Sprintf("request-classes.%d.", i)
-		effect, ok := effects[p.values[prefix+"effect"]]
+		effect, ok := effects[d.values[prefix+"effect"]]
 		if !ok {
-			p.fail(prefix+"effect", fmt.Sprintf("unknown effect %q", p.values[prefix+"effect"]))
+			d.fail(prefix+"effect", fmt.Sprintf("unknown effect %q", d.values[prefix+"effect"]))
 		}
 		classes = append(classes, choice.Class{
-			Name:                 p.values[prefix+"name"],
-			LatencyTarget:        p.integer(prefix + "aim"),
-			LatencyTargetStretch: p.number(prefix + "aim-stretch"),
-			Deadline:             p.integer(prefix + "deadline"),
-			DedupWindow:          p.integer(prefix + "memory-span"),
+			Name:                 d.values[prefix+"name"],
+			LatencyTarget:        d.integer(prefix + "aim"),
+			LatencyTargetStretch: d.number(prefix + "aim-stretch"),
+			Deadline:             d.integer(prefix + "deadline"),
+			DedupWindow:          d.integer(prefix + "memory-span"),
 			Effect:               effect,
-			LateValue:            p.number(prefix + "late-worth"),
-			Value:                p.number(prefix + "value"),
+			LateValue:            d.number(prefix + "late-worth"),
+			Value:                d.number(prefix + "value"),
 			RequiredShare:        valueAt(need, i),
 			MinShare:             valueAt(floor, i),
 			PartialValue:         valueAt(partial, i),
@@ -211,53 +212,54 @@
 	return classes
 }
 
-func (p *decoder) tenants() []choice.Tenant {
+func (d *decoder) tenants() []choice.Tenant {
 	tenants := make([]choice.Tenant, 0)
-	for i := range p.count("tenants.count") {
+	for i := range d.count("tenants.count") {
 		prefix := fmt.Sprintf("tenants.%d.", i)
-		tenants = append(tenants, choice.Tenant{Name: p.values[prefix+"name"], QuotaPerS: p.number(prefix + "quota-per-s")})
+		tenants = append(tenants, choice.Tenant{Name: d.values[prefix+"name"], QuotaPerS: d.number(prefix + "quota-per-s")})
 	}
 	return tenants
 }
 
-// Decode reads settings by path. Those it does not know are skipped.
+// Decode decodes settings by path. Unknown settings are ignored. The error is that of the first
+// invalid setting.
 func Decode(values map[string]string) (s Settings, err error) {
-	p := &decoder{values: values}
-	_, hasRetryBudget := p.values["rules.extra-window"]
+	d := &decoder{values: values}
+	_, hasRetryBudget := d.values["rules.extra-window"]
 	s.Router = choice.Settings{
-		Classes:           p.classes(),
-		Tenants:           p.tenants(),
-		Routers:           int(p.integer("balancers")),
-		Resolution:        p.integer("resolution"),
-		Shards:            p.count("family-info.slices"),
-		Cells:             p.count("family-info.places"),
-		Width:             p.count("family-info.width"),
-		MaxPartsPerCall:   p.count("family-info.bundle-max"),
-		PerCallWork:       p.integer("family-info.per-call-work"),
-		AskDiscovery:      p.values["discovery"] == "ask",
-		Cancel:            p.bool("limits.cancel"),
-		ParallelAttempts:  p.bool("limits.parallel-tries"),
-		Probes:            p.bool("limits.probes"),
-		RetryAdvice:       p.bool("limits.retry-after"),
-		MaxRetryAfter:     p.integer("limits.max-retry-after"),
-		AttemptCap:        p.count("limits.send-cap"),
-		Keepalive:         p.integer("limits.keepalive"),
-		AnswerSlack:       p.integer("rules.answer-slack"),
-		AskWithin:         p.integer("rules.ask-within"),
-		DrainGrace:        p.integer("rules.drain-grace"),
-		StartCapacity:     p.number("rules.start-capacity"),
-		SlowStart:         p.integer("rules.cold"),
-		OverloadMultiple:  p.number("rules.fall-multiple"),
-		OverloadWindow:    p.integer("rules.fall"),
+		Classes:           d.classes(),
+		Tenants:           d.tenants(),
+		Routers:           int(d.integer("balancers")),
+		Resolution:        d.integer("resolution"),
+		Shards:            d.count("family-info.slices"),
+		Cells:             d.count("family-info.places"),
+		Width:             d.count("family-info.width"),
+		MaxPartsPerCall:   d.count("family-info.bundle-max"),
+		PerCallWork:       d.integer("family-info.per-call-work"),
+		AskDiscovery:      d.values["discovery"] == "ask",
+		Cancel:            d.bool("limits.cancel"),
+		ParallelAttempts:  d.bool("limits.parallel-tries"),
+		Probes:            d.bool("limits.probes"),
+		RetryAdvice:       d.bool("limits.retry-after"),
+		MaxRetryAfter:     d.integer("limits.max-retry-after"),
+		AttemptCap:        d.count("limits.send-cap"),
+		Keepalive:         d.integer("limits.keepalive"),
+		AnswerSlack:       d.integer("rules.answer-slack"),
+		AskWithin:         d.integer("rules.ask-within"),
+		DrainGrace:        d.integer("rules.drain-grace"),
+		StartCapacity:     d.number("rules.start-capacity"),
+		SlowStart:         d.integer("rules.cold"),
+		OverloadMultiple:  d.number("rules.fall-multiple"),
+		OverloadWindow:    d.integer("rules.fall"),
 		RetryBudget:       hasRetryBudget,
-		RetryBudgetMin:    p.number("rules.spare-attempts"),
-		RetryBudgetRatio:  p.number("rules.extra-ratio"),
-		RetryBudgetWindow: p.integer("rules.extra-window"),
+		RetryBudgetMin:    d.number("rules.spare-attempts"),
+		RetryBudgetRatio:  d.number("rules.extra-ratio"),
+		RetryBudgetWindow: d.integer("rules.extra-window"),
 	}
-	s.MaxInFlight = p.count("limits.most-held")
-	s.StreamsPerConn = p.count("limits.streams-per-conn")
-	s.DialTimeout = p.integer("limits.dial-timeout")
-	s.Pushed = p.values["discovery"] == "push"
-	s.PullReports = p.values["report.source"] == "pull"
-	return s, p.err
+	s.MaxInFlight = d.count("limits.most-held")
+	s.StreamsPerConn = d.count("limits.streams-per-conn")
+	s.DialTimeout = d.integer("limits.dial-timeout")
+	s.Pushed = d.values["discovery"] == "push"
+	s.PullReports = d.values["report.source"] == "pull"
+	return s, d.err
 }
