--- a/internal/lab/model/dist.go
+++ b/internal/lab/model/dist.go
@@ -188,11 +188,11 @@
 // Of returns the work of a part: the same for every attempt of a request, on every server and
 // with both drivers. The parts of one query share a random factor with mean 1, which makes
 // their work correlated: a heavy query is heavy on every shard.
-func (w *Work) Of(ask, shard string) time.Duration {
-	w.pcg.Seed(w.Seed, Mix(w.Seed, ask, shard))
+func (w *Work) Of(request, shard string) time.Duration {
+	w.pcg.Seed(w.Seed, Mix(w.Seed, request, shard))
 	d := w.Dist.Draw(&w.pcg)
 	if w.QuerySigma > 0 {
-		w.pcg.Seed(w.Seed, Mix(w.Seed, ask))
+		w.pcg.Seed(w.Seed, Mix(w.Seed, request))
 		z := distuv.Normal{Sigma: 1, Src: &w.pcg}.Rand()
 		d = time.Duration(float64(d) * math.Exp(w.QuerySigma*z-w.QuerySigma*w.QuerySigma/2))
 	}
--- a/internal/lab/scenario/mass_test.go
+++ b/internal/lab/scenario/mass_test.go
@@ -22,7 +22,7 @@
 			servers += g.Cells * g.Replicas
 		}
 		if s.Proxies.Count != 300 || servers < 200 || len(s.Network.Sites) < 3 {
-			t.Errorf("%s: %d mixers, %d servers, %d zones; the full-size days have 300, 200 or more, 3",
+			t.Errorf("%s: %d proxies, %d servers, %d zones; the full-size drills have 300, 200 or more, 3",
 				f, s.Proxies.Count, servers, len(s.Network.Sites))
 		}
 	}
--- a/internal/lab/virtual/link.go
+++ b/internal/lab/virtual/link.go
@@ -108,8 +108,8 @@
 // trace writes a line to the trace of a query.
 func (p *proxy) trace(a *exchange.Attempt, what, detail string) {
 	if t := p.w.opt.Trace; t != nil {
-		ask, _, _ := strings.Cut(a.PartID, "-")
-		t(p.w.loop.Now(), ask, fmt.Sprintf("part %s attempt %d %s %s %s", a.PartID, a.Index, what, a.Server, detail))
+		request, _, _ := strings.Cut(a.PartID, "-")
+		t(p.w.loop.Now(), request, fmt.Sprintf("part %s attempt %d %s %s %s", a.PartID, a.Index, what, a.Server, detail))
 	}
 }
 
@@ -231,14 +231,14 @@
 	if !w.plan.HasShard(l.server, a.Shard) {
 		w.judge.Astray(a.PartID, s.Name)
 	}
-	ask, rest, _ := strings.Cut(a.PartID, "-")
+	request, rest, _ := strings.Cut(a.PartID, "-")
 	_, shard, _ := strings.Cut(rest, ".")
-	f.job = model.Job{ID: a.PartID, Request: ask, Class: class, Shard: a.Shard, Work: w.Work[class].Of(ask, shard), Deadline: a.Deadline.Sub(epoch),
+	f.job = model.Job{ID: a.PartID, Request: request, Class: class, Shard: a.Shard, Work: w.Work[class].Of(request, shard), Deadline: a.Deadline.Sub(epoch),
 		Done: l.serverAnswered, OnRun: recordRun, Tag: f, FirstOfCall: firstOfCall}
 	if query, _, ok := strings.Cut(a.PartID, "."); ok && p.keys[query] != "" {
 		f.job.Key = p.keys[query] + "." + shard
 	}
-	w.attemptsSent[ask]++
+	w.attemptsSent[request]++
 	l.inFlight[a] = f
 	l.usedAt = w.loop.Now()
 	if w.opt.Trace != nil {
--- a/internal/lab/virtual/virtual.go
+++ b/internal/lab/virtual/virtual.go
@@ -39,8 +39,8 @@
 )
 
 const (
-	judgeInterval  = 5 * time.Second // how often the judge discards finished queries
-	judgeDelay     = 10 * time.Second
+	judgeInterval  = 5 * time.Second  // how often the judge discards finished queries
+	judgeDelay     = 10 * time.Second // queries that ended longer ago are discarded
 	overtime       = 30 * time.Second // time after the load and the longest client timeout by which everything must have finished
 	connResetDelay = time.Second      // delay until the connections of a killed proxy are reset
 )
@@ -52,13 +52,13 @@
 type World struct {
 	Servers   []*model.Server
 	Index     map[string]int
-	Reachable func(mixer, server int) bool
+	Reachable func(proxy, server int) bool
 	Now       func() time.Duration
 	Work      map[string]*model.Work
 }
 
 // Decide creates the decider of a proxy for one incarnation of its process.
-type Decide func(w *World, mixer, incarnation int, seed uint64, set choice.Settings) (exchange.Decider, error)
+type Decide func(w *World, proxy, incarnation int, seed uint64, set choice.Settings) (exchange.Decider, error)
 
 // ProxyDecider creates the production decider.
 func ProxyDecider(_ *World, _, _ int, seed uint64, set choice.Settings) (exchange.Decider, error) {
@@ -79,7 +79,7 @@
 // Mutations breaks the rig or the proxies on purpose, to test that the judge detects
 // violations. Each field breaks one rule.
 type Mutations struct {
-	WrapUpstream   func(mixer int, l exchange.Upstream, x *exchange.Exchange) exchange.Upstream // wraps the links of a proxy
+	WrapUpstream   func(proxy int, l exchange.Upstream, x *exchange.Exchange) exchange.Upstream // wraps the links of a proxy
 	ReplaceValue   func(server, part string) string                                             // replaces a value in the answer to the client
 	ReplaceFinal   func(f *exchange.Final) *exchange.Final                                      // replaces the answer; nil: no answer is given
 	AnswerTwice    bool                                                                         // every answer is sent twice
@@ -171,8 +171,8 @@
 		s.OnDown = func(*model.Server) { w.serverDown(i) }
 		s.OnUp = func(*model.Server) { w.serverUp(i) }
 	}
-	w.Reachable = func(mixer, server int) bool {
-		return w.vanished[server] == 0 && w.net.Reachable(w.proxies[mixer].site, w.sites[server]) && w.net.Reachable(w.sites[server], w.proxies[mixer].site)
+	w.Reachable = func(proxy, server int) bool {
+		return w.vanished[server] == 0 && w.net.Reachable(w.proxies[proxy].site, w.sites[server]) && w.net.Reachable(w.sites[server], w.proxies[proxy].site)
 	}
 	w.lists = plan.NewLists(func(int) model.Sched { return sched{w.loop} })
 	if w.activeSources = plan.Members.Sources; w.hasSources() {
@@ -452,7 +452,7 @@
 	w.judge.Sent(a.judged)
 	p.attempts[t.ID] = a
 	if w.opt.Trace != nil {
-		w.opt.Trace(w.loop.Now(), t.Request.ID, fmt.Sprintf("try %d of class %s goes to mixer %d, %d parts, %v left", t.N, t.Request.Class.Name, p.n, len(t.Request.Parts), t.Timeout))
+		w.opt.Trace(w.loop.Now(), t.Request.ID, fmt.Sprintf("client attempt %d of class %s goes to proxy %d, %d parts, %v left", t.N, t.Request.Class.Name, p.n, len(t.Request.Parts), t.Timeout))
 	}
 	w.loop.Post(w.localDelay(p), func() { p.receiveQuery(a) })
 }
@@ -488,7 +488,7 @@
 	}
 	w.judge.Ended(a.judged)
 	if w.opt.Trace != nil {
-		w.opt.Trace(w.loop.Now(), a.t.Request.ID, fmt.Sprintf("try %d ends: %v whole=%v share=%.2f retry-after=%v", a.t.N, r.Kind, r.Complete, r.Share, r.RetryAfter))
+		w.opt.Trace(w.loop.Now(), a.t.Request.ID, fmt.Sprintf("client attempt %d ends: %v whole=%v share=%.2f retry-after=%v", a.t.N, r.Kind, r.Complete, r.Share, r.RetryAfter))
 	}
 	w.clients.Reply(a.t, r)
 }
