--- a/cmd/saddlelab/emulator.go
+++ b/cmd/saddlelab/emulator.go
@@ -46,7 +46,7 @@
 
 func emulatorCommands(program, asJSON cli.Flag) []*cli.Command {
 	driveFlag := &cli.StringFlag{Name: "drive", Value: play.Virtual, Usage: "`DRIVE`: virtual or real"}
-	policyFlag := &cli.StringFlag{Name: "policy", Value: play.Mixer, Usage: "`POLICY`: mixer, oracle (sees every server's true state) or random; virtual drive"}
+	policyFlag := &cli.StringFlag{Name: "policy", Value: play.Proxy, Usage: "`POLICY`: mixer, oracle (sees every server's true state) or random; virtual drive"}
 	one := func(f func(context.Context, *cli.Command) error, n int, want string) cli.ActionFunc {
 		return func(ctx context.Context, c *cli.Command) error {
 			if c.Args().Len() != n {
@@ -184,12 +184,12 @@
 	if err != nil {
 		return err
 	}
-	var decided *play.Decided
+	var decided *play.DecisionDigest
 	if c.Bool("decisions") {
-		decided = &play.Decided{}
+		decided = &play.DecisionDigest{}
 	}
 	bar := show.NewBar(os.Stderr, s.Name)
-	run, err := play.Play(ctx, plan, play.Options{Decided: decided, Drive: c.String("drive"), Policy: c.String("policy"), Program: program, Keep: true, Progress: bar.Set, Operator: c.String("operator"),
+	run, err := play.Play(ctx, plan, play.Options{Digest: decided, Drive: c.String("drive"), Policy: c.String("policy"), Program: program, KeepRows: true, Progress: bar.Set, Operator: c.String("operator"),
 		Logs: logs(c.String("out"))})
 	bar.End()
 	if err != nil {
@@ -332,7 +332,7 @@
 		return play.Play(ctx, plan, opt)
 	}
 	if query == "" {
-		run, err := again(play.Options{Keep: true})
+		run, err := again(play.Options{KeepRows: true})
 		if err != nil {
 			return err
 		}
--- a/internal/downstream/httpserver/lifecycle_test.go
+++ b/internal/downstream/httpserver/lifecycle_test.go
@@ -27,15 +27,15 @@
 		So(err, ShouldBeNil)
 		first := true
 		answered := make(chan struct{})
-		s.Early = func(seen standin.Seen) *standin.Reply {
+		s.RespondEarly = func(seen standin.Seen) *standin.Reply {
 			if seen.Attempt != "long" || !first {
 				return nil
 			}
 			first = false
 			close(answered)
-			return &standin.Reply{Status: 503, Not: true, Then: release}
+			return &standin.Reply{Status: 503, NotExecuted: true, StallUntil: release}
 		}
-		s.Window.Store(8 << 10)
+		s.ReceiveWindow.Store(8 << 10)
 		verdicts := make(chan choice.Verdict, 99)
 		p.exchange.OnAttemptEnd = func(result exchange.AttemptResult) { verdicts <- result.Verdict }
 		t.Cleanup(s.Close)
@@ -68,7 +68,7 @@
 		hold, reached := make(chan struct{}), make(chan struct{}, 9)
 		p, s, c, r := newProxyWithServer(t, func(int, standin.Seen) standin.Reply {
 			reached <- struct{}{}
-			return standin.Reply{Body: "ok", Hold: hold}
+			return standin.Reply{Body: "ok", HoldUntil: hold}
 		})
 		defer close(hold)
 		late, lateR := p.connect()
@@ -94,7 +94,7 @@
 		hold, reached := make(chan struct{}), make(chan struct{}, 9)
 		p, s, c, _ := newProxyWithServer(t, func(int, standin.Seen) standin.Reply {
 			reached <- struct{}{}
-			return standin.Reply{Body: "ok", Hold: hold}
+			return standin.Reply{Body: "ok", HoldUntil: hold}
 		})
 		defer close(hold)
 		ended := make(chan choice.Verdict, 9)
--- a/internal/downstream/httpserver/requests_test.go
+++ b/internal/downstream/httpserver/requests_test.go
@@ -66,14 +66,14 @@
 			So(runsOf(s, "b1"), ShouldEqual, 1)
 		})
 		Convey("whose server dies in the middle of its response gets 502", func() {
-			_, s, c, r := newProxyWithServer(t, func(int, standin.Seen) standin.Reply { return standin.Reply{Body: "whole body", Cut: true} })
+			_, s, c, r := newProxyWithServer(t, func(int, standin.Seen) standin.Reply { return standin.Reply{Body: "whole body", Truncate: true} })
 			ans, _ := send(t, c, r, "POST", "/book/1", "b2", "body")
 			So(ans.StatusCode, ShouldEqual, 502)
 			So(runsOf(s, "b2"), ShouldEqual, 1)
 		})
 		Convey("whose server does not respond before the deadline is not promised that it has not run", func() {
 			hold := make(chan struct{})
-			_, s, c, r := newProxyWithServer(t, func(int, standin.Seen) standin.Reply { return standin.Reply{Hold: hold} })
+			_, s, c, r := newProxyWithServer(t, func(int, standin.Seen) standin.Reply { return standin.Reply{HoldUntil: hold} })
 			fmt.Fprintf(c, "POST /book/1 HTTP/1.1\r\nHost: h\r\nX-Saddleport-Attempt-Id: b3\r\nX-Saddleport-Deadline-Ms: 120\r\nContent-Length: 0\r\n\r\n")
 			ans, err := http.ReadResponse(r, nil)
 			So(err, ShouldBeNil)
@@ -82,7 +82,7 @@
 			So(runsOf(s, "b3"), ShouldEqual, 1)
 		})
 		Convey("that its server rejects gets 503 with Retry-After", func() {
-			_, s, c, r := newProxyWithServer(t, func(int, standin.Seen) standin.Reply { return standin.Reply{Status: 503, Not: true} })
+			_, s, c, r := newProxyWithServer(t, func(int, standin.Seen) standin.Reply { return standin.Reply{Status: 503, NotExecuted: true} })
 			ans, _ := send(t, c, r, "POST", "/book/1", "b4", "body")
 			So(ans.StatusCode, ShouldEqual, 503)
 			So(ans.Header.Get("Retry-After"), ShouldNotEqual, "")
@@ -100,7 +100,7 @@
 			So(body, ShouldEqual, "sorry")
 		})
 		Convey("answered without a signature is no success", func() {
-			_, _, c, r := newProxyWithServer(t, func(int, standin.Seen) standin.Reply { return standin.Reply{Body: "x", NoStamp: true} })
+			_, _, c, r := newProxyWithServer(t, func(int, standin.Seen) standin.Reply { return standin.Reply{Body: "x", NoSignature: true} })
 			ans, _ := send(t, c, r, "POST", "/book/1", "b7", "body")
 			So(ans.StatusCode, ShouldEqual, 502)
 		})
@@ -116,7 +116,7 @@
 			_, s, c, r := newProxyWithServer(t, func(int, standin.Seen) standin.Reply { return standin.Reply{Body: "ok"} })
 			ans, _ := send(t, c, r, "POST", "/book/1", "b9", "body")
 			So(ans.StatusCode, ShouldEqual, 200)
-			s.Drop()
+			s.CloseConns()
 			for i := 0; i < 20; i++ { // never two runs, whether or not the proxy has noticed the close
 				id := fmt.Sprint("c", i)
 				ans, _ = send(t, c, r, "POST", "/book/1", id, "body")
@@ -258,7 +258,7 @@
 		for _, name := range []string{"a", "b", "c", "d"} {
 			p.startServer(name, "i-"+name, func(int, standin.Seen) standin.Reply {
 				reached <- struct{}{}
-				return standin.Reply{Body: records('a', 1), Hold: hold}
+				return standin.Reply{Body: records('a', 1), HoldUntil: hold}
 			})
 		}
 		c1, r1 := p.connect()
@@ -372,7 +372,7 @@
 		hold, reached := make(chan struct{}), make(chan struct{}, 9)
 		p, _, c, r := newProxyWithServer(t, func(int, standin.Seen) standin.Reply {
 			reached <- struct{}{}
-			return standin.Reply{Body: "ok", Hold: hold}
+			return standin.Reply{Body: "ok", HoldUntil: hold}
 		})
 		idle, _ := p.connect()
 		fmt.Fprintf(c, "GET /look/1 HTTP/1.1\r\nHost: h\r\nX-Saddleport-Attempt-Id: l1\r\nX-Saddleport-Deadline-Ms: 2000\r\n\r\n")
@@ -404,7 +404,7 @@
 		for _, id := range []string{"i-1", "i-2"} {
 			p.startServer("one", id, func(_ int, s standin.Seen) standin.Reply {
 				if s.Attempt == "slow" && arrivals.Add(1) == 1 {
-					return standin.Reply{Hold: hold}
+					return standin.Reply{HoldUntil: hold}
 				}
 				return standin.Reply{}
 			})
--- a/internal/lab/answers/answers.go
+++ b/internal/lab/answers/answers.go
@@ -23,35 +23,35 @@
 
 // Plan says what is played.
 type Plan struct {
-	Requests int
-	Clients  int
-	Servers  int     // of each service
-	Spoilt   float64 // the share of requests that a server does not answer in order
-	Seed     uint64
-	Breaks   httpclient.Mutations
+	Requests   int
+	Clients    int
+	Servers    int     // of each service
+	FaultShare float64 // the share of requests that a server does not answer in order
+	Seed       uint64
+	Mutations  httpclient.Mutations
 }
 
 // Usual is the plan of a run by hand.
-var Usual = Plan{Requests: 100_000, Clients: 64, Servers: 6, Spoilt: 0.08, Seed: 1}
+var DefaultPlan = Plan{Requests: 100_000, Clients: 64, Servers: 6, FaultShare: 0.08, Seed: 1}
 
 // Report is what was seen.
 type Report struct {
 	Requests, Served, Refused, Failed, Closed int
-	Spoilt                                    map[string]int // what servers did, by name
-	Wrong                                     []string       // answers that were not the caller's
-	Twice                                     []string       // ran twice though they may run once
-	Untrue                                    []string       // told not to have run, and ran
+	Faults                                    map[string]int // what servers did, by name
+	WrongAnswers                              []string       // answers that were not the caller's
+	RanTwice                                  []string       // ran twice though they may run once
+	FalseRefusals                             []string       // told not to have run, and ran
 	Conns                                     int            // to servers
-	Took                                      time.Duration
+	Duration                                  time.Duration
 }
 
 // Holds tells whether nothing was broken.
-func (r Report) Holds() bool { return len(r.Wrong)+len(r.Twice)+len(r.Untrue) == 0 }
+func (r Report) OK() bool { return len(r.WrongAnswers)+len(r.RanTwice)+len(r.FalseRefusals) == 0 }
 
 func (r Report) String() string {
 	return fmt.Sprintf("%d requests in %s: %d served, %d refused, %d failed, %d closed; servers answered %v in disorder; %d connections to servers\n"+
-		"%d answers to a wrong caller, %d run twice, %d refused and run\n", r.Requests, r.Took.Round(time.Millisecond), r.Served, r.Refused, r.Failed, r.Closed,
-		r.Spoilt, r.Conns, len(r.Wrong), len(r.Twice), len(r.Untrue))
+		"%d answers to a wrong caller, %d run twice, %d refused and run\n", r.Requests, r.Duration.Round(time.Millisecond), r.Served, r.Refused, r.Failed, r.Closed,
+		r.Faults, r.Conns, len(r.WrongAnswers), len(r.RanTwice), len(r.FalseRefusals))
 }
 
 const (
@@ -65,7 +65,7 @@
 )
 
 // Play plays a plan.
-func Play(p Plan) (Report, error) {
+func Run(p Plan) (Report, error) {
 	l := newLedger(p)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -77,7 +77,7 @@
 	began := time.Now()
 	l.playClients(addr)
 	r := l.report()
-	r.Took = time.Since(began)
+	r.Duration = time.Since(began)
 	return r, nil
 }
 
@@ -92,7 +92,7 @@
 		return "", err
 	}
 	g := &httpserver.Handler{Exchange: x}
-	back := httpclient.New(httpclient.Config{Exchange: x, MaxConns: mostConns, Mutations: p.Breaks})
+	back := httpclient.New(httpclient.Config{Exchange: x, MaxConns: mostConns, Mutations: p.Mutations})
 	f := downstream.New(downstream.Config{Exchange: x, Protocol: g, MaxClients: 4 * p.Clients,
 		Limits: downstream.Limits{FirstRequest: time.Minute, Request: time.Minute, Idle: time.Minute}})
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
--- a/internal/lab/answers/answers_test.go
+++ b/internal/lab/answers/answers_test.go
@@ -10,16 +10,16 @@
 // what may run once does. `saddlectl measure answers` plays it at length.
 func TestAnswersReachTheirCallers(t *testing.T) {
 	Convey("Of thousands of requests to servers that answer in disorder", t, func() {
-		p := Usual
+		p := DefaultPlan
 		p.Requests, p.Clients = 4000, 32
-		r, err := Play(p)
+		r, err := Run(p)
 		So(err, ShouldBeNil)
 		t.Log(r.String())
-		So(r.Wrong, ShouldBeEmpty)
-		So(r.Twice, ShouldBeEmpty)
-		So(r.Untrue, ShouldBeEmpty)
+		So(r.WrongAnswers, ShouldBeEmpty)
+		So(r.RanTwice, ShouldBeEmpty)
+		So(r.FalseRefusals, ShouldBeEmpty)
 		So(r.Served, ShouldBeGreaterThan, 1500)
-		So(len(r.Spoilt), ShouldEqual, len(disorders)+1) // each disorder came about
+		So(len(r.Faults), ShouldEqual, len(disorders)+1) // each disorder came about
 	})
 }
 
@@ -27,12 +27,12 @@
 func TestRulesLeftOutAreFound(t *testing.T) {
 	for name, breaks := range Mutants {
 		Convey("Left out: "+name, t, func() {
-			p := Usual
-			p.Requests, p.Clients, p.Breaks = 4000, 32, breaks
-			r, err := Play(p)
+			p := DefaultPlan
+			p.Requests, p.Clients, p.Mutations = 4000, 32, breaks
+			r, err := Run(p)
 			So(err, ShouldBeNil)
 			t.Log(name, r.String())
-			So(r.Holds(), ShouldBeFalse)
+			So(r.OK(), ShouldBeFalse)
 		})
 	}
 }
--- a/internal/lab/answers/ledger.go
+++ b/internal/lab/answers/ledger.go
@@ -38,8 +38,8 @@
 
 // serve has a stand-in answer, in order or not.
 func (l *ledger) serve(s *standin.Server) {
-	s.Do = func(_ int, seen standin.Seen) standin.Reply { return l.reply(s.ID, seen) }
-	s.Early = func(seen standin.Seen) *standin.Reply { return l.early(seen) }
+	s.Handle = func(_ int, seen standin.Seen) standin.Reply { return l.reply(s.ID, seen) }
+	s.RespondEarly = func(seen standin.Seen) *standin.Reply { return l.early(seen) }
 	l.mu.Lock()
 	l.servers = append(l.servers, s)
 	l.mu.Unlock()
@@ -77,21 +77,23 @@
 	{"late answer first", true, func(r *standin.Reply, earlier string) {
 		r.Before = &standin.Reply{ID: earlier, Body: body(earlier)}
 	}},
-	{"no length", true, func(r *standin.Reply, _ string) { r.Bare = true }},
-	{"no length, broken off", true, func(r *standin.Reply, _ string) { r.Bare, r.Reset = true, true }},
-	{"broken off", true, func(r *standin.Reply, _ string) { r.Cut = true }},
+	{"no length", true, func(r *standin.Reply, _ string) { r.NoLength = true }},
+	{"no length, broken off", true, func(r *standin.Reply, _ string) { r.NoLength, r.Reset = true, true }},
+	{"broken off", true, func(r *standin.Reply, _ string) { r.Truncate = true }},
 	{"reset", true, func(r *standin.Reply, _ string) { r.Reset = true }},
 	{"silent", true, func(r *standin.Reply, _ string) {
 		hold := make(chan struct{})
 		time.AfterFunc(silence, func() { close(hold) })
-		r.Hold = hold
+		r.HoldUntil = hold
 	}},
 	{"no id", true, func(r *standin.Reply, _ string) { r.NoID = true }},
 	{"another's id", true, func(r *standin.Reply, earlier string) { r.ID, r.Body = earlier, body(earlier) }},
-	{"another's refusal", true, func(r *standin.Reply, earlier string) { r.Before = &standin.Reply{ID: earlier, Status: 503, Not: true} }},
-	{"refusal without id", true, func(r *standin.Reply, _ string) { *r = standin.Reply{Status: 503, Not: true, NoID: true} }},
+	{"another's refusal", true, func(r *standin.Reply, earlier string) {
+		r.Before = &standin.Reply{ID: earlier, Status: 503, NotExecuted: true}
+	}},
+	{"refusal without id", true, func(r *standin.Reply, _ string) { *r = standin.Reply{Status: 503, NotExecuted: true, NoID: true} }},
 	{"error", true, func(r *standin.Reply, _ string) { r.Status = 500 }},
-	{"turned away", false, func(r *standin.Reply, _ string) { *r = standin.Reply{Status: 503, Not: true} }},
+	{"turned away", false, func(r *standin.Reply, _ string) { *r = standin.Reply{Status: 503, NotExecuted: true} }},
 }
 
 func (l *ledger) reply(server string, seen standin.Seen) standin.Reply {
@@ -101,7 +103,7 @@
 	earlier := l.last[server]
 	l.last[server] = seen.Attempt
 	ran := true
-	if l.rng.Float64() < l.plan.Spoilt && earlier != "" {
+	if l.rng.Float64() < l.plan.FaultShare && earlier != "" {
 		d := disorders[l.rng.IntN(len(disorders))]
 		l.spoilt[d.name]++
 		d.do(&r, earlier)
@@ -117,11 +119,11 @@
 func (l *ledger) early(seen standin.Seen) *standin.Reply {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if seen.Header.Get("Content-Length") == "" || l.rng.Float64() >= l.plan.Spoilt {
+	if seen.Header.Get("Content-Length") == "" || l.rng.Float64() >= l.plan.FaultShare {
 		return nil
 	}
 	l.spoilt["early"]++
-	return &standin.Reply{Status: 503, Not: true}
+	return &standin.Reply{Status: 503, NotExecuted: true}
 }
 
 // told notes what a client was told of its request.
@@ -139,12 +141,12 @@
 	case status == 503 || status == 429:
 		r.Refused++
 		if q.once && l.ran[q.id] > 0 {
-			note(&r.Untrue, q.id)
+			note(&r.FalseRefusals, q.id)
 		}
 	default:
 		r.Failed++
 		if strings.Contains(stamps, "s.i-") && !strings.HasSuffix(stamps, "."+q.id) {
-			note(&r.Wrong, fmt.Sprintf("%s was told of a failure stamped %s", q.id, stamps))
+			note(&r.WrongAnswers, fmt.Sprintf("%s was told of a failure stamped %s", q.id, stamps))
 		}
 	}
 }
@@ -153,17 +155,17 @@
 func (l *ledger) checkAnswer(q request, text, stamps string) {
 	for stamp := range strings.SplitSeq(stamps, ", ") {
 		if !strings.HasSuffix(stamp, "."+q.id) {
-			note(&l.seen.Wrong, fmt.Sprintf("%s got an answer stamped %s", q.id, stamp))
+			note(&l.seen.WrongAnswers, fmt.Sprintf("%s got an answer stamped %s", q.id, stamp))
 		}
 	}
 	own := body(q.id)
 	for rest := text; len(rest) >= recordBytes; rest = rest[recordBytes:] {
 		if !strings.Contains(own, rest[:recordBytes]) {
-			note(&l.seen.Wrong, fmt.Sprintf("%s got the record %s", q.id, rest[:recordBytes]))
+			note(&l.seen.WrongAnswers, fmt.Sprintf("%s got the record %s", q.id, rest[:recordBytes]))
 		}
 	}
 	if !q.gather && text != own {
-		note(&l.seen.Wrong, fmt.Sprintf("%s got %q", q.id, text))
+		note(&l.seen.WrongAnswers, fmt.Sprintf("%s got %q", q.id, text))
 	}
 }
 
@@ -178,10 +180,10 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := l.seen
-	r.Spoilt = l.spoilt
+	r.Faults = l.spoilt
 	for id, n := range l.ran {
 		if strings.HasPrefix(id, onceMark) && n > 1 {
-			note(&r.Twice, id)
+			note(&r.RanTwice, id)
 		}
 	}
 	for _, s := range l.servers {
--- a/internal/lab/bench/capacity.go
+++ b/internal/lab/bench/capacity.go
@@ -53,14 +53,14 @@
 }
 
 // Side is one program under rising load.
-type Side struct {
-	Name  string
-	Steps []Step
-	Most  Step // the highest that held
+type Result struct {
+	Name    string
+	Steps   []Step
+	Highest Step // the highest that held
 }
 
 // Capacities is the table.
-type Capacities struct{ Sides []Side }
+type Capacities struct{ Results []Result }
 
 // echo is a leaf server that does nothing but wait: all that it costs is sockets.
 type echo struct {
@@ -177,10 +177,10 @@
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", s.name, err)
 		}
-		t.Sides = append(t.Sides, *side)
+		t.Results = append(t.Results, *side)
 	}
 	if profile != "" {
-		most := t.Sides[0].Most.Rate * 0.9
+		most := t.Results[0].Highest.Rate * 0.9
 		abs, err := filepath.Abs(profile)
 		if err != nil {
 			return nil, err
@@ -193,7 +193,7 @@
 	return t, nil
 }
 
-func measure(ctx context.Context, name string, args func(string) (string, []string), step time.Duration, progress func(float64, string), rates []float64) (*Side, error) {
+func measure(ctx context.Context, name string, args func(string) (string, []string), step time.Duration, progress func(float64, string), rates []float64) (*Result, error) {
 	dir, err := os.MkdirTemp("", "lab")
 	if err != nil {
 		return nil, err
@@ -243,7 +243,7 @@
 		return nil, err
 	}
 	defer proc.Kill()
-	side := &Side{Name: name}
+	side := &Result{Name: name}
 	if rates == nil {
 		for r := 200.0; r < 30000; r *= 1.25 {
 			rates = append(rates, r)
@@ -259,13 +259,13 @@
 			return nil, err
 		}
 		s.CPU = (cpu(proc.Cmd.Process.Pid) - before).Seconds() / time.Since(begun).Seconds()
-		rss, files := child.Look(proc.Cmd.Process.Pid)
+		rss, files := child.ResourceUsage(proc.Cmd.Process.Pid)
 		s.RSSMiB, s.Files = int(rss>>20), files
 		side.Steps = append(side.Steps, *s)
 		if s.P99 > capTime+capBeyond || float64(s.Failed) > 0.001*rate*step.Seconds() {
 			break
 		}
-		side.Most = *s
+		side.Highest = *s
 	}
 	proc.Signal(syscall.SIGTERM)
 	return side, proc.Wait(30 * time.Second)
@@ -410,7 +410,7 @@
 func (c *Capacities) Print(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "program\tasked/s\twhole/s\tparts/s\tp50\tp99\tfailed\tcores\tMiB\tfiles\t")
-	for _, s := range c.Sides {
+	for _, s := range c.Results {
 		for _, x := range s.Steps {
 			fmt.Fprintf(t, "%s\t%.0f\t%.0f\t%.0f\t%.2f ms\t%.2f ms\t%d\t%.2f\t%d\t%d\t\n", s.Name, x.Rate, x.Done, x.Done*capParts, float64(x.P50.Microseconds())/1000,
 				float64(x.P99.Microseconds())/1000, x.Failed, x.CPU, x.RSSMiB, x.Files)
@@ -419,9 +419,9 @@
 	if err := t.Flush(); err != nil {
 		return err
 	}
-	for _, s := range c.Sides {
+	for _, s := range c.Results {
 		fmt.Fprintf(w, "%s: %.0f queries and %.0f parts a second with p99 under %v beyond the stand-ins' %v, at %.2f cores: %.0f us of a core a query\n",
-			s.Name, s.Most.Done, s.Most.Done*capParts, capBeyond, capTime, s.Most.CPU, 1e6*s.Most.CPU/max(s.Most.Done, 1))
+			s.Name, s.Highest.Done, s.Highest.Done*capParts, capBeyond, capTime, s.Highest.CPU, 1e6*s.Highest.CPU/max(s.Highest.Done, 1))
 	}
 	return nil
 }
--- a/internal/lab/bench/scale.go
+++ b/internal/lab/bench/scale.go
@@ -26,14 +26,14 @@
 
 // Size is one row of the table.
 type Size struct {
-	Servers, Mixers int
-	QueriesS        float64 // a second of virtual time
-	PartsS          float64
-	Virtual, Wall   time.Duration
-	Events          int64
-	HeapMiB         int64 // live after the run's last collection, at most
-	Deciding        time.Duration
-	Goodput         float64
+	Servers, Proxies int
+	QueriesS         float64 // a second of virtual time
+	PartsS           float64
+	Virtual, Wall    time.Duration
+	Events           int64
+	HeapMiB          int64 // live after the run's last collection, at most
+	Deciding         time.Duration
+	Goodput          float64
 }
 
 // Sizes is the table.
@@ -109,7 +109,7 @@
 		return nil, err
 	}
 	debug.FreeOSMemory()
-	row := &Size{Servers: servers, Mixers: mixers, Virtual: length}
+	row := &Size{Servers: servers, Proxies: mixers, Virtual: length}
 	if profile != "" {
 		f, err := os.Create(profile)
 		if err != nil {
@@ -145,7 +145,7 @@
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "servers\tmixers\tqueries/s\tparts/s\tvirtual\twall\ttimes real\tevents\tevents/s\tdeciding\theap MiB\tgoodput\t")
 	for _, r := range s.Rows {
-		fmt.Fprintf(t, "%d\t%d\t%.0f\t%.0f\t%v\t%.2f s\t%.1f\t%d\t%.0f\t%.0f%%\t%d\t%.3f\t\n", r.Servers, r.Mixers, r.QueriesS, r.PartsS, r.Virtual, r.Wall.Seconds(),
+		fmt.Fprintf(t, "%d\t%d\t%.0f\t%.0f\t%v\t%.2f s\t%.1f\t%d\t%.0f\t%.0f%%\t%d\t%.3f\t\n", r.Servers, r.Proxies, r.QueriesS, r.PartsS, r.Virtual, r.Wall.Seconds(),
 			r.Virtual.Seconds()/r.Wall.Seconds(), r.Events, float64(r.Events)/r.Wall.Seconds(), 100*r.Deciding.Seconds()/r.Wall.Seconds(), r.HeapMiB, r.Goodput)
 	}
 	return t.Flush()
@@ -168,7 +168,7 @@
 	}
 	labels := plotter.XYLabels{XYs: xy}
 	for _, r := range s.Rows {
-		labels.Labels = append(labels.Labels, fmt.Sprintf(" %d/%d", r.Servers, r.Mixers))
+		labels.Labels = append(labels.Labels, fmt.Sprintf(" %d/%d", r.Servers, r.Proxies))
 	}
 	names, err := plotter.NewLabels(labels)
 	if err != nil {
--- a/internal/lab/child/child.go
+++ b/internal/lab/child/child.go
@@ -17,7 +17,7 @@
 )
 
 // Look is a process's memory and open files; 0 where the system does not tell.
-func Look(pid int) (rss inifile.Bytes, files int) {
+func ResourceUsage(pid int) (rss inifile.Bytes, files int) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
 		return 0, 0
@@ -69,7 +69,7 @@
 const readyTime = 60 * time.Second
 
 // Mixer is one child process.
-type Mixer struct {
+type Proxy struct {
 	Cmd    *exec.Cmd
 	Listen string
 	Exited chan error // holds how it ended, once it has
@@ -78,8 +78,8 @@
 
 // Start starts the program with its arguments and waits until it listens and says
 // that it is ready; also, if given, until more says so.
-func Start(program, listen, log string, more func() bool, args ...string) (*Mixer, error) {
-	x := &Mixer{Exited: make(chan error, 1), Log: log, Listen: listen}
+func Start(program, listen, log string, more func() bool, args ...string) (*Proxy, error) {
+	x := &Proxy{Exited: make(chan error, 1), Log: log, Listen: listen}
 	out, err := os.OpenFile(log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return nil, err
@@ -110,17 +110,17 @@
 }
 
 // Signal sends a signal; one to a process that has ended is let be.
-func (x *Mixer) Signal(s os.Signal) { x.Cmd.Process.Signal(s) }
+func (x *Proxy) Signal(s os.Signal) { x.Cmd.Process.Signal(s) }
 
 // Kill ends the process at once and waits for its end.
-func (x *Mixer) Kill() {
+func (x *Proxy) Kill() {
 	x.Cmd.Process.Kill()
 	err := <-x.Exited
 	x.Exited <- err
 }
 
 // Wait waits for the end of a process, at most so long.
-func (x *Mixer) Wait(most time.Duration) error {
+func (x *Proxy) Wait(most time.Duration) error {
 	select {
 	case err := <-x.Exited:
 		x.Exited <- err
--- a/internal/lab/consulapi/consulapi.go
+++ b/internal/lab/consulapi/consulapi.go
@@ -31,19 +31,19 @@
 
 // Faults are how an agent errs. All may change at any time.
 type Faults struct {
-	Silent   bool          // takes calls and answers none
-	NoLeader bool          // answers 500, or from a server that knows no leader where stale answers are asked for
-	Empty    bool          // says that there is nothing
-	Contact  time.Duration // since the server that answers heard of the leader
-	Delay    time.Duration // before each answer
-	Token    string        // is wanted
+	Silent        bool          // takes calls and answers none
+	NoLeader      bool          // answers 500, or from a server that knows no leader where stale answers are asked for
+	Empty         bool          // says that there is nothing
+	LastContact   time.Duration // since the server that answers heard of the leader
+	Delay         time.Duration // before each answer
+	RequiredToken string        // is wanted
 }
 
 // Server is one agent.
 type Server struct {
 	Addr string
 	// Told, if set, is called once an answer with this instance has been written.
-	Told func(i Instance, at time.Time)
+	OnSent func(i Instance, at time.Time)
 
 	service string
 	http    *http.Server
@@ -126,7 +126,7 @@
 func (s *Server) Set(f func(*Faults)) { s.change(func() { f(&s.faults) }) }
 
 // Reset has the index begin anew, as after a restore.
-func (s *Server) Reset() { s.change(func() { s.index = 10 }) }
+func (s *Server) ResetIndex() { s.change(func() { s.index = 10 }) }
 
 // Calls counts the calls that came, and the renewals of checks among them.
 func (s *Server) Calls() (all, renewals int) {
@@ -149,7 +149,7 @@
 }
 
 // Forget has the agent lose what registered itself, as one started anew.
-func (s *Server) Forget() {
+func (s *Server) ForgetRegistrations() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	clear(s.agent)
@@ -169,7 +169,7 @@
 		if f.Delay > 0 {
 			time.Sleep(f.Delay)
 		}
-		if f.Token != "" && r.Header.Get("X-Consul-Token") != f.Token {
+		if f.RequiredToken != "" && r.Header.Get("X-Consul-Token") != f.RequiredToken {
 			http.Error(w, "Permission denied", http.StatusForbidden)
 			return
 		}
@@ -224,13 +224,13 @@
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("X-Consul-Index", strconv.FormatInt(now, 10))
 	w.Header().Set("X-Consul-KnownLeader", strconv.FormatBool(!f.NoLeader))
-	w.Header().Set("X-Consul-LastContact", strconv.FormatInt(f.Contact.Milliseconds(), 10))
+	w.Header().Set("X-Consul-LastContact", strconv.FormatInt(f.LastContact.Milliseconds(), 10))
 	health := strings.HasPrefix(r.URL.Path, "/v1/health/")
 	out := []any{}
 	for _, i := range list {
 		out = append(out, i.form(health, s.service))
 	}
-	if json.NewEncoder(w).Encode(out) != nil || s.Told == nil {
+	if json.NewEncoder(w).Encode(out) != nil || s.OnSent == nil {
 		return
 	}
 	if f, ok := w.(http.Flusher); ok {
@@ -238,7 +238,7 @@
 	}
 	at := time.Now()
 	for _, i := range list {
-		s.Told(i, at)
+		s.OnSent(i, at)
 	}
 }
 
--- a/internal/lab/demo/demo.go
+++ b/internal/lab/demo/demo.go
@@ -70,7 +70,7 @@
 	for _, f := range s.Faults {
 		fmt.Fprintf(opt.Out, "At %v one leaf server dies; it comes back cold after %v.\n", f.At, f.For)
 	}
-	run, err := play.Play(ctx, plan, play.Options{Drive: play.Real, Program: program, Logs: filepath.Join(dir, "logs"), Keep: true, Progress: opt.Progress})
+	run, err := play.Play(ctx, plan, play.Options{Drive: play.Real, Program: program, Logs: filepath.Join(dir, "logs"), KeepRows: true, Progress: opt.Progress})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/disco/disco.go
+++ b/internal/lab/disco/disco.go
@@ -35,7 +35,7 @@
 type Server struct {
 	Addr string
 	// Told, if set, is called once an answer with this change has been written.
-	Told func(e Entry, at time.Time)
+	OnSent func(e Entry, at time.Time)
 
 	http *http.Server
 
@@ -107,7 +107,7 @@
 }
 
 // Mute has the service answer nothing, or 503 at once, or as usual again.
-func (s *Server) Mute(on, down bool) {
+func (s *Server) SetUnavailable(on, down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.silent, s.down = on && !down, on && down
@@ -154,10 +154,10 @@
 		a, changed = s.since(index)
 	}
 	w.Header().Set("Content-Type", "application/json")
-	if json.NewEncoder(w).Encode(a) == nil && s.Told != nil {
+	if json.NewEncoder(w).Encode(a) == nil && s.OnSent != nil {
 		at := time.Now()
 		for _, e := range a.Endpoints {
-			s.Told(e, at)
+			s.OnSent(e, at)
 		}
 	}
 }
--- a/internal/lab/dnsserver/dnsserver.go
+++ b/internal/lab/dnsserver/dnsserver.go
@@ -28,25 +28,25 @@
 
 // Faults are how the server errs. All may change at any time.
 type Faults struct {
-	Silent    bool
-	Truncate  bool          // over UDP
-	Rcode     int           // instead of an answer; 0: none
-	Empty     bool          // the name is not there
-	Lame      bool          // neither an authority nor a resolver
-	Storm     int           // datagrams that answer nothing, before each answer
-	Lie       bool          // answers another question instead, over UDP
-	Bare      bool          // no additional section
-	NoEDNS    bool          // FORMERR to what has EDNS
-	Delay     time.Duration // before each answer
-	TTL       uint32
-	WrongAddr string // said in place of every address
+	Silent        bool
+	Truncate      bool          // over UDP
+	Rcode         int           // instead of an answer; 0: none
+	NXDomain      bool          // the name is not there
+	Lame          bool          // neither an authority nor a resolver
+	JunkDatagrams int           // datagrams that answer nothing, before each answer
+	WrongQuestion bool          // answers another question instead, over UDP
+	NoAdditional  bool          // no additional section
+	NoEDNS        bool          // FORMERR to what has EDNS
+	Delay         time.Duration // before each answer
+	TTL           uint32
+	WrongAddr     string // said in place of every address
 }
 
 // Server is one server.
 type Server struct {
 	Addr string
 	// Told, if set, is called once an answer with this target's TXT record was written.
-	Told func(t Target, at time.Time)
+	OnSent func(t Target, at time.Time)
 
 	name     string
 	udp, tcp *dns.Server
@@ -125,7 +125,7 @@
 }
 
 // Asked counts the questions by type, and those that came over TCP as tcp.
-func (s *Server) Asked(kind string) int {
+func (s *Server) QuestionCount(kind string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.asked[kind]
@@ -148,7 +148,7 @@
 	}
 	time.Sleep(f.Delay)
 	if !tcp {
-		for i := range f.Storm { // late answers, answers to others, noise
+		for i := range f.JunkDatagrams { // late answers, answers to others, noise
 			junk := m.Copy()
 			switch i % 3 {
 			case 0:
@@ -161,7 +161,7 @@
 			}
 			w.WriteMsg(junk)
 		}
-		if f.Lie {
+		if f.WrongQuestion {
 			m.Question[0].Name = "other.example.org."
 		}
 		if f.Truncate {
@@ -172,10 +172,10 @@
 			told = nil
 		}
 	}
-	if w.WriteMsg(m) == nil && s.Told != nil {
+	if w.WriteMsg(m) == nil && s.OnSent != nil {
 		at := time.Now()
 		for _, t := range told {
-			s.Told(t, at)
+			s.OnSent(t, at)
 		}
 	}
 }
@@ -209,7 +209,7 @@
 	}
 	soa := &dns.SOA{Hdr: head("example.org.", dns.TypeSOA), Ns: "ns.example.org.", Mbox: "ops.example.org.", Minttl: f.TTL}
 	if name == s.name {
-		if f.Empty {
+		if f.NXDomain {
 			m.Rcode, m.Ns = dns.RcodeNameError, []dns.RR{soa}
 			return m, nil
 		}
@@ -218,7 +218,7 @@
 			if ask.Qtype == dns.TypeSRV {
 				m.Answer = append(m.Answer, &dns.SRV{Hdr: head(ask.Name, dns.TypeSRV), Target: dns.Fqdn(t.Name), Port: t.Port, Priority: t.Priority, Weight: t.Weight})
 			}
-			if !f.Bare {
+			if !f.NoAdditional {
 				m.Extra = append(m.Extra, s.addrs(t, 0, f, head)...)
 			}
 		}
@@ -260,7 +260,7 @@
 }
 
 // TextOf is the TXT record of a leaf server's target.
-func TextOf(name, site, kind string, cell int, draining bool, since int64) string {
+func TXTRecord(name, site, kind string, cell int, draining bool, since int64) string {
 	text := "cell=" + strconv.Itoa(cell) + " name=" + name + " site=" + site + " kind=" + kind
 	if since > 0 {
 		text += " since_ms=" + strconv.FormatInt(since, 10)
--- a/internal/lab/drill/run.go
+++ b/internal/lab/drill/run.go
@@ -84,7 +84,7 @@
 	leaves map[string]*leaf.Server
 	addrs  map[string]string
 	world  *reshape.World
-	mixers []*child.Mixer
+	mixers []*child.Proxy
 	leafMu sync.Mutex // over leaves, once the drill runs
 
 	evacuating sync.WaitGroup
@@ -166,8 +166,8 @@
 			every = 0
 		}
 		var err error
-		if r.world, err = reshape.New(reshape.Config{Cells: cells, Segments: c.Segments, PerSeg: c.PerSeg, Every: every, Step: c.Step, Lag: c.Lag,
-			Abort: c.Abort, Die: c.Die, Away: c.Away, NoFence: !c.Fence, CutKill: c.CutKill, Kill: r.killCell, Seed: uint64(d.Seed), Judge: r.j}); err != nil {
+		if r.world, err = reshape.New(reshape.Config{Cells: cells, Segments: c.Segments, KeysPerSegment: c.PerSeg, Interval: every, StepTime: c.Step, FeedDelay: c.Lag,
+			AbortShare: c.Abort, CrashShare: c.Die, Downtime: c.Away, NoFence: !c.Fence, HandoverKillShare: c.CutKill, KillCell: r.killCell, Seed: uint64(d.Seed), Judge: r.j}); err != nil {
 			return err
 		}
 	}
@@ -184,7 +184,7 @@
 	if r.disco, err = disco.Listen(entries); err != nil {
 		return err
 	}
-	r.disco.Told = func(e disco.Entry, at time.Time) {
+	r.disco.OnSent = func(e disco.Entry, at time.Time) {
 		if e.Status == "SERVING" {
 			at = time.Time{}
 		}
@@ -195,12 +195,12 @@
 
 func (r *run) model(i int, name string) leaf.Model {
 	f := r.d.Fleet
-	var keeper leaf.Keeper
+	var keeper leaf.KeyOwner
 	if r.world != nil {
 		cell, _ := strconv.Atoi(strings.Split(name, "-")[1])
-		keeper = &reshape.Keeper{W: r.world, Cell: cell}
+		keeper = &reshape.CellOwner{World: r.world, Cell: cell}
 	}
-	return leaf.Model{Keeper: keeper, Warm: f.Warm, Cores: f.Cores, Room: f.Room, Median: f.Median, Sigma: f.Sigma, Seed: uint64(r.d.Seed)<<16 + uint64(i)}
+	return leaf.Model{Owner: keeper, SlowStartTime: f.Warm, Cores: f.Cores, QueueLimit: f.Room, Median: f.Median, Sigma: f.Sigma, Seed: uint64(r.d.Seed)<<16 + uint64(i)}
 }
 
 func (r *run) entry(name, status string) disco.Entry {
@@ -488,7 +488,7 @@
 	case "hang", "fail", "busy", "claim", "well":
 		r.leafMu.Lock()
 		defer r.leafMu.Unlock()
-		r.leaves[s.Server].Set(map[string]leaf.Mode{"hang": leaf.Hang, "fail": leaf.Fail, "busy": leaf.Busy, "claim": leaf.Claim, "well": leaf.Well}[s.Do])
+		r.leaves[s.Server].Set(map[string]leaf.Mode{"hang": leaf.Hang, "fail": leaf.Fail, "busy": leaf.Busy, "claim": leaf.IgnoreOwnership, "well": leaf.Healthy}[s.Do])
 	case "kill":
 		r.leafMu.Lock()
 		r.leaves[s.Server].Close()
@@ -516,7 +516,7 @@
 // revive has a dead server come back, cold where the drill says so.
 func (r *run) revive(name string) error {
 	m := r.model(indexOf(r.d.Servers(), name), name)
-	m.Cold = r.d.Fleet.Cold
+	m.SlowStartShare = r.d.Fleet.Cold
 	r.leafMu.Lock()
 	defer r.leafMu.Unlock()
 	r.leaves[name].Close()
@@ -525,7 +525,7 @@
 		return err
 	}
 	r.leaves[name] = l
-	if m.Cold > 0 {
+	if m.SlowStartShare > 0 {
 		e := r.entry(name, "SERVING")
 		e.Since = time.Now().UnixMilli()
 		r.disco.Put(e)
@@ -568,7 +568,7 @@
 func (r *run) look(begin time.Time) {
 	s := Sample{At: time.Since(begin), Of: r.d.Length, Open: r.j.Open()}
 	for _, x := range r.mixers {
-		rss, files := child.Look(x.Cmd.Process.Pid)
+		rss, files := child.ResourceUsage(x.Cmd.Process.Pid)
 		s.RSS, s.Files = max(s.RSS, rss), max(s.Files, files)
 	}
 	var rep hook.Report
--- a/internal/lab/event/event.go
+++ b/internal/lab/event/event.go
@@ -13,19 +13,19 @@
 
 // The bounds of a loop where its maker gives none.
 const (
-	MostAtOnce = 20_000_000     // events at one virtual instant
-	Most       = 10_000_000_000 // events in all
+	MaxPerInstant = 20_000_000     // events at one virtual instant
+	MaxEvents     = 10_000_000_000 // events in all
 )
 
 // ErrStuck is a loop that did so much at one instant that it is taken to stand still.
 var ErrStuck = errors.New("virtual time does not advance")
 
 // ErrEndless is a loop that did more than it was allowed in all.
-var ErrEndless = errors.New("more events than allowed")
+var ErrTooManyEvents = errors.New("more events than allowed")
 
 // Loop is one run of virtual time. It is not safe for concurrent use.
 type Loop struct {
-	MostAtOnce, Most int64
+	MaxPerInstant, MaxEvents int64
 	// Tick, if set, is called every TickEvery events, with the machine's work in
 	// between: it may tell of the progress, and ends the run by an error.
 	Tick      func() error
@@ -69,7 +69,7 @@
 func (l *Loop) Now() time.Duration { return l.now }
 
 // Done counts the events that have happened.
-func (l *Loop) Done() int64 { return l.done }
+func (l *Loop) Executed() int64 { return l.done }
 
 // Pending counts what is still to happen.
 func (l *Loop) Pending() int { return len(l.heap) }
@@ -99,12 +99,12 @@
 // Run lets happen what is due until the given time, which it is then. It ends early
 // when nothing is left.
 func (l *Loop) Run(until time.Duration) error {
-	atOnce, most := l.MostAtOnce, l.Most
+	atOnce, most := l.MaxPerInstant, l.MaxEvents
 	if atOnce <= 0 {
-		atOnce = MostAtOnce
+		atOnce = MaxPerInstant
 	}
 	if most <= 0 {
-		most = Most
+		most = MaxEvents
 	}
 	every := l.TickEvery
 	if every <= 0 {
@@ -118,7 +118,7 @@
 			return fmt.Errorf("%w: %d events at %v", ErrStuck, atOnce, l.now)
 		}
 		if l.done++; l.done > most {
-			return fmt.Errorf("%w: %d by %v", ErrEndless, most, l.now)
+			return fmt.Errorf("%w: %d by %v", ErrTooManyEvents, most, l.now)
 		}
 		t := l.heap[0].t
 		l.remove(0)
--- a/internal/lab/event/event_test.go
+++ b/internal/lab/event/event_test.go
@@ -55,23 +55,23 @@
 	require.NoError(t, l.Run(time.Second))
 	require.Equal(t, 1_000_000, n)
 
-	l = &Loop{MostAtOnce: 1000}
+	l = &Loop{MaxPerInstant: 1000}
 	var again func()
 	again = func() { l.Post(0, again) }
 	l.Post(0, again)
 	require.ErrorIs(t, l.Run(time.Second), ErrStuck)
 
-	l = &Loop{Most: 1000}
+	l = &Loop{MaxEvents: 1000}
 	again = func() { l.Post(time.Microsecond, again) }
 	l.Post(0, again)
-	require.ErrorIs(t, l.Run(time.Hour), ErrEndless)
+	require.ErrorIs(t, l.Run(time.Hour), ErrTooManyEvents)
 
 	stop := errors.New("stop")
 	l = &Loop{TickEvery: 10, Tick: func() error { return stop }}
 	again = func() { l.Post(time.Microsecond, again) }
 	l.Post(0, again)
 	require.ErrorIs(t, l.Run(time.Hour), stop)
-	require.EqualValues(t, 10, l.Done())
+	require.EqualValues(t, 10, l.Executed())
 }
 
 func BenchmarkLoop(b *testing.B) {
@@ -83,6 +83,6 @@
 		again()
 	}
 	b.ReportAllocs()
-	l.Most = int64(b.N)
+	l.MaxEvents = int64(b.N)
 	l.Run(1 << 60)
 }
--- a/internal/lab/hookcost/hookcost.go
+++ b/internal/lab/hookcost/hookcost.go
@@ -36,17 +36,17 @@
 
 // Row is one engine at one point.
 type Row struct {
-	Engine, Point  string
-	Calls          int64
-	P50us, P99us   float64
-	Maxus, KiBCall float64 // KiBCall: allocated by one call
+	Engine, Point     string
+	Calls             int64
+	P50US, P99US      float64
+	MaxUS, KiBPerCall float64 // KiBCall: allocated by one call
 }
 
 // Load is what loading costs.
 type Load struct {
 	Engine         string
 	LoadMS         float64 // compile and start so many instances
-	KiBInstance    float64 // kept by one instance, or by the compiled script
+	KiBPerInstance float64 // kept by one instance, or by the compiled script
 	PeakMiB        float64 // taken from the system while loading
 	Instances      int
 	FreshInstances bool
@@ -54,12 +54,12 @@
 
 // Table is a measurement.
 type Table struct {
-	Machine string
-	Rows    []Row
-	Loads   []Load
-	PipeP50 float64 // one exchange with a helper process over pipes, us
-	PipeP99 float64
-	Deeps   []Deep
+	Machine    string
+	Rows       []Row
+	Loads      []Load
+	PipeP50    float64 // one exchange with a helper process over pipes, us
+	PipeP99    float64
+	Recursions []Recursion
 }
 
 var points = []hookabi.Point{hookabi.Taken, hookabi.Admission, hookabi.Send, hookabi.Answered, hookabi.Answer, hookabi.Ended}
@@ -124,7 +124,7 @@
 	took := time.Since(start)
 	after, sysAfter := heap()
 	t.Loads = append(t.Loads, Load{Engine: name, LoadMS: float64(took.Microseconds()) / 1000, Instances: n, FreshInstances: name == "wasm-fresh",
-		KiBInstance: float64(int64(after)-int64(before)) / 1024 / float64(n), PeakMiB: float64(int64(sysAfter)-int64(sysBefore)) / (1 << 20)})
+		KiBPerInstance: float64(int64(after)-int64(before)) / 1024 / float64(n), PeakMiB: float64(int64(sysAfter)-int64(sysBefore)) / (1 << 20)})
 	for _, point := range points {
 		v := view(point)
 		h := hdrhistogram.New(1, int64(time.Minute), 3)
@@ -147,8 +147,8 @@
 		}
 		runtime.ReadMemStats(&m2)
 		us := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
-		t.Rows = append(t.Rows, Row{Engine: name, Point: point.String(), Calls: h.TotalCount(), P50us: us(50), P99us: us(99), Maxus: float64(h.Max()) / 1000,
-			KiBCall: float64(m2.TotalAlloc-m1.TotalAlloc) / 1024 / float64(calls)})
+		t.Rows = append(t.Rows, Row{Engine: name, Point: point.String(), Calls: h.TotalCount(), P50US: us(50), P99US: us(99), MaxUS: float64(h.Max()) / 1000,
+			KiBPerCall: float64(m2.TotalAlloc-m1.TotalAlloc) / 1024 / float64(calls)})
 	}
 	return nil
 }
@@ -192,7 +192,7 @@
 	fmt.Fprintf(w, "%s. A view of eight parts; a hook that does nothing.\n\n", t.Machine)
 	rows := [][]string{{"engine", "point", "calls", "p50 us", "p99 us", "max us", "KiB allocated a call"}}
 	for _, r := range t.Rows {
-		rows = append(rows, []string{r.Engine, r.Point, fmt.Sprint(r.Calls), f(r.P50us), f(r.P99us), f(r.Maxus), f(r.KiBCall)})
+		rows = append(rows, []string{r.Engine, r.Point, fmt.Sprint(r.Calls), f(r.P50US), f(r.P99US), f(r.MaxUS), f(r.KiBPerCall)})
 	}
 	if err := grid(w, rows); err != nil {
 		return err
@@ -200,15 +200,15 @@
 	fmt.Fprintln(w)
 	rows = [][]string{{"engine", "load ms", "instances", "KiB of heap an instance", "MiB from the system while loading"}}
 	for _, l := range t.Loads {
-		rows = append(rows, []string{l.Engine, f(l.LoadMS), fmt.Sprint(l.Instances), f(l.KiBInstance), f(l.PeakMiB)})
+		rows = append(rows, []string{l.Engine, f(l.LoadMS), fmt.Sprint(l.Instances), f(l.KiBPerInstance), f(l.PeakMiB)})
 	}
 	if err := grid(w, rows); err != nil {
 		return err
 	}
 	fmt.Fprintln(w)
 	rows = [][]string{{"a module that calls itself for ever", "at once", "MiB from the system", "all stopped after ms", "as"}}
-	for _, d := range t.Deeps {
-		rows = append(rows, []string{d.Frame, fmt.Sprint(d.AtOnce), f(d.MiB), f(d.EndedMS), d.Fault})
+	for _, d := range t.Recursions {
+		rows = append(rows, []string{d.Frame, fmt.Sprint(d.Concurrent), f(d.MiB), f(d.StoppedMS), d.Fault})
 	}
 	if err := grid(w, rows); err != nil {
 		return err
--- a/internal/lab/hookcost/recursion.go
+++ b/internal/lab/hookcost/recursion.go
@@ -17,12 +17,12 @@
 )
 
 // Deep is a shape of recursion and what it took.
-type Deep struct {
-	Frame   string
-	AtOnce  int
-	MiB     float64 // from the system, at the most
-	EndedMS float64 // the last of them
-	Fault   string
+type Recursion struct {
+	Frame      string
+	Concurrent int
+	MiB        float64 // from the system, at the most
+	StoppedMS  float64 // the last of them
+	Fault      string
 }
 
 // recursing is a module of one page whose hook_call keeps so many values alive over
@@ -117,7 +117,7 @@
 		took := time.Since(start)
 		var m runtime.MemStats
 		runtime.ReadMemStats(&m)
-		d := Deep{Frame: s.frame, AtOnce: atOnce, MiB: float64(int64(m.Sys)-int64(before)) / (1 << 20), EndedMS: float64(took.Microseconds()) / 1000}
+		d := Recursion{Frame: s.frame, Concurrent: atOnce, MiB: float64(int64(m.Sys)-int64(before)) / (1 << 20), StoppedMS: float64(took.Microseconds()) / 1000}
 		for _, err := range faults {
 			var f *hook.Fault
 			if !errors.As(err, &f) {
@@ -125,7 +125,7 @@
 			}
 			d.Fault = string(f.Kind)
 		}
-		t.Deeps = append(t.Deeps, d)
+		t.Recursions = append(t.Recursions, d)
 		p.Close()
 	}
 	return nil
--- a/internal/lab/hunt/hunt.go
+++ b/internal/lab/hunt/hunt.go
@@ -59,7 +59,7 @@
 		return nil, err
 	}
 	f := &Find{Doc: doc, Values: values, Seed: seed, Text: s.String()}
-	for _, policy := range []string{play.Mixer, play.Oracle} {
+	for _, policy := range []string{play.Proxy, play.Oracle} {
 		plan, err := s.Plan(uint64(seed))
 		if err != nil {
 			return nil, err
@@ -404,7 +404,7 @@
 		}
 		docs[i], out[i].File, out[i].Seeds = s, file, seeds
 		for n := range seeds {
-			for _, p := range []string{play.Mixer, play.Oracle, play.Random} {
+			for _, p := range []string{play.Proxy, play.Oracle, play.Random} {
 				jobs = append(jobs, job{i, s.Seed + n, p})
 			}
 		}
@@ -429,7 +429,7 @@
 		}
 		o, g := &out[j.file], run.Summary.Goodput/float64(seeds)
 		switch j.policy {
-		case play.Mixer:
+		case play.Proxy:
 			o.Mixer += g
 			o.Broken += run.Verdict.Broken()
 		case play.Oracle:
--- a/internal/lab/leaf/leaf.go
+++ b/internal/lab/leaf/leaf.go
@@ -27,7 +27,7 @@
 const writeTime = 5 * time.Second
 
 // Keeper holds the keys that a server's cell holds. Without one a server holds all.
-type Keeper interface {
+type KeyOwner interface {
 	// Begin is asked as a part is about to run. held is false where the cell may not
 	// do it now, at the epoch it has heard of: the part never runs. finish makes the
 	// value; where it is not held any more by then, nothing was done.
@@ -36,22 +36,22 @@
 	// Lost is told of a part that had begun as its server died, and was not finished.
 	Lost(p frame.Part)
 	// Claim does a part whether or not the cell holds it: a server that lies.
-	Claim(server string, p frame.Part) (finish func() (value string, held bool))
+	RunUnowned(server string, p frame.Part) (finish func() (value string, held bool))
 }
 
 // Model is how a server works.
 type Model struct {
-	Keeper Keeper
-	Cores  int
-	Room   int
-	Median time.Duration
-	Sigma  float64
-	Seed   uint64
+	Owner      KeyOwner
+	Cores      int
+	QueueLimit int
+	Median     time.Duration
+	Sigma      float64
+	Seed       uint64
 
 	// A server that starts cold does Cold of what it can, and evenly more until all
 	// after Warm. Cold 0: it is warm at once.
-	Cold float64
-	Warm time.Duration
+	SlowStartShare float64
+	SlowStartTime  time.Duration
 }
 
 // Mode is how a server behaves.
@@ -59,11 +59,11 @@
 
 // The modes.
 const (
-	Well  Mode = iota
-	Hang       // takes parts and answers none
-	Fail       // answers err at once; the part may have run
-	Busy       // turns all away
-	Claim      // does what it does not hold, where it has a keeper
+	Healthy         Mode = iota
+	Hang                 // takes parts and answers none
+	Fail                 // answers err at once; the part may have run
+	Busy                 // turns all away
+	IgnoreOwnership      // does what it does not hold, where it has a keeper
 )
 
 // Server is one stand-in.
@@ -148,7 +148,7 @@
 	defer s.mu.Unlock()
 	for w := range s.running { // what a process was doing dies with it
 		if w.timer.Stop() && w.finish != nil {
-			s.model.Keeper.Lost(w.part)
+			s.model.Owner.Lost(w.part)
 		}
 	}
 	clear(s.running)
@@ -255,7 +255,7 @@
 	switch {
 	case c.work[p.ID] != nil:
 		end = "err"
-	case s.mode == Busy || (s.mode == Well || s.mode == Claim) && s.busy >= s.model.Cores && len(s.waiting) >= s.model.Room:
+	case s.mode == Busy || (s.mode == Healthy || s.mode == IgnoreOwnership) && s.busy >= s.model.Cores && len(s.waiting) >= s.model.QueueLimit:
 		end = "busy"
 	case s.mode == Fail:
 		w.attempt.Ran()
@@ -290,10 +290,10 @@
 		if w.gone {
 			continue
 		}
-		if k := s.model.Keeper; k != nil {
+		if k := s.model.Owner; k != nil {
 			finish, epoch, held := k.Begin(s.Name, w.part)
-			if !held && s.mode == Claim {
-				finish, held = k.Claim(s.Name, w.part), true
+			if !held && s.mode == IgnoreOwnership {
+				finish, held = k.RunUnowned(s.Name, w.part), true
 			}
 			if !held {
 				s.away(w, epoch)
@@ -314,8 +314,8 @@
 	h.Write([]byte(id))
 	r := rand.New(rand.NewPCG(s.model.Seed, h.Sum64()))
 	span := float64(s.model.Median) * math.Exp(s.model.Sigma*r.NormFloat64())
-	if m := s.model; m.Cold > 0 && time.Since(s.born) < m.Warm {
-		span /= m.Cold + (1-m.Cold)*float64(time.Since(s.born))/float64(m.Warm)
+	if m := s.model; m.SlowStartShare > 0 && time.Since(s.born) < m.SlowStartTime {
+		span /= m.SlowStartShare + (1-m.SlowStartShare)*float64(time.Since(s.born))/float64(m.SlowStartTime)
 	}
 	return time.Duration(span)
 }
@@ -338,7 +338,7 @@
 	if !held && !w.gone {
 		s.busy--
 		w.attempt.NeverRan()
-		s.away(w, s.model.Keeper.Epoch())
+		s.away(w, s.model.Owner.Epoch())
 		s.start()
 		s.mu.Unlock()
 		return
--- a/internal/lab/mapcost/mapcost.go
+++ b/internal/lab/mapcost/mapcost.go
@@ -27,7 +27,7 @@
 type Row struct {
 	Segments                   int
 	LookupNS, LookupsPerSecond float64
-	ChangeUS, WholeMS          float64
+	ChangeUS, FullMS           float64
 	BytesPerSegment            float64
 }
 
@@ -112,7 +112,7 @@
 			}
 			whole = append(whole, float64(time.Since(start).Microseconds())/1000)
 		}
-		row.LookupNS, row.ChangeUS, row.WholeMS = median(look), median(change), median(whole)
+		row.LookupNS, row.ChangeUS, row.FullMS = median(look), median(change), median(whole)
 		row.LookupsPerSecond = 1e9 / row.LookupNS
 		runtime.KeepAlive(m)
 		runtime.KeepAlive(u)
@@ -128,7 +128,7 @@
 	head := []string{"segments", "look-up ns", "look-ups a second", "one change us", "whole map ms", "bytes a segment"}
 	fmt.Fprintf(g, "| %s\t|\n|%s\n", strings.Join(head, "\t| "), strings.Repeat(" ---\t|", len(head)))
 	for _, r := range t.Rows {
-		fmt.Fprintf(g, "| %d\t| %.0f\t| %.0f\t| %.0f\t| %.1f\t| %.0f\t|\n", r.Segments, r.LookupNS, r.LookupsPerSecond, r.ChangeUS, r.WholeMS, r.BytesPerSegment)
+		fmt.Fprintf(g, "| %d\t| %.0f\t| %.0f\t| %.0f\t| %.1f\t| %.0f\t|\n", r.Segments, r.LookupNS, r.LookupsPerSecond, r.ChangeUS, r.FullMS, r.BytesPerSegment)
 	}
 	return g.Flush()
 }
@@ -139,7 +139,7 @@
 	lines := []loglog.Line{{Name: "a look-up"}, {Name: "one change"}, {Name: "a whole map"}}
 	for _, r := range t.Rows {
 		sizes = append(sizes, r.Segments)
-		for i, v := range []float64{r.LookupNS / 1000, r.ChangeUS, r.WholeMS * 1000} {
+		for i, v := range []float64{r.LookupNS / 1000, r.ChangeUS, r.FullMS * 1000} {
 			lines[i].Values = append(lines[i].Values, v)
 		}
 	}
--- a/internal/lab/membercost/membercost.go
+++ b/internal/lab/membercost/membercost.go
@@ -28,15 +28,15 @@
 
 // Row is one size.
 type Row struct {
-	Servers          int
-	ChangeP50us      float64 // an answer that changes one server, and its step
-	ChangeP99us      float64
-	WholeSameMS      float64 // a whole answer with nothing new
-	WholeNewMS       float64 // one in which a tenth has changed
-	FlapMSEach5s     float64 // a tenth gone and back, one by one, in 5 s: all that it takes of a core
-	FlapListed       float64 // mean share of the fleet that stays usable meanwhile
-	Damped           int64
-	KiBAll, BytesOne float64
+	Servers                  int
+	ChangeP50us              float64 // an answer that changes one server, and its step
+	ChangeP99us              float64
+	FullSameMS               float64 // a whole answer with nothing new
+	FullChangedMS            float64 // one in which a tenth has changed
+	FlapMSEach5s             float64 // a tenth gone and back, one by one, in 5 s: all that it takes of a core
+	FlapListed               float64 // mean share of the fleet that stays usable meanwhile
+	Damped                   int64
+	TotalKiB, BytesPerServer float64
 }
 
 // Table is a measurement.
@@ -99,8 +99,8 @@
 		}
 		m.Step(now)
 	}
-	row.KiBAll = float64(heap()-before) / 1024
-	row.BytesOne = row.KiBAll * 1024 / float64(n)
+	row.TotalKiB = float64(heap()-before) / 1024
+	row.BytesPerServer = row.TotalKiB * 1024 / float64(n)
 	beat := func() error { // the sources are heard
 		for _, s := range sources {
 			if err := see(membership.Observation{Source: s}); err != nil {
@@ -143,7 +143,7 @@
 	if _, err := whole(all); err != nil { // the drains of before are lifted
 		return nil, err
 	}
-	if row.WholeSameMS, err = whole(all); err != nil {
+	if row.FullSameMS, err = whole(all); err != nil {
 		return nil, err
 	}
 	other := append([]membership.Claim(nil), all...)
@@ -160,7 +160,7 @@
 		m.Step(now)
 		span += time.Since(start)
 	}
-	row.WholeNewMS = float64(span.Microseconds()) / 1000 / wholes
+	row.FullChangedMS = float64(span.Microseconds()) / 1000 / wholes
 
 	// A tenth of the fleet goes and comes back in the first-ranked source, one by one,
 	// every 5 s; the timer that a service has runs too.
@@ -212,8 +212,8 @@
 	head := []string{"servers", "one change p50 us", "p99 us", "whole answer, nothing new ms", "a tenth new ms", "a tenth flaps: ms of a core in 5 s", "usable meanwhile", "returns held back", "KiB", "bytes a server"}
 	fmt.Fprintf(g, "| %s\t|\n|%s\n", strings.Join(head, "\t| "), strings.Repeat(" ---\t|", len(head)))
 	for _, r := range t.Rows {
-		fmt.Fprintf(g, "| %d\t| %.1f\t| %.1f\t| %.2f\t| %.2f\t| %.1f\t| %.3f\t| %d\t| %.0f\t| %.0f\t|\n", r.Servers, r.ChangeP50us, r.ChangeP99us, r.WholeSameMS, r.WholeNewMS,
-			r.FlapMSEach5s, r.FlapListed, r.Damped, r.KiBAll, r.BytesOne)
+		fmt.Fprintf(g, "| %d\t| %.1f\t| %.1f\t| %.2f\t| %.2f\t| %.1f\t| %.3f\t| %d\t| %.0f\t| %.0f\t|\n", r.Servers, r.ChangeP50us, r.ChangeP99us, r.FullSameMS, r.FullChangedMS,
+			r.FlapMSEach5s, r.FlapListed, r.Damped, r.TotalKiB, r.BytesPerServer)
 	}
 	return g.Flush()
 }
@@ -224,7 +224,7 @@
 	lines := []loglog.Line{{Name: "one change, p50"}, {Name: "one change, p99"}, {Name: "a whole answer, nothing new"}, {Name: "a whole answer, a tenth new"}, {Name: "a tenth flaps, in 5 s"}}
 	for _, r := range t.Rows {
 		sizes = append(sizes, r.Servers)
-		for i, v := range []float64{r.ChangeP50us, r.ChangeP99us, r.WholeSameMS * 1000, r.WholeNewMS * 1000, r.FlapMSEach5s * 1000} {
+		for i, v := range []float64{r.ChangeP50us, r.ChangeP99us, r.FullSameMS * 1000, r.FullChangedMS * 1000, r.FlapMSEach5s * 1000} {
 			lines[i].Values = append(lines[i].Values, v)
 		}
 	}
--- a/internal/lab/observed/observed.go
+++ b/internal/lab/observed/observed.go
@@ -30,7 +30,7 @@
 }
 
 // Until waits for an observation that is as wanted; what came before it is dropped.
-func (s *Sink) Until(t testing.TB, what string, want func(o membership.Observation) bool) membership.Observation {
+func (s *Sink) WaitFor(t testing.TB, what string, want func(o membership.Observation) bool) membership.Observation {
 	t.Helper()
 	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
 		s.mu.Lock()
@@ -47,7 +47,7 @@
 }
 
 // Never fails the test if something was observed since the last that was waited for.
-func (s *Sink) Never(t testing.TB, what string, bad func(o membership.Observation) bool) {
+func (s *Sink) RequireNone(t testing.TB, what string, bad func(o membership.Observation) bool) {
 	t.Helper()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -55,7 +55,7 @@
 }
 
 // Named is the claim on a server; nil: there is none.
-func Named(o membership.Observation, name string) *membership.Claim {
+func ClaimOn(o membership.Observation, name string) *membership.Claim {
 	if i := slices.IndexFunc(o.Claims, func(c membership.Claim) bool { return c.Name == name }); i >= 0 {
 		return &o.Claims[i]
 	}
--- a/internal/lab/play/play.go
+++ b/internal/lab/play/play.go
@@ -22,7 +22,7 @@
 const (
 	Virtual = "virtual"
 	Real    = "real"
-	Mixer   = "mixer"  // the module that serves
+	Proxy   = "mixer"  // the module that serves
 	Oracle  = "oracle" // one that sees every server's true state
 	Random  = "random" // any replica that the list names
 )
@@ -34,21 +34,21 @@
 	Program  string
 	Logs     string
 	Operator string
-	Keep     bool
+	KeepRows bool
 	Progress func(share float64, remark string)
 	Trace    func(at time.Duration, query, text string)
-	Decided  *Decided // virtual drive: folds what was decided; nil: not
+	Digest   *DecisionDigest // virtual drive: folds what was decided; nil: not
 }
 
 // Decided folds every event that any mixer's decisions got and every action that
 // came of it: two builds with the same digest on a run decided the same throughout.
-type Decided struct {
+type DecisionDigest struct {
 	Steps, Events, Actions int64
 	sum                    hash.Hash
 }
 
 // Digest is of all that was decided so far.
-func (d *Decided) Digest() string {
+func (d *DecisionDigest) Digest() string {
 	if d.sum == nil {
 		return "-"
 	}
@@ -59,7 +59,7 @@
 type folded struct {
 	exchange.Decider
 	mixer int
-	d     *Decided
+	d     *DecisionDigest
 }
 
 func (f folded) Step(now choice.Micros, events []choice.Event) []choice.Action {
@@ -79,7 +79,7 @@
 func Play(ctx context.Context, p *scenario.Plan, opt Options) (*record.Run, error) {
 	switch opt.Drive {
 	case Real:
-		if opt.Policy != "" && opt.Policy != Mixer {
+		if opt.Policy != "" && opt.Policy != Proxy {
 			return nil, fmt.Errorf("policy %s: the real drive plays the program itself", opt.Policy)
 		}
 		return real.Run(ctx, p, real.Options{Program: opt.Program, Logs: opt.Logs, Operator: opt.Operator,
@@ -93,21 +93,21 @@
 	default:
 		return nil, fmt.Errorf("there is no drive %q; there are: %s, %s", opt.Drive, Virtual, Real)
 	}
-	v := virtual.Options{Keep: opt.Keep, Trace: opt.Trace, Policy: opt.Policy, Progress: func(at, of time.Duration, events int64) {
+	v := virtual.Options{Keep: opt.KeepRows, Trace: opt.Trace, Policy: opt.Policy, Progress: func(at, of time.Duration, events int64) {
 		if opt.Progress != nil {
 			opt.Progress(at.Seconds()/of.Seconds(), fmt.Sprintf("%.1f million events", float64(events)/1e6))
 		}
 	}}
 	switch opt.Policy {
-	case "", Mixer:
+	case "", Proxy:
 	case Oracle:
 		v.Decide = oracle.True
 	case Random:
 		v.Decide = oracle.Blind
 	default:
-		return nil, fmt.Errorf("there is no policy %q; there are: %s, %s, %s", opt.Policy, Mixer, Oracle, Random)
+		return nil, fmt.Errorf("there is no policy %q; there are: %s, %s, %s", opt.Policy, Proxy, Oracle, Random)
 	}
-	if d := opt.Decided; d != nil {
+	if d := opt.Digest; d != nil {
 		d.sum = sha256.New()
 		decide := v.Decide
 		if decide == nil {
--- a/internal/lab/ports/ports.go
+++ b/internal/lab/ports/ports.go
@@ -22,7 +22,7 @@
 var ErrNoneFree = errors.New("no free ports below the kernel's own range")
 
 // Row returns the first of some consecutive ports that are free on 127.0.0.1.
-func Row(count int) (first int, err error) {
+func FreeRange(count int) (first int, err error) {
 	highest := kernelRangeBegin() - count
 	if highest <= lowest {
 		return 0, ErrNoneFree
--- a/internal/lab/ports/ports_test.go
+++ b/internal/lab/ports/ports_test.go
@@ -11,7 +11,7 @@
 func TestRow(t *testing.T) {
 	Convey("A row of ports is free and below those of outgoing connections", t, func() {
 		const count = 10
-		first, err := Row(count)
+		first, err := FreeRange(count)
 		So(err, ShouldBeNil)
 		So(first+count, ShouldBeLessThanOrEqualTo, kernelRangeBegin())
 		for port := first; port < first+count; port++ {
--- a/internal/lab/real/real.go
+++ b/internal/lab/real/real.go
@@ -99,7 +99,7 @@
 	n       int
 	life    int
 	listen  string
-	proc    *child.Mixer // nil: it does not run
+	proc    *child.Proxy // nil: it does not run
 	fronted bool
 	planned bool // its end was asked for
 }
@@ -527,7 +527,7 @@
 	}()
 }
 
-func (r *run) took(proc *child.Mixer) {
+func (r *run) took(proc *child.Proxy) {
 	if s := proc.Cmd.ProcessState; s != nil {
 		r.mixMu.Lock()
 		r.cpu += s.UserTime() + s.SystemTime()
@@ -576,7 +576,7 @@
 			default:
 			}
 			up++
-			bytes, files := child.Look(m.proc.Cmd.Process.Pid)
+			bytes, files := child.ResourceUsage(m.proc.Cmd.Process.Pid)
 			rss = max(rss, int64(bytes))
 			r.files = max(r.files, files)
 		}
@@ -677,7 +677,7 @@
 func (r *run) end() {
 	r.mixMu.Lock()
 	r.stopped = true
-	var procs []*child.Mixer
+	var procs []*child.Proxy
 	for _, m := range r.mixers {
 		if m.proc != nil {
 			m.planned = true
@@ -699,7 +699,7 @@
 func (r *run) close() {
 	r.mixMu.Lock()
 	r.stopped = true
-	var procs []*child.Mixer
+	var procs []*child.Proxy
 	for _, m := range r.mixers {
 		if m.proc != nil {
 			procs = append(procs, m.proc)
--- a/internal/lab/real/sources.go
+++ b/internal/lab/real/sources.go
@@ -59,7 +59,7 @@
 				if s.consul, err = consulapi.Listen(service, all); err != nil {
 					return err
 				}
-				s.consul.Told = func(i consulapi.Instance, at time.Time) { r.j.ToldBy(n, "consul", i.ID, i.Maintenance, at) }
+				s.consul.OnSent = func(i consulapi.Instance, at time.Time) { r.j.ToldBy(n, "consul", i.ID, i.Maintenance, at) }
 			case "dns":
 				var all []dnsserver.Target
 				for _, e := range l.Whole() {
@@ -68,7 +68,7 @@
 				if s.dns, err = dnsserver.Listen(srvName, uint32(r.plan.Source("dns").TTL/time.Second), all); err != nil {
 					return err
 				}
-				s.dns.Told = func(t dnsserver.Target, at time.Time) {
+				s.dns.OnSent = func(t dnsserver.Target, at time.Time) {
 					name, _, _ := strings.Cut(t.Name, ".")
 					r.j.ToldBy(n, "dns", name, strings.HasSuffix(t.Text, "state=draining"), at)
 				}
@@ -85,7 +85,7 @@
 		if s.disco, err = disco.Listen(entries); err != nil {
 			return err
 		}
-		s.disco.Told = func(e disco.Entry, at time.Time) {
+		s.disco.OnSent = func(e disco.Entry, at time.Time) {
 			switch {
 			case e.Status == "DELETED": // neither lifts a drain nor is one
 			case r.plan.Settings.Look > 0: // told once the agent held it
@@ -130,7 +130,7 @@
 		since = r.begin.Add(e.Since).UnixMilli()
 	}
 	return dnsserver.Target{Name: spec.Name + zoneName, Addrs: []string{host}, Port: uint16(n),
-		Text: dnsserver.TextOf(spec.Name, spec.Site, spec.Group, (spec.Cell+e.Shift)%r.plan.Groups[0].Cells, e.Standing == model.Draining, since)}
+		Text: dnsserver.TXTRecord(spec.Name, spec.Site, spec.Group, (spec.Cell+e.Shift)%r.plan.Groups[0].Cells, e.Standing == model.Draining, since)}
 }
 
 // tell is a list's, under its lock: news of one source for all mixers.
@@ -178,7 +178,7 @@
 		case "consul":
 			if c.Do == model.Reset {
 				if c.On {
-					s.consul.Reset()
+					s.consul.ResetIndex()
 				}
 				continue
 			}
@@ -203,20 +203,20 @@
 						f.Rcode = 2 // SERVFAIL
 					}
 				case model.Empty:
-					f.Empty = c.On
+					f.NXDomain = c.On
 				case model.Truncate:
 					f.Truncate = c.On
 				case model.Junk:
-					f.Storm = 0
+					f.JunkDatagrams = 0
 					if c.On {
-						f.Storm = junkEach
+						f.JunkDatagrams = junkEach
 					}
 				}
 			})
 		default:
 			switch c.Do {
 			case model.Mute, model.Broken:
-				s.disco.Mute(c.On, c.Do == model.Broken)
+				s.disco.SetUnavailable(c.On, c.Do == model.Broken)
 			case model.Empty:
 				for _, e := range l.Whole() {
 					x := r.entry(n, e)
--- a/internal/lab/reshape/reshape.go
+++ b/internal/lab/reshape/reshape.go
@@ -27,20 +27,20 @@
 
 // Config is how a world is.
 type Config struct {
-	Cells    map[int][]string // servers by cell
-	Segments int              // at the start
-	PerSeg   int              // keys of each
-	Every    time.Duration    // between reshapes; 0: none
-	Step     time.Duration    // that one step of a reshape takes
-	Lag      time.Duration    // of the feed
-	Abort    float64          // share of reshapes that are taken back
-	Die      float64          // share of steps at which the coordinator dies, and comes back after Away
-	Away     time.Duration
-	NoFence  bool
-	CutKill  float64                        // share of cuts right after which the new owner's cell dies
-	Kill     func(cell int) <-chan struct{} // has all servers of a cell die; closed once they are back
-	Seed     uint64
-	Judge    *judge.Judge
+	Cells             map[int][]string // servers by cell
+	Segments          int              // at the start
+	KeysPerSegment    int              // keys of each
+	Interval          time.Duration    // between reshapes; 0: none
+	StepTime          time.Duration    // that one step of a reshape takes
+	FeedDelay         time.Duration    // of the feed
+	AbortShare        float64          // share of reshapes that are taken back
+	CrashShare        float64          // share of steps at which the coordinator dies, and comes back after Away
+	Downtime          time.Duration
+	NoFence           bool
+	HandoverKillShare float64                        // share of cuts right after which the new owner's cell dies
+	KillCell          func(cell int) <-chan struct{} // has all servers of a cell die; closed once they are back
+	Seed              uint64
+	Judge             *judge.Judge
 }
 
 // World is all of it.
@@ -81,7 +81,7 @@
 	w := &World{Config: c, r: rand.New(rand.NewPCG(c.Seed, 77)), owners: make(map[int]*placement.Owner), busy: make(map[uint32]bool), down: make(map[int]bool),
 		counts: make(map[string]int), changed: make(chan struct{})}
 	govs := []string{"amman", "aqaba", "irbid", "karak", "zarqa"}
-	n := c.Segments * c.PerSeg
+	n := c.Segments * c.KeysPerSegment
 	for i := range n {
 		w.Keys = append(w.Keys, fmt.Sprintf("%s/%06d", govs[i*len(govs)/n], i))
 	}
@@ -95,10 +95,10 @@
 	for i := range c.Segments {
 		s := placement.Segment{ID: uint32(i + 1), Cell: cells[i%len(cells)], Since: 1}
 		if i > 0 {
-			s.From = w.Keys[i*c.PerSeg]
+			s.From = w.Keys[i*c.KeysPerSegment]
 		}
 		if i < c.Segments-1 {
-			s.To = w.Keys[(i+1)*c.PerSeg]
+			s.To = w.Keys[(i+1)*c.KeysPerSegment]
 		}
 		u.Segments = append(u.Segments, s)
 	}
@@ -205,7 +205,7 @@
 	w.m = m
 	w.feedMu.Lock()
 	defer w.feedMu.Unlock()
-	w.told = append(w.told, published{time.Now().Add(w.Lag), m, u})
+	w.told = append(w.told, published{time.Now().Add(w.FeedDelay), m, u})
 	if len(w.told) > history {
 		w.told = slices.Clone(w.told[len(w.told)-history:])
 	}
@@ -216,7 +216,7 @@
 
 // Run reshapes until ctx is done, then ends what is under way.
 func (w *World) Run(ctx context.Context) {
-	if w.Every <= 0 {
+	if w.Interval <= 0 {
 		return
 	}
 	var all sync.WaitGroup
@@ -225,7 +225,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(w.Every):
+		case <-time.After(w.Interval):
 		}
 		w.mu.Lock()
 		r, err := w.plan()
@@ -305,7 +305,7 @@
 	r.Start()
 	w.mu.Lock()
 	abortAt := -1
-	if w.r.Float64() < w.Abort {
+	if w.r.Float64() < w.AbortShare {
 		abortAt = w.r.IntN(3)
 	}
 	w.mu.Unlock()
@@ -315,13 +315,13 @@
 		}
 		d := r.NextAction()
 		done := w.order(r, d)
-		time.Sleep(w.Step)
+		time.Sleep(w.StepTime)
 		w.mu.Lock()
-		dies := w.r.Float64() < w.Die
+		dies := w.r.Float64() < w.CrashShare
 		w.mu.Unlock()
 		if dies { // between the order and what it stores of it
 			w.count("coordinator died")
-			time.Sleep(w.Away)
+			time.Sleep(w.Downtime)
 			continue
 		}
 		if done {
@@ -347,7 +347,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	cell := r.Targets[len(r.Targets)-1].Cell
-	if w.Kill == nil || w.CutKill == 0 || len(w.down) > 0 || w.r.Float64() >= w.CutKill {
+	if w.KillCell == nil || w.HandoverKillShare == 0 || len(w.down) > 0 || w.r.Float64() >= w.HandoverKillShare {
 		return
 	}
 	w.down[cell] = true
@@ -355,7 +355,7 @@
 	w.killed.Add(1)
 	go func() {
 		defer w.killed.Done()
-		<-w.Kill(cell)
+		<-w.KillCell(cell)
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		delete(w.down, cell)
@@ -465,9 +465,9 @@
 // ---- What a leaf server of a cell does with a part.
 
 // Keeper is a cell's side for its servers.
-type Keeper struct {
-	W    *World
-	Cell int
+type CellOwner struct {
+	World *World
+	Cell  int
 }
 
 // names reads what a frame's list says of a part's keys.
@@ -493,8 +493,8 @@
 
 // Begin implements leaf.Keeper. A part whose text begins with "book" books the one
 // key that it names; any other reads.
-func (k *Keeper) Begin(server string, p frame.Part) (finish func() (value string, held bool), epoch int64, held bool) {
-	w, o := k.W, k.W.owners[k.Cell]
+func (k *CellOwner) Begin(server string, p frame.Part) (finish func() (value string, held bool), epoch int64, held bool) {
+	w, o := k.World, k.World.owners[k.Cell]
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	_, ranges, ok := names(p)
@@ -525,8 +525,8 @@
 }
 
 // read is under mu.
-func (k *Keeper) read(server string, ranges []placement.Range) (func() (string, bool), int64, bool) {
-	w, o := k.W, k.W.owners[k.Cell]
+func (k *CellOwner) read(server string, ranges []placement.Range) (func() (string, bool), int64, bool) {
+	w, o := k.World, k.World.owners[k.Cell]
 	can := func() bool {
 		for _, r := range ranges {
 			if o.CanRead(r) != placement.Accepted {
@@ -555,14 +555,14 @@
 
 // Claim implements leaf.Keeper for a server that lies: it books and reads what its
 // cell does not hold, and its cell knows nothing of it.
-func (k *Keeper) Claim(server string, p frame.Part) func() (string, bool) {
+func (k *CellOwner) RunUnowned(server string, p frame.Part) func() (string, bool) {
 	return func() (string, bool) {
 		_, ranges, _ := names(p)
-		k.W.mu.Lock()
-		defer k.W.mu.Unlock()
-		k.W.counts["claimed"]++
+		k.World.mu.Lock()
+		defer k.World.mu.Unlock()
+		k.World.counts["claimed"]++
 		if query, _, _ := strings.Cut(p.ID, "."); strings.HasPrefix(p.Text, "book") && len(ranges) == 1 {
-			k.W.Judge.KeyRan(ranges[0].From, query, server)
+			k.World.Judge.KeyRan(ranges[0].From, query, server)
 			return server + "|booked " + ranges[0].From + " for " + query, true
 		}
 		return server + "|", true // it has no data of theirs
@@ -570,19 +570,19 @@
 }
 
 // Lost implements leaf.Keeper: what was begun and not stored had no effect.
-func (k *Keeper) Lost(p frame.Part) {
-	k.W.mu.Lock()
-	defer k.W.mu.Unlock()
+func (k *CellOwner) Lost(p frame.Part) {
+	k.World.mu.Lock()
+	defer k.World.mu.Unlock()
 	query, _, _ := strings.Cut(p.ID, ".")
-	if _, ranges, ok := names(p); ok && k.W.owners[k.Cell].Running[ranges[0].From] == query {
-		delete(k.W.owners[k.Cell].Running, ranges[0].From)
-		k.W.counts["bookings lost in a death"]++
+	if _, ranges, ok := names(p); ok && k.World.owners[k.Cell].Running[ranges[0].From] == query {
+		delete(k.World.owners[k.Cell].Running, ranges[0].From)
+		k.World.counts["bookings lost in a death"]++
 	}
 }
 
 // Epoch is what the cell has heard of.
-func (k *Keeper) Epoch() int64 {
-	k.W.mu.Lock()
-	defer k.W.mu.Unlock()
-	return k.W.owners[k.Cell].Epoch
+func (k *CellOwner) Epoch() int64 {
+	k.World.mu.Lock()
+	defer k.World.mu.Unlock()
+	return k.World.owners[k.Cell].Epoch
 }
--- a/internal/lab/soak/fleet/fleet.go
+++ b/internal/lab/soak/fleet/fleet.go
@@ -87,7 +87,7 @@
 	if entries, err := os.ReadDir(dir); err == nil && len(entries) > 0 {
 		return nil, fmt.Errorf("%s: %w", dir, ErrDirInUse)
 	}
-	port, err := ports.Row(controlPort + 1)
+	port, err := ports.FreeRange(controlPort + 1)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/soak/traffic/servers.go
+++ b/internal/lab/soak/traffic/servers.go
@@ -153,7 +153,7 @@
 	}
 	w.mu.Unlock()
 	if turnsAway {
-		return standin.Reply{Status: http.StatusServiceUnavailable, Not: true}
+		return standin.Reply{Status: http.StatusServiceUnavailable, NotExecuted: true}
 	}
 	run := judge.Run{Attempt: seen.Attempt, Server: w.id, Service: w.service, Target: seen.Target, At: w.recorder.now(), BrokeOff: breaksOff}
 	w.recorder.update(func(r *judge.Record) { r.Runs = append(r.Runs, run) })
--- a/internal/lab/standin/server.go
+++ b/internal/lab/standin/server.go
@@ -27,22 +27,22 @@
 
 // Reply is what a server does with a request.
 type Reply struct {
-	Status  int           // 0: 200
-	Body    string        // of a 200
-	Stamp   string        // "": one of its own
-	NoStamp bool          // the stamp is left out
-	ID      string        // "": the request's
-	Not     bool          // says that it did not run
-	NoID    bool          // the request's id is left out
-	Bare    bool          // no length: the answer ends with the connection
-	Extra   string        // bytes behind the answer
-	Close   bool          // says and does so
-	Reset   bool          // the connection ends with no answer
-	Cut     bool          // it ends in the middle of the body
-	Before  *Reply        // an answer that goes out first
-	Hold    chan struct{} // the answer waits for its close
-	Then    chan struct{} // after an early answer nothing is read until its close
-	Headers map[string]string
+	Status      int           // 0: 200
+	Body        string        // of a 200
+	Signature   string        // "": one of its own
+	NoSignature bool          // the stamp is left out
+	ID          string        // "": the request's
+	NotExecuted bool          // says that it did not run
+	NoID        bool          // the request's id is left out
+	NoLength    bool          // no length: the answer ends with the connection
+	Extra       string        // bytes behind the answer
+	Close       bool          // says and does so
+	Reset       bool          // the connection ends with no answer
+	Truncate    bool          // it ends in the middle of the body
+	Before      *Reply        // an answer that goes out first
+	HoldUntil   chan struct{} // the answer waits for its close
+	StallUntil  chan struct{} // after an early answer nothing is read until its close
+	Headers     map[string]string
 }
 
 // Server is a stand-in for one life of a server.
@@ -50,12 +50,12 @@
 	ID   string
 	Addr string
 	// Do tells what becomes of the n-th request, from 1; nil: all are answered.
-	Do func(n int, s Seen) Reply
+	Handle func(n int, s Seen) Reply
 	// Early answers a request before its body is read; nil, or a nil answer: none is.
-	Early func(s Seen) *Reply
+	RespondEarly func(s Seen) *Reply
 	// Window is how many bytes a connection's kernel takes unread; 0: as it likes. It counts for
 	// connections that are made from then on.
-	Window atomic.Int64
+	ReceiveWindow atomic.Int64
 
 	ln    net.Listener
 	mu    sync.Mutex
@@ -72,7 +72,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Server{ID: id, Addr: ln.Addr().String(), Do: do, ln: ln, conns: make(map[net.Conn]bool)}
+	s := &Server{ID: id, Addr: ln.Addr().String(), Handle: do, ln: ln, conns: make(map[net.Conn]bool)}
 	s.wait.Add(1)
 	go s.accept()
 	return s, nil
@@ -81,12 +81,12 @@
 // Close ends the server and its connections.
 func (s *Server) Close() {
 	s.ln.Close()
-	s.Drop()
+	s.CloseConns()
 	s.wait.Wait()
 }
 
 // Drop ends all connections.
-func (s *Server) Drop() {
+func (s *Server) CloseConns() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
@@ -115,7 +115,7 @@
 		if err != nil {
 			return
 		}
-		if window := s.Window.Load(); window > 0 {
+		if window := s.ReceiveWindow.Load(); window > 0 {
 			c.(*net.TCPConn).SetReadBuffer(int(window))
 		}
 		s.mu.Lock()
@@ -157,15 +157,15 @@
 		var p Reply
 		if target := q.Header.Get("X-Saddleport-Target-Instance"); target != "" && target != s.ID {
 			p, seen.Ran = Reply{Status: 421, Headers: map[string]string{"X-Saddleport-Instance-Id": s.ID}}, false
-		} else if s.Do != nil {
-			p = s.Do(int(s.n.Add(1)), seen)
-			seen.Ran = !p.Not
+		} else if s.Handle != nil {
+			p = s.Handle(int(s.n.Add(1)), seen)
+			seen.Ran = !p.NotExecuted
 		}
 		s.mu.Lock()
 		s.seen = append(s.seen, seen)
 		s.mu.Unlock()
-		if p.Hold != nil {
-			<-p.Hold
+		if p.HoldUntil != nil {
+			<-p.HoldUntil
 		}
 		if p.Before != nil {
 			c.Write(answer(*p.Before, seen.Attempt, s.ID))
@@ -177,11 +177,11 @@
 			return
 		}
 		b := answer(p, seen.Attempt, s.ID)
-		if p.Cut {
+		if p.Truncate {
 			b = b[:len(b)-len(p.Body)/2-1]
 		}
 		c.SetWriteDeadline(time.Now().Add(time.Second))
-		if _, err := c.Write(append(b, p.Extra...)); err != nil || p.Close || p.Cut || p.Bare {
+		if _, err := c.Write(append(b, p.Extra...)); err != nil || p.Close || p.Truncate || p.NoLength {
 			return
 		}
 	}
@@ -189,21 +189,21 @@
 
 // early answers a request whose body has not been read, and notes it as one that did not run.
 func (s *Server) early(c net.Conn, seen Seen) bool {
-	if s.Early == nil {
+	if s.RespondEarly == nil {
 		return false
 	}
-	p := s.Early(seen)
+	p := s.RespondEarly(seen)
 	if p == nil {
 		return false
 	}
-	seen.Ran = !p.Not
+	seen.Ran = !p.NotExecuted
 	s.mu.Lock()
 	s.seen = append(s.seen, seen)
 	s.mu.Unlock()
 	c.SetWriteDeadline(time.Now().Add(time.Second))
 	c.Write(answer(*p, seen.Attempt, s.ID))
-	if p.Then != nil {
-		<-p.Then
+	if p.StallUntil != nil {
+		<-p.StallUntil
 	}
 	return true
 }
@@ -214,7 +214,7 @@
 		status = 200
 	}
 	b := fmt.Appendf(nil, "HTTP/1.1 %d %s\r\n", status, http.StatusText(status))
-	if !p.Bare {
+	if !p.NoLength {
 		b = fmt.Appendf(b, "Content-Length: %d\r\n", len(p.Body))
 	}
 	if p.ID != "" {
@@ -223,14 +223,14 @@
 	if attempt != "" && !p.NoID {
 		b = fmt.Appendf(b, "X-Saddleport-Attempt-Id: %s\r\n", attempt)
 	}
-	if !p.NoStamp && !p.Not && status != 421 {
-		stamp := p.Stamp
+	if !p.NoSignature && !p.NotExecuted && status != 421 {
+		stamp := p.Signature
 		if stamp == "" {
 			stamp = "s." + id + "." + attempt
 		}
 		b = fmt.Appendf(b, "X-Saddleport-Response-Signature: %s\r\n", stamp)
 	}
-	if p.Not {
+	if p.NotExecuted {
 		b = append(b, "X-Saddleport-Not-Executed: 1\r\n"...)
 	}
 	for name, value := range p.Headers {
--- a/internal/lab/sweep/sweep.go
+++ b/internal/lab/sweep/sweep.go
@@ -178,7 +178,7 @@
 		return err
 	}
 	p := opt.Play
-	p.Keep, p.Progress = opt.Rows, progress
+	p.KeepRows, p.Progress = opt.Rows, progress
 	run, err := play.Play(ctx, plan, p)
 	if err != nil {
 		return err
@@ -192,7 +192,7 @@
 
 func policy(p play.Options) string {
 	if p.Policy == "" {
-		return play.Mixer
+		return play.Proxy
 	}
 	return p.Policy
 }
--- a/internal/lab/testcluster/testcluster.go
+++ b/internal/lab/testcluster/testcluster.go
@@ -121,7 +121,7 @@
 		return nil, err
 	}
 	rng := rand.New(rand.NewPCG(seed, 4))
-	port, err := ports.Row(controlPort + 1)
+	port, err := ports.FreeRange(controlPort + 1)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/virtual/virtual.go
+++ b/internal/lab/virtual/virtual.go
@@ -134,7 +134,7 @@
 	run := w.rec.Done(w.j.Judge(epoch.Add(p.Window[0]), epoch.Add(p.Window[1])))
 	var mem runtime.MemStats
 	runtime.ReadMemStats(&mem)
-	run.Machine = record.Machine{Wall: time.Since(begun), Events: w.loop.Done(), PeakMiB: int64(mem.Sys >> 20), Threads: 1}
+	run.Machine = record.Machine{Wall: time.Since(begun), Events: w.loop.Executed(), PeakMiB: int64(mem.Sys >> 20), Threads: 1}
 	return run, nil
 }
 
@@ -143,7 +143,7 @@
 	if err != nil {
 		return nil, err
 	}
-	w := &world{ctx: ctx, opt: opt, plan: p, loop: &event.Loop{Most: opt.Most}, net: p.NewNetwork(), sent: make(map[string]int),
+	w := &world{ctx: ctx, opt: opt, plan: p, loop: &event.Loop{MaxEvents: opt.Most}, net: p.NewNetwork(), sent: make(map[string]int),
 		rec: record.New(p, "virtual", opt.Policy, opt.Keep), vanish: make([]int, len(p.Servers))}
 	if w.set, err = settings.Decode(settings.Flatten(gjson.ParseBytes(text))); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
@@ -212,7 +212,7 @@
 	end := p.Length + longest + overtime
 	w.loop.Tick = func() error {
 		if w.opt.Progress != nil {
-			w.opt.Progress(min(w.loop.Now(), end), end, w.loop.Done())
+			w.opt.Progress(min(w.loop.Now(), end), end, w.loop.Executed())
 		}
 		return w.ctx.Err()
 	}
--- a/internal/lab/virtual/virtual_test.go
+++ b/internal/lab/virtual/virtual_test.go
@@ -228,7 +228,7 @@
 	p, err := s.Plan(1)
 	require.NoError(t, err)
 	_, err = Run(context.Background(), p, Options{Most: 5000})
-	require.ErrorIs(t, err, event.ErrEndless)
+	require.ErrorIs(t, err, event.ErrTooManyEvents)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	p, err = s.Plan(1)
--- a/internal/node/fleettest/outliers_test.go
+++ b/internal/node/fleettest/outliers_test.go
@@ -43,7 +43,7 @@
 					latency = 300 * time.Millisecond // on a busy machine the others take tens of milliseconds too
 				}
 				time.AfterFunc(latency, func() { close(released) })
-				return standin.Reply{Body: "x", Hold: released}
+				return standin.Reply{Body: "x", HoldUntil: released}
 			})
 			So(err, ShouldBeNil)
 			defer server.Close()
--- a/internal/source/consul/consul_test.go
+++ b/internal/source/consul/consul_test.go
@@ -58,25 +58,25 @@
 	defer srv.Close()
 	sink := &observed.Sink{}
 	stop := start(t, settings(func(s *Settings) { s.Addrs = []string{srv.Addr} }), sink)
-	o := sink.Until(t, "both", func(o membership.Observation) bool { return len(o.Claims) == 2 })
+	o := sink.WaitFor(t, "both", func(o membership.Observation) bool { return len(o.Claims) == 2 })
 	require.Equal(t, membership.Claim{Name: "a", Addresses: []string{"127.0.0.1:7001", "unix:/run/a.sock"}, Site: "zarqa", Kind: "std-2c", Cell: 3, HasCell: true,
-		Health: membership.Passing, Weight: 2.5}, *observed.Named(o, "a"))
+		Health: membership.Passing, Weight: 2.5}, *observed.ClaimOn(o, "a"))
 	b := instance("b", 4)
 	b.Maintenance = true
 	srv.Put(b)
-	sink.Until(t, "a drain", func(o membership.Observation) bool {
-		c := observed.Named(o, "b")
+	sink.WaitFor(t, "a drain", func(o membership.Observation) bool {
+		c := observed.ClaimOn(o, "b")
 		return c != nil && c.Drain && c.Health == membership.Passing
 	})
 	b.Maintenance, b.Status, b.Tags = false, "critical", []string{"draining"}
 	srv.Put(b)
-	sink.Until(t, "critical", func(o membership.Observation) bool {
-		c := observed.Named(o, "b")
+	sink.WaitFor(t, "critical", func(o membership.Observation) bool {
+		c := observed.ClaimOn(o, "b")
 		return c != nil && c.Drain && c.Health == membership.Critical
 	})
 	srv.Remove("b")
-	sink.Until(t, "gone", func(o membership.Observation) bool {
-		return o.Complete && observed.Named(o, "b") == nil && observed.Named(o, "a") != nil
+	sink.WaitFor(t, "gone", func(o membership.Observation) bool {
+		return o.Complete && observed.ClaimOn(o, "b") == nil && observed.ClaimOn(o, "a") != nil
 	})
 	stop()
 }
@@ -90,19 +90,19 @@
 	defer srv.Close()
 	sink := &observed.Sink{}
 	start(t, settings(func(s *Settings) { s.Addrs = []string{srv.Addr} }), sink)
-	first := sink.Until(t, "a", func(o membership.Observation) bool { return observed.Named(o, "a") != nil })
+	first := sink.WaitFor(t, "a", func(o membership.Observation) bool { return observed.ClaimOn(o, "a") != nil })
 	srv.Set(func(f *consulapi.Faults) { f.NoLeader, f.Empty = true, true })
-	sink.Until(t, "a failure", func(o membership.Observation) bool { return o.Failed })
-	srv.Set(func(f *consulapi.Faults) { f.NoLeader, f.Empty, f.Contact = false, false, time.Minute })
-	sink.Until(t, "a failure for a stale server", func(o membership.Observation) bool { return o.Failed })
-	srv.Set(func(f *consulapi.Faults) { f.Contact = 0 })
-	sink.Until(t, "a again", func(o membership.Observation) bool { return observed.Named(o, "a") != nil && o.Index > first.Index })
-	srv.Reset()
-	o := sink.Until(t, "a reset", func(o membership.Observation) bool { return o.Reset })
+	sink.WaitFor(t, "a failure", func(o membership.Observation) bool { return o.Failed })
+	srv.Set(func(f *consulapi.Faults) { f.NoLeader, f.Empty, f.LastContact = false, false, time.Minute })
+	sink.WaitFor(t, "a failure for a stale server", func(o membership.Observation) bool { return o.Failed })
+	srv.Set(func(f *consulapi.Faults) { f.LastContact = 0 })
+	sink.WaitFor(t, "a again", func(o membership.Observation) bool { return observed.ClaimOn(o, "a") != nil && o.Index > first.Index })
+	srv.ResetIndex()
+	o := sink.WaitFor(t, "a reset", func(o membership.Observation) bool { return o.Reset })
 	require.Less(t, o.Index, first.Index)
 	srv.Put(instance("c", 1))
-	sink.Until(t, "a change after the reset", func(o membership.Observation) bool { return observed.Named(o, "c") != nil && !o.Reset })
-	sink.Never(t, "a response without a leader was accepted", func(o membership.Observation) bool { return !o.Failed && len(o.Claims) == 0 })
+	sink.WaitFor(t, "a change after the reset", func(o membership.Observation) bool { return observed.ClaimOn(o, "c") != nil && !o.Reset })
+	sink.RequireNone(t, "a response without a leader was accepted", func(o membership.Observation) bool { return !o.Failed && len(o.Claims) == 0 })
 }
 
 // An unreachable agent is skipped for the next. The token is read from the file, read again
@@ -116,7 +116,7 @@
 	srv, err := consulapi.Listen("trips", []consulapi.Instance{instance("a", 3)})
 	require.NoError(t, err)
 	defer srv.Close()
-	srv.Set(func(f *consulapi.Faults) { f.Token = "s3cret-two" })
+	srv.Set(func(f *consulapi.Faults) { f.RequiredToken = "s3cret-two" })
 	token := filepath.Join(t.TempDir(), "token")
 	require.NoError(t, os.WriteFile(token, []byte("s3cret-one\n"), 0o600))
 	backend, _ := url.Parse("http://" + srv.Addr)
@@ -129,15 +129,15 @@
 	stop := start(t, settings(func(s *Settings) {
 		s.Addrs, s.TokenFile, s.TLS, s.CAFile = []string{dead.Addr, strings.TrimPrefix(proxy.URL, "https://")}, token, true, ca
 	}), sink)
-	sink.Until(t, "a rejection", func(o membership.Observation) bool { return o.Failed })
+	sink.WaitFor(t, "a rejection", func(o membership.Observation) bool { return o.Failed })
 	require.NoError(t, os.WriteFile(token, []byte("s3cret-two"), 0o600))
-	sink.Until(t, "a", func(o membership.Observation) bool { return observed.Named(o, "a") != nil })
+	sink.WaitFor(t, "a", func(o membership.Observation) bool { return observed.ClaimOn(o, "a") != nil })
 	stop()
 	require.NotContains(t, log.String(), "s3cret")
 
 	untrusting := &observed.Sink{}
 	start(t, settings(func(s *Settings) { s.Addrs, s.TLS = []string{strings.TrimPrefix(proxy.URL, "https://")}, true }), untrusting)
-	untrusting.Until(t, "an untrusted authority", func(o membership.Observation) bool { return o.Failed })
+	untrusting.WaitFor(t, "an untrusted authority", func(o membership.Observation) bool { return o.Failed })
 	for _, s := range []Settings{settings(func(s *Settings) { s.TokenFile = ca + ".none" }), settings(func(s *Settings) { s.CAFile = token })} {
 		_, err := New(s, untrusting)
 		require.Error(t, err)
@@ -158,11 +158,11 @@
 	}), sink)
 	seen := make(map[string]membership.Observation)
 	for len(seen) < 2 {
-		o := sink.Until(t, "both datacentres", func(o membership.Observation) bool { return len(o.Claims) == 1 })
+		o := sink.WaitFor(t, "both datacentres", func(o membership.Observation) bool { return len(o.Claims) == 1 })
 		seen[o.Source] = o
 	}
-	require.NotNil(t, observed.Named(seen["consul.amman"], "a"))
-	require.NotNil(t, observed.Named(seen["consul.zarqa"], "b"))
+	require.NotNil(t, observed.ClaimOn(seen["consul.amman"], "a"))
+	require.NotNil(t, observed.ClaimOn(seen["consul.zarqa"], "b"))
 	require.Equal(t, membership.Unknown, seen["consul.zarqa"].Claims[0].Health)
 	require.True(t, seen["consul.zarqa"].Claims[0].HasCell)
 }
@@ -203,7 +203,7 @@
 	stop, finished := make(chan struct{}), make(chan struct{})
 	go func() { c.KeepRegistered("n3", "127.0.0.1:8080", stop); close(finished) }()
 	require.Eventually(t, func() bool { _, n := srv.Calls(); return n > 2 && len(srv.Registered()) == 1 }, 20*time.Second, time.Millisecond)
-	srv.Forget()
+	srv.ForgetRegistrations()
 	require.Eventually(t, func() bool { return slices.Equal(srv.Registered(), []string{"proxies-n3"}) }, 20*time.Second, time.Millisecond)
 	close(stop)
 	<-finished
--- a/internal/source/dnssrv/dnssrv_test.go
+++ b/internal/source/dnssrv/dnssrv_test.go
@@ -20,7 +20,7 @@
 
 // usable reports whether the claim of a server has the cell and the addresses that parts need.
 func usable(o membership.Observation, id string) bool {
-	c := observed.Named(o, id)
+	c := observed.ClaimOn(o, id)
 	return c != nil && c.HasCell && len(c.Addresses) > 0
 }
 
@@ -38,7 +38,7 @@
 }
 
 func target(id string, cell int, addrs ...string) dnsserver.Target {
-	return dnsserver.Target{Name: id + ".zarqa.example.org", Addrs: addrs, Port: 7001, Text: dnsserver.TextOf(id, "zarqa", "std-2c", cell, false, 0)}
+	return dnsserver.Target{Name: id + ".zarqa.example.org", Addrs: addrs, Port: 7001, Text: dnsserver.TXTRecord(id, "zarqa", "std-2c", cell, false, 0)}
 }
 
 func listen(t *testing.T, ttl uint32, targets ...dnsserver.Target) *dnsserver.Server {
@@ -66,19 +66,19 @@
 	require.NoError(t, err)
 	sink, stop := start(t, settings(nil, srv))
 	// The first observation is complete: no server is reported before its cell is known.
-	o := sink.Until(t, "anything", func(o membership.Observation) bool { return true })
+	o := sink.WaitFor(t, "anything", func(o membership.Observation) bool { return true })
 	require.True(t, usable(o, "s-1") && usable(o, "s-2"), "%+v", o)
-	require.Equal(t, membership.Claim{Name: "s-1", Addresses: []string{"[::1]:7001", "127.0.0.1:7001"}, Site: "zarqa", Kind: "std-2c", Cell: 3, HasCell: true, Weight: 1, Aliases: []string{"s-1.zarqa.example.org"}}, *observed.Named(o, "s-1"))
+	require.Equal(t, membership.Claim{Name: "s-1", Addresses: []string{"[::1]:7001", "127.0.0.1:7001"}, Site: "zarqa", Kind: "std-2c", Cell: 3, HasCell: true, Weight: 1, Aliases: []string{"s-1.zarqa.example.org"}}, *observed.ClaimOn(o, "s-1"))
 	drained := target("s-2", 4, "127.0.0.2")
-	drained.Text = dnsserver.TextOf("s-2", "zarqa", "std-2c", 4, true, 7)
+	drained.Text = dnsserver.TXTRecord("s-2", "zarqa", "std-2c", 4, true, 7)
 	srv.Put(drained)
-	sink.Until(t, "a drain", func(o membership.Observation) bool {
-		c := observed.Named(o, "s-2")
+	sink.WaitFor(t, "a drain", func(o membership.Observation) bool {
+		c := observed.ClaimOn(o, "s-2")
 		return c != nil && c.Drain && c.Since == 7000
 	})
 	srv.Remove("s-2.zarqa.example.org")
-	sink.Until(t, "gone", func(o membership.Observation) bool {
-		return o.Complete && usable(o, "s-1") && observed.Named(o, "s-2") == nil
+	sink.WaitFor(t, "gone", func(o membership.Observation) bool {
+		return o.Complete && usable(o, "s-1") && observed.ClaimOn(o, "s-2") == nil
 	})
 	stop()
 	srv.Close()
@@ -91,17 +91,17 @@
 	for scenario, setFault := range map[string]func(*dnsserver.Faults){
 		"truncated": func(f *dnsserver.Faults) { f.Truncate = true },
 		"no EDNS":   func(f *dnsserver.Faults) { f.NoEDNS = true },
-		"bare":      func(f *dnsserver.Faults) { f.Bare = true },
-		"storm":     func(f *dnsserver.Faults) { f.Storm = 30 },
+		"bare":      func(f *dnsserver.Faults) { f.NoAdditional = true },
+		"storm":     func(f *dnsserver.Faults) { f.JunkDatagrams = 30 },
 	} {
 		t.Run(scenario, func(t *testing.T) {
 			t.Parallel()
 			srv := listen(t, 60, target("s-1", 3, "127.0.0.1"))
 			srv.Set(setFault)
 			sink, _ := start(t, settings(func(s *Settings) { s.Timeout = 5 * time.Second }, srv))
-			sink.Until(t, "s-1", func(o membership.Observation) bool { return usable(o, "s-1") })
+			sink.WaitFor(t, "s-1", func(o membership.Observation) bool { return usable(o, "s-1") })
 			if scenario == "truncated" {
-				require.Positive(t, srv.Asked("tcp"))
+				require.Positive(t, srv.QuestionCount("tcp"))
 			}
 		})
 	}
@@ -112,10 +112,10 @@
 	}
 	srv := listen(t, 60, many...)
 	sink, _ := start(t, settings(func(s *Settings) { s.Timeout, s.MaxTargets, s.Parallel = 10*time.Second, 150, 32 }, srv))
-	o := sink.Until(t, "the maximum number of targets", func(o membership.Observation) bool {
+	o := sink.WaitFor(t, "the maximum number of targets", func(o membership.Observation) bool {
 		return len(o.Claims) == 150 && !slices.ContainsFunc(o.Claims, func(c membership.Claim) bool { return !usable(o, c.Name) })
 	})
-	require.Positive(t, srv.Asked("tcp"))
+	require.Positive(t, srv.QuestionCount("tcp"))
 	require.True(t, o.Complete)
 }
 
@@ -126,16 +126,16 @@
 		"servfail": func(f *dnsserver.Faults) { f.Rcode = dns.RcodeServerFailure },
 		"refused":  func(f *dnsserver.Faults) { f.Rcode = dns.RcodeRefused },
 		"lame":     func(f *dnsserver.Faults) { f.Lame = true },
-		"lies":     func(f *dnsserver.Faults) { f.Lie = true },
-		"flood":    func(f *dnsserver.Faults) { f.Storm = 3 * maxUnrelated },
+		"lies":     func(f *dnsserver.Faults) { f.WrongQuestion = true },
+		"flood":    func(f *dnsserver.Faults) { f.JunkDatagrams = 3 * maxUnrelated },
 	} {
 		t.Run(scenario, func(t *testing.T) {
 			t.Parallel()
 			bad, good := listen(t, 60), listen(t, 60, target("s-1", 3, "127.0.0.1"))
 			bad.Set(setFault)
 			sink, _ := start(t, settings(nil, bad, good))
-			sink.Until(t, "s-1", func(o membership.Observation) bool { return usable(o, "s-1") })
-			sink.Never(t, "an empty answer", func(o membership.Observation) bool { return !o.Failed && len(o.Claims) == 0 })
+			sink.WaitFor(t, "s-1", func(o membership.Observation) bool { return usable(o, "s-1") })
+			sink.RequireNone(t, "an empty answer", func(o membership.Observation) bool { return !o.Failed && len(o.Claims) == 0 })
 		})
 	}
 }
@@ -144,12 +144,12 @@
 // deny it, it does not.
 func TestNoSuchName(t *testing.T) {
 	one, two := listen(t, 0, target("s-1", 3, "127.0.0.1")), listen(t, 0, target("s-1", 3, "127.0.0.1"))
-	one.Set(func(f *dnsserver.Faults) { f.Empty = true })
+	one.Set(func(f *dnsserver.Faults) { f.NXDomain = true })
 	sink, _ := start(t, settings(nil, one, two))
-	sink.Until(t, "s-1", func(o membership.Observation) bool { return usable(o, "s-1") })
-	sink.Never(t, "an empty answer", func(o membership.Observation) bool { return !o.Failed && len(o.Claims) == 0 })
-	two.Set(func(f *dnsserver.Faults) { f.Empty = true })
-	sink.Until(t, "nothing", func(o membership.Observation) bool { return !o.Failed && len(o.Claims) == 0 })
+	sink.WaitFor(t, "s-1", func(o membership.Observation) bool { return usable(o, "s-1") })
+	sink.RequireNone(t, "an empty answer", func(o membership.Observation) bool { return !o.Failed && len(o.Claims) == 0 })
+	two.Set(func(f *dnsserver.Faults) { f.NXDomain = true })
+	sink.WaitFor(t, "nothing", func(o membership.Observation) bool { return !o.Failed && len(o.Claims) == 0 })
 }
 
 // When a resolver becomes unresponsive, its records stay in use as stale, the source is
@@ -158,13 +158,13 @@
 func TestUnresponsiveResolver(t *testing.T) {
 	srv := listen(t, 0, target("s-1", 3, "127.0.0.1"))
 	sink, _ := start(t, settings(func(s *Settings) { s.Timeout = 20 * time.Millisecond }, srv))
-	sink.Until(t, "s-1", func(o membership.Observation) bool { return usable(o, "s-1") })
+	sink.WaitFor(t, "s-1", func(o membership.Observation) bool { return usable(o, "s-1") })
 	srv.Set(func(f *dnsserver.Faults) { f.Silent = true })
-	sink.Until(t, "a failure", func(o membership.Observation) bool { return o.Failed })
-	sink.Until(t, "another failure", func(o membership.Observation) bool { return o.Failed })
+	sink.WaitFor(t, "a failure", func(o membership.Observation) bool { return o.Failed })
+	sink.WaitFor(t, "another failure", func(o membership.Observation) bool { return o.Failed })
 	srv.Set(func(f *dnsserver.Faults) { f.Silent = false })
-	sink.Until(t, "s-1 again", func(o membership.Observation) bool { return usable(o, "s-1") })
-	sink.Never(t, "an answer without s-1", func(o membership.Observation) bool { return !o.Failed && observed.Named(o, "s-1") == nil })
+	sink.WaitFor(t, "s-1 again", func(o membership.Observation) bool { return usable(o, "s-1") })
+	sink.RequireNone(t, "an answer without s-1", func(o membership.Observation) bool { return !o.Failed && observed.ClaimOn(o, "s-1") == nil })
 }
 
 // RFC 2782: in each cell only the targets of the lowest priority count, weights are relative
@@ -177,13 +177,13 @@
 	d.Weight = 10
 	srv := listen(t, 60, a, b, c, d)
 	sink, _ := start(t, settings(nil, srv))
-	o := sink.Until(t, "three", func(o membership.Observation) bool {
+	o := sink.WaitFor(t, "three", func(o membership.Observation) bool {
 		return len(o.Claims) == 3 && usable(o, "s-1") && usable(o, "s-3") && usable(o, "s-4")
 	})
-	require.InDelta(t, 1.5, observed.Named(o, "s-1").Weight, 1e-9)
-	require.InDelta(t, 0.5, observed.Named(o, "s-4").Weight, 1e-9)
+	require.InDelta(t, 1.5, observed.ClaimOn(o, "s-1").Weight, 1e-9)
+	require.InDelta(t, 0.5, observed.ClaimOn(o, "s-4").Weight, 1e-9)
 	sink, _ = start(t, settings(func(s *Settings) { s.Cell = "label" }, listen(t, 60, dnsserver.Target{Name: "trip7.c2.zarqa.example.org", Addrs: []string{"127.0.0.1"}, Port: 1})))
-	o = sink.Until(t, "a label", func(o membership.Observation) bool { return usable(o, "trip7.c2.zarqa.example.org") })
+	o = sink.WaitFor(t, "a label", func(o membership.Observation) bool { return usable(o, "trip7.c2.zarqa.example.org") })
 	require.Equal(t, 2, o.Claims[0].Cell)
 }
 
