--- a/internal/lab/answers/answers_test.go
+++ b/internal/lab/answers/answers_test.go
@@ -6,10 +6,11 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// Whatever servers do with answers and connections, no caller gets another's answer, and
-// what may run once does. `saddlectl measure answers` plays it at length.
+// Guards against a response that reaches another client and a non-idempotent request that
+// runs twice, with servers that respond late, twice, truncated or not at all.
+// `saddlectl measure answers` runs it at length.
 func TestAnswersReachTheirCallers(t *testing.T) {
-	Convey("Of thousands of requests to servers that answer in disorder", t, func() {
+	Convey("Thousands of requests to faulty servers each get their own response", t, func() {
 		p := DefaultPlan
 		p.Requests, p.Clients = 4000, 32
 		r, err := Run(p)
@@ -19,16 +20,17 @@
 		So(r.RanTwice, ShouldBeEmpty)
 		So(r.FalseRefusals, ShouldBeEmpty)
 		So(r.Served, ShouldBeGreaterThan, 1500)
-		So(len(r.Faults), ShouldEqual, len(disorders)+1) // each disorder came about
+		So(len(r.Faults), ShouldEqual, len(serverFaults)+1) // each fault occurred
 	})
 }
 
-// The run bites: with a rule left out it finds what that rule forbids.
-func TestRulesLeftOutAreFound(t *testing.T) {
-	for name, breaks := range Mutants {
-		Convey("Left out: "+name, t, func() {
+// Checks that the run can fail: with a rule switched off it finds the violations that the
+// rule prevents.
+func TestDisabledRulesAreFound(t *testing.T) {
+	for name, mutations := range Mutants {
+		Convey("Rule switched off: "+name, t, func() {
 			p := DefaultPlan
-			p.Requests, p.Clients, p.Mutations = 4000, 32, breaks
+			p.Requests, p.Clients, p.Mutations = 4000, 32, mutations
 			r, err := Run(p)
 			So(err, ShouldBeNil)
 			t.Log(name, r.String())
--- a/internal/lab/answers/clients.go
+++ b/internal/lab/answers/clients.go
@@ -13,105 +13,106 @@
 )
 
 const (
-	onceMark   = "b" // the ids of requests that may run once begin so
-	clientTime = 2 * time.Second
-	longBody   = 200 << 10 // more than a server reads before it answers early
-	leaveShare = 0.02      // of the clients' requests are left before their answer
-	leaveAfter = 3 * time.Millisecond
+	nonIdempotentPrefix = "b" // starts the ids of non-idempotent requests
+	clientTimeout       = 2 * time.Second
+	longBody            = 200 << 10 // exceeds what a server reads before it responds early
+	leaveShare          = 0.02      // share of requests whose client disconnects before the response
+	leaveAfter          = 3 * time.Millisecond
 )
 
-// request is one try of a client.
+// request is one request of a client.
 type request struct {
 	id, method, target, body string
-	once, gather             bool
-	leaves                   bool // the client closes its connection before the answer
+	nonIdempotent, fanout    bool
+	disconnects              bool // the client closes its connection before the response
 }
 
-// playClients has all clients send their requests, one after another on kept connections.
-func (l *ledger) playClients(addr string) {
-	var wait sync.WaitGroup
-	for i := range l.plan.Clients {
-		wait.Add(1)
+// runClients has all clients send their requests, each one request at a time on a
+// persistent connection.
+func (rec *recorder) runClients(addr string) {
+	var clients sync.WaitGroup
+	for i := range rec.plan.Clients {
+		clients.Add(1)
 		go func() {
-			defer wait.Done()
-			c := &client{l: l, addr: addr, rng: rand.New(rand.NewPCG(l.plan.Seed, uint64(100+i)))}
+			defer clients.Done()
+			c := &client{rec: rec, addr: addr, rng: rand.New(rand.NewPCG(rec.plan.Seed, uint64(100+i)))}
 			defer c.close()
-			for n := range l.plan.Requests / l.plan.Clients {
-				c.ask(c.draw(i, n))
+			for n := range rec.plan.Requests / rec.plan.Clients {
+				c.send(c.nextRequest(i, n))
 			}
 		}()
 	}
-	wait.Wait()
+	clients.Wait()
 }
 
 type client struct {
-	l    *ledger
+	rec  *recorder
 	addr string
 	rng  *rand.Rand
 	conn net.Conn
 	r    *bufio.Reader
 }
 
-// draw makes a client's next request.
-func (c *client) draw(client, n int) request {
-	q := request{method: "GET", leaves: c.rng.Float64() < leaveShare}
+// nextRequest returns the n-th request of a client, of a random kind.
+func (c *client) nextRequest(client, n int) request {
+	q := request{method: "GET", disconnects: c.rng.Float64() < leaveShare}
 	switch c.rng.IntN(5) {
 	case 0, 1:
-		q.once, q.method, q.target, q.body = true, "POST", "/book/x", "order"
+		q.nonIdempotent, q.method, q.target, q.body = true, "POST", "/book/x", "order"
 	case 2:
-		q.once, q.method, q.target, q.body = true, "POST", "/book/x", strings.Repeat("long ", longBody/5*c.rng.IntN(2)+1)
+		q.nonIdempotent, q.method, q.target, q.body = true, "POST", "/book/x", strings.Repeat("long ", longBody/5*c.rng.IntN(2)+1)
 	case 3:
-		q.gather, q.target = true, "/all/x"
+		q.fanout, q.target = true, "/all/x"
 	default:
 		q.target = "/look/x"
 	}
 	q.id = fmt.Sprintf("r%d.%d", client, n)
-	if q.once {
-		q.id = onceMark + q.id
+	if q.nonIdempotent {
+		q.id = nonIdempotentPrefix + q.id
 	}
 	return q
 }
 
-// ask sends a request and tells the ledger what came back: 0 for a connection that ended.
-func (c *client) ask(q request) {
+// send sends a request and records its outcome: status 0 for a connection that ended.
+func (c *client) send(q request) {
 	if c.conn == nil && !c.dial() {
-		c.l.told(q, 0, "", "")
+		c.rec.recordOutcome(q, 0, "", "")
 		return
 	}
-	c.conn.SetDeadline(time.Now().Add(clientTime))
+	c.conn.SetDeadline(time.Now().Add(clientTimeout))
 	text := fmt.Sprintf("%s %s HTTP/1.1\r\nHost: h\r\nX-Saddleport-Attempt-Id: %s\r\nX-Saddleport-Deadline-Ms: 500\r\n", q.method, q.target, q.id)
 	if q.body != "" {
 		text += fmt.Sprintf("Content-Length: %d\r\n", len(q.body))
 	}
 	_, err := io.WriteString(c.conn, text+"\r\n"+q.body)
-	if err != nil || q.leaves {
+	if err != nil || q.disconnects {
 		time.Sleep(leaveAfter)
 		c.close()
-		c.l.told(q, 0, "", "")
+		c.rec.recordOutcome(q, 0, "", "")
 		return
 	}
-	c.answer(q)
+	c.readResponse(q)
 }
 
-func (c *client) answer(q request) {
-	p, err := http.ReadResponse(c.r, &http.Request{Method: q.method})
+func (c *client) readResponse(q request) {
+	response, err := http.ReadResponse(c.r, &http.Request{Method: q.method})
 	if err != nil {
 		c.close()
-		c.l.told(q, 0, "", "")
+		c.rec.recordOutcome(q, 0, "", "")
 		return
 	}
-	text, err := io.ReadAll(p.Body)
+	text, err := io.ReadAll(response.Body)
 	if err != nil {
 		c.close()
-		c.l.told(q, 0, "", "")
+		c.rec.recordOutcome(q, 0, "", "")
 		return
 	}
-	stamps := p.Header.Get("X-Saddleport-Response-Signature")
-	if q.gather {
-		stamps = p.Header.Get("X-Saddleport-Part-Signatures")
+	signatures := response.Header.Get("X-Saddleport-Response-Signature")
+	if q.fanout {
+		signatures = response.Header.Get("X-Saddleport-Part-Signatures")
 	}
-	c.l.told(q, p.StatusCode, string(text), stamps)
-	if p.Close {
+	c.rec.recordOutcome(q, response.StatusCode, string(text), signatures)
+	if response.Close {
 		c.close()
 	}
 }
--- a/internal/lab/answers/ledger.go
+++ b/internal/lab/answers/ledger.go
@@ -14,47 +14,47 @@
 const (
 	recordBytes = 16
 	records     = 4
-	silence     = 900 * time.Millisecond // longer than any client waits
-	mostNoted   = 20                     // of each kind of breach
+	silentFor   = 900 * time.Millisecond // exceeds the timeout of every route, 600 ms
+	maxListed   = 20                     // violations listed of each kind
 )
 
-// ledger is what servers did with each request, and what clients were told.
-type ledger struct {
+// recorder records what servers did with each request and which responses clients got.
+type recorder struct {
 	plan Plan
 
 	mu      sync.Mutex
 	rng     *rand.Rand
-	ran     map[string]int // by attempt id
-	last    map[string]string
-	spoilt  map[string]int
+	ran     map[string]int    // executions by attempt id
+	last    map[string]string // latest attempt id by server
+	faults  map[string]int    // by name
 	servers []*standin.Server
-	seen    Report
+	totals  Report
 }
 
-func newLedger(p Plan) *ledger {
-	return &ledger{plan: p, rng: rand.New(rand.NewPCG(p.Seed, 5)), ran: make(map[string]int), last: make(map[string]string),
-		spoilt: make(map[string]int)}
+func newRecorder(p Plan) *recorder {
+	return &recorder{plan: p, rng: rand.New(rand.NewPCG(p.Seed, 5)), ran: make(map[string]int), last: make(map[string]string),
+		faults: make(map[string]int)}
 }
 
-// serve has a stand-in answer, in order or not.
-func (l *ledger) serve(s *standin.Server) {
-	s.Handle = func(_ int, seen standin.Seen) standin.Reply { return l.reply(s.ID, seen) }
-	s.RespondEarly = func(seen standin.Seen) *standin.Reply { return l.early(seen) }
-	l.mu.Lock()
-	l.servers = append(l.servers, s)
-	l.mu.Unlock()
+// serve sets the handlers of a stand-in server, which respond with or without a fault.
+func (rec *recorder) serve(s *standin.Server) {
+	s.Handle = func(_ int, seen standin.Seen) standin.Reply { return rec.reply(s.ID, seen) }
+	s.RespondEarly = func(seen standin.Seen) *standin.Reply { return rec.early(seen) }
+	rec.mu.Lock()
+	rec.servers = append(rec.servers, s)
+	rec.mu.Unlock()
 }
 
-func (l *ledger) closeServers() {
-	l.mu.Lock()
-	servers := l.servers
-	l.mu.Unlock()
+func (rec *recorder) closeServers() {
+	rec.mu.Lock()
+	servers := rec.servers
+	rec.mu.Unlock()
 	for _, s := range servers {
 		s.Close()
 	}
 }
 
-// body is what a server answers to a request: records that only that request may get.
+// body returns the response body for an attempt id: records that only that request may get.
 func body(attempt string) string {
 	h := fnv.New64a()
 	h.Write([]byte(attempt))
@@ -65,8 +65,9 @@
 	return b.String()
 }
 
-// disorders are what servers do instead of answering in order. ran: the request has run.
-var disorders = []struct {
+// serverFaults lists what servers do instead of responding correctly. ran says whether the
+// request has run.
+var serverFaults = []struct {
 	name string
 	ran  bool
 	do   func(r *standin.Reply, earlier string)
@@ -78,115 +79,118 @@
 		r.Before = &standin.Reply{ID: earlier, Body: body(earlier)}
 	}},
 	{"no length", true, func(r *standin.Reply, _ string) { r.NoLength = true }},
-	{"no length, broken off", true, func(r *standin.Reply, _ string) { r.NoLength, r.Reset = true, true }},
-	{"broken off", true, func(r *standin.Reply, _ string) { r.Truncate = true }},
+	{"no length, reset", true, func(r *standin.Reply, _ string) { r.NoLength, r.Reset = true, true }},
+	{"truncated", true, func(r *standin.Reply, _ string) { r.Truncate = true }},
 	{"reset", true, func(r *standin.Reply, _ string) { r.Reset = true }},
 	{"silent", true, func(r *standin.Reply, _ string) {
 		hold := make(chan struct{})
-		time.AfterFunc(silence, func() { close(hold) })
+		time.AfterFunc(silentFor, func() { close(hold) })
 		r.HoldUntil = hold
 	}},
 	{"no id", true, func(r *standin.Reply, _ string) { r.NoID = true }},
 	{"another's id", true, func(r *standin.Reply, earlier string) { r.ID, r.Body = earlier, body(earlier) }},
-	{"another's refusal", true, func(r *standin.Reply, earlier string) {
+	{"another's rejection", true, func(r *standin.Reply, earlier string) {
 		r.Before = &standin.Reply{ID: earlier, Status: 503, NotExecuted: true}
 	}},
-	{"refusal without id", true, func(r *standin.Reply, _ string) { *r = standin.Reply{Status: 503, NotExecuted: true, NoID: true} }},
+	{"rejection without id", true, func(r *standin.Reply, _ string) { *r = standin.Reply{Status: 503, NotExecuted: true, NoID: true} }},
 	{"error", true, func(r *standin.Reply, _ string) { r.Status = 500 }},
-	{"turned away", false, func(r *standin.Reply, _ string) { *r = standin.Reply{Status: 503, NotExecuted: true} }},
+	{"rejected", false, func(r *standin.Reply, _ string) { *r = standin.Reply{Status: 503, NotExecuted: true} }},
 }
 
-func (l *ledger) reply(server string, seen standin.Seen) standin.Reply {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (rec *recorder) reply(server string, seen standin.Seen) standin.Reply {
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
 	r := standin.Reply{Body: body(seen.Attempt)}
-	earlier := l.last[server]
-	l.last[server] = seen.Attempt
+	earlier := rec.last[server]
+	rec.last[server] = seen.Attempt
 	ran := true
-	if l.rng.Float64() < l.plan.FaultShare && earlier != "" {
-		d := disorders[l.rng.IntN(len(disorders))]
-		l.spoilt[d.name]++
+	if rec.rng.Float64() < rec.plan.FaultShare && earlier != "" {
+		d := serverFaults[rec.rng.IntN(len(serverFaults))]
+		rec.faults[d.name]++
 		d.do(&r, earlier)
 		ran = d.ran
 	}
 	if ran {
-		l.ran[seen.Attempt]++
+		rec.ran[seen.Attempt]++
 	}
 	return r
 }
 
-// early turns long requests away before they are in, now and then.
-func (l *ledger) early(seen standin.Seen) *standin.Reply {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if seen.Header.Get("Content-Length") == "" || l.rng.Float64() >= l.plan.FaultShare {
+// early rejects a random share of the requests that have a body before the body has been
+// received.
+func (rec *recorder) early(seen standin.Seen) *standin.Reply {
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
+	if seen.Header.Get("Content-Length") == "" || rec.rng.Float64() >= rec.plan.FaultShare {
 		return nil
 	}
-	l.spoilt["early"]++
+	rec.faults["early"]++
 	return &standin.Reply{Status: 503, NotExecuted: true}
 }
 
-// told notes what a client was told of its request.
-func (l *ledger) told(q request, status int, text, stamps string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	r := &l.seen
+// recordOutcome records the response that a client got to its request; status 0 means that
+// the connection ended without one.
+func (rec *recorder) recordOutcome(q request, status int, text, signatures string) {
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
+	r := &rec.totals
 	r.Requests++
 	switch {
 	case status == 0:
 		r.Closed++
 	case status == 200:
 		r.Served++
-		l.checkAnswer(q, text, stamps)
+		rec.checkAnswer(q, text, signatures)
 	case status == 503 || status == 429:
 		r.Refused++
-		if q.once && l.ran[q.id] > 0 {
-			note(&r.FalseRefusals, q.id)
+		if q.nonIdempotent && rec.ran[q.id] > 0 {
+			addViolation(&r.FalseRefusals, q.id)
 		}
 	default:
 		r.Failed++
-		if strings.Contains(stamps, "s.i-") && !strings.HasSuffix(stamps, "."+q.id) {
-			note(&r.WrongAnswers, fmt.Sprintf("%s was told of a failure stamped %s", q.id, stamps))
+		if strings.Contains(signatures, "s.i-") && !strings.HasSuffix(signatures, "."+q.id) {
+			addViolation(&r.WrongAnswers, fmt.Sprintf("%s got a failure with the signature %s", q.id, signatures))
 		}
 	}
 }
 
-// checkAnswer holds an answer to its request: every stamp and every record is its own.
-func (l *ledger) checkAnswer(q request, text, stamps string) {
-	for stamp := range strings.SplitSeq(stamps, ", ") {
-		if !strings.HasSuffix(stamp, "."+q.id) {
-			note(&l.seen.WrongAnswers, fmt.Sprintf("%s got an answer stamped %s", q.id, stamp))
+// checkAnswer checks that every signature and every record of a response belongs to its
+// request.
+func (rec *recorder) checkAnswer(q request, text, signatures string) {
+	for signature := range strings.SplitSeq(signatures, ", ") {
+		if !strings.HasSuffix(signature, "."+q.id) {
+			addViolation(&rec.totals.WrongAnswers, fmt.Sprintf("%s got a response with the signature %s", q.id, signature))
 		}
 	}
 	own := body(q.id)
 	for rest := text; len(rest) >= recordBytes; rest = rest[recordBytes:] {
 		if !strings.Contains(own, rest[:recordBytes]) {
-			note(&l.seen.WrongAnswers, fmt.Sprintf("%s got the record %s", q.id, rest[:recordBytes]))
+			addViolation(&rec.totals.WrongAnswers, fmt.Sprintf("%s got the record %s", q.id, rest[:recordBytes]))
 		}
 	}
-	if !q.gather && text != own {
-		note(&l.seen.WrongAnswers, fmt.Sprintf("%s got %q", q.id, text))
+	if !q.fanout && text != own {
+		addViolation(&rec.totals.WrongAnswers, fmt.Sprintf("%s got %q", q.id, text))
 	}
 }
 
-func note(list *[]string, text string) {
-	if len(*list) < mostNoted {
+func addViolation(list *[]string, text string) {
+	if len(*list) < maxListed {
 		*list = append(*list, text)
 	}
 }
 
-// report sums up, once all clients have ended.
-func (l *ledger) report() Report {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	r := l.seen
-	r.Faults = l.spoilt
-	for id, n := range l.ran {
-		if strings.HasPrefix(id, onceMark) && n > 1 {
-			note(&r.RanTwice, id)
+// report returns the totals; it is called after all clients have ended.
+func (rec *recorder) report() Report {
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
+	r := rec.totals
+	r.Faults = rec.faults
+	for id, n := range rec.ran {
+		if strings.HasPrefix(id, nonIdempotentPrefix) && n > 1 {
+			addViolation(&r.RanTwice, id)
 		}
 	}
-	for _, s := range l.servers {
+	for _, s := range rec.servers {
 		r.Conns += s.Conns()
 	}
 	return r
