--- a/cmd/saddlelab/emulator.go
+++ b/cmd/saddlelab/emulator.go
@@ -32,7 +32,7 @@
 // isScenario reports whether a file is a scenario; otherwise it is a drill.
 func isScenario(file string) (bool, error) {
 	doc, err := inifile.Read(file)
-	return err == nil && scenario.Is(doc), err
+	return err == nil && scenario.IsScenario(doc), err
 }
 
 // proxyProgramPath returns the path of the proxy: that of the flag --program, or saddleport in the
@@ -261,7 +261,7 @@
 	}
 	bar := show.NewBar(os.Stderr, "sweep")
 	res, err := sweep.Run(ctx, doc, sweep.Options{Play: play.Options{Drive: c.String("drive"), Policy: c.String("policy"), Program: program},
-		Dir: c.String("out"), Repeats: int(c.Int("seeds")), Workers: int(c.Int("workers")), Rows: c.Bool("rows"), Progress: bar.Set})
+		Dir: c.String("out"), Repeats: int(c.Int("seeds")), Workers: int(c.Int("workers")), KeepRows: c.Bool("rows"), Progress: bar.Set})
 	bar.End()
 	if err != nil {
 		return err
@@ -367,8 +367,8 @@
 		return err
 	}
 	bar := show.NewBar(os.Stderr, "hunt")
-	f, err := hunt.Hunt(ctx, doc, hunt.Options{Rounds: int(c.Int("rounds")), Each: int(c.Int("each")), Seed: uint64(c.Int("seed")), Progress: bar.Set,
-		Notice: func(format string, a ...any) { fmt.Printf(format+"\n", a...) }})
+	f, err := hunt.Hunt(ctx, doc, hunt.Options{Rounds: int(c.Int("rounds")), Candidates: int(c.Int("each")), Seed: uint64(c.Int("seed")), Progress: bar.Set,
+		Logf: func(format string, a ...any) { fmt.Printf(format+"\n", a...) }})
 	bar.End()
 	if err != nil {
 		return err
@@ -377,7 +377,7 @@
 		fmt.Println("  " + x)
 	}
 	text := fmt.Sprintf("# Found by saddlelab hunt %s --seed %d in %d runs; run it with --seed %d.\n# The proxy gets %.4f, a policy that knows the true state of each server gets %.4f; violated rules: %d.\n%s",
-		filepath.Base(c.Args().First()), c.Int("seed"), f.Played, f.Seed, f.Mixer, f.Oracle, f.Broken, f.Text)
+		filepath.Base(c.Args().First()), c.Int("seed"), f.Played, f.Seed, f.ProxyGoodput, f.OracleGoodput, f.Broken, f.Text)
 	if out := c.String("out"); out != "" {
 		return os.WriteFile(out, []byte(text), 0o644)
 	}
--- a/internal/lab/bench/scale.go
+++ b/internal/lab/bench/scale.go
@@ -98,7 +98,7 @@
 }
 
 func scaleRow(ctx context.Context, servers, proxies int, length time.Duration, profile string) (*Size, error) {
-	doc, err := scenario.Text("scale.ini", []byte(scenarioText(servers, proxies, length)))
+	doc, err := scenario.Parse("scale.ini", []byte(scenarioText(servers, proxies, length)))
 	if err != nil {
 		return nil, err
 	}
@@ -125,7 +125,7 @@
 	}
 	sampled := time.Now()
 	run, err := virtual.Run(ctx, plan, virtual.Options{Decide: func(w *virtual.World, proxy, incarnation int, seed uint64, set choice.Settings) (exchange.Decider, error) {
-		d, err := virtual.Mixer(w, proxy, incarnation, seed, set)
+		d, err := virtual.ProxyDecider(w, proxy, incarnation, seed, set)
 		return timedDecider{d, &row.Deciding}, err
 	}, Progress: func(_, _ time.Duration, _ int64) {
 		if time.Since(sampled) > 200*time.Millisecond {
--- a/internal/lab/model/list.go
+++ b/internal/lab/model/list.go
@@ -1,85 +1,86 @@
 package model
 
-// The server list as discovery tells it: late, in order, sometimes silent or wrong.
+// This file models the server list of a discovery service: delayed, in order, and sometimes
+// unresponsive or wrong.
 
 import "time"
 
-// Standing is what the list says of a server.
-type Standing int
+// Status is a server's status in the list.
+type Status int
 
-// The standings.
+// The statuses.
 const (
-	Serving Standing = iota
+	Serving Status = iota
 	Draining
 	Deleted
-	Sick // its checks are critical
+	Unhealthy // its health checks are critical
 )
 
-// Entry is news of one server.
+// Entry is the list entry of one server.
 type Entry struct {
-	Server   int
-	Standing Standing
-	Since    time.Duration // its last start; below 0: long ago
-	Shift    int           // added to its cell: a lie
+	Server    int
+	Status    Status
+	Since     time.Duration // when the server last started; below 0: before the run
+	CellShift int           // added to its cell, for ListWrongCell
 }
 
-// List is a discovery service's view. It knows of processes that run, drain or are
-// gone; that one has died it notes after Notice.
+// List models a discovery service. It knows which processes run, drain or have ended; the end
+// of a process is noticed after DetectDelay.
 type List struct {
-	Name   string
-	Checks bool // a process that has ended stays named, as sick
-	Drains bool // drains that are not told to one source by name are told here too
-	Sched  Sched
-	Lag    time.Duration // until news is told
-	Jitter time.Duration // mean of an exponential added to it
-	Notice time.Duration
-	Tell   func([]Entry)
-	Turn   func(c Change) // a fault of the whole list that its stand-in has to show; nil: none does
-	Hold   bool           // lists are pushed: nothing is told while it is mute, whatever stands in for it
-	Luck   func() float64 // exponential, mean 1
+	Name          string
+	KeepsEnded    bool // a process that has ended stays listed, as unhealthy
+	ReportsDrains bool // a drain fault without a source is reported by this list too
+	Sched         Sched
+	Lag           time.Duration // from a change to its publication
+	Jitter        time.Duration // mean of an exponential delay added to Lag
+	DetectDelay   time.Duration
+	Publish       func([]Entry)
+	OnFault       func(c Change) // faults of the whole list that its stand-in has to implement; nil: none
+	BufferSilent  bool           // pushed lists: changes are buffered while the list is silent, also if OnFault implements the fault
+	Exponential   func() float64 // exponentially distributed, mean 1
 
-	now   []Entry // as it would be told
-	lies  map[int]int
-	moved map[int]int
-	drain map[int]int
-	gone  map[int]bool
-	extra time.Duration
-	mute  int
-	held  []Entry // while it is mute
-	last  time.Duration
+	entries     []Entry // current entries, by server
+	omitted     map[int]int
+	wrongCell   map[int]int
+	draining    map[int]int
+	ended       map[int]bool
+	extraLag    time.Duration
+	silent      int
+	buffered    []Entry // changes made while the list is silent
+	lastPublish time.Duration
 }
 
-// Begin starts a list of so many servers, all serving for long.
+// Begin initializes a list of servers that have all been serving since before the run.
 func (l *List) Begin(servers int) {
-	l.lies, l.drain, l.gone, l.moved = make(map[int]int), make(map[int]int), make(map[int]bool), make(map[int]int)
+	l.omitted, l.draining, l.ended, l.wrongCell = make(map[int]int), make(map[int]int), make(map[int]bool), make(map[int]int)
 	for i := range servers {
-		l.now = append(l.now, Entry{Server: i, Since: -1})
+		l.entries = append(l.entries, Entry{Server: i, Since: -1})
 	}
 }
 
-// Whole is the list as it is now.
-func (l *List) Whole() []Entry { return l.now }
+// Entries returns the current entries.
+func (l *List) Entries() []Entry { return l.entries }
 
-// Down notes that a process has ended; Up that it runs.
+// Down records that a process has ended.
 func (l *List) Down(server int) {
-	l.Sched.After(l.Notice, func() {
-		if l.gone[server] {
-			l.put(server)
+	l.Sched.After(l.DetectDelay, func() {
+		if l.ended[server] {
+			l.updateEntry(server)
 		}
 	})
-	l.gone[server] = true
+	l.ended[server] = true
 }
 
-// Up notes that a process runs since now.
+// Up records that a process has started.
 func (l *List) Up(server int) {
-	delete(l.gone, server)
-	l.now[server].Since = l.Sched.Now()
-	l.put(server)
+	delete(l.ended, server)
+	l.entries[server].Since = l.Sched.Now()
+	l.updateEntry(server)
 }
 
-// Strike has a change take hold of the list, or let it go.
-func (l *List) Strike(c Change) {
-	if c.Source != "" && c.Source != l.Name || c.Do == Drain && c.Source == "" && !l.Drains {
+// Apply applies a change to the list.
+func (l *List) Apply(c Change) {
+	if c.Source != "" && c.Source != l.Name || c.Do == Drain && c.Source == "" && !l.ReportsDrains {
 		return
 	}
 	step := 1
@@ -88,70 +89,71 @@
 	}
 	switch c.Do {
 	case Drain:
-		l.drain[c.Target] += step
-		l.put(c.Target)
-	case Lie:
-		l.lies[c.Target] += step
-		l.put(c.Target)
-	case Elsewhere:
-		l.moved[c.Target] += step
-		l.put(c.Target)
-	case Broken, Empty, Reset, Truncate, Junk:
-		if l.Turn != nil {
-			l.Turn(c)
+		l.draining[c.Target] += step
+		l.updateEntry(c.Target)
+	case ListOmit:
+		l.omitted[c.Target] += step
+		l.updateEntry(c.Target)
+	case ListWrongCell:
+		l.wrongCell[c.Target] += step
+		l.updateEntry(c.Target)
+	case ListDown, ListEmpty, ListReset, DNSTruncate, DNSJunk:
+		if l.OnFault != nil {
+			l.OnFault(c)
 		}
-	case Late:
-		l.extra += time.Duration(step) * c.Extra
-	case Mute:
-		if l.Turn != nil {
-			if l.Turn(c); !l.Hold {
+	case ListLate:
+		l.extraLag += time.Duration(step) * c.Delay
+	case ListSilent:
+		if l.OnFault != nil {
+			if l.OnFault(c); !l.BufferSilent {
 				return
 			}
 		}
-		if l.mute += step; l.mute == 0 {
-			held := l.held
-			l.held = nil
-			l.tell(held)
+		if l.silent += step; l.silent == 0 {
+			buffered := l.buffered
+			l.buffered = nil
+			l.publishLater(buffered)
 		}
 	}
 }
 
-// put tells what holds of a server, if that is new.
-func (l *List) put(server int) {
-	e := Entry{Server: server, Since: l.now[server].Since}
+// updateEntry recomputes the entry of a server and publishes it.
+func (l *List) updateEntry(server int) {
+	e := Entry{Server: server, Since: l.entries[server].Since}
 	switch {
-	case l.gone[server] && l.Checks && l.lies[server] == 0:
-		e.Standing = Sick
-	case l.lies[server] > 0 || l.gone[server]:
-		e.Standing = Deleted
-	case l.drain[server] > 0:
-		e.Standing = Draining
+	case l.ended[server] && l.KeepsEnded && l.omitted[server] == 0:
+		e.Status = Unhealthy
+	case l.omitted[server] > 0 || l.ended[server]:
+		e.Status = Deleted
+	case l.draining[server] > 0:
+		e.Status = Draining
 	}
-	if l.moved[server] > 0 {
-		e.Shift = 1
+	if l.wrongCell[server] > 0 {
+		e.CellShift = 1
 	}
-	l.now[server] = e
-	if l.mute > 0 {
-		l.held = append(l.held, e)
+	l.entries[server] = e
+	if l.silent > 0 {
+		l.buffered = append(l.buffered, e)
 		return
 	}
-	l.tell([]Entry{e})
+	l.publishLater([]Entry{e})
 }
 
-func (l *List) tell(news []Entry) {
-	if len(news) == 0 {
+// publishLater publishes changes after the lag, and after all earlier changes.
+func (l *List) publishLater(changes []Entry) {
+	if len(changes) == 0 {
 		return
 	}
-	at := l.Sched.Now() + l.Lag + l.extra
+	at := l.Sched.Now() + l.Lag + l.extraLag
 	if l.Jitter > 0 {
-		at += time.Duration(l.Luck() * float64(l.Jitter))
+		at += time.Duration(l.Exponential() * float64(l.Jitter))
 	}
-	l.last = max(l.last, at) // news never overtakes what came before it
-	l.Sched.After(l.last-l.Sched.Now(), func() {
-		if l.Hold && l.mute > 0 { // it was on its way as the list fell silent
-			l.held = append(l.held, news...)
+	l.lastPublish = max(l.lastPublish, at) // changes are delivered in order
+	l.Sched.After(l.lastPublish-l.Sched.Now(), func() {
+		if l.BufferSilent && l.silent > 0 { // the change was on its way when the list became silent
+			l.buffered = append(l.buffered, changes...)
 			return
 		}
-		l.Tell(news)
+		l.Publish(changes)
 	})
 }
--- a/internal/lab/sweep/sweep_test.go
+++ b/internal/lab/sweep/sweep_test.go
@@ -31,18 +31,18 @@
 
 func doc(t *testing.T, text string) *scenario.Doc {
 	t.Helper()
-	d, err := scenario.Text("s.ini", []byte(text))
+	d, err := scenario.Parse("s.ini", []byte(text))
 	require.NoError(t, err)
 	return d
 }
 
-// A sweep that was interrupted goes on where it was, and ends as one that was not;
-// what a changed scenario played before does not count.
+// An interrupted sweep resumes where it stopped and gives the same results as an uninterrupted
+// one; finished runs of a scenario that has changed since are not reused.
 func TestResume(t *testing.T) {
-	whole, err := Run(context.Background(), doc(t, text), Options{Dir: t.TempDir(), Workers: 3})
+	uninterrupted, err := Run(context.Background(), doc(t, text), Options{Dir: t.TempDir(), Workers: 3})
 	require.NoError(t, err)
-	require.Len(t, whole.Runs, 8)
-	require.True(t, whole.Pass())
+	require.Len(t, uninterrupted.Runs, 8)
+	require.True(t, uninterrupted.Pass())
 
 	dir := t.TempDir()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -53,7 +53,7 @@
 		}
 	}})
 	require.ErrorIs(t, err, context.Canceled)
-	// A folder without its digest was not finished.
+	// A directory without a digest is an unfinished run.
 	require.NoError(t, os.MkdirAll(filepath.Join(dir, "v001-s4"), 0o755))
 	again, err := Run(context.Background(), doc(t, text), Options{Dir: dir, Workers: 2})
 	require.NoError(t, err)
@@ -61,8 +61,8 @@
 		if o.Skipped {
 			done++
 		}
-		require.Equal(t, whole.Runs[i].Digest, o.Digest)
-		require.Equal(t, whole.Runs[i].Summary, o.Summary)
+		require.Equal(t, uninterrupted.Runs[i].Digest, o.Digest)
+		require.Equal(t, uninterrupted.Runs[i].Summary, o.Summary)
 	}
 	require.Equal(t, 3, done)
 	loaded, err := Load(dir)
@@ -75,5 +75,5 @@
 		require.False(t, o.Skipped)
 	}
 	_, err = Load(t.TempDir())
-	require.ErrorContains(t, err, "holds no run")
+	require.ErrorContains(t, err, "contains no finished run")
 }
--- a/internal/lab/virtual/sources.go
+++ b/internal/lab/virtual/sources.go
@@ -1,8 +1,8 @@
 package virtual
 
-// Several sources of the list, in virtual time: each mixer has the merge that serves
-// (core/membership), fed by models of what the sources tell. Where a scenario has no
-// [members] nothing of this runs.
+// This file models several sources of the server list in virtual time: each proxy runs the
+// production merge (core/membership) on the answers of model sources. It is used only if the
+// scenario has [members].
 
 import (
 	"fmt"
@@ -17,135 +17,139 @@
 	"saddleport/internal/source/members"
 )
 
-// beat is how often a source that has no news says so: a call that was waited out.
-const beat = 2 * time.Second
+// idleAnswerInterval is how often a source without changes answers, as at the end of a long
+// poll.
+const idleAnswerInterval = 2 * time.Second
 
-// source is one source as it stands.
+// source is the current state of one source.
 type source struct {
-	list  *model.List
-	told  []model.Entry // what it has told, by server
-	index int64
-	mute  int
-	down  int
-	empty int
+	list    *model.List
+	entries []model.Entry // what it has published, by server
+	index   int64
+	silent  int
+	down    int
+	empty   int
 }
 
-// merging is a mixer's merge.
-type merging struct {
-	core  *membership.Members
-	rows  *members.ListBuilder
-	timer *event.Timer
-	n     int64
-	last  map[string]time.Duration
-	begun bool // the decisions have had a whole list
+// sourceMerge is the merge of one proxy.
+type sourceMerge struct {
+	core            *membership.Members
+	list            *members.ListBuilder
+	timer           *event.Timer
+	dnsObservations int64
+	lastArrival     map[string]time.Duration
+	delivered       bool // the decisions have received a full list
 }
 
-func (w *world) sourcesOn() bool { return len(w.plan.Members.Sources) > 0 }
+func (w *world) hasSources() bool { return len(w.plan.Members.Sources) > 0 }
 
+// buildSources connects the lists of the scenario to the proxies' merges.
 func (w *world) buildSources() {
 	for i, l := range w.lists {
-		s := &source{list: l, told: slices.Clone(l.Whole()), index: 1}
+		s := &source{list: l, entries: slices.Clone(l.Entries()), index: 1}
 		w.sources = append(w.sources, s)
-		l.Tell = func(news []model.Entry) {
+		l.Publish = func(changes []model.Entry) {
 			s.index++
-			for _, e := range news {
-				s.told[e.Server] = e
+			for _, e := range changes {
+				s.entries[e.Server] = e
 			}
-			for _, m := range w.mixers {
-				m.tells(i, news)
+			for _, p := range w.proxies {
+				p.sendChanges(i, changes)
 			}
 		}
-		l.Turn = func(c model.Change) { w.turn(i, c) }
+		l.OnFault = func(c model.Change) { w.applySourceFault(i, c) }
 	}
-	w.loop.Post(beat, w.beat)
+	w.loop.Post(idleAnswerInterval, w.sendIdleAnswers)
 }
 
-func (w *world) beat() {
+// sendIdleAnswers sends an answer without changes from every source to every proxy.
+func (w *world) sendIdleAnswers() {
 	for i := range w.sources {
-		for _, m := range w.mixers {
-			m.tells(i, nil)
+		for _, p := range w.proxies {
+			p.sendChanges(i, nil)
 		}
 	}
 	if w.loop.Now() < w.plan.Length+overtime {
-		w.loop.Post(beat, w.beat)
+		w.loop.Post(idleAnswerInterval, w.sendIdleAnswers)
 	}
 }
 
-// turn has a fault take hold of a source as a whole, or let it go.
-func (w *world) turn(i int, c model.Change) {
+// applySourceFault starts or ends a fault of a whole source.
+func (w *world) applySourceFault(i int, c model.Change) {
 	s := w.sources[i]
 	step := 1
 	if !c.On {
 		step = -1
 	}
 	switch c.Do {
-	case model.Mute:
-		s.mute += step
-	case model.Broken:
+	case model.ListSilent:
+		s.silent += step
+	case model.ListDown:
 		s.down += step
-	case model.Empty:
+	case model.ListEmpty:
 		s.empty += step
-	case model.Reset:
+	case model.ListReset:
 		if !c.On {
 			return
 		}
 		s.index = 1
-	default: // truncation and junk are the sockets' alone
+	default: // truncated and unrelated datagrams exist only with real sockets
 		return
 	}
 	s.index++
-	for _, m := range w.mixers {
-		m.tellsAll(i, c.Do == model.Reset)
+	for _, p := range w.proxies {
+		p.sendFullAnswer(i, c.Do == model.ListReset)
 	}
 }
 
-// tells has news of a source come in at a mixer.
-func (m *mixer) tells(i int, news []model.Entry) {
-	w, s := m.w, m.w.sources[i]
+// sendChanges sends changes from a source to a proxy.
+func (p *proxy) sendChanges(i int, changes []model.Entry) {
+	w, s := p.w, p.w.sources[i]
 	switch {
-	case m.x == nil || s.mute > 0:
+	case p.exchange == nil || s.silent > 0:
 		return
 	case s.down > 0:
-		m.observes(membership.Observation{Source: s.list.Name, Failed: true})
+		p.observeLater(membership.Observation{Source: s.list.Name, Failed: true})
 		return
 	case s.empty > 0:
 		return
 	}
 	o := membership.Observation{Source: s.list.Name, Index: s.index}
-	for _, e := range news {
-		if e.Standing == model.Deleted {
+	for _, e := range changes {
+		if e.Status == model.Deleted {
 			o.Removed = append(o.Removed, w.plan.Servers[e.Server].Name)
 		} else {
 			o.Claims = append(o.Claims, w.claim(e))
 		}
 	}
-	m.observes(o)
+	p.observeLater(o)
 }
 
-// tellsAll has a whole answer of a source come in at a mixer.
-func (m *mixer) tellsAll(i int, reset bool) {
-	w, s := m.w, m.w.sources[i]
-	if m.x == nil || s.mute > 0 {
+// sendFullAnswer sends a full answer from a source to a proxy.
+func (p *proxy) sendFullAnswer(i int, reset bool) {
+	w, s := p.w, p.w.sources[i]
+	if p.exchange == nil || s.silent > 0 {
 		return
 	}
 	if s.down > 0 {
-		m.observes(membership.Observation{Source: s.list.Name, Failed: true})
+		p.observeLater(membership.Observation{Source: s.list.Name, Failed: true})
 		return
 	}
 	o := membership.Observation{Source: s.list.Name, Index: s.index, Complete: true, Reset: reset}
-	for _, e := range s.told {
-		if s.empty == 0 && e.Standing != model.Deleted {
+	for _, e := range s.entries {
+		if s.empty == 0 && e.Status != model.Deleted {
 			o.Claims = append(o.Claims, w.claim(e))
 		}
 	}
-	m.observes(o)
+	p.observeLater(o)
 }
 
+// claim converts a list entry to the claim that a source makes about the server.
 func (w *world) claim(e model.Entry) membership.Claim {
 	spec := &w.plan.Servers[e.Server]
-	c := membership.Claim{Name: spec.Name, Addresses: []string{spec.Name}, Site: spec.Site, Kind: spec.Group, Cell: (spec.Cell + e.Shift) % w.plan.Groups[0].Cells,
-		HasCell: true, Drain: e.Standing == model.Draining, Weight: 1}
-	if e.Standing == model.Sick {
+	c := membership.Claim{Name: spec.Name, Addresses: []string{spec.Name}, Site: spec.Site, Kind: spec.Group, Cell: (spec.Cell + e.CellShift) % w.plan.Groups[0].Cells,
+		HasCell: true, Drain: e.Status == model.Draining, Weight: 1}
+	if e.Status == model.Unhealthy {
 		c.Health = membership.Critical
 	}
 	if e.Since >= 0 {
@@ -154,100 +158,100 @@
 	return c
 }
 
-// observes has an answer come in after the way from the source: the mixer's own site;
-// DNS is asked once in a record's lifetime.
-func (m *mixer) observes(o membership.Observation) {
-	w, life := m.w, m.life
-	later := w.near(m)
+// observeLater delivers an answer after the network delay within the proxy's site, where the
+// source runs. DNS changes are found at a random time within the lifetime of a record.
+func (p *proxy) observeLater(o membership.Observation) {
+	w, incarnation := p.w, p.incarnation
+	delay := w.localDelay(p)
 	if ttl := w.plan.Source(o.Source).TTL; o.Source == "dns" && len(o.Claims)+len(o.Removed) > 0 {
-		m.merge.n++
-		later += time.Duration(model.Luck(w.plan.Draw, "dns", fmt.Sprint(m.n), fmt.Sprint(m.merge.n)) * float64(ttl))
+		p.merge.dnsObservations++
+		delay += time.Duration(model.Uniform(w.plan.RunSeed, "dns", fmt.Sprint(p.n), fmt.Sprint(p.merge.dnsObservations)) * float64(ttl))
 	}
-	// A source is asked one call after the other: its answers come in order.
-	at := max(w.loop.Now()+later, m.merge.last[o.Source])
-	m.merge.last[o.Source] = at
+	// A proxy calls a source sequentially: its answers arrive in order.
+	at := max(w.loop.Now()+delay, p.merge.lastArrival[o.Source])
+	p.merge.lastArrival[o.Source] = at
 	w.loop.Post(at-w.loop.Now(), func() {
-		if m.life != life || m.x == nil {
+		if p.incarnation != incarnation || p.exchange == nil {
 			return
 		}
 		for _, c := range o.Claims {
-			w.j.ToldBy(m.n, o.Source, c.Name, c.Drain, w.time())
+			w.judge.ToldBy(p.n, o.Source, c.Name, c.Drain, w.time())
 		}
-		if m.merge.core.Observe(w.time().UnixMicro(), o) == nil {
-			m.step()
+		if p.merge.core.Observe(w.time().UnixMicro(), o) == nil {
+			p.stepMerge()
 		}
 	})
 }
 
-// merges gives a mixer that starts its merge, and what the sources say.
-func (m *mixer) merges() error {
-	w := m.w
-	core, err := membership.New(w.plan.Members.MergeSettings(w.inForce))
+// startMerge creates the merge of a starting proxy and requests full answers from all sources.
+func (p *proxy) startMerge() error {
+	w := p.w
+	core, err := membership.New(w.plan.Members.MergeSettings(w.activeSources))
 	if err != nil {
 		return err
 	}
-	m.merge = &merging{last: make(map[string]time.Duration), core: core, rows: members.NewListBuilder(w.time().UnixMicro())}
+	p.merge = &sourceMerge{lastArrival: make(map[string]time.Duration), core: core, list: members.NewListBuilder(w.time().UnixMicro())}
 	for i := range w.sources {
-		m.tellsAll(i, false)
+		p.sendFullAnswer(i, false)
 	}
 	return nil
 }
 
-// step is what source/members does in service.
-func (m *mixer) step() {
-	w, g := m.w, m.merge
+// stepMerge does what source/members does in production.
+func (p *proxy) stepMerge() {
+	w, g := p.w, p.merge
 	now := w.time().UnixMicro()
 	changed := g.core.Step(now)
-	if rows, _ := g.rows.Delta(now, changed); len(rows) > 0 && g.begun {
+	if rows, _ := g.list.Delta(now, changed); len(rows) > 0 && g.delivered {
 		w.version++
-		m.hears(choice.List{Form: choice.Delta, Version: w.version, Servers: rows})
+		p.applyList(choice.List{Form: choice.Delta, Version: w.version, Servers: rows})
 	}
 	if g.timer != nil {
 		g.timer.Stop()
 		g.timer = nil
 	}
 	if due := g.core.Due(); due > 0 {
-		life := m.life
+		incarnation := p.incarnation
 		g.timer = w.loop.After(time.Duration(max(due-now, 1))*time.Microsecond, func() {
 			g.timer = nil
-			if m.life == life && m.x != nil {
-				m.step()
+			if p.incarnation == incarnation && p.exchange != nil {
+				p.stepMerge()
 			}
 		})
 	}
 }
 
-// known hands the whole merged list to the decisions.
-func (m *mixer) known() {
-	list, _ := m.merge.rows.Full(m.w.time().UnixMicro(), m.merge.core.All())
-	m.merge.begun = true
-	m.w.version++
-	m.hears(choice.List{Form: choice.Full, Version: m.w.version, Servers: list})
+// deliverFullList hands the full merged list to the decisions.
+func (p *proxy) deliverFullList() {
+	list, _ := p.merge.list.Full(p.w.time().UnixMicro(), p.merge.core.All())
+	p.merge.delivered = true
+	p.w.version++
+	p.applyList(choice.List{Form: choice.Full, Version: p.w.version, Servers: list})
 }
 
-// reconfigure puts other sources in force at every mixer, as SIGHUP does.
+// reconfigure changes the active sources of every proxy, as SIGHUP does.
 func (w *world) reconfigure(c model.Change) {
-	w.inForce = w.plan.Members.Sources
+	w.activeSources = w.plan.Members.Sources
 	if c.On {
-		w.inForce = c.Others
+		w.activeSources = c.SwitchTo
 	}
-	for _, m := range w.mixers {
-		if m.x == nil {
+	for _, p := range w.proxies {
+		if p.exchange == nil {
 			continue
 		}
-		if err := m.merge.core.Configure(w.plan.Members.MergeSettings(w.inForce)); err != nil {
-			w.rec.Broke(err.Error())
+		if err := p.merge.core.Configure(w.plan.Members.MergeSettings(w.activeSources)); err != nil {
+			w.recorder.Broke(err.Error())
 			continue
 		}
-		m.step()
+		p.stepMerge()
 		for i := range w.sources {
-			m.tellsAll(i, false)
+			p.sendFullAnswer(i, false)
 		}
 	}
 }
 
-// server is the server that the decisions mean: one that changed its cell has another
-// name with them.
+// server returns the index of the server with an ID of the decisions, in which a server that
+// changed its cell has a suffix.
 func (w *world) server(id string) (int, bool) {
 	name, _, _ := strings.Cut(id, "~")
 	i, known := w.Index[name]
