--- a/cmd/saddlelab/emulator.go
+++ b/cmd/saddlelab/emulator.go
@@ -47,7 +47,7 @@
 
 func emulatorCommands(program, asJSON cli.Flag) []*cli.Command {
 	driveFlag := &cli.StringFlag{Name: "drive", Value: play.Virtual, Usage: "`DRIVE`: virtual (no sockets) or real (the program, on loopback)"}
-	policyFlag := &cli.StringFlag{Name: "policy", Value: play.Mixer, Usage: "`POLICY` of the virtual drive: mixer (the proxy's decisions), oracle (knows the true state of each server) or random"}
+	policyFlag := &cli.StringFlag{Name: "policy", Value: play.Proxy, Usage: "`POLICY` of the virtual drive: mixer (the proxy's decisions), oracle (knows the true state of each server) or random"}
 	withArgs := func(f func(context.Context, *cli.Command) error, n int, usage string) cli.ActionFunc {
 		return func(ctx context.Context, c *cli.Command) error {
 			if c.Args().Len() != n {
@@ -185,12 +185,12 @@
 	if err != nil {
 		return err
 	}
-	var decided *play.Decided
+	var decided *play.DecisionDigest
 	if c.Bool("decisions") {
-		decided = &play.Decided{}
+		decided = &play.DecisionDigest{}
 	}
 	bar := show.NewBar(os.Stderr, s.Name)
-	run, err := play.Play(ctx, plan, play.Options{Decided: decided, Drive: c.String("drive"), Policy: c.String("policy"), Program: program, Keep: true, Progress: bar.Set, Operator: c.String("operator"),
+	run, err := play.Play(ctx, plan, play.Options{Digest: decided, Drive: c.String("drive"), Policy: c.String("policy"), Program: program, KeepRows: true, Progress: bar.Set, Operator: c.String("operator"),
 		Logs: logDir(c.String("out"))})
 	bar.End()
 	if err != nil {
@@ -335,7 +335,7 @@
 		return play.Play(ctx, plan, opt)
 	}
 	if query == "" {
-		run, err := replay(play.Options{Keep: true})
+		run, err := replay(play.Options{KeepRows: true})
 		if err != nil {
 			return err
 		}
--- a/internal/lab/sweep/sweep.go
+++ b/internal/lab/sweep/sweep.go
@@ -178,7 +178,7 @@
 		return err
 	}
 	p := opt.Play
-	p.Keep, p.Progress = opt.KeepRows, progress
+	p.KeepRows, p.Progress = opt.KeepRows, progress
 	run, err := play.Play(ctx, plan, p)
 	if err != nil {
 		return err
@@ -192,7 +192,7 @@
 
 func policy(p play.Options) string {
 	if p.Policy == "" {
-		return play.Mixer
+		return play.Proxy
 	}
 	return p.Policy
 }
--- a/internal/lab/virtual/virtual.go
+++ b/internal/lab/virtual/virtual.go
@@ -135,7 +135,7 @@
 	run := w.recorder.Done(w.judge.Judge(epoch.Add(plan.Window[0]), epoch.Add(plan.Window[1])))
 	var mem runtime.MemStats
 	runtime.ReadMemStats(&mem)
-	run.Machine = record.Machine{Wall: time.Since(begun), Events: w.loop.Done(), PeakMiB: int64(mem.Sys >> 20), Threads: 1}
+	run.Machine = record.Machine{Wall: time.Since(begun), Events: w.loop.Executed(), PeakMiB: int64(mem.Sys >> 20), Threads: 1}
 	return run, nil
 }
 
@@ -144,7 +144,7 @@
 	if err != nil {
 		return nil, err
 	}
-	w := &world{ctx: ctx, opt: opt, plan: plan, loop: &event.Loop{Most: opt.MaxEvents}, net: plan.NewNetwork(), attemptsSent: make(map[string]int),
+	w := &world{ctx: ctx, opt: opt, plan: plan, loop: &event.Loop{MaxEvents: opt.MaxEvents}, net: plan.NewNetwork(), attemptsSent: make(map[string]int),
 		recorder: record.New(plan, "virtual", opt.Policy, opt.KeepRows), vanished: make([]int, len(plan.Servers))}
 	if w.settings, err = settings.Decode(settings.Flatten(gjson.ParseBytes(text))); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
@@ -214,7 +214,7 @@
 	end := plan.Length + longest + overtime
 	w.loop.Tick = func() error {
 		if w.opt.Progress != nil {
-			w.opt.Progress(min(w.loop.Now(), end), end, w.loop.Done())
+			w.opt.Progress(min(w.loop.Now(), end), end, w.loop.Executed())
 		}
 		return w.ctx.Err()
 	}
--- a/internal/lab/virtual/virtual_test.go
+++ b/internal/lab/virtual/virtual_test.go
@@ -232,7 +232,7 @@
 	p, err := s.Plan(1)
 	require.NoError(t, err)
 	_, err = Run(context.Background(), p, Options{MaxEvents: 5000})
-	require.ErrorIs(t, err, event.ErrEndless)
+	require.ErrorIs(t, err, event.ErrTooManyEvents)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	p, err = s.Plan(1)
