--- a/internal/lab/measure/allow.go
+++ b/internal/lab/measure/allow.go
@@ -10,122 +10,123 @@
 	"saddleport/internal/node/rpc"
 )
 
-// AllowPlan is a cluster whose callers all ask for more than they may.
-type AllowPlan struct {
-	Mixers, Callers int
-	Rate, Burst     float64       // of each caller's allowance, a second
-	Times           float64       // as much is asked for
-	Span            time.Duration // measured, after a warm-up
-	Loss            float64       // of calls
-	Seed            uint64
+// QuotaPlan describes a cluster in which every caller sends more requests than its allowance
+// admits.
+type QuotaPlan struct {
+	Proxies, Callers int
+	Rate, Burst      float64       // of each caller's allowance: requests per second, and burst size
+	DemandFactor     float64       // demand, as a multiple of the rate
+	Span             time.Duration // measured after the warm-up
+	Loss             float64       // share of calls that are lost
+	Seed             uint64
 }
 
-// Allow is what holding the allowances together cost, and what was admitted. Bytes are
-// bodies as they go, packed where that is worth it, with heads.
-type Allow struct {
-	Plan  AllowPlan
-	Calls float64 // to the bank, a second and mixer
-	Bytes float64 // both ways, the same
-	Bank  float64 // bytes a second of the mixer that holds the bank
-	Worst float64 // most that was admitted in ten seconds, as a share of the bound
-	Share float64 // of the rate that was admitted, mean over callers
+// QuotaCost is what enforcing the allowances across all proxies cost, and what was admitted.
+// Bytes count bodies as sent, compressed where that makes them smaller, plus headers.
+type QuotaCost struct {
+	Plan          QuotaPlan
+	Calls         float64 // to the lessor, per second and proxy
+	Bytes         float64 // in both directions, per second and proxy
+	LessorBytes   float64 // bytes per second at the proxy that runs the lessor
+	Worst         float64 // most that was admitted within any ten seconds, as a share of the bound
+	AdmittedShare float64 // admitted share of the allowed rate, mean over all callers
 }
 
 const (
-	allowStep = 20_000    // microseconds
-	allowWarm = 8_000_000 // a bank leases nothing for a lease's time, then parts settle
-	tenSpan   = 10_000_000
+	allowStep   = 20_000    // microseconds
+	allowWarmUp = 8_000_000 // a new lessor grants nothing for one lease period; then the shares converge
+	worstWindow = 10_000_000
 )
 
-// MeasureAllow plays a plan on a clock of its own. The mixers are purse's, and so is the
-// bank; between them lie 10 to 60 ms.
-func MeasureAllow(p AllowPlan) Allow {
-	rng := rand.New(rand.NewPCG(p.Seed, uint64(p.Mixers)))
-	var stated []quota.Allowance
+// MeasureQuota simulates a plan in virtual time with the holders and the lessor of package
+// quota. A message between them takes 10 to 60 ms.
+func MeasureQuota(p QuotaPlan) QuotaCost {
+	rng := rand.New(rand.NewPCG(p.Seed, uint64(p.Proxies)))
+	var allowances []quota.Allowance
 	for i := range p.Callers {
-		stated = append(stated, quota.Allowance{Name: fmt.Sprintf("caller-%03d", i), Rate: p.Rate, Burst: p.Burst})
+		allowances = append(allowances, quota.Allowance{Name: fmt.Sprintf("caller-%03d", i), Rate: p.Rate, Burst: p.Burst})
 	}
-	bank := quota.NewLessor(0, quota.DefaultLeaseConfig, p.Mixers)
-	bank.SetAllowances(stated)
-	tills := make([]*quota.Holder, p.Mixers)
-	for i := range tills {
-		tills[i] = quota.NewHolder(quota.DefaultLeaseConfig)
-		tills[i].SetAllowances(0, stated)
-		tills[i].SetProxies(p.Mixers)
+	lessor := quota.NewLessor(0, quota.DefaultLeaseConfig, p.Proxies)
+	lessor.SetAllowances(allowances)
+	holders := make([]*quota.Holder, p.Proxies)
+	for i := range holders {
+		holders[i] = quota.NewHolder(quota.DefaultLeaseConfig)
+		holders[i].SetAllowances(0, allowances)
+		holders[i].SetProxies(p.Proxies)
 	}
-	type mail struct {
+	type delivery struct {
 		at int64
 		do func(now int64)
 	}
-	var post []mail
-	out := Allow{Plan: p}
-	admitted := make([][]int64, p.Callers) // when, by caller
-	bytes, end := 0, allowWarm+p.Span.Microseconds()
+	var pending []delivery
+	out := QuotaCost{Plan: p}
+	admitted := make([][]int64, p.Callers) // admission times, by caller
+	bytes, end := 0, allowWarmUp+p.Span.Microseconds()
 	for now := int64(1); now < end; now += allowStep {
-		measured := now >= allowWarm
-		ask := p.Rate * p.Times * allowStep / 1e6
-		for c, s := range stated {
-			for n := ask; n > rng.Float64(); n-- {
-				if ok, _ := tills[rng.IntN(p.Mixers)].Admit(now, s.Name); ok && measured {
+		measured := now >= allowWarmUp
+		demand := p.Rate * p.DemandFactor * allowStep / 1e6
+		for c, s := range allowances {
+			for n := demand; n > rng.Float64(); n-- {
+				if ok, _ := holders[rng.IntN(p.Proxies)].Admit(now, s.Name); ok && measured {
 					admitted[c] = append(admitted[c], now)
 				}
 			}
 		}
-		for i, t := range tills {
+		for i, t := range holders {
 			if !t.Due(now) {
 				continue
 			}
-			sent, list := now, t.TakeClaims(now)
-			cost := weight(map[string]any{"f": fmt.Sprintf("10.1.0.%d:7080", i), "l": list}) + headBytes
-			if measured && i != 0 { // the first holds the bank: its own claims stay there
+			sent, claims := now, t.TakeClaims(now)
+			cost := wireSize(map[string]any{"f": fmt.Sprintf("10.1.0.%d:7080", i), "l": claims}) + headBytes
+			if measured && i != 0 { // the first proxy runs the lessor, so its own claims cause no call
 				out.Calls++
 				bytes += cost
 			}
 			if rng.Float64() < p.Loss {
 				continue
 			}
-			post = append(post, mail{now + 10_000 + rng.Int64N(50_000), func(now int64) {
-				grants := bank.HandleClaims(now, fmt.Sprint("m", i), p.Mixers, list)
+			pending = append(pending, delivery{now + 10_000 + rng.Int64N(50_000), func(now int64) {
+				grants := lessor.HandleClaims(now, fmt.Sprint("m", i), p.Proxies, claims)
 				if measured && i != 0 {
-					bytes += weight(map[string]any{"l": grants}) + answerBytes
+					bytes += wireSize(map[string]any{"l": grants}) + answerBytes
 				}
 				if rng.Float64() >= p.Loss {
-					post = append(post, mail{now + 10_000 + rng.Int64N(50_000), func(now int64) { t.HandleGrants(now, sent, grants) }})
+					pending = append(pending, delivery{now + 10_000 + rng.Int64N(50_000), func(now int64) { t.HandleGrants(now, sent, grants) }})
 				}
 			}})
 		}
-		due := post
-		post = nil
+		due := pending
+		pending = nil
 		for _, m := range due {
 			if m.at <= now {
 				m.do(now)
 			} else {
-				post = append(post, m)
+				pending = append(pending, m)
 			}
 		}
 	}
-	bound := p.Rate*tenSpan/1e6 + p.Burst + float64(p.Mixers)
+	bound := p.Rate*worstWindow/1e6 + p.Burst + float64(p.Proxies)
 	for _, times := range admitted {
 		from := 0
 		for i, at := range times {
-			for times[from] <= at-tenSpan {
+			for times[from] <= at-worstWindow {
 				from++
 			}
 			out.Worst = max(out.Worst, float64(i-from+1)/bound)
 		}
-		out.Share += float64(len(times)) / p.Span.Seconds() / p.Rate / float64(p.Callers)
+		out.AdmittedShare += float64(len(times)) / p.Span.Seconds() / p.Rate / float64(p.Callers)
 	}
-	out.Bank = float64(bytes) / p.Span.Seconds()
-	out.Calls /= p.Span.Seconds() * float64(p.Mixers)
-	out.Bytes = out.Bank / float64(p.Mixers)
+	out.LessorBytes = float64(bytes) / p.Span.Seconds()
+	out.Calls /= p.Span.Seconds() * float64(p.Proxies)
+	out.Bytes = out.LessorBytes / float64(p.Proxies)
 	return out
 }
 
-// weight is what a body takes on the wire.
-func weight(v any) int {
+// wireSize is the size of a body in bytes as it is sent, compressed where that is smaller.
+func wireSize(v any) int {
 	b, err := json.Marshal(v)
 	if err != nil {
-		panic(err) // texts and numbers always have a form
+		panic(err) // strings and numbers can always be encoded
 	}
 	return rpc.CompressedSize(b)
 }
--- a/internal/lab/measure/capacity.go
+++ b/internal/lab/measure/capacity.go
@@ -22,47 +22,47 @@
 	"saddleport/internal/node/rpc"
 )
 
-// CapacityPlan says what is measured of fleets of several sizes: hollow agents and core
-// machines, which hold the real state machines and pass real messages in memory.
+// CapacityPlan describes a measurement of fleets of several sizes. Its agents and core machines
+// run the real state machines and exchange real messages, in memory.
 type CapacityPlan struct {
 	Agents      []int
 	Cores       int
 	Zones       int
-	PerAgent    float64 // servers for each agent
+	PerAgent    float64 // servers per agent
 	ConfigBytes int
 	Seed        uint64
 }
 
-// UsualCapacity is the plan of a run by hand; the last size is the operators' own.
-var UsualCapacity = CapacityPlan{Agents: []int{60, 180, 600, 1800}, Cores: 12, Zones: 7, PerAgent: 8700.0 / 1800, ConfigBytes: 100_000, Seed: 1}
+// DefaultCapacityPlan is the command's default plan; its last size is that of the operators' fleet.
+var DefaultCapacityPlan = CapacityPlan{Agents: []int{60, 180, 600, 1800}, Cores: 12, Zones: 7, PerAgent: 8700.0 / 1800, ConfigBytes: 100_000, Seed: 1}
 
-// Role is what one role costs, for each process.
+// Role is the cost of one process of a role.
 type Role struct {
-	Calls, Bytes float64 // a second: calls made; bytes sent, answers included
-	MostBytes    float64 // of the busiest process
+	Calls, Bytes float64 // per second: calls made, and bytes sent including responses
+	MostBytes    float64 // bytes per second of the busiest process
 }
 
-// Capacity is what was measured of one size.
+// Capacity is the result for one fleet size. Its fields are encoded as JSON under their names.
 type Capacity struct {
 	Agents, Servers int
-	Agent, Core     Role          // at rest
-	State           float64       // bytes of memory that a process holds
-	Step            time.Duration // processor time a process and second, the medium's included
-	Beat            time.Duration // processor time of one heartbeat of a server at the registry
-	Change          Role          // bytes of one new configuration, per agent, as text
-	ChangePacked    float64       // the same, as it goes over the wire
-	ChangeTo        time.Duration // until all agents hold it
-	Drain           Role          // bytes of the update of one server, per agent
+	Agent, Core     Role          // while the fleet is idle
+	State           float64       // bytes of memory per process
+	Step            time.Duration // CPU time per process and second, including that of the simulated network
+	Beat            time.Duration // CPU time that the registry spends on one heartbeat of a server
+	Change          Role          // cost of distributing one new configuration, per agent, uncompressed
+	ChangePacked    float64       // the same bytes, compressed as on the wire
+	ChangeTo        time.Duration // until all agents have stored it
+	Drain           Role          // cost of the update of one server, per agent
 	DrainTo         time.Duration
 }
 
 const (
-	capacityUp         = 20_000 * ms // until a fleet rests
-	capacityRest       = 20          // seconds measured at rest
+	capacityWarmUp     = 20_000 * ms // until a new fleet is idle
+	capacityRest       = 20          // seconds measured while the fleet is idle
 	capacityUpdateSpan = 10          // seconds measured after an update
 )
 
-// MeasureCapacity plays each size.
+// MeasureCapacity simulates each size, and reports its progress before each of them.
 func MeasureCapacity(p CapacityPlan, progress func(done float64, what string)) (out []Capacity) {
 	total, done := 0, 0
 	for _, n := range p.Agents {
@@ -79,17 +79,17 @@
 func (p CapacityPlan) measure(agents int) Capacity {
 	c := Capacity{Agents: agents, Servers: int(float64(agents) * p.PerAgent)}
 	before := heapBytes()
-	w := newGossipWorld(GossipPlan{Processes: agents + p.Cores, Cores: p.Cores, Zones: p.Zones, Seed: p.Seed, Delays: Usual})
+	w := newGossipWorld(GossipPlan{Processes: agents + p.Cores, Cores: p.Cores, Zones: p.Zones, Seed: p.Seed, Delays: DefaultDelays})
 	w.until(1000*ms, nil)
 	p.preload(w, c.Servers)
-	w.until(capacityUp, nil)
+	w.until(capacityWarmUp, nil)
 	c.State = float64(heapBytes()-before) / float64(len(w.procs))
 	began := time.Now()
-	c.Agent, c.Core = w.weigh(capacityRest)
+	c.Agent, c.Core = w.measureTraffic(capacityRest)
 	c.Step = time.Since(began) / time.Duration(len(w.procs)*capacityRest)
-	c.Beat = p.beat(w, c.Servers)
-	c.Change, c.ChangePacked, c.ChangeTo = p.change(w, c.Agent)
-	c.Drain, c.DrainTo = p.drain(w, c.Agent)
+	c.Beat = p.timeHeartbeats(w, c.Servers)
+	c.Change, c.ChangePacked, c.ChangeTo = p.measureConfig(w, c.Agent)
+	c.Drain, c.DrainTo = p.measureDrain(w, c.Agent)
 	return c
 }
 
@@ -100,7 +100,7 @@
 	return m.HeapAlloc
 }
 
-// preload has every process store the entries of all servers, as after a fleet has long run.
+// preload stores the entries of all servers in every process, as in a fleet that has run for long.
 func (p CapacityPlan) preload(w *gossipWorld, servers int) {
 	for i := range servers {
 		item := serverItem(i, p.Zones, w.procs[i%p.Cores].addr, 1, registry.Available)
@@ -123,14 +123,15 @@
 	return gossip.Entry{Key: registry.Prefix + s.ID, Version: seq << 2, Value: body}
 }
 
-// weigh plays so many seconds and tells what a process of each role spends.
-func (w *gossipWorld) weigh(seconds int) (agent, core Role) {
+// measureTraffic simulates the given number of seconds and returns the traffic of a process of
+// each role.
+func (w *gossipWorld) measureTraffic(seconds int) (agent, core Role) {
 	for _, x := range w.procs {
 		x.calls, x.bytes = 0, 0
 	}
-	w.count = true
+	w.counting = true
 	w.until(w.now+int64(seconds)*1000*ms, nil)
-	w.count = false
+	w.counting = false
 	cores := w.plan.cores()
 	return roleOf(w.procs[cores:], seconds), roleOf(w.procs[:cores], seconds)
 }
@@ -145,37 +146,39 @@
 	return r
 }
 
-// beat times the registry's part of heartbeats: each core machine hears its share.
-func (p CapacityPlan) beat(w *gossipWorld, servers int) time.Duration {
+// timeHeartbeats measures the CPU time of the registry per heartbeat. Each core machine receives
+// an equal share of the servers' heartbeats.
+func (p CapacityPlan) timeHeartbeats(w *gossipWorld, servers int) time.Duration {
 	const rounds = 20
 	r := registry.New(w.procs[0].addr, 1<<40)
 	share := max(servers/p.Cores, 1)
-	book := w.procs[0].members.Store()
+	store := w.procs[0].members.Store()
 	began := time.Now()
 	for round := range rounds {
 		for i := range share {
 			id := fmt.Sprintf("i-%08x", i)
-			held, known := book.Get(registry.Prefix + id)
+			current, known := store.Get(registry.Prefix + id)
 			b := registry.Heartbeat{Service: fmt.Sprint("s", i%140), Addr: "10.100.0.1:8080", Zone: "z1", Revision: "v1", Capacity: 3,
 				State: registry.LifecycleAvailable, Sequence: int64(round + 2)}
-			r.HandleHeartbeat(w.now, id, b, held, known)
+			r.HandleHeartbeat(w.now, id, b, current, known)
 		}
 	}
 	return time.Since(began) / time.Duration(rounds*share)
 }
 
-// change tells a new configuration at one core machine. What the fleet spends at rest is
-// taken off.
-func (p CapacityPlan) change(w *gossipWorld, rest Role) (Role, float64, time.Duration) {
-	body := config(p.ConfigBytes)
+// measureConfig stores a new configuration at one core machine and measures its distribution.
+// The idle traffic is subtracted.
+func (p CapacityPlan) measureConfig(w *gossipWorld, rest Role) (Role, float64, time.Duration) {
+	body := sampleConfig(p.ConfigBytes)
 	item := gossip.Entry{Key: "c", Version: 1 << 20, Value: body}
-	r, to := p.tell(w, rest, item)
-	packed := float64(rpc.CompressedSize(body)) / float64(len(body))
-	return r, r.Bytes * packed, to
+	r, to := p.measureUpdate(w, rest, item)
+	compressedShare := float64(rpc.CompressedSize(body)) / float64(len(body))
+	return r, r.Bytes * compressedShare, to
 }
 
-// config is a configuration of about so many bytes, with routes as the operators' have.
-func config(bytes int) []byte {
+// sampleConfig returns a configuration of at least the given size, with routes like those of the
+// operators.
+func sampleConfig(bytes int) []byte {
 	var routes []map[string]any
 	for i := 0; ; i++ {
 		routes = append(routes, map[string]any{"name": fmt.Sprintf("r-%07x", i*7919), "hostname": fmt.Sprintf("file%d.example", i%40),
@@ -191,15 +194,15 @@
 	}
 }
 
-func (p CapacityPlan) drain(w *gossipWorld, rest Role) (Role, time.Duration) {
-	return p.tell(w, rest, serverItem(0, p.Zones, w.procs[0].addr, 9, registry.Draining))
+func (p CapacityPlan) measureDrain(w *gossipWorld, rest Role) (Role, time.Duration) {
+	return p.measureUpdate(w, rest, serverItem(0, p.Zones, w.procs[0].addr, 9, registry.Draining))
 }
 
-// tell gives one core machine an entry, and measures what that costs and how long it
-// takes until all hold it.
-func (p CapacityPlan) tell(w *gossipWorld, rest Role, item gossip.Entry) (Role, time.Duration) {
+// measureUpdate stores an entry at one core machine and measures what its distribution costs and
+// how long it takes until all processes have it.
+func (p CapacityPlan) measureUpdate(w *gossipWorld, rest Role, item gossip.Entry) (Role, time.Duration) {
 	begun, last, missing := w.now, w.now, len(w.procs)-1
-	w.watch = func(_ *proc, i gossip.Entry) {
+	w.onUpdate = func(_ *proc, i gossip.Entry) {
 		if i.Key == item.Key && i.Version == item.Version {
 			missing--
 			last = w.now
@@ -207,34 +210,34 @@
 	}
 	x := w.procs[0]
 	x.members.Put(w.now, item)
-	x.soon()
-	r, _ := w.weigh(capacityUpdateSpan)
-	w.watch = nil
+	x.stepSoon()
+	r, _ := w.measureTraffic(capacityUpdateSpan)
+	w.onUpdate = nil
 	r.Bytes = (r.Bytes - rest.Bytes) * capacityUpdateSpan
 	r.Calls = (r.Calls - rest.Calls) * capacityUpdateSpan
 	r.MostBytes = (r.MostBytes - rest.MostBytes) * capacityUpdateSpan
-	if missing > 1 { // the one that told it may count or not
+	if missing > 1 { // the machine that stored it may or may not report the update
 		return r, time.Duration(math.MaxInt64)
 	}
 	return r, time.Duration((last - begun) * micro)
 }
 
 func capacityCommand() *cobra.Command {
-	p := UsualCapacity
+	p := DefaultCapacityPlan
 	var asJSON bool
 	var chartFile string
-	cmd := &cobra.Command{Use: "capacity", Short: "What agents and core machines cost at several sizes of the fleet, up to the operators' own", Args: cobra.NoArgs,
+	cmd := &cobra.Command{Use: "capacity", Short: "Measure the cost of agents and core machines at several fleet sizes, up to that of the operators", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if len(p.Agents) == 0 || slices.Min(p.Agents) < 10 || slices.Max(p.Agents) > 4000 || p.Cores < 3 || p.Zones < 1 || p.PerAgent < 0 || p.PerAgent > 20 {
-				return errors.New("agents: 10 to 4000, cores: 3 at least, zones: 1 at least, servers for each agent: 0 to 20")
+				return errors.New("--agents: 10 to 4000; --cores: at least 3; --zones: at least 1; --servers (per agent): 0 to 20")
 			}
 			bar := show.NewBar(os.Stderr, "measure")
 			all := MeasureCapacity(p, bar.Set)
 			if asJSON {
-				return put(c.OutOrStdout(), all)
+				return writeJSON(c.OutOrStdout(), all)
 			}
 			w := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 2, ' ', 0)
-			fmt.Fprintln(w, "agents\tservers\tagent: calls/s\tB/s\tmost\tcore: calls/s\tB/s\tmost\tmemory\tprocessor/s\ta beat\ta change: B text\tB packed\tto all\ta drain: B\tto all\t")
+			fmt.Fprintln(w, "agents\tservers\tagent: calls/s\tB/s\tmax\tcore: calls/s\tB/s\tmax\tmemory\tCPU/s\theartbeat\tconfig change: B raw\tB compressed\tto all\tdrain: B\tto all\t")
 			for _, x := range all {
 				fmt.Fprintf(w, "%d\t%d\t%.2f\t%.0f\t%.0f\t%.2f\t%.0f\t%.0f\t%.2f MB\t%s\t%s\t%.0f\t%.0f\t%s\t%.0f\t%s\t\n", x.Agents, x.Servers, x.Agent.Calls, x.Agent.Bytes,
 					x.Agent.MostBytes, x.Core.Calls, x.Core.Bytes, x.Core.MostBytes, x.State/(1<<20), x.Step, x.Beat, x.Change.Bytes, x.ChangePacked,
@@ -246,22 +249,22 @@
 			return capacityChart(all, chartFile)
 		}}
 	f := cmd.Flags()
-	f.IntSliceVar(&p.Agents, "agents", p.Agents, "sizes of the fleet")
-	f.IntVar(&p.Cores, "cores", p.Cores, "core machines")
+	f.IntSliceVar(&p.Agents, "agents", p.Agents, "numbers of agents to measure")
+	f.IntVar(&p.Cores, "cores", p.Cores, "number of core machines")
 	f.IntVar(&p.Zones, "zones", p.Zones, "zones")
-	f.Float64Var(&p.PerAgent, "servers", p.PerAgent, "servers for each agent")
-	f.IntVar(&p.ConfigBytes, "config-bytes", p.ConfigBytes, "of a configuration")
-	f.StringVar(&chartFile, "chart", "", "also draw a chart into this file (svg or png)")
-	f.BoolVar(&asJSON, "json", false, "as JSON")
+	f.Float64Var(&p.PerAgent, "servers", p.PerAgent, "servers per agent")
+	f.IntVar(&p.ConfigBytes, "config-bytes", p.ConfigBytes, "size of a configuration in bytes")
+	f.StringVar(&chartFile, "chart", "", "also write a chart to this file (svg or png)")
+	f.BoolVar(&asJSON, "json", false, "print JSON")
 	return cmd
 }
 
-// capacityChart draws bytes a second and memory against the size of the fleet.
+// capacityChart plots bytes per second and memory against the fleet size.
 func capacityChart(all []Capacity, file string) error {
 	p := plot.New()
-	p.Title.Text = "A process of the control side, by the size of the fleet"
+	p.Title.Text = "Cost of a control-plane or agent process, by fleet size"
 	p.X.Label.Text = "agents"
-	p.Y.Label.Text = "kB a second; MB of state"
+	p.Y.Label.Text = "kB/s; MB of state"
 	lines := []struct {
 		name  string
 		value func(Capacity) float64
--- a/internal/lab/measure/core.go
+++ b/internal/lab/measure/core.go
@@ -11,10 +11,10 @@
 	"saddleport/internal/cluster/views"
 )
 
-// Loss is what befalls the core.
+// Loss is a kind of failure of core machines.
 type Loss string
 
-// The losses. A machine that is cut off lives on, alone.
+// The losses. A machine that is cut off keeps running without reaching the others.
 const (
 	HeadLost   Loss = "head lost"
 	MiddleLost Loss = "middle lost"
@@ -27,41 +27,40 @@
 	AllKilled  Loss = "all processes killed"
 )
 
-// Losses are all of them.
+// Losses lists all kinds of loss.
 var Losses = []Loss{HeadLost, MiddleLost, TailLost, HeadStalls, TailStalls, HeadCut, TailCut, OneWay, AllKilled}
 
-// CorePlan says what is measured of the core.
+// CorePlan describes a measurement of the core.
 type CorePlan struct {
 	Machines int
-	Faults   int // that may be lost at once
-	Runs     int // of each loss
+	Faults   int // machines that may be lost at once
+	Runs     int // runs of each loss
 	Seed     uint64
 	Delays   Delays
 }
 
-// Gap is how long nothing was acknowledged, from a loss to the first acknowledgement of
-// what was sent after it.
+// Gap is the time from a loss to the first acknowledgement of an order that was sent after it.
 type Gap struct {
 	Loss  Loss
 	Spans Spans
-	Never int // runs without any within a minute
+	Never int // runs without such an acknowledgement within a minute
 }
 
 const (
-	syncTime = 5 * ms
-	tickTime = 100 * ms
-	askEvery = 50 * ms
-	downTime = 800 * ms // of AllKilled
+	syncDelay    = 5 * ms
+	tickInterval = 100 * ms
+	callInterval = 50 * ms
+	downTime     = 800 * ms // of each machine, for AllKilled
 )
 
 type machine struct {
 	addr         string
 	zone, region int
 	up           bool
-	life         int
-	stalled      bool
-	cutIn        bool // hears nobody
-	cutOut       bool // nobody hears it
+	incarnation  int
+	diskStalled  bool
+	inboundCut   bool // it receives no messages
+	outboundCut  bool // its messages are lost
 	m            *replica.Machine
 	disk         replica.Record
 	queue        []replica.Output
@@ -70,25 +69,25 @@
 
 type coreWorld struct {
 	*sim
-	plan     CorePlan
-	ms       []*machine
-	byAddr   map[string]*machine
-	seeds    []string
-	version  uint64
-	quiet    bool              // the operator has stopped
-	asked    map[string]int64  // when a call was made
-	sent     map[string]uint64 // the version of an order
-	newest   uint64            // the highest version that was acknowledged to a caller
-	acked    func(askedAt int64)
-	onResult func(x *machine, res chain.Result) // of what a machine tells its callers; nil: nobody
+	plan            CorePlan
+	machines        []*machine
+	byAddr          map[string]*machine
+	seeds           []string
+	version         uint64
+	operatorStopped bool              // the operator sends no more versions
+	sentAt          map[string]int64  // time of each call, by its id
+	sentVersions    map[string]uint64 // version of each order, by its id
+	newest          uint64            // highest version that was acknowledged to a caller
+	onAck           func(askedAt int64)
+	onResult        func(x *machine, res chain.Result) // called for each result that a machine returns to its callers; may be nil
 }
 
-// MeasureCore plays each loss so many times.
+// MeasureCore simulates each loss plan.Runs times.
 func MeasureCore(plan CorePlan) (out []Gap) {
 	for _, loss := range Losses {
 		g := Gap{Loss: loss}
 		for run := range plan.Runs {
-			if span, ok := plan.play(loss, plan.Seed+uint64(run)); ok {
+			if span, ok := plan.simulate(loss, plan.Seed+uint64(run)); ok {
 				g.Spans = append(g.Spans, span)
 			} else {
 				g.Never++
@@ -99,39 +98,39 @@
 	return out
 }
 
-func (p CorePlan) play(loss Loss, seed uint64) (time.Duration, bool) {
+func (p CorePlan) simulate(loss Loss, seed uint64) (time.Duration, bool) {
 	w := p.world(seed)
 	at, ackAt := w.now, int64(0)
-	w.acked = func(askedAt int64) {
+	w.onAck = func(askedAt int64) {
 		if askedAt > at && ackAt == 0 {
 			ackAt = w.now
 		}
 	}
-	w.suffer(loss)
+	w.injectLoss(loss)
 	w.until(at+60_000*ms, func() bool { return ackAt == 0 })
 	return time.Duration((ackAt - at) * micro), ackAt > 0
 }
 
-// world is a core that has run for some seconds, while an operator sends versions.
+// world returns a core that has run for 5 to 6 s while an operator sends versions.
 func (p CorePlan) world(seed uint64) *coreWorld {
-	w := &coreWorld{sim: newSim(seed), plan: p, byAddr: make(map[string]*machine), asked: make(map[string]int64), sent: make(map[string]uint64)}
+	w := &coreWorld{sim: newSim(seed), plan: p, byAddr: make(map[string]*machine), sentAt: make(map[string]int64), sentVersions: make(map[string]uint64)}
 	for i := range p.Machines {
 		x := &machine{addr: fmt.Sprintf("10.%d.0.1:7080", i+1)}
-		x.zone, x.region = place(i, 3)
-		w.ms = append(w.ms, x)
+		x.zone, x.region = locate(i, 3)
+		w.machines = append(w.machines, x)
 		w.byAddr[x.addr] = x
 		w.seeds = append(w.seeds, x.addr)
 	}
-	for _, x := range w.ms {
+	for _, x := range w.machines {
 		x.disk = replica.Record{State: consensus.State{Self: views.Member{Addr: x.addr, DiskID: consensus.FirstDiskID}, View: consensus.InitialView(w.seeds)}}
 		w.after(w.rng.Int64N(200*ms), func() { w.start(x) })
 	}
-	w.after(500*ms, w.ask)
+	w.after(500*ms, w.sendVersions)
 	w.until(5000*ms+w.rng.Int64N(1000*ms), nil)
 	return w
 }
 
-func (w *coreWorld) suffer(loss Loss) {
+func (w *coreWorld) injectLoss(loss Loss) {
 	v := w.view()
 	head, middle, tail := w.byAddr[v.Head().Addr], w.byAddr[v.Chain[len(v.Chain)/2].Addr], w.byAddr[v.Tail().Addr]
 	switch loss {
@@ -142,26 +141,26 @@
 	case TailLost:
 		w.crash(tail)
 	case HeadStalls:
-		head.stalled = true
+		head.diskStalled = true
 	case TailStalls:
-		tail.stalled = true
+		tail.diskStalled = true
 	case HeadCut:
-		head.cutIn, head.cutOut = true, true
+		head.inboundCut, head.outboundCut = true, true
 	case TailCut:
-		tail.cutIn, tail.cutOut = true, true
+		tail.inboundCut, tail.outboundCut = true, true
 	case OneWay:
-		head.cutIn = true
+		head.inboundCut = true
 	case AllKilled:
-		for _, x := range w.ms {
+		for _, x := range w.machines {
 			w.crash(x)
 			w.after(downTime+w.rng.Int64N(200*ms), func() { w.start(x) })
 		}
 	}
 }
 
-// view is the newest that a machine is in.
+// view is the newest view of any machine.
 func (w *coreWorld) view() (v views.View) {
-	for _, x := range w.ms {
+	for _, x := range w.machines {
 		if x.m.Consensus.View.Epoch > v.Epoch {
 			v = x.m.Consensus.View
 		}
@@ -170,32 +169,33 @@
 }
 
 func (w *coreWorld) start(x *machine) {
-	x.up, x.life = true, x.life+1
-	x.m = replica.New(w.now, replica.DefaultConfig(w.plan.Faults), x.disk, w.seeds, fmt.Sprint(x.addr, ".", x.life), chain.Mutations{})
-	w.tick(x, x.life)
+	x.up, x.incarnation = true, x.incarnation+1
+	x.m = replica.New(w.now, replica.DefaultConfig(w.plan.Faults), x.disk, w.seeds, fmt.Sprint(x.addr, ".", x.incarnation), chain.Mutations{})
+	w.tick(x, x.incarnation)
 }
 
 func (w *coreWorld) crash(x *machine) {
 	x.up, x.queue, x.writing = false, nil, false
-	x.life++
+	x.incarnation++
 }
 
-func (w *coreWorld) tick(x *machine, life int) {
-	if x.life != life {
+func (w *coreWorld) tick(x *machine, incarnation int) {
+	if x.incarnation != incarnation {
 		return
 	}
-	w.flow(x, x.m.Tick(w.now))
-	w.after(tickTime, func() { w.tick(x, life) })
+	w.enqueue(x, x.m.Tick(w.now))
+	w.after(tickInterval, func() { w.tick(x, incarnation) })
 }
 
-// ask has an operator send a version to any machine that it reaches, again and again.
-func (w *coreWorld) ask() {
-	if w.quiet {
+// sendVersions sends the operator's next version to a random machine that is reachable, and
+// schedules the one after it.
+func (w *coreWorld) sendVersions() {
+	if w.operatorStopped {
 		return
 	}
 	var up []*machine
-	for _, x := range w.ms {
-		if x.up && !x.cutIn && !x.cutOut {
+	for _, x := range w.machines {
+		if x.up && !x.inboundCut && !x.outboundCut {
 			up = append(up, x)
 		}
 	}
@@ -203,14 +203,15 @@
 		x := up[w.rng.IntN(len(up))]
 		w.version++
 		id, out := x.m.Put(w.now, chain.NewEntry(w.version, []byte("x")))
-		w.asked[id], w.sent[id] = w.now, w.version
-		w.flow(x, out)
+		w.sentAt[id], w.sentVersions[id] = w.now, w.version
+		w.enqueue(x, out)
 	}
-	w.after(askEvery, w.ask)
+	w.after(callInterval, w.sendVersions)
 }
 
-// flow queues what a step wants written; what it wants sent waits for that.
-func (w *coreWorld) flow(x *machine, out replica.Output) {
+// enqueue queues the output of a step. Its messages and results are sent once its record is on
+// disk.
+func (w *coreWorld) enqueue(x *machine, out replica.Output) {
 	if out.Persist == nil && len(out.Send) == 0 && len(out.Results) == 0 {
 		return
 	}
@@ -233,9 +234,9 @@
 			}
 		}
 	}
-	life := x.life
+	incarnation := x.incarnation
 	done := func() {
-		if x.life != life {
+		if x.incarnation != incarnation {
 			return
 		}
 		x.disk, x.writing = r, false
@@ -243,16 +244,16 @@
 			w.send(x, out.Send)
 			for _, res := range out.Results {
 				if res.OK() {
-					w.newest = max(w.newest, w.sent[res.ID])
+					w.newest = max(w.newest, w.sentVersions[res.ID])
 				}
-				delete(w.sent, res.ID)
+				delete(w.sentVersions, res.ID)
 				if w.onResult != nil {
 					w.onResult(x, res)
 				}
-				if at, known := w.asked[res.ID]; known && res.OK() && w.acked != nil {
-					w.acked(at)
+				if at, known := w.sentAt[res.ID]; known && res.OK() && w.onAck != nil {
+					w.onAck(at)
 				}
-				delete(w.asked, res.ID)
+				delete(w.sentAt, res.ID)
 			}
 		}
 		w.write(x)
@@ -260,20 +261,20 @@
 	switch {
 	case !dirty:
 		w.after(0, done)
-	case !x.stalled:
-		w.after(syncTime, done)
+	case !x.diskStalled:
+		w.after(syncDelay, done)
 	}
 }
 
 func (w *coreWorld) send(x *machine, list []envelope.Message) {
 	for _, msg := range list {
 		to := w.byAddr[msg.To.Addr]
-		if to == nil || x.cutOut {
+		if to == nil || x.outboundCut {
 			continue
 		}
 		w.after(w.plan.Delays.between(x.zone, x.region, to.zone, to.region), func() {
-			if to.up && !to.cutIn && !(x.cutIn && x.cutOut) {
-				w.flow(to, to.m.Step(w.now, msg))
+			if to.up && !to.inboundCut && !(x.inboundCut && x.outboundCut) {
+				w.enqueue(to, to.m.Step(w.now, msg))
 			}
 		})
 	}
--- a/internal/lab/measure/gossip.go
+++ b/internal/lab/measure/gossip.go
@@ -11,36 +11,36 @@
 	"saddleport/internal/cluster/registry"
 )
 
-// GossipPlan says what is measured of gossip.
+// GossipPlan describes a measurement of gossip.
 type GossipPlan struct {
 	Processes int
-	Cores     int // of the processes, core processes; 0: a tenth, three at least
+	Cores     int // core processes among them; 0: a tenth, at least three
 	Zones     int
-	Servers   int     // whose entries are stored from the start
-	Loss      float64 // share of calls that are lost on the way or back
-	Runs      int     // drains told, and processes killed
+	Servers   int     // servers whose entries are stored from the start
+	Loss      float64 // share of calls that are lost
+	Runs      int     // drains announced, and processes killed
 	Seed      uint64
 	Delays    Delays
 }
 
-// GossipCost is what was measured.
+// GossipCost is the result of a gossip measurement.
 type GossipCost struct {
 	Plan           GossipPlan
-	Calls          float64 // a second and process, at rest
-	Bytes          float64 // the same: sent and received answers, with heads
-	CrossZoneBytes float64 // of these, bytes that left the zone
-	BusiestCalls   float64 // a second, of the process that makes most calls
-	Reached        Spans   // a drain to all
-	Half           Spans   // and to half
-	Noticed        Spans   // a process killed, until all know
-	Joined         Spans   // a process started anew, until it holds all
-	False          int     // deaths told of processes that live
+	Calls          float64 // per second and process, while the fleet is idle
+	Bytes          float64 // per second and process: requests sent and responses received, with headers
+	CrossZoneBytes float64 // the part of Bytes that left the zone
+	BusiestCalls   float64 // calls per second of the process that makes the most
+	Reached        Spans   // time until all processes know a drain
+	ReachedHalf    Spans   // time until half of them know it
+	Noticed        Spans   // time until all processes know that a killed process is dead
+	Joined         Spans   // time until a restarted process has all entries
+	FalseDeaths    int     // deaths reported of processes that are alive
 }
 
 const (
-	headBytes   = 150 // of a call
+	headBytes   = 150 // headers of a request
 	answerBytes = 110
-	lostAfter   = 900 * 1000 // microseconds until a call that is lost counts as failed
+	callTimeout = 900 * 1000 // microseconds until a lost call is reported as failed
 )
 
 type proc struct {
@@ -50,28 +50,28 @@
 	zone, region int
 	members      *member.Machine
 	up           bool
-	life         int
-	timer        int // the number of the timer that counts
+	incarnation  int
+	timer        int // number of the current timer; earlier timers are ignored
 	calls        int
 	bytes        int
 }
 
 type gossipWorld struct {
 	*sim
-	plan        GossipPlan
-	procs       []*proc
-	byAddr      map[string]*proc
-	count       bool
-	beyond      int
-	seeds       []string
-	killed      map[string]bool
-	falseDeaths int
-	watch       func(p *proc, i gossip.Entry)
-	duties      []member.SingletonRole
-	cut         func(p, q *proc) bool // nil: no way is
+	plan           GossipPlan
+	procs          []*proc
+	byAddr         map[string]*proc
+	counting       bool
+	crossZoneBytes int
+	seeds          []string
+	killed         map[string]bool
+	falseDeaths    int
+	onUpdate       func(p *proc, i gossip.Entry)
+	roles          []member.SingletonRole
+	isCut          func(p, q *proc) bool // reports whether calls from p to q are lost; nil: none are
 }
 
-func size(v any) int {
+func jsonSize(v any) int {
 	b, err := json.Marshal(v)
 	if err != nil {
 		panic(err)
@@ -84,12 +84,12 @@
 	if p.i < p.w.plan.cores() {
 		kind = gossip.KindControlPlane
 	}
-	p.up, p.life = true, p.life+1
+	p.up, p.incarnation = true, p.incarnation+1
 	self := gossip.Process{Addr: p.addr, Name: fmt.Sprint("m", p.i), Kind: kind, Zone: fmt.Sprint("z", p.zone), Region: fmt.Sprint("g", p.region)}
-	p.members = member.New(p.w.now, member.DefaultConfig(p.w.duties...), self, p.w.seeds, p.w.rng)
+	p.members = member.New(p.w.now, member.DefaultConfig(p.w.roles...), self, p.w.seeds, p.w.rng)
 	p.members.OnUpdate = func(i gossip.Entry) {
-		if p.w.watch != nil {
-			p.w.watch(p, i)
+		if p.w.onUpdate != nil {
+			p.w.onUpdate(p, i)
 		}
 	}
 	p.step()
@@ -102,7 +102,7 @@
 	return max(3, p.Processes/10)
 }
 
-// step has the machine do what is due, and sets the next alarm.
+// step runs the machine's due work and schedules its next tick.
 func (p *proc) step() {
 	if !p.up {
 		return
@@ -110,9 +110,9 @@
 	p.members.Tick(p.w.now)
 	p.flush()
 	p.timer++
-	mine, life := p.timer, p.life
+	current, incarnation := p.timer, p.incarnation
 	p.w.after(max(p.members.NextTick()-p.w.now, ms), func() {
-		if p.timer == mine && p.life == life {
+		if p.timer == current && p.incarnation == incarnation {
 			p.step()
 		}
 	})
@@ -126,80 +126,80 @@
 			w.falseDeaths++
 		}
 	}
-	life := p.life
+	incarnation := p.incarnation
 	for _, o := range out.Calls {
-		w.call(p, o.To, size(o.Request), func(q *proc) (any, int) {
+		w.call(p, o.To, jsonSize(o.Request), func(q *proc) (any, int) {
 			ans := q.members.HandleExchange(w.now, o.Request)
-			q.soon()
-			return ans, size(ans)
+			q.stepSoon()
+			return ans, jsonSize(ans)
 		}, func(ans any, ok bool) {
-			if p.life != life {
+			if p.incarnation != incarnation {
 				return
 			}
 			a, _ := ans.(gossip.ExchangeResponse)
 			p.members.HandleExchangeResult(w.now, o, a, ok)
 			p.flush()
-			p.soon()
+			p.stepSoon()
 		})
 	}
 	for _, q := range out.Probes {
-		w.ask(p, q, life)
+		w.probe(p, q, incarnation)
 	}
 }
 
-// ask carries a question of the ring, and the try that it may lead to.
-func (w *gossipWorld) ask(p *proc, q failuredetector.Probe, life int) {
-	answer := func(hears, came bool) {
-		if p.life == life {
-			p.members.HandleProbeResult(w.now, q, hears, came)
+// probe delivers a failure-detector probe and the attempt to reach the target that may follow it.
+func (w *gossipWorld) probe(p *proc, q failuredetector.Probe, incarnation int) {
+	reportResult := func(alive, answered bool) {
+		if p.incarnation == incarnation {
+			p.members.HandleProbeResult(w.now, q, alive, answered)
 		}
 	}
-	var hears, try bool
+	var alive, callTarget bool
 	w.call(p, q.To, 40, func(x *proc) (any, int) {
-		hears, try = x.members.HandleProbe(w.now, q.Target)
+		alive, callTarget = x.members.HandleProbe(w.now, q.Target)
 		return nil, 12
 	}, func(_ any, ok bool) {
-		if !ok || !try {
-			answer(hears, ok)
+		if !ok || !callTarget {
+			reportResult(alive, ok)
 			return
 		}
-		w.call(w.byAddr[q.To], q.Target, 40, func(*proc) (any, int) { return nil, 12 }, func(_ any, ok bool) { answer(ok, true) })
+		w.call(w.byAddr[q.To], q.Target, 40, func(*proc) (any, int) { return nil, 12 }, func(_ any, ok bool) { reportResult(ok, true) })
 	})
 }
 
-// soon has a process look at what has come in.
-func (p *proc) soon() {
-	life := p.life
+// stepSoon schedules a step for input that has just arrived.
+func (p *proc) stepSoon() {
+	incarnation := p.incarnation
 	p.w.after(0, func() {
-		if p.life == life {
+		if p.incarnation == incarnation {
 			p.step()
 		}
 	})
 }
 
-// call plays a call: there, what is done there, and back.
+// call simulates a call: the request, its handling at the callee, and the response.
 func (w *gossipWorld) call(p *proc, to string, bytes int, do func(q *proc) (any, int), done func(ans any, ok bool)) {
 	q := w.byAddr[to]
 	lost := w.rng.Float64() < w.plan.Loss
-	w.pay(p, q, bytes+headBytes, true)
-	if q == nil || lost || !q.up || w.cut != nil && w.cut(p, q) {
-		w.after(lostAfter, func() { done(nil, false) })
+	w.account(p, q, bytes+headBytes, true)
+	if q == nil || lost || !q.up || w.isCut != nil && w.isCut(p, q) {
+		w.after(callTimeout, func() { done(nil, false) })
 		return
 	}
 	d := w.plan.Delays.between(p.zone, p.region, q.zone, q.region)
 	w.after(d, func() {
 		if !q.up {
-			w.after(lostAfter, func() { done(nil, false) })
+			w.after(callTimeout, func() { done(nil, false) })
 			return
 		}
 		ans, n := do(q)
-		w.pay(q, p, n+answerBytes, false)
+		w.account(q, p, n+answerBytes, false)
 		w.after(d, func() { done(ans, true) })
 	})
 }
 
-func (w *gossipWorld) pay(p, q *proc, bytes int, call bool) {
-	if !w.count {
+func (w *gossipWorld) account(p, q *proc, bytes int, call bool) {
+	if !w.counting {
 		return
 	}
 	if call {
@@ -207,11 +207,11 @@
 	}
 	p.bytes += bytes
 	if q != nil && q.zone != p.zone {
-		w.beyond += bytes
+		w.crossZoneBytes += bytes
 	}
 }
 
-// MeasureGossip plays a fleet: it comes up, rests, is told of drains, loses processes.
+// MeasureGossip simulates a fleet that starts, is idle, receives drains and loses processes.
 func MeasureGossip(plan GossipPlan) GossipCost {
 	w := newGossipWorld(plan)
 	for i := range plan.Servers {
@@ -219,33 +219,33 @@
 	}
 	out := GossipCost{Plan: plan}
 	w.until(20_000*ms, nil)
-	w.count = true
+	w.counting = true
 	const rest = 30
 	w.until(w.now+rest*1000*ms, nil)
-	w.count = false
+	w.counting = false
 	calls, bytes := 0, 0
 	for _, p := range w.procs {
 		calls, bytes = calls+p.calls, bytes+p.bytes
 		out.BusiestCalls = max(out.BusiestCalls, float64(p.calls)/rest)
 	}
 	n := float64(plan.Processes) * rest
-	out.Calls, out.Bytes, out.CrossZoneBytes = float64(calls)/n, float64(bytes)/n, float64(w.beyond)/n
+	out.Calls, out.Bytes, out.CrossZoneBytes = float64(calls)/n, float64(bytes)/n, float64(w.crossZoneBytes)/n
 	for run := range plan.Runs {
 		w.drain(&out, run)
 	}
 	for range plan.Runs {
 		w.kill(&out)
 	}
-	out.False = w.falseDeaths
+	out.FalseDeaths = w.falseDeaths
 	return out
 }
 
-// newGossipWorld has a fleet about to start.
-func newGossipWorld(plan GossipPlan, duties ...member.SingletonRole) *gossipWorld {
-	w := &gossipWorld{sim: newSim(plan.Seed), plan: plan, byAddr: make(map[string]*proc), killed: make(map[string]bool), duties: duties}
+// newGossipWorld returns a fleet whose processes are scheduled to start.
+func newGossipWorld(plan GossipPlan, roles ...member.SingletonRole) *gossipWorld {
+	w := &gossipWorld{sim: newSim(plan.Seed), plan: plan, byAddr: make(map[string]*proc), killed: make(map[string]bool), roles: roles}
 	for i := range plan.Processes {
 		p := &proc{w: w, i: i, addr: fmt.Sprintf("10.%d.%d.%d:7080", i%plan.Zones+1, i/200, i%200+1)}
-		p.zone, p.region = place(i, plan.Zones)
+		p.zone, p.region = locate(i, plan.Zones)
 		w.procs = append(w.procs, p)
 		w.byAddr[p.addr] = p
 		if i < 3 {
@@ -266,39 +266,39 @@
 		panic(err)
 	}
 	p.members.Put(p.w.now, gossip.Entry{Key: registry.Prefix + s.ID, Version: seq << 2, Value: body})
-	p.soon()
+	p.stepSoon()
 }
 
-// spread waits until so many processes hold an entry, and tells when half and all
-// did; a run that takes over a minute counts as that.
-func (w *gossipWorld) spread(holds func(p *proc) bool, half, all *Spans) {
-	begin, most := w.now, w.now+60_000*ms
-	know, live := make(map[*proc]bool), 0
+// measureSpread simulates until all live processes hold an entry, and appends the times at which
+// half and all of them did. A run that takes more than a minute counts as a minute.
+func (w *gossipWorld) measureSpread(holds func(p *proc) bool, half, all *Spans) {
+	begin, limit := w.now, w.now+60_000*ms
+	known, live := make(map[*proc]bool), 0
 	for _, p := range w.procs {
 		if p.up {
 			live++
-			know[p] = holds(p)
+			known[p] = holds(p)
 		}
 	}
-	count := func() (n int) {
-		for _, is := range know {
-			if is {
+	knownCount := func() (n int) {
+		for _, isKnown := range known {
+			if isKnown {
 				n++
 			}
 		}
 		return n
 	}
-	n, halfAt := count(), int64(0)
-	w.watch = func(p *proc, _ gossip.Entry) {
-		if !know[p] && p.up && holds(p) {
-			know[p] = true
+	n, halfAt := knownCount(), int64(0)
+	w.onUpdate = func(p *proc, _ gossip.Entry) {
+		if !known[p] && p.up && holds(p) {
+			known[p] = true
 			if n++; halfAt == 0 && 2*n >= live {
 				halfAt = w.now
 			}
 		}
 	}
-	w.until(most, func() bool { return n < live })
-	w.watch = nil
+	w.until(limit, func() bool { return n < live })
+	w.onUpdate = nil
 	if half != nil {
 		*half = append(*half, time.Duration((halfAt-begin)*micro))
 	}
@@ -311,16 +311,17 @@
 	seq := uint64(run + 2)
 	w.procs[w.rng.IntN(w.plan.cores())].storeServer(server, seq, registry.Draining)
 	key := registry.Prefix + fmt.Sprint("i-", server)
-	w.spread(func(p *proc) bool { i, _ := p.members.Store().Get(key); return i.Version >= seq<<2 }, &out.Half, &out.Reached)
+	w.measureSpread(func(p *proc) bool { i, _ := p.members.Store().Get(key); return i.Version >= seq<<2 }, &out.ReachedHalf, &out.Reached)
 }
 
-// kill ends a process without a word, and starts it anew once all know.
+// kill ends a process without an announcement, and restarts it once all processes know that it is
+// dead.
 func (w *gossipWorld) kill(out *GossipCost) {
 	x := w.procs[w.rng.IntN(len(w.procs))]
 	x.up, w.killed[x.addr] = false, true
-	x.life++
+	x.incarnation++
 	key := gossip.ProcessPrefix + x.addr
-	w.spread(func(p *proc) bool { i, known := p.members.Store().Get(key); return known && i.Deleted() }, nil, &out.Noticed)
+	w.measureSpread(func(p *proc) bool { i, exists := p.members.Store().Get(key); return exists && i.Deleted() }, nil, &out.Noticed)
 	want := 0
 	for _, p := range w.procs {
 		if p.up {
--- a/internal/lab/measure/rejoin_command.go
+++ b/internal/lab/measure/rejoin_command.go
@@ -12,7 +12,7 @@
 	"saddleport/internal/lab/show"
 )
 
-var errRejoinPlan = errors.New("processes: 4 to 2000, of them core machines: 1 to a half; zones: 1 to 60; loss: 0 to 0.9; runs: 1 at least; span: 1 s to 1 h")
+var errRejoinPlan = errors.New("--processes: 4 to 2000; --cores: 1 to half of them; --zones: 1 to 60; --loss: 0 to 0.9; --runs: at least 1; --span: 1 s to 1 h")
 
 func (plan RejoinPlan) valid() bool {
 	return plan.Processes >= 4 && plan.Processes <= 2000 && plan.Cores >= 1 && plan.Cores <= plan.Processes/2 && plan.Zones >= 1 && plan.Zones <= 60 &&
@@ -20,9 +20,9 @@
 }
 
 func rejoinCommand() *cobra.Command {
-	plan := RejoinPlan{Processes: 14, Cores: 5, Zones: 3, Servers: 40, Span: defaultSpan, Runs: 30, Seed: 1, Delays: Usual}
+	plan := RejoinPlan{Processes: 14, Cores: 5, Zones: 3, Servers: 40, Span: defaultSpan, Runs: 30, Seed: 1, Delays: DefaultDelays}
 	var asJSON bool
-	cmd := &cobra.Command{Use: "rejoin", Short: "How processes find each other again that believed each other dead", Args: cobra.NoArgs,
+	cmd := &cobra.Command{Use: "rejoin", Short: "Measure how processes that reported each other dead find each other again", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if !plan.valid() {
 				return errRejoinPlan
@@ -31,20 +31,20 @@
 			rows := MeasureRejoin(plan)
 			bar.End()
 			if asJSON {
-				return put(c.OutOrStdout(), rows)
+				return writeJSON(c.OutOrStdout(), rows)
 			}
 			table := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 2, ' ', 0)
-			fmt.Fprintln(table, "separation\tannounced, at all\tall known to all\tnot within a minute\tcalls a second, most")
+			fmt.Fprintln(table, "separation\tannouncement at all\tall known to all\tnot within a minute\tmax calls/s")
 			for _, row := range rows {
 				fmt.Fprintf(table, "%s\t%s\t%s\t%d of %d\t%.1f\n", row.Separation, row.Reached, row.Met, row.Never, plan.Runs, row.MostCalls)
 			}
 			return table.Flush()
 		}}
 	flags := cmd.Flags()
-	flags.IntVar(&plan.Processes, "processes", plan.Processes, "agents and control-plane processes")
-	flags.IntVar(&plan.Cores, "cores", plan.Cores, "of these, control-plane processes")
+	flags.IntVar(&plan.Processes, "processes", plan.Processes, "number of agents and control-plane processes")
+	flags.IntVar(&plan.Cores, "cores", plan.Cores, "control-plane processes among them")
 	flags.IntVar(&plan.Zones, "zones", plan.Zones, "zones")
-	flags.IntVar(&plan.Servers, "servers", plan.Servers, "servers that are known")
+	flags.IntVar(&plan.Servers, "servers", plan.Servers, "servers that all processes know from the start")
 	flags.DurationVar(&plan.Span, "span", plan.Span, "length of a separation")
 	flags.Float64Var(&plan.Loss, "loss", plan.Loss, "share of calls that are lost")
 	flags.IntVar(&plan.Runs, "runs", plan.Runs, "runs of each separation")
--- a/internal/lab/measure/rejoin_test.go
+++ b/internal/lab/measure/rejoin_test.go
@@ -7,8 +7,9 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// Processes that believed each other dead find each other again (issue 52): 5 s after the end of
-// a separation machines count as in touch, and what was announced 3 s before must be in force.
+// Processes that recorded each other as dead must find each other again (issue 52): 5 s after the
+// end of a separation machines count as in contact, and what was announced 3 s before must be in
+// force.
 func TestRejoin(t *testing.T) {
 	plans := []struct {
 		name string
@@ -22,8 +23,8 @@
 	}
 	for _, c := range plans {
 		plan := c.RejoinPlan
-		plan.Servers, plan.Seed, plan.Delays = 40, 1, Usual
-		Convey("After each separation all processes hear of what is announced in time, and know each other: "+c.name, t, func() {
+		plan.Servers, plan.Seed, plan.Delays = 40, 1, DefaultDelays
+		Convey("After each separation all processes receive an announcement in time, and know each other: "+c.name, t, func() {
 			for _, row := range MeasureRejoin(plan) {
 				t.Logf("%s: %s: reached %v; met %v; never %d; calls %.1f", c.name, row.Separation, row.Reached, row.Met, row.Never, row.MostCalls)
 				So(row.Never, ShouldEqual, 0)
--- a/internal/lab/measure/separation.go
+++ b/internal/lab/measure/separation.go
@@ -1,30 +1,30 @@
 package measure
 
-// Separation is a way in which processes lose each other for longer than it takes until a
-// death is reported, so that each side believes the other dead.
+// Separation is a failure that separates processes for longer than the failure detector takes to
+// report a death, so that each side records the other as dead.
 type Separation string
 
-// The separations.
+// The kinds of separation.
 const (
-	ControlPlaneLost     Separation = "control plane lost"               // all its processes, which come back knowing nobody
-	ControlPlaneShutDown Separation = "control plane shut down in order" // each process announces its end
-	ControlPlaneCutOff   Separation = "control plane cut off"            // from all agents
-	AgentsRestarted      Separation = "control plane lost, agents too"   // agents are restarted one by one while it is away
-	SeedsGone            Separation = "control plane back without seeds" // the machines that the settings name stay away
+	ControlPlaneLost     Separation = "control plane lost"               // all its processes end, and restart without knowing any peer
+	ControlPlaneShutDown Separation = "control plane shut down in order" // each process announces that it leaves
+	ControlPlaneCutOff   Separation = "control plane cut off"            // from all agents; both sides keep running
+	AgentsRestarted      Separation = "control plane lost, agents too"   // agents are restarted one by one while the control plane is down
+	SeedsGone            Separation = "control plane back without seeds" // the machines that the settings name as seeds stay down
 	ZonesCutApart        Separation = "zones cut into two halves"
 )
 
-// Separations lists all of them.
+// Separations lists all kinds of separation.
 var Separations = []Separation{ControlPlaneLost, ControlPlaneShutDown, ControlPlaneCutOff, AgentsRestarted, SeedsGone, ZonesCutApart}
 
 const (
-	seedCount      = 3        // the first processes
+	seedCount      = 3        // the first processes are the seeds
 	restartStagger = 300 * ms // between two agents that are restarted
 	restartPause   = 100 * ms // from the end of a process to its next start
-	shutDownPause  = 400 * ms // for the last calls of a process that ends
+	shutDownPause  = 400 * ms // for the last calls of a process that leaves
 )
 
-// separate plays a separation and returns at its end.
+// separate simulates a separation and returns at its end.
 func (w *gossipWorld) separate(separation Separation, span int64) {
 	end := w.now + span
 	cores, agents := w.procs[:w.plan.cores()], w.procs[w.plan.cores():]
@@ -56,24 +56,24 @@
 		w.until(end, nil)
 		start(cores[seedCount:])
 	case ControlPlaneCutOff:
-		w.cut = func(p, q *proc) bool { return p.isCore() != q.isCore() }
+		w.isCut = func(p, q *proc) bool { return p.isCore() != q.isCore() }
 		w.until(end, nil)
-		w.cut = nil
+		w.isCut = nil
 	case ZonesCutApart:
 		half := w.plan.Zones / 2
-		w.cut = func(p, q *proc) bool { return (p.zone < half) != (q.zone < half) }
+		w.isCut = func(p, q *proc) bool { return (p.zone < half) != (q.zone < half) }
 		w.until(end, nil)
-		w.cut = nil
+		w.isCut = nil
 	}
 }
 
 func (p *proc) isCore() bool { return p.i < p.w.plan.cores() }
 
-// kill ends processes without a word.
+// kill ends processes without an announcement.
 func kill(procs []*proc) {
 	for _, p := range procs {
 		p.up = false
-		p.life++
+		p.incarnation++
 		p.w.killed[p.addr] = true
 	}
 }
@@ -84,7 +84,8 @@
 	}
 }
 
-// everyoneKnown reports whether every process that is up knows every other one, and no more.
+// everyoneKnown reports whether every process that is up knows all others that are up, and no
+// other process.
 func (w *gossipWorld) everyoneKnown() bool {
 	live := 0
 	for _, p := range w.procs {
--- a/internal/lab/measure/sim.go
+++ b/internal/lab/measure/sim.go
@@ -1,7 +1,7 @@
-// Package measure measures the system's machines in memory, in virtual time: what gossip costs
-// and how long it takes at a number of processes, and how long the core acknowledges
-// nothing after a loss. It plays the very machines that the programs step; the network,
-// the disks and the clock are its own. The same seed gives the same figures.
+// Package measure runs the system's state machines in memory, in virtual time, and measures what
+// gossip costs and how long it takes at a given number of processes, and how long the core
+// acknowledges nothing after a loss. The state machines are those of the programs; the network,
+// the disks and the clock are simulated. The same seed gives the same figures.
 package measure
 
 import (
@@ -14,13 +14,13 @@
 
 const (
 	micro = int64(time.Microsecond)
-	ms    = int64(1000) // of the machines' clocks, which are microseconds
+	ms    = int64(1000) // in units of the state machines' clocks, which count microseconds
 )
 
 type event struct {
 	at  int64
 	seq int
-	do  func()
+	run func()
 }
 
 type events []event
@@ -38,7 +38,7 @@
 	return x
 }
 
-// sim is a clock and what is to happen.
+// sim is a discrete-event simulation: a clock and a queue of scheduled events.
 type sim struct {
 	now    int64 // microseconds
 	seq    int
@@ -48,33 +48,35 @@
 
 func newSim(seed uint64) *sim { return &sim{now: 1, rng: rand.New(rand.NewPCG(seed, 11))} }
 
-func (s *sim) after(d int64, do func()) {
+func (s *sim) after(d int64, run func()) {
 	s.seq++
-	heap.Push(&s.events, event{s.now + max(d, 0), s.seq, do})
+	heap.Push(&s.events, event{s.now + max(d, 0), s.seq, run})
 }
 
-// until plays to a time, or as long as going says.
-func (s *sim) until(at int64, going func() bool) {
-	for len(s.events) > 0 && s.events[0].at <= at && (going == nil || going()) {
+// until runs events up to the time at, or until continues returns false. If continues is nil, it
+// also advances the clock to at.
+func (s *sim) until(at int64, continues func() bool) {
+	for len(s.events) > 0 && s.events[0].at <= at && (continues == nil || continues()) {
 		e := heap.Pop(&s.events).(event)
 		s.now = max(s.now, e.at)
-		e.do()
+		e.run()
 	}
-	if going == nil {
+	if continues == nil {
 		s.now = max(s.now, at)
 	}
 }
 
-// Delays are one way.
+// Delays are one-way network delays: within a zone, between zones of a region, and between regions.
 type Delays struct {
 	Zone, Zones, Regions time.Duration
 }
 
-// Usual are the delays of the first of the users' sites.
-var Usual = Delays{Zone: 100 * time.Microsecond, Zones: 900 * time.Microsecond, Regions: 20 * time.Millisecond}
+// DefaultDelays are the delays of the first of the users' sites.
+var DefaultDelays = Delays{Zone: 100 * time.Microsecond, Zones: 900 * time.Microsecond, Regions: 20 * time.Millisecond}
 
-// place is where process i of n stands: zones in turn, two zones a region.
-func place(i, zones int) (zone, region int) { return i % zones, i % zones / max(zones/3, 1) }
+// locate returns the zone and region of process i. Zones are assigned in turn; a region has a third
+// of the zones, at least one.
+func locate(i, zones int) (zone, region int) { return i % zones, i % zones / max(zones/3, 1) }
 
 func (d Delays) between(za, ra, zb, rb int) int64 {
 	switch {
@@ -86,10 +88,10 @@
 	return int64(d.Regions) / micro
 }
 
-// Spans are times in a row of runs.
+// Spans are the times of several runs.
 type Spans []time.Duration
 
-// At is a quantile; 0 where there are none.
+// At returns the q-quantile, or 0 without any times.
 func (s Spans) At(q float64) time.Duration {
 	if len(s) == 0 {
 		return 0
