--- a/internal/lab/modelcheck/faults.go
+++ b/internal/lab/modelcheck/faults.go
@@ -6,77 +6,79 @@
 	"saddleport/internal/cluster/views"
 )
 
-// Times of the users' pages, virtual.
+// Time bounds from the users' pages, in virtual time.
 const (
-	catchUp    = 4000 * step // a machine that came back counts as lost for so long
-	contact    = 5000 * step // after the last disturbance all calm machines are in touch
-	ackTimeout = 6000 * step // an order is acknowledged within it
-	grace      = 6000 * step // from the order to stop to the kill
-	fairRound  = 100 * step
-	hopsARound = 12
-	burstRound = 50 * step
-	mostResent = 64
+	catchUpTime   = 4000 * step // a machine that came back counts as lost until then
+	contactTime   = 5000 * step // after the last fault, all healthy machines are in contact by then
+	ackTimeout    = 6000 * step // bound for the acknowledgement of an order
+	graceTime     = 6000 * step // from the request to stop to the kill
+	roundSpan     = 100 * step
+	hopsPerRound  = 12
+	burstInterval = 50 * step
+	maxRecent     = 64
 )
 
-// put sends an order to a machine.
+// put sends an order to a machine. If probe is not nil, it is set once the order is acknowledged.
 func (w *World) put(i int, o order, probe *bool) {
 	n := w.nodes[i]
 	if !n.up {
 		return
 	}
-	w.note("put version %d (%s) at %s", o.version, o.raw, n.addr)
-	if w.sent = append(w.sent, o); len(w.sent) > mostResent {
-		w.sent = w.sent[1:]
+	w.logf("put version %d (%s) at %s", o.version, o.raw, n.addr)
+	if w.recent = append(w.recent, o); len(w.recent) > maxRecent {
+		w.recent = w.recent[1:]
 	}
 	id, out := n.m.Put(w.now, o.entry())
-	w.asked[id] = asked{order: o, probe: probe}
-	w.took(i, out)
+	w.requests[id] = request{order: o, probe: probe}
+	w.enqueue(i, out)
 }
 
-// get reads the configuration at a machine.
+// get reads the configuration at a machine. If probe is not nil, it is set once the read succeeds.
 func (w *World) get(i int, probe *bool) {
 	n := w.nodes[i]
 	if !n.up {
 		return
 	}
-	w.note("get at %s", n.addr)
+	w.logf("get at %s", n.addr)
 	id, out := n.m.Get(w.now)
-	w.asked[id] = asked{read: true, floor: w.acked, probe: probe}
-	w.took(i, out)
+	w.requests[id] = request{read: true, floor: w.acked, probe: probe}
+	w.enqueue(i, out)
 }
 
-// play lets time pass fairly for a span, or until done tells that it is enough.
-func (w *World) play(span int64) { w.playUntil(span, func() bool { return false }) }
+// runFor lets time pass fairly for a span. runUntil does so until done returns true, at most for a
+// span.
+func (w *World) runFor(span int64) { w.runUntil(span, func() bool { return false }) }
 
-func (w *World) playUntil(span int64, done func() bool) {
+func (w *World) runUntil(span int64, done func() bool) {
 	for end := w.now + span; w.now < end && w.broken == nil && !done(); {
-		w.round(fairRound)
+		w.round(roundSpan)
 	}
 }
 
-// round is one step of fair time: a tick, and the messages and syncs that it brings about.
+// round is one step of fair time: a tick, and then the syncs and messages that it causes, for at
+// most hopsPerRound hops.
 func (w *World) round(span int64) {
 	w.tick(span)
-	for range hopsARound {
+	for range hopsPerRound {
 		for i, n := range w.nodes {
 			for n.up && !n.stalled && len(n.pending) > 0 {
 				w.sync(i)
 			}
 		}
-		mail := w.mail
-		w.mail = nil
-		for _, m := range mail {
+		batch := w.inFlight
+		w.inFlight = nil
+		for _, m := range batch {
 			w.deliver(m.msg)
 		}
-		if len(mail) == 0 {
+		if len(batch) == 0 {
 			return
 		}
 	}
 }
 
-// heal ends all cuts and stalls, starts what is down, and sees that each machine that is
-// gone for good has a successor.
-func (w *World) heal() {
+// healAll ends all cuts and stalls, starts all machines that are down, and starts a successor for
+// each machine that is removed.
+func (w *World) healAll() {
 	clear(w.cuts)
 	removed := 0
 	for i, n := range w.nodes {
@@ -94,37 +96,38 @@
 		}
 		removed--
 	}
-	w.note("all is healed")
+	w.logf("all faults are healed")
 }
 
-// calm heals everything and gives it the time to catch up. After it as many machines may be
+// recoverAll heals everything and lets all machines catch up. Afterwards as many machines may be
 // lost as at the start.
-func (w *World) calm() {
-	w.heal()
-	w.play(catchUp + fairRound)
-	w.open = 0
-	w.note("all have had the time to catch up")
+func (w *World) recoverAll() {
+	w.healAll()
+	w.runFor(catchUpTime + roundSpan)
+	w.unrecovered = 0
+	w.logf("all machines have had the time to catch up")
 }
 
-// burst sends many orders in fair time, and has each machine read along.
+// burst sends many orders in fair time, to the machines in turn.
 func (w *World) burst(orders int) {
 	for range orders {
 		w.version++
 		w.put(int(w.version)%len(w.nodes), order{w.version, fmt.Sprint(w.version)}, nil)
-		w.round(burstRound)
+		w.round(burstInterval)
 		if w.broken != nil {
 			return
 		}
 	}
 }
 
-// mayLose tells whether one more machine or disk may be lost: as many as are tolerated at
-// once, since all had the time to catch up.
-func (w *World) mayLose() bool {
-	return w.wipes < w.plan.Wipes && (w.open < w.plan.Faults || w.repaired())
+// mayLoseDisk reports whether one more machine or disk may be lost: fewer than the tolerated number
+// were lost since all machines last caught up, or the loss of all of them is repaired.
+func (w *World) mayLoseDisk() bool {
+	return w.wipes < w.plan.Wipes && (w.unrecovered < w.plan.Faults || w.repaired())
 }
 
-// repaired tells whether the newest view counts on no lost disk, and its members hold it.
+// repaired reports whether no member of the newest view has lost its disk, and all members have
+// stored that view.
 func (w *World) repaired() bool {
 	newest := w.newest()
 	for _, m := range newest.Members {
@@ -136,7 +139,7 @@
 	return w.lost(newest) == 0
 }
 
-// newest is the newest view on any disk.
+// newest returns the newest view on any disk.
 func (w *World) newest() (v views.View) {
 	for _, n := range w.nodes {
 		if n.disk != nil && n.disk.State.View.Epoch > v.Epoch {
@@ -156,106 +159,106 @@
 	return n
 }
 
-// wipe takes a disk, if one more may be lost.
+// wipe empties a machine's disk, if one more may be lost.
 func (w *World) wipe(i int) {
 	n := w.nodes[i]
-	if n.disk == nil || !w.mayLose() {
+	if n.disk == nil || !w.mayLoseDisk() {
 		return
 	}
-	w.lose(i)
-	w.note("the disk of %s is lost", n.addr)
+	w.loseDisk(i)
+	w.logf("%s loses its disk", n.addr)
 }
 
-func (w *World) lose(i int) {
+func (w *World) loseDisk(i int) {
 	w.wipes++
-	w.open++
-	w.Seen.Wipes++
+	w.unrecovered++
+	w.Stats.Wipes++
 	w.crash(i, 0)
 	n := w.nodes[i]
-	n.disk, n.disks = nil, n.disks+1
+	n.disk, n.diskCount = nil, n.diskCount+1
 }
 
-// successor is a machine that was not there yet; -1: there is none.
+// successor returns a machine that has never started, or -1 if there is none.
 func (w *World) successor() int {
 	for i := w.plan.Machines; i < len(w.nodes); i++ {
-		if n := w.nodes[i]; !n.removed && n.disk == nil && n.lives == 0 {
+		if n := w.nodes[i]; !n.removed && n.disk == nil && n.incarnations == 0 {
 			return i
 		}
 	}
 	return -1
 }
 
-// replace takes a machine away for good; an empty one comes a little later.
-func (w *World) replace(i int, later int64) {
+// replace removes a machine for good, and starts an empty one after a delay.
+func (w *World) replace(i int, delay int64) {
 	next := w.successor()
-	if n := w.nodes[i]; next < 0 || n.removed || n.disk == nil || !w.mayLose() {
+	if n := w.nodes[i]; next < 0 || n.removed || n.disk == nil || !w.mayLoseDisk() {
 		return
 	}
-	w.lose(i)
+	w.loseDisk(i)
 	w.nodes[i].removed = true
-	w.Seen.Replaced++
-	w.note("%s is gone for good", w.nodes[i].addr)
-	w.play(later)
+	w.Stats.Replaced++
+	w.logf("%s is removed for good", w.nodes[i].addr)
+	w.runFor(delay)
 	w.start(next)
 }
 
-// retire has the new machine come first; then the old one is told to stop. It ends once it
-// has handed over, or when the grace is over. If the new one had the time to catch up and the
-// old one has handed over, no machine was lost.
-func (w *World) retire(i int, earlier int64) {
+// retire starts the new machine first, and then asks the old one to stop. The old one ends once it
+// has handed over, or when the grace time is over. If the new one had the time to catch up and the
+// old one has handed over, no machine counts as lost.
+func (w *World) retire(i int, lead int64) {
 	next := w.successor()
 	n := w.nodes[i]
-	if next < 0 || n.removed || !n.up || !w.mayLose() {
+	if next < 0 || n.removed || !n.up || !w.mayLoseDisk() {
 		return
 	}
 	w.start(next)
-	w.play(earlier)
+	w.runFor(lead)
 	if !n.up || w.broken != nil {
 		return
 	}
-	w.note("%s is told to stop", n.addr)
-	w.took(i, n.m.StartLeave(w.now))
-	w.playUntil(grace, func() bool { return n.m.HasLeft(w.now) })
-	left, open := n.m.HasLeft(w.now), w.open
-	w.lose(i)
+	w.logf("%s is asked to stop", n.addr)
+	w.enqueue(i, n.m.StartLeave(w.now))
+	w.runUntil(graceTime, func() bool { return n.m.HasLeft(w.now) })
+	left, unrecovered := n.m.HasLeft(w.now), w.unrecovered
+	w.loseDisk(i)
 	n.removed = true
-	if left && earlier >= catchUp {
-		w.open = open
+	if left && lead >= catchUpTime {
+		w.unrecovered = unrecovered
 	}
-	w.Seen.Replaced++
-	w.note("%s is gone for good", n.addr)
+	w.Stats.Replaced++
+	w.logf("%s is removed for good", n.addr)
 }
 
-// Settle heals everything and judges liveness: once all have been in touch for a while, each
-// machine gets an order acknowledged and a read answered in time.
+// Settle heals everything and checks liveness: once all machines have had the time to get in
+// contact, each of them acknowledges an order and answers a read in time.
 func (w *World) Settle() (err error) {
 	defer func() {
 		if x := recover(); x != nil {
-			w.fail("%v", x)
+			w.failf("%v", x)
 		}
 		err = w.broken
 	}()
-	w.heal()
-	w.play(contact)
+	w.healAll()
+	w.runFor(contactTime)
 	for i, n := range w.nodes {
 		if n.up && w.broken == nil {
-			w.settled(i, n)
+			w.checkLiveness(i, n)
 		}
 	}
 	return w.broken
 }
 
-func (w *World) settled(i int, n *node) {
+func (w *World) checkLiveness(i int, n *node) {
 	acked, read := false, false
 	w.version++
 	w.put(i, order{w.version, fmt.Sprint(w.version)}, &acked)
 	w.get(i, &read)
-	w.playUntil(ackTimeout, func() bool { return acked && read })
+	w.runUntil(ackTimeout, func() bool { return acked && read })
 	switch {
 	case w.broken != nil:
 	case !acked:
-		w.fail("wedged: %s acknowledges no order within %d ms though all is healed", n.addr, ackTimeout/step)
+		w.failf("no progress: %s acknowledges no order within %d ms after all faults are healed", n.addr, ackTimeout/step)
 	case !read:
-		w.fail("wedged: %s answers no read within %d ms though all is healed: version %d was acknowledged", n.addr, ackTimeout/step, w.acked)
+		w.failf("no progress: %s answers no read within %d ms after all faults are healed; version %d was acknowledged", n.addr, ackTimeout/step, w.acked)
 	}
 }
--- a/internal/lab/modelcheck/modelcheck_test.go
+++ b/internal/lab/modelcheck/modelcheck_test.go
@@ -6,11 +6,11 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-var raced bool // with the race detector schedules are few: they are played elsewhere
+var raceEnabled bool // the race detector slows schedules down: few run with it, the full number without it
 
-// Whatever machines crash, lose their disks, are replaced, stall or are cut off, and whatever
-// messages and operators do: nothing acknowledged is lost, reads find it, a number has one
-// content, an epoch has one view; and once all is healed, orders are acknowledged in time.
+// No schedule of crashes, lost disks, replacements, stalls, cuts, lost messages and concurrent
+// operators may break a rule: nothing acknowledged is lost, reads return it, a revision has one
+// content, an epoch has one view, and once all faults are healed, orders are acknowledged in time.
 func TestHolds(t *testing.T) {
 	for _, p := range []Plan{
 		{Machines: 3, Spare: 2, Faults: 1, Wipes: 3, Steps: 600},
@@ -18,7 +18,7 @@
 		{Machines: 5, Spare: 2, Faults: 2, Wipes: 4, Steps: 900},
 	} {
 		Convey("No schedule breaks a rule", t, func() {
-			if raced {
+			if raceEnabled {
 				found, _, _ := Search(p, 1, 60, nil)
 				So(found, ShouldBeNil)
 				return
@@ -28,53 +28,53 @@
 				t.Logf("seed %d of %+v\n%s", found.Seed, p, found.Log)
 				So(found.Err, ShouldBeNil)
 			}
-			So(seen.Acks, ShouldBeGreaterThan, 1500) // the schedules reach what they are for
+			So(seen.Acks, ShouldBeGreaterThan, 1500) // the schedules reach the states they are meant to test
 			So(seen.Wipes, ShouldBeGreaterThan, 500)
 			So(seen.Epochs, ShouldBeGreaterThan, 3000)
 		})
 	}
 }
 
-// The search bites: with any one rule left out it finds a schedule that shows it. Seeds
-// begin a little before where a search from 1 finds one.
+// With any one rule disabled, the search must find a schedule that breaks a rule. The seeds begin a
+// little before the one at which a search from 1 finds it.
 func TestBites(t *testing.T) {
-	if raced {
-		t.Skip("played without the race detector")
+	if raceEnabled {
+		t.Skip("runs only without the race detector")
 	}
 	begin := map[string]uint64{"accepted-forgot": 3000}
 	for name, breaks := range Mutants {
-		Convey("Left out: "+name, t, func() {
-			p := Plan{Machines: 3, Spare: 2, Faults: 1, Wipes: 3, Steps: 600, Breaks: breaks}
-			if breaks.OrderByVersionOnly { // shown by operators and crashes alone
+		Convey("Disabled rule: "+name, t, func() {
+			p := Plan{Machines: 3, Spare: 2, Faults: 1, Wipes: 3, Steps: 600, Mutations: breaks}
+			if breaks.OrderByVersionOnly { // found with concurrent operators and crashes alone
 				p.Spare, p.Wipes = 0, 0
 			}
-			found, _, played := Search(p, max(begin[name], 1), 4000, nil)
+			found, _, completed := Search(p, max(begin[name], 1), 4000, nil)
 			So(found, ShouldNotBeNil)
-			t.Logf("%s: after %d schedules, %d steps: %v", name, played, len(found.Steps), found.Err)
+			t.Logf("%s: after %d schedules, %d steps: %v", name, completed, len(found.Steps), found.Err)
 		})
 	}
 }
 
-// Schedules that once broke a rule of the shipped code, by what they showed.
+// Schedules that once broke a rule in released code, by the fault that they showed.
 func TestOnceFound(t *testing.T) {
 	for what, plan := range map[string]struct {
 		Plan
 		seed uint64
 	}{
-		"a learner whose members were all replaced while it was cut off was never told the view": {
+		"a learner that was cut off while all members it knew were replaced never learned the new view": {
 			Plan{Machines: 3, Spare: 2, Faults: 1, Wipes: 3, Steps: 600}, 1_027_538},
-		"a member that was cut off while all others that it knew went never met the new ones": {
+		"a member that was cut off while all members it knew were removed never found the new ones": {
 			Plan{Machines: 3, Spare: 2, Faults: 1, Wipes: 3, Steps: 600}, 1_042_141},
-		"one content taken twice, after different orders, passed for one entry": {
+		"one content accepted twice, after different orders, was treated as one entry": {
 			Plan{Machines: 3, Spare: 2, Faults: 1, Wipes: 3, Steps: 600}, 1_037_537},
-		"a replacement beside a dead member left no majority": {
+		"a replacement next to a dead member left no majority": {
 			Plan{Machines: 3, Spare: 2, Faults: 1, Wipes: 3, Steps: 600}, 53},
-		"two contents of one number were both read": {
+		"two contents of one revision were both read": {
 			Plan{Machines: 3, Faults: 1, Steps: 600}, 373},
 	} {
-		Convey("No more: "+what, t, func() {
+		Convey("Fixed: "+what, t, func() {
 			p := plan.Of(plan.seed)
-			_, err := Play(p, Draw(p, plan.seed), false)
+			_, err := RunSchedule(p, Generate(p, plan.seed), false)
 			So(err, ShouldBeNil)
 		})
 	}
--- a/internal/lab/modelcheck/oracle.go
+++ b/internal/lab/modelcheck/oracle.go
@@ -4,10 +4,10 @@
 	"saddleport/internal/cluster/chain"
 )
 
-// result judges what a caller was told.
-func (w *World) result(r chain.Result) {
-	a, known := w.asked[r.ID]
-	delete(w.asked, r.ID)
+// checkResult checks the result that a caller received.
+func (w *World) checkResult(r chain.Result) {
+	a, known := w.requests[r.ID]
+	delete(w.requests, r.ID)
 	if !known || !r.OK() {
 		return
 	}
@@ -15,55 +15,54 @@
 		*a.probe = true
 	}
 	if a.read {
-		w.readResult(a, *r.Entry)
+		w.checkRead(a, *r.Entry)
 		return
 	}
-	w.verdict(a.order, r.Verdict)
-	w.putResult(a.order)
+	w.checkVerdict(a.order, r.Verdict)
+	w.checkAck(a.order)
 }
 
-// readResult holds a read to what was acknowledged before it was asked, and to what other
-// reads found under the same version.
-func (w *World) readResult(a asked, e chain.Entry) {
-	w.Seen.Reads++
+// checkRead checks that a read is no older than what was acknowledged before it was sent, and that
+// it has the same content as other reads of its version.
+func (w *World) checkRead(a request, e chain.Entry) {
+	w.Stats.Reads++
 	version := chain.RevisionOf(e.Version)
-	w.note("a read finds version %d: %s", version, e.Content)
+	w.logf("a read returns version %d: %s", version, e.Content)
 	if version < a.floor {
-		w.fail("a read found version %d though %d was acknowledged before it was asked", version, a.floor)
+		w.failf("a read returned version %d although %d was acknowledged before the read was sent", version, a.floor)
 	}
-	if was, found := w.read[version]; found && was != string(e.Content) {
-		w.fail("reads found version %d as %q and as %q", version, was, e.Content)
+	if was, found := w.readContent[version]; found && was != string(e.Content) {
+		w.failf("reads returned version %d as %q and as %q", version, was, e.Content)
 	}
-	w.read[version] = string(e.Content)
+	w.readContent[version] = string(e.Content)
 }
 
-// putResult holds an acknowledgement to the disks: so many must hold the version that those
-// which may yet be lost do not matter.
-func (w *World) putResult(o order) {
-	w.Seen.Acks++
+// checkAck checks that an acknowledged version is on more disks than may still be lost.
+func (w *World) checkAck(o order) {
+	w.Stats.Acks++
 	w.acked = max(w.acked, o.version)
-	w.note("version %d is acknowledged", o.version)
+	w.logf("version %d is acknowledged", o.version)
 	holders := 0
 	for _, n := range w.nodes {
 		if n.disk != nil && n.disk.Entry != nil && chain.RevisionOf(n.disk.Entry.Version) >= o.version {
 			holders++
 		}
 	}
-	if may := w.plan.Faults - w.lost(w.newest()); holders <= may { // a disk may go between its word and the caller's
-		w.fail("version %d is acknowledged and on %d disks; %d more may be lost", o.version, holders, may)
+	if may := w.plan.Faults - w.lost(w.newest()); holders <= may { // a disk may be lost between its own acknowledgement and the one to the caller, so lost disks are taken off
+		w.failf("version %d is acknowledged but stored on %d disks only; %d more may be lost", o.version, holders, may)
 	}
 }
 
-// verdict holds what operators are told to one content under one number: an order that was
-// confirmed is never refused when it is sent again, and no other one is confirmed.
-func (w *World) verdict(o order, v chain.Verdict) {
-	was, taken := w.taken[o.version]
+// checkVerdict checks that only one content is confirmed per revision: an order that was confirmed
+// is never refused when it is sent again, and no other order of the revision is confirmed.
+func (w *World) checkVerdict(o order, v chain.Verdict) {
+	was, confirmed := w.confirmed[o.version]
 	switch {
-	case v == chain.UpdateAccepted && taken && was != o.raw:
-		w.fail("version %d is confirmed as %q and as %q", o.version, was, o.raw)
+	case v == chain.UpdateAccepted && confirmed && was != o.raw:
+		w.failf("version %d is confirmed as %q and as %q", o.version, was, o.raw)
 	case v == chain.UpdateAccepted:
-		w.taken[o.version] = o.raw
-	case v == chain.UpdateConflict && taken && was == o.raw:
-		w.fail("version %d as %q was confirmed, and is refused when it is sent again", o.version, o.raw)
+		w.confirmed[o.version] = o.raw
+	case v == chain.UpdateConflict && confirmed && was == o.raw:
+		w.failf("version %d as %q was confirmed, but refused when it was sent again", o.version, o.raw)
 	}
 }
--- a/internal/lab/modelcheck/race_test.go
+++ b/internal/lab/modelcheck/race_test.go
@@ -2,4 +2,4 @@
 
 package modelcheck
 
-func init() { raced = true }
+func init() { raceEnabled = true }
--- a/internal/lab/modelcheck/world.go
+++ b/internal/lab/modelcheck/world.go
@@ -1,9 +1,9 @@
 // Package modelcheck searches the core's control state (internal/cluster/replica) for schedules that
-// break its rules: machines that crash, lose their disks or stall, messages that are lost,
-// doubled and delayed, cuts one way and both ways, operators that write and read all the
-// while. A schedule is a list of steps drawn from a seed; one that breaks a rule can be
-// played again step by step and is shrunk to what matters. It judges by what callers were
-// told and by what the disks hold, never by the machines' own word.
+// break its rules: machines crash, lose their disks or stall; messages are lost, duplicated and
+// delayed; links are cut in one or both directions; operators write and read throughout. A schedule
+// is a list of steps generated from a seed. A schedule that breaks a rule can be repeated step by
+// step, and is reduced to the steps that matter. The rules are checked against the results that
+// callers received and the contents of the disks, never against the state that machines report.
 package modelcheck
 
 import (
@@ -19,22 +19,22 @@
 )
 
 type node struct {
-	addr    string
-	up      bool
-	removed bool // for good
-	stalled bool
-	lives   int
-	disks   int
-	epoch   uint64 // of the view that was looked at last, in this life
-	life    int
-	m       *replica.Machine
-	disk    *replica.Record
-	pending []replica.Output
+	addr            string
+	up              bool
+	removed         bool // removed for good
+	stalled         bool
+	incarnations    int
+	diskCount       int
+	seenEpoch       uint64 // epoch of the view that was checked last, in incarnation viewIncarnation
+	viewIncarnation int
+	m               *replica.Machine
+	disk            *replica.Record
+	pending         []replica.Output
 }
 
-type mail struct{ msg envelope.Message }
+type packet struct{ msg envelope.Message }
 
-// order is a configuration that an operator sends.
+// order is a configuration sent by an operator.
 type order struct {
 	version uint64
 	raw     string
@@ -42,48 +42,48 @@
 
 func (o order) entry() chain.Entry { return chain.NewEntry(o.version, []byte(o.raw)) }
 
-type asked struct {
-	floor uint64 // the version acknowledged before it was asked
+type request struct {
+	floor uint64 // highest version acknowledged before the request was sent
 	order order
 	read  bool
-	probe *bool // of the end of a schedule: set once it is answered
+	probe *bool // set once the request succeeds; nil except at the end of a schedule
 }
 
-// World is a schedule at play.
+// World is the state of a running schedule.
 type World struct {
-	plan    Plan
-	now     int64
-	nodes   []*node
-	mail    []mail
-	cuts    map[[2]int]bool
-	asked   map[string]asked
-	acked   uint64            // the highest version acknowledged to a caller
-	read    map[uint64]string // by version: the content that a read found
-	taken   map[uint64]string // by version: the content that was confirmed to its operator
-	sent    []order           // the last ones
-	version uint64
-	wipes   int
-	open    int // machines lost since all had the time to catch up
-	views   map[uint64]string
-	broken  error
-	log     []string
-	tell    bool
+	plan        Plan
+	now         int64
+	nodes       []*node
+	inFlight    []packet
+	cuts        map[[2]int]bool
+	requests    map[string]request
+	acked       uint64            // highest version acknowledged to a caller
+	readContent map[uint64]string // by version: the content that a read returned
+	confirmed   map[uint64]string // by version: the content that was confirmed to an operator
+	recent      []order           // the last orders sent, at most maxRecent
+	version     uint64
+	wipes       int
+	unrecovered int // machines lost since all machines last caught up
+	views       map[uint64]string
+	broken      error
+	log         []string
+	verbose     bool
 
-	// Seen counts what happened, to show that a search reaches what it is meant to.
-	Seen Seen
+	// Stats counts events, to show that a search reaches the states it is meant to test.
+	Stats Stats
 }
 
-// Seen counts what happened in schedules.
-type Seen struct {
+// Stats counts events in schedules.
+type Stats struct {
 	Acks, Reads, Wipes, Replaced, Crashes, Epochs int
 }
 
 const step = int64(1000)
 
-// New lays a world out: the machines of the first view, started on empty disks.
+// New returns a world in which the machines of the first view have started on empty disks.
 func New(p Plan) *World {
-	w := &World{plan: p, now: 1, cuts: make(map[[2]int]bool), asked: make(map[string]asked), views: make(map[uint64]string),
-		read: make(map[uint64]string), taken: make(map[uint64]string)}
+	w := &World{plan: p, now: 1, cuts: make(map[[2]int]bool), requests: make(map[string]request), views: make(map[uint64]string),
+		readContent: make(map[uint64]string), confirmed: make(map[uint64]string)}
 	for i := range p.Machines + p.Spare {
 		w.nodes = append(w.nodes, &node{addr: fmt.Sprintf("m%d", i)})
 	}
@@ -93,7 +93,8 @@
 	return w
 }
 
-// first are the machines of the first view; seeds are where others ask to be taken in.
+// first returns the addresses of the first view's machines; seeds returns those at which other
+// machines ask to join.
 func (w *World) first() (out []string) {
 	for i := range w.plan.Machines {
 		out = append(out, w.nodes[i].addr)
@@ -103,7 +104,7 @@
 
 func (w *World) seeds() (out []string) {
 	for _, n := range w.nodes {
-		if !n.removed && n.lives > 0 {
+		if !n.removed && n.incarnations > 0 {
 			out = append(out, n.addr)
 		}
 	}
@@ -115,13 +116,13 @@
 	if n.up || n.removed {
 		return
 	}
-	n.up, n.lives = true, n.lives+1
+	n.up, n.incarnations = true, n.incarnations+1
 	if n.disk == nil {
-		r := replica.Record{State: consensus.State{Self: views.Member{Addr: n.addr, DiskID: fmt.Sprint(n.disks)}}}
-		if n.disks == 0 && i < w.plan.Machines {
+		r := replica.Record{State: consensus.State{Self: views.Member{Addr: n.addr, DiskID: fmt.Sprint(n.diskCount)}}}
+		if n.diskCount == 0 && i < w.plan.Machines {
 			r.State.View = consensus.InitialView(w.first())
 		}
-		if w.plan.Breaks.LostDiskVotes && n.disks > 0 { // it takes itself for what it was
+		if w.plan.Mutations.LostDiskVotes && n.diskCount > 0 { // the mutation: it keeps the identity that it had before it lost its disk
 			r.State.Self.DiskID = consensus.FirstDiskID
 			r.State.View = consensus.InitialView(w.first())
 		}
@@ -129,23 +130,23 @@
 	}
 	r := *n.disk
 	cfg := replica.DefaultConfig(w.plan.Faults)
-	if w.plan.Bare {
+	if w.plan.NoRepair {
 		cfg.Repair = antientropy.Config{}
 	}
-	n.m = replica.New(w.now, cfg, r, w.seeds(), fmt.Sprintf("%s-%d", n.addr, n.lives), w.plan.Breaks)
-	w.note("start %s as %s, epoch %d, rank %d", n.addr, r.State.Self, r.State.View.Epoch, n.m.Chain.Stored().Version)
+	n.m = replica.New(w.now, cfg, r, w.seeds(), fmt.Sprintf("%s-%d", n.addr, n.incarnations), w.plan.Mutations)
+	w.logf("start %s as %s, epoch %d, version %d", n.addr, r.State.Self, r.State.View.Epoch, n.m.Chain.Stored().Version)
 }
 
-func (w *World) note(format string, args ...any) {
-	if w.tell {
+func (w *World) logf(format string, args ...any) {
+	if w.verbose {
 		w.log = append(w.log, fmt.Sprintf("%8d ms  ", w.now/step)+fmt.Sprintf(format, args...))
 	}
 }
 
-func (w *World) fail(format string, args ...any) {
+func (w *World) failf(format string, args ...any) {
 	if w.broken == nil {
 		w.broken = fmt.Errorf(format, args...)
-		w.note("BROKEN %v", w.broken)
+		w.logf("rule broken: %v", w.broken)
 	}
 }
 
@@ -158,28 +159,28 @@
 	return -1
 }
 
-// took queues what a machine wants written and sent.
-func (w *World) took(i int, out replica.Output) {
+// enqueue queues a machine's output, and checks that each epoch has one view.
+func (w *World) enqueue(i int, out replica.Output) {
 	n := w.nodes[i]
 	if out.Persist == nil && len(out.Send) == 0 && len(out.Results) == 0 {
 		return
 	}
 	n.pending = append(n.pending, out)
 	v := n.m.Consensus.View
-	if v.Epoch > 0 && (v.Epoch != n.epoch || n.life != n.lives) {
-		n.epoch, n.life = v.Epoch, n.lives
+	if v.Epoch > 0 && (v.Epoch != n.seenEpoch || n.viewIncarnation != n.incarnations) {
+		n.seenEpoch, n.viewIncarnation = v.Epoch, n.incarnations
 		text := fmt.Sprintf("%v chain %v base %d", v.Members, v.Chain, v.Base)
 		if was, known := w.views[v.Epoch]; !known {
 			w.views[v.Epoch] = text
-			w.Seen.Epochs++
-			w.note("%s has epoch %d: %s", n.addr, v.Epoch, text)
+			w.Stats.Epochs++
+			w.logf("%s adopts epoch %d: %s", n.addr, v.Epoch, text)
 		} else if was != text {
-			w.fail("two views of epoch %d: %s, and at %s %s", v.Epoch, was, n.addr, text)
+			w.failf("two views of epoch %d: %s, and at %s %s", v.Epoch, was, n.addr, text)
 		}
 	}
 }
 
-// sync has a disk finish its oldest write; what waited for it goes out.
+// sync completes a disk's oldest write, and sends the messages and results that waited for it.
 func (w *World) sync(i int) {
 	n := w.nodes[i]
 	if !n.up || n.stalled || len(n.pending) == 0 {
@@ -189,10 +190,10 @@
 	n.pending = n.pending[1:]
 	w.write(n, out)
 	for _, msg := range out.Send {
-		w.mail = append(w.mail, mail{msg: msg})
+		w.inFlight = append(w.inFlight, packet{msg: msg})
 	}
 	for _, r := range out.Results {
-		w.result(r)
+		w.checkResult(r)
 	}
 }
 
@@ -207,11 +208,11 @@
 	n.disk = &r
 }
 
-// Do plays one step. A broken invariant of the machines counts as a broken rule.
+// Do runs one step. A panic in a machine counts as a broken rule.
 func (w *World) Do(s Step) (err error) {
 	defer func() {
 		if x := recover(); x != nil {
-			w.fail("%v", x)
+			w.failf("%v", x)
 		}
 		err = w.broken
 	}()
@@ -219,25 +220,25 @@
 	i := s.A % n
 	switch s.Kind {
 	case Deliver:
-		for range 1 + s.B%4 { // beats alone are many: what is slower than they come is never heard
-			if len(w.mail) > 0 {
-				j := s.A % min(len(w.mail), 1+s.B%8) // mostly about in order
-				msg := w.mail[j].msg
-				w.mail[j] = w.mail[0]
-				w.mail = w.mail[1:]
+		for range 1 + s.B%4 { // heartbeats alone are many: at one message per step most others would never arrive
+			if len(w.inFlight) > 0 {
+				j := s.A % min(len(w.inFlight), 1+s.B%8) // roughly in the order in which they were sent
+				msg := w.inFlight[j].msg
+				w.inFlight[j] = w.inFlight[0]
+				w.inFlight = w.inFlight[1:]
 				w.deliver(msg)
 			}
 		}
-	case Double:
-		if len(w.mail) > 0 {
-			j := s.A % len(w.mail)
-			w.deliver(w.mail[j].msg)
+	case Duplicate:
+		if len(w.inFlight) > 0 {
+			j := s.A % len(w.inFlight)
+			w.deliver(w.inFlight[j].msg)
 		}
 	case Drop:
-		if len(w.mail) > 0 {
-			j := s.A % len(w.mail)
-			w.mail[j] = w.mail[0]
-			w.mail = w.mail[1:]
+		if len(w.inFlight) > 0 {
+			j := s.A % len(w.inFlight)
+			w.inFlight[j] = w.inFlight[0]
+			w.inFlight = w.inFlight[1:]
 		}
 	case Sync:
 		for range 1 + s.B%3 {
@@ -257,16 +258,16 @@
 			if s.B%3 > 0 {
 				w.cuts[[2]int{j, i}] = true
 			}
-			w.note("cut %s from %s", w.nodes[i].addr, w.nodes[j].addr)
+			w.logf("cut %s from %s", w.nodes[i].addr, w.nodes[j].addr)
 		}
-	case Isolate: // one alone: two would leave nobody to go on
+	case Isolate: // only one machine: with two isolated ones no majority would remain
 		clear(w.cuts)
 		for j := range n {
 			if i != j {
 				w.cuts[[2]int{i, j}], w.cuts[[2]int{j, i}] = true, true
 			}
 		}
-		w.note("isolate %s", w.nodes[i].addr)
+		w.logf("isolate %s", w.nodes[i].addr)
 	case Heal:
 		clear(w.cuts)
 	case Stall:
@@ -275,8 +276,8 @@
 		w.version += uint64(1 + s.B%3)
 		w.put(i, order{w.version, fmt.Sprint(w.version)}, nil)
 	case Resend:
-		if len(w.sent) > 0 {
-			w.put(i, w.sent[s.B%len(w.sent)], nil)
+		if len(w.recent) > 0 {
+			w.put(i, w.recent[s.B%len(w.recent)], nil)
 		}
 	case Race:
 		if w.version > 0 {
@@ -285,9 +286,9 @@
 	case Get:
 		w.get(i, nil)
 	case Elapse:
-		w.play(int64(1+s.B%20) * 1000 * step)
-	case Calm:
-		w.calm()
+		w.runFor(int64(1+s.B%20) * 1000 * step)
+	case Recover:
+		w.recoverAll()
 	case Burst:
 		w.burst(50 + s.B%100)
 	case Replace:
@@ -303,39 +304,41 @@
 	if to < 0 || !w.nodes[to].up || w.cuts[[2]int{from, to}] {
 		return
 	}
-	w.took(to, w.nodes[to].m.Step(w.now, msg))
+	w.enqueue(to, w.nodes[to].m.Step(w.now, msg))
 }
 
 func (w *World) tick(d int64) {
 	w.now += d
-	seeds := w.seeds() // as gossip would tell
+	seeds := w.seeds() // as gossip would provide them
 	for i, n := range w.nodes {
 		if n.up {
 			n.m.Consensus.SetSeeds(seeds)
-			w.took(i, n.m.Tick(w.now))
+			w.enqueue(i, n.m.Tick(w.now))
 		}
 	}
 }
 
-// crash ends a machine; of what it had not synced, some of the oldest may be on the disk.
+// crash ends a machine. Some of its oldest writes that were not synced may still reach the disk, as
+// keep selects.
 func (w *World) crash(i, keep int) {
 	n := w.nodes[i]
 	if !n.up {
 		return
 	}
 	n.up, n.stalled = false, false
-	w.Seen.Crashes++
+	w.Stats.Crashes++
 	for _, out := range n.pending[:keep%(len(n.pending)+1)] {
 		w.write(n, out)
 	}
 	n.pending = nil
-	w.note("crash %s", n.addr)
+	w.logf("crash %s", n.addr)
 }
 
-// Play plays a schedule to its end. tell has the steps that did something written down.
-func Play(p Plan, steps []Step, tell bool) (*World, error) {
+// RunSchedule runs a schedule to its end and settles it. verbose records a log of the steps that
+// had an effect.
+func RunSchedule(p Plan, steps []Step, verbose bool) (*World, error) {
 	w := New(p)
-	w.tell = tell
+	w.verbose = verbose
 	for _, s := range steps {
 		if w.Do(s) != nil {
 			return w, w.broken
@@ -344,19 +347,19 @@
 	return w, w.Settle()
 }
 
-// Log is what was written down.
+// Log returns the log, which is empty unless the schedule ran with verbose.
 func (w *World) Log() string { return strings.Join(w.log, "\n") }
 
-// Shrink leaves out of a schedule that breaks a rule what it breaks it without.
+// Shrink removes steps from a schedule that breaks a rule while it still breaks one.
 func Shrink(p Plan, steps []Step) []Step {
 	for size := len(steps) / 2; size > 0; {
 		shrunk := false
-		for at := 0; at+size <= len(steps); {
-			less := append(append([]Step{}, steps[:at]...), steps[at+size:]...)
-			if _, err := Play(p, less, false); err != nil {
-				steps, shrunk = less, true
+		for start := 0; start+size <= len(steps); {
+			reduced := append(append([]Step{}, steps[:start]...), steps[start+size:]...)
+			if _, err := RunSchedule(p, reduced, false); err != nil {
+				steps, shrunk = reduced, true
 			} else {
-				at += size
+				start += size
 			}
 		}
 		if !shrunk || size > len(steps) {
