--- a/internal/lab/soak/command.go
+++ b/internal/lab/soak/command.go
@@ -20,23 +20,23 @@
 	"saddleport/internal/lab/soak/plan"
 )
 
-// Errors of the command line. ErrFound is returned for a run that found a broken rule; all else
-// that a caller can mend is an InputError.
+// Errors of the command line. ErrFound is returned if a run found a broken rule. Errors that the
+// caller can correct are of type InputError.
 var (
-	ErrFound   = errors.New("rules were broken")
-	errSize    = errors.New("--processes: neither small nor most")
-	errSeeds   = errors.New("--seeds: 1 to 1000; --parallel: 1 to 16")
-	errPlanToo = errors.New("--plan says what is played: --seeds, --length, --processes, --changes and --routes do not go with it")
+	ErrFound        = errors.New("rules were broken")
+	errSize         = errors.New("--processes: must be small or most")
+	errSeeds        = errors.New("--seeds: 1 to 1000; --parallel: 1 to 16")
+	errPlanConflict = errors.New("--plan says which run to repeat: it excludes --seed, --seeds, --length, --processes, --changes and --routes")
 )
 
-// InputError is returned for a command line, a plan or a folder that cannot be used.
+// InputError is returned for a command line, a plan or a directory that cannot be used.
 type InputError struct{ Err error }
 
 func (e *InputError) Error() string { return e.Err.Error() }
 
 func (e *InputError) Unwrap() error { return e.Err }
 
-// ExitCode is what a program ends with after an error of Command: 2 for bad input.
+// ExitCode returns a program's exit code after an error of Command: 2 for an InputError, else 1.
 func ExitCode(err error) int {
 	var input *InputError
 	if errors.As(err, &input) {
@@ -46,11 +46,11 @@
 }
 
 const (
-	smallCores, smallFronts, smallZones = 3, 4, 2
-	mostCores, mostZones                = 5, 3
-	processMB                           = 80 // that one process is reckoned with
-	memoryShare                         = 2  // one in so many bytes of the machine may be used
-	requestsSmall, requestsMost         = 40, 4
+	smallCores, smallProxyMachines, smallZones = 3, 4, 2
+	largeCores, largeZones                     = 5, 3
+	memoryPerProcessMB                         = 80 // memory budget of one process
+	memoryShare                                = 2  // the processes may use 1/memoryShare of the machine's memory
+	smallRequests, largeRequests               = 40, 4
 )
 
 type options struct {
@@ -62,27 +62,27 @@
 	asJSON          bool
 }
 
-// Command is the soak's command line.
+// Command returns the command line of the soak.
 func Command() *cobra.Command {
 	o := &options{plan: plan.Plan{Seed: 1, Changes: 5, Routes: 100}, length: time.Minute, seeds: 1, parallel: 1, size: "small"}
-	cmd := &cobra.Command{Use: "soak", Short: "Run the system's real processes under overlapping faults and changes, and hold every request and change to account", Args: cobra.NoArgs,
+	cmd := &cobra.Command{Use: "soak", Short: "Run the system's real processes under overlapping faults and changes, and check every request and every change", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 			defer stop()
 			return o.run(ctx, c)
 		}}
 	flags := cmd.Flags()
-	flags.Uint64Var(&o.plan.Seed, "seed", o.plan.Seed, "the first seed; the same one draws the same plan")
-	flags.IntVar(&o.seeds, "seeds", o.seeds, "runs, each with the next seed")
-	flags.IntVar(&o.parallel, "parallel", o.parallel, "runs at once")
-	flags.DurationVar(&o.length, "length", o.length, "time of traffic")
-	flags.StringVar(&o.size, "processes", o.size, "small: 11; most: as many as this machine bears")
-	flags.Float64Var(&o.plan.Changes, "changes", o.plan.Changes, "changes of the configuration a second")
-	flags.IntVar(&o.plan.Routes, "routes", o.plan.Routes, "routes of a configuration beside those that are asked for")
-	flags.StringVar(&o.file, "plan", "", "a plan to play, as a run printed it")
-	flags.StringVar(&o.out, "out", "", "folder for reports and logs; else a temporary one, which is kept where something was found")
-	flags.StringVar(&o.programs, "programs", "", "folder of the built programs; else the one of this program")
-	flags.BoolVar(&o.asJSON, "json", false, "print JSON, a run a line")
+	flags.Uint64Var(&o.plan.Seed, "seed", o.plan.Seed, "the first seed; a seed always generates the same plan")
+	flags.IntVar(&o.seeds, "seeds", o.seeds, "number of runs, with consecutive seeds")
+	flags.IntVar(&o.parallel, "parallel", o.parallel, "runs in parallel")
+	flags.DurationVar(&o.length, "length", o.length, "duration of the traffic")
+	flags.StringVar(&o.size, "processes", o.size, "small: 11 processes; most: as many as fit into this machine's memory")
+	flags.Float64Var(&o.plan.Changes, "changes", o.plan.Changes, "configuration changes per second")
+	flags.IntVar(&o.plan.Routes, "routes", o.plan.Routes, "routes of a configuration in addition to those that clients request")
+	flags.StringVar(&o.file, "plan", "", "run this plan file, as written by an earlier run")
+	flags.StringVar(&o.out, "out", "", "directory for reports and logs; default: a temporary one, which is kept if a rule was broken")
+	flags.StringVar(&o.programs, "programs", "", "directory of the built programs; default: that of this program")
+	flags.BoolVar(&o.asJSON, "json", false, "print JSON, one run per line")
 	return cmd
 }
 
@@ -104,8 +104,8 @@
 			return err
 		}
 	}
-	fmt.Fprintf(c.ErrOrStderr(), "%d runs of %d processes; files below %s\n", len(plans), plans[0].Processes(), o.out)
-	found, err := o.playAll(ctx, c.OutOrStdout(), plans)
+	fmt.Fprintf(c.ErrOrStderr(), "%d runs of %d processes; files in %s\n", len(plans), plans[0].Processes(), o.out)
+	found, err := o.runAll(ctx, c.OutOrStdout(), plans)
 	if !keep && err == nil && found == 0 {
 		os.RemoveAll(o.out)
 	}
@@ -118,12 +118,12 @@
 	return nil
 }
 
-// plans returns what is played.
+// plans returns the plans to run.
 func (o *options) plans(c *cobra.Command) ([]*plan.Plan, error) {
 	if o.file != "" {
 		for _, name := range []string{"seed", "seeds", "length", "processes", "changes", "routes"} {
 			if c.Flags().Changed(name) {
-				return nil, errPlanToo
+				return nil, errPlanConflict
 			}
 		}
 		file, err := os.Open(o.file)
@@ -147,23 +147,23 @@
 		p.LengthS = o.length.Seconds()
 		switch o.size {
 		case "small":
-			p.Cores, p.Fronts, p.Zones, p.Requests = smallCores, smallFronts, smallZones, requestsSmall
+			p.Cores, p.Fronts, p.Zones, p.Requests = smallCores, smallProxyMachines, smallZones, smallRequests
 		case "most":
-			p.Cores, p.Zones, p.Requests = mostCores, mostZones, requestsMost
-			p.Fronts = (min(memoryMB()/memoryShare/processMB, plan.MaxProcesses) - mostCores) / 2
+			p.Cores, p.Zones, p.Requests = largeCores, largeZones, largeRequests
+			p.Fronts = (min(memoryMB()/memoryShare/memoryPerProcessMB, plan.MaxProcesses) - largeCores) / 2
 		default:
 			return nil, errSize
 		}
 		if err := p.Validate(); err != nil {
 			return nil, err
 		}
-		p.Draw()
+		p.Generate()
 		plans = append(plans, &p)
 	}
 	return plans, nil
 }
 
-// memoryMB is the machine's memory.
+// memoryMB returns the machine's memory in MB, or 0 if it cannot be read.
 func memoryMB() int {
 	text, err := os.ReadFile("/proc/meminfo")
 	if err != nil {
@@ -178,20 +178,20 @@
 	return 0
 }
 
-// playAll plays the plans, some at once, and counts the runs that found something.
-func (o *options) playAll(ctx context.Context, out io.Writer, plans []*plan.Plan) (found int, err error) {
+// runAll runs the plans, at most o.parallel at a time, and counts the runs that found a broken rule.
+func (o *options) runAll(ctx context.Context, out io.Writer, plans []*plan.Plan) (found int, err error) {
 	var mu sync.Mutex
-	var wait sync.WaitGroup
+	var runs sync.WaitGroup
 	slots := make(chan struct{}, o.parallel)
 	for _, p := range plans {
 		slots <- struct{}{}
-		wait.Go(func() {
+		runs.Go(func() {
 			defer func() { <-slots }()
-			result, failed := o.playOne(ctx, p)
+			result, runErr := o.runOne(ctx, p)
 			mu.Lock()
 			defer mu.Unlock()
-			if failed != nil {
-				err = errors.Join(err, fmt.Errorf("seed %d: %w", p.Seed, failed))
+			if runErr != nil {
+				err = errors.Join(err, fmt.Errorf("seed %d: %w", p.Seed, runErr))
 				return
 			}
 			if len(result.Findings) > 0 {
@@ -204,11 +204,11 @@
 			}
 		})
 	}
-	wait.Wait()
+	runs.Wait()
 	return found, err
 }
 
-func (o *options) playOne(ctx context.Context, p *plan.Plan) (*Result, error) {
+func (o *options) runOne(ctx context.Context, p *plan.Plan) (*Result, error) {
 	if ctx.Err() != nil {
 		return nil, ctx.Err()
 	}
--- a/internal/lab/soak/command_test.go
+++ b/internal/lab/soak/command_test.go
@@ -9,9 +9,9 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// What can't be played is said in one line, ends with 2, and starts nothing.
+// Invalid input must be reported in one line, end with exit code 2, and start no process.
 func TestBadInput(t *testing.T) {
-	Convey("Command lines that cannot be played", t, func() {
+	Convey("Command lines that cannot be run", t, func() {
 		dir := t.TempDir()
 		file := filepath.Join(dir, "plan.toml")
 		So(os.WriteFile(file, []byte("seed = 1\nlength = 3\n"), 0o644), ShouldBeNil)
--- a/internal/lab/soak/fleet/fleet.go
+++ b/internal/lab/soak/fleet/fleet.go
@@ -1,7 +1,7 @@
-// Package fleet runs the system's built programs as processes on loopback addresses, a machine
-// an address, with a relay before each machine that can cut it off, and strikes them with the
-// faults of a plan. It owns the processes that it starts and ends no other. It never looks at
-// what they say of themselves.
+// Package fleet runs the system's built programs as processes on loopback addresses, one address per
+// machine, with a relay in front of each machine that can cut it off, and injects the faults of a
+// plan. It owns the processes that it starts and ends no others. It never uses what the processes
+// report about themselves.
 package fleet
 
 import (
@@ -23,40 +23,41 @@
 	"saddleport/internal/node/nodesettings"
 )
 
-// Bounds are the figures of the rules that the processes are given and judged by.
+// Bounds are the time bounds of the rules. The processes are configured with them and judged by them.
 type Bounds struct {
 	Contact, ConfigApply, DowngradeSlack, LossSlack, Drain, Grace time.Duration
 }
 
-// DefaultBounds are those of the operators' small sites.
+// DefaultBounds are the bounds of the operators' small sites.
 var DefaultBounds = Bounds{Contact: 5 * time.Second, ConfigApply: 3 * time.Second, DowngradeSlack: 250 * time.Millisecond,
 	LossSlack: 200 * time.Millisecond, Drain: 3 * time.Second, Grace: 6 * time.Second}
 
 const (
 	memoryMB      = 284
 	maxOpenFiles  = 1000
-	controlPort   = 9 // beyond the first port of the range between processes
+	controlPort   = 9 // offset from the first port of the range between processes
 	frontPort     = 8
 	readinessPort = 7
-	firstFront    = 20 // last byte of the first front machine's address
+	firstFront    = 20 // the last address byte of front machine i is firstFront + i
 	seedMachines  = 3
 )
 
 // Errors of a fleet that cannot start.
 var (
-	ErrProgramMissing = errors.New("program is missing: build the system first, as deploy/system.toml says")
+	ErrProgramMissing = errors.New("program is missing: build the system first, see deploy/system.toml")
 	ErrDirInUse       = errors.New("folder is in use: it is not empty")
 )
 
-// Disturbance is a span in which a fault had a machine in its hands, as the fleet saw it.
+// Disturbance is a span in which an injected fault affected a machine. Its fields are encoded as JSON
+// under their names.
 type Disturbance struct {
 	Machine  string
-	Program  string // empty: all of the machine
+	Program  string // empty: all programs of the machine
 	Kind     plan.Kind
 	From, To time.Duration
 }
 
-// Fleet is the running processes of a plan.
+// Fleet runs the processes of a plan.
 type Fleet struct {
 	Plan   *plan.Plan
 	Bounds Bounds
@@ -77,7 +78,8 @@
 	reloads      int
 }
 
-// Start starts all processes of a plan. Close ends them.
+// Start starts all processes of a plan, with their files below dir; Close ends them. It returns
+// ErrProgramMissing or ErrDirInUse before anything is started.
 func Start(p *plan.Plan, programs, dir string, bounds Bounds) (*Fleet, error) {
 	for _, program := range []string{admin.ControlPlane, admin.Agent, admin.Proxy} {
 		if _, err := exec.LookPath(filepath.Join(programs, program)); err != nil {
@@ -122,9 +124,9 @@
 	if !plan.IsCore(machine) {
 		programs = [][]string{{admin.Agent}, {admin.Proxy, "--no-ejection"}}
 	}
-	for _, words := range programs {
-		command := append([]string{filepath.Join(f.programs, words[0]), "run", "--settings", f.settingsFile(machine)}, words[1:]...)
-		process, err := newProcess(machine, words[0], dir, f.Now, command...)
+	for _, arguments := range programs {
+		command := append([]string{filepath.Join(f.programs, arguments[0]), "run", "--settings", f.settingsFile(machine)}, arguments[1:]...)
+		process, err := newProcess(machine, arguments[0], dir, f.Now, command...)
 		if err != nil {
 			return err
 		}
@@ -134,7 +136,7 @@
 	return nil
 }
 
-// Now is the time since the start.
+// Now returns the time since the start.
 func (f *Fleet) Now() time.Duration { return time.Since(f.begin) }
 
 func (f *Fleet) hostNumber(machine string) int {
@@ -154,7 +156,7 @@
 	return fmt.Sprintf("%s.%d", f.loopback, f.hostNumber(machine))
 }
 
-// machineAt names the machine that calls from an address.
+// machineAt returns the name of the machine with a source address, or an empty string.
 func (f *Fleet) machineAt(ip string) string {
 	for _, machine := range slices.Concat(f.Plan.CoreMachines(), f.Plan.FrontMachines()) {
 		if f.loopbackOf(machine) == ip {
@@ -164,17 +166,18 @@
 	return ""
 }
 
-// Control is where a control-plane machine takes calls of servers and operators.
-func (f *Fleet) Control(machine string) string {
+// ControlAddr returns the address at which a control-plane machine accepts calls from servers and
+// operators.
+func (f *Fleet) ControlAddr(machine string) string {
 	return fmt.Sprintf("%s:%d", f.address(machine), f.port+controlPort)
 }
 
-// Front is where a proxy takes clients.
-func (f *Fleet) Front(machine string) string {
+// ProxyAddr returns the address at which a machine's proxy accepts clients.
+func (f *Fleet) ProxyAddr(machine string) string {
 	return fmt.Sprintf("%s:%d", f.address(machine), f.port+frontPort)
 }
 
-// Zone is where a machine stands.
+// Zone returns the zone of a machine.
 func (f *Fleet) Zone(machine string) string {
 	return fmt.Sprint("z", f.hostNumber(machine)%f.Plan.Zones)
 }
@@ -185,11 +188,12 @@
 
 func (f *Fleet) dataDir(machine string) string { return filepath.Join(f.Dir, machine, "data") }
 
-// writeSettings writes the file that a machine's processes are given, and reads it as they do.
+// writeSettings writes the settings file of a machine's processes, and checks that they can load it.
+// first sets the bootstrap option, for the first start of the system.
 func (f *Fleet) writeSettings(machine string, first bool) error {
 	var seeds, zones []string
 	for i := range min(seedMachines, f.Plan.Cores) {
-		seeds = append(seeds, f.Control(plan.Core(i+1)))
+		seeds = append(seeds, f.ControlAddr(plan.CoreName(i+1)))
 	}
 	for z := range f.Plan.Zones {
 		zones = append(zones, fmt.Sprintf("zones.z%d=g%d\n", z, z))
@@ -201,7 +205,7 @@
 		"bounds.contact_ms=%d\nbounds.config_apply_ms=%d\nbounds.drain_ms=%d\nbounds.grace_s=%g\nbounds.loss_slack_ms=%d\n"+
 		"bounds.retry_window_s=10\nbounds.retry_budget_ratio=0.2\nbounds.retry_budget_slack=58\nreloads=%d\n",
 		machine, f.address(machine), f.loopbackOf(machine), zone, zone[1:], strings.Join(zones, ""), f.port, f.port+readinessPort-1, strings.Join(seeds, ","), first,
-		memoryMB, maxOpenFiles, f.dataDir(machine), (f.Plan.Cores-1)/2, f.Control(machine), f.Front(machine), f.address(machine), f.port+readinessPort,
+		memoryMB, maxOpenFiles, f.dataDir(machine), (f.Plan.Cores-1)/2, f.ControlAddr(machine), f.ProxyAddr(machine), f.address(machine), f.port+readinessPort,
 		f.Bounds.Contact.Milliseconds(), f.Bounds.ConfigApply.Milliseconds(), f.Bounds.Drain.Milliseconds(), f.Bounds.Grace.Seconds(), f.Bounds.LossSlack.Milliseconds(), f.reloads)
 	if err := os.MkdirAll(f.dataDir(machine), 0o755); err != nil {
 		return err
@@ -216,8 +220,9 @@
 	return os.Rename(next, f.settingsFile(machine))
 }
 
-// Established writes the settings anew once the system has started for the first time.
-func (f *Fleet) Established() error {
+// EndBootstrap rewrites all settings without the bootstrap option, once the system has started for
+// the first time.
+func (f *Fleet) EndBootstrap() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, machine := range slices.Concat(f.Plan.CoreMachines(), f.Plan.FrontMachines()) {
@@ -228,7 +233,7 @@
 	return nil
 }
 
-// Started returns how often a program of a machine has been started by a time.
+// Started returns the number of starts of a machine's program by a time.
 func (f *Fleet) Started(machine, program string, by time.Duration) (n int) {
 	for _, p := range f.processes {
 		if p.machine == machine && p.program == program {
@@ -242,7 +247,7 @@
 	return n
 }
 
-// Close ends all processes and relays.
+// Close waits for the faults to end, and then ends all processes and relays.
 func (f *Fleet) Close() {
 	f.faults.Wait()
 	var wait sync.WaitGroup
@@ -255,17 +260,18 @@
 	}
 }
 
-// Disturbances returns what the faults have done so far.
+// Disturbances returns the disturbances by the faults injected so far.
 func (f *Fleet) Disturbances() []Disturbance {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.disturbances)
 }
 
-// Strike brings a fault about and returns at once; its end comes by itself.
-func (f *Fleet) Strike(fault plan.Fault, cancelled <-chan struct{}) {
+// Inject injects a fault and returns immediately. The fault ends after its duration, or once
+// cancelled is closed.
+func (f *Fleet) Inject(fault plan.Fault, cancelled <-chan struct{}) {
 	span := time.Duration(fault.ForS * float64(time.Second))
-	f.note(fault, span)
+	f.recordFault(fault, span)
 	switch fault.Kind {
 	case plan.Terminate:
 		f.signal(fault, syscall.SIGTERM, 0)
@@ -281,15 +287,15 @@
 		f.signal(fault, syscall.SIGHUP, 0)
 	case plan.Freeze:
 		f.signal(fault, syscall.SIGSTOP, 0)
-		f.later(span, cancelled, func() { f.signal(fault, syscall.SIGCONT, 0) })
+		f.afterDelay(span, cancelled, func() { f.signal(fault, syscall.SIGCONT, 0) })
 	case plan.Cut, plan.CutOneWay:
 		name := fmt.Sprint(fault.Kind, fault.AtS, fault.Machines)
 		f.network.cut(name, blocks(fault))
-		f.later(span, cancelled, func() { f.network.heal(name) })
+		f.afterDelay(span, cancelled, func() { f.network.heal(name) })
 	}
 }
 
-// blocks returns which ways a cut closes: between the machines that it names and all others.
+// blocks returns which directions a cut blocks between the machines that it names and all others.
 func blocks(fault plan.Fault) func(from, to string) bool {
 	within := func(machine string) bool { return slices.Contains(fault.Machines, machine) }
 	if fault.Kind == plan.CutOneWay {
@@ -298,8 +304,8 @@
 	return func(from, to string) bool { return within(from) != within(to) }
 }
 
-// later does something after a time, or at once when the soak is cancelled.
-func (f *Fleet) later(span time.Duration, cancelled <-chan struct{}, do func()) {
+// afterDelay calls do after a span, or immediately when the soak is cancelled.
+func (f *Fleet) afterDelay(span time.Duration, cancelled <-chan struct{}, do func()) {
 	f.faults.Add(1)
 	go func() {
 		defer f.faults.Done()
@@ -313,7 +319,7 @@
 	}()
 }
 
-func (f *Fleet) signal(fault plan.Fault, signal syscall.Signal, down time.Duration) {
+func (f *Fleet) signal(fault plan.Fault, signal syscall.Signal, downtime time.Duration) {
 	for _, p := range f.processes {
 		if !slices.Contains(fault.Machines, p.machine) || fault.Program != "" && fault.Program != p.program {
 			continue
@@ -322,13 +328,13 @@
 		if fault.Kind == plan.Wipe {
 			wipe = f.dataDir(p.machine)
 		}
-		p.signal(signal, down, wipe)
+		p.signal(signal, downtime, wipe)
 	}
 }
 
-// note records a fault. A machine that was told to end is in its hands until it has had the
-// grace and a start.
-func (f *Fleet) note(fault plan.Fault, span time.Duration) {
+// recordFault records a fault. A machine that was asked to terminate is disturbed for the grace time
+// and a restart.
+func (f *Fleet) recordFault(fault plan.Fault, span time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.Now()
@@ -340,17 +346,17 @@
 	}
 }
 
-// Settle returns when the fault that lasts longest is over.
-func (f *Fleet) Settle() {
+// WaitForFaults returns once all faults injected so far have ended.
+func (f *Fleet) WaitForFaults() {
 	f.faults.Wait()
 }
 
-// Readiness is where a proxy answers the platform.
-func (f *Fleet) Readiness(machine string) string {
+// ReadinessAddr returns the address of a proxy's readiness endpoint.
+func (f *Fleet) ReadinessAddr(machine string) string {
 	return fmt.Sprintf("%s:%d", f.address(machine), f.port+readinessPort)
 }
 
-// Pids returns the running processes, by process id, and which program each is.
+// Pids returns the program of each running process, by process id.
 func (f *Fleet) Pids() map[int]string {
 	pids := make(map[int]string)
 	for _, p := range f.processes {
@@ -361,13 +367,13 @@
 	return pids
 }
 
-// Restart is a start of a process after its first one.
+// Restart is a start of a process other than its first one.
 type Restart struct {
 	Machine, Program, Log string
 	At                    time.Duration
 }
 
-// Restarts lists them.
+// Restarts lists all restarts.
 func (f *Fleet) Restarts() (out []Restart) {
 	for _, p := range f.processes {
 		starts := p.startTimes()
--- a/internal/lab/soak/fleet/process.go
+++ b/internal/lab/soak/fleet/process.go
@@ -13,20 +13,20 @@
 
 const restartDelay = 200 * time.Millisecond
 
-// process is one program on one machine. It is started again whenever it ends.
+// process is one program on one machine. It is restarted whenever it ends.
 type process struct {
 	machine, program string
 	command          []string
 	log              *os.File
 	clock            func() time.Duration
 
-	mu       sync.Mutex
-	running  *exec.Cmd
-	starts   []time.Duration
-	heldBack time.Time // no start before
-	wipe     string    // a folder to empty before the next start
-	stopping bool
-	done     chan struct{}
+	mu        sync.Mutex
+	running   *exec.Cmd
+	starts    []time.Duration
+	notBefore time.Time // earliest time of the next start
+	wipe      string    // a directory to delete before the next start
+	stopping  bool
+	done      chan struct{}
 }
 
 func newProcess(machine, program, dir string, clock func() time.Duration, command ...string) (*process, error) {
@@ -37,7 +37,7 @@
 	return &process{machine: machine, program: program, command: command, log: log, clock: clock, done: make(chan struct{})}, nil
 }
 
-// run starts the process, again and again, until end is called.
+// run starts the process, and restarts it whenever it ends, until end is called.
 func (p *process) run() {
 	defer close(p.done)
 	defer p.log.Close()
@@ -49,7 +49,7 @@
 		command.Wait()
 		p.mu.Lock()
 		p.running = nil
-		wait := max(time.Until(p.heldBack), restartDelay)
+		wait := max(time.Until(p.notBefore), restartDelay)
 		stopping := p.stopping
 		p.mu.Unlock()
 		if stopping {
@@ -59,7 +59,7 @@
 	}
 }
 
-var errStopping = errors.New("the soak ends")
+var errStopping = errors.New("the fleet is being closed")
 
 func (p *process) start() (*exec.Cmd, error) {
 	p.mu.Lock()
@@ -81,12 +81,13 @@
 	return command, nil
 }
 
-// signal sends a signal if the process runs. down: how long it then stays away.
-func (p *process) signal(signal syscall.Signal, down time.Duration, wipe string) {
+// signal sends a signal if the process runs. The process is not restarted before downtime has passed.
+// If wipe is not empty, that directory is deleted before the next start.
+func (p *process) signal(signal syscall.Signal, downtime time.Duration, wipe string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if until := time.Now().Add(down); down > 0 && until.After(p.heldBack) {
-		p.heldBack = until
+	if until := time.Now().Add(downtime); downtime > 0 && until.After(p.notBefore) {
+		p.notBefore = until
 	}
 	if wipe != "" {
 		p.wipe = wipe
@@ -107,7 +108,7 @@
 	<-p.done
 }
 
-// pid returns the process id, 0 if it does not run.
+// pid returns the process id, or 0 if the process does not run.
 func (p *process) pid() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -117,7 +118,7 @@
 	return p.running.Process.Pid
 }
 
-// startTimes returns when the process was started.
+// startTimes returns the times of all starts of the process.
 func (p *process) startTimes() []time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/lab/soak/fleet/relay.go
+++ b/internal/lab/soak/fleet/relay.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// network says between which machines bytes pass. A cut holds bytes up, as a silent network
-// does; it neither closes connections nor loses what the kernel has taken.
+// network decides between which machines bytes pass. A cut delays bytes, as an unresponsive network
+// does; it neither closes connections nor loses bytes that the kernel has accepted.
 type network struct {
 	mu      sync.Mutex
-	blocked map[string]func(from, to string) bool // by the name of the cut
+	blocked map[string]func(from, to string) bool // by name of the cut
 	changed chan struct{}                         // closed at the next change
 }
 
@@ -34,7 +34,8 @@
 	n.changed = make(chan struct{})
 }
 
-// passes reports whether bytes pass, and what to wait for otherwise.
+// passes reports whether bytes pass in a direction, and returns a channel that is closed at the next
+// change of the cuts.
 func (n *network) passes(from, to string) (passes bool, changed chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -46,7 +47,7 @@
 	return true, n.changed
 }
 
-// waitUntilPasses returns false if ctx ends first.
+// waitUntilPasses waits until bytes pass in a direction. It returns false if ctx ends first.
 func (n *network) waitUntilPasses(ctx context.Context, from, to string) bool {
 	for {
 		passes, changed := n.passes(from, to)
@@ -62,29 +63,29 @@
 }
 
 const (
-	relayBuffer = 16 << 10
-	relayDial   = time.Second
+	relayBuffer      = 16 << 10
+	relayDialTimeout = time.Second
 )
 
-// relay stands before one machine's address for other processes.
+// relay accepts the connections to one machine's address and forwards them to the machine.
 type relay struct {
-	machine  string
-	target   string
-	network  *network
-	nameOf   func(ip string) string // the machine that calls from an address
-	listener net.Listener
-	ctx      context.Context
-	end      context.CancelFunc
-	done     sync.WaitGroup
+	machine   string
+	target    string
+	network   *network
+	machineAt func(ip string) string // returns the machine with a source address
+	listener  net.Listener
+	ctx       context.Context
+	end       context.CancelFunc
+	done      sync.WaitGroup
 }
 
-func startRelay(network *network, machine, listen, target string, nameOf func(string) string) (*relay, error) {
+func startRelay(network *network, machine, listen, target string, machineAt func(string) string) (*relay, error) {
 	ln, err := net.Listen("tcp4", listen)
 	if err != nil {
 		return nil, err
 	}
 	ctx, end := context.WithCancel(context.Background())
-	r := &relay{machine: machine, target: target, network: network, nameOf: nameOf, listener: ln, ctx: ctx, end: end}
+	r := &relay{machine: machine, target: target, network: network, machineAt: machineAt, listener: ln, ctx: ctx, end: end}
 	r.done.Add(1)
 	go r.accept()
 	return r, nil
@@ -104,37 +105,37 @@
 			return
 		}
 		r.done.Add(1)
-		go r.carry(conn.(*net.TCPConn))
+		go r.forward(conn.(*net.TCPConn))
 	}
 }
 
-// carry joins a caller's connection with one of its own to the machine.
-func (r *relay) carry(in *net.TCPConn) {
+// forward connects a caller's connection to the machine and copies bytes in both directions.
+func (r *relay) forward(in *net.TCPConn) {
 	defer r.done.Done()
 	stop := context.AfterFunc(r.ctx, func() { in.Close() })
 	defer stop()
 	defer in.Close()
 	host, _, _ := net.SplitHostPort(in.RemoteAddr().String())
-	caller := r.nameOf(host)
+	caller := r.machineAt(host)
 	if !r.network.waitUntilPasses(r.ctx, caller, r.machine) {
 		return
 	}
-	conn, err := (&net.Dialer{Timeout: relayDial}).DialContext(r.ctx, "tcp4", r.target)
+	conn, err := (&net.Dialer{Timeout: relayDialTimeout}).DialContext(r.ctx, "tcp4", r.target)
 	if err != nil {
-		in.SetLinger(0) // as a port where nobody listens
+		in.SetLinger(0) // a reset, as from a port without a listener
 		return
 	}
 	out := conn.(*net.TCPConn)
 	defer out.Close()
 	stopOut := context.AfterFunc(r.ctx, func() { out.Close() })
 	defer stopOut()
-	back := make(chan struct{})
-	go func() { defer close(back); r.copy(in, out, r.machine, caller) }()
+	responsesDone := make(chan struct{})
+	go func() { defer close(responsesDone); r.copy(in, out, r.machine, caller) }()
 	r.copy(out, in, caller, r.machine)
-	<-back
+	<-responsesDone
 }
 
-// copy carries one direction until either side ends.
+// copy copies bytes in one direction until either side ends.
 func (r *relay) copy(to, from *net.TCPConn, source, target string) {
 	buffer := make([]byte, relayBuffer)
 	for {
--- a/internal/lab/soak/fleet/relay_test.go
+++ b/internal/lab/soak/fleet/relay_test.go
@@ -11,19 +11,19 @@
 )
 
 func TestBlocks(t *testing.T) {
-	Convey("Which ways a cut closes", t, func() {
+	Convey("The directions that a cut blocks", t, func() {
 		both := blocks(plan.Fault{Kind: plan.Cut, Machines: []string{"a", "b"}})
 		So(both("a", "c"), ShouldBeTrue)
 		So(both("c", "a"), ShouldBeTrue)
 		So(both("a", "b"), ShouldBeFalse)
 		So(both("c", "d"), ShouldBeFalse)
-		deaf := blocks(plan.Fault{Kind: plan.CutOneWay, Machines: []string{"a"}})
-		So(deaf("c", "a"), ShouldBeTrue)
-		So(deaf("a", "c"), ShouldBeFalse)
+		oneWay := blocks(plan.Fault{Kind: plan.CutOneWay, Machines: []string{"a"}})
+		So(oneWay("c", "a"), ShouldBeTrue)
+		So(oneWay("a", "c"), ShouldBeFalse)
 	})
 }
 
-// A cut holds up what is sent, and loses none of it.
+// A cut must delay bytes and lose none of them.
 func TestRelay(t *testing.T) {
 	Convey("Bytes through a relay", t, func() {
 		target, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -64,15 +64,15 @@
 		pass(far, conn, "and back")
 
 		n.cut("c", blocks(plan.Fault{Kind: plan.CutOneWay, Machines: []string{"machine"}}))
-		pass(far, conn, "it is heard")
-		_, err = io.WriteString(conn, "and does not hear")
+		pass(far, conn, "sent out of the cut")
+		_, err = io.WriteString(conn, "sent into the cut")
 		So(err, ShouldBeNil)
 		passes, _ := n.passes("caller", "machine")
 		So(passes, ShouldBeFalse)
 		n.heal("c")
-		got := make([]byte, len("and does not hear"))
+		got := make([]byte, len("sent into the cut"))
 		_, err = io.ReadFull(far, got)
 		So(err, ShouldBeNil)
-		So(string(got), ShouldEqual, "and does not hear")
+		So(string(got), ShouldEqual, "sent into the cut")
 	})
 }
--- a/internal/lab/soak/input.go
+++ b/internal/lab/soak/input.go
@@ -6,7 +6,7 @@
 	"saddleport/internal/lab/soak/fleet"
 )
 
-// inputError marks what a caller can mend.
+// inputError turns errors that the caller can correct into an InputError.
 func inputError(err error) error {
 	if errors.Is(err, fleet.ErrProgramMissing) || errors.Is(err, fleet.ErrDirInUse) {
 		return &InputError{err}
--- a/internal/lab/soak/judge/answers.go
+++ b/internal/lab/soak/judge/answers.go
@@ -10,18 +10,19 @@
 )
 
 const (
-	recordBytes     = 16
-	recordsOfServer = 6
-	// ResultLimit is how many records of a gathered answer the configurations ask for.
+	recordBytes      = 16
+	recordsPerServer = 6
+	// ResultLimit is the result limit of fan-out routes in the configurations, in records.
 	ResultLimit = 8
 )
 
-// BodyOf is what a stand-in server answers a single request with: nobody else's body is the same.
+// BodyOf returns the body of a stand-in server's response to a single request. It is unique to the
+// server and the attempt.
 func BodyOf(server, attempt string) string { return server + " answers " + attempt }
 
-// RecordsOf is what a stand-in server answers a part of a gathered request with.
+// RecordsOf returns the records of a stand-in server's response to one part of a fan-out request.
 func RecordsOf(server, attempt string) []string {
-	records := make([]string, recordsOfServer)
+	records := make([]string, recordsPerServer)
 	for i := range records {
 		var raw [recordBytes / 2]byte
 		binary.BigEndian.PutUint64(raw[:], xxhash.Sum64String(server+"/"+attempt+"/"+string(rune('a'+i))))
@@ -30,10 +31,11 @@
 	return records
 }
 
-// StampOf is a stand-in server's signature of an answer.
+// StampOf returns a stand-in server's signature of a response.
 func StampOf(server, attempt string) string { return "s." + server + "." + attempt }
 
-// serverOf returns the server that signed an answer to an attempt.
+// serverOf returns the server that signed a response to an attempt. ok is false if the signature is
+// malformed or belongs to another attempt.
 func serverOf(stamp, attempt string) (server string, ok bool) {
 	server, ok = strings.CutPrefix(stamp, "s.")
 	if !ok {
@@ -42,7 +44,7 @@
 	return strings.CutSuffix(server, "."+attempt)
 }
 
-// judgeAnswers holds each success against what its servers said.
+// judgeAnswers compares each successful response with the responses of its servers.
 func (j *judge) judgeAnswers() {
 	for _, r := range j.Requests {
 		if r.Status != 200 {
@@ -62,7 +64,7 @@
 			return
 		}
 	}
-	j.find(RuleMixed, r.EndedAt, r.Proxy, r.Attempt, "%s: the answer %.60q with stamps %v is not this request's", r.Prefix, r.Body, r.Stamps)
+	j.report(RuleMixed, r.EndedAt, r.Proxy, r.Attempt, "%s: the response %.60q with signatures %v does not belong to this request", r.Prefix, r.Body, r.Stamps)
 }
 
 func (j *judge) judgeGathered(r Request) {
@@ -75,7 +77,7 @@
 		server, ok := serverOf(stamp, r.Attempt)
 		service, ran := serviceOf[server]
 		if !ok || !ran || slices.Contains(services, service) {
-			j.find(RuleMixed, r.EndedAt, r.Proxy, r.Attempt, "%s: the part %q is no answer to this request, or the second of its shard", r.Prefix, stamp)
+			j.report(RuleMixed, r.EndedAt, r.Proxy, r.Attempt, "%s: the part with signature %q does not belong to this request, or is the second of its shard", r.Prefix, stamp)
 			return
 		}
 		services = append(services, service)
@@ -84,14 +86,14 @@
 	slices.Sort(records)
 	slices.Reverse(records)
 	if want := strings.Join(records[:min(ResultLimit, len(records))], ""); r.Body != want {
-		j.find(RuleMixed, r.EndedAt, r.Proxy, r.Attempt, "%s: the body is not the greatest %d records of its %d parts", r.Prefix, ResultLimit, len(services))
+		j.report(RuleMixed, r.EndedAt, r.Proxy, r.Attempt, "%s: the body is not the %d greatest records of its %d parts", r.Prefix, ResultLimit, len(services))
 	}
-	if !j.isShardSet(r, len(services)+r.Missing) {
-		j.find(RuleMixed, r.EndedAt, r.Proxy, r.Attempt, "%s: %d parts and %d missing make up no configuration's set of shards", r.Prefix, len(services), r.Missing)
+	if !j.isCompleteShardSet(r, len(services)+r.Missing) {
+		j.report(RuleMixed, r.EndedAt, r.Proxy, r.Attempt, "%s: %d parts and %d missing parts do not add up to the shards of any configuration", r.Prefix, len(services), r.Missing)
 	}
 }
 
-func (j *judge) isShardSet(r Request, shards int) bool {
+func (j *judge) isCompleteShardSet(r Request, shards int) bool {
 	return slices.ContainsFunc(j.valid, func(c Change) bool {
 		route, exists := c.Routes[r.Prefix]
 		return exists && c.SentAt <= r.EndedAt && len(route.Services) == shards
--- a/internal/lab/soak/judge/judge.go
+++ b/internal/lab/soak/judge/judge.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// The rules, as the operators' page names them.
+// The rules, by their names on the operators' page.
 const (
 	RuleConfig  = "CONFIG"
 	RuleTwice   = "TWICE"
@@ -19,7 +19,7 @@
 	RuleUnasked = "UNASKED"
 )
 
-// Judge returns all broken rules, in the order of time.
+// Judge returns a finding for each broken rule, ordered by time.
 func Judge(record Record, bounds Bounds) []Finding {
 	j := newJudge(record, bounds)
 	j.judgeVersions()
@@ -37,7 +37,7 @@
 	Record
 	bounds    Bounds
 	findings  []Finding
-	valid     []Change         // that may be in force, by revision
+	valid     []Change         // changes that may be in force, sorted by revision
 	runs      map[string][]Run // by attempt
 	byMachine map[string][]Disturbance
 	core      []Disturbance
@@ -67,7 +67,7 @@
 	return j
 }
 
-func (j *judge) find(rule string, at time.Duration, process, request, format string, args ...any) {
+func (j *judge) report(rule string, at time.Duration, process, request, format string, args ...any) {
 	j.findings = append(j.findings, Finding{Rule: rule, At: at, Process: process, Request: request, What: fmt.Sprintf(format, args...)})
 }
 
@@ -75,14 +75,14 @@
 	return slices.ContainsFunc(list, func(d Disturbance) bool { return d.From <= to && d.To >= from })
 }
 
-// inTouch reports whether rules with a time bound hold for a machine at a moment: throughout the
-// contact time before it neither the machine nor the control plane had any trouble.
-func (j *judge) inTouch(machine string, at time.Duration) bool {
+// inContact reports whether rules with a time bound apply to a machine at a time: neither the machine
+// nor the control plane had a fault during the contact time before it.
+func (j *judge) inContact(machine string, at time.Duration) bool {
 	from := at - j.bounds.Contact
 	return from >= 0 && !disturbed(j.byMachine[machine], from, at) && !disturbed(j.core, from, at)
 }
 
-// newestAcknowledged returns the highest revision that was acknowledged by a time.
+// newestAcknowledged returns the change with the highest revision that was acknowledged by a time.
 func (j *judge) newestAcknowledged(by time.Duration) (newest Change, found bool) {
 	for i := len(j.valid) - 1; i >= 0; i-- {
 		if c := j.valid[i]; c.AckedAt > 0 && c.AckedAt <= by {
@@ -92,7 +92,7 @@
 	return Change{}, false
 }
 
-// explains reports whether a configuration would have had this outcome.
+// explains reports whether a request would have this outcome under a configuration.
 func explains(c Change, r Request, served []Run) bool {
 	route, exists := c.Routes[r.Prefix]
 	if r.Status == 404 {
@@ -109,37 +109,38 @@
 	return true
 }
 
-// tellsVersion reports whether an outcome depends on the configuration in force.
-func tellsVersion(r Request, served []Run) bool { return r.Status == 404 || len(served) > 0 }
+// dependsOnVersion reports whether an outcome depends on the configuration in force.
+func dependsOnVersion(r Request, served []Run) bool { return r.Status == 404 || len(served) > 0 }
 
-// life is one life of one proxy.
-type life struct {
+// incarnation is one proxy between two of its starts.
+type incarnation struct {
 	proxy  string
 	number int
 }
 
-// floor is the oldest configuration that a proxy can have been on at a time, since it was seen.
+// floor is the oldest configuration that a proxy can have in force from a time on, since a request
+// showed that it had already applied it.
 type floor struct {
 	index int
 	since time.Duration
 }
 
-// judgeVersions holds each request against the configurations that may have been in force.
+// judgeVersions compares each request with the configurations that may have been in force.
 func (j *judge) judgeVersions() {
-	floors := make(map[life][]floor)
+	floors := make(map[incarnation][]floor)
 	for _, r := range j.Requests {
 		served := j.runs[r.Attempt]
-		if !tellsVersion(r, served) {
+		if !dependsOnVersion(r, served) {
 			continue
 		}
 		newest := j.newestExplaining(r, served)
 		if newest < 0 {
-			j.find(RuleConfig, r.EndedAt, r.Proxy, r.Attempt, "%s: %s: no configuration that was sent by then and may be in force says so", r.Prefix, outcome(r, served))
+			j.report(RuleConfig, r.EndedAt, r.Proxy, r.Attempt, "%s: %s: no configuration that was sent by then and may be in force explains this", r.Prefix, outcome(r, served))
 			continue
 		}
-		if due, found := j.newestAcknowledged(r.SentAt - j.bounds.ConfigApply); found && j.valid[newest].Revision < due.Revision && j.inTouch(r.Proxy, r.SentAt) {
-			j.find(RuleConfig, r.EndedAt, r.Proxy, r.Attempt, "%s: %s as only revision %d or an older one says; %d was acknowledged %v before it was sent",
-				r.Prefix, outcome(r, served), j.valid[newest].Revision, due.Revision, (r.SentAt - due.AckedAt).Round(time.Millisecond))
+		if expected, found := j.newestAcknowledged(r.SentAt - j.bounds.ConfigApply); found && j.valid[newest].Revision < expected.Revision && j.inContact(r.Proxy, r.SentAt) {
+			j.report(RuleConfig, r.EndedAt, r.Proxy, r.Attempt, "%s: %s, which only revision %d or an older one explains; %d was acknowledged %v before the request was sent",
+				r.Prefix, outcome(r, served), j.valid[newest].Revision, expected.Revision, (r.SentAt - expected.AckedAt).Round(time.Millisecond))
 		}
 		if r.Life > 0 {
 			j.judgeOrder(floors, r, served, newest)
@@ -147,12 +148,13 @@
 	}
 }
 
-// judgeOrder holds a request against what its proxy was seen to have in force before.
-func (j *judge) judgeOrder(floors map[life][]floor, r Request, served []Run, newest int) {
-	key := life{r.Proxy, r.Life}
+// judgeOrder compares a request with the configurations that its proxy was seen to have in force
+// before. If it is consistent, it may raise the proxy's floor.
+func (j *judge) judgeOrder(floors map[incarnation][]floor, r Request, served []Run, newest int) {
+	key := incarnation{r.Proxy, r.Life}
 	at := floorAt(floors[key], r.SentAt-j.bounds.DowngradeSlack)
 	if newest < at && j.valid[newest].Revision < j.valid[at].Revision {
-		j.find(RuleConfig, r.EndedAt, r.Proxy, r.Attempt, "%s: %s as only revision %d or an older one says, after %d was seen in force there",
+		j.report(RuleConfig, r.EndedAt, r.Proxy, r.Attempt, "%s: %s, which only revision %d or an older one explains, after %d was seen in force at this proxy",
 			r.Prefix, outcome(r, served), j.valid[newest].Revision, j.valid[at].Revision)
 		return
 	}
@@ -166,7 +168,7 @@
 	}
 }
 
-// floorAt returns the highest floor that was known by a time. Floors rise with time.
+// floorAt returns the highest floor that was known by a time. Floors are sorted by time and rise.
 func floorAt(floors []floor, by time.Duration) int {
 	for i := len(floors) - 1; i >= 0; i-- {
 		if floors[i].since <= by {
@@ -188,28 +190,29 @@
 
 func outcome(r Request, served []Run) string {
 	if r.Status == 404 {
-		return "refused with 404"
+		return "rejected with 404"
 	}
 	var services []string
 	for _, run := range served {
 		services = append(services, run.Service)
 	}
-	return "run by " + strings.Join(slices.Compact(services), ", ")
+	return "executed by " + strings.Join(slices.Compact(services), ", ")
 }
 
-// judgeChanges finds invalid configurations that were acknowledged, and valid ones refused anew.
+// judgeChanges finds invalid configurations that were acknowledged, and acknowledged ones that were
+// refused when they were sent again.
 func (j *judge) judgeChanges() {
 	for _, c := range j.Changes {
 		if c.Routes == nil && c.AckedAt > 0 {
-			j.find(RuleConfig, c.AckedAt, "operator", "", "revision %d is not valid and was acknowledged", c.Revision)
+			j.report(RuleConfig, c.AckedAt, "operator", "", "revision %d is invalid but was acknowledged", c.Revision)
 		}
 		if c.RefusedAgain {
-			j.find(RuleConfig, c.AckedAt, "operator", "", "revision %d was acknowledged, sent again with no other change since, and refused", c.Revision)
+			j.report(RuleConfig, c.AckedAt, "operator", "", "revision %d was acknowledged, and refused when it was sent again without another change since", c.Revision)
 		}
 	}
 }
 
-// judgeReads holds what was read back against what was acknowledged.
+// judgeReads compares the configurations that were read with those that were acknowledged.
 func (j *judge) judgeReads() {
 	lastRead := false
 	for _, r := range j.Reads {
@@ -218,44 +221,46 @@
 		}
 		lastRead = lastRead || r.SentAt >= j.End
 		if !r.SameContent {
-			j.find(RuleConfig, r.EndedAt, r.Machine, "", "read back revision %d with other content than was sent under it and may be in force", r.Revision)
+			j.report(RuleConfig, r.EndedAt, r.Machine, "", "read revision %d with content that differs from every one sent under it that may be in force", r.Revision)
 		}
-		if due, found := j.newestAcknowledged(r.SentAt - j.bounds.ConfigApply); found && r.Revision < due.Revision {
-			j.find(RuleConfig, r.EndedAt, r.Machine, "", "read back revision %d; %d was acknowledged %v before", r.Revision, due.Revision, (r.SentAt - due.AckedAt).Round(time.Millisecond))
+		if expected, found := j.newestAcknowledged(r.SentAt - j.bounds.ConfigApply); found && r.Revision < expected.Revision {
+			j.report(RuleConfig, r.EndedAt, r.Machine, "", "read revision %d; %d was acknowledged %v before", r.Revision, expected.Revision, (r.SentAt - expected.AckedAt).Round(time.Millisecond))
 		}
 	}
 	if !lastRead && len(j.Changes) > 0 {
-		j.find(RuleLost, j.End, "control plane", "", "at the end the configuration could not be read back")
+		j.report(RuleLost, j.End, "control plane", "", "the configuration could not be read at the end of the run")
 	}
 }
 
-// judgeRuns finds what ran twice, ran although it was refused, or was never asked.
+// judgeRuns finds requests that were executed twice, executed although they were rejected, or never
+// sent by a client.
 func (j *judge) judgeRuns() {
-	asked := make(map[string]bool, len(j.Requests))
+	sent := make(map[string]bool, len(j.Requests))
 	for _, r := range j.Requests {
-		if asked[r.Attempt] {
-			panic("two requests are recorded under the attempt " + r.Attempt) // no verdict could rest on that
+		if sent[r.Attempt] {
+			panic("two requests are recorded with the attempt id " + r.Attempt) // the runs could not be assigned to their requests
 		}
-		asked[r.Attempt] = true
+		sent[r.Attempt] = true
 		runs := j.runs[r.Attempt]
 		if !r.NonIdempotent {
 			continue
 		}
 		if len(runs) > 1 {
-			j.find(RuleTwice, runs[1].At, r.Proxy, r.Attempt, "%s ran on %s and on %s", r.Prefix, runs[0].Server, runs[1].Server)
+			j.report(RuleTwice, runs[1].At, r.Proxy, r.Attempt, "%s was executed by %s and by %s", r.Prefix, runs[0].Server, runs[1].Server)
 		}
 		if refusal := r.Status == 429 || r.Status == 503 || r.Status == 408 || r.Status == 421; refusal && len(runs) > 0 {
-			j.find(RuleRefused, r.EndedAt, r.Proxy, r.Attempt, "%s was answered %d and ran on %s", r.Prefix, r.Status, runs[0].Server)
+			j.report(RuleRefused, r.EndedAt, r.Proxy, r.Attempt, "%s was rejected with %d but executed by %s", r.Prefix, r.Status, runs[0].Server)
 		}
 	}
 	for _, run := range j.Runs {
-		if !asked[run.Attempt] {
-			j.find(RuleUnasked, run.At, run.Server, run.Attempt, "no client sent this attempt (%s)", run.Target)
+		if !sent[run.Attempt] {
+			j.report(RuleUnasked, run.At, run.Server, run.Attempt, "no client sent this attempt (%s)", run.Target)
 		}
 	}
 }
 
-// judgeLosses finds requests that were dropped around planned work, or in calm.
+// judgeLosses finds requests that were dropped during planned restarts and reloads, or without any
+// fault.
 func (j *judge) judgeLosses() {
 	for _, r := range j.Requests {
 		if r.Status != 0 || r.Abandoned {
@@ -266,16 +271,17 @@
 			continue
 		}
 		ran := len(runs) > 0
-		held := r.EndedAt-r.SentAt > j.bounds.LossSlack
-		if !ran && !held || j.unplanned(r.Proxy, r.SentAt-j.bounds.Contact, r.EndedAt) {
+		exceedsSlack := r.EndedAt-r.SentAt > j.bounds.LossSlack
+		if !ran && !exceedsSlack || j.hadUnplannedFault(r.Proxy, r.SentAt-j.bounds.Contact, r.EndedAt) {
 			continue
 		}
-		j.find(RuleLost, r.EndedAt, r.Proxy, r.Attempt, "%s: the connection ended without an answer after %v; at a server: %v", r.Prefix, (r.EndedAt - r.SentAt).Round(time.Millisecond), ran)
+		j.report(RuleLost, r.EndedAt, r.Proxy, r.Attempt, "%s: the connection ended without a response after %v; executed by a server: %v", r.Prefix, (r.EndedAt - r.SentAt).Round(time.Millisecond), ran)
 	}
 }
 
-// unplanned reports whether a machine, or the control plane, had trouble other than planned work.
-func (j *judge) unplanned(machine string, from, to time.Duration) bool {
+// hadUnplannedFault reports whether a machine or the control plane had a fault other than SIGTERM and
+// SIGHUP during a span.
+func (j *judge) hadUnplannedFault(machine string, from, to time.Duration) bool {
 	for _, d := range j.Record.Disturbances {
 		if (d.Machine == machine || d.Core) && !d.Planned && d.From <= to && d.To >= from {
 			return true
@@ -284,7 +290,8 @@
 	return false
 }
 
-// judgeLeaves finds requests that reached a server long after its leave was acknowledged.
+// judgeLeaves finds requests that reached a server after the drain time that follows the
+// acknowledgement of its leave.
 func (j *judge) judgeLeaves() {
 	acked := make(map[string]Leave)
 	for _, l := range j.Leaves {
@@ -299,17 +306,17 @@
 		if !leaves || run.At-leave.AckedAt <= j.bounds.Drain {
 			continue
 		}
-		if r := proxies[run.Attempt]; j.inTouch(r.Proxy, run.At) {
-			j.find(RuleDrain, run.At, r.Proxy, run.Attempt, "reached %s %v after its leave was acknowledged by %s", run.Server, (run.At - leave.AckedAt).Round(time.Millisecond), leave.Machine)
+		if r := proxies[run.Attempt]; j.inContact(r.Proxy, run.At) {
+			j.report(RuleDrain, run.At, r.Proxy, run.Attempt, "reached %s %v after %s acknowledged its leave", run.Server, (run.At - leave.AckedAt).Round(time.Millisecond), leave.Machine)
 		}
 	}
 }
 
-// CountInTouch counts the requests that the bound of the configuration's age holds for.
-func CountInTouch(record Record, bounds Bounds) (n int) {
+// CountInContact counts the requests to which the bound on the configuration's age applies.
+func CountInContact(record Record, bounds Bounds) (n int) {
 	j := newJudge(record, bounds)
 	for _, r := range j.Requests {
-		if tellsVersion(r, j.runs[r.Attempt]) && j.inTouch(r.Proxy, r.SentAt) {
+		if dependsOnVersion(r, j.runs[r.Attempt]) && j.inContact(r.Proxy, r.SentAt) {
 			n++
 		}
 	}
--- a/internal/lab/soak/judge/records.go
+++ b/internal/lab/soak/judge/records.go
@@ -1,78 +1,79 @@
-// Package judge decides from what clients, operators and servers recorded whether the system kept
-// its rules. It knows which configurations were sent and acknowledged when, what each of them says
-// of a request, and which faults struck which machine; it never asks the system. It does no I/O.
+// Package judge decides from the records of clients, operators and servers whether the system kept
+// its rules. It knows which configurations were sent and acknowledged at which time, what each of
+// them prescribes for a request, and which faults were injected on which machine. It uses no
+// information from the system itself and does no I/O.
 package judge
 
 import "time"
 
-// Route is what a configuration says of one path prefix.
+// Route is the route of one path prefix in a configuration.
 type Route struct {
-	Services      []string // any of which may serve a request; of a gathered route all of them are asked
-	Gathered      bool
+	Services      []string // any of them may serve a request; a fan-out route sends a part to each of them
+	Gathered      bool     // a fan-out route
 	NonIdempotent bool
 	TimeoutMs     int
 }
 
-// Change is a configuration as an operator sent it.
+// Change is a configuration sent by an operator.
 type Change struct {
 	Revision     int64
-	Routes       map[string]Route // by prefix; nil: the configuration is not valid
+	Routes       map[string]Route // by prefix; nil: the configuration is invalid
 	SentAt       time.Duration
-	AckedAt      time.Duration // 0: it was not acknowledged
-	Refused      bool          // answered 4xx
-	RefusedAgain bool          // acknowledged, sent once more while it was the newest, and then refused
+	AckedAt      time.Duration // 0: not acknowledged
+	Refused      bool          // rejected with 4xx
+	RefusedAgain bool          // acknowledged, and refused when it was sent again while it was the newest
 }
 
 // Request is one attempt of a client.
 type Request struct {
-	Proxy         string // machine
+	Proxy         string // machine of the proxy
 	Attempt       string
 	Prefix        string
 	NonIdempotent bool
 	Gathered      bool
 	SentAt        time.Duration
 	EndedAt       time.Duration
-	Status        int    // 0: no complete answer
-	Body          string // of a success
-	Stamps        []string
-	Missing       int
-	Abandoned     bool // the client left on purpose
-	Life          int  // of the proxy: how often it had been started; 0: it was started again meanwhile
+	Status        int      // 0: no complete response
+	Body          string   // of a successful response
+	Stamps        []string // signatures of the response or of its parts
+	Missing       int      // parts that the response reports as missing
+	Abandoned     bool     // the client closed the connection on purpose
+	Life          int      // incarnation of the proxy: the number of its starts; 0: it was restarted during the request
 }
 
-// Run is one request at a server.
+// Run is the execution of one request by a server.
 type Run struct {
 	Attempt, Server, Service, Target string
 	At                               time.Duration
-	BrokeOff                         bool // the server ran it and ended the connection without an answer
+	BrokeOff                         bool // the server executed it and reset the connection without a response
 }
 
-// Read is a configuration that was read back.
+// Read is a configuration read from a control-plane machine.
 type Read struct {
 	Machine         string
 	SentAt, EndedAt time.Duration
 	Status          int
 	Revision        int64
-	SameContent     bool // as the one that was sent under its revision
+	SameContent     bool // the content is one that was sent under its revision
 }
 
-// Leave is a server that leaves: requests may reach it for a while after the acknowledgement.
+// Leave is a server that leaves. Requests may reach it for the drain time after the acknowledgement.
 type Leave struct {
 	Server  string
 	AckedAt time.Duration
-	Machine string // that acknowledged
+	Machine string // the machine that acknowledged it
 }
 
-// Disturbance is a span in which a fault had a machine in its hands.
+// Disturbance is a span in which a fault affected a machine.
 type Disturbance struct {
 	Machine  string
 	Planned  bool // SIGTERM or SIGHUP
-	Harmless bool // it takes no machine out of touch: SIGHUP
-	Core     bool // of the control plane
+	Harmless bool // the machine stays in contact: SIGHUP
+	Core     bool // a control-plane machine
 	From, To time.Duration
 }
 
-// Record is all that was seen in a run.
+// Record is all observations of a run. Its fields are encoded as JSON under their names.
 type Record struct {
 	Changes      []Change
 	Requests     []Request
@@ -84,7 +85,7 @@
 	End          time.Duration
 }
 
-// Bounds are the figures of the rules.
+// Bounds are the time bounds of the rules.
 type Bounds struct {
 	Contact, ConfigApply, DowngradeSlack, LossSlack, Drain time.Duration
 }
--- a/internal/lab/soak/plan/plan_test.go
+++ b/internal/lab/soak/plan/plan_test.go
@@ -8,24 +8,24 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-func small(seed uint64) *Plan {
+func smallPlan(seed uint64) *Plan {
 	return &Plan{Seed: seed, LengthS: 120, Cores: 3, Fronts: 4, Zones: 2, Changes: 5, Routes: 10, Requests: 40}
 }
 
 func TestPlan(t *testing.T) {
-	Convey("A seed draws one plan, which is valid, ends in calm and is read back as it was written", t, func() {
+	Convey("A seed always generates the same plan, which is valid, ends without faults and can be read back", t, func() {
 		kinds := make(map[Kind]bool)
 		for seed := range uint64(100) {
-			one, two := small(seed), small(seed)
-			one.Draw()
-			two.Draw()
+			one, two := smallPlan(seed), smallPlan(seed)
+			one.Generate()
+			two.Generate()
 			So(one, ShouldResemble, two)
 			So(one.Validate(), ShouldBeNil)
 			var text strings.Builder
 			So(one.Write(&text), ShouldBeNil)
-			back, err := Read(strings.NewReader(text.String()))
+			reread, err := Read(strings.NewReader(text.String()))
 			So(err, ShouldBeNil)
-			So(back, ShouldResemble, one)
+			So(reread, ShouldResemble, one)
 			for _, f := range one.Faults {
 				kinds[f.Kind] = true
 				So(f.AtS+f.ForS, ShouldBeLessThanOrEqualTo, one.LengthS-lastFaultS+0.01)
@@ -33,7 +33,7 @@
 		}
 		So(len(kinds), ShouldEqual, len(Kinds))
 	})
-	Convey("What is wrong with a plan is said by field", t, func() {
+	Convey("An invalid plan is rejected with the name of the field", t, func() {
 		for want, change := range map[string]func(p *Plan){
 			"length_s":              func(p *Plan) { p.LengthS = 0 },
 			"cores, fronts":         func(p *Plan) { p.Fronts = 200 },
@@ -47,7 +47,7 @@
 			"requests: more than 0": func(p *Plan) { p.Requests = 0 },
 			"routes: 0 to":          func(p *Plan) { p.Routes = -1 },
 		} {
-			p := small(1)
+			p := smallPlan(1)
 			change(p)
 			err := p.Validate()
 			So(errors.Is(err, ErrPlan), ShouldBeTrue)
--- a/internal/lab/soak/report.go
+++ b/internal/lab/soak/report.go
@@ -15,36 +15,37 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Quantiles are of the lags of changes.
+// Quantiles are quantiles of the lags of changes.
 type Quantiles struct {
 	Count           int
 	P50, P99, Worst time.Duration
 	NotSeen         int
 }
 
-// lagsWhile returns the quantiles of the lags of changes that were acknowledged in calm or not.
-func (r *Result) lagsWhile(calm bool) (q Quantiles) {
-	var took []time.Duration
+// lagQuantiles returns the quantiles of the lags of changes that were applied without faults
+// (faultFree) or during faults.
+func (r *Result) lagQuantiles(faultFree bool) (q Quantiles) {
+	var lags []time.Duration
 	for _, lag := range r.Lags {
-		if r.calmAt(lag.AckedAt, lag.AckedAt+lag.Took) != calm {
+		if r.withoutFaults(lag.AckedAt, lag.AckedAt+lag.Took) != faultFree {
 			continue
 		}
 		if !lag.Seen {
 			q.NotSeen++
 			continue
 		}
-		took = append(took, lag.Took)
+		lags = append(lags, lag.Took)
 	}
-	slices.Sort(took)
-	if q.Count = len(took); q.Count > 0 {
-		at := func(share float64) time.Duration { return took[min(int(share*float64(len(took))), len(took)-1)] }
+	slices.Sort(lags)
+	if q.Count = len(lags); q.Count > 0 {
+		at := func(share float64) time.Duration { return lags[min(int(share*float64(len(lags))), len(lags)-1)] }
 		q.P50, q.P99, q.Worst = at(0.5), at(0.99), at(1)
 	}
 	return q
 }
 
-// calmAt reports whether no fault struck from some seconds before a span to its end.
-func (r *Result) calmAt(from, to time.Duration) bool {
+// withoutFaults reports whether no fault was active from 5 s before a span to its end.
+func (r *Result) withoutFaults(from, to time.Duration) bool {
 	const before = 5 * time.Second
 	for _, fault := range r.Faults {
 		if fault.From <= to && fault.To+before >= from {
@@ -54,9 +55,9 @@
 	return true
 }
 
-// Print writes a run as text.
+// Print writes the result as text.
 func (r *Result) Print(out io.Writer) {
-	fmt.Fprintf(out, "seed %d: %d processes, %.0f s, %d faults; %d changes sent (%d invalid), %d acknowledged, the newest %d; %d requests (%d judged for the age of their configuration), %d reads, %d servers left\n",
+	fmt.Fprintf(out, "seed %d: %d processes, %.0f s, %d faults; %d changes sent (%d invalid), %d acknowledged, the newest %d; %d requests (%d checked for the age of their configuration), %d reads, %d servers left\n",
 		r.Seed, r.Processes, r.LengthS, len(r.Plan.Faults), r.Sent, r.Invalid, r.Acknowledged, r.Newest, r.Requests, r.JudgedTimely, r.Reads, r.Leaves)
 	statuses := make([]int, 0, len(r.Statuses))
 	for status := range r.Statuses {
@@ -68,29 +69,29 @@
 		fmt.Fprintf(out, " %d: %d", status, r.Statuses[status])
 	}
 	fmt.Fprintln(out)
-	for _, calm := range []bool{true, false} {
-		q := r.lagsWhile(calm)
-		fmt.Fprintf(out, "from acknowledgement to in force, %s: %d seen, p50 %v, p99 %v, worst %v; %d not seen within 10 s\n",
-			map[bool]string{true: "in calm", false: "beside faults"}[calm], q.Count, q.P50.Round(time.Millisecond), q.P99.Round(time.Millisecond), q.Worst.Round(time.Millisecond), q.NotSeen)
+	for _, faultFree := range []bool{true, false} {
+		q := r.lagQuantiles(faultFree)
+		fmt.Fprintf(out, "lag from acknowledgement to effect, %s: %d seen, p50 %v, p99 %v, max %v; %d not seen within 10 s\n",
+			map[bool]string{true: "without faults", false: "during faults"}[faultFree], q.Count, q.P50.Round(time.Millisecond), q.P99.Round(time.Millisecond), q.Worst.Round(time.Millisecond), q.NotSeen)
 	}
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(table, "program\tpeak MB\tpeak descriptors\tMB, first third\tMB, last third\tCPU ms a change, all processes of it")
+	fmt.Fprintln(table, "program\tpeak MB\tpeak descriptors\tMB, first third\tMB, last third\tCPU ms per change, all its processes")
 	for _, u := range r.Usage {
 		fmt.Fprintf(table, "%s\t%.0f\t%d\t%.1f\t%.1f\t%.1f\n", u.Program, u.PeakMB, u.PeakFiles, u.FirstMB, u.LastMB, 1000*u.cpu/float64(max(r.Acknowledged, 1)))
 	}
 	table.Flush()
 	fmt.Fprintf(out, "findings: %d\n", len(r.Findings))
-	const most = 20
-	for _, f := range r.Findings[:min(len(r.Findings), most)] {
+	const maxPrinted = 20
+	for _, f := range r.Findings[:min(len(r.Findings), maxPrinted)] {
 		fmt.Fprintf(out, "  %s at %.3f s, %s %s: %s\n", f.Rule, f.At.Seconds(), f.Process, f.Request, f.What)
 	}
-	if len(r.Findings) > most {
-		fmt.Fprintf(out, "  and %d more\n", len(r.Findings)-most)
+	if len(r.Findings) > maxPrinted {
+		fmt.Fprintf(out, "  and %d more\n", len(r.Findings)-maxPrinted)
 	}
 }
 
-// Save writes the report, its figures, the plan and a chart below a folder, and what findings
-// rest on.
+// Save writes the report as text and JSON, the plan and a chart into a directory. If there are
+// findings, it also writes the record that they are based on.
 func (r *Result) Save(dir string) error {
 	write := func(name string, f func(io.Writer) error) error {
 		file, err := os.Create(filepath.Join(dir, name))
@@ -122,10 +123,10 @@
 	chartHeight = 4 * vg.Inch
 )
 
-// chart draws how long changes took over time, with the faults as bars at the bottom.
+// chart plots the lags of changes over time, with the faults as bars at the bottom.
 func (r *Result) chart(file string) error {
 	p := plot.New()
-	p.Title.Text = fmt.Sprintf("seed %d: from acknowledgement to in force; bars: faults", r.Seed)
+	p.Title.Text = fmt.Sprintf("seed %d: lag from acknowledgement to effect; bars: faults", r.Seed)
 	p.X.Label.Text, p.Y.Label.Text = "seconds", "ms"
 	var points plotter.XYs
 	for _, lag := range r.Lags {
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -1,7 +1,7 @@
-// Package soak runs the system's real processes under overlapping faults and changes of the
-// configuration without pause, and has an independent judge hold every request and every
-// acknowledged change to account. Its parts: plan (what is played), fleet (processes, relays,
-// faults), traffic (servers, operator, clients) and judge.
+// Package soak runs the system's real processes under overlapping faults and continuous changes of
+// the configuration. An independent judge then checks every request and every acknowledged change
+// against the rules. Its parts are plan (sizes, rates and faults of a run), fleet (processes, relays,
+// injection of faults), traffic (servers, operator, clients) and judge.
 package soak
 
 import (
@@ -22,20 +22,20 @@
 )
 
 const (
-	startPatience = 60 * time.Second
+	startTimeout  = 60 * time.Second
 	readyInterval = 100 * time.Millisecond
-	lagShare      = 4                // one in so many changes that add a route is timed, at every proxy
-	lagProxies    = 8                // at most
-	endExplains   = 10 * time.Second // a start within this time after a fault on its machine is the fault's
+	lagSampling   = 4                // one in lagSampling changes that add a route is timed
+	lagProxies    = 8                // maximum number of proxies at which a change is timed
+	explainWindow = 10 * time.Second // a restart within this time after a fault on its machine is attributed to the fault
 )
 
-// ErrNotReady is returned when the processes do not serve after their start.
-var ErrNotReady = errors.New("the processes do not serve within a minute of their start")
+// ErrNotReady is returned when the processes are not ready in time after their start.
+var ErrNotReady = errors.New("the processes are not ready within a minute of their start")
 
-// RuleEnded is what a process breaks that ends by itself.
+// RuleEnded is the rule that a process breaks which ends without a fault.
 const RuleEnded = "ENDED"
 
-// Result is what came of a run.
+// Result is the result of a run.
 type Result struct {
 	Plan         *plan.Plan          `json:"-"`
 	Seed         uint64              `json:"seed"`
@@ -55,18 +55,19 @@
 	Usage        []Usage             `json:"usage"`
 	Findings     []judge.Finding     `json:"findings"`
 
-	record judge.Record // what the findings rest on
+	record judge.Record // the record that the findings are based on
 }
 
-// Run plays a plan with the programs of a folder. Its files go below dir.
+// Run runs a plan with the programs of a directory, and writes its files below dir. It returns
+// ErrNotReady if the processes do not become ready, and the error of ctx if that ends first.
 func Run(ctx context.Context, p *plan.Plan, programs, dir string) (*Result, error) {
 	f, err := fleet.Start(p, programs, dir, fleet.DefaultBounds)
 	if err != nil {
 		return nil, err
 	}
 	defer f.Close()
-	r := &run{plan: p, fleet: f, recorder: traffic.NewRecorder(f.Now), control: traffic.NewControl(p.CoreMachines(), f.Control)}
-	return r.play(ctx)
+	r := &run{plan: p, fleet: f, recorder: traffic.NewRecorder(f.Now), control: traffic.NewControl(p.CoreMachines(), f.ControlAddr)}
+	return r.execute(ctx)
 }
 
 type run struct {
@@ -79,23 +80,23 @@
 	usage    *sampler
 	readyAt  time.Duration
 	lags     sync.WaitGroup
-	changes  atomic.Int64 // that added a route
+	changes  atomic.Int64 // number of changes that added a route
 }
 
-func (r *run) play(ctx context.Context) (*Result, error) {
-	serving, endServing := context.WithCancel(ctx)
-	defer endServing()
-	servers, err := traffic.StartServers(serving, r.control, r.recorder, r.plan.Seed)
+func (r *run) execute(ctx context.Context) (*Result, error) {
+	serverCtx, stopServers := context.WithCancel(ctx)
+	defer stopServers()
+	servers, err := traffic.StartServers(serverCtx, r.control, r.recorder, r.plan.Seed)
 	if err != nil {
 		return nil, err
 	}
 	defer servers.Wait()
-	defer endServing()
-	asking, endAsking := context.WithCancel(ctx)
-	defer endAsking()
-	r.operator = traffic.NewOperator(r.control, r.recorder, func(c judge.Change, prefix string) { r.timeChange(asking, c, prefix) })
-	r.clients = &traffic.Clients{FrontOf: r.fleet.Front, Current: r.operator.Current(), Recorder: r.recorder,
-		LifeOf: func(machine string, at time.Duration) int { return r.fleet.Started(machine, "proxy", at) }}
+	defer stopServers()
+	clientCtx, stopClients := context.WithCancel(ctx)
+	defer stopClients()
+	r.operator = traffic.NewOperator(r.control, r.recorder, func(c judge.Change, prefix string) { r.timeChange(clientCtx, c, prefix) })
+	r.clients = &traffic.Clients{ProxyAddr: r.fleet.ProxyAddr, Current: r.operator.Current(), Recorder: r.recorder,
+		IncarnationAt: func(machine string, by time.Duration) int { return r.fleet.Started(machine, "proxy", by) }}
 	rng := rand.New(rand.NewPCG(r.plan.Seed, 31))
 	first, ok := r.operator.Begin(ctx, r.plan.Routes, rng)
 	if !ok || !r.waitUntilServing(ctx) {
@@ -104,26 +105,26 @@
 		}
 		return nil, ErrNotReady
 	}
-	if err := r.fleet.Established(); err != nil {
+	if err := r.fleet.EndBootstrap(); err != nil {
 		return nil, err
 	}
 	r.readyAt = r.fleet.Now()
 	r.usage = startSampler(r.fleet)
 	var wait sync.WaitGroup
 	for i, machine := range r.plan.FrontMachines() {
-		wait.Go(func() { r.clients.Run(asking, machine, r.plan.Requests, r.plan.Seed+uint64(i)) })
+		wait.Go(func() { r.clients.Run(clientCtx, machine, r.plan.Requests, r.plan.Seed+uint64(i)) })
 	}
-	changing, endChanging := context.WithCancel(asking)
-	wait.Go(func() { r.operator.Run(changing, first, r.plan.Changes, r.plan.Seed) })
-	r.strike(ctx)
-	endChanging()
-	endAsking()
+	changeCtx, stopChanges := context.WithCancel(clientCtx)
+	wait.Go(func() { r.operator.Run(changeCtx, first, r.plan.Changes, r.plan.Seed) })
+	r.injectFaults(ctx)
+	stopChanges()
+	stopClients()
 	wait.Wait()
 	r.lags.Wait()
 	end := r.fleet.Now()
 	r.readAtEnd(ctx, end)
 	usage := r.usage.stop()
-	endServing()
+	stopServers()
 	servers.Wait()
 	if ctx.Err() != nil {
 		return nil, ctx.Err()
@@ -131,10 +132,11 @@
 	return r.result(end, usage), nil
 }
 
-// waitUntilServing waits until every proxy serves a request.
+// waitUntilServing waits until every proxy reports that it is ready. It returns false after
+// startTimeout or if ctx ends.
 func (r *run) waitUntilServing(ctx context.Context) bool {
 	client := &http.Client{Timeout: time.Second}
-	deadline := time.Now().Add(startPatience)
+	deadline := time.Now().Add(startTimeout)
 	for _, machine := range r.plan.FrontMachines() {
 		for !r.ready(ctx, client, machine) {
 			if ctx.Err() != nil || time.Now().After(deadline) {
@@ -147,7 +149,7 @@
 }
 
 func (r *run) ready(ctx context.Context, client *http.Client, machine string) bool {
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+r.fleet.Readiness(machine)+"/readiness", nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+r.fleet.ReadinessAddr(machine)+"/readiness", nil)
 	if err != nil {
 		return false
 	}
@@ -159,10 +161,10 @@
 	return answer.StatusCode == http.StatusOK
 }
 
-// strike brings the plan's faults about, and returns at the end of the run.
-func (r *run) strike(ctx context.Context) {
+// injectFaults injects the plan's faults, and returns at the end of the run or with ctx.
+func (r *run) injectFaults(ctx context.Context) {
 	begin := time.Now()
-	at := func(seconds float64) bool {
+	waitUntil := func(seconds float64) bool {
 		timer := time.NewTimer(time.Until(begin.Add(time.Duration(seconds * float64(time.Second)))))
 		defer timer.Stop()
 		select {
@@ -173,30 +175,30 @@
 		}
 	}
 	for _, fault := range r.plan.Faults {
-		if !at(fault.AtS) {
+		if !waitUntil(fault.AtS) {
 			return
 		}
-		r.fleet.Strike(fault, ctx.Done())
+		r.fleet.Inject(fault, ctx.Done())
 	}
-	at(r.plan.LengthS)
+	waitUntil(r.plan.LengthS)
 }
 
-// timeChange measures how long some of the changes take until each proxy acts on them.
+// timeChange measures for some of the changes how long each of several proxies takes to apply them.
 func (r *run) timeChange(ctx context.Context, change judge.Change, prefix string) {
 	count := int(r.changes.Add(1))
-	if count%lagShare != 0 {
+	if count%lagSampling != 0 {
 		return
 	}
-	fronts := r.plan.FrontMachines()
-	for i := range min(len(fronts), lagProxies) {
-		machine := fronts[(count+i)%len(fronts)]
+	proxyMachines := r.plan.FrontMachines()
+	for i := range min(len(proxyMachines), lagProxies) {
+		machine := proxyMachines[(count+i)%len(proxyMachines)]
 		r.lags.Go(func() {
 			r.clients.MeasureLag(ctx, machine, prefix, change.Revision, change.AckedAt)
 		})
 	}
 }
 
-// readAtEnd reads the configuration back until a machine hands it out.
+// readAtEnd reads the configuration until a machine returns it, within the contact bound.
 func (r *run) readAtEnd(ctx context.Context, end time.Duration) {
 	for r.fleet.Now() < end+r.fleet.Bounds.Contact && ctx.Err() == nil {
 		for _, machine := range r.plan.CoreMachines() {
@@ -207,7 +209,7 @@
 	}
 }
 
-// result judges the run.
+// result has the run judged and sums it up.
 func (r *run) result(end time.Duration, usage []Usage) *Result {
 	record := r.recorder.Record()
 	record.End, record.Cores = end, r.plan.Cores
@@ -222,7 +224,7 @@
 	b := r.fleet.Bounds
 	bounds := judge.Bounds{Contact: b.Contact, ConfigApply: b.ConfigApply, DowngradeSlack: b.DowngradeSlack, LossSlack: b.LossSlack, Drain: b.Drain}
 	out := &Result{Plan: r.plan, Seed: r.plan.Seed, Processes: r.plan.Processes(), LengthS: r.plan.LengthS, Requests: len(record.Requests), Reads: len(record.Reads),
-		Leaves: len(record.Leaves), Statuses: make(map[int]int), Faults: faults, Lags: r.recorder.Lags(), Usage: usage, JudgedTimely: judge.CountInTouch(record, bounds)}
+		Leaves: len(record.Leaves), Statuses: make(map[int]int), Faults: faults, Lags: r.recorder.Lags(), Usage: usage, JudgedTimely: judge.CountInContact(record, bounds)}
 	for _, c := range record.Changes {
 		out.Sent++
 		if c.Routes == nil {
@@ -236,19 +238,20 @@
 	for _, request := range record.Requests {
 		out.Statuses[request.Status]++
 	}
-	out.Findings = append(judge.Judge(record, bounds), r.endings()...)
+	out.Findings = append(judge.Judge(record, bounds), r.unexpectedExits()...)
 	out.record = record
 	return out
 }
 
-// endings finds processes that were started again although no fault struck them.
-func (r *run) endings() (findings []judge.Finding) {
+// unexpectedExits returns a finding for each process that was restarted without a fault on its
+// machine.
+func (r *run) unexpectedExits() (findings []judge.Finding) {
 	for _, start := range r.fleet.Restarts() {
 		explained := slices.ContainsFunc(r.fleet.Disturbances(), func(d fleet.Disturbance) bool {
-			return d.Machine == start.Machine && d.From <= start.At && start.At <= d.To+endExplains
+			return d.Machine == start.Machine && d.From <= start.At && start.At <= d.To+explainWindow
 		})
 		if !explained {
-			findings = append(findings, judge.Finding{Rule: RuleEnded, At: start.At, Process: start.Machine + "/" + start.Program, What: fmt.Sprintf("ended by itself; its output: %s", start.Log)})
+			findings = append(findings, judge.Finding{Rule: RuleEnded, At: start.At, Process: start.Machine + "/" + start.Program, What: fmt.Sprintf("ended without a fault; its output: %s", start.Log)})
 		}
 	}
 	return findings
--- a/internal/lab/soak/traffic/configuration.go
+++ b/internal/lab/soak/traffic/configuration.go
@@ -1,6 +1,7 @@
-// Package traffic is what surrounds the system in a soak: stand-in servers that come and go, an
-// operator that changes the configuration without pause, and clients that use their connections
-// until these end. Each records what it saw; none looks inside the system.
+// Package traffic simulates the environment of the system in a soak: stand-in servers that start and
+// leave, an operator that changes the configuration continuously, and clients that use their
+// connections until they are closed. Each records its own observations; none reads the system's
+// internal state.
 package traffic
 
 import (
@@ -12,13 +13,13 @@
 	"saddleport/internal/lab/soak/judge"
 )
 
-// The services. Each single service has servers of its own, so that the server that a request
-// reaches tells which configuration it was handled by.
+// The services. Each single service has its own servers, so that the server that handles a request
+// identifies the configuration that was in force.
 const (
 	singleServices = 6
 	shardServices  = 3
 	host           = "soak.example"
-	liveRoutes     = 24 // added routes that are in force at a time; the oldest is withdrawn for a new one
+	maxAddedRoutes = 24 // added routes in force at a time; the oldest one is withdrawn when another is added
 )
 
 func singleService(i int) string { return fmt.Sprint("single-", i%singleServices) }
@@ -35,24 +36,24 @@
 	return all
 }
 
-// The prefixes that every configuration has.
+// The prefixes of every configuration.
 const (
-	movedPrefix    = "/moved/"    // its service changes
-	weightedPrefix = "/weighted/" // several services, whose weights change
-	writePrefix    = "/write/"    // not idempotent; its service changes, too
-	gatherPrefix   = "/gather/"   // all shards
+	movedPrefix    = "/moved/"    // the service of this route changes
+	weightedPrefix = "/weighted/" // weighted services, which change
+	writePrefix    = "/write/"    // non-idempotent; the service of this route changes
+	fanOutPrefix   = "/gather/"   // fan-out to all shards
 )
 
 func addedPrefix(revision int64) string { return fmt.Sprintf("/added-%d/", revision) }
 
-// configuration is what the operator edits.
+// configuration is a configuration as the operator edits it.
 type configuration struct {
 	revision  int64
 	routes    map[string]judge.Route
 	idleMs    int
-	added     []string // prefixes, the oldest first
-	fillers   int      // routes that nobody asks for
-	fillerTag int64    // changes all of them
+	added     []string // prefixes of added routes, oldest first
+	fillers   int      // number of routes that no client requests
+	fillerTag int64    // part of each filler route; a new value changes all of them
 }
 
 func firstConfiguration(fillers int) *configuration {
@@ -60,7 +61,7 @@
 		movedPrefix:    {Services: []string{singleService(0)}, TimeoutMs: 3000},
 		weightedPrefix: {Services: []string{singleService(1), singleService(2)}, TimeoutMs: 3000},
 		writePrefix:    {Services: []string{singleService(3)}, NonIdempotent: true, TimeoutMs: 3000},
-		gatherPrefix:   {Services: []string{shardService(0), shardService(1), shardService(2)}, Gathered: true, TimeoutMs: 2000},
+		fanOutPrefix:   {Services: []string{shardService(0), shardService(1), shardService(2)}, Gathered: true, TimeoutMs: 2000},
 	}}
 }
 
@@ -74,7 +75,7 @@
 	return &next
 }
 
-// edit makes the next configuration: one thing is changed.
+// edit returns the next configuration, which differs in one change.
 func (c *configuration) edit(rng *rand.Rand) *configuration {
 	next := c.clone()
 	next.revision += 1 + rng.Int64N(4)
@@ -82,9 +83,9 @@
 	case 0, 1, 2, 3:
 		next.addRoute(rng)
 	case 4:
-		next.move(movedPrefix, rng)
+		next.moveRoute(movedPrefix, rng)
 	case 5:
-		next.move(writePrefix, rng)
+		next.moveRoute(writePrefix, rng)
 	case 6:
 		first := rng.IntN(singleServices)
 		next.routes[weightedPrefix] = judge.Route{Services: []string{singleService(first), singleService(first + 1 + rng.IntN(singleServices-2))}, TimeoutMs: 3000}
@@ -99,32 +100,32 @@
 	prefix := addedPrefix(c.revision)
 	c.routes[prefix] = judge.Route{Services: []string{singleService(rng.IntN(singleServices))}, TimeoutMs: 3000}
 	c.added = append(c.added, prefix)
-	if len(c.added) > liveRoutes {
+	if len(c.added) > maxAddedRoutes {
 		delete(c.routes, c.added[0])
 		c.added = c.added[1:]
 	}
 }
 
-func (c *configuration) move(prefix string, rng *rand.Rand) {
+func (c *configuration) moveRoute(prefix string, rng *rand.Rand) {
 	route := c.routes[prefix]
-	old := slices.Index(Services(), route.Services[0])
-	route.Services = []string{singleService(old + 1 + rng.IntN(singleServices-1))}
+	current := slices.Index(Services(), route.Services[0])
+	route.Services = []string{singleService(current + 1 + rng.IntN(singleServices-1))}
 	c.routes[prefix] = route
 }
 
 type routeJSON struct {
-	Host      string        `json:"hostname"`
-	Prefix    string        `json:"path_prefix"`
-	Type      string        `json:"route_type"`
-	TimeoutMs int           `json:"timeout_ms"`
-	AimMs     int           `json:"target_latency_ms"`
-	Priority  int           `json:"priority"`
-	Service   string        `json:"target_service,omitempty"`
-	Backends  []backendJSON `json:"backends,omitempty"`
-	Shards    []string      `json:"fanout_services,omitempty"`
-	Attempts  int           `json:"max_attempts"`
-	Limit     int           `json:"result_limit,omitempty"`
-	Ratio     float64       `json:"min_success_ratio,omitempty"`
+	Host            string        `json:"hostname"`
+	Prefix          string        `json:"path_prefix"`
+	Type            string        `json:"route_type"`
+	TimeoutMs       int           `json:"timeout_ms"`
+	LatencyTargetMs int           `json:"target_latency_ms"`
+	Priority        int           `json:"priority"`
+	Service         string        `json:"target_service,omitempty"`
+	Backends        []backendJSON `json:"backends,omitempty"`
+	Shards          []string      `json:"fanout_services,omitempty"`
+	Attempts        int           `json:"max_attempts"`
+	Limit           int           `json:"result_limit,omitempty"`
+	Ratio           float64       `json:"min_success_ratio,omitempty"`
 }
 
 type backendJSON struct {
@@ -146,7 +147,7 @@
 	Limits   map[string]int `json:"limits"`
 }
 
-// document returns the configuration as it is sent.
+// document returns the configuration in the form in which it is sent.
 func (c *configuration) document() configurationJSON {
 	out := configurationJSON{Revision: c.revision, Limits: map[string]int{"max_header_bytes": 16384, "max_body_bytes": 262144, "header_timeout_ms": 3000, "idle_timeout_ms": c.idleMs}}
 	for _, service := range Services() {
@@ -168,7 +169,7 @@
 }
 
 func routeOf(prefix string, r judge.Route) routeJSON {
-	out := routeJSON{Host: host, Prefix: prefix, Type: "idempotent", TimeoutMs: r.TimeoutMs, AimMs: 300, Priority: 1, Attempts: 2}
+	out := routeJSON{Host: host, Prefix: prefix, Type: "idempotent", TimeoutMs: r.TimeoutMs, LatencyTargetMs: 300, Priority: 1, Attempts: 2}
 	switch {
 	case r.Gathered:
 		out.Shards, out.Limit, out.Ratio = r.Services, judge.ResultLimit, 0.5
@@ -180,7 +181,7 @@
 		out.Service = r.Services[0]
 	}
 	if r.NonIdempotent {
-		out.Type = "non_idempotent" // a second server may be asked only after the first has said that it did not run it
+		out.Type = "non_idempotent" // retried only after the first server has reported that it did not execute the request
 	}
 	return out
 }
@@ -188,13 +189,13 @@
 func (c *configuration) bytes() []byte {
 	raw, err := json.Marshal(c.document())
 	if err != nil {
-		panic(err) // structs of texts and numbers always have a form
+		panic(err) // structs of strings and numbers can always be encoded
 	}
 	return raw
 }
 
-// spoil returns an invalid form of a configuration, under its revision.
-func (c *configuration) spoil(rng *rand.Rand) []byte {
+// corrupt returns an invalid encoding of a configuration, with its revision.
+func (c *configuration) corrupt(rng *rand.Rand) []byte {
 	document := c.document()
 	switch rng.IntN(5) {
 	case 0:
--- a/internal/lab/soak/traffic/operator.go
+++ b/internal/lab/soak/traffic/operator.go
@@ -13,25 +13,25 @@
 )
 
 const (
-	orderPatience   = 10 * time.Second // an order without a clear answer is sent again for so long
-	orderPauseFirst = 50 * time.Millisecond
-	orderPauseMost  = time.Second
-	ordersAtOnce    = 4
+	orderTimeout    = 10 * time.Second // an order without a definite response is sent again within this time
+	minOrderBackoff = 50 * time.Millisecond
+	maxOrderBackoff = time.Second
+	parallelOrders  = 4
 	readInterval    = 700 * time.Millisecond
 )
 
-// Operator changes the configuration without pause.
+// Operator changes the configuration continuously.
 type Operator struct {
 	control  *Control
 	recorder *Recorder
 	current  *Current
-	onAck    func(change judge.Change, prefix string) // after each change that added a route; may be nil
+	onAck    func(change judge.Change, prefix string) // called after the acknowledgement of each change that added a route; may be nil
 
 	mu   sync.Mutex
-	sent map[int64][][]byte // the contents that were sent under a revision and not refused
+	sent map[int64][][]byte // by revision: the contents that were sent and not refused
 }
 
-// Current is the configuration that was sent last, for clients to choose their requests by.
+// Current is the configuration that was sent last. Clients select their requests from it.
 type Current struct {
 	mu            sync.Mutex
 	configuration *configuration
@@ -47,18 +47,19 @@
 				c.withdrawn = append(c.withdrawn, prefix)
 			}
 		}
-		c.withdrawn = c.withdrawn[max(len(c.withdrawn)-liveRoutes, 0):]
+		c.withdrawn = c.withdrawn[max(len(c.withdrawn)-maxAddedRoutes, 0):]
 	}
 	c.configuration = next
 }
 
-// draw returns a prefix to ask for, and what it is.
-func (c *Current) draw(rng *rand.Rand) (prefix string, route judge.Route) {
+// pickRequest returns a random prefix to request, and its route. The route of a withdrawn prefix is
+// empty.
+func (c *Current) pickRequest(rng *rand.Rand) (prefix string, route judge.Route) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch choice := rng.IntN(10); {
 	case choice < 2:
-		prefix = gatherPrefix
+		prefix = fanOutPrefix
 	case choice < 4:
 		prefix = writePrefix
 	case choice < 5:
@@ -75,15 +76,16 @@
 	return prefix, c.configuration.routes[prefix]
 }
 
-// NewOperator returns an operator that has sent nothing.
+// NewOperator returns an operator that has not sent any configuration.
 func NewOperator(control *Control, recorder *Recorder, onAck func(judge.Change, string)) *Operator {
 	return &Operator{control: control, recorder: recorder, current: &Current{}, onAck: onAck, sent: make(map[int64][][]byte)}
 }
 
-// Current is what clients ask by.
+// Current returns the configuration that clients select their requests from.
 func (o *Operator) Current() *Current { return o.current }
 
-// Begin sends the first configuration until it is acknowledged, and returns it.
+// Begin sends the first configuration until it is acknowledged, and returns it. ok is false if it
+// was refused or not acknowledged in time.
 func (o *Operator) Begin(ctx context.Context, fillers int, rng *rand.Rand) (first *configuration, ok bool) {
 	first = firstConfiguration(fillers)
 	o.current.set(first)
@@ -100,26 +102,26 @@
 	return first, status == http.StatusOK
 }
 
-// Run changes the configuration so many times a second until ctx ends, and returns once all
-// orders are answered or given up.
+// Run changes the configuration at the given rate until ctx ends. It returns once every order has a
+// definite response or has timed out.
 func (o *Operator) Run(ctx context.Context, first *configuration, changesPerSecond float64, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 71))
 	var orders sync.WaitGroup
 	defer orders.Wait()
 	orders.Go(func() { o.readBack(ctx, rand.New(rand.NewPCG(seed, 72))) })
-	slots := make(chan struct{}, ordersAtOnce)
+	slots := make(chan struct{}, parallelOrders)
 	last := first
-	for pause(ctx, time.Duration(rng.ExpFloat64()/changesPerSecond*float64(time.Second))) {
+	for sleep(ctx, time.Duration(rng.ExpFloat64()/changesPerSecond*float64(time.Second))) {
 		slots <- struct{}{}
 		orderSeed, kind := rng.Uint64(), rng.IntN(20)
 		switch {
-		case kind == 0: // an invalid one, under a revision that is not used otherwise
+		case kind == 0: // an invalid configuration, with a revision that no other one uses
 			last = last.clone()
 			last.revision++
-			bad := last
-			raw := bad.spoil(rng)
-			orders.Go(func() { defer func() { <-slots }(); o.order(ctx, bad.revision, nil, raw, "", orderSeed) })
-		case kind == 1: // two at once under one revision
+			invalid := last
+			raw := invalid.corrupt(rng)
+			orders.Go(func() { defer func() { <-slots }(); o.order(ctx, invalid.revision, nil, raw, "", orderSeed) })
+		case kind == 1: // two concurrent configurations with one revision
 			one, two := last.edit(rng), last.edit(rng)
 			two.revision = one.revision
 			last = one
@@ -146,7 +148,7 @@
 	}
 }
 
-// order sends one configuration until there is a clear answer, and records what came of it.
+// order sends one configuration until there is a definite response, and records the result.
 func (o *Operator) order(ctx context.Context, revision int64, routes map[string]judge.Route, raw []byte, added string, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 73))
 	index := 0
@@ -176,28 +178,29 @@
 	if added != "" && o.onAck != nil {
 		o.onAck(change, added)
 	}
-	if rng.IntN(10) == 0 { // its answer was lost, as far as the operator knows: to any machine again
+	if rng.IntN(10) == 0 { // simulates a lost response: the order is sent again, to any machine
 		if again := o.send(context.WithoutCancel(ctx), revision, raw, rng); again/100 == 4 {
 			o.recorder.update(func(r *judge.Record) { r.Changes[index].RefusedAgain = true })
 		}
 	}
 }
 
-// send calls one machine after another until one answers clearly, or patience is over: 0.
+// send calls one machine after another until one gives a definite response: 200, or 4xx except 408
+// and 429. It returns 0 after orderTimeout.
 func (o *Operator) send(ctx context.Context, revision int64, raw []byte, rng *rand.Rand) int {
-	ctx, cancel := context.WithTimeout(ctx, orderPatience)
+	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	machines := o.control.Machines
-	wait := orderPauseFirst
+	wait := minOrderBackoff
 	for turn := rng.IntN(len(machines)); ; turn++ {
 		status, _ := o.control.call(ctx, http.MethodPost, machines[turn%len(machines)], "/Config.Replace", raw)
 		if status == http.StatusOK || status/100 == 4 && status != http.StatusRequestTimeout && status != http.StatusTooManyRequests {
 			return status
 		}
-		if !pause(ctx, wait) {
+		if !sleep(ctx, wait) {
 			return 0
 		}
-		wait = min(2*wait, orderPauseMost)
+		wait = min(2*wait, maxOrderBackoff)
 	}
 }
 
@@ -219,14 +222,14 @@
 	o.sent[revision] = rest
 }
 
-// readBack reads the configuration at any machine, again and again.
+// readBack reads the configuration at a random machine at each readInterval.
 func (o *Operator) readBack(ctx context.Context, rng *rand.Rand) {
-	for pause(ctx, readInterval) {
+	for sleep(ctx, readInterval) {
 		o.Read(ctx, o.control.Machines[rng.IntN(len(o.control.Machines))])
 	}
 }
 
-// Read reads the configuration at a machine and records it.
+// Read reads the configuration at a machine and records the result.
 func (o *Operator) Read(ctx context.Context, machine string) (status int) {
 	read := judge.Read{Machine: machine, SentAt: o.recorder.now()}
 	status, text := o.control.call(ctx, http.MethodGet, machine, "/Config.Describe", nil)
--- a/internal/lab/soak/traffic/recorder.go
+++ b/internal/lab/soak/traffic/recorder.go
@@ -9,7 +9,8 @@
 	"saddleport/internal/lab/soak/judge"
 )
 
-// Recorder collects what clients, operators and servers see. It is safe for concurrent use.
+// Recorder collects the observations of clients, operators and servers. It is safe for concurrent
+// use.
 type Recorder struct {
 	now      func() time.Duration
 	attempts atomic.Uint64
@@ -19,19 +20,19 @@
 	lags   []Lag
 }
 
-// Lag is how long an acknowledged change took until a proxy was seen to act on it.
+// Lag is the time from the acknowledgement of a change until a proxy was seen to apply it.
 type Lag struct {
 	Revision int64         `json:"revision"`
 	Proxy    string        `json:"proxy"`
 	AckedAt  time.Duration `json:"acked_at"`
 	Took     time.Duration `json:"took"`
-	Seen     bool          `json:"seen"` // false: not within the time that was waited
+	Seen     bool          `json:"seen"` // false: not within lagTimeout
 }
 
-// NewRecorder returns an empty recorder with a clock.
+// NewRecorder returns an empty recorder. now returns the time since the start of the run.
 func NewRecorder(now func() time.Duration) *Recorder { return &Recorder{now: now} }
 
-// newAttempt returns an id that no other attempt has.
+// newAttempt returns a unique attempt id.
 func (r *Recorder) newAttempt() string { return fmt.Sprintf("%016x", r.attempts.Add(1)) }
 
 func (r *Recorder) update(f func(record *judge.Record)) {
@@ -46,14 +47,14 @@
 	r.lags = append(r.lags, lag)
 }
 
-// Record returns what was collected.
+// Record returns the observations recorded so far.
 func (r *Recorder) Record() judge.Record {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.record
 }
 
-// Lags returns how long changes took.
+// Lags returns the lags recorded so far.
 func (r *Recorder) Lags() []Lag {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/lab/soak/traffic/servers.go
+++ b/internal/lab/soak/traffic/servers.go
@@ -19,61 +19,62 @@
 
 const (
 	heartbeatInterval = 1200 * time.Millisecond
-	serversOfService  = 2
-	workMost          = 20 * time.Millisecond
+	serversPerService = 2
+	maxWork           = 20 * time.Millisecond
 	callTimeout       = time.Second
-	afterDrain        = 500 * time.Millisecond // a server serves on so long beyond what the rules ask
-	leaveInterval     = 3 * time.Second        // between two servers that come
-	extraServers      = 3                      // that came and have not been told to leave
+	drainMargin       = 500 * time.Millisecond // a draining server keeps serving for so long after the time that the rules require
+	replaceInterval   = 3 * time.Second        // between the starts of two servers
+	extraServers      = 3                      // servers started by replaceSome that have not been asked to leave
 	healthPath        = "/health"
 )
 
-// Control is the control plane as servers and operators see it: addresses to try in turn.
+// Control is the control plane as servers and operators see it: addresses that are called in turn.
 type Control struct {
 	Machines  []string
 	AddressOf func(machine string) string
 	client    *http.Client
 }
 
-// NewControl returns the control plane at some machines.
+// NewControl returns the control plane on the given machines.
 func NewControl(machines []string, addressOf func(string) string) *Control {
 	return &Control{Machines: machines, AddressOf: addressOf, client: &http.Client{Timeout: callTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 8, IdleConnTimeout: 20 * time.Second}}}
 }
 
-// call makes one call; 0: there was no answer.
+// call makes one call. It returns the status 0 if there was no complete response.
 func (c *Control) call(ctx context.Context, method, machine, path string, body []byte) (status int, text []byte) {
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+c.AddressOf(machine)+path, bytes.NewReader(body))
 	if err != nil {
 		return 0, nil
 	}
 	request.Header.Set("Content-Type", "application/json")
-	answer, err := c.client.Do(request)
+	response, err := c.client.Do(request)
 	if err != nil {
 		return 0, nil
 	}
-	defer answer.Body.Close()
-	text, err = io.ReadAll(answer.Body)
+	defer response.Body.Close()
+	text, err = io.ReadAll(response.Body)
 	if err != nil {
 		return 0, nil
 	}
-	return answer.StatusCode, text
+	return response.StatusCode, text
 }
 
-// Servers are the stand-in servers of all services. Now and then one leaves and another comes.
+// Servers are the stand-in servers of all services. At each replaceInterval a server starts and,
+// later, another one leaves.
 type Servers struct {
-	control  *Control
-	recorder *Recorder
-	wait     sync.WaitGroup
-	mu       sync.Mutex
-	made     int
+	control      *Control
+	recorder     *Recorder
+	wait         sync.WaitGroup
+	mu           sync.Mutex
+	startedCount int
 }
 
-// StartServers starts them; they end with ctx, and Wait returns then.
+// StartServers starts the servers. They end with ctx, and Wait returns once they have ended.
 func StartServers(ctx context.Context, control *Control, recorder *Recorder, seed uint64) (*Servers, error) {
 	s := &Servers{control: control, recorder: recorder}
 	rng := rand.New(rand.NewPCG(seed, 61))
 	for _, service := range Services() {
-		for range serversOfService {
+		for range serversPerService {
 			if err := s.start(ctx, service, rng.Uint64(), nil); err != nil {
 				return nil, err
 			}
@@ -86,7 +87,8 @@
 // Wait returns once all servers have ended.
 func (s *Servers) Wait() { s.wait.Wait() }
 
-// replaceSome has one server after another leave in order, each some time after it came.
+// replaceSome starts a server at each replaceInterval and asks the oldest of those to leave once
+// more than extraServers of them run.
 func (s *Servers) replaceSome(ctx context.Context, rng *rand.Rand) {
 	services := Services()
 	var leaves []chan struct{}
@@ -96,7 +98,7 @@
 			return
 		}
 		leaves = append(leaves, leave)
-		if !pause(ctx, leaveInterval) {
+		if !sleep(ctx, replaceInterval) {
 			return
 		}
 		if len(leaves) > extraServers {
@@ -106,25 +108,25 @@
 	}
 }
 
-// start starts a server; it leaves in order once leave is closed.
+// start starts a server. Once leave is closed, the server drains and deregisters.
 func (s *Servers) start(ctx context.Context, service string, seed uint64, leave <-chan struct{}) error {
 	s.mu.Lock()
-	s.made++
-	id := fmt.Sprintf("i-%s-%d", service, s.made)
+	s.startedCount++
+	id := fmt.Sprintf("i-%s-%d", service, s.startedCount)
 	s.mu.Unlock()
 	w := &worker{id: id, service: service, recorder: s.recorder, rng: rand.New(rand.NewPCG(seed, 1))}
-	server, err := standin.NewServer(id, w.answer)
+	server, err := standin.NewServer(id, w.handle)
 	if err != nil {
 		return err
 	}
 	s.wait.Go(func() {
 		defer server.Close()
-		s.live(ctx, server, service, leave)
+		s.runHeartbeats(ctx, server, service, leave)
 	})
 	return nil
 }
 
-// worker answers the requests of one server.
+// worker handles the requests of one server.
 type worker struct {
 	id, service string
 	recorder    *Recorder
@@ -132,33 +134,33 @@
 	rng         *rand.Rand
 }
 
-// How often a server errs, one request in so many: it turns one away, breaks off after it has run
-// one, or takes long.
+// How often a server misbehaves, as one request in so many: it rejects a request, resets the
+// connection after it has executed one, or takes slowWork for one.
 const (
-	oneInTurnedAway = 100
-	oneInBrokenOff  = 150
-	oneInSlow       = 60
-	slowWork        = 250 * time.Millisecond
+	oneInRejected = 100
+	oneInReset    = 150
+	oneInSlow     = 60
+	slowWork      = 250 * time.Millisecond
 )
 
-func (w *worker) answer(_ int, seen standin.Seen) standin.Reply {
+func (w *worker) handle(_ int, seen standin.Seen) standin.Reply {
 	if seen.Target == healthPath {
 		return standin.Reply{Headers: map[string]string{"X-Saddleport-Instance-Id": w.id}}
 	}
 	w.mu.Lock()
-	work := time.Duration(w.rng.Float64() * w.rng.Float64() * float64(workMost))
-	turnsAway, breaksOff := w.rng.IntN(oneInTurnedAway) == 0, w.rng.IntN(oneInBrokenOff) == 0
+	work := time.Duration(w.rng.Float64() * w.rng.Float64() * float64(maxWork))
+	rejects, resets := w.rng.IntN(oneInRejected) == 0, w.rng.IntN(oneInReset) == 0
 	if w.rng.IntN(oneInSlow) == 0 {
 		work = slowWork
 	}
 	w.mu.Unlock()
-	if turnsAway {
+	if rejects {
 		return standin.Reply{Status: http.StatusServiceUnavailable, Not: true}
 	}
-	run := judge.Run{Attempt: seen.Attempt, Server: w.id, Service: w.service, Target: seen.Target, At: w.recorder.now(), BrokeOff: breaksOff}
+	run := judge.Run{Attempt: seen.Attempt, Server: w.id, Service: w.service, Target: seen.Target, At: w.recorder.now(), BrokeOff: resets}
 	w.recorder.update(func(r *judge.Record) { r.Runs = append(r.Runs, run) })
 	time.Sleep(work)
-	if breaksOff {
+	if resets {
 		return standin.Reply{Reset: true}
 	}
 	if strings.HasPrefix(w.service, "shard-") {
@@ -167,18 +169,18 @@
 	return standin.Reply{Body: judge.BodyOf(w.id, seen.Attempt)}
 }
 
-// live sends heartbeats until the server has left, or ctx ends.
-func (s *Servers) live(ctx context.Context, server *standin.Server, service string, leave <-chan struct{}) {
-	state, turn := registry.LifecycleAvailable, 0
+// runHeartbeats sends heartbeats until the server has left, or ctx ends.
+func (s *Servers) runHeartbeats(ctx context.Context, server *standin.Server, service string, leave <-chan struct{}) {
+	state, next := registry.LifecycleAvailable, 0
 	var servedUntil <-chan time.Time
 	for sequence := int64(1); ; sequence++ {
 		body, _ := json.Marshal(registry.Heartbeat{Service: service, Addr: server.Addr, Zone: "z0", Revision: "v1", Capacity: 8, State: state, Sequence: sequence})
-		machine := s.heartbeat(ctx, server.ID, body, &turn)
+		machine := s.heartbeat(ctx, server.ID, body, &next)
 		if machine != "" && state == registry.LifecycleDraining && servedUntil == nil {
 			s.recorder.update(func(r *judge.Record) {
 				r.Leaves = append(r.Leaves, judge.Leave{Server: server.ID, AckedAt: s.recorder.now(), Machine: machine})
 			})
-			servedUntil = time.After(drainTime + afterDrain)
+			servedUntil = time.After(drainTime + drainMargin)
 		}
 		select {
 		case <-ctx.Done():
@@ -186,30 +188,31 @@
 		case <-leave:
 			state, leave = registry.LifecycleDraining, nil
 		case <-servedUntil:
-			s.control.call(ctx, http.MethodPost, s.control.Machines[turn%len(s.control.Machines)], "/Instances.Deregister/"+server.ID, nil)
+			s.control.call(ctx, http.MethodPost, s.control.Machines[next%len(s.control.Machines)], "/Instances.Deregister/"+server.ID, nil)
 			return
 		case <-time.After(heartbeatInterval):
 		}
 	}
 }
 
-// heartbeat calls one machine after another until one acknowledges, and returns which did.
-func (s *Servers) heartbeat(ctx context.Context, id string, body []byte, turn *int) string {
+// heartbeat sends a heartbeat to one machine after another until one acknowledges it, and returns
+// that machine, or an empty string if none did.
+func (s *Servers) heartbeat(ctx context.Context, id string, body []byte, next *int) string {
 	for range s.control.Machines {
-		machine := s.control.Machines[*turn%len(s.control.Machines)]
+		machine := s.control.Machines[*next%len(s.control.Machines)]
 		if status, _ := s.control.call(ctx, http.MethodPost, machine, "/Instances.Heartbeat/"+id, body); status/100 == 2 {
 			return machine
 		}
-		*turn++
+		*next++
 	}
 	return ""
 }
 
-// drainTime is how long a server serves on after its leave was acknowledged.
+// drainTime is how long a server keeps serving after its leave was acknowledged.
 const drainTime = 3 * time.Second
 
-// pause waits; it returns false if ctx ends first.
-func pause(ctx context.Context, span time.Duration) bool {
+// sleep waits for a span. It returns false if ctx ends first.
+func sleep(ctx context.Context, span time.Duration) bool {
 	timer := time.NewTimer(span)
 	defer timer.Stop()
 	select {
--- a/internal/lab/soak/usage.go
+++ b/internal/lab/soak/usage.go
@@ -13,17 +13,17 @@
 
 const (
 	sampleInterval = 2 * time.Second
-	clockTicks     = 100 // a second, of the times in /proc/PID/stat
+	clockTicks     = 100 // per second, the unit of the times in /proc/PID/stat
 )
 
-// Usage is what the processes of one program took, over the run.
+// Usage is the resource usage of the processes of one program over the run.
 type Usage struct {
 	Program        string  `json:"program"`
-	PeakMB         float64 `json:"peak_mb"`         // of the process that took most
-	PeakFiles      int     `json:"peak_files"`      // the same
-	FirstMB        float64 `json:"first_third_mb"`  // of a process, on average
-	LastMB         float64 `json:"last_third_mb"`   // the same
-	CPUMsPerChange float64 `json:"cpu_ms_a_change"` // of a process, all that it did included
+	PeakMB         float64 `json:"peak_mb"`         // of the process with the highest value
+	PeakFiles      int     `json:"peak_files"`      // as above
+	FirstMB        float64 `json:"first_third_mb"`  // average of a process
+	LastMB         float64 `json:"last_third_mb"`   // as above
+	CPUMsPerChange float64 `json:"cpu_ms_a_change"` // of a process, with all of its other work included
 	cpu            float64
 }
 
@@ -34,7 +34,7 @@
 	files   int
 }
 
-// sampler looks at the processes' memory and descriptors, as the kernel tells them.
+// sampler samples the processes' memory, descriptors and CPU time from /proc.
 type sampler struct {
 	fleet   *fleet.Fleet
 	end     chan struct{}
@@ -87,7 +87,8 @@
 	return 0
 }
 
-// cpuSeconds reads user and system time, the 12th and 13th field behind the program's name.
+// cpuSeconds returns the sum of user and system time, the 12th and 13th field after the program's
+// name in /proc/PID/stat.
 func cpuSeconds(stat string) float64 {
 	fields := strings.Fields(stat[strings.LastIndexByte(stat, ')')+1:])
 	if len(fields) < 13 {
@@ -98,7 +99,7 @@
 	return (user + system) / clockTicks
 }
 
-// stop ends the sampling and sums it up by program.
+// stop ends the sampling and returns the usage of each program.
 func (s *sampler) stop() []Usage {
 	close(s.end)
 	s.done.Wait()
