--- a/internal/lab/testcluster/demo.go
+++ b/internal/lab/testcluster/demo.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	demoOpenFiles = 330 // descriptors of each process
-	demoServers   = 4   // of each shard
+	demoOpenFiles = 330 // file descriptors of each process
+	demoServers   = 4   // servers of each shard
 	demoWork      = 15 * time.Millisecond
-	demoBody      = 160 // bytes of a shard's answer
+	demoBody      = 160 // bytes of a shard's response
 	longBody      = 900 << 10
 )
 
-// demoServices are the services that the demo's and the measurement's configuration names.
+// demoServices returns the services in the configuration of the demo and of the dispatch measurement.
 func demoServices() []Service {
 	services := []Service{{Name: "long", Servers: 3, Work: time.Millisecond, Body: longBody}}
 	for _, shard := range shards {
@@ -31,13 +31,13 @@
 	return services
 }
 
-// DemoCommand is the command line that starts a small fleet to look at.
+// DemoCommand returns the command line that starts a small fleet for manual use.
 func DemoCommand() *cobra.Command {
 	proxies, length, programs := 2, time.Duration(0), ""
 	cmd := &cobra.Command{Use: "demo", Short: "Start a small fleet on loopback: three control-plane machines, proxies with their agents, stand-in servers", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if proxies < 1 || proxies > 9 {
-				return fmt.Errorf("--proxies: %d is not within 1 to 9", proxies)
+				return fmt.Errorf("--proxies: %d is not between 1 and 9", proxies)
 			}
 			ctx, stop := signal.NotifyContext(c.Context(), syscall.SIGINT, syscall.SIGTERM)
 			defer stop()
@@ -50,12 +50,12 @@
 		}}
 	flags := cmd.Flags()
 	flags.IntVar(&proxies, "proxies", proxies, "proxies, each with its agent")
-	flags.DurationVar(&length, "length", length, "how long it runs; 0: until it is interrupted")
-	flags.StringVar(&programs, "programs", programs, "folder of the built programs; else the one of this program")
+	flags.DurationVar(&length, "length", length, "duration of the demo; 0: until it is interrupted")
+	flags.StringVar(&programs, "programs", programs, "directory of the built programs; default: that of this program")
 	return cmd
 }
 
-// demo runs a fleet until ctx ends and says how to use it.
+// demo runs a fleet until ctx ends, and prints commands to use it.
 func demo(ctx context.Context, out io.Writer, programs string, proxies int) error {
 	if programs == "" {
 		self, err := os.Executable()
@@ -70,9 +70,9 @@
 	}
 	defer cluster.Close()
 	fmt.Fprintf(out, "running: 3 control-plane machines, %d proxies, %d servers\n\n", proxies, len(cluster.servers))
-	fmt.Fprintf(out, "ask a proxy:      curl -i -H 'Host: h' -H 'X-Saddleport-Attempt-Id: 1' -H 'X-Saddleport-Deadline-Ms: 1000' http://%s/all/x\n", cluster.Front(0))
-	fmt.Fprintf(out, "look at a proxy:  %s show proxy --addr %s\n", filepath.Join(programs, "saddlectl"), cluster.at(firstProxy, showPort))
-	fmt.Fprintf(out, "at the control plane: %s show controlplane --addr %s\n", filepath.Join(programs, "saddlectl"), cluster.at(1, 0))
+	fmt.Fprintf(out, "send a request:  curl -i -H 'Host: h' -H 'X-Saddleport-Attempt-Id: 1' -H 'X-Saddleport-Deadline-Ms: 1000' http://%s/all/x\n", cluster.ProxyAddr(0))
+	fmt.Fprintf(out, "inspect a proxy: %s show proxy --addr %s\n", filepath.Join(programs, "saddlectl"), cluster.addr(firstProxy, showPort))
+	fmt.Fprintf(out, "inspect the control plane: %s show controlplane --addr %s\n", filepath.Join(programs, "saddlectl"), cluster.addr(1, 0))
 	<-ctx.Done()
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) || errors.Is(ctx.Err(), context.Canceled) {
 		return nil
--- a/internal/lab/testcluster/load.go
+++ b/internal/lab/testcluster/load.go
@@ -16,30 +16,37 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Seen is what the clients of one kind saw.
-type Seen struct {
-	Asked, Whole, Partial, Failed, InAim int
-	PartialEarly                         int // partial answers within half the aim
-	Took                                 *hdrhistogram.Histogram
+// ClientStats are the results of requests as clients observed them.
+type ClientStats struct {
+	Requests, Complete, Partial, Failed, WithinTarget int
+	PartialEarly                                      int // partial responses within half the latency target
+	Latencies                                         *hdrhistogram.Histogram
 }
 
-func newSeen() *Seen { return &Seen{Took: hdrhistogram.New(1, 60_000_000, 2)} }
+func newClientStats() *ClientStats {
+	return &ClientStats{Latencies: hdrhistogram.New(1, 60_000_000, 2)}
+}
 
-// Ms is a quantile of the times of all answers, in milliseconds.
-func (s *Seen) Ms(q float64) float64 { return float64(s.Took.ValueAtQuantile(q)) / 1000 }
+// QuantileMs returns the q-th percentile of the latencies of all responses, in milliseconds.
+func (s *ClientStats) QuantileMs(q float64) float64 {
+	return float64(s.Latencies.ValueAtQuantile(q)) / 1000
+}
 
-// Share is the part of requests that were answered within their aim.
-func (s *Seen) Share() float64 { return float64(s.InAim) / float64(max(s.Asked, 1)) }
+// WithinTargetShare is the share of requests that were answered within the latency target.
+func (s *ClientStats) WithinTargetShare() float64 {
+	return float64(s.WithinTarget) / float64(max(s.Requests, 1))
+}
 
-// from dials from an address of its own: a caller is known by that.
-func from(ip string) *net.Dialer {
+// dialerFrom returns a dialer with a source address. Proxies identify callers by that address.
+func dialerFrom(ip string) *net.Dialer {
 	return &net.Dialer{Timeout: 2 * time.Second, LocalAddr: &net.TCPAddr{IP: net.ParseIP(ip)}}
 }
 
-// Ask has prompt callers ask gathers for so long, each on a connection of its own, and
-// tells what they saw.
-func (y *Cluster) Ask(ctx context.Context, path string, rate float64, callers int, aim, patience time.Duration, seed uint64) *Seen {
-	out := newSeen()
+// SendRequests sends requests at the given rate from random callers to random proxies until ctx ends,
+// each on a new connection, and returns what the callers observed. The callers read responses without
+// delay.
+func (cluster *Cluster) SendRequests(ctx context.Context, path string, rate float64, callers int, target, timeout time.Duration, seed uint64) *ClientStats {
+	out := newClientStats()
 	var mu sync.Mutex
 	var wait sync.WaitGroup
 	rng := rand.New(rand.NewPCG(seed, 7))
@@ -51,41 +58,41 @@
 		case <-time.After(time.Duration(rng.ExpFloat64() / rate * float64(time.Second))):
 		}
 		wait.Add(1)
-		caller, mixer := rng.IntN(callers), rng.IntN(y.proxies)
+		caller, proxy := rng.IntN(callers), rng.IntN(cluster.proxies)
 		go func() {
 			defer wait.Done()
 			begin := time.Now()
-			code, missing := y.once(fmt.Sprintf("127.251.9.%d", 1+caller), y.Front(mixer), path, patience)
+			code, missing := cluster.request(fmt.Sprintf("127.251.9.%d", 1+caller), cluster.ProxyAddr(proxy), path, timeout)
 			took := time.Since(begin)
 			mu.Lock()
 			defer mu.Unlock()
-			if out.Asked++; code != http.StatusOK {
+			if out.Requests++; code != http.StatusOK {
 				out.Failed++
 				return
 			}
-			out.Took.RecordValue(took.Microseconds())
-			if took <= aim {
-				out.InAim++
+			out.Latencies.RecordValue(took.Microseconds())
+			if took <= target {
+				out.WithinTarget++
 			}
 			if missing == 0 {
-				out.Whole++
+				out.Complete++
 				return
 			}
-			if out.Partial++; took <= aim/2 {
+			if out.Partial++; took <= target/2 {
 				out.PartialEarly++
 			}
 		}()
 	}
 }
 
-func (y *Cluster) once(ip, addr, path string, patience time.Duration) (code, missing int) {
-	c, err := from(ip).Dial("tcp4", addr)
+func (cluster *Cluster) request(ip, addr, path string, timeout time.Duration) (code, missing int) {
+	c, err := dialerFrom(ip).Dial("tcp4", addr)
 	if err != nil {
 		return 0, 0
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(patience))
-	fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: h\r\nX-Saddleport-Attempt-Id: %016x\r\nX-Saddleport-Deadline-Ms: %d\r\nConnection: close\r\n\r\n", path, rand.Uint64(), patience.Milliseconds())
+	c.SetDeadline(time.Now().Add(timeout))
+	fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: h\r\nX-Saddleport-Attempt-Id: %016x\r\nX-Saddleport-Deadline-Ms: %d\r\nConnection: close\r\n\r\n", path, rand.Uint64(), timeout.Milliseconds())
 	p, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
 		return 0, 0
@@ -98,18 +105,18 @@
 	return p.StatusCode, missing
 }
 
-// Trickle has one caller hold connections and read each answer at so many bytes a second,
-// asking anew as soon as a connection ends, until ctx does.
-func (y *Cluster) ReadSlowly(ctx context.Context, ip, path string, conns, bytesPerSecond int) {
+// ReadSlowly keeps conns connections of one caller open until ctx ends. Each reads its response at
+// the given rate, and is replaced by a new connection with a new request soon after it ends.
+func (cluster *Cluster) ReadSlowly(ctx context.Context, ip, path string, conns, bytesPerSecond int) {
 	var wait sync.WaitGroup
 	for n := range conns {
 		wait.Add(1)
 		go func() {
 			defer wait.Done()
 			for ctx.Err() == nil {
-				pause := againTime
-				if !y.trickle(ctx, ip, y.Front(n%y.proxies), path, bytesPerSecond) {
-					pause = turnedTime
+				pause := pauseAfterResponse
+				if !cluster.readOneSlowly(ctx, ip, cluster.ProxyAddr(n%cluster.proxies), path, bytesPerSecond) {
+					pause = pauseAfterFailure
 				}
 				select {
 				case <-ctx.Done():
@@ -122,13 +129,14 @@
 }
 
 const (
-	againTime  = 50 * time.Millisecond // after an answer, before a slow caller asks again
-	turnedTime = time.Second           // and after a connection that ended without one
+	pauseAfterResponse = 50 * time.Millisecond // of a slow caller after a connection that returned data, before its next request
+	pauseAfterFailure  = time.Second           // the same after a connection that returned none
 )
 
-// trickle reads one answer slowly, and tells whether any of it came.
-func (y *Cluster) trickle(ctx context.Context, ip, addr, path string, bytesPerSecond int) (came bool) {
-	d := from(ip)
+// readOneSlowly sends a request and reads its response slowly. It reports whether any data was
+// received.
+func (cluster *Cluster) readOneSlowly(ctx context.Context, ip, addr, path string, bytesPerSecond int) (received bool) {
+	d := dialerFrom(ip)
 	d.Control = func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4<<10) })
 	}
@@ -142,13 +150,13 @@
 	for ctx.Err() == nil {
 		c.SetReadDeadline(time.Now().Add(10 * time.Second))
 		if _, err := c.Read(buf); err != nil {
-			return came
+			return received
 		}
-		came = true
+		received = true
 		select {
 		case <-ctx.Done():
 		case <-time.After(100 * time.Millisecond):
 		}
 	}
-	return came
+	return received
 }
--- a/internal/lab/testcluster/testcluster.go
+++ b/internal/lab/testcluster/testcluster.go
@@ -1,7 +1,7 @@
-// Package testcluster runs the system's programs as processes on loopback addresses, before
-// stand-in servers that can be slowed and clients that can read slowly, and measures what
-// the clients see. It owns the processes that it starts. It must never reach beyond
-// 127.0.0.0/8 or end a process that is not its own.
+// Package testcluster runs the system's programs as processes on loopback addresses, with stand-in
+// servers that can be slowed down and clients that can read slowly, and measures what the clients
+// observe. It owns the processes that it starts. It must never use addresses outside 127.0.0.0/8 or
+// end a process that it did not start.
 package testcluster
 
 import (
@@ -27,68 +27,68 @@
 	"saddleport/internal/node/admin"
 )
 
-// Yard is one fleet: three core machines, mixers each with its agent, servers.
+// Cluster is one fleet: three core machines, proxies with an agent each, and servers.
 type Cluster struct {
-	dir, net   string
-	port       int
-	proxies    int
-	files      int
-	noEjection bool
-	programs   string
-	procs      []*exec.Cmd
-	servers    []*server
-	stop       context.CancelFunc
-	heartbeats sync.WaitGroup
+	dir, subnet  string
+	port         int
+	proxies      int
+	maxOpenFiles int
+	noEjection   bool
+	programs     string
+	procs        []*exec.Cmd
+	servers      []*server
+	stop         context.CancelFunc
+	heartbeats   sync.WaitGroup
 }
 
-// leaf is a stand-in server with slots and a pace.
+// server is a stand-in server with a limited number of slots and an adjustable speed.
 type server struct {
 	*standin.Server
 	service    string
 	slots      chan struct{}
-	slowFactor atomic.Int64 // so many times slow; 0: not
+	slowFactor atomic.Int64 // factor by which the server is slowed down; 0: none
 	work       time.Duration
 }
 
 const (
 	firstProxy        = 11
-	frontPort         = 8 // beyond the first port of the range between processes
+	frontPort         = 8 // offset from the first port of the range between processes
 	readyPort         = 7
-	showPort          = 2 // of a proxy, as admin.ShowAddr says
+	showPort          = 2 // of a proxy, as in admin.ShowAddr
 	controlPort       = 9
 	heartbeatInterval = time.Second
 	startTimeout      = 20 * time.Second
 )
 
-func (y *Cluster) ip(machine int) string { return fmt.Sprintf("%s.%d", y.net, machine) }
-func (y *Cluster) at(machine, port int) string {
-	return fmt.Sprintf("%s:%d", y.ip(machine), y.port+port)
+func (cluster *Cluster) ip(machine int) string { return fmt.Sprintf("%s.%d", cluster.subnet, machine) }
+func (cluster *Cluster) addr(machine, port int) string {
+	return fmt.Sprintf("%s:%d", cluster.ip(machine), cluster.port+port)
 }
 
-// Front is where a mixer takes clients.
-func (y *Cluster) Front(mixer int) string { return y.at(firstProxy+mixer, frontPort) }
+// ProxyAddr returns the address at which a proxy accepts clients.
+func (cluster *Cluster) ProxyAddr(proxy int) string { return cluster.addr(firstProxy+proxy, frontPort) }
 
-func (y *Cluster) settings(machine int) (string, error) {
-	dir := filepath.Join(y.dir, fmt.Sprint("m", machine))
+func (cluster *Cluster) settings(machine int) (string, error) {
+	dir := filepath.Join(cluster.dir, fmt.Sprint("m", machine))
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return "", err
 	}
 	var seeds []string
 	for m := 1; m <= 3; m++ {
-		seeds = append(seeds, y.at(m, controlPort))
+		seeds = append(seeds, cluster.addr(m, controlPort))
 	}
 	text := fmt.Sprintf("node_name=m%d\nip_address=%s\nloopback_ip=%s\nzone=z%d\nregion=g\nzones.z0=g\nzones.z1=g\nzones.z2=g\ninternal_port_range=%d,%d\nseed_addresses=%s\nbootstrap=true\n"+
 		"limits.memory_mb=200\nlimits.max_open_files=%d\ndata_directory=%s\nheartbeat_interval_ms=%d\nfault_tolerance.machines=1\n"+
 		"listen_addresses.control_plane=%s\nlisten_addresses.front=%s\nlisten_addresses.readiness=%s\n"+
 		"bounds.drain_ms=4000\nbounds.grace_s=1\nbounds.retry_window_s=10\nbounds.retry_budget_ratio=0.2\nbounds.retry_budget_slack=58\n",
-		machine, y.ip(machine), y.ip(machine), machine%3, y.port, y.port+6, strings.Join(seeds, ","), y.files, dir, heartbeatInterval.Milliseconds(),
-		y.at(machine, controlPort), y.at(machine, frontPort), y.at(machine, readyPort))
+		machine, cluster.ip(machine), cluster.ip(machine), machine%3, cluster.port, cluster.port+6, strings.Join(seeds, ","), cluster.maxOpenFiles, dir, heartbeatInterval.Milliseconds(),
+		cluster.addr(machine, controlPort), cluster.addr(machine, frontPort), cluster.addr(machine, readyPort))
 	file := filepath.Join(dir, "boot.conf")
 	return file, os.WriteFile(file, []byte(text), 0o644)
 }
 
-func (y *Cluster) run(program string, machine int, args ...string) error {
-	file, err := y.settings(machine)
+func (cluster *Cluster) run(program string, machine int, args ...string) error {
+	file, err := cluster.settings(machine)
 	if err != nil {
 		return err
 	}
@@ -97,24 +97,24 @@
 		return err
 	}
 	defer log.Close()
-	cmd := exec.Command(filepath.Join(y.programs, program), append([]string{"run", "--settings", file}, args...)...)
+	cmd := exec.Command(filepath.Join(cluster.programs, program), append([]string{"run", "--settings", file}, args...)...)
 	cmd.Stdout, cmd.Stderr = log, log
 	if err := cmd.Start(); err != nil {
-		return fmt.Errorf("%w (build the system first, as deploy/system.toml says)", err)
+		return fmt.Errorf("%w (build the system first, see deploy/system.toml)", err)
 	}
-	y.procs = append(y.procs, cmd)
+	cluster.procs = append(cluster.procs, cmd)
 	return nil
 }
 
-// Service is one service: servers and how long they work on a request in the middle.
+// Service describes the servers of one service.
 type Service struct {
 	Name    string
 	Servers int
-	Work    time.Duration
-	Body    int // bytes
+	Work    time.Duration // median time to handle a request
+	Body    int           // bytes of a response
 }
 
-// Start starts a fleet; Close ends it.
+// Start starts a fleet and returns once every proxy is ready; Close ends it.
 func Start(programs string, proxies, maxOpenFiles int, noEjection bool, services []Service, config string, seed uint64) (*Cluster, error) {
 	dir, err := os.MkdirTemp("", "yard")
 	if err != nil {
@@ -125,11 +125,11 @@
 	if err != nil {
 		return nil, err
 	}
-	y := &Cluster{dir: dir, net: fmt.Sprintf("127.%d.%d", 1+rand.IntN(250), rand.IntN(250)), port: port, proxies: proxies, files: maxOpenFiles,
+	cluster := &Cluster{dir: dir, subnet: fmt.Sprintf("127.%d.%d", 1+rand.IntN(250), rand.IntN(250)), port: port, proxies: proxies, maxOpenFiles: maxOpenFiles,
 		noEjection: noEjection, programs: programs}
 	for m := 1; m <= 3; m++ {
-		if err := y.run(admin.ControlPlane, m); err != nil {
-			y.Close()
+		if err := cluster.run(admin.ControlPlane, m); err != nil {
+			cluster.Close()
 			return nil, err
 		}
 	}
@@ -138,68 +138,68 @@
 		flags = []string{"--no-ejection"}
 	}
 	for m := range proxies {
-		err := y.run(admin.Agent, firstProxy+m)
+		err := cluster.run(admin.Agent, firstProxy+m)
 		if err == nil {
-			err = y.run(admin.Proxy, firstProxy+m, flags...)
+			err = cluster.run(admin.Proxy, firstProxy+m, flags...)
 		}
 		if err != nil {
-			y.Close()
+			cluster.Close()
 			return nil, err
 		}
 	}
 	for _, s := range services {
 		for i := range s.Servers {
-			l := &server{service: s.Name, slots: make(chan struct{}, 3), work: s.Work}
-			luck, body := rand.New(rand.NewPCG(rng.Uint64(), 1)), bytes.Repeat([]byte{'a' + byte(i)}, s.Body)
+			instance := &server{service: s.Name, slots: make(chan struct{}, 3), work: s.Work}
+			jitter, body := rand.New(rand.NewPCG(rng.Uint64(), 1)), bytes.Repeat([]byte{'a' + byte(i)}, s.Body)
 			var mu sync.Mutex
-			l.Server, err = standin.NewServer(fmt.Sprintf("i-%s-%d", s.Name, i), func(int, standin.Seen) standin.Reply {
+			instance.Server, err = standin.NewServer(fmt.Sprintf("i-%s-%d", s.Name, i), func(int, standin.Seen) standin.Reply {
 				mu.Lock()
-				x := math.Exp(0.47*luck.NormFloat64()) * max(float64(l.slowFactor.Load()), 1)
-				if luck.Float64() < 0.02 {
+				x := math.Exp(0.47*jitter.NormFloat64()) * max(float64(instance.slowFactor.Load()), 1)
+				if jitter.Float64() < 0.02 {
 					x *= 4
 				}
 				mu.Unlock()
-				l.slots <- struct{}{}
-				time.Sleep(time.Duration(x * float64(l.work)))
-				<-l.slots
+				instance.slots <- struct{}{}
+				time.Sleep(time.Duration(x * float64(instance.work)))
+				<-instance.slots
 				return standin.Reply{Body: string(body)}
 			})
 			if err != nil {
-				y.Close()
+				cluster.Close()
 				return nil, err
 			}
-			y.servers = append(y.servers, l)
+			cluster.servers = append(cluster.servers, instance)
 		}
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	y.stop = stop
-	if err := y.putConfiguration(config); err != nil {
-		y.Close()
+	cluster.stop = stop
+	if err := cluster.putConfiguration(config); err != nil {
+		cluster.Close()
 		return nil, err
 	}
-	for i, l := range y.servers {
-		y.heartbeats.Add(1)
-		go y.sendHeartbeats(ctx, l, i)
+	for i, instance := range cluster.servers {
+		cluster.heartbeats.Add(1)
+		go cluster.sendHeartbeats(ctx, instance, i)
 	}
-	return y, y.waitUntilReady()
+	return cluster, cluster.waitUntilReady()
 }
 
-// Close ends what Start started.
-func (y *Cluster) Close() {
-	if y.stop != nil {
-		y.stop()
+// Close ends everything that Start started, and deletes its files.
+func (cluster *Cluster) Close() {
+	if cluster.stop != nil {
+		cluster.stop()
 	}
-	for i := len(y.procs) - 1; i >= 0; i-- {
-		y.procs[i].Process.Kill()
+	for i := len(cluster.procs) - 1; i >= 0; i-- {
+		cluster.procs[i].Process.Kill()
 	}
-	for _, p := range y.procs {
+	for _, p := range cluster.procs {
 		p.Wait()
 	}
-	for _, l := range y.servers {
-		l.Close()
+	for _, instance := range cluster.servers {
+		instance.Close()
 	}
-	y.heartbeats.Wait()
-	os.RemoveAll(y.dir)
+	cluster.heartbeats.Wait()
+	os.RemoveAll(cluster.dir)
 }
 
 var client = &http.Client{Timeout: 2 * time.Second}
@@ -214,23 +214,23 @@
 	return p.StatusCode
 }
 
-func (y *Cluster) putConfiguration(config string) error {
+func (cluster *Cluster) putConfiguration(config string) error {
 	for end := time.Now().Add(startTimeout); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
-		switch code := post("http://"+y.at(1, controlPort)+"/Config.Replace", config); code {
+		switch code := post("http://"+cluster.addr(1, controlPort)+"/Config.Replace", config); code {
 		case 200:
 			return nil
 		case 400:
-			return fmt.Errorf("the configuration is not valid")
+			return fmt.Errorf("the control plane rejected the configuration as invalid")
 		}
 	}
-	return fmt.Errorf("no core machine took the configuration within %s", startTimeout)
+	return fmt.Errorf("no core machine accepted the configuration within %s", startTimeout)
 }
 
-func (y *Cluster) sendHeartbeats(ctx context.Context, l *server, i int) {
-	defer y.heartbeats.Done()
+func (cluster *Cluster) sendHeartbeats(ctx context.Context, instance *server, i int) {
+	defer cluster.heartbeats.Done()
 	for seq := int64(1); ; seq++ {
-		b, _ := json.Marshal(registry.Heartbeat{Service: l.service, Addr: l.Addr, Zone: fmt.Sprint("z", i%3), Capacity: float64(cap(l.slots)), State: "available", Sequence: seq})
-		post("http://"+y.at(1+i%3, controlPort)+"/Instances.Heartbeat/"+l.ID, string(b))
+		b, _ := json.Marshal(registry.Heartbeat{Service: instance.service, Addr: instance.Addr, Zone: fmt.Sprint("z", i%3), Capacity: float64(cap(instance.slots)), State: "available", Sequence: seq})
+		post("http://"+cluster.addr(1+i%3, controlPort)+"/Instances.Heartbeat/"+instance.ID, string(b))
 		select {
 		case <-ctx.Done():
 			return
@@ -239,41 +239,41 @@
 	}
 }
 
-// ready waits until every mixer answers and has heard of all servers.
-func (y *Cluster) waitUntilReady() error {
+// waitUntilReady waits until every proxy responds and knows all servers and the routes.
+func (cluster *Cluster) waitUntilReady() error {
 	for end := time.Now().Add(startTimeout); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		n := 0
-		for m := range y.proxies {
-			if p, err := client.Get("http://" + y.at(firstProxy+m, showPort) + "/Show"); err == nil {
+		for m := range cluster.proxies {
+			if p, err := client.Get("http://" + cluster.addr(firstProxy+m, showPort) + "/Show"); err == nil {
 				text, _ := io.ReadAll(p.Body)
 				p.Body.Close()
-				if bytes.Count(text, []byte(`"available"`)) >= len(y.servers) && bytes.Contains(text, []byte("routes of version")) {
+				if bytes.Count(text, []byte(`"available"`)) >= len(cluster.servers) && bytes.Contains(text, []byte("routes of version")) {
 					n++
 				}
 			}
 		}
-		if n == y.proxies {
+		if n == cluster.proxies {
 			return nil
 		}
 	}
-	return fmt.Errorf("not all mixers know all servers within %s", startTimeout)
+	return fmt.Errorf("some proxies do not know all servers and routes after %s", startTimeout)
 }
 
-// Slow makes one server of each of some services so many times slow; 0: as the others.
-func (y *Cluster) Slow(times int64, services ...string) {
+// SetSlow slows down the first server of each of the given services by a factor; 0 restores its speed.
+func (cluster *Cluster) SetSlow(times int64, services ...string) {
 	for _, service := range services {
-		for _, l := range y.servers {
-			if l.service == service {
-				l.slowFactor.Store(times)
+		for _, instance := range cluster.servers {
+			if instance.service == service {
+				instance.slowFactor.Store(times)
 				break
 			}
 		}
 	}
 }
 
-// Apart counts who is set apart at a mixer, as it shows.
-func (y *Cluster) Ejected(mixer int) (n int) {
-	p, err := client.Get("http://" + y.at(firstProxy+mixer, showPort) + "/Show")
+// Ejected returns the number of servers that a proxy reports as ejected, or 0 if it does not respond.
+func (cluster *Cluster) Ejected(proxy int) (n int) {
+	p, err := client.Get("http://" + cluster.addr(firstProxy+proxy, showPort) + "/Show")
 	if err != nil {
 		return 0
 	}
