--- a/internal/lab/hunt/hunt.go
+++ b/internal/lab/hunt/hunt.go
@@ -1,7 +1,7 @@
-// Package hunt searches scenarios near a given one for the worst loss or a broken
-// rule, and shrinks what it finds. It owns what "near" means and when to stop. It
-// must never call a loss what no policy could have earned: what a policy that sees
-// the true state gets on the same run is the measure.
+// Package hunt searches for scenarios, similar to a given one, with the largest loss or a
+// broken rule, and shrinks what it finds. Loss is measured against a policy that sees the true
+// state on the same run, so that only value which some policy could have earned counts as
+// lost.
 package hunt
 
 import (
@@ -21,45 +21,45 @@
 	"saddleport/internal/lab/scenario"
 )
 
-// Options are how a hunt goes.
+// Options configures a hunt.
 type Options struct {
-	Rounds   int // generations
-	Each     int // candidates of one
-	Seed     uint64
-	Workers  int
-	Progress func(share float64, remark string)
-	Notice   func(format string, a ...any)
+	Rounds     int // generations
+	Candidates int // candidates per generation
+	Seed       uint64
+	Workers    int
+	Progress   func(share float64, remark string)
+	Logf       func(format string, a ...any)
 }
 
-// Find is one scenario with what it lost.
-type Find struct {
-	Doc            *scenario.Doc
-	Values         []scenario.Value // as set so far, over the file that was given
-	Seed           int
-	Mixer, Oracle  float64
-	Loss           float64 // Oracle - Mixer, at least 0; a broken rule counts 1 more
-	Broken         int
-	Faults         []string
-	Text           string
-	Shrunk, Played int
+// Result is one scenario and its loss.
+type Result struct {
+	Doc                         *scenario.Doc
+	Values                      []scenario.Value // values set so far, over those of the given file
+	Seed                        int
+	ProxyGoodput, OracleGoodput float64
+	Loss                        float64 // OracleGoodput - ProxyGoodput, at least 0; score adds 1 for a broken rule
+	Broken                      int
+	Faults                      []string
+	Text                        string
+	Shrunk, Played              int
 }
 
-// score is what the hunt climbs on.
-func (f *Find) score() float64 {
+// score is the objective that the hunt maximizes.
+func (f *Result) score() float64 {
 	if f.Broken > 0 {
 		return 1 + f.Loss
 	}
 	return f.Loss
 }
 
-// judge plays a scenario under both policies.
-func judge(ctx context.Context, doc *scenario.Doc, values []scenario.Value, seed int) (*Find, error) {
+// evaluate runs a scenario under both policies.
+func evaluate(ctx context.Context, doc *scenario.Doc, values []scenario.Value, seed int) (*Result, error) {
 	s, err := doc.Scenario(values)
 	if err != nil {
 		return nil, err
 	}
-	f := &Find{Doc: doc, Values: values, Seed: seed, Text: s.String()}
-	for _, policy := range []string{play.Mixer, play.Oracle} {
+	f := &Result{Doc: doc, Values: values, Seed: seed, Text: s.String()}
+	for _, policy := range []string{play.Proxy, play.Oracle} {
 		plan, err := s.Plan(uint64(seed))
 		if err != nil {
 			return nil, err
@@ -69,17 +69,17 @@
 			return nil, err
 		}
 		if policy == play.Oracle {
-			f.Oracle = run.Summary.Goodput
+			f.OracleGoodput = run.Summary.Goodput
 			continue
 		}
-		f.Mixer, f.Broken, f.Faults = run.Summary.Goodput, run.Verdict.Broken()+len(run.Broken), run.Verdict.Faults
+		f.ProxyGoodput, f.Broken, f.Faults = run.Summary.Goodput, run.Verdict.Broken()+len(run.Broken), run.Verdict.Faults
 	}
-	f.Loss = max(f.Oracle-f.Mixer, 0)
+	f.Loss = max(f.OracleGoodput-f.ProxyGoodput, 0)
 	return f, nil
 }
 
-// knobs are the keys that a hunt turns, with what each is multiplied by.
-func knobs(doc *scenario.Doc, s *scenario.Scenario) []string {
+// searchKeys returns the keys that a hunt changes.
+func searchKeys(doc *scenario.Doc, s *scenario.Scenario) []string {
 	out := []string{"rate", "fleet.speed-spread", "network.jitter", "list.lag", "clients.retries"}
 	for _, c := range s.Classes {
 		out = append(out, "class."+c.Name+".rate", "class."+c.Name+".parts", "class."+c.Name+".zipf")
@@ -96,28 +96,28 @@
 	})
 }
 
-// turn changes one knob of a scenario by up to a factor of two.
-func turn(r *rand.Rand, doc *scenario.Doc, values []scenario.Value) ([]scenario.Value, bool) {
+// mutate scales one key of a scenario by up to a factor of two.
+func mutate(r *rand.Rand, doc *scenario.Doc, values []scenario.Value) ([]scenario.Value, bool) {
 	s, err := doc.Scenario(values)
 	if err != nil {
 		return nil, false
 	}
-	keys := knobs(doc, s)
+	keys := searchKeys(doc, s)
 	key := keys[r.IntN(len(keys))]
-	now := current(s, key)
-	if now == "" {
+	value := current(s, key)
+	if value == "" {
 		return nil, false
 	}
 	factor := []float64{0.5, 0.7, 0.85, 1.2, 1.5, 2}[r.IntN(6)]
-	next := scaled(now, factor)
-	if next == now {
+	next := scaled(value, factor)
+	if next == value {
 		return nil, false
 	}
 	out := slices.DeleteFunc(slices.Clone(values), func(v scenario.Value) bool { return v.Key == key })
 	return append(out, scenario.Value{Key: key, Value: next}), true
 }
 
-// current is a knob's value as the scenario has it.
+// current returns the value of a key in the scenario, or "" if it can't be scaled.
 func current(s *scenario.Scenario, key string) string {
 	num := func(v float64) string { return fmt.Sprintf("%.4g", v) }
 	part := strings.Split(key, ".")
@@ -126,13 +126,13 @@
 	case "rate":
 		return num(s.Rate)
 	case "fleet":
-		return num(max(s.Groups[0].SpeedLike, 0.05))
+		return num(max(s.Groups[0].SpeedSpread, 0.05))
 	case "network":
 		return max(s.Network.Jitter, 50*time.Microsecond).String()
 	case "list":
 		return max(s.List.Lag, 100*time.Millisecond).String()
 	case "clients":
-		return fmt.Sprint(max(s.Clients.Tries, 1))
+		return fmt.Sprint(max(s.Clients.Retries, 1))
 	case "class":
 		for _, c := range s.Classes {
 			if c.Name == part[1] {
@@ -157,7 +157,7 @@
 				case "share":
 					return num(f.Share)
 				case "parts":
-					return num(f.Part)
+					return num(f.PartShare)
 				case "factor":
 					return num(f.Factor)
 				}
@@ -167,6 +167,7 @@
 	return ""
 }
 
+// scaled multiplies a duration or a number, written as text, by a factor.
 func scaled(v string, by float64) string {
 	if d, err := time.ParseDuration(v); err == nil {
 		return time.Duration(float64(d) * by).Round(time.Microsecond).String()
@@ -180,47 +181,47 @@
 	return fmt.Sprintf("%.4g", f*by)
 }
 
-// Hunt searches, and shrinks the worst that it finds.
-func Hunt(ctx context.Context, doc *scenario.Doc, opt Options) (*Find, error) {
+// Hunt searches for the worst scenario and shrinks it.
+func Hunt(ctx context.Context, doc *scenario.Doc, opt Options) (*Result, error) {
 	values := doc.Variations()[0]
 	first, err := doc.Scenario(values)
 	if err != nil {
 		return nil, err
 	}
-	best, err := judge(ctx, doc, values, first.Seed)
+	best, err := evaluate(ctx, doc, values, first.Seed)
 	if err != nil {
 		return nil, err
 	}
 	played := 2
-	opt.Notice("begin        loss %.4f (mixer %.4f, a policy that sees all %.4f), %d broken", best.Loss, best.Mixer, best.Oracle, best.Broken)
+	opt.Logf("begin        loss %.4f (mixer %.4f, a policy that sees all %.4f), %d broken", best.Loss, best.ProxyGoodput, best.OracleGoodput, best.Broken)
 	r := rand.New(rand.NewPCG(opt.Seed, 3))
 	for round := range opt.Rounds {
-		var tries []*Find
-		for range opt.Each {
+		var candidates []*Result
+		for range opt.Candidates {
 			v, seed := best.Values, best.Seed
 			for range 1 + r.IntN(3) {
-				if next, ok := turn(r, doc, v); ok {
+				if next, ok := mutate(r, doc, v); ok {
 					v = next
 				}
 			}
 			if r.IntN(3) == 0 {
 				seed = first.Seed + r.IntN(1000)
 			}
-			tries = append(tries, &Find{Values: v, Seed: seed})
+			candidates = append(candidates, &Result{Values: v, Seed: seed})
 		}
-		if err := all(ctx, opt.Workers, len(tries), func(i int) error {
-			f, err := judge(ctx, doc, tries[i].Values, tries[i].Seed)
+		if err := runJobs(ctx, opt.Workers, len(candidates), func(i int) error {
+			f, err := evaluate(ctx, doc, candidates[i].Values, candidates[i].Seed)
 			if ctx.Err() != nil {
 				return ctx.Err()
 			}
-			if err == nil { // one whose values are out of their range is passed over
-				tries[i] = f
+			if err == nil { // candidates with values out of range are skipped
+				candidates[i] = f
 			}
 			return nil
 		}); err != nil {
 			return nil, err
 		}
-		for _, f := range tries {
+		for _, f := range candidates {
 			if f.Doc == nil {
 				continue
 			}
@@ -233,31 +234,31 @@
 			opt.Progress(float64(round+1)/float64(opt.Rounds), fmt.Sprintf("loss %.4f, %d broken", best.Loss, best.Broken))
 		}
 	}
-	opt.Notice("found        loss %.4f (mixer %.4f, a policy that sees all %.4f), %d broken, seed %d: %s", best.Loss, best.Mixer, best.Oracle, best.Broken, best.Seed, scenario.Label(best.Values))
+	opt.Logf("found        loss %.4f (mixer %.4f, a policy that sees all %.4f), %d broken, seed %d: %s", best.Loss, best.ProxyGoodput, best.OracleGoodput, best.Broken, best.Seed, scenario.Label(best.Values))
 	small, n, err := shrink(ctx, best, opt)
 	if err != nil {
 		return nil, err
 	}
 	small.Played = played + n
-	opt.Notice("shrunk       loss %.4f, %d broken, %d lines of %d", small.Loss, small.Broken, strings.Count(small.Text, "\n"), strings.Count(best.Text, "\n"))
+	opt.Logf("shrunk       loss %.4f, %d broken, %d lines of %d", small.Loss, small.Broken, strings.Count(small.Text, "\n"), strings.Count(best.Text, "\n"))
 	return small, nil
 }
 
-// mostShrinks bounds the runs that shrinking may take, about.
-const mostShrinks = 400
+// maxShrinkRuns is the number of runs after which shrinking starts no further pass.
+const maxShrinkRuns = 400
 
-// keeps tells whether a smaller scenario still shows what the larger one did: the
+// stillShows reports whether a smaller scenario still shows what the larger one did: the
 // broken rule, or three quarters of the loss.
-func keeps(small, large *Find) bool {
+func stillShows(small, large *Result) bool {
 	if large.Broken > 0 {
 		return small.Broken > 0
 	}
 	return small.Loss >= 0.75*large.Loss
 }
 
-// shrink takes out sections and keys, and shortens the run, while what was found
-// stays. It ends when a whole pass takes nothing out.
-func shrink(ctx context.Context, f *Find, opt Options) (*Find, int, error) {
+// shrink removes sections and keys and shortens the run as long as the finding remains. It
+// ends when a complete pass removes nothing.
+func shrink(ctx context.Context, f *Result, opt Options) (*Result, int, error) {
 	doc, err := f.Doc.Fixed(f.Values)
 	if err != nil {
 		return nil, 0, err
@@ -265,7 +266,7 @@
 	best := *f
 	best.Doc, best.Values = doc, nil
 	played := 0
-	try := func(d *scenario.Doc, v []scenario.Value) (bool, error) {
+	attempt := func(d *scenario.Doc, v []scenario.Value) (bool, error) {
 		if len(v) > 0 {
 			fixed, err := d.Fixed(v)
 			if err != nil {
@@ -273,42 +274,42 @@
 			}
 			d = fixed
 		}
-		g, err := judge(ctx, d, nil, best.Seed)
+		g, err := evaluate(ctx, d, nil, best.Seed)
 		if ctx.Err() != nil {
 			return false, ctx.Err()
 		}
 		if err != nil {
-			return false, nil // not a scenario any more
+			return false, nil // no longer a valid scenario
 		}
-		if played += 2; !keeps(g, f) {
+		if played += 2; !stillShows(g, f) {
 			return false, nil
 		}
 		g.Shrunk = best.Shrunk + 1
 		best = *g
 		return true, nil
 	}
-	for again := true; again; {
-		again = false
-		if played >= mostShrinks {
+	for progressed := true; progressed; {
+		progressed = false
+		if played >= maxShrinkRuns {
 			break
 		}
 		for _, section := range best.Doc.Sections() {
 			if section == "scenario" {
 				continue
 			}
-			ok, err := try(best.Doc.Without(section), nil)
+			ok, err := attempt(best.Doc.Without(section), nil)
 			if err != nil {
 				return nil, played, err
 			}
 			if ok {
-				again = true
+				progressed = true
 				continue
 			}
 			for _, key := range best.Doc.Keys(section) {
-				if ok, err := try(best.Doc.WithoutKey(section, key), nil); err != nil {
+				if ok, err := attempt(best.Doc.WithoutKey(section, key), nil); err != nil {
 					return nil, played, err
 				} else if ok {
-					again = true
+					progressed = true
 				}
 			}
 		}
@@ -316,22 +317,22 @@
 		if err != nil {
 			return nil, played, err
 		}
-		// Each of these ends: it halves something that has a least.
-		var halves [][]scenario.Value
+		// Each of these reductions terminates, since it halves a value that has a minimum.
+		var reductions [][]scenario.Value
 		if s.Length >= 4*time.Second {
-			halves = append(halves, []scenario.Value{{Key: "length", Value: (s.Length / 2).String()}})
+			reductions = append(reductions, []scenario.Value{{Key: "length", Value: (s.Length / 2).String()}})
 		}
 		if n := s.Groups[0].Cells; n > 1 {
-			halves = append(halves, []scenario.Value{{Key: "fleet.cells", Value: fmt.Sprint(n / 2)}, {Key: "rate", Value: fmt.Sprintf("%.4g", s.Rate/2)}})
+			reductions = append(reductions, []scenario.Value{{Key: "fleet.cells", Value: fmt.Sprint(n / 2)}, {Key: "rate", Value: fmt.Sprintf("%.4g", s.Rate/2)}})
 		}
-		if n := s.Mixers.Count; n > 1 {
-			halves = append(halves, []scenario.Value{{Key: "mixers.count", Value: fmt.Sprint(n / 2)}})
+		if n := s.Proxies.Count; n > 1 {
+			reductions = append(reductions, []scenario.Value{{Key: "mixers.count", Value: fmt.Sprint(n / 2)}})
 		}
-		for _, v := range halves {
-			if ok, err := try(best.Doc, v); err != nil {
+		for _, v := range reductions {
+			if ok, err := attempt(best.Doc, v); err != nil {
 				return nil, played, err
 			} else if ok {
-				again = true
+				progressed = true
 			}
 		}
 		if opt.Progress != nil {
@@ -341,8 +342,8 @@
 	return &best, played, nil
 }
 
-// all runs n jobs on so many workers.
-func all(ctx context.Context, workers, n int, job func(int) error) error {
+// runJobs runs n jobs on the given number of workers; 0 means one for each CPU.
+func runJobs(ctx context.Context, workers, n int, job func(int) error) error {
 	if workers <= 0 {
 		workers = runtime.NumCPU()
 	}
@@ -378,7 +379,7 @@
 	return first
 }
 
-// Ranked is one scenario of a ranking.
+// Ranked is the result of one scenario in a ranking.
 type Ranked struct {
 	File                  string
 	Seeds                 int
@@ -387,8 +388,8 @@
 	Broken                int
 }
 
-// Rank plays scenarios under the mixer's policy, one that sees all, and one that
-// draws at random, and puts the greatest loss first.
+// Rank runs scenarios under the proxies' policy, one that sees the true state, and one that
+// selects at random, and sorts them by loss, largest first.
 func Rank(ctx context.Context, files []string, seeds, workers int, progress func(float64, string)) ([]Ranked, error) {
 	out := make([]Ranked, len(files))
 	type job struct {
@@ -404,14 +405,14 @@
 		}
 		docs[i], out[i].File, out[i].Seeds = s, file, seeds
 		for n := range seeds {
-			for _, p := range []string{play.Mixer, play.Oracle, play.Random} {
+			for _, p := range []string{play.Proxy, play.Oracle, play.Random} {
 				jobs = append(jobs, job{i, s.Seed + n, p})
 			}
 		}
 	}
 	var mu sync.Mutex
 	done := 0
-	err := all(ctx, workers, len(jobs), func(k int) error {
+	err := runJobs(ctx, workers, len(jobs), func(k int) error {
 		j := jobs[k]
 		plan, err := docs[j.file].Plan(uint64(j.seed))
 		if err != nil {
@@ -429,7 +430,7 @@
 		}
 		o, g := &out[j.file], run.Summary.Goodput/float64(seeds)
 		switch j.policy {
-		case play.Mixer:
+		case play.Proxy:
 			o.Mixer += g
 			o.Broken += run.Verdict.Broken()
 		case play.Oracle:
@@ -457,7 +458,7 @@
 	return out, nil
 }
 
-// PrintRank writes a ranking.
+// PrintRank writes a ranking as a table.
 func PrintRank(w io.Writer, rows []Ranked) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "scenario\tseeds\tmixer\tsees all\trandom\tloss\tbroken rules\t")
--- a/internal/lab/hunt/hunt_test.go
+++ b/internal/lab/hunt/hunt_test.go
@@ -37,22 +37,22 @@
 at = 1s
 `
 
-// A hunt finds no less than it began with, its find plays as it says, and what is
-// shrunk shows the same and is smaller; the same hunt finds the same.
+// A hunt finds at least about the loss it started with; the result can be reproduced from its
+// text, and the shrunk scenario is smaller; the same hunt gives the same result.
 func TestHunt(t *testing.T) {
-	doc, err := scenario.Text("h.ini", []byte(text))
+	doc, err := scenario.Parse("h.ini", []byte(text))
 	require.NoError(t, err)
-	begin, err := judge(context.Background(), doc, nil, 1)
+	begin, err := evaluate(context.Background(), doc, nil, 1)
 	require.NoError(t, err)
-	opt := Options{Rounds: 2, Each: 4, Seed: 1, Notice: func(string, ...any) {}}
+	opt := Options{Rounds: 2, Candidates: 4, Seed: 1, Logf: func(string, ...any) {}}
 	f, err := Hunt(context.Background(), doc, opt)
 	require.NoError(t, err)
 	require.Greater(t, f.Loss, 0.7*begin.Loss)
 	require.Less(t, strings.Count(f.Text, "\n"), strings.Count(text, "\n"))
 	require.NotContains(t, f.Text, "nothing")
-	again, err := scenario.Text("found.ini", []byte(f.Text))
+	again, err := scenario.Parse("found.ini", []byte(f.Text))
 	require.NoError(t, err)
-	g, err := judge(context.Background(), again, nil, f.Seed)
+	g, err := evaluate(context.Background(), again, nil, f.Seed)
 	require.NoError(t, err)
 	require.Equal(t, f.Loss, g.Loss)
 	same, err := Hunt(context.Background(), doc, opt)
--- a/internal/lab/model/fault.go
+++ b/internal/lab/model/fault.go
@@ -1,7 +1,7 @@
 package model
 
-// Faults: a script of what goes wrong, drawn out into a list of changes before the
-// run begins, so that both drives play the same one.
+// This file holds faults. They are expanded into a list of changes before the run, so that
+// both drivers apply the same ones.
 
 import (
 	"cmp"
@@ -10,89 +10,89 @@
 	"time"
 )
 
-// What a fault does.
+// The faults.
 const (
-	Die       = "die"     // the process ends: connections are reset, new ones refused
-	Vanish    = "vanish"  // the machine is gone: nothing is heard, nothing reset
-	Hang      = "hang"    // takes parts and answers none
-	Slow      = "slow"    // works slower by a factor
-	Fail      = "fail"    // answers err at once
-	Full      = "busy"    // turns away
-	Pause     = "pause"   // stops the world: no work, no answer; connections stay
-	Drain     = "drain"   // the list says so; it is gone at the end, or serves on
-	Release   = "release" // drains, ends and starts again, one after the other
-	Cut       = "cut"     // a way between sites carries nothing
-	Late      = "list-late"
-	Lie       = "list-lie"     // the list drops servers that are well
-	Mute      = "list-silent"  // the list says nothing
-	Broken    = "list-down"    // calls to the list fail at once
-	Empty     = "list-empty"   // the list says that there is nobody
-	Reset     = "list-reset"   // its index begins anew
-	Elsewhere = "list-cell"    // the list names another cell for servers
-	Truncate  = "dns-truncate" // answers do not fit into a datagram
-	Junk      = "dns-junk"     // datagrams that answer nothing come before each answer
-	Switch    = "sources"      // the mixers' operator file names other sources, and they get SIGHUP
-	Kill      = "kill-mixer"
-	Restart   = "restart-mixer" // as planned: it ends what it has
+	Die           = "die"          // the process ends: connections are reset, new ones are refused
+	Vanish        = "vanish"       // the machine disappears: packets are dropped, nothing is reset
+	Hang          = "hang"         // accepts parts and answers none
+	Slow          = "slow"         // the server works slower by a factor
+	Fail          = "fail"         // answers err at once
+	RejectParts   = "busy"         // rejects every part
+	Pause         = "pause"        // the process stops: no work and no answers; connections stay open
+	Drain         = "drain"        // the list reports the server as draining; it is gone at the end, or serves again
+	Release       = "release"      // servers drain, stop and restart, one after the other
+	Cut           = "cut"          // a one-way network path between sites drops everything
+	ListLate      = "list-late"    // list changes are delayed
+	ListOmit      = "list-lie"     // the list omits healthy servers
+	ListSilent    = "list-silent"  // the list sends no changes
+	ListDown      = "list-down"    // requests for the list fail at once
+	ListEmpty     = "list-empty"   // the list is empty
+	ListReset     = "list-reset"   // the index of the list starts over
+	ListWrongCell = "list-cell"    // the list gives a wrong cell for servers
+	DNSTruncate   = "dns-truncate" // answers exceed the size of a datagram
+	DNSJunk       = "dns-junk"     // unrelated datagrams precede each answer
+	SwitchSources = "sources"      // the proxies' operator file names other sources, and they receive SIGHUP
+	KillProxy     = "kill-mixer"
+	RestartProxy  = "restart-mixer" // a graceful restart: open queries are finished
 )
 
-// Kinds of faults, for those who read them.
-var FaultKinds = []string{Die, Vanish, Hang, Slow, Fail, Full, Pause, Drain, Release, Cut, Late, Lie, Mute, Broken, Empty, Reset, Elsewhere, Truncate, Junk, Switch, Kill, Restart}
+// FaultKinds lists all faults, for documentation and validation.
+var FaultKinds = []string{Die, Vanish, Hang, Slow, Fail, RejectParts, Pause, Drain, Release, Cut, ListLate, ListOmit, ListSilent, ListDown, ListEmpty, ListReset, ListWrongCell, DNSTruncate, DNSJunk, SwitchSources, KillProxy, RestartProxy}
 
-// OnMixers tells whether a fault is one of mixers, OnList of the list.
-func OnMixers(do string) bool { return do == Kill || do == Restart }
+// TargetsProxies reports whether a fault affects proxies.
+func TargetsProxies(do string) bool { return do == KillProxy || do == RestartProxy }
 
-// OnList tells whether a fault is one of the list as a whole.
-func OnList(do string) bool {
+// TargetsList reports whether a fault affects a whole list.
+func TargetsList(do string) bool {
 	switch do {
-	case Late, Mute, Broken, Empty, Reset, Truncate, Junk, Switch:
+	case ListLate, ListSilent, ListDown, ListEmpty, ListReset, DNSTruncate, DNSJunk, SwitchSources:
 		return true
 	}
 	return false
 }
 
-// ByList tells whether a fault is one of what the list says of servers.
-func ByList(do string) bool { return do == Drain || do == Lie || do == Elsewhere }
+// ChangesEntry reports whether a fault affects the list entries of single servers.
+func ChangesEntry(do string) bool { return do == Drain || do == ListOmit || do == ListWrongCell }
 
-// Fault is one fault of a script.
+// Fault is one fault of a scenario.
 type Fault struct {
-	Name   string
-	Do     string
-	At     time.Duration
-	For    time.Duration // 0: to the end
-	Every  time.Duration // again and again, from one begin to the next; 0: once
-	Times  int           // at most so often; 0: until the end
-	Chance float64       // that each time comes to pass; above 0
-	Among  []int         // servers or mixers it may hit
-	Share  float64       // of these, drawn anew each time
-	Apart  time.Duration // between one and the next that it hits
-	Class  string        // hang, fail: "" is all
-	Part   float64       // hang, fail: share of the parts
-	Factor float64       // slow
-	Warm   bool          // die, vanish, release: back warm
-	From   int           // cut
-	To     int           // cut
-	Both   bool          // cut
-	Source string        // of the list's: which one; empty: all
-	Others []string      // sources: those in force while it holds
-	Extra  time.Duration // list-late: so much later; release: from the drain to the end of the process
+	Name      string
+	Do        string
+	At        time.Duration
+	For       time.Duration // 0: until the end of the run
+	Every     time.Duration // interval between repetitions, from start to start; 0: once
+	Times     int           // maximum number of repetitions; 0: until the end of the run
+	Chance    float64       // probability that each repetition happens; above 0
+	Targets   []int         // servers or proxies that it can affect
+	Share     float64       // share of Targets that is affected, drawn again for each repetition
+	Stagger   time.Duration // delay between one affected target and the next
+	Class     string        // hang, fail: affected class; "": all
+	PartShare float64       // hang, fail: affected share of the parts
+	Factor    float64       // slow
+	Warm      bool          // die, vanish, release: the server restarts without slow start
+	From      int           // cut
+	To        int           // cut
+	Both      bool          // cut
+	Source    string        // list faults: affected source; empty: all
+	SwitchTo  []string      // sources: the sources in use during the fault
+	Delay     time.Duration // list-late: added delay; release: time from the drain to the end of the process
 }
 
-// steps are the faults that one stands for, with how much later each begins.
+// steps returns the faults that a fault consists of, and the delay of each.
 func (f *Fault) steps() ([]*Fault, []time.Duration) {
 	if f.Do != Release {
 		return []*Fault{f}, []time.Duration{0}
 	}
 	drain, die := *f, *f
 	drain.Do, die.Do = Drain, Die
-	return []*Fault{&drain, &die}, []time.Duration{0, f.Extra}
+	return []*Fault{&drain, &die}, []time.Duration{0, f.Delay}
 }
 
-// Change is one step of a script: a fault takes hold of something, or lets it go.
+// Change is the start or the end of a fault at one target.
 type Change struct {
 	At     time.Duration
 	On     bool
-	Target int // server or mixer; -1: none
+	Target int // server or proxy; -1: none
 	*Fault
 }
 
@@ -104,46 +104,46 @@
 	return fmt.Sprintf("%s: %s", c.Name, what)
 }
 
-// mostChanges bounds a script.
-const mostChanges = 1 << 20
+// maxChanges bounds the number of changes in a run.
+const maxChanges = 1 << 20
 
-// Script draws the faults out over a run of that length.
+// Script expands the faults into the changes of a run of the given length.
 func Script(faults []*Fault, seed uint64, length time.Duration) ([]Change, error) {
 	var out []Change
 	for _, f := range faults {
 		r := Rand(seed, "fault", f.Name)
-		times := 0
+		occurrence := 0
 		for at := f.At; at < length; at += f.Every {
-			if times++; f.Times > 0 && times > f.Times {
+			if occurrence++; f.Times > 0 && occurrence > f.Times {
 				break
 			}
-			if times > mostChanges {
-				return nil, fmt.Errorf("fault %s: the script has more than %d changes", f.Name, mostChanges)
+			if occurrence > maxChanges {
+				return nil, fmt.Errorf("fault %s: the script has more than %d changes", f.Name, maxChanges)
 			}
 			hits := r.Float64() < f.Chance
 			targets := []int{-1}
-			if len(f.Among) > 0 {
-				n := max(int(float64(len(f.Among))*f.Share+0.5), 1)
+			if len(f.Targets) > 0 {
+				n := max(int(float64(len(f.Targets))*f.Share+0.5), 1)
 				targets = targets[:0]
-				for _, i := range r.Perm(len(f.Among))[:min(n, len(f.Among))] {
-					targets = append(targets, f.Among[i])
+				for _, i := range r.Perm(len(f.Targets))[:min(n, len(f.Targets))] {
+					targets = append(targets, f.Targets[i])
 				}
 				slices.Sort(targets)
 			}
 			for i, target := range targets {
-				begin := at + time.Duration(i)*f.Apart
-				if !hits || begin >= length {
+				start := at + time.Duration(i)*f.Stagger
+				if !hits || start >= length {
 					continue
 				}
-				steps, later := f.steps()
+				steps, offsets := f.steps()
 				for k, s := range steps {
-					out = append(out, Change{At: begin + later[k], On: true, Target: target, Fault: s})
+					out = append(out, Change{At: start + offsets[k], On: true, Target: target, Fault: s})
 					if f.For > 0 {
-						out = append(out, Change{At: begin + max(f.For, later[k]), Target: target, Fault: s})
+						out = append(out, Change{At: start + max(f.For, offsets[k]), Target: target, Fault: s})
 					}
 				}
-				if len(out) > mostChanges {
-					return nil, fmt.Errorf("fault %s: the script has more than %d changes", f.Name, mostChanges)
+				if len(out) > maxChanges {
+					return nil, fmt.Errorf("fault %s: the script has more than %d changes", f.Name, maxChanges)
 				}
 			}
 			if f.Every <= 0 {
@@ -155,9 +155,9 @@
 	return out, nil
 }
 
-// Strike has a change take hold of a server, or let it go. It tells whether the
-// change was one of a server's at all; drains are the list's.
-func (s *Server) Strike(c Change) bool {
+// Apply applies a change to a server. It returns false if the change does not affect servers
+// directly; drains are changes of the list.
+func (s *Server) Apply(c Change) bool {
 	e := &s.Effects
 	step := 1
 	if !c.On {
@@ -173,7 +173,7 @@
 		}
 	case Pause:
 		e.Paused += step
-	case Full:
+	case RejectParts:
 		e.Busy += step
 	case Slow:
 		if e.Slow <= 0 {
@@ -185,25 +185,25 @@
 			e.Slow = 1
 		}
 	case Hang:
-		e.Hang = hit(e.Hang, c)
+		e.Hang = addShare(e.Hang, c)
 	case Fail:
-		e.Fail = hit(e.Fail, c)
+		e.Fail = addShare(e.Fail, c)
 	default:
 		return false
 	}
-	s.Changed()
+	s.EffectsChanged()
 	return true
 }
 
-// hit adds a fault's share to what holds for its class, or takes it back. Shares of
-// faults that overlap add up.
-func hit(m map[string]float64, c Change) map[string]float64 {
+// addShare adds a fault's share to its class, or removes it. The shares of overlapping faults
+// add up.
+func addShare(m map[string]float64, c Change) map[string]float64 {
 	if m == nil {
 		m = make(map[string]float64)
 	}
 	if c.On {
-		m[c.Class] += c.Part
-	} else if m[c.Class] -= c.Part; m[c.Class] < 1e-9 {
+		m[c.Class] += c.PartShare
+	} else if m[c.Class] -= c.PartShare; m[c.Class] < 1e-9 {
 		delete(m, c.Class)
 	}
 	return m
--- a/internal/lab/model/shared_test.go
+++ b/internal/lab/model/shared_test.go
@@ -10,10 +10,10 @@
 	"saddleport/internal/lab/event"
 )
 
-// The first part of a call bears what the call costs; a key met lately is less work, and
-// only so many are remembered for so long, by a process that lives.
+// The first part of a call includes the work of the call. A recently used key is less work;
+// the cache is bounded in size and time, and a restart empties it.
 func TestCallsAndKeys(t *testing.T) {
-	l, s, got := stage(Spec{Cores: 1, Speed: 1, Slots: 1, Room: 20, Queue: FIFO, CallWork: 80 * ms, Keys: Keys{Gain: 0.5, For: time.Second, Most: 2}})
+	l, s, got := newTestServer(Spec{Cores: 1, Speed: 1, Slots: 1, QueueLimit: 20, Queue: FIFO, CallWork: 80 * ms, KeyCache: KeyCache{Gain: 0.5, TTL: time.Second, MaxKeys: 2}})
 	at := time.Duration(0)
 	for _, c := range []struct {
 		id, key string
@@ -23,13 +23,13 @@
 	}{
 		{"a", "", true, 0, 180}, {"b", "", false, 0, 100}, // a call of two parts
 		{"c", "k1", false, 0, 100}, {"d", "k1", false, 0, 50},
-		{"e", "k1", true, 2 * time.Second, 180},                                            // met too long ago
-		{"f", "k2", false, 0, 100}, {"g", "k3", false, 0, 100}, {"h", "k1", false, 0, 100}, // the third pushed the first out
+		{"e", "k1", true, 2 * time.Second, 180},                                            // expired
+		{"f", "k2", false, 0, 100}, {"g", "k3", false, 0, 100}, {"h", "k1", false, 0, 100}, // the third key evicted the first
 		{"i", "k3", false, 0, 50},
 	} {
 		at += c.wait
-		j := put(l, s, got, at-l.Now(), c.id, "x", 100*ms)
-		j.Call, j.Key = c.call, c.key
+		j := submitAt(l, s, got, at-l.Now(), c.id, "x", 100*ms)
+		j.FirstOfCall, j.Key = c.call, c.key
 		at += time.Duration(c.want * float64(ms))
 		require.NoError(t, l.Run(at+time.Microsecond))
 		require.InDelta(t, at.Seconds()*1000, got.at[c.id].Seconds()*1000, 0.1, c.id)
@@ -37,30 +37,30 @@
 	}
 	l.Post(at-l.Now(), func() { s.Die(); s.Start(false) })
 	at += ms
-	j := put(l, s, got, at-l.Now(), "z", "x", 100*ms)
+	j := submitAt(l, s, got, at-l.Now(), "z", "x", 100*ms)
 	j.Key = "k3"
 	require.NoError(t, l.Run(at+time.Second))
 	require.InDelta(t, 100, (got.at["z"]-at).Seconds()*1000, 0.1)
 }
 
-// asked lets clients ask for a while and returns what they asked.
-func asked(c *Clients, length time.Duration) []*Ask {
-	var all []*Ask
+// runClients lets clients send requests for a while and returns all requests.
+func runClients(c *Clients, length time.Duration) []*Request {
+	var all []*Request
 	l := &event.Loop{}
 	c.Sched, c.Seed, c.Length = sched{l}, 3, length
-	c.Pick = func(uint64) int { return 0 }
-	c.Send = func(t *Try) { all = append(all, t.Ask); c.Reply(t, Reply{Kind: Answered, Whole: true}) }
+	c.SelectProxy = func(uint64) int { return 0 }
+	c.Send = func(t *Attempt) { all = append(all, t.Request); c.Reply(t, Reply{Kind: Answered, Complete: true}) }
 	c.Begin()
 	l.Run(length + time.Second)
 	return all
 }
 
-// Shards of a query stand in a row, and what has one key wants the same ones.
-func TestRowsAndKeys(t *testing.T) {
-	class := &Class{Name: "x", Parts: 4, PartsMost: 7, Row: true, Shards: 48, Zipf: NewZipf(48, 0.3, 1), Keys: NewZipf(50, 0.5, 1), Patience: time.Second, Value: 1,
+// The shards of a query are consecutive, and requests with the same key need the same shards.
+func TestContiguousShardsAndKeys(t *testing.T) {
+	class := &Class{Name: "x", Parts: 4, MaxParts: 7, Contiguous: true, Shards: 48, Zipf: NewZipf(48, 0.3, 1), Keys: NewZipf(50, 0.5, 1), Timeout: time.Second, Value: 1,
 		Arrivals: Arrivals{Rate: 50}}
 	byKey, sizes := make(map[string][]int), make(map[int]bool)
-	for _, a := range asked(&Clients{Classes: []*Class{class}}, 20*time.Second) {
+	for _, a := range runClients(&Clients{Classes: []*Class{class}}, 20*time.Second) {
 		var shards []int
 		for i, p := range a.Parts {
 			shards = append(shards, p.Shard)
@@ -76,28 +76,28 @@
 	require.Equal(t, map[int]bool{4: true, 5: true, 6: true, 7: true}, sizes)
 }
 
-// Load is dealt out by usage; a tenant's burst is its own, and what goes beyond its quota
-// is worth less, while the others' is not.
+// Load is distributed by usage. A tenant's burst affects that tenant only, and its queries
+// above its quota have a lower value, while those of the others keep theirs.
 func TestTenants(t *testing.T) {
 	tenants := []*Tenant{{Name: "a", Usage: 3, Quota: 100}, {Name: "b", Usage: 1, Quota: 20, Bursts: []Burst{{At: 20 * time.Second, For: 20 * time.Second, Factor: 4}}}}
-	class := &Class{Name: "x", Parts: 1, Zipf: NewZipf(8, 0, 1), Patience: time.Second, Value: 2, Arrivals: Arrivals{Rate: 40, Bursts: []Burst{{At: 20 * time.Second, For: 20 * time.Second, Factor: 1.75}}}}
-	n, beyond := make(map[string][2]int), make(map[string]int)
-	for _, a := range asked(&Clients{Classes: []*Class{class}, Tenants: tenants, OverWorth: 0.2}, 40*time.Second) {
+	class := &Class{Name: "x", Parts: 1, Zipf: NewZipf(8, 0, 1), Timeout: time.Second, Value: 2, Arrivals: Arrivals{Rate: 40, Bursts: []Burst{{At: 20 * time.Second, For: 20 * time.Second, Factor: 1.75}}}}
+	n, overQuota := make(map[string][2]int), make(map[string]int)
+	for _, a := range runClients(&Clients{Classes: []*Class{class}, Tenants: tenants, OverQuotaValue: 0.2}, 40*time.Second) {
 		half := n[a.Tenant]
 		half[int(a.Due/(20*time.Second))]++
 		n[a.Tenant] = half
 		want := 2.0
-		if a.Beyond {
-			beyond[a.Tenant]++
+		if a.OverQuota {
+			overQuota[a.Tenant]++
 			want = 0.4
 		}
 		require.Equal(t, want, a.Value)
 	}
-	near := func(want float64, got int) { require.InDelta(t, want, got, 5*math.Sqrt(want)) }
-	near(600, n["a"][0])
-	near(600, n["a"][1])
-	near(200, n["b"][0])
-	near(800, n["b"][1])
-	require.Zero(t, beyond["a"])
-	near(400, beyond["b"]) // of 40 a second, 20 are within
+	requireNear := func(want float64, got int) { require.InDelta(t, want, got, 5*math.Sqrt(want)) }
+	requireNear(600, n["a"][0])
+	requireNear(600, n["a"][1])
+	requireNear(200, n["b"][0])
+	requireNear(800, n["b"][1])
+	require.Zero(t, overQuota["a"])
+	requireNear(400, overQuota["b"]) // 20 of 40 per second are within the quota
 }
--- a/internal/lab/soak/traffic/servers.go
+++ b/internal/lab/soak/traffic/servers.go
@@ -155,7 +155,7 @@
 	}
 	w.mu.Unlock()
 	if rejects {
-		return standin.Reply{Status: http.StatusServiceUnavailable, Not: true}
+		return standin.Reply{Status: http.StatusServiceUnavailable, NotExecuted: true}
 	}
 	run := judge.Run{Attempt: seen.Attempt, Server: w.id, Service: w.service, Target: seen.Target, At: w.recorder.now(), BrokeOff: resets}
 	w.recorder.update(func(r *judge.Record) { r.Runs = append(r.Runs, run) })
--- a/internal/lab/virtual/shared_test.go
+++ b/internal/lab/virtual/shared_test.go
@@ -9,8 +9,8 @@
 	"saddleport/internal/lab/record"
 )
 
-// ringed is a small ring with all that the heat scenarios have.
-const ringed = `[scenario]
+// ringScenario is a small ring that uses the features of the large shared scenarios.
+const ringScenario = `[scenario]
 name   = ringed
 length = 20s
 warmup = 1s
@@ -59,41 +59,43 @@
 quota = 35
 `
 
-// The rules hold where lists are pushed, while the agent is silent, and where servers
-// drain in that time; and a mixer that does not heed the agent is seen.
+// The rules hold with pushed lists, while the agent is silent and while servers drain during
+// that time; and a proxy that ignores the agent is detected.
 func TestPushedLists(t *testing.T) {
 	for _, f := range []string{
 		"", "[fault s]\ndo = list-silent\nat = 3s\nfor = 6s\n[fault d]\ndo = drain\nat = 2s\nfor = 9s\nshare = 0.4\napart = 700ms\n",
 		"[fault r]\ndo = release\nat = 2s\nfor = 3500ms\nextra = 3s\napart = 1s\nshare = 0.9\n",
 	} {
-		r := play(t, ringed+f, Options{Keep: true})
+		r := play(t, ringScenario+f, Options{KeepRows: true})
 		require.Empty(t, r.Unmet(), "%s", r.Verdict.Faults)
 		require.Greater(t, r.Summary.Goodput, 0.9)
 		require.LessOrEqual(t, r.Summary.Worst10, r.Summary.Goodput+1e-9)
 	}
-	r := play(t, ringed+"[fault d]\ndo = drain\nat = 2s\nshare = 0.4\n", Options{Sabotage: Sabotage{Undrain: true}})
+	r := play(t, ringScenario+"[fault d]\ndo = drain\nat = 2s\nshare = 0.4\n", Options{Mutations: Mutations{IgnoreDrain: true}})
 	require.Zero(t, r.Verdict.Drained, "the decisions alone keep to a drain")
 }
 
-// Calls have a cost: more of it for the same queries shows in what the servers did.
+// Calls have a cost: the same queries with a higher cost per call show more work at the
+// servers.
 func TestCallsCost(t *testing.T) {
 	work := func(text string) (sum int64) {
-		for _, s := range play(t, text, Options{Keep: true}).Seconds {
+		for _, s := range play(t, text, Options{KeepRows: true}).Seconds {
 			sum += s.Work
 		}
 		return sum
 	}
-	free, dear := work(strings.Replace(ringed, "per-call-work = 8ms", "per-call-work = 0s", 1)), work(ringed)
-	require.Greater(t, dear, free)
-	// Two calls or three for a query of nine parts in a row, one for a fix.
-	r := play(t, ringed, Options{Keep: true})
-	calls := float64(dear-free) / 8000
+	free, costly := work(strings.Replace(ringScenario, "per-call-work = 8ms", "per-call-work = 0s", 1)), work(ringScenario)
+	require.Greater(t, costly, free)
+	// A query of nine consecutive parts takes two or three calls, one of class fix takes one.
+	r := play(t, ringScenario, Options{KeepRows: true})
+	calls := float64(costly-free) / 8000
 	require.Less(t, calls, 0.55*float64(r.Summary.Parts))
 }
 
-// Tenants and the worst ten seconds are told, and a run without them tells neither ill.
-func TestWorst(t *testing.T) {
-	r := play(t, ringed+"[burst b]\nat = 5s\nfor = 10s\nfactor = 6\ntenant = small\n", Options{Keep: true})
+// The result of the tenants and of the worst ten seconds is recorded; without tenants the
+// tenant result is 1.
+func TestWorstSpanAndTenant(t *testing.T) {
+	r := play(t, ringScenario+"[burst b]\nat = 5s\nfor = 10s\nfactor = 6\ntenant = small\n", Options{KeepRows: true})
 	over := 0
 	for _, q := range r.Queries {
 		if q.Value < 0.5 {
--- a/internal/source/targets/targets_test.go
+++ b/internal/source/targets/targets_test.go
@@ -14,9 +14,9 @@
 	"saddleport/choice"
 )
 
-const testTimeout = 20 * time.Second // no verdict hangs on a pace
+const testTimeout = 20 * time.Second // generous: no result depends on timing
 
-// agent is a scripted stand-in of what holds the list.
+// agent is a scripted replacement for the discovery service or the agent.
 type agent struct {
 	t  *testing.T
 	ln net.Listener
@@ -24,7 +24,7 @@
 	r  *bufio.Reader
 }
 
-// heard is one word of the watch.
+// update is one call of the receiver by the watch.
 type update struct {
 	list   choice.List
 	failed bool
@@ -32,8 +32,8 @@
 
 type receiver chan update
 
-func (k receiver) UpdateList(l choice.List, _ Addrs) { k <- update{list: l} }
-func (k receiver) FetchFailed()                      { k <- update{failed: true} }
+func (r receiver) UpdateList(l choice.List, _ Addrs) { r <- update{list: l} }
+func (r receiver) FetchFailed()                      { r <- update{failed: true} }
 
 func listen(t *testing.T) *agent {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -51,7 +51,7 @@
 	a.nc, a.r = nc, bufio.NewReader(nc)
 }
 
-// asked reads one call and returns its path.
+// readRequest reads one request and returns its path.
 func (a *agent) readRequest() string {
 	first, err := a.r.ReadString('\n')
 	require.NoError(a.t, err)
@@ -82,44 +82,45 @@
 	return w, received
 }
 
-func (k receiver) next(t *testing.T) update {
+func (r receiver) next(t *testing.T) update {
 	select {
-	case h := <-k:
-		return h
+	case u := <-r:
+		return u
 	case <-time.After(testTimeout):
-		require.Fail(t, "nothing was told")
+		require.Fail(t, "no update was received")
 		return update{}
 	}
 }
 
-// Where lists are pushed nobody asks for a watch: the decisions have no call for it.
-// A mixer that waited to be asked heard of no drain at all.
+// Where lists are pushed, the decisions never request a watch. A proxy that polled the agent
+// only on request missed every drain.
 func TestPushedListIsPolledWithoutWatch(t *testing.T) {
 	a := listen(t)
 	_, received := start(t, Config{Addr: a.ln.Addr().String(), Index: 41, Pushed: true, PollTimeout: testTimeout})
 	a.accept()
 	require.Equal(t, "/api/targets?index=41&wait=0", a.readRequest())
-	a.respond(41, false) // no news is told to nobody
+	a.respond(41, false) // a response without changes is not passed on
 	require.Equal(t, "/api/targets?index=41&wait=0", a.readRequest())
 	a.respond(43, false, row("s-a", "DRAINING"))
-	h := received.next(t)
-	require.Equal(t, choice.Delta, h.list.Form)
-	require.Equal(t, choice.Draining, h.list.Servers[0].State)
+	u := received.next(t)
+	require.Equal(t, choice.Delta, u.list.Form)
+	require.Equal(t, choice.Draining, u.list.Servers[0].State)
 	require.Equal(t, "/api/targets?index=43&wait=0", a.readRequest())
-	a.respond(44, true, row("s-a", "SERVING")) // a whole list, after a gap
-	h = received.next(t)
-	require.Equal(t, choice.Full, h.list.Form)
+	a.respond(44, true, row("s-a", "SERVING")) // a full list after a gap
+	u = received.next(t)
+	require.Equal(t, choice.Full, u.list.Form)
 	require.Equal(t, "/api/targets?index=44&wait=0", a.readRequest())
 }
 
-// An agent is silent while discovery is down. What it holds once it is back counts as
-// told since it got it, which may have been right after its last answer.
+// An agent does not answer while the discovery service is down. Once it answers again, the proxy
+// counts as informed of its list since the agent received it, which may have been right
+// after the agent's last response.
 func TestUnresponsiveAgentIsRetriedAndItsChangesAreBackdated(t *testing.T) {
 	a := listen(t)
 	var unresponsive atomic.Bool
 	unresponsive.Store(true)
 	startedAt := time.Now()
-	go func() { // each line is served by itself, as long as it lasts
+	go func() { // each connection is served by its own goroutine until it closes
 		for {
 			nc, err := a.ln.Accept()
 			if err != nil {
@@ -148,16 +149,16 @@
 	}
 	elapsed := time.Since(startedAt)
 	unresponsive.Store(false)
-	h := received.next(t)
-	for h.failed { // a slow machine
-		h = received.next(t)
+	u := received.next(t)
+	for u.failed { // on a slow machine more polls may fail
+		u = received.next(t)
 	}
-	require.Equal(t, choice.Draining, h.list.Servers[0].State)
-	require.GreaterOrEqual(t, h.list.Since, (3 * 50 * time.Millisecond).Microseconds())
+	require.Equal(t, choice.Draining, u.list.Servers[0].State)
+	require.GreaterOrEqual(t, u.list.Since, (3 * 50 * time.Millisecond).Microseconds())
 	require.Greater(t, elapsed, 3*50*time.Millisecond)
 }
 
-// A service that answers a watch at once with nothing new is not called in a loop.
+// A service that answers a watch immediately without changes is not called in a busy loop.
 func TestWatchAnsweredAtOnceDoesNotSpin(t *testing.T) {
 	a := listen(t)
 	w, _ := start(t, Config{Addr: a.ln.Addr().String(), Index: 41})
