--- a/internal/lab/bench/scale.go
+++ b/internal/lab/bench/scale.go
@@ -176,14 +176,14 @@
 	if err != nil {
 		return err
 	}
-	realTime, err := plotter.NewLine(plotter.XYs{{X: xy[0].X, Y: 1}, {X: xy[len(xy)-1].X * 2, Y: 1}})
+	real, err := plotter.NewLine(plotter.XYs{{X: xy[0].X, Y: 1}, {X: xy[len(xy)-1].X * 2, Y: 1}})
 	if err != nil {
 		return err
 	}
-	realTime.Dashes = []vg.Length{vg.Points(4), vg.Points(3)}
-	p.Add(plotter.NewGrid(), dots, names, realTime)
+	real.Dashes = []vg.Length{vg.Points(4), vg.Points(3)}
+	p.Add(plotter.NewGrid(), dots, names, real)
 	p.Legend.Add("servers/proxies", dots)
-	p.Legend.Add("as fast as real time", realTime)
+	p.Legend.Add("as fast as real time", real)
 	p.Legend.Top, p.Legend.Left = true, true
 	return p.Save(16*vg.Centimeter, 9*vg.Centimeter, file)
 }
--- a/internal/lab/event/event.go
+++ b/internal/lab/event/event.go
@@ -1,8 +1,8 @@
-// Package event is virtual time: a discrete-event loop on one goroutine. It owns
-// the order of what happens: by time, and at one time in the order in which it was
-// asked for, so that the same calls give the same run on any machine. It must never
-// read the machine's clock for an order, start a goroutine, or go on for ever: a
-// loop that does not advance, or has more to do than it was allowed, says so.
+// Package event implements virtual time: a discrete-event loop on one goroutine. Events fire
+// in order of time, and at the same time in the order in which they were scheduled, so that
+// the same calls give the same run on any machine. The loop never reads the machine's clock
+// and starts no goroutine. It always ends: it returns an error when time does not advance or
+// when it has executed more events than allowed.
 package event
 
 import (
@@ -11,35 +11,35 @@
 	"time"
 )
 
-// The bounds of a loop where its maker gives none.
+// The default bounds of a loop.
 const (
 	MaxPerInstant = 20_000_000     // events at one virtual instant
-	MaxEvents     = 10_000_000_000 // events in all
+	MaxEvents     = 10_000_000_000 // events in total
 )
 
-// ErrStuck is a loop that did so much at one instant that it is taken to stand still.
+// ErrStuck reports more events at one virtual instant than allowed: time does not advance.
 var ErrStuck = errors.New("virtual time does not advance")
 
-// ErrEndless is a loop that did more than it was allowed in all.
+// ErrTooManyEvents reports more events in total than allowed.
 var ErrTooManyEvents = errors.New("more events than allowed")
 
 // Loop is one run of virtual time. It is not safe for concurrent use.
 type Loop struct {
 	MaxPerInstant, MaxEvents int64
-	// Tick, if set, is called every TickEvery events, with the machine's work in
-	// between: it may tell of the progress, and ends the run by an error.
+	// Tick, if set, is called after every TickEvery events. It may report progress; an
+	// error from it ends the run.
 	Tick      func() error
 	TickEvery int64
 
-	now    time.Duration
-	seq    uint64
-	heap   []item
-	done   int64
-	atOnce int64
-	free   []*Timer
+	now       time.Duration
+	seq       uint64
+	heap      []item
+	executed  int64
+	atInstant int64    // events executed at now
+	free      []*Timer // for reuse by Post
 }
 
-// item is what stands in the heap: what orders it lies in it, so that a comparison
+// item is an element of the heap. It contains the keys of the order, so that a comparison
 // follows no pointer.
 type item struct {
 	at  time.Duration
@@ -47,15 +47,15 @@
 	t   *Timer
 }
 
-// Timer is something that will happen.
+// Timer is a scheduled event.
 type Timer struct {
-	fire  func()
-	loop  *Loop
-	index int // in the heap; below 0: not in it
-	kept  bool
+	fire     func()
+	loop     *Loop
+	index    int  // in the heap; negative: not in it
+	retained bool // the caller has the Timer, so it is not reused
 }
 
-// Stop takes a timer back and tells whether it was still to fire.
+// Stop cancels a timer and reports whether it was still pending.
 func (t *Timer) Stop() bool {
 	if t == nil || t.index < 0 {
 		return false
@@ -65,70 +65,70 @@
 	return true
 }
 
-// Now is the time since the loop's begin.
+// Now returns the virtual time since the start of the loop.
 func (l *Loop) Now() time.Duration { return l.now }
 
-// Done counts the events that have happened.
-func (l *Loop) Executed() int64 { return l.done }
+// Executed returns the number of events that have fired.
+func (l *Loop) Executed() int64 { return l.executed }
 
-// Pending counts what is still to happen.
+// Pending returns the number of scheduled events.
 func (l *Loop) Pending() int { return len(l.heap) }
 
-// After has fire called once d has passed; d below 0 is 0.
+// After schedules fire after d; a negative d counts as 0.
 func (l *Loop) After(d time.Duration, fire func()) *Timer {
 	return l.at(l.now+max(d, 0), fire, true)
 }
 
-// Post is After for what is never taken back: it makes no Timer that outlives it.
+// Post is After for an event that is never cancelled: its Timer is reused once it has fired.
 func (l *Loop) Post(d time.Duration, fire func()) { l.at(l.now+max(d, 0), fire, false) }
 
-func (l *Loop) at(when time.Duration, fire func(), kept bool) *Timer {
+func (l *Loop) at(when time.Duration, fire func(), retained bool) *Timer {
 	var t *Timer
 	if n := len(l.free); n > 0 {
 		t, l.free = l.free[n-1], l.free[:n-1]
 	} else {
 		t = &Timer{loop: l}
 	}
-	t.fire, t.kept = fire, kept
+	t.fire, t.retained = fire, retained
 	l.seq++
 	l.heap = append(l.heap, item{when, l.seq, t})
-	l.up(len(l.heap) - 1)
+	l.siftUp(len(l.heap) - 1)
 	return t
 }
 
-// Run lets happen what is due until the given time, which it is then. It ends early
-// when nothing is left.
+// Run fires the events that are due by the given time and then advances the clock to it. It
+// ends early with ErrStuck, ErrTooManyEvents or an error of Tick.
 func (l *Loop) Run(until time.Duration) error {
-	atOnce, most := l.MaxPerInstant, l.MaxEvents
-	if atOnce <= 0 {
-		atOnce = MaxPerInstant
+	maxPerInstant, maxEvents := l.MaxPerInstant, l.MaxEvents
+	if maxPerInstant <= 0 {
+		maxPerInstant = MaxPerInstant
 	}
-	if most <= 0 {
-		most = MaxEvents
+	if maxEvents <= 0 {
+		maxEvents = MaxEvents
 	}
-	every := l.TickEvery
-	if every <= 0 {
-		every = 1 << 16
+	tickEvery := l.TickEvery
+	if tickEvery <= 0 {
+		tickEvery = 1 << 16
 	}
 	for len(l.heap) > 0 && l.heap[0].at <= until {
 		if at := l.heap[0].at; at > l.now {
-			l.now, l.atOnce = at, 0
+			l.now, l.atInstant = at, 0
 		}
-		if l.atOnce++; l.atOnce > atOnce {
-			return fmt.Errorf("%w: %d events at %v", ErrStuck, atOnce, l.now)
+		if l.atInstant++; l.atInstant > maxPerInstant {
+			return fmt.Errorf("%w: %d events at %v", ErrStuck, maxPerInstant, l.now)
 		}
-		if l.done++; l.done > most {
-			return fmt.Errorf("%w: %d by %v", ErrTooManyEvents, most, l.now)
+		if l.executed++; l.executed > maxEvents {
+			return fmt.Errorf("%w: %d by %v", ErrTooManyEvents, maxEvents, l.now)
 		}
 		t := l.heap[0].t
 		l.remove(0)
 		fire := t.fire
 		t.fire = nil
-		if !t.kept {
+		if !t.retained {
 			l.free = append(l.free, t)
 		}
 		fire()
-		if l.Tick != nil && l.done%every == 0 {
+		if l.Tick != nil && l.executed%tickEvery == 0 {
 			if err := l.Tick(); err != nil {
 				return err
 			}
@@ -140,17 +140,17 @@
 	return nil
 }
 
-// ---- A heap of four children a node: less deep than one of two, and what orders
-// it lies side by side.
+// ---- A heap with four children per node: it is less deep than a binary heap, and the keys
+// of siblings are adjacent in memory.
 
-func (a item) before(b item) bool { return a.at < b.at || a.at == b.at && a.seq < b.seq }
+func (a item) less(b item) bool { return a.at < b.at || a.at == b.at && a.seq < b.seq }
 
-func (l *Loop) up(i int) {
+func (l *Loop) siftUp(i int) {
 	h := l.heap
 	x := h[i]
 	for i > 0 {
 		parent := (i - 1) / 4
-		if !x.before(h[parent]) {
+		if !x.less(h[parent]) {
 			break
 		}
 		h[i] = h[parent]
@@ -161,17 +161,17 @@
 	x.t.index = i
 }
 
-func (l *Loop) down(i int) {
+func (l *Loop) siftDown(i int) {
 	h := l.heap
 	x := h[i]
 	for {
 		least := -1
 		for c, end := 4*i+1, min(4*i+5, len(h)); c < end; c++ {
-			if least < 0 || h[c].before(h[least]) {
+			if least < 0 || h[c].less(h[least]) {
 				least = c
 			}
 		}
-		if least < 0 || !h[least].before(x) {
+		if least < 0 || !h[least].less(x) {
 			break
 		}
 		h[i] = h[least]
@@ -194,8 +194,8 @@
 	}
 	h[i] = x
 	x.t.index = i
-	l.down(i)
+	l.siftDown(i)
 	if x.t.index == i {
-		l.up(i)
+		l.siftUp(i)
 	}
 }
--- a/internal/lab/event/event_test.go
+++ b/internal/lab/event/event_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// What happens comes by time, at one time in the order asked for, and what is taken
-// back never comes.
+// Events fire in order of time, at the same time in the order in which they were scheduled,
+// and a stopped timer never fires.
 func TestOrder(t *testing.T) {
 	type mark struct {
 		at time.Duration
@@ -30,13 +30,13 @@
 		}))
 		want = append(want, m)
 	}
-	gone := make(map[int]bool)
+	stopped := make(map[int]bool)
 	for range 2000 {
 		n := r.IntN(len(timers))
-		require.Equal(t, !gone[n], timers[n].Stop())
-		gone[n] = true
+		require.Equal(t, !stopped[n], timers[n].Stop())
+		stopped[n] = true
 	}
-	want = slices.DeleteFunc(want, func(m mark) bool { return gone[m.n] })
+	want = slices.DeleteFunc(want, func(m mark) bool { return stopped[m.n] })
 	slices.SortStableFunc(want, func(a, b mark) int { return cmp.Compare(a.at, b.at) })
 	require.NoError(t, l.Run(time.Second))
 	require.Equal(t, want, got)
@@ -44,8 +44,8 @@
 	require.Zero(t, l.Pending())
 }
 
-// A million events at one instant are no trouble; a loop that never leaves one is
-// stopped, and so is one that has no end.
+// A million events at one instant are allowed. A loop that never leaves an instant ends with
+// ErrStuck, and one whose events never end with ErrTooManyEvents.
 func TestBounds(t *testing.T) {
 	l := &Loop{}
 	n := 0
--- a/internal/lab/hookcost/hookcost.go
+++ b/internal/lab/hookcost/hookcost.go
@@ -1,6 +1,6 @@
-// Package hookcost measures what a hook costs: the time of one call that does
-// nothing, by engine and point, and the memory of an instance. It owns the
-// measurement. It must never quote a mean where there is a distribution.
+// Package hookcost measures the cost of a hook: the time of one call that does nothing, by
+// engine and point, and the memory of an instance. It reports quantiles, never the mean, of
+// call times.
 package hookcost
 
 import (
@@ -34,37 +34,37 @@
 `
 )
 
-// Row is one engine at one point.
+// Row holds the measurements of one engine at one point.
 type Row struct {
 	Engine, Point     string
 	Calls             int64
 	P50US, P99US      float64
-	MaxUS, KiBPerCall float64 // KiBCall: allocated by one call
+	MaxUS, KiBPerCall float64 // KiBPerCall: allocated by one call
 }
 
-// Load is what loading costs.
+// Load holds the cost of loading a hook.
 type Load struct {
 	Engine         string
-	LoadMS         float64 // compile and start so many instances
-	KiBPerInstance float64 // kept by one instance, or by the compiled script
-	PeakMiB        float64 // taken from the system while loading
+	LoadMS         float64 // to compile and start all instances
+	KiBPerInstance float64 // heap retained by one instance, or by the compiled script
+	PeakMiB        float64 // obtained from the system while loading
 	Instances      int
 	FreshInstances bool
 }
 
-// Table is a measurement.
+// Table holds all results of a measurement.
 type Table struct {
 	Machine    string
 	Rows       []Row
 	Loads      []Load
-	PipeP50    float64 // one exchange with a helper process over pipes, us
+	PipeP50    float64 // round trip to a helper process over pipes, us
 	PipeP99    float64
 	Recursions []Recursion
 }
 
 var points = []hookabi.Point{hookabi.Taken, hookabi.Admission, hookabi.Send, hookabi.Answered, hookabi.Answer, hookabi.Ended}
 
-// view is that of a query of eight parts.
+// view returns the view of a query with eight parts at a point.
 func view(p hookabi.Point) *hookabi.View {
 	v := &hookabi.View{Point: p, ID: "9b1f03aa5c7e2d41", Class: "free-slots", Text: "gov=amman;clinic=8;day=2027-02-01", Left: 1e6, Part: -1}
 	for i := range 8 {
@@ -80,28 +80,29 @@
 	return v
 }
 
-// Measure measures all engines. guest is a module that does nothing.
+// Measure measures all engines. guest is the file of a WebAssembly module that does nothing.
 func Measure(ctx context.Context, guest string, calls int) (*Table, error) {
 	module, err := os.ReadFile(guest)
 	if err != nil {
-		return nil, fmt.Errorf("%w (sdk/build.sh makes it)", err)
+		return nil, fmt.Errorf("cannot read the module (sdk/build.sh builds it): %w", err)
 	}
 	t := &Table{Machine: fmt.Sprintf("%s, %s/%s, %d processors", runtime.Version(), runtime.GOOS, runtime.GOARCH, runtime.NumCPU())}
-	if err := t.recursion(ctx); err != nil { // first: what the system gave stays given
+	if err := t.measureRecursion(ctx); err != nil { // runs first, because the runtime does not return memory to the system
 		return nil, err
 	}
 	for _, e := range []struct {
 		name, file string
 		text       []byte
 	}{{"starlark", "noop.star", []byte(script)}, {"wasm", "noop.wasm", module}, {"wasm-fresh", "noop.wasm", module}} {
-		if err := t.engine(ctx, e.name, e.file, e.text, calls); err != nil {
+		if err := t.measureEngine(ctx, e.name, e.file, e.text, calls); err != nil {
 			return nil, err
 		}
 	}
-	return t, t.pipe(calls)
+	return t, t.measurePipe(calls)
 }
 
-func heap() (kept, system uint64) {
+// heap returns the live heap and the memory obtained from the system, after a collection.
+func heap() (live, system uint64) {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -109,7 +110,7 @@
 	return m.HeapAlloc, m.Sys
 }
 
-func (t *Table) engine(ctx context.Context, name, file string, text []byte, calls int) error {
+func (t *Table) measureEngine(ctx context.Context, name, file string, text []byte, calls int) error {
 	n := instances
 	if name == "starlark" {
 		n = 1
@@ -153,9 +154,9 @@
 	return nil
 }
 
-// pipe measures what a helper process would cost at the least: a view there and
-// back over two pipes, with nothing done to it.
-func (t *Table) pipe(calls int) error {
+// measurePipe measures a lower bound of the cost of a helper process: a view is sent to it and
+// back over two pipes without any processing.
+func (t *Table) measurePipe(calls int) error {
 	cmd := exec.Command("cat")
 	in, err := cmd.StdinPipe()
 	if err != nil {
@@ -187,39 +188,39 @@
 	return cmd.Wait()
 }
 
-// Print writes the tables in Markdown, which aligned columns are too.
+// Print writes the tables as Markdown with aligned columns.
 func (t *Table) Print(w io.Writer) error {
 	fmt.Fprintf(w, "%s. A view of eight parts; a hook that does nothing.\n\n", t.Machine)
-	rows := [][]string{{"engine", "point", "calls", "p50 us", "p99 us", "max us", "KiB allocated a call"}}
+	rows := [][]string{{"engine", "point", "calls", "p50 us", "p99 us", "max us", "KiB allocated per call"}}
 	for _, r := range t.Rows {
 		rows = append(rows, []string{r.Engine, r.Point, fmt.Sprint(r.Calls), f(r.P50US), f(r.P99US), f(r.MaxUS), f(r.KiBPerCall)})
 	}
-	if err := grid(w, rows); err != nil {
+	if err := writeGrid(w, rows); err != nil {
 		return err
 	}
 	fmt.Fprintln(w)
-	rows = [][]string{{"engine", "load ms", "instances", "KiB of heap an instance", "MiB from the system while loading"}}
+	rows = [][]string{{"engine", "load ms", "instances", "KiB of heap per instance", "MiB from the system while loading"}}
 	for _, l := range t.Loads {
 		rows = append(rows, []string{l.Engine, f(l.LoadMS), fmt.Sprint(l.Instances), f(l.KiBPerInstance), f(l.PeakMiB)})
 	}
-	if err := grid(w, rows); err != nil {
+	if err := writeGrid(w, rows); err != nil {
 		return err
 	}
 	fmt.Fprintln(w)
-	rows = [][]string{{"a module that calls itself for ever", "at once", "MiB from the system", "all stopped after ms", "as"}}
+	rows = [][]string{{"module with endless recursion", "concurrent calls", "MiB from the system", "all stopped after ms", "fault"}}
 	for _, d := range t.Recursions {
 		rows = append(rows, []string{d.Frame, fmt.Sprint(d.Concurrent), f(d.MiB), f(d.StoppedMS), d.Fault})
 	}
-	if err := grid(w, rows); err != nil {
+	if err := writeGrid(w, rows); err != nil {
 		return err
 	}
-	_, err := fmt.Fprintf(w, "\nThe same view to another process and back over pipes, nothing done to it: p50 %s us, p99 %s us.\n", f(t.PipeP50), f(t.PipeP99))
+	_, err := fmt.Fprintf(w, "\nThe same view sent to another process and back over pipes, without processing: p50 %s us, p99 %s us.\n", f(t.PipeP50), f(t.PipeP99))
 	return err
 }
 
 func f(v float64) string { return fmt.Sprintf("%.1f", v) }
 
-func grid(w io.Writer, rows [][]string) error {
+func writeGrid(w io.Writer, rows [][]string) error {
 	t := tabwriter.NewWriter(w, 0, 0, 1, ' ', 0)
 	for i, r := range rows {
 		fmt.Fprintf(t, "| %s\t|\n", strings.Join(r, "\t| "))
--- a/internal/lab/hookcost/recursion.go
+++ b/internal/lab/hookcost/recursion.go
@@ -1,7 +1,7 @@
 package hookcost
 
-// This file measures what modules that call themselves for ever take from the
-// system until they are stopped: by the shape of their frames, several at once.
+// This file measures how much memory modules with endless recursion obtain from the system
+// until they are stopped, by the shape of their stack frames and with several calls at once.
 
 import (
 	"context"
@@ -16,18 +16,18 @@
 	"saddleport/internal/hook"
 )
 
-// Deep is a shape of recursion and what it took.
+// Recursion holds the measurements of one shape of stack frame.
 type Recursion struct {
 	Frame      string
 	Concurrent int
-	MiB        float64 // from the system, at the most
-	StoppedMS  float64 // the last of them
+	MiB        float64 // obtained from the system
+	StoppedMS  float64 // until the last call was stopped
 	Fault      string
 }
 
-// recursing is a module of one page whose hook_call keeps so many values alive over
-// a call of itself, and has so many locals.
-func recursing(locals, live int) []byte {
+// recursiveModule builds a WebAssembly module with one page of memory whose hook_call calls
+// itself. It has the given number of locals and of live vectors across that call.
+func recursiveModule(locals, live int) []byte {
 	section := func(id byte, body []byte) []byte {
 		return append(binary.AppendUvarint([]byte{id}, uint64(len(body))), body...)
 	}
@@ -43,12 +43,12 @@
 		return append(append([]byte{byte(len(name))}, name...), kind, index)
 	}
 	var code []byte
-	for i := range locals { // each has a value that is wanted after the call
+	for i := range locals { // each has a value that is used after the call
 		code = append(code, 0x23, 0, 0x21) // global.get 0, local.set
 		code = binary.AppendUvarint(code, uint64(3+i))
 	}
 	for range live {
-		code = append(code, 0x23, 0) // a vector each, 16 bytes for two of code
+		code = append(code, 0x23, 0) // pushes a vector of 16 bytes for 2 bytes of code
 	}
 	code = append(code, 0x20, 0, 0x20, 1, 0x20, 2, 0x10, 2) // call itself
 	if live > 0 {
@@ -90,23 +90,23 @@
 	return append(out, section(10, append(bodies, body(locals, code)...))...)
 }
 
-// recursion plays all shapes, the way a pool of workers could meet them.
-func (t *Table) recursion(ctx context.Context) error {
-	const atOnce = 4
+// measureRecursion runs all shapes with concurrent calls, as a pool of workers would.
+func (t *Table) measureRecursion(ctx context.Context) error {
+	const concurrent = 4
 	for _, s := range []struct {
 		frame        string
 		locals, live int
 	}{{"few values", 0, 0}, {"1,000 locals", 1000, 0}, {"20,000 locals", 20000, 0}, {"500 vectors alive", 0, 500}, {"10,000 vectors alive", 0, 10000}} {
-		p, err := app.Engines()["wasm"].Load(ctx, hook.Source{Hook: "deep", File: "deep.wasm", Text: recursing(s.locals, s.live), Points: points,
-			Memory: 8 << 20, Calls: atOnce})
+		p, err := app.Engines()["wasm"].Load(ctx, hook.Source{Hook: "deep", File: "deep.wasm", Text: recursiveModule(s.locals, s.live), Points: points,
+			Memory: 8 << 20, Calls: concurrent})
 		if err != nil {
 			return fmt.Errorf("%s: %w", s.frame, err)
 		}
 		_, before := heap()
 		start := time.Now()
-		faults := make([]error, atOnce)
+		faults := make([]error, concurrent)
 		var all sync.WaitGroup
-		for i := range atOnce {
+		for i := range concurrent {
 			all.Go(func() {
 				call, cancel := context.WithTimeout(ctx, 10*time.Second)
 				defer cancel()
@@ -117,11 +117,11 @@
 		took := time.Since(start)
 		var m runtime.MemStats
 		runtime.ReadMemStats(&m)
-		d := Recursion{Frame: s.frame, Concurrent: atOnce, MiB: float64(int64(m.Sys)-int64(before)) / (1 << 20), StoppedMS: float64(took.Microseconds()) / 1000}
+		d := Recursion{Frame: s.frame, Concurrent: concurrent, MiB: float64(int64(m.Sys)-int64(before)) / (1 << 20), StoppedMS: float64(took.Microseconds()) / 1000}
 		for _, err := range faults {
 			var f *hook.Fault
 			if !errors.As(err, &f) {
-				return fmt.Errorf("%s: was not stopped: %v", s.frame, err)
+				return fmt.Errorf("%s: the call was not stopped: %v", s.frame, err)
 			}
 			d.Fault = string(f.Kind)
 		}
--- a/internal/lab/leaf/leaf.go
+++ b/internal/lab/leaf/leaf.go
@@ -1,12 +1,12 @@
-// Package leaf is a stand-in leaf server that speaks the platform's frames on a
-// loopback address. It owns its model (cores, work, waiting room) and its faults,
-// and tells the judge of every part. It must never make the same value for two
-// parts, nor answer what it did not run.
+// Package leaf is a stand-in leaf server that speaks the platform's frames on a loopback
+// address. It models cores, work and a queue, injects faults, and reports every part to the
+// judge. It never makes the same value for two parts and never answers a part that it did
+// not run.
 //
-// The model: a part waits for one of Cores, first come first served, in a room of
-// Room parts, beyond which it is turned away. Its work is lognormal with the
-// median Median and the sigma Sigma of the logarithm; the draw depends on the seed
-// and the part alone, so two runs of a drill do the same work.
+// The model: a part waits for one of Cores, first come first served, in a queue of
+// QueueLimit parts, beyond which it is rejected. Its work is lognormal with the median
+// Median and the sigma Sigma of the logarithm; the sample depends only on the seed and the
+// part, so two runs of a drill do the same work.
 package leaf
 
 import (
@@ -24,22 +24,23 @@
 	"saddleport/internal/lab/judge"
 )
 
-const writeTime = 5 * time.Second
+const writeTimeout = 5 * time.Second
 
-// Keeper holds the keys that a server's cell holds. Without one a server holds all.
+// KeyOwner decides which keys a server's cell owns. A server without one owns all keys.
 type KeyOwner interface {
-	// Begin is asked as a part is about to run. held is false where the cell may not
-	// do it now, at the epoch it has heard of: the part never runs. finish makes the
-	// value; where it is not held any more by then, nothing was done.
-	Begin(server string, p frame.Part) (finish func() (value string, held bool), epoch int64, held bool)
+	// Begin is called before a part runs. owned is false if the cell may not run the part at
+	// the epoch that it knows: the part never runs. finish makes the value; its owned is
+	// false if the cell has lost the keys by then, and the part had no effect.
+	Begin(server string, p frame.Part) (finish func() (value string, owned bool), epoch int64, owned bool)
+	// Epoch returns the epoch that the cell knows.
 	Epoch() int64
-	// Lost is told of a part that had begun as its server died, and was not finished.
+	// Lost is called for a part that had begun but not finished when its server died.
 	Lost(p frame.Part)
-	// Claim does a part whether or not the cell holds it: a server that lies.
-	RunUnowned(server string, p frame.Part) (finish func() (value string, held bool))
+	// RunUnowned runs a part whether or not the cell owns its keys, for a faulty server.
+	RunUnowned(server string, p frame.Part) (finish func() (value string, owned bool))
 }
 
-// Model is how a server works.
+// Model configures how a server works.
 type Model struct {
 	Owner      KeyOwner
 	Cores      int
@@ -48,38 +49,38 @@
 	Sigma      float64
 	Seed       uint64
 
-	// A server that starts cold does Cold of what it can, and evenly more until all
-	// after Warm. Cold 0: it is warm at once.
+	// A server starts with SlowStartShare of its capacity, which grows linearly to all of it
+	// within SlowStartTime. SlowStartShare 0: full capacity from the start.
 	SlowStartShare float64
 	SlowStartTime  time.Duration
 }
 
-// Mode is how a server behaves.
+// Mode is the behaviour of a server.
 type Mode int
 
 // The modes.
 const (
 	Healthy         Mode = iota
-	Hang                 // takes parts and answers none
+	Hang                 // accepts parts and answers none
 	Fail                 // answers err at once; the part may have run
-	Busy                 // turns all away
-	IgnoreOwnership      // does what it does not hold, where it has a keeper
+	Busy                 // rejects all parts
+	IgnoreOwnership      // runs parts whose keys it does not own; needs a KeyOwner
 )
 
-// Server is one stand-in.
+// Server is one stand-in server.
 type Server struct {
 	Name, Addr string
 
-	model Model
-	j     *judge.Judge
-	ln    net.Listener
-	done  chan struct{}
-	born  time.Time
-	conns sync.WaitGroup
+	model     Model
+	judge     *judge.Judge
+	ln        net.Listener
+	done      chan struct{}
+	started   time.Time
+	connGroup sync.WaitGroup
 
 	mu      sync.Mutex
 	mode    Mode
-	open    map[net.Conn]bool
+	conns   map[net.Conn]bool
 	running map[*work]bool
 	waiting []*work
 	busy    int
@@ -90,20 +91,20 @@
 	c       *conn
 	part    frame.Part
 	attempt *judge.Attempt
-	gone    bool // given up, or its connection has ended
+	dropped bool // cancelled or rejected, or its connection has ended
 	finish  func() (string, bool)
 	timer   *time.Timer
 }
 
 type conn struct {
-	s  *Server
-	nc net.Conn
+	s    *Server
+	conn net.Conn
 
-	mu   sync.Mutex // over writes
+	mu   sync.Mutex // serializes writes
 	work map[string]*work
 }
 
-// Listen starts a server; an empty addr takes any port.
+// Listen starts a server; with an empty addr on any free port of 127.0.0.1.
 func Listen(name, addr string, m Model, j *judge.Judge) (*Server, error) {
 	if addr == "" {
 		addr = "127.0.0.1:0"
@@ -112,20 +113,20 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Server{Name: name, Addr: ln.Addr().String(), model: m, j: j, ln: ln, done: make(chan struct{}), born: time.Now(), open: make(map[net.Conn]bool), running: make(map[*work]bool)}
-	s.conns.Add(1)
+	s := &Server{Name: name, Addr: ln.Addr().String(), model: m, judge: j, ln: ln, done: make(chan struct{}), started: time.Now(), conns: make(map[net.Conn]bool), running: make(map[*work]bool)}
+	s.connGroup.Add(1)
 	go s.serve()
 	return s, nil
 }
 
-// Set changes how the server behaves from now on. What runs is finished.
+// Set changes the mode. Parts that already run are finished.
 func (s *Server) Set(m Mode) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.mode = m
 }
 
-// Close ends the server as a process that dies: connections are reset.
+// Close stops the server as a crash of its process does: connections are reset.
 func (s *Server) Close() {
 	s.mu.Lock()
 	select {
@@ -136,17 +137,17 @@
 	}
 	close(s.done)
 	s.ln.Close()
-	for nc := range s.open {
+	for nc := range s.conns {
 		if tcp, ok := nc.(*net.TCPConn); ok {
 			tcp.SetLinger(0)
 		}
 		nc.Close()
 	}
 	s.mu.Unlock()
-	s.conns.Wait()
+	s.connGroup.Wait()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for w := range s.running { // what a process was doing dies with it
+	for w := range s.running { // a crash ends the running parts
 		if w.timer.Stop() && w.finish != nil {
 			s.model.Owner.Lost(w.part)
 		}
@@ -155,7 +156,7 @@
 }
 
 func (s *Server) serve() {
-	defer s.conns.Done()
+	defer s.connGroup.Done()
 	for {
 		nc, err := s.ln.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -173,39 +174,39 @@
 			return
 		default:
 		}
-		s.open[nc] = true
-		s.conns.Add(1)
+		s.conns[nc] = true
+		s.connGroup.Add(1)
 		s.mu.Unlock()
-		c := &conn{s: s, nc: nc, work: make(map[string]*work)}
+		c := &conn{s: s, conn: nc, work: make(map[string]*work)}
 		go func() {
-			defer s.conns.Done()
+			defer s.connGroup.Done()
 			c.read()
-			s.ended(c)
+			s.connEnded(c)
 		}()
 	}
 }
 
-// ended gives up what a connection that has ended left behind.
-func (s *Server) ended(c *conn) {
-	c.nc.Close()
+// connEnded drops the parts of a connection that has ended.
+func (s *Server) connEnded(c *conn) {
+	c.conn.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.open, c.nc)
+	delete(s.conns, c.conn)
 	for _, w := range c.work {
-		w.gone = true
+		w.dropped = true
 		w.attempt.Over(time.Now(), "")
 	}
 	c.work = nil
 }
 
 func (c *conn) read() {
-	r := bufio.NewReader(c.nc)
+	r := bufio.NewReader(c.conn)
 	for {
-		letter, rest, err := frame.Read(r)
+		frameType, rest, err := frame.Read(r)
 		if err != nil {
 			return
 		}
-		switch letter {
+		switch frameType {
 		case 'Q':
 			parts, err := frame.ParseParts(rest)
 			if err != nil {
@@ -213,10 +214,10 @@
 				return
 			}
 			for _, p := range parts {
-				c.s.take(c, p)
+				c.s.submit(c, p)
 			}
 		case 'X':
-			c.s.giveUp(c, string(rest))
+			c.s.cancel(c, string(rest))
 		case 'P':
 			c.write('P', []byte("ok"))
 		case 'L':
@@ -228,11 +229,11 @@
 	}
 }
 
-func (c *conn) write(letter byte, rest []byte) {
+func (c *conn) write(frameType byte, rest []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.nc.SetWriteDeadline(time.Now().Add(writeTime))
-	c.nc.Write(frame.Append(nil, letter, rest))
+	c.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
+	c.conn.Write(frame.Append(nil, frameType, rest))
 }
 
 func (s *Server) report() string {
@@ -241,25 +242,25 @@
 	return fmt.Sprintf("inflight=%d", s.busy+len(s.waiting))
 }
 
-// take takes a part: it runs, waits, or is turned away.
-func (s *Server) take(c *conn, p frame.Part) {
+// submit runs a part, queues it or rejects it.
+func (s *Server) submit(c *conn, p frame.Part) {
 	now := time.Now()
-	w := &work{c: c, part: p, attempt: s.j.Arrived(p.ID, s.Name, now)}
+	w := &work{c: c, part: p, attempt: s.judge.Arrived(p.ID, s.Name, now)}
 	s.mu.Lock()
-	if c.work == nil { // the connection has ended meanwhile
+	if c.work == nil { // the connection has ended in the meantime
 		s.mu.Unlock()
 		w.attempt.Over(now, "")
 		return
 	}
-	end := ""
+	status := ""
 	switch {
 	case c.work[p.ID] != nil:
-		end = "err"
+		status = "err"
 	case s.mode == Busy || (s.mode == Healthy || s.mode == IgnoreOwnership) && s.busy >= s.model.Cores && len(s.waiting) >= s.model.QueueLimit:
-		end = "busy"
+		status = "busy"
 	case s.mode == Fail:
 		w.attempt.Ran()
-		end = "err"
+		status = "err"
 	default:
 		c.work[p.ID] = w
 		if s.mode == Hang {
@@ -271,32 +272,32 @@
 		s.start()
 	}
 	s.mu.Unlock()
-	if end != "" {
+	if status != "" {
 		w.attempt.Over(now, "")
-		c.write('A', frame.AppendAnswer(nil, frame.Answer{ID: p.ID, Status: end, LoadReport: "-"}))
+		c.write('A', frame.AppendAnswer(nil, frame.Answer{ID: p.ID, Status: status, LoadReport: "-"}))
 	}
 }
 
-// start runs what waits while cores are free. Under mu.
+// start runs queued parts while cores are free. The caller holds s.mu.
 func (s *Server) start() {
 	select {
-	case <-s.done: // it is dead
+	case <-s.done: // the server is closed
 		return
 	default:
 	}
 	for s.busy < s.model.Cores && len(s.waiting) > 0 {
 		w := s.waiting[0]
 		s.waiting = s.waiting[1:]
-		if w.gone {
+		if w.dropped {
 			continue
 		}
-		if k := s.model.Owner; k != nil {
-			finish, epoch, held := k.Begin(s.Name, w.part)
-			if !held && s.mode == IgnoreOwnership {
-				finish, held = k.RunUnowned(s.Name, w.part), true
+		if owner := s.model.Owner; owner != nil {
+			finish, epoch, owned := owner.Begin(s.Name, w.part)
+			if !owned && s.mode == IgnoreOwnership {
+				finish, owned = owner.RunUnowned(s.Name, w.part), true
 			}
-			if !held {
-				s.away(w, epoch)
+			if !owned {
+				s.rejectNotOwned(w, epoch)
 				continue
 			}
 			w.finish = finish
@@ -304,71 +305,74 @@
 		s.busy++
 		w.attempt.Ran()
 		s.running[w] = true
-		w.timer = time.AfterFunc(s.span(w.part.ID), func() { s.finish(w) })
+		w.timer = time.AfterFunc(s.workTime(w.part.ID), func() { s.finish(w) })
 	}
 }
 
-// span draws a part's work.
-func (s *Server) span(id string) time.Duration {
+// workTime returns the time that a part takes, sampled by its id.
+func (s *Server) workTime(id string) time.Duration {
 	h := fnv.New64a()
 	h.Write([]byte(id))
 	r := rand.New(rand.NewPCG(s.model.Seed, h.Sum64()))
-	span := float64(s.model.Median) * math.Exp(s.model.Sigma*r.NormFloat64())
-	if m := s.model; m.SlowStartShare > 0 && time.Since(s.born) < m.SlowStartTime {
-		span /= m.SlowStartShare + (1-m.SlowStartShare)*float64(time.Since(s.born))/float64(m.SlowStartTime)
+	duration := float64(s.model.Median) * math.Exp(s.model.Sigma*r.NormFloat64())
+	if m := s.model; m.SlowStartShare > 0 && time.Since(s.started) < m.SlowStartTime {
+		duration /= m.SlowStartShare + (1-m.SlowStartShare)*float64(time.Since(s.started))/float64(m.SlowStartTime)
 	}
-	return time.Duration(span)
+	return time.Duration(duration)
 }
 
-// away turns a part away that is not held here. Under mu.
-func (s *Server) away(w *work, epoch int64) {
-	w.gone = true
+// rejectNotOwned rejects a part whose keys the cell does not own, with the epoch of the
+// cell. The caller holds s.mu.
+func (s *Server) rejectNotOwned(w *work, epoch int64) {
+	w.dropped = true
 	delete(w.c.work, w.part.ID)
 	w.attempt.Over(time.Now(), "")
 	go w.c.write('A', frame.AppendAnswer(nil, frame.Answer{ID: w.part.ID, Status: "busy", LoadReport: fmt.Sprintf("moved=%d", epoch)}))
 }
 
 func (s *Server) finish(w *work) {
-	value, held := Value(s.Name, w.part), true
+	value, owned := Value(s.Name, w.part), true
 	if w.finish != nil {
-		value, held = w.finish()
+		value, owned = w.finish()
 	}
 	s.mu.Lock()
 	delete(s.running, w)
-	if !held && !w.gone {
+	if !owned && !w.dropped {
 		s.busy--
 		w.attempt.NeverRan()
-		s.away(w, s.model.Owner.Epoch())
+		s.rejectNotOwned(w, s.model.Owner.Epoch())
 		s.start()
 		s.mu.Unlock()
 		return
 	}
 	s.busy--
 	s.start()
-	gone := w.gone
-	if !gone {
+	dropped := w.dropped
+	if !dropped {
 		delete(w.c.work, w.part.ID)
 	}
 	s.mu.Unlock()
-	if gone {
+	if dropped {
 		return
 	}
 	w.attempt.Over(time.Now(), value)
 	w.c.write('A', frame.AppendAnswer(nil, frame.Answer{ID: w.part.ID, Status: "ok", Score: 1, LoadReport: s.report(), Value: []byte(value)}))
 }
 
-// giveUp drops a part that the mixer has given up; one that runs goes on, unheard.
-func (s *Server) giveUp(c *conn, id string) {
+// cancel drops a part that the proxy has cancelled; one that already runs is finished, but its
+// answer is not sent.
+func (s *Server) cancel(c *conn, id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if w := c.work[id]; w != nil {
-		w.gone = true
+		w.dropped = true
 		delete(c.work, id)
 		w.attempt.Over(time.Now(), "")
 	}
 }
 
-// Value is what a server makes for a part: it names both, and the text.
+// Value returns the value that a server makes for a part. It depends on the server, the part
+// and its text.
 func Value(server string, p frame.Part) string {
 	h := fnv.New64a()
 	fmt.Fprintf(h, "%s %s %d %s", server, p.ID, p.Shard, p.Text)
--- a/internal/lab/loglog/loglog.go
+++ b/internal/lab/loglog/loglog.go
@@ -1,5 +1,5 @@
-// Package loglog draws how something grows with size: microseconds on two logarithmic
-// axes. It owns the form of such a chart. It must never draw a value that was not measured.
+// Package loglog draws charts of microseconds over a size, with two logarithmic axes. It draws
+// only values that it is given.
 package loglog
 
 import (
@@ -9,16 +9,16 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// least is what a value of nothing is drawn at: a logarithm has no 0.
-const least = 0.01
+// minValue replaces smaller values, because 0 has no logarithm.
+const minValue = 0.01
 
-// Line is one line: microseconds by size.
+// Line is one line of the chart: microseconds by size.
 type Line struct {
 	Name   string
 	Values []float64
 }
 
-// Save draws lines over sizes into a file (.png or .svg).
+// Save draws lines over sizes to a file (.png or .svg). what labels the sizes.
 func Save(file, title, what string, sizes []int, lines ...Line) error {
 	p := plot.New()
 	p.Title.Text = title
@@ -31,7 +31,7 @@
 	for _, l := range lines {
 		xy := make(plotter.XYs, len(sizes))
 		for i, n := range sizes {
-			xy[i] = plotter.XY{X: float64(n), Y: max(l.Values[i], least)}
+			xy[i] = plotter.XY{X: float64(n), Y: max(l.Values[i], minValue)}
 		}
 		all = append(all, l.Name, xy)
 	}
--- a/internal/lab/mapcost/mapcost.go
+++ b/internal/lab/mapcost/mapcost.go
@@ -1,5 +1,5 @@
-// Package mapcost measures the map of segments: look-ups, changes, whole maps and
-// memory, by how many segments there are. It owns the measurement and its chart.
+// Package mapcost measures the map of segments by the number of segments: look-ups, single
+// changes, full maps and memory. It draws a chart of the results.
 package mapcost
 
 import (
@@ -17,13 +17,13 @@
 )
 
 const (
-	cells   = 2500 // of two servers each
+	cells   = 2500 // with two servers each
 	lookups = 200000
 	changes = 200
-	rounds  = 5 // the median of so many is told
+	rounds  = 5 // of which the median is reported
 )
 
-// Row is one size.
+// Row holds the measurements at one size.
 type Row struct {
 	Segments                   int
 	LookupNS, LookupsPerSecond float64
@@ -31,19 +31,19 @@
 	BytesPerSegment            float64
 }
 
-// Table is a measurement.
+// Table holds the results at all sizes.
 type Table struct {
 	Machine string
 	Rows    []Row
 }
 
-// update makes a whole map of n segments over 5,000 servers.
+// update returns a full map of n segments over 5,000 servers.
 func update(n int) *placement.Update {
 	u := &placement.Update{Epoch: 1}
 	for c := range cells {
 		u.Cells = append(u.Cells, placement.Cell{ID: c, Servers: []string{fmt.Sprintf("s-%d-0", c), fmt.Sprintf("s-%d-1", c)}})
 	}
-	border := func(i int) string {
+	boundary := func(i int) string {
 		if i == 0 || i == n {
 			return ""
 		}
@@ -51,14 +51,14 @@
 	}
 	for i := range n {
 		u.Segments = append(u.Segments, placement.Segment{ID: uint32(i + 1), Cell: i % cells,
-			Range: placement.Range{From: border(i), To: border(i + 1)}})
+			Range: placement.Range{From: boundary(i), To: boundary(i + 1)}})
 	}
 	return u
 }
 
-func median(of []float64) float64 {
-	slices.Sort(of)
-	return of[len(of)/2]
+func median(values []float64) float64 {
+	slices.Sort(values)
+	return values[len(values)/2]
 }
 
 func heap() int64 {
@@ -69,7 +69,7 @@
 	return int64(m.HeapAlloc)
 }
 
-// Measure measures maps of these sizes.
+// Measure measures maps of the given sizes, in segments.
 func Measure(sizes []int, progress io.Writer) (*Table, error) {
 	t := &Table{Machine: fmt.Sprintf("%s, %s/%s, %d processors", runtime.Version(), runtime.GOOS, runtime.GOARCH, runtime.NumCPU())}
 	for _, n := range sizes {
@@ -81,21 +81,21 @@
 		if err != nil {
 			return nil, err
 		}
-		row.BytesPerSegment = float64(heap()-before) / float64(n) // the texts of the keys are the update's, and kept by it
+		row.BytesPerSegment = float64(heap()-before) / float64(n) // excludes the text of the keys, which the update owns
 		keys := make([]string, 8192)
 		r := rand.New(rand.NewPCG(1, 2))
 		for i := range keys {
 			keys[i] = u.Segments[r.IntN(n)].From + "x"
 		}
-		var look, change, whole []float64
+		var lookup, change, full []float64
 		for range rounds {
 			start := time.Now()
 			for i := range lookups {
 				if _, ok := m.Lookup(keys[i%len(keys)]); !ok {
-					return nil, fmt.Errorf("%q was not found", keys[i%len(keys)])
+					return nil, fmt.Errorf("no segment found for key %q", keys[i%len(keys)])
 				}
 			}
-			look = append(look, float64(time.Since(start).Nanoseconds())/lookups)
+			lookup = append(lookup, float64(time.Since(start).Nanoseconds())/lookups)
 			x := m
 			start = time.Now()
 			for i := range changes {
@@ -110,9 +110,9 @@
 			if _, err := (*placement.Map)(nil).Apply(u); err != nil {
 				return nil, err
 			}
-			whole = append(whole, float64(time.Since(start).Microseconds())/1000)
+			full = append(full, float64(time.Since(start).Microseconds())/1000)
 		}
-		row.LookupNS, row.ChangeUS, row.FullMS = median(look), median(change), median(whole)
+		row.LookupNS, row.ChangeUS, row.FullMS = median(lookup), median(change), median(full)
 		row.LookupsPerSecond = 1e9 / row.LookupNS
 		runtime.KeepAlive(m)
 		runtime.KeepAlive(u)
@@ -121,11 +121,11 @@
 	return t, nil
 }
 
-// Print writes the table in Markdown.
+// Print writes the table as Markdown.
 func (t *Table) Print(w io.Writer) error {
 	fmt.Fprintf(w, "%s; 5,000 servers in %d cells; medians of %d rounds.\n\n", t.Machine, cells, rounds)
 	g := tabwriter.NewWriter(w, 0, 0, 1, ' ', 0)
-	head := []string{"segments", "look-up ns", "look-ups a second", "one change us", "whole map ms", "bytes a segment"}
+	head := []string{"segments", "look-up ns", "look-ups per second", "one change us", "full map ms", "bytes per segment"}
 	fmt.Fprintf(g, "| %s\t|\n|%s\n", strings.Join(head, "\t| "), strings.Repeat(" ---\t|", len(head)))
 	for _, r := range t.Rows {
 		fmt.Fprintf(g, "| %d\t| %.0f\t| %.0f\t| %.0f\t| %.1f\t| %.0f\t|\n", r.Segments, r.LookupNS, r.LookupsPerSecond, r.ChangeUS, r.FullMS, r.BytesPerSegment)
@@ -133,10 +133,10 @@
 	return g.Flush()
 }
 
-// Chart draws how look-ups, changes and whole maps grow, on two logarithmic axes.
+// Chart draws the times of look-ups, changes and full maps by size, on two logarithmic axes.
 func (t *Table) Chart(file string) error {
 	var sizes []int
-	lines := []loglog.Line{{Name: "a look-up"}, {Name: "one change"}, {Name: "a whole map"}}
+	lines := []loglog.Line{{Name: "a look-up"}, {Name: "one change"}, {Name: "a full map"}}
 	for _, r := range t.Rows {
 		sizes = append(sizes, r.Segments)
 		for i, v := range []float64{r.LookupNS / 1000, r.ChangeUS, r.FullMS * 1000} {
--- a/internal/lab/membercost/membercost.go
+++ b/internal/lab/membercost/membercost.go
@@ -1,6 +1,6 @@
-// Package membercost measures the merge of sources: a change, a whole answer, flaps and
-// memory, by how many servers there are. It owns the measurement and its chart. It must
-// never measure a merge that does less than the one in service.
+// Package membercost measures the merge of sources by the number of servers: a change, a full
+// answer, flapping and memory. It draws a chart of the results. The measured merge does all
+// that the merge in production does.
 package membercost
 
 import (
@@ -20,26 +20,26 @@
 )
 
 const (
-	changes  = 20000
-	wholes   = 30
-	periods  = 24 // of flapping, 5 s each
-	flapping = 0.1
+	changes     = 20000
+	fullAnswers = 30
+	periods     = 24  // periods of flapping, 5 s each
+	flapping    = 0.1 // share of the servers
 )
 
-// Row is one size.
+// Row holds the measurements at one size.
 type Row struct {
 	Servers                  int
-	ChangeP50us              float64 // an answer that changes one server, and its step
+	ChangeP50us              float64 // an answer that changes one server, and the step after it
 	ChangeP99us              float64
-	FullSameMS               float64 // a whole answer with nothing new
-	FullChangedMS            float64 // one in which a tenth has changed
-	FlapMSEach5s             float64 // a tenth gone and back, one by one, in 5 s: all that it takes of a core
-	FlapListed               float64 // mean share of the fleet that stays usable meanwhile
+	FullSameMS               float64 // a full answer without a change
+	FullChangedMS            float64 // a full answer in which a tenth of the servers has changed
+	FlapMSEach5s             float64 // a tenth removed and added again, one by one, in 5 s: total processor time
+	FlapListed               float64 // mean share of the servers that are usable meanwhile
 	Damped                   int64
 	TotalKiB, BytesPerServer float64
 }
 
-// Table is a measurement.
+// Table holds the results at all sizes.
 type Table struct {
 	Machine string
 	Rows    []Row
@@ -60,7 +60,7 @@
 		Cell: i / 3, HasCell: true, Health: membership.Passing, Weight: 1}
 }
 
-// Measure measures fleets of these sizes, with three sources that all name all servers.
+// Measure measures the given numbers of servers, with three sources that all list all servers.
 func Measure(sizes []int, progress io.Writer) (*Table, error) {
 	t := &Table{Machine: fmt.Sprintf("%s, %s/%s, %d processors", runtime.Version(), runtime.GOOS, runtime.GOARCH, runtime.NumCPU())}
 	for _, n := range sizes {
@@ -88,22 +88,22 @@
 		return nil, err
 	}
 	now, index := int64(1_000_000), int64(0)
-	see := func(o membership.Observation) error {
+	observe := func(o membership.Observation) error {
 		index++
 		o.Index = index
 		return m.Observe(now, o)
 	}
 	for _, s := range sources {
-		if err := see(membership.Observation{Source: s, Complete: true, Claims: all}); err != nil {
+		if err := observe(membership.Observation{Source: s, Complete: true, Claims: all}); err != nil {
 			return nil, err
 		}
 		m.Step(now)
 	}
 	row.TotalKiB = float64(heap()-before) / 1024
 	row.BytesPerServer = row.TotalKiB * 1024 / float64(n)
-	beat := func() error { // the sources are heard
+	refresh := func() error { // each source answers without a change
 		for _, s := range sources {
-			if err := see(membership.Observation{Source: s}); err != nil {
+			if err := observe(membership.Observation{Source: s}); err != nil {
 				return err
 			}
 		}
@@ -114,14 +114,14 @@
 	h := hdrhistogram.New(1, int64(time.Minute), 3)
 	for i := range changes {
 		if now += 1000; i%5000 == 0 {
-			if err := beat(); err != nil {
+			if err := refresh(); err != nil {
 				return nil, err
 			}
 		}
 		c := all[i%n]
 		c.Drain = i/n%2 == 0
 		start := time.Now()
-		if err := see(membership.Observation{Source: "consul", Claims: []membership.Claim{c}}); err != nil {
+		if err := observe(membership.Observation{Source: "consul", Claims: []membership.Claim{c}}); err != nil {
 			return nil, err
 		}
 		m.Step(now)
@@ -129,44 +129,44 @@
 	}
 	row.ChangeP50us, row.ChangeP99us = float64(h.ValueAtQuantile(50))/1000, float64(h.ValueAtQuantile(99))/1000
 
-	whole := func(claims []membership.Claim) (float64, error) {
+	fullAnswer := func(claims []membership.Claim) (float64, error) {
 		start := time.Now()
-		for range wholes {
+		for range fullAnswers {
 			now += 100_000
-			if err := see(membership.Observation{Source: "consul", Complete: true, Claims: claims}); err != nil {
+			if err := observe(membership.Observation{Source: "consul", Complete: true, Claims: claims}); err != nil {
 				return 0, err
 			}
 			m.Step(now)
 		}
-		return float64(time.Since(start).Microseconds()) / 1000 / wholes, nil
+		return float64(time.Since(start).Microseconds()) / 1000 / fullAnswers, nil
 	}
-	if _, err := whole(all); err != nil { // the drains of before are lifted
+	if _, err := fullAnswer(all); err != nil { // ends the drains of the previous measurement
 		return nil, err
 	}
-	if row.FullSameMS, err = whole(all); err != nil {
+	if row.FullSameMS, err = fullAnswer(all); err != nil {
 		return nil, err
 	}
 	other := append([]membership.Claim(nil), all...)
-	var span time.Duration
-	for k := range wholes {
+	var duration time.Duration
+	for k := range fullAnswers {
 		for i := 0; i < n; i += 10 {
 			other[i].Weight = float64(k + 2)
 		}
 		now += 100_000
 		start := time.Now()
-		if err := see(membership.Observation{Source: "consul", Complete: true, Claims: other}); err != nil {
+		if err := observe(membership.Observation{Source: "consul", Complete: true, Claims: other}); err != nil {
 			return nil, err
 		}
 		m.Step(now)
-		span += time.Since(start)
+		duration += time.Since(start)
 	}
-	row.FullChangedMS = float64(span.Microseconds()) / 1000 / wholes
+	row.FullChangedMS = float64(duration.Microseconds()) / 1000 / fullAnswers
 
-	// A tenth of the fleet goes and comes back in the first-ranked source, one by one,
-	// every 5 s; the timer that a service has runs too.
+	// A tenth of the servers is removed from the first-ranked source and added again, one by
+	// one, every 5 s; the timer of the merge runs as it does in production.
 	k := int(float64(n) * flapping)
-	span = 0
-	listed, looks := 0.0, 0
+	duration = 0
+	listed, samples := 0.0, 0
 	for range periods {
 		for half := range 2 {
 			for i := range k {
@@ -179,37 +179,37 @@
 				if half == 1 {
 					o = membership.Observation{Source: "list", Claims: all[i : i+1]}
 				}
-				if err := see(o); err != nil {
+				if err := observe(o); err != nil {
 					return nil, err
 				}
 				m.Step(now)
-				span += time.Since(start)
+				duration += time.Since(start)
 			}
-			if err := beat(); err != nil {
+			if err := refresh(); err != nil {
 				return nil, err
 			}
-			up := 0
+			usable := 0
 			for _, x := range m.All() {
 				if x.State == membership.Ready {
-					up++
+					usable++
 				}
 			}
-			listed += float64(up) / float64(n)
-			looks++
+			listed += float64(usable) / float64(n)
+			samples++
 		}
 	}
-	row.FlapMSEach5s = float64(span.Microseconds()) / 1000 / periods
-	row.FlapListed = listed / float64(looks)
+	row.FlapMSEach5s = float64(duration.Microseconds()) / 1000 / periods
+	row.FlapListed = listed / float64(samples)
 	row.Damped = m.Damped
 	runtime.KeepAlive(m)
 	return row, nil
 }
 
-// Print writes the table in Markdown.
+// Print writes the table as Markdown.
 func (t *Table) Print(w io.Writer) error {
-	fmt.Fprintf(w, "%s; three sources that name all servers.\n\n", t.Machine)
+	fmt.Fprintf(w, "%s; three sources that list all servers.\n\n", t.Machine)
 	g := tabwriter.NewWriter(w, 0, 0, 1, ' ', 0)
-	head := []string{"servers", "one change p50 us", "p99 us", "whole answer, nothing new ms", "a tenth new ms", "a tenth flaps: ms of a core in 5 s", "usable meanwhile", "returns held back", "KiB", "bytes a server"}
+	head := []string{"servers", "one change p50 us", "p99 us", "full answer, no change ms", "a tenth changed ms", "a tenth flaps: ms of a core in 5 s", "usable meanwhile", "returns suppressed", "KiB", "bytes per server"}
 	fmt.Fprintf(g, "| %s\t|\n|%s\n", strings.Join(head, "\t| "), strings.Repeat(" ---\t|", len(head)))
 	for _, r := range t.Rows {
 		fmt.Fprintf(g, "| %d\t| %.1f\t| %.1f\t| %.2f\t| %.2f\t| %.1f\t| %.3f\t| %d\t| %.0f\t| %.0f\t|\n", r.Servers, r.ChangeP50us, r.ChangeP99us, r.FullSameMS, r.FullChangedMS,
@@ -218,10 +218,10 @@
 	return g.Flush()
 }
 
-// Chart draws how it grows, on two logarithmic axes.
+// Chart draws the times by size, on two logarithmic axes.
 func (t *Table) Chart(file string) error {
 	var sizes []int
-	lines := []loglog.Line{{Name: "one change, p50"}, {Name: "one change, p99"}, {Name: "a whole answer, nothing new"}, {Name: "a whole answer, a tenth new"}, {Name: "a tenth flaps, in 5 s"}}
+	lines := []loglog.Line{{Name: "one change, p50"}, {Name: "one change, p99"}, {Name: "a full answer, no change"}, {Name: "a full answer, a tenth changed"}, {Name: "a tenth flaps, in 5 s"}}
 	for _, r := range t.Rows {
 		sizes = append(sizes, r.Servers)
 		for i, v := range []float64{r.ChangeP50us, r.ChangeP99us, r.FullSameMS * 1000, r.FullChangedMS * 1000, r.FlapMSEach5s * 1000} {
--- a/internal/lab/observed/observed.go
+++ b/internal/lab/observed/observed.go
@@ -1,5 +1,5 @@
-// Package observed is a sink for what sources of leaf servers tell, for the tests of
-// sources. It must never keep what a test has already looked past.
+// Package observed provides a sink for the observations of sources of leaf servers, for the
+// tests of sources. It drops observations that a test has already passed.
 package observed
 
 import (
@@ -13,10 +13,11 @@
 	"saddleport/internal/core/membership"
 )
 
-// patience is how long a test waits: no verdict hangs on a pace.
-const patience = 20 * time.Second
+// waitTimeout limits how long a test waits. It is long, so that no result depends on the speed
+// of the machine.
+const waitTimeout = 20 * time.Second
 
-// Sink gathers observations. Its zero value is ready.
+// Sink collects observations. Its zero value is ready to use.
 type Sink struct {
 	mu  sync.Mutex
 	all []membership.Observation
@@ -29,10 +30,11 @@
 	s.all = append(s.all, o)
 }
 
-// Until waits for an observation that is as wanted; what came before it is dropped.
+// WaitFor waits for an observation that want accepts and returns it; it drops all earlier ones.
+// It fails the test after 20 s.
 func (s *Sink) WaitFor(t testing.TB, what string, want func(o membership.Observation) bool) membership.Observation {
 	t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
 		s.mu.Lock()
 		if i := slices.IndexFunc(s.all, want); i >= 0 {
 			o := s.all[i]
@@ -42,11 +44,12 @@
 		}
 		s.mu.Unlock()
 	}
-	t.Fatalf("never heard: %s", what)
+	t.Fatalf("no such observation: %s", what)
 	return membership.Observation{}
 }
 
-// Never fails the test if something was observed since the last that was waited for.
+// RequireNone fails the test if an observation after the last one that WaitFor returned matches
+// bad.
 func (s *Sink) RequireNone(t testing.TB, what string, bad func(o membership.Observation) bool) {
 	t.Helper()
 	s.mu.Lock()
@@ -54,7 +57,7 @@
 	require.False(t, slices.ContainsFunc(s.all, bad), what)
 }
 
-// Named is the claim on a server; nil: there is none.
+// ClaimOn returns the claim on a server, or nil if there is none.
 func ClaimOn(o membership.Observation, name string) *membership.Claim {
 	if i := slices.IndexFunc(o.Claims, func(c membership.Claim) bool { return c.Name == name }); i >= 0 {
 		return &o.Claims[i]
