--- a/internal/lab/bench/scale.go
+++ b/internal/lab/bench/scale.go
@@ -182,7 +182,7 @@
 	}
 	real.Dashes = []vg.Length{vg.Points(4), vg.Points(3)}
 	p.Add(plotter.NewGrid(), dots, names, real)
-	p.Legend.Add("servers/proxies", dots)
+	p.Legend.Add("servers/mixers", dots)
 	p.Legend.Add("as fast as real time", real)
 	p.Legend.Top, p.Legend.Left = true, true
 	return p.Save(16*vg.Centimeter, 9*vg.Centimeter, file)
--- a/internal/lab/play/play.go
+++ b/internal/lab/play/play.go
@@ -1,5 +1,5 @@
-// Package play plays a scenario's plan on either drive. It owns the choice of drive
-// and policy by their names and nothing else.
+// Package play runs a scenario's plan on the virtual or the real drive. It only selects the
+// drive and the policy by name.
 package play
 
 import (
@@ -22,32 +22,32 @@
 const (
 	Virtual = "virtual"
 	Real    = "real"
-	Proxy   = "mixer"  // the module that serves
-	Oracle  = "oracle" // one that sees every server's true state
-	Random  = "random" // any replica that the list names
+	Proxy   = "mixer"  // the decisions of the proxy program
+	Oracle  = "oracle" // selects by the true state of every server
+	Random  = "random" // selects any replica of the list
 )
 
-// Options are how a plan is played.
+// Options configure how a plan is run.
 type Options struct {
 	Drive    string // empty: Virtual
-	Policy   string // empty: Mixer; the real drive has no other
+	Policy   string // empty: Proxy, the only policy of the real drive
 	Program  string
 	Logs     string
 	Operator string
 	KeepRows bool
 	Progress func(share float64, remark string)
 	Trace    func(at time.Duration, query, text string)
-	Digest   *DecisionDigest // virtual drive: folds what was decided; nil: not
+	Digest   *DecisionDigest // virtual drive: gets a digest of the decisions; nil: none
 }
 
-// Decided folds every event that any mixer's decisions got and every action that
-// came of it: two builds with the same digest on a run decided the same throughout.
+// DecisionDigest is a digest of all events that the proxies' deciders received and of all
+// actions that they returned. Two builds with the same digest of a run made the same decisions.
 type DecisionDigest struct {
 	Steps, Events, Actions int64
 	sum                    hash.Hash
 }
 
-// Digest is of all that was decided so far.
+// Digest returns the digest of the decisions so far, or "-" before the run.
 func (d *DecisionDigest) Digest() string {
 	if d.sum == nil {
 		return "-"
@@ -55,17 +55,17 @@
 	return fmt.Sprintf("%x", d.sum.Sum(nil))[:32]
 }
 
-// folded is what decides, with its words folded.
-type folded struct {
+// digestingDecider adds the events and actions of a decider to a digest.
+type digestingDecider struct {
 	exchange.Decider
-	mixer int
+	proxy int
 	d     *DecisionDigest
 }
 
-func (f folded) Step(now choice.Micros, events []choice.Event) []choice.Action {
+func (f digestingDecider) Step(now choice.Micros, events []choice.Event) []choice.Action {
 	out := f.Decider.Step(now, events)
 	f.d.Steps, f.d.Events, f.d.Actions = f.d.Steps+1, f.d.Events+int64(len(events)), f.d.Actions+int64(len(out))
-	fmt.Fprintf(f.d.sum, "%d %d", f.mixer, now)
+	fmt.Fprintf(f.d.sum, "%d %d", f.proxy, now)
 	for _, e := range events {
 		fmt.Fprintf(f.d.sum, " %T%+v", e, e)
 	}
@@ -75,23 +75,23 @@
 	return out
 }
 
-// Play plays a plan.
+// Play runs a plan and returns its record.
 func Play(ctx context.Context, p *scenario.Plan, opt Options) (*record.Run, error) {
 	switch opt.Drive {
 	case Real:
 		if opt.Policy != "" && opt.Policy != Proxy {
-			return nil, fmt.Errorf("policy %s: the real drive plays the program itself", opt.Policy)
+			return nil, fmt.Errorf("policy %s is not available on the real drive, which runs the proxy program itself", opt.Policy)
 		}
 		return real.Run(ctx, p, real.Options{Program: opt.Program, Logs: opt.Logs, Operator: opt.Operator,
 			Progress: func(s real.Sample) {
 				if opt.Progress != nil {
-					opt.Progress(s.At.Seconds()/s.Of.Seconds(), fmt.Sprintf("%4.0f answered/s %3.0f refused/s %3.0f failed/s %5.0f parts/s  %d open  %d servers down  %d mixers, %d MiB",
+					opt.Progress(s.At.Seconds()/s.Of.Seconds(), fmt.Sprintf("%4.0f answered/s %3.0f refused/s %3.0f failed/s %5.0f parts/s  %d in flight  %d servers down  %d proxies, %d MiB",
 						s.Answered, s.Refused, s.Failed, s.Parts, s.Open, s.Down, s.Mixers, s.RSS>>20))
 				}
 			}})
 	case "", Virtual:
 	default:
-		return nil, fmt.Errorf("there is no drive %q; there are: %s, %s", opt.Drive, Virtual, Real)
+		return nil, fmt.Errorf("unknown drive %q; the drives are: %s, %s", opt.Drive, Virtual, Real)
 	}
 	v := virtual.Options{Keep: opt.KeepRows, Trace: opt.Trace, Policy: opt.Policy, Progress: func(at, of time.Duration, events int64) {
 		if opt.Progress != nil {
@@ -105,7 +105,7 @@
 	case Random:
 		v.Decide = oracle.Blind
 	default:
-		return nil, fmt.Errorf("there is no policy %q; there are: %s, %s, %s", opt.Policy, Proxy, Oracle, Random)
+		return nil, fmt.Errorf("unknown policy %q; the policies are: %s, %s, %s", opt.Policy, Proxy, Oracle, Random)
 	}
 	if d := opt.Digest; d != nil {
 		d.sum = sha256.New()
@@ -113,9 +113,9 @@
 		if decide == nil {
 			decide = virtual.Mixer
 		}
-		v.Decide = func(w *virtual.World, mixer, life int, seed uint64, set choice.Settings) (exchange.Decider, error) {
-			x, err := decide(w, mixer, life, seed, set)
-			return folded{x, mixer, d}, err
+		v.Decide = func(w *virtual.World, proxy, incarnation int, seed uint64, set choice.Settings) (exchange.Decider, error) {
+			x, err := decide(w, proxy, incarnation, seed, set)
+			return digestingDecider{x, proxy, d}, err
 		}
 	}
 	return virtual.Run(ctx, p, v)
--- a/internal/lab/ports/ports_test.go
+++ b/internal/lab/ports/ports_test.go
@@ -8,8 +8,8 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-func TestRow(t *testing.T) {
-	Convey("A row of ports is free and below those of outgoing connections", t, func() {
+func TestFreeRange(t *testing.T) {
+	Convey("A range of ports is free and below the ports of outgoing connections", t, func() {
 		const count = 10
 		first, err := FreeRange(count)
 		So(err, ShouldBeNil)
--- a/internal/lab/reshape/reshape.go
+++ b/internal/lab/reshape/reshape.go
@@ -1,8 +1,8 @@
-// Package reshape is a stand-in for what holds segments: cells that own ranges of
-// keys, a coordinator that splits, merges and moves them by chance from a seed, and
-// the placement feed that mixers and desks read. It owns the truth of who holds
-// what. It must never let a cell do what core/placement's Owner does not allow; the
-// drills that leave the fence out say so.
+// Package reshape is a stand-in for the owners of segments: cells that own ranges of keys, a
+// coordinator that splits, merges and moves the ranges at random from a seed, and the
+// placement feed that proxies and clients read. It has the authoritative state of which cell
+// owns which keys. A cell never does what core/placement's Owner does not allow, except in
+// drills that switch the fence off (NoFence).
 package reshape
 
 import (
@@ -25,32 +25,32 @@
 	"saddleport/internal/lab/judge"
 )
 
-// Config is how a world is.
+// Config configures a World.
 type Config struct {
 	Cells             map[int][]string // servers by cell
-	Segments          int              // at the start
-	KeysPerSegment    int              // keys of each
-	Interval          time.Duration    // between reshapes; 0: none
-	StepTime          time.Duration    // that one step of a reshape takes
-	FeedDelay         time.Duration    // of the feed
-	AbortShare        float64          // share of reshapes that are taken back
-	CrashShare        float64          // share of steps at which the coordinator dies, and comes back after Away
+	Segments          int              // number at the start
+	KeysPerSegment    int              // keys of each segment
+	Interval          time.Duration    // between reshapes; 0: no reshapes
+	StepTime          time.Duration    // duration of one step of a reshape
+	FeedDelay         time.Duration    // delay until the feed shows a change
+	AbortShare        float64          // share of reshapes that are aborted
+	CrashShare        float64          // share of steps at which the coordinator crashes; it restarts after Downtime
 	Downtime          time.Duration
 	NoFence           bool
-	HandoverKillShare float64                        // share of cuts right after which the new owner's cell dies
-	KillCell          func(cell int) <-chan struct{} // has all servers of a cell die; closed once they are back
+	HandoverKillShare float64                        // share of activations right after which the new owner's cell is killed
+	KillCell          func(cell int) <-chan struct{} // kills all servers of a cell; the channel is closed when they have restarted
 	Seed              uint64
 	Judge             *judge.Judge
 }
 
-// World is all of it.
+// World is the simulated set of cells with its coordinator and its feed.
 type World struct {
 	Addr string // of the feed
 	Config
-	Keys []string // all, in order
+	Keys []string // all keys, in order
 
 	http *http.Server
-	r    *rand.Rand
+	rng  *rand.Rand
 
 	mu      sync.Mutex
 	owners  map[int]*placement.Owner
@@ -58,27 +58,27 @@
 	next    uint32
 	number  int64
 	busy    map[uint32]bool
-	down    map[int]bool // cells that are dead: the coordinator can't reach them
+	down    map[int]bool // killed cells, which the coordinator can't reach
 	counts  map[string]int
 	changed chan struct{}
 
 	killed sync.WaitGroup
 
-	feedMu sync.Mutex
-	told   []published // what the feed has, some of it not visible yet
+	feedMu    sync.Mutex
+	published []publishedMap // includes maps that the feed does not show yet
 }
 
-type published struct {
+type publishedMap struct {
 	at time.Time
 	m  *placement.Map
 	u  *placement.Update
 }
 
-const history = 256
+const history = 256 // maps that the feed keeps
 
-// New makes a world and starts its feed.
+// New creates a World and starts its feed.
 func New(c Config) (*World, error) {
-	w := &World{Config: c, r: rand.New(rand.NewPCG(c.Seed, 77)), owners: make(map[int]*placement.Owner), busy: make(map[uint32]bool), down: make(map[int]bool),
+	w := &World{Config: c, rng: rand.New(rand.NewPCG(c.Seed, 77)), owners: make(map[int]*placement.Owner), busy: make(map[uint32]bool), down: make(map[int]bool),
 		counts: make(map[string]int), changed: make(chan struct{})}
 	govs := []string{"amman", "aqaba", "irbid", "karak", "zarqa"}
 	n := c.Segments * c.KeysPerSegment
@@ -117,7 +117,7 @@
 		w.owners[id] = placement.NewOwner(1, mine...)
 		w.owners[id].NoFence = c.NoFence
 	}
-	w.told = []published{{time.Time{}, w.m, u}}
+	w.published = []publishedMap{{time.Time{}, w.m, u}}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -130,14 +130,14 @@
 	return w, nil
 }
 
-// Close ends the feed.
+// Close waits until killed cells have restarted and stops the feed.
 func (w *World) Close() {
 	w.killed.Wait()
 	w.http.Close()
 }
 
-// Counts are what happened: reshapes by how they ended, steps at which the
-// coordinator died, parts turned away.
+// Counts returns the counts of events, by name: reshapes by outcome, crashes of the
+// coordinator, rejected parts.
 func (w *World) Counts() map[string]int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -150,15 +150,16 @@
 
 // ---- The feed.
 
-// visible are the maps that the feed tells by now.
-func (w *World) visible() []published {
+// visible returns the maps that the feed shows by now.
+func (w *World) visible() []publishedMap {
 	w.feedMu.Lock()
 	defer w.feedMu.Unlock()
-	n := sort.Search(len(w.told), func(i int) bool { return w.told[i].at.After(time.Now()) })
-	return w.told[:n:n]
+	n := sort.Search(len(w.published), func(i int) bool { return w.published[i].at.After(time.Now()) })
+	return w.published[:n:n]
 }
 
-// Map is what the feed told so many epochs ago: what a desk that is behind knows.
+// Map returns the map that the feed showed the given number of epochs ago, as a client that is
+// behind has it.
 func (w *World) Map(behind int) *placement.Map {
 	v := w.visible()
 	return v[max(len(v)-1-behind, 0)].m
@@ -172,8 +173,8 @@
 		v := w.visible()
 		now := v[len(v)-1]
 		if now.m.Epoch() > epoch || !time.Now().Before(end) {
-			out := placement.Update{Epoch: now.m.Epoch(), Base: epoch} // no news
-			if i := slices.IndexFunc(v, func(p published) bool { return p.m.Epoch() == epoch+1 }); epoch > 0 && i >= 0 {
+			out := placement.Update{Epoch: now.m.Epoch(), Base: epoch} // no change
+			if i := slices.IndexFunc(v, func(p publishedMap) bool { return p.m.Epoch() == epoch+1 }); epoch > 0 && i >= 0 {
 				out = *v[i].u // one change at a time, in order
 			} else if now.m.Epoch() > epoch {
 				out = placement.Update{Epoch: now.m.Epoch(), Segments: now.m.Segments(), Cells: w.cellList()}
@@ -185,7 +186,7 @@
 		select {
 		case <-r.Context().Done():
 			return
-		case <-time.After(10 * time.Millisecond): // what becomes visible does so by the clock
+		case <-time.After(10 * time.Millisecond): // polls, because maps become visible by the clock
 		}
 	}
 }
@@ -205,16 +206,16 @@
 	w.m = m
 	w.feedMu.Lock()
 	defer w.feedMu.Unlock()
-	w.told = append(w.told, published{time.Now().Add(w.FeedDelay), m, u})
-	if len(w.told) > history {
-		w.told = slices.Clone(w.told[len(w.told)-history:])
+	w.published = append(w.published, publishedMap{time.Now().Add(w.FeedDelay), m, u})
+	if len(w.published) > history {
+		w.published = slices.Clone(w.published[len(w.published)-history:])
 	}
 	return nil
 }
 
 // ---- The coordinator.
 
-// Run reshapes until ctx is done, then ends what is under way.
+// Run starts reshapes until ctx is done and then waits for those in progress.
 func (w *World) Run(ctx context.Context) {
 	if w.Interval <= 0 {
 		return
@@ -237,7 +238,7 @@
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			w.drive(r)
+			w.execute(r)
 		}()
 	}
 }
@@ -248,35 +249,35 @@
 	w.counts[what]++
 }
 
-// plan draws a reshape. Under mu.
+// plan returns a random reshape. The caller holds w.mu.
 func (w *World) plan() (*placement.Reshape, error) {
-	segs := w.m.Segments()
-	i := w.r.IntN(len(segs))
-	s := segs[i]
+	segments := w.m.Segments()
+	i := w.rng.IntN(len(segments))
+	s := segments[i]
 	w.number++
-	cell := func() int { return w.r.IntN(len(w.Cells)) }
+	cell := func() int { return w.rng.IntN(len(w.Cells)) }
 	busy := func(id uint32) bool { return w.busy[id] }
 	sources, targets := []uint32{s.ID}, []placement.Segment(nil)
-	kind := []string{"split", "merge", "move"}[w.r.IntN(3)]
+	kind := []string{"split", "merge", "move"}[w.rng.IntN(3)]
 	switch kind {
 	case "split":
-		in := w.in(s.Range)
+		in := w.keysIn(s.Range)
 		if len(in) < 2 {
-			return nil, fmt.Errorf("too few keys")
+			return nil, fmt.Errorf("the segment has too few keys to split")
 		}
-		at := in[1+w.r.IntN(len(in)-1)]
+		at := in[1+w.rng.IntN(len(in)-1)]
 		targets = []placement.Segment{{ID: w.next, Range: placement.Range{From: s.From, To: at}, Cell: s.Cell},
 			{ID: w.next + 1, Range: placement.Range{From: at, To: s.To}, Cell: cell()}}
 		w.next += 2
 	case "merge":
-		if i+1 == len(segs) {
-			return nil, fmt.Errorf("nothing beside it")
+		if i+1 == len(segments) {
+			return nil, fmt.Errorf("the segment has no neighbour to merge with")
 		}
-		sources = append(sources, segs[i+1].ID)
-		targets = []placement.Segment{{ID: w.next, Range: placement.Range{From: s.From, To: segs[i+1].To}, Cell: cell()}}
+		sources = append(sources, segments[i+1].ID)
+		targets = []placement.Segment{{ID: w.next, Range: placement.Range{From: s.From, To: segments[i+1].To}, Cell: cell()}}
 		w.next++
 	case "move":
-		targets = []placement.Segment{{ID: s.ID, Range: s.Range, Cell: (s.Cell + 1 + w.r.IntN(max(len(w.Cells)-1, 1))) % len(w.Cells)}}
+		targets = []placement.Segment{{ID: s.ID, Range: s.Range, Cell: (s.Cell + 1 + w.rng.IntN(max(len(w.Cells)-1, 1))) % len(w.Cells)}}
 	}
 	r, err := w.m.Plan(w.number, sources, targets, busy)
 	if err != nil {
@@ -289,8 +290,8 @@
 	return r, nil
 }
 
-// in are the keys in a range.
-func (w *World) in(r placement.Range) []string {
+// keysIn returns the keys in a range.
+func (w *World) keysIn(r placement.Range) []string {
 	from := sort.SearchStrings(w.Keys, r.From)
 	to := len(w.Keys)
 	if r.To != "" {
@@ -299,36 +300,36 @@
 	return w.Keys[from:max(to, from)]
 }
 
-// drive takes a reshape to its end. The reshape is what is stored: after a death the
-// coordinator goes on from it, and orders again what it may have ordered before.
-func (w *World) drive(r *placement.Reshape) {
+// execute runs a reshape to its end. The reshape is the state that the coordinator stores: after
+// a crash it continues from there and may repeat an action.
+func (w *World) execute(r *placement.Reshape) {
 	r.Start()
 	w.mu.Lock()
-	abortAt := -1
-	if w.r.Float64() < w.AbortShare {
-		abortAt = w.r.IntN(3)
+	abortStep := -1
+	if w.rng.Float64() < w.AbortShare {
+		abortStep = w.rng.IntN(3)
 	}
 	w.mu.Unlock()
 	for step := 0; !r.Finished(); step++ {
-		if step == abortAt && r.Abort() == nil {
+		if step == abortStep && r.Abort() == nil {
 			w.count("aborted")
 		}
-		d := r.NextAction()
-		done := w.order(r, d)
+		action := r.NextAction()
+		done := w.perform(r, action)
 		time.Sleep(w.StepTime)
 		w.mu.Lock()
-		dies := w.r.Float64() < w.CrashShare
+		crashes := w.rng.Float64() < w.CrashShare
 		w.mu.Unlock()
-		if dies { // between the order and what it stores of it
-			w.count("coordinator died")
+		if crashes { // between an action and the storing of its result
+			w.count("coordinator crashed")
 			time.Sleep(w.Downtime)
 			continue
 		}
 		if done {
-			r.Completed(d)
+			r.Completed(action)
 		}
-		if done && d == placement.Activate {
-			w.cut(r)
+		if done && action == placement.Activate {
+			w.killNewOwner(r)
 		}
 	}
 	w.mu.Lock()
@@ -341,17 +342,17 @@
 	}
 }
 
-// cut has the cell of a new owner die right after it was told to accept, now and
-// then: one cell at a time.
-func (w *World) cut(r *placement.Reshape) {
+// killNewOwner kills, in a random share of cases, the cell of a new owner right after its
+// activation. At most one cell is down at a time.
+func (w *World) killNewOwner(r *placement.Reshape) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	cell := r.Targets[len(r.Targets)-1].Cell
-	if w.KillCell == nil || w.HandoverKillShare == 0 || len(w.down) > 0 || w.r.Float64() >= w.HandoverKillShare {
+	if w.KillCell == nil || w.HandoverKillShare == 0 || len(w.down) > 0 || w.rng.Float64() >= w.HandoverKillShare {
 		return
 	}
 	w.down[cell] = true
-	w.counts["owner died after the cut"]++
+	w.counts["owner killed after activation"]++
 	w.killed.Add(1)
 	go func() {
 		defer w.killed.Done()
@@ -362,7 +363,7 @@
 	}()
 }
 
-// Evacuate moves all segments of a cell at once, and returns when that is over.
+// Evacuate moves all segments of a cell at once and returns when all moves have ended.
 func (w *World) Evacuate(cell int) error {
 	w.mu.Lock()
 	var all []*placement.Reshape
@@ -374,7 +375,7 @@
 		to := s
 		to.Cell = (cell + 1 + len(all)%max(len(w.Cells)-1, 1)) % len(w.Cells)
 		r, err := w.m.Plan(w.number, []uint32{s.ID}, []placement.Segment{to}, func(id uint32) bool { return w.busy[id] })
-		if err != nil { // it is being reshaped already
+		if err != nil { // the segment is already being reshaped
 			continue
 		}
 		w.busy[s.ID] = true
@@ -383,51 +384,51 @@
 	w.counts["evacuated"] += len(all)
 	w.mu.Unlock()
 	if len(all) == 0 {
-		return fmt.Errorf("cell %d holds nothing that could be moved", cell)
+		return fmt.Errorf("cell %d has no segment that can be moved", cell)
 	}
 	var ended sync.WaitGroup
 	for _, r := range all {
-		ended.Go(func() { w.drive(r) })
+		ended.Go(func() { w.execute(r) })
 	}
 	ended.Wait()
 	return nil
 }
 
-// order does what a reshape wants and tells whether it is done. Cells that are dead
-// do nothing.
-func (w *World) order(r *placement.Reshape, d placement.Action) bool {
+// perform performs an action of a reshape and reports whether it is done. Killed cells perform
+// nothing.
+func (w *World) perform(r *placement.Reshape, action placement.Action) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, list := range [][]placement.Segment{r.Sources, r.Targets} {
 		for _, s := range list {
-			if w.down[s.Cell] && d != placement.Publish {
-				w.counts["waited for a dead cell"]++
+			if w.down[s.Cell] && action != placement.Publish {
+				w.counts["waited for a killed cell"]++
 				return false
 			}
 		}
 	}
 	span := placement.Range{From: r.Sources[0].From, To: r.Sources[len(r.Sources)-1].To}
-	switch d {
+	switch action {
 	case placement.Copy, placement.CopyFinal:
 		for _, s := range r.Sources {
 			for _, t := range r.Targets {
-				cut, both := s.Range.Intersect(t.Range)
-				if !both || s.Cell == t.Cell {
+				shared, overlap := s.Range.Intersect(t.Range)
+				if !overlap || s.Cell == t.Cell {
 					continue
 				}
-				booked, ok := w.owners[s.Cell].CopyOut(r.ID, cut, d == placement.CopyFinal)
+				booked, ok := w.owners[s.Cell].CopyOut(r.ID, shared, action == placement.CopyFinal)
 				if !ok {
 					return false
 				}
-				w.owners[t.Cell].CopyIn(r.ID, cut, booked)
+				w.owners[t.Cell].CopyIn(r.ID, shared, booked)
 			}
 		}
 	case placement.Fence:
-		up := true
+		fenced := true
 		for _, s := range r.Sources {
-			up = w.owners[s.Cell].Fence(r.ID, s.Range) && up
+			fenced = w.owners[s.Cell].Fence(r.ID, s.Range) && fenced
 		}
-		return up
+		return fenced
 	case placement.Activate:
 		for _, t := range r.Targets {
 			w.owners[t.Cell].Activate(r.ID, t.Range, w.m.Epoch()+1)
@@ -436,10 +437,10 @@
 		if r.Published {
 			return true
 		}
-		already := slices.ContainsFunc(r.Targets, func(t placement.Segment) bool { // published, and the coordinator died before it stored that
+		already := slices.ContainsFunc(r.Targets, func(t placement.Segment) bool { // it was published, but the coordinator crashed before it stored that
 			in, _, known := w.m.Range(t.ID)
-			held, _ := w.m.Lookup(t.From)
-			return known && in == t.Range && held.ID == t.ID && held.Cell == t.Cell
+			owner, _ := w.m.Lookup(t.From)
+			return known && in == t.Range && owner.ID == t.ID && owner.Cell == t.Cell
 		})
 		if !already {
 			if err := w.publish(r.Update(w.m.Epoch())); err != nil {
@@ -462,23 +463,23 @@
 	return true
 }
 
-// ---- What a leaf server of a cell does with a part.
+// ---- The execution of parts by the leaf servers of a cell.
 
-// Keeper is a cell's side for its servers.
+// CellOwner implements leaf.KeyOwner for the servers of a cell.
 type CellOwner struct {
 	World *World
 	Cell  int
 }
 
-// names reads what a frame's list says of a part's keys.
-func names(p frame.Part) (epoch int64, ranges []placement.Range, ok bool) {
+// parseKeys parses the epoch and the ranges of keys from the options of a part.
+func parseKeys(p frame.Part) (epoch int64, ranges []placement.Range, ok bool) {
 	for item := range strings.SplitSeq(p.Options, ",") {
-		if v, is := strings.CutPrefix(item, "e="); is {
+		if v, found := strings.CutPrefix(item, "e="); found {
 			epoch, _ = strconv.ParseInt(v, 10, 64)
 		}
-		if v, is := strings.CutPrefix(item, "r="); is {
-			for one := range strings.SplitSeq(v, ";") {
-				a, b, cut := strings.Cut(one, "..")
+		if v, found := strings.CutPrefix(item, "r="); found {
+			for pair := range strings.SplitSeq(v, ";") {
+				a, b, cut := strings.Cut(pair, "..")
 				from, err1 := url.QueryUnescape(a)
 				to, err2 := url.QueryUnescape(b)
 				if !cut || err1 != nil || err2 != nil {
@@ -491,13 +492,13 @@
 	return epoch, ranges, len(ranges) > 0
 }
 
-// Begin implements leaf.Keeper. A part whose text begins with "book" books the one
-// key that it names; any other reads.
-func (k *CellOwner) Begin(server string, p frame.Part) (finish func() (value string, held bool), epoch int64, held bool) {
+// Begin implements leaf.KeyOwner. A part whose text begins with "book" books the one key that
+// it names; any other part reads.
+func (k *CellOwner) Begin(server string, p frame.Part) (finish func() (value string, owned bool), epoch int64, owned bool) {
 	w, o := k.World, k.World.owners[k.Cell]
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	_, ranges, ok := names(p)
+	_, ranges, ok := parseKeys(p)
 	if !ok {
 		return nil, o.Epoch, false
 	}
@@ -506,8 +507,8 @@
 		return k.read(server, ranges)
 	}
 	key := ranges[0].From
-	word := o.Begin(key, query)
-	switch word {
+	outcome := o.Begin(key, query)
+	switch outcome {
 	case placement.Accepted:
 		w.Judge.KeyRan(key, query, server)
 		return func() (string, bool) {
@@ -520,44 +521,44 @@
 		by := o.Booked[key]
 		return func() (string, bool) { return server + "|had " + key + " for " + by, true }, o.Epoch, true
 	}
-	w.counts["turned away"]++
+	w.counts["rejected"]++
 	return nil, o.Epoch, false
 }
 
-// read is under mu.
+// read begins a part that reads ranges of keys. The caller holds w.mu.
 func (k *CellOwner) read(server string, ranges []placement.Range) (func() (string, bool), int64, bool) {
 	w, o := k.World, k.World.owners[k.Cell]
-	can := func() bool {
+	owned := func() bool {
 		for _, r := range ranges {
 			if o.CanRead(r) != placement.Accepted {
-				w.counts["turned away"]++
+				w.counts["rejected"]++
 				return false
 			}
 		}
 		return true
 	}
-	if !can() {
+	if !owned() {
 		return nil, o.Epoch, false
 	}
 	return func() (string, bool) {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		if !can() { // it was cut off while this one waited for its data
+		if !owned() { // the cell lost the keys while the part waited for its data
 			return "", false
 		}
 		var keys []string
 		for _, r := range ranges {
-			keys = append(keys, w.in(r)...)
+			keys = append(keys, w.keysIn(r)...)
 		}
 		return server + "|" + strings.Join(keys, " "), true
 	}, o.Epoch, true
 }
 
-// Claim implements leaf.Keeper for a server that lies: it books and reads what its
-// cell does not hold, and its cell knows nothing of it.
+// RunUnowned implements leaf.KeyOwner for a faulty server: it books and reads keys that its cell
+// does not own, without the knowledge of the cell.
 func (k *CellOwner) RunUnowned(server string, p frame.Part) func() (string, bool) {
 	return func() (string, bool) {
-		_, ranges, _ := names(p)
+		_, ranges, _ := parseKeys(p)
 		k.World.mu.Lock()
 		defer k.World.mu.Unlock()
 		k.World.counts["claimed"]++
@@ -565,22 +566,22 @@
 			k.World.Judge.KeyRan(ranges[0].From, query, server)
 			return server + "|booked " + ranges[0].From + " for " + query, true
 		}
-		return server + "|", true // it has no data of theirs
+		return server + "|", true // it has no data of these keys
 	}
 }
 
-// Lost implements leaf.Keeper: what was begun and not stored had no effect.
+// Lost implements leaf.KeyOwner: a part that had begun but was not stored had no effect.
 func (k *CellOwner) Lost(p frame.Part) {
 	k.World.mu.Lock()
 	defer k.World.mu.Unlock()
 	query, _, _ := strings.Cut(p.ID, ".")
-	if _, ranges, ok := names(p); ok && k.World.owners[k.Cell].Running[ranges[0].From] == query {
+	if _, ranges, ok := parseKeys(p); ok && k.World.owners[k.Cell].Running[ranges[0].From] == query {
 		delete(k.World.owners[k.Cell].Running, ranges[0].From)
-		k.World.counts["bookings lost in a death"]++
+		k.World.counts["bookings lost in a crash"]++
 	}
 }
 
-// Epoch is what the cell has heard of.
+// Epoch implements leaf.KeyOwner and returns the epoch that the cell knows.
 func (k *CellOwner) Epoch() int64 {
 	k.World.mu.Lock()
 	defer k.World.mu.Unlock()
--- a/internal/lab/standin/server.go
+++ b/internal/lab/standin/server.go
@@ -1,7 +1,7 @@
-// Package standin holds stand-ins, written by this project, for what the system meets
-// outside itself by published protocols: servers that hold shards, and clients. They
-// listen on loopback addresses alone, record what reached them, and err as they are told.
-// They must never know what the system does inside.
+// Package standin provides stand-ins, written by this project, for the programs with which the
+// system speaks by published protocols: servers of shards, and clients. They listen only on
+// loopback addresses, record the requests that reach them and inject the requested faults. They
+// never depend on internals of the system.
 package standin
 
 import (
@@ -21,52 +21,53 @@
 	Attempt, Method, Target, Host, Body string
 	DeadlineMs                          int
 	Header                              http.Header
-	Conn                                int // number of the connection, from 1
+	Conn                                int // number of its connection, from 1
 	Ran                                 bool
 }
 
-// Reply is what a server does with a request.
+// Reply is the response of a server to a request, with its faults.
 type Reply struct {
 	Status      int           // 0: 200
-	Body        string        // of a 200
-	Signature   string        // "": one of its own
-	NoSignature bool          // the stamp is left out
+	Body        string        // of a 200 response
+	Signature   string        // "": the signature of this server
+	NoSignature bool          // omits the signature
 	ID          string        // "": the request's
-	NotExecuted bool          // says that it did not run
-	NoID        bool          // the request's id is left out
-	NoLength    bool          // no length: the answer ends with the connection
-	Extra       string        // bytes behind the answer
-	Close       bool          // says and does so
-	Reset       bool          // the connection ends with no answer
-	Truncate    bool          // it ends in the middle of the body
-	Before      *Reply        // an answer that goes out first
-	HoldUntil   chan struct{} // the answer waits for its close
-	StallUntil  chan struct{} // after an early answer nothing is read until its close
+	NotExecuted bool          // reports that the request was not executed
+	NoID        bool          // omits the request's id
+	NoLength    bool          // omits the length: the response ends with the connection
+	Extra       string        // bytes after the response
+	Close       bool          // announces and closes the connection
+	Reset       bool          // resets the connection without a response
+	Truncate    bool          // closes the connection in the middle of the body
+	Before      *Reply        // a response that is sent first
+	HoldUntil   chan struct{} // the response waits until this is closed
+	StallUntil  chan struct{} // after an early response nothing is read until this is closed
 	Headers     map[string]string
 }
 
-// Server is a stand-in for one life of a server.
+// Server is a stand-in for one incarnation of a server.
 type Server struct {
 	ID   string
 	Addr string
-	// Do tells what becomes of the n-th request, from 1; nil: all are answered.
+	// Handle returns the reply to the n-th request, from 1; nil: all get an empty 200.
 	Handle func(n int, s Seen) Reply
-	// Early answers a request before its body is read; nil, or a nil answer: none is.
+	// RespondEarly returns a reply to send before the body of a request is read; nil, or a nil
+	// reply: none.
 	RespondEarly func(s Seen) *Reply
-	// Window is how many bytes a connection's kernel takes unread; 0: as it likes. It counts for
-	// connections that are made from then on.
+	// ReceiveWindow is the size of a connection's receive buffer in the kernel, in bytes; 0: the
+	// default. It applies to connections that are accepted after it was set.
 	ReceiveWindow atomic.Int64
 
-	ln    net.Listener
-	mu    sync.Mutex
-	seen  []Seen
-	conns map[net.Conn]bool
-	made  int
-	n     atomic.Int64
-	wait  sync.WaitGroup
+	ln           net.Listener
+	mu           sync.Mutex
+	seen         []Seen
+	conns        map[net.Conn]bool
+	connCount    int
+	requestCount atomic.Int64
+	wait         sync.WaitGroup
 }
 
-// NewServer starts a server on a free port of the loopback address.
+// NewServer starts a server on a free port of 127.0.0.1.
 func NewServer(id string, do func(n int, s Seen) Reply) (*Server, error) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -78,14 +79,14 @@
 	return s, nil
 }
 
-// Close ends the server and its connections.
+// Close stops the server and closes its connections.
 func (s *Server) Close() {
 	s.ln.Close()
 	s.CloseConns()
 	s.wait.Wait()
 }
 
-// Drop ends all connections.
+// CloseConns closes all connections.
 func (s *Server) CloseConns() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -94,18 +95,18 @@
 	}
 }
 
-// Seen is what has reached the server so far.
+// Seen returns the requests that have reached the server so far.
 func (s *Server) Seen() []Seen {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]Seen(nil), s.seen...)
 }
 
-// Conns counts the connections made so far.
+// Conns returns the number of connections accepted so far.
 func (s *Server) Conns() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.made
+	return s.connCount
 }
 
 func (s *Server) accept() {
@@ -120,8 +121,8 @@
 		}
 		s.mu.Lock()
 		s.conns[c] = true
-		s.made++
-		n := s.made
+		s.connCount++
+		n := s.connCount
 		s.mu.Unlock()
 		s.wait.Add(1)
 		go s.serve(c, n)
@@ -158,7 +159,7 @@
 		if target := q.Header.Get("X-Saddleport-Target-Instance"); target != "" && target != s.ID {
 			p, seen.Ran = Reply{Status: 421, Headers: map[string]string{"X-Saddleport-Instance-Id": s.ID}}, false
 		} else if s.Handle != nil {
-			p = s.Handle(int(s.n.Add(1)), seen)
+			p = s.Handle(int(s.requestCount.Add(1)), seen)
 			seen.Ran = !p.NotExecuted
 		}
 		s.mu.Lock()
@@ -187,7 +188,8 @@
 	}
 }
 
-// early answers a request whose body has not been read, and notes it as one that did not run.
+// early responds to a request whose body has not been read, if RespondEarly returns a reply, and
+// records the request. It reports whether it has responded.
 func (s *Server) early(c net.Conn, seen Seen) bool {
 	if s.RespondEarly == nil {
 		return false
@@ -224,11 +226,11 @@
 		b = fmt.Appendf(b, "X-Saddleport-Attempt-Id: %s\r\n", attempt)
 	}
 	if !p.NoSignature && !p.NotExecuted && status != 421 {
-		stamp := p.Signature
-		if stamp == "" {
-			stamp = "s." + id + "." + attempt
+		signature := p.Signature
+		if signature == "" {
+			signature = "s." + id + "." + attempt
 		}
-		b = fmt.Appendf(b, "X-Saddleport-Response-Signature: %s\r\n", stamp)
+		b = fmt.Appendf(b, "X-Saddleport-Response-Signature: %s\r\n", signature)
 	}
 	if p.NotExecuted {
 		b = append(b, "X-Saddleport-Not-Executed: 1\r\n"...)
