--- a/internal/lab/reshape/reshape.go
+++ b/internal/lab/reshape/reshape.go
@@ -137,7 +137,7 @@
 }
 
 // Counts returns the counts of events, by name: reshapes by outcome, crashes of the
-// coordinator, rejected parts.
+// coordinator, rejected parts. The names are keys of stored reports, and drills check some of them.
 func (w *World) Counts() map[string]int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -321,7 +321,7 @@
 		crashes := w.rng.Float64() < w.CrashShare
 		w.mu.Unlock()
 		if crashes { // between an action and the storing of its result
-			w.count("coordinator crashed")
+			w.count("coordinator died")
 			time.Sleep(w.Downtime)
 			continue
 		}
@@ -352,7 +352,7 @@
 		return
 	}
 	w.down[cell] = true
-	w.counts["owner killed after activation"]++
+	w.counts["owner died after the cut"]++
 	w.killed.Add(1)
 	go func() {
 		defer w.killed.Done()
@@ -402,7 +402,7 @@
 	for _, list := range [][]placement.Segment{r.Sources, r.Targets} {
 		for _, s := range list {
 			if w.down[s.Cell] && action != placement.Publish {
-				w.counts["waited for a killed cell"]++
+				w.counts["waited for a dead cell"]++
 				return false
 			}
 		}
@@ -521,7 +521,7 @@
 		by := o.Booked[key]
 		return func() (string, bool) { return server + "|had " + key + " for " + by, true }, o.Epoch, true
 	}
-	w.counts["rejected"]++
+	w.counts["turned away"]++
 	return nil, o.Epoch, false
 }
 
@@ -531,7 +531,7 @@
 	owned := func() bool {
 		for _, r := range ranges {
 			if o.CanRead(r) != placement.Accepted {
-				w.counts["rejected"]++
+				w.counts["turned away"]++
 				return false
 			}
 		}
@@ -577,7 +577,7 @@
 	query, _, _ := strings.Cut(p.ID, ".")
 	if _, ranges, ok := parseKeys(p); ok && k.World.owners[k.Cell].Running[ranges[0].From] == query {
 		delete(k.World.owners[k.Cell].Running, ranges[0].From)
-		k.World.counts["bookings lost in a crash"]++
+		k.World.counts["bookings lost in a death"]++
 	}
 }
 
