--- a/internal/lab/compare/compare.go
+++ b/internal/lab/compare/compare.go
@@ -1,6 +1,6 @@
-// Package compare sets two sweeps, or two runs, side by side: paired by variation
-// and seed, with bootstrap confidence intervals. It owns the word better, worse or
-// can't tell, and must never say one of the first two where the interval holds zero.
+// Package compare compares two sweeps or two runs, paired by variation and seed, with
+// bootstrap confidence intervals. A verdict is better or worse only if the interval excludes
+// zero.
 package compare
 
 import (
@@ -18,44 +18,44 @@
 	"saddleport/internal/lab/sweep"
 )
 
-// Resamples of the bootstrap (Efron 1979, percentile interval) and its level.
+// Resamples of the bootstrap (Efron 1979, percentile interval) and its confidence level.
 const (
-	Resamples = 4000
-	Level     = 0.95
+	Resamples       = 4000
+	ConfidenceLevel = 0.95
 )
 
-// leastPairs is how many pairs a verdict wants: resamples of fewer hold too few
-// different means for an interval to be worth its name.
-const leastPairs = 5
+// minPairs is the minimum number of pairs for a verdict: resamples of fewer pairs have too few
+// distinct means for a useful interval.
+const minPairs = 5
 
-// Row is one figure of both sides.
+// Row is one metric of both sides.
 type Row struct {
 	Variation string
 	Figure    string
 	Pairs     int
 	A, B      float64 // means
 	Diff      float64 // mean of B - A over the pairs
-	Known     bool    // Low and High hold
+	Known     bool    // Low and High are set
 	Low, High float64 // of Diff
 	Verdict   string
 }
 
 // The verdicts.
 const (
-	Better = "better"
-	Worse  = "worse"
-	Open   = "can't tell"
-	Same   = "same"
+	Better       = "better"
+	Worse        = "worse"
+	Inconclusive = "can't tell"
+	Same         = "same"
 )
 
-// figure is what is compared; up tells whether more is better.
-type figure struct {
-	name string
-	up   bool
-	of   func(record.Summary) float64
+// metric is a value that is compared.
+type metric struct {
+	name           string
+	higherIsBetter bool
+	value          func(record.Summary) float64
 }
 
-var figures = []figure{
+var metrics = []metric{
 	{"goodput", true, func(s record.Summary) float64 { return s.Goodput }},
 	{"refused share", false, func(s record.Summary) float64 { return float64(s.Refused) / float64(max(s.Asked, 1)) }},
 	{"failed share", false, func(s record.Summary) float64 { return float64(s.Failed) / float64(max(s.Asked, 1)) }},
@@ -67,28 +67,28 @@
 	}},
 }
 
-// Compare pairs the runs of both sides. Where neither side has two variations, they
-// are paired by seed alone.
+// Compare pairs the runs of both sides by variation and seed. If neither side has more than
+// one variation, they are paired by seed alone.
 func Compare(a, b *sweep.Result) ([]Row, error) {
-	one := len(labels(a)) == 1 && len(labels(b)) == 1
+	unlabelled := len(labels(a)) == 1 && len(labels(b)) == 1
 	type key struct {
 		label string
 		seed  int
 	}
-	of := func(o sweep.One) key {
-		if one {
+	keyOf := func(o sweep.RunResult) key {
+		if unlabelled {
 			return key{"-", o.Seed}
 		}
 		return key{o.Label, o.Seed}
 	}
 	left := make(map[key]record.Summary)
 	for _, o := range a.Runs {
-		left[of(o)] = o.Summary
+		left[keyOf(o)] = o.Summary
 	}
 	pairs := make(map[string][][2]record.Summary)
 	var order []string
 	for _, o := range b.Runs {
-		k := of(o)
+		k := keyOf(o)
 		if s, ok := left[k]; ok {
 			if pairs[k.label] == nil {
 				order = append(order, k.label)
@@ -97,17 +97,18 @@
 		}
 	}
 	if len(order) == 0 {
-		return nil, errors.New("the two have no variation and seed in common")
+		return nil, errors.New("the two sides have no variation and seed in common")
 	}
 	var out []Row
 	for _, label := range order {
-		for _, f := range figures {
-			out = append(out, row(label, f, pairs[label]))
+		for _, f := range metrics {
+			out = append(out, compareMetric(label, f, pairs[label]))
 		}
 	}
 	return out, nil
 }
 
+// labels returns the distinct variations of a sweep.
 func labels(r *sweep.Result) []string {
 	var out []string
 	for _, o := range r.Runs {
@@ -118,11 +119,12 @@
 	return out
 }
 
-func row(label string, f figure, pairs [][2]record.Summary) Row {
+// compareMetric compares one metric over the pairs of a variation.
+func compareMetric(label string, f metric, pairs [][2]record.Summary) Row {
 	r := Row{Variation: label, Figure: f.name, Pairs: len(pairs)}
 	var a, b, diff []float64
 	for _, p := range pairs {
-		x, y := f.of(p[0]), f.of(p[1])
+		x, y := f.value(p[0]), f.value(p[1])
 		a, b, diff = append(a, x), append(b, y), append(diff, y-x)
 	}
 	r.A, r.B, r.Diff = stat.Mean(a, nil), stat.Mean(b, nil), stat.Mean(diff, nil)
@@ -130,25 +132,25 @@
 	switch {
 	case same:
 		r.Verdict, r.Known = Same, true
-	case len(pairs) < leastPairs:
-		r.Verdict = Open
+	case len(pairs) < minPairs:
+		r.Verdict = Inconclusive
 	default:
 		r.Known = true
-		r.Low, r.High = Bootstrap(diff, Resamples, Level)
+		r.Low, r.High = Bootstrap(diff, Resamples, ConfidenceLevel)
 		switch {
-		case r.Low > 0 == f.up && (r.Low > 0 || r.High < 0):
+		case r.Low > 0 == f.higherIsBetter && (r.Low > 0 || r.High < 0):
 			r.Verdict = Better
 		case r.Low > 0 || r.High < 0:
 			r.Verdict = Worse
 		default:
-			r.Verdict = Open
+			r.Verdict = Inconclusive
 		}
 	}
 	return r
 }
 
-// Bootstrap is the interval of the mean of a sample at a level, from so many
-// resamples. The same sample gives the same interval.
+// Bootstrap returns the confidence interval of the mean of a sample. The same sample gives the
+// same interval.
 func Bootstrap(sample []float64, resamples int, level float64) (low, high float64) {
 	r := rand.New(rand.NewPCG(uint64(len(sample)), 7))
 	means := make([]float64, resamples)
@@ -164,10 +166,10 @@
 	return stat.Quantile(tail, stat.Empirical, means, nil), stat.Quantile(1-tail, stat.Empirical, means, nil)
 }
 
-// Print writes the table.
+// Print writes the rows as a table.
 func Print(w io.Writer, rows []Row) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintf(t, "variation\tfigure\tpairs\tA\tB\tB - A\t%.0f%% interval\tB is\t\n", 100*Level)
+	fmt.Fprintf(t, "variation\tfigure\tpairs\tA\tB\tB - A\t%.0f%% interval\tB is\t\n", 100*ConfidenceLevel)
 	for _, r := range rows {
 		interval := "-"
 		if r.Known {
--- a/internal/lab/demo/demo.go
+++ b/internal/lab/demo/demo.go
@@ -33,7 +33,7 @@
 
 // Run runs the demo and writes its report.
 func Run(ctx context.Context, opt Options) (*record.Run, error) {
-	document, err := scenario.Text("demo.ini", scenarioText)
+	document, err := scenario.Parse("demo.ini", scenarioText)
 	if err != nil {
 		return nil, err
 	}
@@ -66,7 +66,7 @@
 		}
 	}
 	fmt.Fprintf(opt.Out, "%d leaf servers in %d cells, discovery, %d proxies and %.0f queries a second, on free ports of 127.0.0.1, for %v.\n",
-		len(plan.Servers), s.Groups[0].Cells, s.Mixers.Count, rate(plan), s.Length)
+		len(plan.Servers), s.Groups[0].Cells, s.Proxies.Count, rate(plan), s.Length)
 	for _, f := range s.Faults {
 		fmt.Fprintf(opt.Out, "At %v one leaf server crashes; it restarts in slow start after %v.\n", f.At, f.For)
 	}
--- a/internal/lab/virtual/virtual.go
+++ b/internal/lab/virtual/virtual.go
@@ -1,11 +1,11 @@
-// Package virtual is the emulator's virtual drive: the mixers' own exchange and
-// decisions, emulated servers, clients, discovery and network in one process, on a
-// discrete-event loop without sockets. It owns how these meet. It must never read
-// the machine's clock for anything that a result shows, walk a map where the order
-// could be seen, or decide anything for a mixer.
+// Package virtual is the emulator's virtual driver: the proxies' own exchange and decisions,
+// with emulated servers, clients, discovery and network, in one process on a discrete-event
+// loop without sockets. Results must be deterministic: the package must not use the machine's
+// clock for anything that a result shows, nor iterate over a map where the order matters. It
+// must not make decisions for a proxy.
 //
-// What stands in for the mixer's sockets (link.go) follows internal/downstream and
-// internal/upstream: where it does less, docs/design/emulator.md says so.
+// The replacement for the proxy's sockets (link.go) follows internal/downstream and
+// internal/upstream; docs/design/emulator.md lists where it does less.
 package virtual
 
 import (
@@ -28,207 +28,209 @@
 	"saddleport/internal/settings"
 )
 
-// What the mixer's own sides do with time: the figures of internal/downstream and
+// Time limits of the proxy's connections, equal to those of internal/downstream and
 // internal/upstream.
 const (
-	unseen      = 30 * time.Millisecond
-	unseenShare = 10
-	idleShare   = 0.9
-	drainMargin = 500 * time.Millisecond
-	connsEach   = 4
+	networkAllowance        = 30 * time.Millisecond
+	networkAllowanceDivisor = 10
+	idleFraction            = 0.9
+	drainMargin             = 500 * time.Millisecond
+	connsEach               = 4
 )
 
 const (
-	settleEvery = 5 * time.Second // the judge lets go of what is over
-	linger      = 10 * time.Second
-	overtime    = 30 * time.Second // after the load and the longest patience, until all must be over
-	goneSoon    = time.Second      // a killed mixer's connections are reset so soon
+	judgeInterval  = 5 * time.Second // how often the judge discards finished queries
+	judgeDelay     = 10 * time.Second
+	overtime       = 30 * time.Second // time after the load and the longest client timeout by which everything must have finished
+	connResetDelay = time.Second      // delay until the connections of a killed proxy are reset
 )
 
-// epoch is when virtual time begins, on the clock that the mixers see.
+// epoch is the start of virtual time on the clock that the proxies see.
 var epoch = time.Unix(1_900_000_000, 0).UTC()
 
-// World is a run's true state, for policies that see it.
+// World is the true state of a run, for policies that may see it.
 type World struct {
-	Servers []*model.Server
-	Index   map[string]int
-	Reaches func(mixer, server int) bool
-	Now     func() time.Duration
-	Work    map[string]*model.Work
+	Servers   []*model.Server
+	Index     map[string]int
+	Reachable func(mixer, server int) bool
+	Now       func() time.Duration
+	Work      map[string]*model.Work
 }
 
-// Decide makes what decides for a mixer in its life of that number.
-type Decide func(w *World, mixer, life int, seed uint64, set choice.Settings) (exchange.Decider, error)
+// Decide creates the decider of a proxy for one incarnation of its process.
+type Decide func(w *World, mixer, incarnation int, seed uint64, set choice.Settings) (exchange.Decider, error)
 
-// Mixer is the module that serves.
-func Mixer(_ *World, _, _ int, seed uint64, set choice.Settings) (exchange.Decider, error) {
+// ProxyDecider creates the production decider.
+func ProxyDecider(_ *World, _, _ int, seed uint64, set choice.Settings) (exchange.Decider, error) {
 	return choice.New(seed, set)
 }
 
-// Options are how a plan is played.
+// Options configures a run.
 type Options struct {
-	Decide   Decide // nil: Mixer
-	Policy   string // its name; empty: mixer
-	Keep     bool   // the rows of asks, servers and seconds
-	Progress func(at, of time.Duration, events int64)
-	Trace    func(at time.Duration, query, text string) // of every query; the text is made only where it is set
-	Sabotage Sabotage
-	Most     int64 // events; 0: event.Most
+	Decide    Decide // nil: ProxyDecider
+	Policy    string // name of the policy; empty: mixer
+	KeepRows  bool   // keep the rows of requests, servers and seconds
+	Progress  func(at, of time.Duration, events int64)
+	Trace     func(at time.Duration, query, text string) // called for every query; nil: the text is not formatted
+	Mutations Mutations
+	MaxEvents int64 // bound on events; 0: event.Most
 }
 
-// Sabotage breaks the rig or the mixers on purpose: a judge that can't fail judges
-// nothing. Each field that is set breaks one rule.
-type Sabotage struct {
-	Leaves   func(mixer int, l exchange.Upstream, x *exchange.Exchange) exchange.Upstream // between the exchange and the links
-	Value    func(server, part string) string                                             // what the client is told in a value's place
-	Final    func(f *exchange.Final) *exchange.Final                                      // the answer; nil: none is given
-	Twice    bool                                                                         // every answer is given twice
-	Delay    time.Duration                                                                // every answer is held back so long
-	Undrain  bool                                                                         // links go on though the list says that a server drains
-	Settings func(*settings.Settings)                                                     // what the mixers are told
+// Mutations breaks the rig or the proxies on purpose, to test that the judge detects
+// violations. Each field breaks one rule.
+type Mutations struct {
+	WrapUpstream   func(mixer int, l exchange.Upstream, x *exchange.Exchange) exchange.Upstream // wraps the links of a proxy
+	ReplaceValue   func(server, part string) string                                             // replaces a value in the answer to the client
+	ReplaceFinal   func(f *exchange.Final) *exchange.Final                                      // replaces the answer; nil: no answer is given
+	AnswerTwice    bool                                                                         // every answer is sent twice
+	AnswerDelay    time.Duration                                                                // every answer is delayed by this
+	IgnoreDrain    bool                                                                         // links keep sending to draining servers
+	ChangeSettings func(*settings.Settings)                                                     // changes the proxies' settings
 }
 
+// world is the complete state of a run.
 type world struct {
 	World
-	ctx     context.Context
-	opt     Options
-	plan    *scenario.Plan
-	loop    *event.Loop
-	net     *model.Network
-	set     settings.Settings
-	sites   []int // of the servers
-	mixers  []*mixer
-	fronts  []int         // mixers that the front deals queries to
-	vanish  []int         // faults that keep a server's machine away
-	lists   []*model.List // [0] alone without [members]
-	sources []*source     // with [members]
-	inForce []string      // of these
-	version int64
-	clients *model.Clients
-	j       *judge.Judge
-	rec     *record.Recorder
-	sent    map[string]int // attempts of an ask that is not over
+	ctx             context.Context
+	opt             Options
+	plan            *scenario.Plan
+	loop            *event.Loop
+	net             *model.Network
+	settings        settings.Settings
+	sites           []int // by server
+	proxies         []*proxy
+	balancedProxies []int         // proxies that the load balancer sends queries to
+	vanished        []int         // number of faults that keep a server's machine away
+	lists           []*model.List // only [0] without [members]
+	sources         []*source     // with [members]
+	activeSources   []string      // names of the sources in use
+	version         int64
+	clients         *model.Clients
+	judge           *judge.Judge
+	recorder        *record.Recorder
+	attemptsSent    map[string]int // by request, of unfinished requests
 }
 
-// sched is the loop as models know it.
+// sched adapts the event loop to the models.
 type sched struct{ *event.Loop }
 
 func (s sched) After(d time.Duration, f func()) model.Timer { return s.Loop.After(d, f) }
 
-// Run plays a plan.
-func Run(ctx context.Context, p *scenario.Plan, opt Options) (*record.Run, error) {
+// Run runs a plan.
+func Run(ctx context.Context, plan *scenario.Plan, opt Options) (*record.Run, error) {
 	begun := time.Now()
 	if opt.Decide == nil {
-		opt.Decide = Mixer
+		opt.Decide = ProxyDecider
 	}
 	if opt.Policy == "" {
 		opt.Policy = "mixer"
 	}
-	w, err := build(ctx, p, opt)
+	w, err := build(ctx, plan, opt)
 	if err != nil {
 		return nil, err
 	}
 	if err := w.play(); err != nil {
 		return nil, err
 	}
-	run := w.rec.Done(w.j.Judge(epoch.Add(p.Window[0]), epoch.Add(p.Window[1])))
+	run := w.recorder.Done(w.judge.Judge(epoch.Add(plan.Window[0]), epoch.Add(plan.Window[1])))
 	var mem runtime.MemStats
 	runtime.ReadMemStats(&mem)
 	run.Machine = record.Machine{Wall: time.Since(begun), Events: w.loop.Executed(), PeakMiB: int64(mem.Sys >> 20), Threads: 1}
 	return run, nil
 }
 
-func build(ctx context.Context, p *scenario.Plan, opt Options) (*world, error) {
-	text, err := p.MixerSettings()
+func build(ctx context.Context, plan *scenario.Plan, opt Options) (*world, error) {
+	text, err := plan.ProxySettings()
 	if err != nil {
 		return nil, err
 	}
-	w := &world{ctx: ctx, opt: opt, plan: p, loop: &event.Loop{MaxEvents: opt.Most}, net: p.NewNetwork(), sent: make(map[string]int),
-		rec: record.New(p, "virtual", opt.Policy, opt.Keep), vanish: make([]int, len(p.Servers))}
-	if w.set, err = settings.Decode(settings.Flatten(gjson.ParseBytes(text))); err != nil {
+	w := &world{ctx: ctx, opt: opt, plan: plan, loop: &event.Loop{MaxEvents: opt.MaxEvents}, net: plan.NewNetwork(), attemptsSent: make(map[string]int),
+		recorder: record.New(plan, "virtual", opt.Policy, opt.KeepRows), vanished: make([]int, len(plan.Servers))}
+	if w.settings, err = settings.Decode(settings.Flatten(gjson.ParseBytes(text))); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	if opt.Sabotage.Settings != nil {
-		opt.Sabotage.Settings(&w.set)
+	if opt.Mutations.ChangeSettings != nil {
+		opt.Mutations.ChangeSettings(&w.settings)
 	}
 	var classes []judge.Class
-	for _, c := range p.Scenario.Classes {
-		classes = append(classes, judge.Class{Name: c.Name, Unsafe: c.Effect != "free", Need: c.Need, Floor: c.Floor})
+	for _, c := range plan.Scenario.Classes {
+		classes = append(classes, judge.Class{Name: c.Name, Unsafe: c.Effect != "free", Need: c.RequiredShare, Floor: c.MinShare})
 	}
-	w.j = judge.New(classes, p.Settings.Grace+judge.Slack)
-	w.j.Allow(p.Settings.Cap, p.Settings.Parallel)
+	w.judge = judge.New(classes, plan.Settings.DrainGrace+judge.Slack)
+	w.judge.Allow(plan.Settings.AttemptCap, plan.Settings.ParallelAttempts)
 	w.Index = make(map[string]int)
-	w.Now, w.Work = w.loop.Now, p.Work
-	for i, spec := range p.Servers {
+	w.Now, w.Work = w.loop.Now, plan.Work
+	for i, spec := range plan.Servers {
 		s := model.NewServer(sched{w.loop}, spec)
 		w.Servers, w.sites = append(w.Servers, s), append(w.sites, w.net.Site(spec.Site))
 		w.Index[spec.Name] = i
-		s.Fell = func(s *model.Server) {
-			w.j.Fell(s.Name, w.time())
-			w.note("%s was pushed over while it was cold", s.Name)
+		s.OnOverload = func(s *model.Server) {
+			w.judge.Fell(s.Name, w.time())
+			w.recordEvent("%s was pushed over while it was cold", s.Name)
 		}
-		s.Down = func(*model.Server) { w.down(i) }
-		s.Up = func(*model.Server) { w.up(i) }
+		s.OnDown = func(*model.Server) { w.serverDown(i) }
+		s.OnUp = func(*model.Server) { w.serverUp(i) }
 	}
-	w.Reaches = func(mixer, server int) bool {
-		return w.vanish[server] == 0 && w.net.Open(w.mixers[mixer].site, w.sites[server]) && w.net.Open(w.sites[server], w.mixers[mixer].site)
+	w.Reachable = func(mixer, server int) bool {
+		return w.vanished[server] == 0 && w.net.Reachable(w.proxies[mixer].site, w.sites[server]) && w.net.Reachable(w.sites[server], w.proxies[mixer].site)
 	}
-	w.lists = p.NewLists(func(int) model.Sched { return sched{w.loop} })
-	if w.inForce = p.Members.Sources; w.sourcesOn() {
+	w.lists = plan.NewLists(func(int) model.Sched { return sched{w.loop} })
+	if w.activeSources = plan.Members.Sources; w.hasSources() {
 		w.buildSources()
 	} else {
-		w.lists[0].Tell, w.lists[0].Hold = w.tell, p.Settings.Look > 0
+		w.lists[0].Publish, w.lists[0].BufferSilent = w.publishList, plan.Settings.PollInterval > 0
 	}
-	for n := range p.Mixers.Count {
-		m := &mixer{w: w, n: n, site: w.net.Site(p.MixerSite(n))}
-		w.mixers = append(w.mixers, m)
-		if err := m.start(); err != nil {
+	for n := range plan.Proxies.Count {
+		p := &proxy{w: w, n: n, site: w.net.Site(plan.ProxySite(n))}
+		w.proxies = append(w.proxies, p)
+		if err := p.start(); err != nil {
 			return nil, err
 		}
-		m.fronted = true
+		p.balanced = true
 	}
-	w.front()
-	w.clients = &model.Clients{Sched: sched{w.loop}, Classes: p.Classes, Tenants: p.NewTenants(), OverWorth: p.Over, Retry: p.Retry(), Seed: p.Draw, Length: p.Length, Pick: w.pick, Send: w.send,
-		Leave: w.leave, Over: func(a *model.Ask) {
-			w.rec.Over(a, w.sent[a.ID])
-			delete(w.sent, a.ID)
+	w.updateBalanced()
+	w.clients = &model.Clients{Sched: sched{w.loop}, Classes: plan.Classes, Tenants: plan.NewTenants(), OverQuotaValue: plan.OverQuotaValue, Retry: plan.Retry(), Seed: plan.RunSeed, Length: plan.Length, SelectProxy: w.selectProxy, Send: w.sendQuery,
+		Disconnect: w.clientLeaves, OnFinish: func(a *model.Request) {
+			w.recorder.Over(a, w.attemptsSent[a.ID])
+			delete(w.attemptsSent, a.ID)
 		}}
 	return w, nil
 }
 
 func (w *world) time() time.Time { return epoch.Add(w.loop.Now()) }
 
-func (w *world) note(format string, args ...any) {
-	w.rec.Event(w.loop.Now(), fmt.Sprintf(format, args...))
+// recordEvent adds an event to the record of the run.
+func (w *world) recordEvent(format string, args ...any) {
+	w.recorder.Event(w.loop.Now(), fmt.Sprintf(format, args...))
 }
 
-// play lets the load run, and then on until all is over.
+// play runs the load, and then continues until everything has finished.
 func (w *world) play() error {
-	p := w.plan
+	plan := w.plan
 	longest := time.Duration(0)
-	for _, c := range p.Classes {
-		longest = max(longest, c.Patience)
+	for _, c := range plan.Classes {
+		longest = max(longest, c.Timeout)
 	}
-	end := p.Length + longest + overtime
+	end := plan.Length + longest + overtime
 	w.loop.Tick = func() error {
 		if w.opt.Progress != nil {
 			w.opt.Progress(min(w.loop.Now(), end), end, w.loop.Executed())
 		}
 		return w.ctx.Err()
 	}
-	for _, c := range p.Changes {
-		w.loop.Post(c.At, func() { w.change(c) })
+	for _, c := range plan.Changes {
+		w.loop.Post(c.At, func() { w.applyChange(c) })
 	}
-	for at := settleEvery; at < end; at += settleEvery {
+	for at := judgeInterval; at < end; at += judgeInterval {
 		w.loop.Post(at, func() {
-			w.j.Settle(w.time().Add(-linger), epoch.Add(p.Window[0]), epoch.Add(p.Window[1]))
+			w.judge.Settle(w.time().Add(-judgeDelay), epoch.Add(plan.Window[0]), epoch.Add(plan.Window[1]))
 		})
 	}
-	for s := 1; time.Duration(s)*time.Second <= p.Length; s++ {
+	for s := 1; time.Duration(s)*time.Second <= plan.Length; s++ {
 		w.loop.Post(time.Duration(s)*time.Second, func() {
-			if w.opt.Keep {
+			if w.opt.KeepRows {
 				for _, v := range w.Servers {
-					w.rec.Look(s-1, &v.Spec, v.Look())
+					w.recorder.Look(s-1, &v.Spec, v.TakeStats())
 				}
 			}
 		})
@@ -238,162 +240,165 @@
 		if err := w.ctx.Err(); err != nil {
 			return err
 		}
-		if at = min(at+time.Second, end); at < p.Length {
-			at = p.Length
+		if at = min(at+time.Second, end); at < plan.Length {
+			at = plan.Length
 		}
 		if err := w.loop.Run(at); err != nil {
 			return err
 		}
-		if at >= p.Length && w.clients.Open == 0 {
+		if at >= plan.Length && w.clients.InFlight == 0 {
 			break
 		}
 	}
-	// What is still on its way to the servers and back: a few seconds.
+	// Messages that are still on their way to and from the servers take a few seconds.
 	if err := w.loop.Run(w.loop.Now() + 2*time.Second); err != nil {
 		return err
 	}
-	if n := w.clients.Open; n > 0 {
-		w.rec.Broke(fmt.Sprintf("%d asks were not over %v after the load", n, overtime+longest))
-		for _, m := range w.mixers {
-			for _, id := range sorted(m.asks) {
-				m.asks[id].seen.Detail = "no answer came"
-				w.reply(m.asks[id], judge.Lost, model.Reply{Kind: model.Lost})
+	if n := w.clients.InFlight; n > 0 {
+		w.recorder.Broke(fmt.Sprintf("%d asks were not over %v after the load", n, overtime+longest))
+		for _, p := range w.proxies {
+			for _, id := range sortedIDs(p.attempts) {
+				p.attempts[id].judged.Detail = "no answer came"
+				w.endAttempt(p.attempts[id], judge.Lost, model.Reply{Kind: model.Lost})
 			}
 		}
 	}
-	for _, m := range w.mixers {
-		m.stop()
+	for _, p := range w.proxies {
+		p.stop()
 	}
 	return nil
 }
 
-// change has a fault take hold of something, or let it go.
-func (w *world) change(c model.Change) {
+// applyChange starts or ends a fault.
+func (w *world) applyChange(c model.Change) {
 	switch {
 	case c.Do == model.Cut:
 		w.net.Cut(c.From, c.To, c.On)
 		if c.Both {
 			w.net.Cut(c.To, c.From, c.On)
 		}
-		w.note("%v %s to %s", c, w.net.Sites()[c.From], w.net.Sites()[c.To])
-	case c.Do == model.Kill, c.Do == model.Restart:
-		w.note("%v %d", c, c.Target)
-		m := w.mixers[c.Target]
+		w.recordEvent("%v %s to %s", c, w.net.Sites()[c.From], w.net.Sites()[c.To])
+	case c.Do == model.KillProxy, c.Do == model.RestartProxy:
+		w.recordEvent("%v %d", c, c.Target)
+		p := w.proxies[c.Target]
 		switch {
 		case !c.On:
-			m.back()
-		case c.Do == model.Kill:
-			m.kill()
+			p.restart()
+		case c.Do == model.KillProxy:
+			p.kill()
 		default:
-			m.leave()
+			p.drain()
 		}
-	case c.Do == model.Switch:
-		w.note("%v %s", c, strings.Join(c.Others, " "))
+	case c.Do == model.SwitchSources:
+		w.recordEvent("%v %s", c, strings.Join(c.SwitchTo, " "))
 		w.reconfigure(c)
-	case c.Target < 0 || model.ByList(c.Do):
+	case c.Target < 0 || model.ChangesEntry(c.Do):
 		if c.Target >= 0 {
-			w.note("%v %s", c, w.Servers[c.Target].Name)
+			w.recordEvent("%v %s", c, w.Servers[c.Target].Name)
 		} else {
-			w.note("%v", c)
+			w.recordEvent("%v", c)
 		}
 		for _, l := range w.lists {
-			l.Strike(c)
+			l.Apply(c)
 		}
 	default:
 		s := w.Servers[c.Target]
-		w.note("%v %s", c, s.Name)
+		w.recordEvent("%v %s", c, s.Name)
 		if c.Do == model.Vanish {
 			if c.On {
-				w.vanish[c.Target]++
+				w.vanished[c.Target]++
 			} else {
-				w.vanish[c.Target]--
+				w.vanished[c.Target]--
 			}
 		}
-		s.Strike(c)
+		s.Apply(c)
 	}
 }
 
-// down: a server's process has ended.
-func (w *world) down(server int) {
+// serverDown handles the end of a server's process.
+func (w *world) serverDown(server int) {
 	for _, l := range w.lists {
 		l.Down(server)
 	}
-	for _, m := range w.mixers {
-		if l := m.links[server]; l != nil {
-			l.serverGone()
+	for _, p := range w.proxies {
+		if l := p.links[server]; l != nil {
+			l.serverEnded()
 		}
 	}
 }
 
-func (w *world) up(server int) {
-	w.note("%s runs again", w.Servers[server].Name)
-	w.j.Restarted(w.Servers[server].Name, len(w.mixers))
+// serverUp handles the start of a server's process.
+func (w *world) serverUp(server int) {
+	w.recordEvent("%s runs again", w.Servers[server].Name)
+	w.judge.Restarted(w.Servers[server].Name, len(w.proxies))
 	for _, l := range w.lists {
 		l.Up(server)
 	}
-	for _, m := range w.mixers {
-		if l := m.links[server]; l != nil {
-			l.serverBack()
+	for _, p := range w.proxies {
+		if l := p.links[server]; l != nil {
+			l.serverRestarted()
 		}
 	}
 }
 
 // ---- Discovery.
 
-var states = map[model.Standing]choice.State{model.Serving: choice.Ready, model.Draining: choice.Draining, model.Deleted: choice.Gone}
+var states = map[model.Status]choice.State{model.Serving: choice.Ready, model.Draining: choice.Draining, model.Deleted: choice.Gone}
 
+// row converts a list entry to the form that the decisions take.
 func (w *world) row(e model.Entry) choice.Server {
 	spec := &w.plan.Servers[e.Server]
-	row := choice.Server{ID: spec.Name, Zone: spec.Site, Kind: spec.Group, Cell: spec.Cell, State: states[e.Standing], Scale: 1}
+	row := choice.Server{ID: spec.Name, Zone: spec.Site, Kind: spec.Group, Cell: spec.Cell, State: states[e.Status], Scale: 1}
 	if e.Since >= 0 {
 		row.UpSince = epoch.Add(e.Since).UnixMicro()
 	}
 	return row
 }
 
-// tell has discovery write news to the mixers that watch.
-func (w *world) tell(news []model.Entry) {
+// publishList sends changes of the list to the proxies that watch it.
+func (w *world) publishList(changes []model.Entry) {
 	w.version++
-	for _, e := range news {
-		switch e.Standing {
+	for _, e := range changes {
+		switch e.Status {
 		case model.Draining:
-			w.j.Told(w.plan.Servers[e.Server].Name, w.time())
+			w.judge.Told(w.plan.Servers[e.Server].Name, w.time())
 		case model.Serving:
-			w.j.Told(w.plan.Servers[e.Server].Name, time.Time{})
+			w.judge.Told(w.plan.Servers[e.Server].Name, time.Time{})
 		}
 	}
-	rows := make([]choice.Server, 0, len(news))
-	for _, e := range news {
+	rows := make([]choice.Server, 0, len(changes))
+	for _, e := range changes {
 		rows = append(rows, w.row(e))
 	}
-	for _, m := range w.mixers {
-		if m.x == nil || !m.watches {
+	for _, p := range w.proxies {
+		if p.exchange == nil || !p.watches {
 			continue
 		}
 		l := choice.List{Form: choice.Delta, Version: w.version, Servers: rows}
-		look := w.plan.Settings.Look
+		look := w.plan.Settings.PollInterval
 		if look == 0 {
-			m.hear(l)
+			p.receiveListLater(l)
 			continue
 		}
-		// The agent holds it, and that counts as told; the mixer's next look finds it.
+		// The agent has the list from now on, which counts as notified; the proxy finds it when it
+		// polls the agent.
 		l.Since = look.Microseconds()
-		life := m.life
-		at := max(w.loop.Now()+time.Duration(m.look()*float64(look)), m.looked)
-		m.looked = at
+		incarnation := p.incarnation
+		at := max(w.loop.Now()+time.Duration(p.pollDraw()*float64(look)), p.lastPoll)
+		p.lastPoll = at
 		w.loop.Post(at-w.loop.Now(), func() {
-			if m.life == life && m.x != nil {
-				m.hears(l)
+			if p.incarnation == incarnation && p.exchange != nil {
+				p.applyList(l)
 			}
 		})
 	}
 }
 
-// whole is the list as discovery has it.
-func (w *world) whole(form choice.Form) choice.List {
+// currentList returns discovery's current list.
+func (w *world) currentList(form choice.Form) choice.List {
 	l := choice.List{Form: form, Version: w.version}
-	for _, e := range w.lists[0].Whole() {
-		if e.Standing != model.Deleted {
+	for _, e := range w.lists[0].Entries() {
+		if e.Status != model.Deleted {
 			l.Servers = append(l.Servers, w.row(e))
 		}
 	}
@@ -402,92 +407,95 @@
 
 // ---- Clients.
 
-func (w *world) front() {
-	w.fronts = w.fronts[:0]
-	for _, m := range w.mixers {
-		if m.fronted {
-			w.fronts = append(w.fronts, m.n)
+// updateBalanced updates the proxies that the load balancer sends queries to.
+func (w *world) updateBalanced() {
+	w.balancedProxies = w.balancedProxies[:0]
+	for _, p := range w.proxies {
+		if p.balanced {
+			w.balancedProxies = append(w.balancedProxies, p.n)
 		}
 	}
 }
 
-func (w *world) pick(luck uint64) int {
-	if len(w.fronts) == 0 {
+// selectProxy returns the proxy that the load balancer selects, or -1 if none is available.
+func (w *world) selectProxy(draw uint64) int {
+	if len(w.balancedProxies) == 0 {
 		return -1
 	}
-	return w.fronts[luck%uint64(len(w.fronts))]
+	return w.balancedProxies[draw%uint64(len(w.balancedProxies))]
 }
 
-// near is the way between a client and its mixer: they share a site.
-func (w *world) near(m *mixer) time.Duration {
-	d, _ := w.net.Delay(m.site, m.site)
+// localDelay returns the delay between a client and its proxy, which share a site.
+func (w *world) localDelay(p *proxy) time.Duration {
+	d, _ := w.net.Delay(p.site, p.site)
 	return d
 }
 
-// ask is a try at a mixer.
-type ask struct {
-	t    *model.Try
-	q    *exchange.Query
-	seen *judge.Query
-	m    *mixer
-	life int
-	over bool
+// clientAttempt is an attempt of a client at a proxy.
+type clientAttempt struct {
+	t           *model.Attempt
+	q           *exchange.Query
+	judged      *judge.Query
+	proxy       *proxy
+	incarnation int
+	finished    bool
 }
 
-func (w *world) send(t *model.Try) {
-	m := w.mixers[t.Mixer]
-	a := &ask{t: t, m: m}
-	a.seen = &judge.Query{ID: t.ID, Class: t.Ask.Class.Name, Due: epoch.Add(t.Ask.Due), Sent: w.time(), Patience: t.Patience}
-	for _, p := range t.Ask.Parts {
-		a.seen.Parts = append(a.seen.Parts, judge.Part{Shard: p.Shard, Weight: p.Weight})
+// sendQuery sends a client's attempt to its proxy.
+func (w *world) sendQuery(t *model.Attempt) {
+	p := w.proxies[t.Proxy]
+	a := &clientAttempt{t: t, proxy: p}
+	a.judged = &judge.Query{ID: t.ID, Class: t.Request.Class.Name, Due: epoch.Add(t.Request.Due), Sent: w.time(), Patience: t.Timeout}
+	for _, part := range t.Request.Parts {
+		a.judged.Parts = append(a.judged.Parts, judge.Part{Shard: part.Shard, Weight: part.Weight})
 	}
-	w.j.Sent(a.seen)
-	m.asks[t.ID] = a
+	w.judge.Sent(a.judged)
+	p.attempts[t.ID] = a
 	if w.opt.Trace != nil {
-		w.opt.Trace(w.loop.Now(), t.Ask.ID, fmt.Sprintf("try %d of class %s goes to mixer %d, %d parts, %v left", t.N, t.Ask.Class.Name, m.n, len(t.Ask.Parts), t.Patience))
+		w.opt.Trace(w.loop.Now(), t.Request.ID, fmt.Sprintf("try %d of class %s goes to mixer %d, %d parts, %v left", t.N, t.Request.Class.Name, p.n, len(t.Request.Parts), t.Timeout))
 	}
-	w.loop.Post(w.near(m), func() { m.take(a) })
+	w.loop.Post(w.localDelay(p), func() { p.receiveQuery(a) })
 }
 
-// leave: a client closes its connection.
-func (w *world) leave(t *model.Try) {
-	m := w.mixers[t.Mixer]
-	a := m.asks[t.ID]
-	if a == nil || a.over {
+// clientLeaves closes a client's connection.
+func (w *world) clientLeaves(t *model.Attempt) {
+	p := w.proxies[t.Proxy]
+	a := p.attempts[t.ID]
+	if a == nil || a.finished {
 		return
 	}
-	w.reply(a, judge.Gone, model.Reply{Kind: model.Left})
-	w.loop.Post(w.near(m), func() {
-		if m.x != nil && m.life == a.life && a.q != nil {
-			m.x.ClientLeft(a.q)
+	w.endAttempt(a, judge.Gone, model.Reply{Kind: model.Left})
+	w.loop.Post(w.localDelay(p), func() {
+		if p.exchange != nil && p.incarnation == a.incarnation && a.q != nil {
+			p.exchange.ClientLeft(a.q)
 		}
 	})
 }
 
-// reply ends a try at its client.
-func (w *world) reply(a *ask, outcome judge.Outcome, r model.Reply) {
-	if a.over {
-		// The end of a killed mixer's connection may cross its answer: that is no second one.
-		if outcome != judge.Gone && outcome != judge.Died && a.seen.Outcome != judge.Gone && a.seen.Outcome != judge.Died {
-			a.seen.Extra = true
+// endAttempt ends an attempt at its client.
+func (w *world) endAttempt(a *clientAttempt, outcome judge.Outcome, r model.Reply) {
+	if a.finished {
+		// The reset of a killed proxy's connection may cross its answer; that is not a second answer.
+		if outcome != judge.Gone && outcome != judge.Died && a.judged.Outcome != judge.Gone && a.judged.Outcome != judge.Died {
+			a.judged.Extra = true
 		}
 		return
 	}
-	a.over = true
-	a.seen.Ended, a.seen.Outcome = w.time(), outcome
-	if a.m.asks[a.t.ID] == a {
-		delete(a.m.asks, a.t.ID)
+	a.finished = true
+	a.judged.Ended, a.judged.Outcome = w.time(), outcome
+	if a.proxy.attempts[a.t.ID] == a {
+		delete(a.proxy.attempts, a.t.ID)
 	}
-	w.j.Ended(a.seen)
+	w.judge.Ended(a.judged)
 	if w.opt.Trace != nil {
-		w.opt.Trace(w.loop.Now(), a.t.Ask.ID, fmt.Sprintf("try %d ends: %v whole=%v share=%.2f retry-after=%v", a.t.N, r.Kind, r.Whole, r.Share, r.RetryAfter))
+		w.opt.Trace(w.loop.Now(), a.t.Request.ID, fmt.Sprintf("try %d ends: %v whole=%v share=%.2f retry-after=%v", a.t.N, r.Kind, r.Complete, r.Share, r.RetryAfter))
 	}
 	w.clients.Reply(a.t, r)
 }
 
-// final is a mixer's answer, on its way to the client.
-func (w *world) final(a *ask, f exchange.Final) {
-	if change := w.opt.Sabotage.Final; change != nil {
+// deliverFinal sends a proxy's answer to the client.
+func (w *world) deliverFinal(a *clientAttempt, f exchange.Final) {
+	if change := w.opt.Mutations.ReplaceFinal; change != nil {
 		g := change(&f)
 		if g == nil {
 			return
@@ -498,10 +506,10 @@
 	outcome := judge.Failed
 	switch f.Ending {
 	case exchange.Answered:
-		outcome, r.Kind, r.Whole = judge.Answered, model.Answered, f.Complete
+		outcome, r.Kind, r.Complete = judge.Answered, model.Answered, f.Complete
 		for _, h := range f.Hits {
-			if i := slices.IndexFunc(a.t.Ask.Parts, func(p model.PartAsk) bool { return p.Shard == h.Shard }); i >= 0 {
-				r.Share += a.t.Ask.Parts[i].Weight
+			if i := slices.IndexFunc(a.t.Request.Parts, func(part model.PartRequest) bool { return part.Shard == h.Shard }); i >= 0 {
+				r.Share += a.t.Request.Parts[i].Weight
 			}
 		}
 	case exchange.Refused:
@@ -511,23 +519,23 @@
 	default:
 		r.Kind = model.Failed
 	}
-	m, times := a.m, 1
-	if w.opt.Sabotage.Twice {
-		times = 2
+	p, copies := a.proxy, 1
+	if w.opt.Mutations.AnswerTwice {
+		copies = 2
 	}
-	for range times {
-		w.loop.Post(w.near(m)+w.opt.Sabotage.Delay, func() {
-			if !a.over {
-				a.seen.Whole = r.Whole
+	for range copies {
+		w.loop.Post(w.localDelay(p)+w.opt.Mutations.AnswerDelay, func() {
+			if !a.finished {
+				a.judged.Whole = r.Complete
 				for _, h := range f.Hits {
 					value := h.Value
-					if change := w.opt.Sabotage.Value; change != nil {
+					if change := w.opt.Mutations.ReplaceValue; change != nil {
 						value = change("", value)
 					}
-					a.seen.Hits = append(a.seen.Hits, judge.Hit{Shard: h.Shard, Value: value})
+					a.judged.Hits = append(a.judged.Hits, judge.Hit{Shard: h.Shard, Value: value})
 				}
 			}
-			w.reply(a, outcome, r)
+			w.endAttempt(a, outcome, r)
 		})
 	}
 }
--- a/internal/lab/virtual/virtual_test.go
+++ b/internal/lab/virtual/virtual_test.go
@@ -46,7 +46,7 @@
 
 func play(t *testing.T, text string, opt Options) *record.Run {
 	t.Helper()
-	doc, err := scenario.Text("test.ini", []byte(text))
+	doc, err := scenario.Parse("test.ini", []byte(text))
 	require.NoError(t, err)
 	s, err := doc.Scenario(nil)
 	require.NoError(t, err)
@@ -57,18 +57,18 @@
 	return run
 }
 
-// Each rule, and a mixer or a rig that breaks it: the judge must see it, and see
-// nothing where nothing is broken.
-func TestSabotage(t *testing.T) {
+// For each rule, a mutation of the proxies or the rig breaks it: the judge must detect the
+// violation, and must report nothing for the unmutated runs.
+func TestJudgeDetectsMutations(t *testing.T) {
 	clean := play(t, small, Options{})
 	require.Empty(t, clean.Unmet())
 	require.Greater(t, clean.Summary.Goodput, 0.99)
 	failing := small + "[fault f]\ndo = fail\nat = 2s\nparts = 0.7\n"
 	draining := small + "[fault d]\ndo = drain\nat = 2s\nwho = cell 1\n"
 	returning := strings.ReplaceAll(small, "rate  = 40", "rate  = 300") + "[fault d]\ndo = die\nat = 2s\nfor = 3s\nwho = cell 1\n"
-	told := small + "[members]\nsources = list, consul\n[fault d]\ndo = drain\nsource = consul\nat = 2s\nwho = cell 1\n"
-	for _, fair := range []string{failing, draining, returning, told} {
-		require.Zero(t, play(t, fair, Options{}).Verdict.Broken(), "%s", play(t, fair, Options{}).Verdict.Faults)
+	drainingByOneSource := small + "[members]\nsources = list, consul\n[fault d]\ndo = drain\nsource = consul\nat = 2s\nwho = cell 1\n"
+	for _, unmutated := range []string{failing, draining, returning, drainingByOneSource} {
+		require.Zero(t, play(t, unmutated, Options{}).Verdict.Broken(), "%s", play(t, unmutated, Options{}).Verdict.Faults)
 	}
 	unsafe := func(s *settings.Settings) {
 		for i := range s.Router.Classes {
@@ -77,60 +77,64 @@
 	}
 	cases := []struct {
 		rule, text string
-		how        Sabotage
-		seen       func(*record.Run) int
-		words      string
+		mutations  Mutations
+		count      func(*record.Run) int
+		fault      string
 	}{
-		{"a query gets an answer", small, Sabotage{Final: func(*exchange.Final) *exchange.Final { return nil }},
+		{"every query is answered", small, Mutations{ReplaceFinal: func(*exchange.Final) *exchange.Final { return nil }},
 			func(r *record.Run) int { return r.Verdict.Lost }, "lost: query"},
-		{"in time", small, Sabotage{Delay: 3 * time.Second}, func(r *record.Run) int { return r.Verdict.Late }, "late: query"},
-		{"one answer", small, Sabotage{Twice: true}, func(r *record.Run) int { return r.Verdict.Doubled }, "was answered twice"},
-		{"one attempt at a time", small + "[fault f]\ndo = hang\nat = 2s\nparts = 0.3\n", Sabotage{Settings: func(s *settings.Settings) { s.Router.ParallelAttempts = true }},
+		{"answers are in time", small, Mutations{AnswerDelay: 3 * time.Second}, func(r *record.Run) int { return r.Verdict.Late }, "late: query"},
+		{"a query has one answer", small, Mutations{AnswerTwice: true}, func(r *record.Run) int { return r.Verdict.Doubled }, "was answered twice"},
+		{"a part has one attempt at a time", small + "[fault f]\ndo = hang\nat = 2s\nparts = 0.3\n", Mutations{ChangeSettings: func(s *settings.Settings) { s.Router.ParallelAttempts = true }},
 			func(r *record.Run) int { return r.Verdict.Doubled }, "was out at"},
-		{"the cap on attempts", small + "[fault f]\ndo = busy\nat = 2s\nfor = 5s\n", Sabotage{Settings: func(s *settings.Settings) { s.Router.AttemptCap = 12 }},
+		{"attempts are capped", small + "[fault f]\ndo = busy\nat = 2s\nfor = 5s\n", Mutations{ChangeSettings: func(s *settings.Settings) { s.Router.AttemptCap = 12 }},
 			func(r *record.Run) int { return r.Verdict.Capped }, "are allowed"},
-		{"unsafe parts once", failing, Sabotage{Settings: unsafe}, func(r *record.Run) int { return r.Verdict.Doubled }, "of book-trip ran"},
-		{"nothing new to a drained server", draining, Sabotage{Undrain: true, Settings: func(s *settings.Settings) { s.Router.DrainGrace = 60_000_000 }},
+		{"unsafe parts run once", failing, Mutations{ChangeSettings: unsafe}, func(r *record.Run) int { return r.Verdict.Doubled }, "of book-trip ran"},
+		{"a drained server receives nothing new", draining, Mutations{IgnoreDrain: true, ChangeSettings: func(s *settings.Settings) { s.Router.DrainGrace = 60_000_000 }},
 			func(r *record.Run) int { return r.Verdict.Drained }, "after its drain was told"},
-		{"also where one source alone told", told, Sabotage{Undrain: true, Settings: func(s *settings.Settings) { s.Router.DrainGrace = 60_000_000 }},
+		{"a drain that one source reports is enough", drainingByOneSource, Mutations{IgnoreDrain: true, ChangeSettings: func(s *settings.Settings) { s.Router.DrainGrace = 60_000_000 }},
 			func(r *record.Run) int { return r.Verdict.Drained }, "after its drain was told"},
-		{"nothing to a server that does not hold it", small, Sabotage{Leaves: func(_ int, l exchange.Upstream, _ *exchange.Exchange) exchange.Upstream { return &strayer{Upstream: l} }},
+		{"a part goes only to servers that have its shard", small, Mutations{WrapUpstream: func(_ int, l exchange.Upstream, _ *exchange.Exchange) exchange.Upstream {
+			return &misrouter{Upstream: l}
+		}},
 			func(r *record.Run) int { return r.Verdict.Astray }, "which does not hold it"},
-		{"whole marks are honest", small, Sabotage{Final: func(f *exchange.Final) *exchange.Final { f.Hits = f.Hits[:min(len(f.Hits), 1)]; return f }},
+		{"answers marked complete are complete", small, Mutations{ReplaceFinal: func(f *exchange.Final) *exchange.Final { f.Hits = f.Hits[:min(len(f.Hits), 1)]; return f }},
 			func(r *record.Run) int { return r.Verdict.Wrong }, "marked whole with"},
-		{"the least share", small, Sabotage{Final: func(f *exchange.Final) *exchange.Final {
+		{"partial answers have the minimum share", small, Mutations{ReplaceFinal: func(f *exchange.Final) *exchange.Final {
 			f.Complete, f.Hits = false, f.Hits[:min(len(f.Hits), 1)]
 			return f
 		}}, func(r *record.Run) int { return r.Verdict.Wrong }, "and the least is"},
-		{"values come from servers", small, Sabotage{Value: func(_, v string) string { return v + "!" }},
+		{"values come from servers", small, Mutations{ReplaceValue: func(_, v string) string { return v + "!" }},
 			func(r *record.Run) int { return r.Verdict.Wrong }, "no leaf server made"},
-		{"a refusal promises", failing, Sabotage{Final: func(f *exchange.Final) *exchange.Final {
+		{"a rejected query has not run", failing, Mutations{ReplaceFinal: func(f *exchange.Final) *exchange.Final {
 			if f.Ending == exchange.Failed {
 				f.Ending = exchange.Refused
 			}
 			return f
 		}}, func(r *record.Run) int { return r.Verdict.Wrong }, "was refused, and a part of it ran"},
-		{"only what was asked for", small, Sabotage{Leaves: func(_ int, l exchange.Upstream, _ *exchange.Exchange) exchange.Upstream { return &renamer{Upstream: l} }},
+		{"servers receive only parts that clients requested", small, Mutations{WrapUpstream: func(_ int, l exchange.Upstream, _ *exchange.Exchange) exchange.Upstream {
+			return &partRenamer{Upstream: l}
+		}},
 			func(r *record.Run) int { return r.Verdict.Wrong }, "was asked for by no client"},
 	}
 	for _, c := range cases {
 		t.Run(c.rule, func(t *testing.T) {
-			r := play(t, c.text, Options{Sabotage: c.how})
-			require.Positive(t, c.seen(r), "%+v", r.Summary)
-			require.Contains(t, strings.Join(r.Verdict.Faults, "\n"), c.words)
+			r := play(t, c.text, Options{Mutations: c.mutations})
+			require.Positive(t, c.count(r), "%+v", r.Summary)
+			require.Contains(t, strings.Join(r.Verdict.Faults, "\n"), c.fault)
 			require.NotEmpty(t, r.Unmet())
 		})
 	}
 }
 
-// strayer sends now and then a part to the first server that it has seen, whatever that holds.
-type strayer struct {
+// misrouter sends every 20th part to the first server it has seen, whatever shards that server has.
+type misrouter struct {
 	exchange.Upstream
 	first string
 	n     int
 }
 
-func (s *strayer) Send(list []*exchange.Attempt) {
+func (s *misrouter) Send(list []*exchange.Attempt) {
 	for _, a := range list {
 		if s.first == "" {
 			s.first = a.Server
@@ -142,13 +146,13 @@
 	s.Upstream.Send(list)
 }
 
-// renamer sends parts under names that nobody gave them.
-type renamer struct {
+// partRenamer sends every 50th part under a name that no client gave it.
+type partRenamer struct {
 	exchange.Upstream
 	n int
 }
 
-func (r *renamer) Send(list []*exchange.Attempt) {
+func (r *partRenamer) Send(list []*exchange.Attempt) {
 	for _, a := range list {
 		if r.n++; r.n%50 == 0 {
 			a.PartID = strings.Replace(a.PartID, "-", "x-", 1)
@@ -157,9 +161,9 @@
 	r.Upstream.Send(list)
 }
 
-// The same scenario and seed give the same bytes, on one core and on four, and
-// another seed gives others.
-func TestSameBytes(t *testing.T) {
+// The same scenario and seed give the same bytes, also on one core, and another seed
+// gives different ones.
+func TestDeterministicOutput(t *testing.T) {
 	text := small + `[fault q]
 do = die
 at = 3s
@@ -180,7 +184,7 @@
 retry-failed = yes
 `
 	digest := func(text string) string {
-		files, err := play(t, text, Options{Keep: true}).Files()
+		files, err := play(t, text, Options{KeepRows: true}).Files()
 		require.NoError(t, err)
 		return record.Digest(files)
 	}
@@ -191,9 +195,9 @@
 	require.NotEqual(t, first, digest(strings.Replace(text, "name   = small", "name   = small\nseed = 2", 1)))
 }
 
-// Faults play as scripted: what is cut off or vanished is silent and breaks no rule,
-// a mixer that is killed loses what it had and no more, one restarted as planned
-// loses nothing, and the list's lies and silence cost no rule.
+// Faults happen as scripted and break no rule: partitioned and vanished servers are
+// unresponsive, a killed proxy loses only its own queries, a gracefully restarted one loses
+// nothing, and the list omits servers or stops sending changes.
 func TestFaults(t *testing.T) {
 	for _, f := range []string{
 		"do = vanish\nat = 3s\nfor = 3s\nshare = 0.3", "do = cut\nat = 3s\nfor = 3s\nwho = amman zarqa\nboth = no", "do = pause\nat = 2s\nfor = 500ms\nevery = 1s\nshare = 0.2",
@@ -201,7 +205,7 @@
 		"do = list-silent\nat = 2s\nfor = 5s", "do = release\nat = 2s\nfor = 4s\napart = 2s", "do = busy\nat = 3s\nfor = 3s\nshare = 0.3", "do = slow\nat = 3s\nfor = 4s\nshare = 0.3\nfactor = 20",
 	} {
 		t.Run(strings.Fields(f)[2], func(t *testing.T) {
-			r := play(t, small+"[fault f]\n"+f+"\n", Options{Keep: true})
+			r := play(t, small+"[fault f]\n"+f+"\n", Options{KeepRows: true})
 			require.Empty(t, r.Unmet(), "%s", r.Verdict.Faults)
 			require.NotEmpty(t, r.Events)
 			require.Greater(t, r.Summary.Goodput, 0.8)
@@ -219,15 +223,15 @@
 	}
 }
 
-// A run that never ends is stopped and says so; one that is called off ends at once.
-func TestEnds(t *testing.T) {
-	doc, err := scenario.Text("test.ini", []byte(small))
+// A run with too many events is stopped with an error; a cancelled run ends at once.
+func TestRunEndsEarly(t *testing.T) {
+	doc, err := scenario.Parse("test.ini", []byte(small))
 	require.NoError(t, err)
 	s, err := doc.Scenario(nil)
 	require.NoError(t, err)
 	p, err := s.Plan(1)
 	require.NoError(t, err)
-	_, err = Run(context.Background(), p, Options{Most: 5000})
+	_, err = Run(context.Background(), p, Options{MaxEvents: 5000})
 	require.ErrorIs(t, err, event.ErrTooManyEvents)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
