--- a/internal/lab/hookcost/hookcost.go
+++ b/internal/lab/hookcost/hookcost.go
@@ -207,7 +207,7 @@
 		return err
 	}
 	fmt.Fprintln(w)
-	rows = [][]string{{"module with endless recursion", "concurrent calls", "MiB from the system", "all stopped after ms", "fault"}}
+	rows = [][]string{{"module with endless recursion", "concurrent calls", "MiB from the system", "all stopped after ms", "as"}}
 	for _, d := range t.Recursions {
 		rows = append(rows, []string{d.Frame, fmt.Sprint(d.Concurrent), f(d.MiB), f(d.StoppedMS), d.Fault})
 	}
