--- a/internal/lab/answers/recorder.go
+++ b/internal/lab/answers/recorder.go
@@ -22,17 +22,17 @@
 type recorder struct {
 	plan Plan
 
-	mu      sync.Mutex
-	rng     *rand.Rand
-	ran     map[string]int    // executions by attempt id
-	last    map[string]string // latest attempt id by server
-	faults  map[string]int    // by name
-	servers []*standin.Server
-	totals  Report
+	mu          sync.Mutex
+	rng         *rand.Rand
+	ran         map[string]int    // executions by attempt id
+	lastAttempt map[string]string // latest attempt id by server
+	faults      map[string]int    // by name
+	servers     []*standin.Server
+	totals      Report
 }
 
 func newRecorder(p Plan) *recorder {
-	return &recorder{plan: p, rng: rand.New(rand.NewPCG(p.Seed, 5)), ran: make(map[string]int), last: make(map[string]string),
+	return &recorder{plan: p, rng: rand.New(rand.NewPCG(p.Seed, 5)), ran: make(map[string]int), lastAttempt: make(map[string]string),
 		faults: make(map[string]int)}
 }
 
@@ -101,8 +101,8 @@
 	rec.mu.Lock()
 	defer rec.mu.Unlock()
 	r := standin.Reply{Body: body(seen.Attempt)}
-	earlier := rec.last[server]
-	rec.last[server] = seen.Attempt
+	earlier := rec.lastAttempt[server]
+	rec.lastAttempt[server] = seen.Attempt
 	ran := true
 	if rec.rng.Float64() < rec.plan.FaultShare && earlier != "" {
 		d := serverFaults[rec.rng.IntN(len(serverFaults))]
--- a/internal/lab/bench/capacity.go
+++ b/internal/lab/bench/capacity.go
@@ -453,7 +453,7 @@
 		return err
 	}
 	document := gjson.ParseBytes(text)
-	b := &bare{pending: make(map[string]chan string)}
+	b := &bareProxy{pending: make(map[string]chan string)}
 	cells := int(document.Get("settings.family-info.places").Int())
 	b.conns = make([]*bareConn, cells)
 	for _, e := range document.Get("known.endpoints").Array() {
@@ -487,13 +487,13 @@
 	conn net.Conn
 }
 
-type bare struct {
+type bareProxy struct {
 	conns   []*bareConn
 	mu      sync.Mutex
 	pending map[string]chan string
 }
 
-func (b *bare) read(conn net.Conn) {
+func (b *bareProxy) read(conn net.Conn) {
 	r := bufio.NewReader(conn)
 	for {
 		frameType, rest, err := frame.Read(r)
@@ -517,7 +517,7 @@
 	}
 }
 
-func (b *bare) serve(conn net.Conn) {
+func (b *bareProxy) serve(conn net.Conn) {
 	defer conn.Close()
 	r := bufio.NewReader(conn)
 	for {
--- a/internal/lab/leaf/leaf.go
+++ b/internal/lab/leaf/leaf.go
@@ -88,7 +88,7 @@
 
 // work is one part that waits or runs.
 type work struct {
-	c       *conn
+	conn    *conn
 	part    frame.Part
 	attempt *judge.Attempt
 	dropped bool // cancelled or rejected, or its connection has ended
@@ -245,7 +245,7 @@
 // submit runs a part, queues it or rejects it.
 func (s *Server) submit(c *conn, p frame.Part) {
 	now := time.Now()
-	w := &work{c: c, part: p, attempt: s.judge.Arrived(p.ID, s.Name, now)}
+	w := &work{conn: c, part: p, attempt: s.judge.Arrived(p.ID, s.Name, now)}
 	s.mu.Lock()
 	if c.work == nil { // the connection has ended in the meantime
 		s.mu.Unlock()
@@ -325,9 +325,9 @@
 // cell. The caller holds s.mu.
 func (s *Server) rejectNotOwned(w *work, epoch int64) {
 	w.dropped = true
-	delete(w.c.work, w.part.ID)
+	delete(w.conn.work, w.part.ID)
 	w.attempt.Over(time.Now(), "")
-	go w.c.write('A', frame.AppendAnswer(nil, frame.Answer{ID: w.part.ID, Status: "busy", LoadReport: fmt.Sprintf("moved=%d", epoch)}))
+	go w.conn.write('A', frame.AppendAnswer(nil, frame.Answer{ID: w.part.ID, Status: "busy", LoadReport: fmt.Sprintf("moved=%d", epoch)}))
 }
 
 func (s *Server) finish(w *work) {
@@ -349,14 +349,14 @@
 	s.start()
 	dropped := w.dropped
 	if !dropped {
-		delete(w.c.work, w.part.ID)
+		delete(w.conn.work, w.part.ID)
 	}
 	s.mu.Unlock()
 	if dropped {
 		return
 	}
 	w.attempt.Over(time.Now(), value)
-	w.c.write('A', frame.AppendAnswer(nil, frame.Answer{ID: w.part.ID, Status: "ok", Score: 1, LoadReport: s.report(), Value: []byte(value)}))
+	w.conn.write('A', frame.AppendAnswer(nil, frame.Answer{ID: w.part.ID, Status: "ok", Score: 1, LoadReport: s.report(), Value: []byte(value)}))
 }
 
 // cancel drops a part that the proxy has cancelled; one that already runs is finished, but its
--- a/internal/lab/reshape/reshape.go
+++ b/internal/lab/reshape/reshape.go
@@ -52,26 +52,26 @@
 	http *http.Server
 	rng  *rand.Rand
 
-	mu      sync.Mutex
-	owners  map[int]*placement.Owner
-	m       *placement.Map
-	next    uint32
-	number  int64
-	busy    map[uint32]bool
-	down    map[int]bool // killed cells, which the coordinator can't reach
-	counts  map[string]int
-	changed chan struct{}
-
-	killed sync.WaitGroup
+	mu            sync.Mutex
+	owners        map[int]*placement.Owner
+	current       *placement.Map
+	nextSegmentID uint32
+	lastReshapeID int64
+	busy          map[uint32]bool
+	down          map[int]bool // killed cells, which the coordinator can't reach
+	counts        map[string]int
+	changed       chan struct{}
+
+	killsPending sync.WaitGroup
 
 	feedMu    sync.Mutex
 	published []publishedMap // includes maps that the feed does not show yet
 }
 
 type publishedMap struct {
-	at time.Time
-	m  *placement.Map
-	u  *placement.Update
+	visibleAt time.Time
+	full      *placement.Map
+	update    *placement.Update
 }
 
 const history = 256 // maps that the feed keeps
@@ -102,9 +102,9 @@
 		}
 		u.Segments = append(u.Segments, s)
 	}
-	w.next = uint32(c.Segments + 1)
+	w.nextSegmentID = uint32(c.Segments + 1)
 	var err error
-	if w.m, err = (*placement.Map)(nil).Apply(u); err != nil {
+	if w.current, err = (*placement.Map)(nil).Apply(u); err != nil {
 		return nil, err
 	}
 	for _, id := range cells {
@@ -117,7 +117,7 @@
 		w.owners[id] = placement.NewOwner(1, mine...)
 		w.owners[id].NoFence = c.NoFence
 	}
-	w.published = []publishedMap{{time.Time{}, w.m, u}}
+	w.published = []publishedMap{{time.Time{}, w.current, u}}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -132,7 +132,7 @@
 
 // Close waits until killed cells have restarted and stops the feed.
 func (w *World) Close() {
-	w.killed.Wait()
+	w.killsPending.Wait()
 	w.http.Close()
 }
 
@@ -154,7 +154,7 @@
 func (w *World) visible() []publishedMap {
 	w.feedMu.Lock()
 	defer w.feedMu.Unlock()
-	n := sort.Search(len(w.published), func(i int) bool { return w.published[i].at.After(time.Now()) })
+	n := sort.Search(len(w.published), func(i int) bool { return w.published[i].visibleAt.After(time.Now()) })
 	return w.published[:n:n]
 }
 
@@ -162,7 +162,7 @@
 // behind has it.
 func (w *World) Map(behind int) *placement.Map {
 	v := w.visible()
-	return v[max(len(v)-1-behind, 0)].m
+	return v[max(len(v)-1-behind, 0)].full
 }
 
 func (w *World) feed(rw http.ResponseWriter, r *http.Request) {
@@ -172,12 +172,12 @@
 	for {
 		v := w.visible()
 		now := v[len(v)-1]
-		if now.m.Epoch() > epoch || !time.Now().Before(end) {
-			out := placement.Update{Epoch: now.m.Epoch(), Base: epoch} // no change
-			if i := slices.IndexFunc(v, func(p publishedMap) bool { return p.m.Epoch() == epoch+1 }); epoch > 0 && i >= 0 {
-				out = *v[i].u // one change at a time, in order
-			} else if now.m.Epoch() > epoch {
-				out = placement.Update{Epoch: now.m.Epoch(), Segments: now.m.Segments(), Cells: w.cellList()}
+		if now.full.Epoch() > epoch || !time.Now().Before(end) {
+			out := placement.Update{Epoch: now.full.Epoch(), Base: epoch} // no change
+			if i := slices.IndexFunc(v, func(p publishedMap) bool { return p.full.Epoch() == epoch+1 }); epoch > 0 && i >= 0 {
+				out = *v[i].update // one change at a time, in order
+			} else if now.full.Epoch() > epoch {
+				out = placement.Update{Epoch: now.full.Epoch(), Segments: now.full.Segments(), Cells: w.cellList()}
 			}
 			rw.Header().Set("Content-Type", "application/json")
 			json.NewEncoder(rw).Encode(out)
@@ -199,11 +199,11 @@
 }
 
 func (w *World) publish(u *placement.Update) error {
-	m, err := w.m.Apply(u)
+	m, err := w.current.Apply(u)
 	if err != nil {
 		return err
 	}
-	w.m = m
+	w.current = m
 	w.feedMu.Lock()
 	defer w.feedMu.Unlock()
 	w.published = append(w.published, publishedMap{time.Now().Add(w.FeedDelay), m, u})
@@ -251,10 +251,10 @@
 
 // plan returns a random reshape. The caller holds w.mu.
 func (w *World) plan() (*placement.Reshape, error) {
-	segments := w.m.Segments()
+	segments := w.current.Segments()
 	i := w.rng.IntN(len(segments))
 	s := segments[i]
-	w.number++
+	w.lastReshapeID++
 	cell := func() int { return w.rng.IntN(len(w.Cells)) }
 	busy := func(id uint32) bool { return w.busy[id] }
 	sources, targets := []uint32{s.ID}, []placement.Segment(nil)
@@ -266,20 +266,20 @@
 			return nil, fmt.Errorf("the segment has too few keys to split")
 		}
 		at := in[1+w.rng.IntN(len(in)-1)]
-		targets = []placement.Segment{{ID: w.next, Range: placement.Range{From: s.From, To: at}, Cell: s.Cell},
-			{ID: w.next + 1, Range: placement.Range{From: at, To: s.To}, Cell: cell()}}
-		w.next += 2
+		targets = []placement.Segment{{ID: w.nextSegmentID, Range: placement.Range{From: s.From, To: at}, Cell: s.Cell},
+			{ID: w.nextSegmentID + 1, Range: placement.Range{From: at, To: s.To}, Cell: cell()}}
+		w.nextSegmentID += 2
 	case "merge":
 		if i+1 == len(segments) {
 			return nil, fmt.Errorf("the segment has no neighbour to merge with")
 		}
 		sources = append(sources, segments[i+1].ID)
-		targets = []placement.Segment{{ID: w.next, Range: placement.Range{From: s.From, To: segments[i+1].To}, Cell: cell()}}
-		w.next++
+		targets = []placement.Segment{{ID: w.nextSegmentID, Range: placement.Range{From: s.From, To: segments[i+1].To}, Cell: cell()}}
+		w.nextSegmentID++
 	case "move":
 		targets = []placement.Segment{{ID: s.ID, Range: s.Range, Cell: (s.Cell + 1 + w.rng.IntN(max(len(w.Cells)-1, 1))) % len(w.Cells)}}
 	}
-	r, err := w.m.Plan(w.number, sources, targets, busy)
+	r, err := w.current.Plan(w.lastReshapeID, sources, targets, busy)
 	if err != nil {
 		return nil, err
 	}
@@ -353,9 +353,9 @@
 	}
 	w.down[cell] = true
 	w.counts["owner died after the cut"]++
-	w.killed.Add(1)
+	w.killsPending.Add(1)
 	go func() {
-		defer w.killed.Done()
+		defer w.killsPending.Done()
 		<-w.KillCell(cell)
 		w.mu.Lock()
 		defer w.mu.Unlock()
@@ -367,14 +367,14 @@
 func (w *World) Evacuate(cell int) error {
 	w.mu.Lock()
 	var all []*placement.Reshape
-	for _, s := range w.m.Segments() {
+	for _, s := range w.current.Segments() {
 		if s.Cell != cell {
 			continue
 		}
-		w.number++
+		w.lastReshapeID++
 		to := s
 		to.Cell = (cell + 1 + len(all)%max(len(w.Cells)-1, 1)) % len(w.Cells)
-		r, err := w.m.Plan(w.number, []uint32{s.ID}, []placement.Segment{to}, func(id uint32) bool { return w.busy[id] })
+		r, err := w.current.Plan(w.lastReshapeID, []uint32{s.ID}, []placement.Segment{to}, func(id uint32) bool { return w.busy[id] })
 		if err != nil { // the segment is already being reshaped
 			continue
 		}
@@ -431,26 +431,26 @@
 		return fenced
 	case placement.Activate:
 		for _, t := range r.Targets {
-			w.owners[t.Cell].Activate(r.ID, t.Range, w.m.Epoch()+1)
+			w.owners[t.Cell].Activate(r.ID, t.Range, w.current.Epoch()+1)
 		}
 	case placement.Publish:
 		if r.Published {
 			return true
 		}
 		already := slices.ContainsFunc(r.Targets, func(t placement.Segment) bool { // it was published, but the coordinator crashed before it stored that
-			in, _, known := w.m.Range(t.ID)
-			owner, _ := w.m.Lookup(t.From)
+			in, _, known := w.current.Range(t.ID)
+			owner, _ := w.current.Lookup(t.From)
 			return known && in == t.Range && owner.ID == t.ID && owner.Cell == t.Cell
 		})
 		if !already {
-			if err := w.publish(r.Update(w.m.Epoch())); err != nil {
+			if err := w.publish(r.Update(w.current.Epoch())); err != nil {
 				w.counts["not published"]++
 				return false
 			}
 		}
 	case placement.Drop:
 		for _, s := range r.Sources {
-			w.owners[s.Cell].Drop(r.ID, s.Range, w.m.Epoch())
+			w.owners[s.Cell].Drop(r.ID, s.Range, w.current.Epoch())
 		}
 	case placement.Unfence:
 		for _, t := range r.Targets {
