--- a/cmd/saddlelab/emulator.go
+++ b/cmd/saddlelab/emulator.go
@@ -412,7 +412,7 @@
 		return err
 	}
 	defer f.Close()
-	return report.Run(f, run, saved, string(text), record.Place(dir))
+	return report.Run(f, run, saved, string(text), record.DescribeMachine(dir))
 }
 
 func runReport(_ context.Context, c *cli.Command) error {
--- a/cmd/saddlelab/main.go
+++ b/cmd/saddlelab/main.go
@@ -155,7 +155,7 @@
 		return err
 	}
 	progress.End()
-	r := drill.Weigh(d, base, main)
+	r := drill.Evaluate(d, base, main)
 	if out != "" {
 		if err := r.Save(out); err != nil {
 			return err
--- a/internal/lab/desk/desk.go
+++ b/internal/lab/client/client.go
@@ -2,7 +2,7 @@
 // speak the platform's HTTP to a mixer. It owns their connections and arrivals.
 // It must never send a query later because an answer is late, nor wait longer for
 // one than its patience says: a slow mixer must not slow its own load.
-package desk
+package client
 
 import (
 	"bufio"
@@ -27,57 +27,57 @@
 
 // Class is one class of query and its load.
 type Class struct {
-	Name     string
-	Rate     float64 // queries a second, Poisson
-	Parts    int     // of each query
-	Patience time.Duration
-	Text     string
-	Books    bool // where there is a map: one key, which others book too
+	Name    string
+	Rate    float64 // queries a second, Poisson
+	Parts   int     // of each query
+	Timeout time.Duration
+	Text    string
+	Booking bool // where there is a map: one key, which others book too
 }
 
 // Config is what the desks are told.
 type Config struct {
-	Addr   func() string // of the mixer
-	Shards int
-	Seed   uint64
-	Judge  *judge.Judge
-	Conns  int           // at once, at most
-	Again  time.Duration // wait for an answer beyond the patience
+	Addr      func() string // of the mixer
+	Shards    int
+	Seed      uint64
+	Judge     *judge.Judge
+	MaxIdle   int           // at once, at most
+	ExtraWait time.Duration // wait for an answer beyond the patience
 	// Map, if set, is the map of segments that a desk knows, and Keys all keys.
 	Map  func() *placement.Map
 	Keys []string
 }
 
 // Desks are all desks of a drill.
-type Desks struct {
+type Clients struct {
 	Config
-	mu    sync.Mutex
-	idle  map[string][]*conn // by the mixer's address
-	conns int
-	order []int // of the keys that are booked
-	out   sync.WaitGroup
+	mu       sync.Mutex
+	idle     map[string][]*conn // by the mixer's address
+	conns    int
+	keyOrder []int // of the keys that are booked
+	pending  sync.WaitGroup
 }
 
 type conn struct {
-	nc   net.Conn
-	addr string
-	r    *bufio.Reader
-	old  bool // has carried a query
-	end  bool // the mixer said that it ends
+	nc      net.Conn
+	addr    string
+	r       *bufio.Reader
+	used    bool // has carried a query
+	closing bool // the mixer said that it ends
 }
 
 // New returns desks without load.
-func New(c Config) *Desks {
-	if c.Again <= 0 {
-		c.Again = 2 * time.Second
+func New(c Config) *Clients {
+	if c.ExtraWait <= 0 {
+		c.ExtraWait = 2 * time.Second
 	}
-	return &Desks{Config: c, idle: make(map[string][]*conn), order: rand.New(rand.NewPCG(c.Seed, 5)).Perm(len(c.Keys))}
+	return &Clients{Config: c, idle: make(map[string][]*conn), keyOrder: rand.New(rand.NewPCG(c.Seed, 5)).Perm(len(c.Keys))}
 }
 
 // Run sends a class's load until ctx is done, and returns once all is answered.
 // begin is the time from which the queries are due; the same seed gives the same
 // queries at the same times.
-func (d *Desks) Run(ctx context.Context, class Class, begin time.Time) {
+func (d *Clients) Run(ctx context.Context, class Class, begin time.Time) {
 	r := rand.New(rand.NewPCG(d.Seed, hash(class.Name)))
 	due := begin
 	for n := 0; ; n++ {
@@ -85,18 +85,18 @@
 		q := d.query(class, n, due, r)
 		select {
 		case <-ctx.Done():
-			d.out.Wait()
+			d.pending.Wait()
 			return
 		case <-time.After(time.Until(due)):
 		}
 		if d.Map != nil {
-			d.byMap(class, q, n)
+			d.partsFromMap(class, q, n)
 		}
-		d.out.Add(1)
+		d.pending.Add(1)
 		d.Judge.Sent(q)
 		go func() {
-			defer d.out.Done()
-			d.Do(context.Background(), Request{Addr: d.Addr(), Text: class.Text, Keys: class.Books}, q)
+			defer d.pending.Done()
+			d.Do(context.Background(), Request{Addr: d.Addr(), Text: class.Text, NamesKeys: class.Booking}, q)
 			d.Judge.Ended(q)
 		}()
 	}
@@ -110,8 +110,8 @@
 	return h
 }
 
-func (d *Desks) query(class Class, n int, due time.Time, r *rand.Rand) *judge.Query {
-	q := &judge.Query{ID: fmt.Sprintf("%016x", hash(class.Name)^r.Uint64()), Class: class.Name, Due: due, Patience: class.Patience}
+func (d *Clients) query(class Class, n int, due time.Time, r *rand.Rand) *judge.Query {
+	q := &judge.Query{ID: fmt.Sprintf("%016x", hash(class.Name)^r.Uint64()), Class: class.Name, Due: due, Timeout: class.Timeout}
 	if d.Map != nil {
 		return q // its parts hang on the map of the moment
 	}
@@ -123,14 +123,14 @@
 
 // byMap names a query's parts by the map that the desk knows: segments side by side,
 // or the one that holds a key.
-func (d *Desks) byMap(class Class, q *judge.Query, n int) {
+func (d *Clients) partsFromMap(class Class, q *judge.Query, n int) {
 	m := d.Map()
 	segs := m.Segments()
 	r := rand.New(rand.NewPCG(d.Seed, hash(q.ID)))
-	if class.Books {
+	if class.Booking {
 		// Bookings roll forward over the keys, drawn in no order; each key is booked three
 		// times or so within a moment, as by desks that ask again.
-		key := d.Keys[d.order[(n/3+r.IntN(20))%len(d.Keys)]]
+		key := d.Keys[d.keyOrder[(n/3+r.IntN(20))%len(d.Keys)]]
 		if s, ok := m.Lookup(key); ok {
 			q.Parts = []judge.Part{{Shard: int(s.ID), Weight: 1, Keys: []string{key}}}
 		}
@@ -149,26 +149,26 @@
 
 // Request is how a query is put to a mixer.
 type Request struct {
-	Addr   string
-	Text   string
-	Keys   bool // a part of one key names it
-	Repeat bool // it is marked as a later try
-	Tenant string
-	Key    string // of the query and, with its shard, of each part
+	Addr      string
+	Text      string
+	NamesKeys bool // a part of one key names it
+	Retry     bool // it is marked as a later try
+	Tenant    string
+	Key       string // of the query and, with its shard, of each part
 }
 
 // Do sends a query and takes its answer into q; it returns the advice on when to
 // come back. A connection that broke before a byte of the answer came, and that had
 // carried others, may have crossed its end: the platform's clients send once more.
 // When ctx ends, the client closes the connection: it is gone.
-func (d *Desks) Do(ctx context.Context, req Request, q *judge.Query) (after time.Duration) {
+func (d *Clients) Do(ctx context.Context, req Request, q *judge.Query) (after time.Duration) {
 	q.Sent = time.Now()
 	for try := 0; ; try++ {
-		c, err := d.conn(req.Addr, try > 0)
+		c, err := d.openConn(req.Addr, try > 0)
 		if err == nil {
 			leave := context.AfterFunc(ctx, func() { c.nc.Close() })
 			var crossed bool
-			crossed, after, err = d.ask(c, req, q)
+			crossed, after, err = d.exchange(c, req, q)
 			leave()
 			if crossed && try == 0 && ctx.Err() == nil {
 				d.drop(c)
@@ -183,14 +183,14 @@
 		if err != nil {
 			q.Ended, q.Outcome, q.Detail = time.Now(), judge.Lost, err.Error()
 			if ctx.Err() != nil {
-				q.Outcome = judge.Gone
+				q.Outcome = judge.ClientGone
 			}
 		}
 		return after
 	}
 }
 
-func (d *Desks) conn(addr string, fresh bool) (*conn, error) {
+func (d *Clients) openConn(addr string, fresh bool) (*conn, error) {
 	d.mu.Lock()
 	if idle := d.idle[addr]; !fresh && len(idle) > 0 {
 		c := idle[len(idle)-1]
@@ -210,9 +210,9 @@
 	return &conn{nc: nc, addr: addr, r: bufio.NewReader(nc)}, nil
 }
 
-func (d *Desks) keep(c *conn) {
+func (d *Clients) keep(c *conn) {
 	d.mu.Lock()
-	if len(d.idle[c.addr]) < d.Conns && !c.end {
+	if len(d.idle[c.addr]) < d.MaxIdle && !c.closing {
 		d.idle[c.addr] = append(d.idle[c.addr], c)
 		d.mu.Unlock()
 		return
@@ -221,7 +221,7 @@
 	d.drop(c)
 }
 
-func (d *Desks) drop(c *conn) {
+func (d *Clients) drop(c *conn) {
 	c.nc.Close()
 	d.mu.Lock()
 	d.conns--
@@ -230,12 +230,12 @@
 
 // Close ends idle connections. What came on them unasked is told as a second
 // answer to nobody: the count.
-func (d *Desks) Close() (unasked int) {
+func (d *Clients) Close() (unasked int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, idle := range d.idle {
 		for _, c := range idle {
-			if stray(c) {
+			if hasUnsolicited(c) {
 				unasked++
 			}
 			c.nc.Close()
@@ -246,7 +246,7 @@
 }
 
 // stray tells whether something came on a connection that nobody asked for.
-func stray(c *conn) bool {
+func hasUnsolicited(c *conn) bool {
 	if c.r.Buffered() > 0 {
 		return true
 	}
@@ -255,14 +255,14 @@
 	return err == nil
 }
 
-func (d *Desks) ask(c *conn, req Request, q *judge.Query) (crossed bool, after time.Duration, err error) {
+func (d *Clients) exchange(c *conn, req Request, q *judge.Query) (crossed bool, after time.Duration, err error) {
 	body := []byte(`{"shards":[`)
 	for i, p := range q.Parts {
 		if i > 0 {
 			body = append(body, ',')
 		}
 		body = fmt.Appendf(body, `{"shard":%d,"weight":%.9f`, p.Shard, p.Weight)
-		if req.Keys && len(p.Keys) == 1 {
+		if req.NamesKeys && len(p.Keys) == 1 {
 			body = fmt.Appendf(body, `,"key":%q`, p.Keys[0])
 		}
 		if req.Key != "" {
@@ -271,7 +271,7 @@
 		body = append(body, '}')
 	}
 	body = fmt.Appendf(body, `],"q":%q}`, req.Text)
-	more := map[bool]string{true: "X-Second-Try: 1\r\n"}[req.Repeat]
+	more := map[bool]string{true: "X-Second-Try: 1\r\n"}[req.Retry]
 	if req.Tenant != "" {
 		more += "X-Customer: " + req.Tenant + "\r\n"
 	}
@@ -280,15 +280,15 @@
 	}
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "POST /api HTTP/1.1\r\nHost: origin.svc\r\nX-Trace-Id: %s\r\nX-Qos: %s\r\nX-Expires-In: %dm\r\n%sContent-Length: %d\r\n\r\n",
-		q.ID, q.Class, q.Patience.Milliseconds(), more, len(body))
+		q.ID, q.Class, q.Timeout.Milliseconds(), more, len(body))
 	b.Write(body)
-	old := c.old
-	c.old = true
+	old := c.used
+	c.used = true
 	if c.r.Buffered() > 0 {
-		q.Extra = true
+		q.ExtraAnswer = true
 	}
 	q.Sent = time.Now()
-	c.nc.SetDeadline(q.Sent.Add(q.Patience + d.Again))
+	c.nc.SetDeadline(q.Sent.Add(q.Timeout + d.ExtraWait))
 	if _, err := c.nc.Write(b.Bytes()); err != nil {
 		return old, 0, err
 	}
@@ -307,16 +307,16 @@
 	}
 	q.Ended = time.Now()
 	if c.r.Buffered() > 0 {
-		q.Extra = true
+		q.ExtraAnswer = true
 	}
 	switch p.StatusCode {
 	case 200:
 		q.Outcome = judge.Answered
 		doc := gjson.ParseBytes(text)
-		q.Whole = doc.Get("complete").Bool()
+		q.Complete = doc.Get("complete").Bool()
 		for _, h := range doc.Get("hits").Array() {
 			q.Hits = append(q.Hits, judge.Hit{Shard: int(h.Get("shard").Int()), Value: h.Get("doc").String(),
-				In: h.Get("in").Exists(), Cut: h.Get("covers").Exists()})
+				AlsoIn: h.Get("in").Exists(), Incomplete: h.Get("covers").Exists()})
 		}
 	case 429, 503:
 		q.Outcome = judge.Refused
@@ -327,6 +327,6 @@
 		q.Outcome = judge.Failed
 	}
 	q.Detail = string(bytes.TrimSpace(text[:min(len(text), 80)]))
-	c.end = p.Close
+	c.closing = p.Close
 	return false, after, nil
 }
--- a/internal/lab/drill/run.go
+++ b/internal/lab/drill/run.go
@@ -22,7 +22,7 @@
 	"saddleport/internal/hook"
 	"saddleport/internal/inifile"
 	"saddleport/internal/lab/child"
-	"saddleport/internal/lab/desk"
+	"saddleport/internal/lab/client"
 	"saddleport/internal/lab/disco"
 	"saddleport/internal/lab/judge"
 	"saddleport/internal/lab/leaf"
@@ -188,7 +188,7 @@
 		if e.Status == "SERVING" {
 			at = time.Time{}
 		}
-		r.j.Told(e.Name, at)
+		r.j.DrainReported(e.Name, at)
 	}
 	return nil
 }
@@ -316,13 +316,13 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var turn atomic.Uint64
-	c := desk.Config{Addr: func() string { return r.mixers[turn.Add(1)%uint64(len(r.mixers))].Listen }, Shards: d.Fleet.Shards,
-		Seed: uint64(d.Seed), Judge: r.j, Conns: d.Mixer.Sockets / 3}
+	c := client.Config{Addr: func() string { return r.mixers[turn.Add(1)%uint64(len(r.mixers))].Listen }, Shards: d.Fleet.Shards,
+		Seed: uint64(d.Seed), Judge: r.j, MaxIdle: d.Mixer.Sockets / 3}
 	var reshaping sync.WaitGroup
 	if r.world != nil {
 		c.Map, c.Keys = func() *placement.Map { return r.world.Map(d.Reshape.Behind) }, r.world.Keys
 	}
-	desks := desk.New(c)
+	desks := client.New(c)
 	begin := time.Now()
 	loading, stop := context.WithDeadline(ctx, begin.Add(d.Length))
 	defer stop()
@@ -338,7 +338,7 @@
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			desks.Run(loading, desk.Class{Name: c.Name, Rate: c.Rate, Parts: c.Parts, Patience: c.Patience, Text: c.Text, Books: c.Books}, begin)
+			desks.Run(loading, client.Class{Name: c.Name, Rate: c.Rate, Parts: c.Parts, Timeout: c.Patience, Text: c.Text, Booking: c.Books}, begin)
 		}()
 	}
 	var steps sync.WaitGroup
--- a/internal/lab/drill/verdict.go
+++ b/internal/lab/drill/verdict.go
@@ -31,7 +31,7 @@
 }
 
 // Weigh decides. base may be nil.
-func Weigh(d *Drill, base, main *Run) *Result {
+func Evaluate(d *Drill, base, main *Run) *Result {
 	r := &Result{Drill: d, Name: d.Name, Base: base, Main: main}
 	unmet := func(format string, args ...any) { r.Unmet = append(r.Unmet, fmt.Sprintf(format, args...)) }
 	for _, run := range []*Run{base, main} {
--- a/internal/lab/hunt/hunt.go
+++ b/internal/lab/hunt/hunt.go
@@ -72,7 +72,7 @@
 			f.Oracle = run.Summary.Goodput
 			continue
 		}
-		f.Mixer, f.Broken, f.Faults = run.Summary.Goodput, run.Verdict.Broken()+len(run.Broken), run.Verdict.Faults
+		f.Mixer, f.Broken, f.Faults = run.Summary.Goodput, run.Verdict.Violations()+len(run.Broken), run.Verdict.Faults
 	}
 	f.Loss = max(f.Oracle-f.Mixer, 0)
 	return f, nil
@@ -431,7 +431,7 @@
 		switch j.policy {
 		case play.Mixer:
 			o.Mixer += g
-			o.Broken += run.Verdict.Broken()
+			o.Broken += run.Verdict.Violations()
 		case play.Oracle:
 			o.Oracle += g
 		case play.Random:
--- a/internal/lab/judge/judge.go
+++ b/internal/lab/judge/judge.go
@@ -53,10 +53,10 @@
 
 // Hit is a value in an answer.
 type Hit struct {
-	Shard int
-	Value string
-	In    bool // more of it stands under another shard
-	Cut   bool // it says which keys it covers, and that is not all
+	Shard      int
+	Value      string
+	AlsoIn     bool // more of it stands under another shard
+	Incomplete bool // it says which keys it covers, and that is not all
 }
 
 // Outcome is how a query ended, as its client saw it.
@@ -64,28 +64,28 @@
 
 // The outcomes.
 const (
-	Answered Outcome = iota
-	Refused          // 429 or 503
-	Failed           // any other status
-	Lost             // no whole answer
-	Gone             // the client left
-	Died             // the script killed its mixer
+	Answered    Outcome = iota
+	Refused             // 429 or 503
+	Failed              // any other status
+	Lost                // no whole answer
+	ClientGone          // the client left
+	ProxyKilled         // the script killed its mixer
 )
 
 // Query is one query from a client's side.
 type Query struct {
-	ID       string
-	Class    string
-	Parts    []Part
-	Due      time.Time // when it should have been sent (open loop)
-	Sent     time.Time
-	Patience time.Duration
-	Ended    time.Time
-	Outcome  Outcome
-	Whole    bool
-	Hits     []Hit
-	Extra    bool // more came than one answer
-	Detail   string
+	ID          string
+	Class       string
+	Parts       []Part
+	Due         time.Time // when it should have been sent (open loop)
+	Sent        time.Time
+	Timeout     time.Duration
+	Ended       time.Time
+	Outcome     Outcome
+	Complete    bool
+	Hits        []Hit
+	ExtraAnswer bool // more came than one answer
+	Detail      string
 }
 
 // run is one attempt at a leaf server.
@@ -137,7 +137,7 @@
 func (j *Judge) Allow(attempts int, parallel bool) { j.cap, j.spread = attempts, parallel }
 
 // Fell notes that a cold server was pushed over.
-func (j *Judge) Fell(server string, at time.Time) {
+func (j *Judge) ColdServerOverloaded(server string, at time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.pushed = append(j.pushed, server)
@@ -166,7 +166,7 @@
 }
 
 // Told notes that discovery told of a server's drain; back that it serves again.
-func (j *Judge) Told(server string, at time.Time) {
+func (j *Judge) DrainReported(server string, at time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.told(server, "list", at)
@@ -174,7 +174,7 @@
 
 // ToldBy is Told for one mixer and by one of several sources: what another source
 // says of the server does not lift it.
-func (j *Judge) ToldBy(mixer int, source, server string, drains bool, at time.Time) {
+func (j *Judge) DrainReportedBy(mixer int, source, server string, drains bool, at time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if !drains {
@@ -207,7 +207,7 @@
 }
 
 // Astray notes an attempt at a server that does not hold the part's segment.
-func (j *Judge) Astray(part, server string) {
+func (j *Judge) Misrouted(part, server string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.astray++
@@ -268,7 +268,7 @@
 
 // Over notes that the attempt is answered, with a value if it was served, or has
 // been given up by the mixer.
-func (a *Attempt) Over(at time.Time, value string) {
+func (a *Attempt) Finished(at time.Time, value string) {
 	a.j.mu.Lock()
 	defer a.j.mu.Unlock()
 	if a.r.until.IsZero() {
@@ -299,10 +299,10 @@
 const mostFaults = 10 // of each kind
 
 // Pass tells whether no rule was broken.
-func (v *Verdict) Pass() bool { return v.Broken() == 0 }
+func (v *Verdict) Pass() bool { return v.Violations() == 0 }
 
 // Broken counts the breaks of rules.
-func (v *Verdict) Broken() int {
+func (v *Verdict) Violations() int {
 	return v.Lost + v.Late + v.Doubled + v.Wrong + v.Drained + v.Capped + v.Pushed + v.Astray
 }
 
@@ -425,7 +425,7 @@
 	switch q.Outcome {
 	case Answered:
 		t.Answered++
-		if !q.Whole {
+		if !q.Complete {
 			t.Partial++
 		}
 		if !q.Due.Before(j.from) && q.Due.Before(j.to) {
@@ -443,19 +443,19 @@
 		}
 	case Failed:
 		t.Failed++
-	case Died:
+	case ProxyKilled:
 		t.Died++
 	case Lost:
 		t.Lost++
 		j.fault("lost: query %s (%s): %s", q.ID, q.Class, q.Detail)
 	}
-	if q.Extra {
+	if q.ExtraAnswer {
 		t.Doubled++
 		j.fault("doubled: query %s (%s) was answered twice", q.ID, q.Class)
 	}
-	if q.Outcome != Gone && q.Outcome != Lost && q.Outcome != Died && q.Ended.Sub(q.Sent) > q.Patience+Slack {
+	if q.Outcome != ClientGone && q.Outcome != Lost && q.Outcome != ProxyKilled && q.Ended.Sub(q.Sent) > q.Timeout+Slack {
 		t.Late++
-		j.fault("late: query %s (%s) took %v of %v", q.ID, q.Class, q.Ended.Sub(q.Sent), q.Patience)
+		j.fault("late: query %s (%s) took %v of %v", q.ID, q.Class, q.Ended.Sub(q.Sent), q.Timeout)
 	}
 }
 
@@ -509,7 +509,7 @@
 	}
 	for _, h := range q.Hits {
 		for line := range strings.SplitSeq(h.Value, "\n") {
-			if line == "" && h.In {
+			if line == "" && h.AlsoIn {
 				continue
 			}
 			if !slices.ContainsFunc(j.byQuery[q.ID], func(r *run) bool { return r.value == line && line != "" }) {
@@ -538,16 +538,16 @@
 			return fmt.Sprintf("shard %d was not asked for", h.Shard)
 		}
 		share += q.Parts[i].Weight
-		if h.Cut && q.Whole && c.Need >= 1 {
+		if h.Incomplete && q.Complete && c.Need >= 1 {
 			return fmt.Sprintf("marked whole, and shard %d is not", h.Shard)
 		}
 		for _, k := range q.Parts[i].Keys {
-			if !h.Cut && !got[k] {
+			if !h.Incomplete && !got[k] {
 				return fmt.Sprintf("key %s of shard %d is missing, and the answer does not say so", k, h.Shard)
 			}
 		}
 	}
-	if q.Whole && share < c.Need-1e-3 {
+	if q.Complete && share < c.Need-1e-3 {
 		return fmt.Sprintf("marked whole with %.3f of %.3f", share, c.Need)
 	}
 	return ""
@@ -574,9 +574,9 @@
 	}
 	const slack = 1e-3
 	switch {
-	case q.Whole && share < c.Need-slack:
+	case q.Complete && share < c.Need-slack:
 		return fmt.Sprintf("marked whole with %.3f of %.3f", share, c.Need)
-	case !q.Whole && share < c.Floor-slack:
+	case !q.Complete && share < c.Floor-slack:
 		return fmt.Sprintf("%.3f of an answer, and the least is %.3f", share, c.Floor)
 	}
 	return ""
--- a/internal/lab/judge/judge_test.go
+++ b/internal/lab/judge/judge_test.go
@@ -14,7 +14,7 @@
 // play judges one query that a scene tells of.
 func play(class string, scene func(j *Judge, q *Query)) *Verdict {
 	j := New([]Class{{Name: "free-slots", Need: 0.5, Floor: 0.5}, {Name: "book-trip", Unsafe: true, Need: 1, Floor: 1}}, 2*time.Second)
-	q := &Query{ID: "q", Class: class, Parts: []Part{{Shard: 0, Weight: 0.4}, {Shard: 1, Weight: 0.6}}, Due: at(0), Sent: at(0), Patience: time.Second, Ended: at(100)}
+	q := &Query{ID: "q", Class: class, Parts: []Part{{Shard: 0, Weight: 0.4}, {Shard: 1, Weight: 0.6}}, Due: at(0), Sent: at(0), Timeout: time.Second, Ended: at(100)}
 	j.Sent(q)
 	scene(j, q)
 	j.Ended(q)
@@ -29,25 +29,34 @@
 		mixer int
 		want  int
 	}{
-		"after the drain":              {func(j *Judge) { j.ToldBy(1, "consul", "a", true, at(0)) }, 1, 1},
-		"another mixer's":              {func(j *Judge) { j.ToldBy(1, "consul", "a", true, at(0)) }, 2, 0},
-		"another source serves":        {func(j *Judge) { j.ToldBy(1, "consul", "a", true, at(0)); j.ToldBy(1, "list", "a", false, at(5)) }, 1, 1},
-		"the same source serves":       {func(j *Judge) { j.ToldBy(1, "consul", "a", true, at(0)); j.ToldBy(1, "consul", "a", false, at(5)) }, 1, 0},
-		"its process is another":       {func(j *Judge) { j.ToldBy(1, "consul", "a", true, at(0)); j.Restarted("a", 3) }, 1, 0},
-		"told again, the first counts": {func(j *Judge) { j.ToldBy(1, "consul", "a", true, at(0)); j.ToldBy(1, "consul", "a", true, at(2400)) }, 1, 1},
+		"after the drain": {func(j *Judge) { j.DrainReportedBy(1, "consul", "a", true, at(0)) }, 1, 1},
+		"another mixer's": {func(j *Judge) { j.DrainReportedBy(1, "consul", "a", true, at(0)) }, 2, 0},
+		"another source serves": {func(j *Judge) {
+			j.DrainReportedBy(1, "consul", "a", true, at(0))
+			j.DrainReportedBy(1, "list", "a", false, at(5))
+		}, 1, 1},
+		"the same source serves": {func(j *Judge) {
+			j.DrainReportedBy(1, "consul", "a", true, at(0))
+			j.DrainReportedBy(1, "consul", "a", false, at(5))
+		}, 1, 0},
+		"its process is another": {func(j *Judge) { j.DrainReportedBy(1, "consul", "a", true, at(0)); j.Restarted("a", 3) }, 1, 0},
+		"told again, the first counts": {func(j *Judge) {
+			j.DrainReportedBy(1, "consul", "a", true, at(0))
+			j.DrainReportedBy(1, "consul", "a", true, at(2400))
+		}, 1, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			v := play("free-slots", func(j *Judge, q *Query) {
 				c.scene(j)
 				a := j.ArrivedFrom(c.mixer, "q.1", "a", at(2500))
 				a.Ran()
-				a.Over(at(2550), "v1")
-				q.Ended, q.Patience, q.Whole, q.Hits = at(2600), 5*time.Second, true, []Hit{{Shard: 1, Value: "v1"}}
+				a.Finished(at(2550), "v1")
+				q.Ended, q.Timeout, q.Complete, q.Hits = at(2600), 5*time.Second, true, []Hit{{Shard: 1, Value: "v1"}}
 			})
 			require.Equal(t, c.want, v.Drained, "%v", v.Faults)
 		})
 	}
-	v := play("free-slots", func(j *Judge, q *Query) { j.Astray("q.1", "b"); q.Outcome = Refused })
+	v := play("free-slots", func(j *Judge, q *Query) { j.Misrouted("q.1", "b"); q.Outcome = Refused })
 	require.Equal(t, 1, v.Astray)
 	require.False(t, v.Pass())
 }
@@ -55,7 +64,7 @@
 func served(j *Judge, part, server string, from, to int, value string) {
 	a := j.Arrived(part, server, at(from))
 	a.Ran()
-	a.Over(at(to), value)
+	a.Finished(at(to), value)
 }
 
 // Each rule is broken once, and each is found; what is right passes.
@@ -67,26 +76,26 @@
 	}{
 		"well": {"free-slots", func(j *Judge, q *Query) {
 			served(j, "q.1", "a", 10, 50, "v1")
-			q.Whole, q.Hits = true, []Hit{{Shard: 1, Value: "v1"}}
+			q.Complete, q.Hits = true, []Hit{{Shard: 1, Value: "v1"}}
 		}, Verdict{}},
 		"tried again": {"free-slots", func(j *Judge, q *Query) {
 			served(j, "q.1", "a", 10, 50, "")
 			served(j, "q.1", "b", 51, 60, "v1")
-			q.Whole, q.Hits = true, []Hit{{Shard: 1, Value: "v1"}}
+			q.Complete, q.Hits = true, []Hit{{Shard: 1, Value: "v1"}}
 		}, Verdict{}},
 		"lost":         {"free-slots", func(j *Judge, q *Query) { q.Outcome = Lost }, Verdict{Lost: 1}},
 		"late":         {"free-slots", func(j *Judge, q *Query) { q.Outcome, q.Ended = Failed, at(1051) }, Verdict{Late: 1}},
 		"just in time": {"free-slots", func(j *Judge, q *Query) { q.Outcome, q.Ended = Failed, at(1050) }, Verdict{}},
-		"two answers":  {"free-slots", func(j *Judge, q *Query) { q.Outcome, q.Extra = Refused, true }, Verdict{Doubled: 1}},
+		"two answers":  {"free-slots", func(j *Judge, q *Query) { q.Outcome, q.ExtraAnswer = Refused, true }, Verdict{Doubled: 1}},
 		"two attempts at once": {"free-slots", func(j *Judge, q *Query) {
 			served(j, "q.1", "a", 10, 90, "")
 			served(j, "q.1", "b", 50, 60, "v1")
-			q.Whole, q.Hits = true, []Hit{{Shard: 1, Value: "v1"}}
+			q.Complete, q.Hits = true, []Hit{{Shard: 1, Value: "v1"}}
 		}, Verdict{Doubled: 1}},
 		"never given up": {"free-slots", func(j *Judge, q *Query) {
 			j.Arrived("q.1", "a", at(10))
 			served(j, "q.1", "b", 50, 60, "v1")
-			q.Whole, q.Hits = true, []Hit{{Shard: 1, Value: "v1"}}
+			q.Complete, q.Hits = true, []Hit{{Shard: 1, Value: "v1"}}
 		}, Verdict{Doubled: 1}},
 		"ran twice": {"book-trip", func(j *Judge, q *Query) {
 			served(j, "q.1", "a", 10, 50, "")
@@ -99,12 +108,12 @@
 		}, Verdict{Wrong: 1}},
 		"made up": {"free-slots", func(j *Judge, q *Query) {
 			served(j, "q.1", "a", 10, 50, "v1")
-			q.Whole, q.Hits = true, []Hit{{Shard: 1, Value: "v2"}}
+			q.Complete, q.Hits = true, []Hit{{Shard: 1, Value: "v2"}}
 		}, Verdict{Wrong: 1}},
-		"not asked for": {"free-slots", func(j *Judge, q *Query) { q.Whole, q.Hits = true, []Hit{{Shard: 7, Value: "v"}} }, Verdict{Wrong: 1}},
+		"not asked for": {"free-slots", func(j *Judge, q *Query) { q.Complete, q.Hits = true, []Hit{{Shard: 7, Value: "v"}} }, Verdict{Wrong: 1}},
 		"whole with too little": {"free-slots", func(j *Judge, q *Query) {
 			served(j, "q.0", "a", 10, 50, "v")
-			q.Whole, q.Hits = true, []Hit{{Shard: 0, Value: "v"}}
+			q.Complete, q.Hits = true, []Hit{{Shard: 0, Value: "v"}}
 		}, Verdict{Wrong: 1}},
 		"less than the least": {"free-slots", func(j *Judge, q *Query) {
 			served(j, "q.0", "a", 10, 50, "v")
@@ -112,16 +121,16 @@
 		}, Verdict{Wrong: 1}},
 		"twice in one answer": {"free-slots", func(j *Judge, q *Query) {
 			served(j, "q.1", "a", 10, 50, "v")
-			q.Whole, q.Hits = true, []Hit{{Shard: 1, Value: "v"}, {Shard: 1, Value: "v"}}
+			q.Complete, q.Hits = true, []Hit{{Shard: 1, Value: "v"}, {Shard: 1, Value: "v"}}
 		}, Verdict{Wrong: 1}},
 		"nobody asked": {"free-slots", func(j *Judge, q *Query) {
-			j.Arrived("x.1", "a", at(1)).Over(at(2), "")
+			j.Arrived("x.1", "a", at(1)).Finished(at(2), "")
 			q.Outcome = Refused
 		}, Verdict{Wrong: 1}},
 		"after a drain": {"free-slots", func(j *Judge, q *Query) {
-			j.Told("a", at(-2100))
+			j.DrainReported("a", at(-2100))
 			served(j, "q.1", "a", 10, 50, "v1")
-			q.Whole, q.Hits = true, []Hit{{Shard: 1, Value: "v1"}}
+			q.Complete, q.Hits = true, []Hit{{Shard: 1, Value: "v1"}}
 		}, Verdict{Drained: 1}},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/lab/leaf/leaf.go
+++ b/internal/lab/leaf/leaf.go
@@ -193,7 +193,7 @@
 	delete(s.open, c.nc)
 	for _, w := range c.work {
 		w.gone = true
-		w.attempt.Over(time.Now(), "")
+		w.attempt.Finished(time.Now(), "")
 	}
 	c.work = nil
 }
@@ -248,7 +248,7 @@
 	s.mu.Lock()
 	if c.work == nil { // the connection has ended meanwhile
 		s.mu.Unlock()
-		w.attempt.Over(now, "")
+		w.attempt.Finished(now, "")
 		return
 	}
 	end := ""
@@ -272,7 +272,7 @@
 	}
 	s.mu.Unlock()
 	if end != "" {
-		w.attempt.Over(now, "")
+		w.attempt.Finished(now, "")
 		c.write('A', frame.AppendAnswer(nil, frame.Answer{ID: p.ID, Status: end, LoadReport: "-"}))
 	}
 }
@@ -324,7 +324,7 @@
 func (s *Server) away(w *work, epoch int64) {
 	w.gone = true
 	delete(w.c.work, w.part.ID)
-	w.attempt.Over(time.Now(), "")
+	w.attempt.Finished(time.Now(), "")
 	go w.c.write('A', frame.AppendAnswer(nil, frame.Answer{ID: w.part.ID, Status: "busy", LoadReport: fmt.Sprintf("moved=%d", epoch)}))
 }
 
@@ -353,7 +353,7 @@
 	if gone {
 		return
 	}
-	w.attempt.Over(time.Now(), value)
+	w.attempt.Finished(time.Now(), value)
 	w.c.write('A', frame.AppendAnswer(nil, frame.Answer{ID: w.part.ID, Status: "ok", Score: 1, LoadReport: s.report(), Value: []byte(value)}))
 }
 
@@ -364,7 +364,7 @@
 	if w := c.work[id]; w != nil {
 		w.gone = true
 		delete(c.work, id)
-		w.attempt.Over(time.Now(), "")
+		w.attempt.Finished(time.Now(), "")
 	}
 }
 
--- a/internal/lab/real/host.go
+++ b/internal/lab/real/host.go
@@ -230,7 +230,7 @@
 	defer h.mu.Unlock()
 	delete(c.d.conns, c)
 	for _, f := range c.come {
-		f.seen.Over(time.Now(), "")
+		f.seen.Finished(time.Now(), "")
 	}
 	for _, f := range c.jobs {
 		h.s.GiveUp(&f.job)
@@ -295,7 +295,7 @@
 				now, head := time.Now(), n%max(h.r.plan.Settings.Bundle, 1) == 0
 				f := &flight{seen: h.r.j.ArrivedFrom(c.d.mixer, p.ID, h.name, now)}
 				if !h.r.plan.Holds(h.i, p.Shard) {
-					h.r.j.Astray(p.ID, h.name)
+					h.r.j.Misrouted(p.ID, h.name)
 				}
 				h.mu.Lock()
 				c.come[p.ID] = f
@@ -306,7 +306,7 @@
 			id, now := string(rest), time.Now()
 			h.mu.Lock()
 			if f := c.come[id]; f != nil {
-				f.seen.Over(now, "")
+				f.seen.Finished(now, "")
 				delete(c.come, id)
 			}
 			h.mu.Unlock()
@@ -339,11 +339,11 @@
 	defer h.mu.Unlock()
 	up, _ := h.s.Running()
 	if c.jobs == nil || !up {
-		f.seen.Over(time.Now(), "")
+		f.seen.Finished(time.Now(), "")
 		return
 	}
 	if c.jobs[p.ID] != nil {
-		f.seen.Over(time.Now(), "")
+		f.seen.Finished(time.Now(), "")
 		c.put('A', frame.AppendAnswer(nil, frame.Answer{ID: p.ID, Status: "err", LoadReport: "-"}))
 		return
 	}
@@ -378,7 +378,7 @@
 	if e == model.OK {
 		a.Score, a.Value = 1, []byte(c.d.h.name+"/"+p.ID)
 	}
-	f.seen.Over(time.Now(), string(a.Value))
+	f.seen.Finished(time.Now(), string(a.Value))
 	c.put('A', frame.AppendAnswer(nil, a))
 }
 
@@ -388,7 +388,7 @@
 	defer h.mu.Unlock()
 	if f := c.jobs[id]; f != nil {
 		delete(c.jobs, id)
-		f.seen.Over(at, "")
+		f.seen.Finished(at, "")
 		h.s.GiveUp(&f.job)
 	}
 }
--- a/internal/lab/real/real.go
+++ b/internal/lab/real/real.go
@@ -20,7 +20,7 @@
 	"time"
 
 	"saddleport/internal/lab/child"
-	"saddleport/internal/lab/desk"
+	"saddleport/internal/lab/client"
 	"saddleport/internal/lab/disco"
 	"saddleport/internal/lab/judge"
 	"saddleport/internal/lab/model"
@@ -77,7 +77,7 @@
 	clientMu sync.Mutex
 	clients  *model.Clients
 	leave    map[*model.Try]context.CancelFunc
-	desks    *desk.Desks
+	desks    *client.Clients
 	asks     sync.WaitGroup
 
 	recMu sync.Mutex
@@ -155,7 +155,7 @@
 		}
 		h.s = model.NewServer(clock{r.begin, &h.mu}, spec)
 		h.s.Fell = func(s *model.Server) {
-			r.j.Fell(s.Name, time.Now())
+			r.j.ColdServerOverloaded(s.Name, time.Now())
 			r.note("%s was pushed over while it was cold", s.Name)
 		}
 		h.s.Down = func(*model.Server) { h.down() }
@@ -186,7 +186,7 @@
 		}
 		m.fronted = true
 	}
-	r.desks = desk.New(desk.Config{Judge: r.j, Conns: p.Clients.Conns, Seed: p.Draw})
+	r.desks = client.New(client.Config{Judge: r.j, MaxIdle: p.Clients.Conns, Seed: p.Draw})
 	return nil
 }
 
@@ -243,7 +243,7 @@
 func (r *run) fail(format string, a ...any) {
 	r.recMu.Lock()
 	defer r.recMu.Unlock()
-	r.rec.Broke(fmt.Sprintf(format, a...))
+	r.rec.Fault(fmt.Sprintf(format, a...))
 }
 
 func (r *run) note(format string, a ...any) {
@@ -335,7 +335,7 @@
 		Send: r.send, Leave: r.left, Over: func(a *model.Ask) {
 			r.recMu.Lock()
 			defer r.recMu.Unlock()
-			r.rec.Over(a, r.sent[a.ID])
+			r.rec.QueryDone(a, r.sent[a.ID])
 			r.kinds[a.Outcome.Kind]++
 			delete(r.sent, a.ID)
 			delete(r.keys, a.ID)
@@ -386,7 +386,7 @@
 	r.end()
 	r.recMu.Lock()
 	defer r.recMu.Unlock()
-	run := r.rec.Done(r.j.Judge(r.begin.Add(p.Window[0]), r.begin.Add(p.Window[1])))
+	run := r.rec.Finish(r.j.Judge(r.begin.Add(p.Window[0]), r.begin.Add(p.Window[1])))
 	run.Machine = record.Machine{Wall: wall, PeakMiB: r.rss >> 20, Files: r.files, Cores: r.cpu.Seconds() / wall.Seconds(), Threads: runtime.GOMAXPROCS(0)}
 	return run, nil
 }
@@ -555,7 +555,7 @@
 			}
 			if time.Duration(s)*time.Second <= r.plan.Length {
 				r.recMu.Lock()
-				r.rec.Look(s-1, &h.s.Spec, st)
+				r.rec.ServerSample(s-1, &h.s.Spec, st)
 				r.recMu.Unlock()
 			}
 		}
@@ -616,7 +616,7 @@
 }
 
 func (r *run) send(t *model.Try) {
-	q := &judge.Query{ID: t.ID, Class: t.Ask.Class.Name, Due: r.begin.Add(t.Ask.Due), Patience: t.Patience}
+	q := &judge.Query{ID: t.ID, Class: t.Ask.Class.Name, Due: r.begin.Add(t.Ask.Due), Timeout: t.Patience}
 	for _, p := range t.Ask.Parts {
 		q.Parts = append(q.Parts, judge.Part{Shard: p.Shard, Weight: p.Weight})
 	}
@@ -633,8 +633,8 @@
 	go func() {
 		defer r.asks.Done()
 		defer cancel()
-		after := r.desks.Do(ctx, desk.Request{Addr: m.listen, Text: q.Class, Repeat: t.Repeat, Tenant: t.Ask.Tenant, Key: t.Ask.Key}, q)
-		reply := model.Reply{RetryAfter: after, Whole: q.Whole}
+		after := r.desks.Do(ctx, client.Request{Addr: m.listen, Text: q.Class, Retry: t.Repeat, Tenant: t.Ask.Tenant, Key: t.Ask.Key}, q)
+		reply := model.Reply{RetryAfter: after, Whole: q.Complete}
 		switch q.Outcome {
 		case judge.Answered:
 			reply.Kind = model.Answered
@@ -645,13 +645,13 @@
 			}
 		case judge.Refused:
 			reply.Kind = model.Refused
-		case judge.Gone:
+		case judge.ClientGone:
 			reply.Kind = model.Left
 		case judge.Lost:
 			reply.Kind = model.Lost
 			r.mixMu.Lock()
 			if m.planned || m.proc == nil { // the script's doing
-				q.Outcome = judge.Died
+				q.Outcome = judge.ProxyKilled
 			}
 			r.mixMu.Unlock()
 		default:
--- a/internal/lab/real/sources.go
+++ b/internal/lab/real/sources.go
@@ -59,7 +59,7 @@
 				if s.consul, err = consulapi.Listen(service, all); err != nil {
 					return err
 				}
-				s.consul.Told = func(i consulapi.Instance, at time.Time) { r.j.ToldBy(n, "consul", i.ID, i.Maintenance, at) }
+				s.consul.Told = func(i consulapi.Instance, at time.Time) { r.j.DrainReportedBy(n, "consul", i.ID, i.Maintenance, at) }
 			case "dns":
 				var all []dnsserver.Target
 				for _, e := range l.Whole() {
@@ -70,7 +70,7 @@
 				}
 				s.dns.Told = func(t dnsserver.Target, at time.Time) {
 					name, _, _ := strings.Cut(t.Name, ".")
-					r.j.ToldBy(n, "dns", name, strings.HasSuffix(t.Text, "state=draining"), at)
+					r.j.DrainReportedBy(n, "dns", name, strings.HasSuffix(t.Text, "state=draining"), at)
 				}
 			}
 		}
@@ -90,11 +90,11 @@
 			case e.Status == "DELETED": // neither lifts a drain nor is one
 			case r.plan.Settings.Look > 0: // told once the agent held it
 			case r.sourcesOn():
-				r.j.ToldBy(n, "list", e.Name, e.Status == "DRAINING", at)
+				r.j.DrainReportedBy(n, "list", e.Name, e.Status == "DRAINING", at)
 			case e.Status == "SERVING":
-				r.j.Told(e.Name, time.Time{})
+				r.j.DrainReported(e.Name, time.Time{})
 			default:
-				r.j.Told(e.Name, at)
+				r.j.DrainReported(e.Name, at)
 			}
 		}
 	}
@@ -165,9 +165,9 @@
 func (r *run) held(name string, st model.Standing) {
 	switch st {
 	case model.Serving:
-		r.j.Told(name, time.Time{})
+		r.j.DrainReported(name, time.Time{})
 	case model.Draining:
-		r.j.Told(name, time.Now())
+		r.j.DrainReported(name, time.Now())
 	}
 }
 
--- a/internal/lab/record/folder.go
+++ b/internal/lab/record/folder.go
@@ -31,15 +31,15 @@
 )
 
 // Where says on what a run was played.
-type Where struct {
+type Environment struct {
 	Go, OS, Arch, Build string
 	CPUs                int
 	Machine             Machine
 }
 
 // here describes this build and machine.
-func here(m Machine) Where {
-	w := Where{Go: runtime.Version(), OS: runtime.GOOS, Arch: runtime.GOARCH, CPUs: runtime.NumCPU(), Build: "unknown", Machine: m}
+func here(m Machine) Environment {
+	w := Environment{Go: runtime.Version(), OS: runtime.GOOS, Arch: runtime.GOARCH, CPUs: runtime.NumCPU(), Build: "unknown", Machine: m}
 	if info, ok := debug.ReadBuildInfo(); ok {
 		for _, s := range info.Settings {
 			if s.Key == "vcs.revision" {
@@ -171,7 +171,7 @@
 	if r.Seconds, err = parquet.ReadFile[Second](filepath.Join(dir, SecondsFile)); err != nil {
 		return nil, nil, fmt.Errorf("%s: %w", filepath.Join(dir, SecondsFile), err)
 	}
-	var where Where
+	var where Environment
 	if text, err := os.ReadFile(filepath.Join(dir, MachineFile)); err == nil && json.Unmarshal(text, &where) == nil {
 		r.Machine = where.Machine
 	}
@@ -179,8 +179,8 @@
 }
 
 // Place says on what the run in a folder was played.
-func Place(dir string) string {
-	var w Where
+func DescribeMachine(dir string) string {
+	var w Environment
 	text, err := os.ReadFile(filepath.Join(dir, MachineFile))
 	if err != nil || json.Unmarshal(text, &w) != nil {
 		return "an unknown machine"
--- a/internal/lab/record/record.go
+++ b/internal/lab/record/record.go
@@ -137,7 +137,7 @@
 // Unmet says what failed a run.
 func (r *Run) Unmet() []string {
 	out := slices.Clone(r.Broken)
-	broken := r.Verdict.Broken()
+	broken := r.Verdict.Violations()
 	switch {
 	case r.Expect.Broken > 0 && broken < r.Expect.Broken:
 		out = append(out, "the scenario is to show a broken rule, and the judge saw none")
@@ -174,7 +174,7 @@
 }
 
 // Over notes an ask that is over.
-func (r *Recorder) Over(a *model.Ask, attempts int) {
+func (r *Recorder) QueryDone(a *model.Ask, attempts int) {
 	counts := a.Due >= r.plan.Window[0] && a.Due < r.plan.Window[1]
 	took := max((a.Ended - a.Due).Microseconds(), 1)
 	if r.keep {
@@ -216,7 +216,7 @@
 }
 
 // Look notes what a server did in a second.
-func (r *Recorder) Look(second int, s *model.Spec, st model.Stats) {
+func (r *Recorder) ServerSample(second int, s *model.Spec, st model.Stats) {
 	if !r.keep {
 		return
 	}
@@ -244,7 +244,7 @@
 }
 
 // Broke notes what else went wrong.
-func (r *Recorder) Broke(text string) { r.run.Broken = append(r.run.Broken, text) }
+func (r *Recorder) Fault(text string) { r.run.Broken = append(r.run.Broken, text) }
 
 // worstSpan is the span whose worst is told, in seconds.
 const worstSpan = 10
@@ -271,7 +271,7 @@
 }
 
 // Done closes the record.
-func (r *Recorder) Done(v *judge.Verdict) *Run {
+func (r *Recorder) Finish(v *judge.Verdict) *Run {
 	run, s := r.run, &r.run.Summary
 	run.Verdict = v
 	all, value, earned := hdrhistogram.New(1, int64(20*time.Minute/time.Microsecond), 3), 0.0, 0.0
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -114,7 +114,7 @@
 		unmet = saved.Unmet
 	}
 	line := r.Line()
-	if saved != nil && len(unmet) == 0 && r.Verdict.Broken() > 0 {
+	if saved != nil && len(unmet) == 0 && r.Verdict.Violations() > 0 {
 		line += " (a broken rule is what the scenario is to show)"
 	}
 	return single.Execute(w, page{Title: "Run of " + r.Summary.Scenario, Run: r, Line: line, Scenario: scenario, Where: where, Charts: list, Unmet: unmet, Faults: r.Verdict.Faults})
--- a/internal/lab/virtual/link.go
+++ b/internal/lab/virtual/link.go
@@ -90,7 +90,7 @@
 	}
 	delete(l.out, a)
 	now := m.w.loop.Now()
-	f.seen.Over(m.w.time(), "")
+	f.seen.Finished(m.w.time(), "")
 	m.trace(a, "is given up at", fmt.Sprint(v))
 	l.carry(func() {
 		if f.taken && f.gen == l.gen {
@@ -225,7 +225,7 @@
 	class := a.Text
 	f := &flight{l: l, a: a, gen: l.gen, sentAt: w.loop.Now(), seen: w.j.ArrivedFrom(m.n, a.PartID, s.Name, w.time())}
 	if !w.plan.Holds(l.server, a.Shard) {
-		w.j.Astray(a.PartID, s.Name)
+		w.j.Misrouted(a.PartID, s.Name)
 	}
 	ask, rest, _ := strings.Cut(a.PartID, "-")
 	_, shard, _ := strings.Cut(rest, ".")
@@ -288,7 +288,7 @@
 		if e == model.OK {
 			value = valueOf(f.a)
 		}
-		f.seen.Over(w.time(), value)
+		f.seen.Finished(w.time(), value)
 	}
 	at := max(w.loop.Now()+d, l.lastFro)
 	l.lastFro = at
@@ -345,7 +345,7 @@
 	slices.SortFunc(lost, func(a, b *flight) int { return strings.Compare(a.a.PartID, b.a.PartID) })
 	clear(l.out)
 	for _, f := range lost {
-		f.seen.Over(m.w.time(), "")
+		f.seen.Finished(m.w.time(), "")
 		m.trace(f.a, "lost its connection to", "")
 		m.x.AttemptEnded(f.a, choice.ConnectionLost, nil, "")
 	}
@@ -374,7 +374,7 @@
 	}
 	slices.SortFunc(out, func(a, b *flight) int { return strings.Compare(a.a.PartID, b.a.PartID) })
 	for _, f := range out {
-		f.seen.Over(w.time(), "")
+		f.seen.Finished(w.time(), "")
 		if f.taken {
 			w.Servers[l.server].GiveUp(&f.job)
 		}
--- a/internal/lab/virtual/mixer.go
+++ b/internal/lab/virtual/mixer.go
@@ -161,7 +161,7 @@
 			return
 		}
 		if err := m.start(); err != nil {
-			w.rec.Broke(fmt.Sprintf("mixer %d did not start again: %v", m.n, err))
+			w.rec.Fault(fmt.Sprintf("mixer %d did not start again: %v", m.n, err))
 			return
 		}
 		m.fronted = true
@@ -180,7 +180,7 @@
 	w := m.w
 	for _, id := range sorted(m.asks) {
 		a := m.asks[id]
-		w.loop.Post(w.near(m), func() { w.reply(a, judge.Died, model.Reply{Kind: model.Lost}) })
+		w.loop.Post(w.near(m), func() { w.reply(a, judge.ProxyKilled, model.Reply{Kind: model.Lost}) })
 	}
 }
 
@@ -211,7 +211,7 @@
 	}
 	m.levels += len(r.Past)
 	if most := m.w.plan.Expect.Levels; most > 0 && m.levels > most {
-		m.w.rec.Broke(fmt.Sprintf("mixer %d changed its level %d times, and %d are allowed", m.n, m.levels, most))
+		m.w.rec.Fault(fmt.Sprintf("mixer %d changed its level %d times, and %d are allowed", m.n, m.levels, most))
 	}
 }
 
@@ -221,7 +221,7 @@
 	w := m.w
 	if m.x == nil || a.over {
 		if !a.over { // the connection is refused
-			w.loop.Post(w.near(m), func() { w.reply(a, judge.Died, model.Reply{Kind: model.Failed}) })
+			w.loop.Post(w.near(m), func() { w.reply(a, judge.ProxyKilled, model.Reply{Kind: model.Failed}) })
 		}
 		return
 	}
--- a/internal/lab/virtual/sources.go
+++ b/internal/lab/virtual/sources.go
@@ -171,7 +171,7 @@
 			return
 		}
 		for _, c := range o.Claims {
-			w.j.ToldBy(m.n, o.Source, c.Name, c.Drain, w.time())
+			w.j.DrainReportedBy(m.n, o.Source, c.Name, c.Drain, w.time())
 		}
 		if m.merge.core.Observe(w.time().UnixMicro(), o) == nil {
 			m.step()
@@ -236,7 +236,7 @@
 			continue
 		}
 		if err := m.merge.core.Configure(w.plan.Members.MergeSettings(w.inForce)); err != nil {
-			w.rec.Broke(err.Error())
+			w.rec.Fault(err.Error())
 			continue
 		}
 		m.step()
--- a/internal/lab/virtual/virtual.go
+++ b/internal/lab/virtual/virtual.go
@@ -131,7 +131,7 @@
 	if err := w.play(); err != nil {
 		return nil, err
 	}
-	run := w.rec.Done(w.j.Judge(epoch.Add(p.Window[0]), epoch.Add(p.Window[1])))
+	run := w.rec.Finish(w.j.Judge(epoch.Add(p.Window[0]), epoch.Add(p.Window[1])))
 	var mem runtime.MemStats
 	runtime.ReadMemStats(&mem)
 	run.Machine = record.Machine{Wall: time.Since(begun), Events: w.loop.Done(), PeakMiB: int64(mem.Sys >> 20), Threads: 1}
@@ -164,7 +164,7 @@
 		w.Servers, w.sites = append(w.Servers, s), append(w.sites, w.net.Site(spec.Site))
 		w.Index[spec.Name] = i
 		s.Fell = func(s *model.Server) {
-			w.j.Fell(s.Name, w.time())
+			w.j.ColdServerOverloaded(s.Name, w.time())
 			w.note("%s was pushed over while it was cold", s.Name)
 		}
 		s.Down = func(*model.Server) { w.down(i) }
@@ -190,7 +190,7 @@
 	w.front()
 	w.clients = &model.Clients{Sched: sched{w.loop}, Classes: p.Classes, Tenants: p.NewTenants(), OverWorth: p.Over, Retry: p.Retry(), Seed: p.Draw, Length: p.Length, Pick: w.pick, Send: w.send,
 		Leave: w.leave, Over: func(a *model.Ask) {
-			w.rec.Over(a, w.sent[a.ID])
+			w.rec.QueryDone(a, w.sent[a.ID])
 			delete(w.sent, a.ID)
 		}}
 	return w, nil
@@ -228,7 +228,7 @@
 		w.loop.Post(time.Duration(s)*time.Second, func() {
 			if w.opt.Keep {
 				for _, v := range w.Servers {
-					w.rec.Look(s-1, &v.Spec, v.Look())
+					w.rec.ServerSample(s-1, &v.Spec, v.Look())
 				}
 			}
 		})
@@ -253,7 +253,7 @@
 		return err
 	}
 	if n := w.clients.Open; n > 0 {
-		w.rec.Broke(fmt.Sprintf("%d asks were not over %v after the load", n, overtime+longest))
+		w.rec.Fault(fmt.Sprintf("%d asks were not over %v after the load", n, overtime+longest))
 		for _, m := range w.mixers {
 			for _, id := range sorted(m.asks) {
 				m.asks[id].seen.Detail = "no answer came"
@@ -357,9 +357,9 @@
 	for _, e := range news {
 		switch e.Standing {
 		case model.Draining:
-			w.j.Told(w.plan.Servers[e.Server].Name, w.time())
+			w.j.DrainReported(w.plan.Servers[e.Server].Name, w.time())
 		case model.Serving:
-			w.j.Told(w.plan.Servers[e.Server].Name, time.Time{})
+			w.j.DrainReported(w.plan.Servers[e.Server].Name, time.Time{})
 		}
 	}
 	rows := make([]choice.Server, 0, len(news))
@@ -437,7 +437,7 @@
 func (w *world) send(t *model.Try) {
 	m := w.mixers[t.Mixer]
 	a := &ask{t: t, m: m}
-	a.seen = &judge.Query{ID: t.ID, Class: t.Ask.Class.Name, Due: epoch.Add(t.Ask.Due), Sent: w.time(), Patience: t.Patience}
+	a.seen = &judge.Query{ID: t.ID, Class: t.Ask.Class.Name, Due: epoch.Add(t.Ask.Due), Sent: w.time(), Timeout: t.Patience}
 	for _, p := range t.Ask.Parts {
 		a.seen.Parts = append(a.seen.Parts, judge.Part{Shard: p.Shard, Weight: p.Weight})
 	}
@@ -456,7 +456,7 @@
 	if a == nil || a.over {
 		return
 	}
-	w.reply(a, judge.Gone, model.Reply{Kind: model.Left})
+	w.reply(a, judge.ClientGone, model.Reply{Kind: model.Left})
 	w.loop.Post(w.near(m), func() {
 		if m.x != nil && m.life == a.life && a.q != nil {
 			m.x.ClientLeft(a.q)
@@ -468,8 +468,8 @@
 func (w *world) reply(a *ask, outcome judge.Outcome, r model.Reply) {
 	if a.over {
 		// The end of a killed mixer's connection may cross its answer: that is no second one.
-		if outcome != judge.Gone && outcome != judge.Died && a.seen.Outcome != judge.Gone && a.seen.Outcome != judge.Died {
-			a.seen.Extra = true
+		if outcome != judge.ClientGone && outcome != judge.ProxyKilled && a.seen.Outcome != judge.ClientGone && a.seen.Outcome != judge.ProxyKilled {
+			a.seen.ExtraAnswer = true
 		}
 		return
 	}
@@ -518,7 +518,7 @@
 	for range times {
 		w.loop.Post(w.near(m)+w.opt.Sabotage.Delay, func() {
 			if !a.over {
-				a.seen.Whole = r.Whole
+				a.seen.Complete = r.Whole
 				for _, h := range f.Hits {
 					value := h.Value
 					if change := w.opt.Sabotage.Value; change != nil {
--- a/internal/lab/virtual/virtual_test.go
+++ b/internal/lab/virtual/virtual_test.go
@@ -68,7 +68,7 @@
 	returning := strings.ReplaceAll(small, "rate  = 40", "rate  = 300") + "[fault d]\ndo = die\nat = 2s\nfor = 3s\nwho = cell 1\n"
 	told := small + "[members]\nsources = list, consul\n[fault d]\ndo = drain\nsource = consul\nat = 2s\nwho = cell 1\n"
 	for _, fair := range []string{failing, draining, returning, told} {
-		require.Zero(t, play(t, fair, Options{}).Verdict.Broken(), "%s", play(t, fair, Options{}).Verdict.Faults)
+		require.Zero(t, play(t, fair, Options{}).Verdict.Violations(), "%s", play(t, fair, Options{}).Verdict.Faults)
 	}
 	unsafe := func(s *settings.Settings) {
 		for i := range s.Router.Classes {
