--- a/internal/lab/client/client.go
+++ b/internal/lab/client/client.go
@@ -167,10 +167,10 @@
 		c, err := d.openConn(req.Addr, try > 0)
 		if err == nil {
 			leave := context.AfterFunc(ctx, func() { c.nc.Close() })
-			var crossed bool
-			crossed, after, err = d.exchange(c, req, q)
+			var staleConn bool
+			staleConn, after, err = d.exchange(c, req, q)
 			leave()
-			if crossed && try == 0 && ctx.Err() == nil {
+			if staleConn && try == 0 && ctx.Err() == nil {
 				d.drop(c)
 				continue
 			}
@@ -255,15 +255,15 @@
 	return err == nil
 }
 
-func (d *Clients) exchange(c *conn, req Request, q *judge.Query) (crossed bool, after time.Duration, err error) {
+func (d *Clients) exchange(c *conn, req Request, q *judge.Query) (staleConn bool, after time.Duration, err error) {
 	body := []byte(`{"shards":[`)
-	for i, p := range q.Parts {
+	for i, response := range q.Parts {
 		if i > 0 {
 			body = append(body, ',')
 		}
-		body = fmt.Appendf(body, `{"shard":%d,"weight":%.9f`, p.Shard, p.Weight)
-		if req.NamesKeys && len(p.Keys) == 1 {
-			body = fmt.Appendf(body, `,"key":%q`, p.Keys[0])
+		body = fmt.Appendf(body, `{"shard":%d,"weight":%.9f`, response.Shard, response.Weight)
+		if req.NamesKeys && len(response.Keys) == 1 {
+			body = fmt.Appendf(body, `,"key":%q`, response.Keys[0])
 		}
 		if req.Key != "" {
 			body = fmt.Appendf(body, `,"key":%q`, req.Key)
@@ -271,18 +271,18 @@
 		body = append(body, '}')
 	}
 	body = fmt.Appendf(body, `],"q":%q}`, req.Text)
-	more := map[bool]string{true: "X-Second-Try: 1\r\n"}[req.Retry]
+	extraHeaders := map[bool]string{true: "X-Second-Try: 1\r\n"}[req.Retry]
 	if req.Tenant != "" {
-		more += "X-Customer: " + req.Tenant + "\r\n"
+		extraHeaders += "X-Customer: " + req.Tenant + "\r\n"
 	}
 	if req.Key != "" {
-		more += "X-Object: " + req.Key + "\r\n"
+		extraHeaders += "X-Object: " + req.Key + "\r\n"
 	}
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "POST /api HTTP/1.1\r\nHost: origin.svc\r\nX-Trace-Id: %s\r\nX-Qos: %s\r\nX-Expires-In: %dm\r\n%sContent-Length: %d\r\n\r\n",
-		q.ID, q.Class, q.Timeout.Milliseconds(), more, len(body))
+		q.ID, q.Class, q.Timeout.Milliseconds(), extraHeaders, len(body))
 	b.Write(body)
-	old := c.used
+	reused := c.used
 	c.used = true
 	if c.r.Buffered() > 0 {
 		q.ExtraAnswer = true
@@ -290,18 +290,18 @@
 	q.Sent = time.Now()
 	c.nc.SetDeadline(q.Sent.Add(q.Timeout + d.ExtraWait))
 	if _, err := c.nc.Write(b.Bytes()); err != nil {
-		return old, 0, err
+		return reused, 0, err
 	}
 	if _, err := c.r.Peek(1); err != nil {
 		var timeout net.Error
-		return old && !(errors.As(err, &timeout) && timeout.Timeout()), 0, err
+		return reused && !(errors.As(err, &timeout) && timeout.Timeout()), 0, err
 	}
-	p, err := http.ReadResponse(c.r, nil)
+	response, err := http.ReadResponse(c.r, nil)
 	if err != nil {
 		return false, 0, err
 	}
-	text, err := io.ReadAll(io.LimitReader(p.Body, 1<<20))
-	p.Body.Close()
+	text, err := io.ReadAll(io.LimitReader(response.Body, 1<<20))
+	response.Body.Close()
 	if err != nil {
 		return false, 0, err
 	}
@@ -309,7 +309,7 @@
 	if c.r.Buffered() > 0 {
 		q.ExtraAnswer = true
 	}
-	switch p.StatusCode {
+	switch response.StatusCode {
 	case 200:
 		q.Outcome = judge.Answered
 		doc := gjson.ParseBytes(text)
@@ -320,13 +320,13 @@
 		}
 	case 429, 503:
 		q.Outcome = judge.Refused
-		if s, err := strconv.ParseFloat(p.Header.Get("Retry-After"), 64); err == nil && s > 0 && s < 3600 {
+		if s, err := strconv.ParseFloat(response.Header.Get("Retry-After"), 64); err == nil && s > 0 && s < 3600 {
 			after = time.Duration(s * float64(time.Second))
 		}
 	default:
 		q.Outcome = judge.Failed
 	}
 	q.Detail = string(bytes.TrimSpace(text[:min(len(text), 80)]))
-	c.closing = p.Close
+	c.closing = response.Close
 	return false, after, nil
 }
--- a/internal/lab/drill/file.go
+++ b/internal/lab/drill/file.go
@@ -34,55 +34,55 @@
 
 // Reshape is the section [reshape]: segments that split, merge and move.
 type Reshape struct {
-	Segments int           `ini:"segments" default:"0" range:"0..100000" help:"at the start; 0: the shards of [fleet], which stay"`
-	PerSeg   int           `ini:"keys-per-segment" default:"8" range:"1..10000"`
-	Every    time.Duration `ini:"every" default:"2s" range:"0s..1h" help:"between reshapes; 0s: none"`
-	Step     time.Duration `ini:"step" default:"20ms" range:"0s..1m" help:"that one step of a reshape takes"`
-	Lag      time.Duration `ini:"lag" default:"500ms" range:"0s..1m" help:"of the feed"`
-	Behind   int           `ini:"desks-behind" default:"3" range:"0..200" help:"epochs that the desks' map is old"`
-	Abort    float64       `ini:"abort" default:"0.1" range:"0..1" help:"share of reshapes that are taken back"`
-	Die      float64       `ini:"die" default:"0.05" range:"0..1" help:"share of steps at which the coordinator dies"`
-	Away     time.Duration `ini:"away" default:"300ms" range:"0s..1m" help:"until it comes back"`
-	CutKill  float64       `ini:"cut-kill" default:"0" range:"0..1" help:"share of cuts right after which all servers of the new owner die"`
-	CutAway  time.Duration `ini:"cut-away" default:"2s" range:"10ms..1m" help:"until they come back, cold"`
-	Fence    bool          `ini:"fence" default:"yes" help:"no: leaf servers book on when they are to be fenced; the judge must find it"`
+	Segments         int           `ini:"segments" default:"0" range:"0..100000" help:"at the start; 0: the shards of [fleet], which stay"`
+	KeysPerSegment   int           `ini:"keys-per-segment" default:"8" range:"1..10000"`
+	Every            time.Duration `ini:"every" default:"2s" range:"0s..1h" help:"between reshapes; 0s: none"`
+	Step             time.Duration `ini:"step" default:"20ms" range:"0s..1m" help:"that one step of a reshape takes"`
+	Lag              time.Duration `ini:"lag" default:"500ms" range:"0s..1m" help:"of the feed"`
+	EpochsBehind     int           `ini:"desks-behind" default:"3" range:"0..200" help:"epochs that the desks' map is old"`
+	AbortShare       float64       `ini:"abort" default:"0.1" range:"0..1" help:"share of reshapes that are taken back"`
+	CrashShare       float64       `ini:"die" default:"0.05" range:"0..1" help:"share of steps at which the coordinator dies"`
+	CrashDowntime    time.Duration `ini:"away" default:"300ms" range:"0s..1m" help:"until it comes back"`
+	KillAfterCutover float64       `ini:"cut-kill" default:"0" range:"0..1" help:"share of cuts right after which all servers of the new owner die"`
+	KillDowntime     time.Duration `ini:"cut-away" default:"2s" range:"10ms..1m" help:"until they come back, cold"`
+	Fence            bool          `ini:"fence" default:"yes" help:"no: leaf servers book on when they are to be fenced; the judge must find it"`
 }
 
 // Fleet is the section [fleet]: the stand-in leaf servers.
 type Fleet struct {
-	Cells    int           `ini:"cells" default:"4" range:"1..64" help:"shard s is held by cell s modulo cells"`
-	Replicas int           `ini:"replicas" default:"3" range:"1..16" help:"servers of a cell"`
-	Shards   int           `ini:"shards" default:"24" range:"1..4096"`
-	Cores    int           `ini:"cores" default:"8" range:"1..1024" help:"parts that one server runs at once"`
-	Room     int           `ini:"room" default:"200" range:"0..100000" help:"parts that wait there; beyond: turned away"`
-	Median   time.Duration `ini:"median" default:"10ms" range:"10us..1m" help:"work of a part"`
-	Sigma    float64       `ini:"sigma" default:"0.4" range:"0..3" help:"of its logarithm"`
-	Cold     float64       `ini:"cold" default:"0" range:"0..1" help:"share of its capacity that a server has which comes back; 0: all"`
-	Warm     time.Duration `ini:"warm" default:"18s" range:"10ms..10m" help:"until it has all of it"`
+	Cells         int           `ini:"cells" default:"4" range:"1..64" help:"shard s is held by cell s modulo cells"`
+	Replicas      int           `ini:"replicas" default:"3" range:"1..16" help:"servers of a cell"`
+	Shards        int           `ini:"shards" default:"24" range:"1..4096"`
+	Cores         int           `ini:"cores" default:"8" range:"1..1024" help:"parts that one server runs at once"`
+	QueueCapacity int           `ini:"room" default:"200" range:"0..100000" help:"parts that wait there; beyond: turned away"`
+	Median        time.Duration `ini:"median" default:"10ms" range:"10us..1m" help:"work of a part"`
+	Sigma         float64       `ini:"sigma" default:"0.4" range:"0..3" help:"of its logarithm"`
+	ColdShare     float64       `ini:"cold" default:"0" range:"0..1" help:"share of its capacity that a server has which comes back; 0: all"`
+	WarmTime      time.Duration `ini:"warm" default:"18s" range:"10ms..10m" help:"until it has all of it"`
 }
 
 // Class is a section [class NAME].
 type Class struct {
-	Name        string
-	Rate        float64       `ini:"rate" default:"50" range:"0.1..100000" help:"queries a second, Poisson"`
-	Parts       int           `ini:"parts" default:"4" range:"1..4096"`
-	Patience    time.Duration `ini:"patience" default:"4s" range:"10ms..1m"`
-	Aim         time.Duration `ini:"aim" default:"1500ms" range:"1ms..1m"`
-	Books       bool          `ini:"books" default:"no" help:"with [reshape]: books one key; text must begin with book"`
-	Effect      string        `ini:"effect" default:"free" oneof:"free guarded single_shot"`
-	Need        float64       `ini:"need" default:"1" range:"0.01..1"`
-	Floor       float64       `ini:"floor" default:"1" range:"0.01..1"`
-	Text        string        `ini:"text" default:"c41e77d0"`
-	Hooked      bool          `ini:"hooked" default:"no" help:"a hook of the drill's sets is for it"`
-	RefusedMost float64       `ini:"refused-most" default:"1" range:"0..1" help:"more of its queries refused than this share fails the drill"`
-	FailedMost  float64       `ini:"failed-most" default:"0.01" range:"0..1" help:"likewise failed"`
+	Name          string
+	Rate          float64       `ini:"rate" default:"50" range:"0.1..100000" help:"queries a second, Poisson"`
+	Parts         int           `ini:"parts" default:"4" range:"1..4096"`
+	Timeout       time.Duration `ini:"patience" default:"4s" range:"10ms..1m"`
+	LatencyTarget time.Duration `ini:"aim" default:"1500ms" range:"1ms..1m"`
+	Booking       bool          `ini:"books" default:"no" help:"with [reshape]: books one key; text must begin with book"`
+	Effect        string        `ini:"effect" default:"free" oneof:"free guarded single_shot"`
+	Need          float64       `ini:"need" default:"1" range:"0.01..1"`
+	Floor         float64       `ini:"floor" default:"1" range:"0.01..1"`
+	Text          string        `ini:"text" default:"c41e77d0"`
+	Hooked        bool          `ini:"hooked" default:"no" help:"a hook of the drill's sets is for it"`
+	MaxRefused    float64       `ini:"refused-most" default:"1" range:"0..1" help:"more of its queries refused than this share fails the drill"`
+	MaxFailed     float64       `ini:"failed-most" default:"0.01" range:"0..1" help:"likewise failed"`
 }
 
 // Step is a section [step NAME]: something that happens.
 type Step struct {
 	Name   string
 	At     time.Duration `ini:"at" need:"yes" range:"0s..1h"`
-	Do     string        `ini:"do" need:"yes" oneof:"hooks reload bad-hooks disable enable stop hang fail busy claim well kill revive drain serve evacuate" help:"evacuate: all segments of a cell move at once; hooks: another set; bad-hooks: one that must be rejected; stop: SIGTERM, the load goes on for 0.3 s"`
+	Action string        `ini:"do" need:"yes" oneof:"hooks reload bad-hooks disable enable stop hang fail busy claim well kill revive drain serve evacuate" help:"evacuate: all segments of a cell move at once; hooks: another set; bad-hooks: one that must be rejected; stop: SIGTERM, the load goes on for 0.3 s"`
 	Set    string        `ini:"set" help:"hooks: its folder, from the drill's"`
 	By     string        `ini:"by" default:"signal" oneof:"signal command" help:"hooks: SIGHUP or the control socket"`
 	Hook   string        `ini:"hook" help:"disable, enable"`
@@ -92,18 +92,18 @@
 
 // Expect is the section [expect]: what must have happened.
 type Expect struct {
-	P99Within   float64       `ini:"p99-within" default:"0.2" range:"0..10" help:"with compare: how much the p99 of a class without a hook may grow"`
-	P99Slack    time.Duration `ini:"p99-slack" default:"2ms" range:"0s..1s" help:"and this much beside: the clock of the machine"`
-	RateLeast   float64       `ini:"rate-least" default:"1" range:"0..100000" help:"queries a second over all classes"`
-	FaultsLeast int           `ini:"faults-least" default:"0" range:"0..1000000" help:"calls of hooks that must have failed"`
-	Kinds       []string      `ini:"fault-kinds" oneof:"overrun memory thrown garbage forbidden busy short quarantined" help:"kinds that must be among them"`
-	SwapsLeast  int           `ini:"swaps-least" default:"0" range:"0..1000" help:"sets that must have been put in force"`
-	OpenedLeast int           `ini:"opened-least" default:"0" range:"0..1000" help:"breakers that must have opened"`
-	CutKills    int           `ini:"cut-kills-least" default:"0" range:"0..100000" help:"new owners that must have died right after a cut"`
-	Evacuated   int           `ini:"evacuated-least" default:"0" range:"0..100000" help:"segments that must have moved at once"`
-	Reshapes    int           `ini:"reshapes-least" default:"0" range:"0..100000" help:"reshapes that must have come to their end"`
-	AnswerLeast float64       `ini:"answered-least" default:"0" range:"0..1" help:"share of each class that must be answered"`
-	CallsLeast  int           `ini:"calls-least" default:"0" range:"0..100000000" help:"calls of hooks"`
+	MaxP99Growth float64       `ini:"p99-within" default:"0.2" range:"0..10" help:"with compare: how much the p99 of a class without a hook may grow"`
+	P99Slack     time.Duration `ini:"p99-slack" default:"2ms" range:"0s..1s" help:"and this much beside: the clock of the machine"`
+	MinRate      float64       `ini:"rate-least" default:"1" range:"0..100000" help:"queries a second over all classes"`
+	MinFaults    int           `ini:"faults-least" default:"0" range:"0..1000000" help:"calls of hooks that must have failed"`
+	FaultKinds   []string      `ini:"fault-kinds" oneof:"overrun memory thrown garbage forbidden busy short quarantined" help:"kinds that must be among them"`
+	MinSwaps     int           `ini:"swaps-least" default:"0" range:"0..1000" help:"sets that must have been put in force"`
+	MinOpened    int           `ini:"opened-least" default:"0" range:"0..1000" help:"breakers that must have opened"`
+	MinCutKills  int           `ini:"cut-kills-least" default:"0" range:"0..100000" help:"new owners that must have died right after a cut"`
+	MinEvacuated int           `ini:"evacuated-least" default:"0" range:"0..100000" help:"segments that must have moved at once"`
+	MinReshapes  int           `ini:"reshapes-least" default:"0" range:"0..100000" help:"reshapes that must have come to their end"`
+	MinAnswered  float64       `ini:"answered-least" default:"0" range:"0..1" help:"share of each class that must be answered"`
+	MinCalls     int           `ini:"calls-least" default:"0" range:"0..100000000" help:"calls of hooks"`
 }
 
 // Drill is a file that has been read and found right.
@@ -144,14 +144,14 @@
 	inifile.SetDefaults(&d.Reshape)
 	inifile.SetDefaults(&d.Hooks)
 	inifile.SetDefaults(&d.Expect)
-	about := false
-	lines := make(map[string]*inifile.Section)
+	hasMain := false
+	sections := make(map[string]*inifile.Section)
 	for _, s := range doc.Sections {
-		lines[s.Name] = s
+		sections[s.Name] = s
 		var err error
 		switch s.Name {
 		case "drill":
-			about, err = true, s.Decode(&d.Main)
+			hasMain, err = true, s.Decode(&d.Main)
 		case "mixer":
 			err = s.Decode(&d.Mixer)
 		case "fleet":
@@ -174,7 +174,7 @@
 			case s.Kind == "step" && s.Label != "":
 				p := Step{Name: s.Label}
 				if err = s.Decode(&p); err == nil {
-					err = p.check(s, d)
+					err = p.validate(s, d)
 				}
 				d.Steps = append(d.Steps, p)
 			default:
@@ -186,13 +186,13 @@
 		}
 	}
 	switch {
-	case !about:
+	case !hasMain:
 		return nil, &inifile.Error{File: file, Problem: "no section [drill]"}
 	case len(d.Classes) == 0:
 		return nil, &inifile.Error{File: file, Problem: "no section [class NAME]: there would be no load"}
 	}
 	for _, p := range d.Steps {
-		at := lines["step "+p.Name]
+		at := sections["step "+p.Name]
 		if p.At >= d.Length {
 			return nil, at.Errorf("at", "%v is not before the drill's end, %v", p.At, d.Length)
 		}
@@ -201,20 +201,20 @@
 		}
 	}
 	if d.Warmup >= d.Length {
-		return nil, lines["drill"].Errorf("warmup", "%v is not before the drill's end, %v", d.Warmup, d.Length)
+		return nil, sections["drill"].Errorf("warmup", "%v is not before the drill's end, %v", d.Warmup, d.Length)
 	}
 	slices.SortStableFunc(d.Steps, func(a, b Step) int { return int(a.At - b.At) })
 	return d, nil
 }
 
-func (p *Step) check(s *inifile.Section, d *Drill) error {
+func (p *Step) validate(s *inifile.Section, d *Drill) error {
 	need := map[string]string{"hooks": "set", "bad-hooks": "set", "disable": "hook", "enable": "hook", "hang": "server", "fail": "server",
-		"busy": "server", "claim": "server", "well": "server", "kill": "server", "revive": "server", "drain": "server", "serve": "server"}[p.Do]
-	if p.Do == "evacuate" && (p.Cell >= d.Fleet.Cells || d.Reshape.Segments == 0) {
+		"busy": "server", "claim": "server", "well": "server", "kill": "server", "revive": "server", "drain": "server", "serve": "server"}[p.Action]
+	if p.Action == "evacuate" && (p.Cell >= d.Fleet.Cells || d.Reshape.Segments == 0) {
 		return s.Errorf("cell", "%d: there is none, or no [reshape]", p.Cell)
 	}
 	if need != "" && !s.Has(need) {
-		return s.Errorf("do", "%s wants a %s", p.Do, need)
+		return s.Errorf("do", "%s wants a %s", p.Action, need)
 	}
 	return nil
 }
@@ -231,7 +231,7 @@
 }
 
 // path is a path that counts from the drill's folder.
-func (d *Drill) path(p string) string {
+func (d *Drill) resolvePath(p string) string {
 	if p == "" || filepath.IsAbs(p) {
 		return p
 	}
@@ -240,7 +240,7 @@
 
 // Hooked tells whether the drill has hooks at all.
 func (d *Drill) Hooked() bool {
-	return d.Hooks.Dir != "" || slices.ContainsFunc(d.Steps, func(s Step) bool { return s.Do == "hooks" })
+	return d.Hooks.Dir != "" || slices.ContainsFunc(d.Steps, func(s Step) bool { return s.Action == "hooks" })
 }
 
 // Shorten has the drill last so long; steps after that do not happen.
--- a/internal/lab/drill/run.go
+++ b/internal/lab/drill/run.go
@@ -31,10 +31,10 @@
 )
 
 const (
-	readyTime = 60 * time.Second
-	endTime   = 30 * time.Second
-	stopLoad  = 300 * time.Millisecond // the load goes on so long after SIGTERM
-	grace     = 2*time.Second + judge.Slack
+	readyTimeout  = 60 * time.Second
+	exitTimeout   = 30 * time.Second
+	loadAfterStop = 300 * time.Millisecond // the load goes on so long after SIGTERM
+	grace         = 2*time.Second + judge.Slack
 )
 
 // Options are how a drill is played.
@@ -89,17 +89,17 @@
 
 	evacuating sync.WaitGroup
 
-	mu       sync.Mutex
-	broken   []string
-	faults   map[hook.Kind]int64
-	opened   map[string]int // by hook and set version: a set that goes takes its counts along
-	calls    map[string]int64
-	perSet   map[string]map[hook.Kind]int64
-	last     string
-	report   hook.Report
-	stopping bool
-	rss      inifile.Bytes
-	files    int
+	mu           sync.Mutex
+	problems     []string
+	faults       map[hook.Kind]int64
+	opened       map[string]int // by hook and set version: a set that goes takes its counts along
+	calls        map[string]int64
+	faultsByHook map[string]map[hook.Kind]int64
+	lastStep     string
+	report       hook.Report
+	stopping     bool
+	maxRSS       inifile.Bytes
+	maxFiles     int
 }
 
 // Play plays a drill once, with its hooks or without.
@@ -129,9 +129,9 @@
 	defer os.RemoveAll(work)
 	r := &run{d: d, opt: opt, name: name, hooks: hooks, dir: work, leaves: make(map[string]*leaf.Server), addrs: make(map[string]string),
 		faults: make(map[hook.Kind]int64), opened: make(map[string]int), calls: make(map[string]int64),
-		perSet: make(map[string]map[hook.Kind]int64)}
+		faultsByHook: make(map[string]map[hook.Kind]int64)}
 	defer r.close()
-	if err := r.standIns(); err != nil {
+	if err := r.startStandIns(); err != nil {
 		return nil, err
 	}
 	logFile := filepath.Join(dir, strings.ReplaceAll(name, " ", "-")+".log")
@@ -144,10 +144,10 @@
 			return nil, err
 		}
 	}
-	return r.load(ctx, logFile)
+	return r.runLoad(ctx, logFile)
 }
 
-func (r *run) standIns() error {
+func (r *run) startStandIns() error {
 	d := r.d
 	var classes []judge.Class
 	for _, c := range d.Classes {
@@ -166,8 +166,8 @@
 			every = 0
 		}
 		var err error
-		if r.world, err = reshape.New(reshape.Config{Cells: cells, Segments: c.Segments, PerSeg: c.PerSeg, Every: every, Step: c.Step, Lag: c.Lag,
-			Abort: c.Abort, Die: c.Die, Away: c.Away, NoFence: !c.Fence, CutKill: c.CutKill, Kill: r.killCell, Seed: uint64(d.Seed), Judge: r.j}); err != nil {
+		if r.world, err = reshape.New(reshape.Config{Cells: cells, Segments: c.Segments, PerSeg: c.KeysPerSegment, Every: every, Step: c.Step, Lag: c.Lag,
+			Abort: c.AbortShare, Die: c.CrashShare, Away: c.CrashDowntime, NoFence: !c.Fence, CutKill: c.KillAfterCutover, Kill: r.killCell, Seed: uint64(d.Seed), Judge: r.j}); err != nil {
 			return err
 		}
 	}
@@ -200,7 +200,7 @@
 		cell, _ := strconv.Atoi(strings.Split(name, "-")[1])
 		keeper = &reshape.Keeper{W: r.world, Cell: cell}
 	}
-	return leaf.Model{Keeper: keeper, Warm: f.Warm, Cores: f.Cores, Room: f.Room, Median: f.Median, Sigma: f.Sigma, Seed: uint64(r.d.Seed)<<16 + uint64(i)}
+	return leaf.Model{Keeper: keeper, Warm: f.WarmTime, Cores: f.Cores, Room: f.QueueCapacity, Median: f.Median, Sigma: f.Sigma, Seed: uint64(r.d.Seed)<<16 + uint64(i)}
 }
 
 func (r *run) entry(name, status string) disco.Entry {
@@ -229,7 +229,7 @@
 		"known":  r.disco.Snapshot(),
 		"settings": map[string]any{"balancers": d.Mixer.Count, "discovery": "ask", "resolution": 5000, "kinds": []string{"std-2c"}, "tenants": []any{},
 			"request-classes": list(func(c Class) any {
-				return map[string]any{"name": c.Name, "aim": c.Aim.Microseconds(), "deadline": c.Patience.Microseconds(), "effect": c.Effect,
+				return map[string]any{"name": c.Name, "aim": c.LatencyTarget.Microseconds(), "deadline": c.Timeout.Microseconds(), "effect": c.Effect,
 					"late-worth": 0.1, "memory-span": 5000000, "value": 1.0}
 			}),
 			"family-info": map[string]any{"bundle-max": 1, "class-fetch": list(func(Class) any { return 0 }),
@@ -251,19 +251,19 @@
 	if r.hooks || r.world != nil {
 		dir := ""
 		if r.hooks {
-			dir = d.path(d.Hooks.Dir)
+			dir = d.resolvePath(d.Hooks.Dir)
 		}
-		if err := r.operator(n, dir); err != nil {
+		if err := r.writeOperatorFile(n, dir); err != nil {
 			return err
 		}
-		args = append(args, "--operator", r.operatorFile(n))
+		args = append(args, "--operator", r.operatorPath(n))
 	}
-	var more func() bool
+	var ready func() bool
 	if r.world != nil {
-		more = func() bool { return r.mapped(n) }
+		ready = func() bool { return r.hasMap(n) }
 	}
 	os.Remove(logFile)
-	x, err := child.Start(r.opt.Program, listen, logFile, more, args...)
+	x, err := child.Start(r.opt.Program, listen, logFile, ready, args...)
 	if err == nil {
 		r.mixers = append(r.mixers, x)
 	}
@@ -271,18 +271,18 @@
 }
 
 // mapped tells whether a mixer has a map.
-func (r *run) mapped(n int) bool {
+func (r *run) hasMap(n int) bool {
 	var rep segments.Report
 	return control.Call(r.socket(n), &rep, "segments", "show") == nil && rep.Epoch > 0
 }
 
-func (r *run) operatorFile(n int) string {
+func (r *run) operatorPath(n int) string {
 	return filepath.Join(r.dir, fmt.Sprintf("operator-%d.ini", n))
 }
 func (r *run) socket(n int) string { return filepath.Join(r.dir, fmt.Sprintf("s%d", n)) }
 
 // operator writes the operator file, with a set's folder.
-func (r *run) operator(n int, set string) error {
+func (r *run) writeOperatorFile(n int, set string) error {
 	var b strings.Builder
 	fmt.Fprintf(&b, "[control]\nsocket = %s\n", r.socket(n))
 	if r.world != nil {
@@ -307,22 +307,22 @@
 		}
 		fmt.Fprintf(&b, "%s = %s\n", f.Key, value)
 	}
-	return os.WriteFile(r.operatorFile(n), []byte(b.String()), 0o600)
+	return os.WriteFile(r.operatorPath(n), []byte(b.String()), 0o600)
 }
 
 // load runs the load and the steps, and looks at the mixer each second.
-func (r *run) load(ctx context.Context, logFile string) (*Run, error) {
+func (r *run) runLoad(ctx context.Context, logFile string) (*Run, error) {
 	d := r.d
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	var turn atomic.Uint64
-	c := client.Config{Addr: func() string { return r.mixers[turn.Add(1)%uint64(len(r.mixers))].Listen }, Shards: d.Fleet.Shards,
+	var nextMixer atomic.Uint64
+	c := client.Config{Addr: func() string { return r.mixers[nextMixer.Add(1)%uint64(len(r.mixers))].Listen }, Shards: d.Fleet.Shards,
 		Seed: uint64(d.Seed), Judge: r.j, MaxIdle: d.Mixer.Sockets / 3}
 	var reshaping sync.WaitGroup
 	if r.world != nil {
-		c.Map, c.Keys = func() *placement.Map { return r.world.Map(d.Reshape.Behind) }, r.world.Keys
+		c.Map, c.Keys = func() *placement.Map { return r.world.Map(d.Reshape.EpochsBehind) }, r.world.Keys
 	}
-	desks := client.New(c)
+	clients := client.New(c)
 	begin := time.Now()
 	loading, stop := context.WithDeadline(ctx, begin.Add(d.Length))
 	defer stop()
@@ -333,12 +333,12 @@
 			r.world.Run(loading)
 		}()
 	}
-	var all sync.WaitGroup
+	var loads sync.WaitGroup
 	for _, c := range d.Classes {
-		all.Add(1)
+		loads.Add(1)
 		go func() {
-			defer all.Done()
-			desks.Run(loading, client.Class{Name: c.Name, Rate: c.Rate, Parts: c.Parts, Timeout: c.Patience, Text: c.Text, Booking: c.Books}, begin)
+			defer loads.Done()
+			clients.Run(loading, client.Class{Name: c.Name, Rate: c.Rate, Parts: c.Parts, Timeout: c.Timeout, Text: c.Text, Booking: c.Booking}, begin)
 		}()
 	}
 	var steps sync.WaitGroup
@@ -351,16 +351,16 @@
 				return
 			case <-time.After(time.Until(begin.Add(s.At))):
 			}
-			r.step(s, stop)
+			r.runStep(s, stop)
 		}
 	}()
-	watched := make(chan struct{})
+	samplerDone := make(chan struct{})
 	go func() {
-		defer close(watched)
+		defer close(samplerDone)
 		tick := time.NewTicker(time.Second)
 		defer tick.Stop()
 		for {
-			r.look(begin)
+			r.sample(begin)
 			select {
 			case <-loading.Done():
 				return
@@ -374,7 +374,7 @@
 				case err := <-x.Exited:
 					x.Exited <- err
 					if !stopping {
-						r.fail("a mixer ended under load: %v", err)
+						r.addProblem("a mixer ended under load: %v", err)
 						stop()
 						return
 					}
@@ -383,85 +383,85 @@
 			}
 		}
 	}()
-	all.Wait()
+	loads.Wait()
 	steps.Wait()
-	<-watched
+	<-samplerDone
 	reshaping.Wait()
 	r.evacuating.Wait()
 	span := time.Since(begin)
-	r.look(begin)
-	r.end()
-	out := &Run{Name: r.name, Verdict: r.j.Judge(begin.Add(d.Warmup), begin.Add(d.Length)), Unasked: desks.Close(), Log: logFile,
-		RSSMost: r.rss, FilesTop: r.files, Faults: r.faults, Broken: r.broken}
-	out.Rate = float64(out.Verdict.Queries) / min(span, d.Length).Seconds()
-	out.Verdict.Doubled += out.Unasked
+	r.sample(begin)
+	r.stopMixers()
+	result := &Run{Name: r.name, Verdict: r.j.Judge(begin.Add(d.Warmup), begin.Add(d.Length)), Unasked: clients.Close(), Log: logFile,
+		RSSMost: r.maxRSS, FilesTop: r.maxFiles, Faults: r.faults, Broken: r.problems}
+	result.Rate = float64(result.Verdict.Queries) / min(span, d.Length).Seconds()
+	result.Verdict.Doubled += result.Unasked
 	for _, n := range r.calls {
-		out.Calls += n
+		result.Calls += n
 	}
-	for _, kinds := range r.perSet {
+	for _, kinds := range r.faultsByHook {
 		for k, n := range kinds {
-			out.Faults[k] += n
+			result.Faults[k] += n
 		}
 	}
 	for _, n := range r.opened {
-		out.Opened += n
+		result.Opened += n
 	}
-	out.Report = r.report
+	result.Report = r.report
 	for _, x := range r.mixers {
 		if x.Cmd.ProcessState != nil {
-			out.CPU += x.Cmd.ProcessState.UserTime() + x.Cmd.ProcessState.SystemTime()
+			result.CPU += x.Cmd.ProcessState.UserTime() + x.Cmd.ProcessState.SystemTime()
 		}
 	}
 	if r.world != nil {
-		out.Reshapes = r.world.Counts()
+		result.Reshapes = r.world.Counts()
 	}
-	return out, ctx.Err()
+	return result, ctx.Err()
 }
 
-func (r *run) fail(format string, args ...any) {
+func (r *run) addProblem(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.broken = append(r.broken, fmt.Sprintf(format, args...))
+	r.problems = append(r.problems, fmt.Sprintf(format, args...))
 }
 
 // step does one step.
-func (r *run) step(s Step, stop func()) {
-	if !r.hooks && (strings.HasPrefix(s.Do, "hooks") || s.Do == "bad-hooks" || s.Do == "reload" || s.Do == "enable" || s.Do == "disable") {
+func (r *run) runStep(s Step, stop func()) {
+	if !r.hooks && (strings.HasPrefix(s.Action, "hooks") || s.Action == "bad-hooks" || s.Action == "reload" || s.Action == "enable" || s.Action == "disable") {
 		return
 	}
 	r.mu.Lock()
-	r.last = s.Name
+	r.lastStep = s.Name
 	r.mu.Unlock()
 	if r.opt.Notice != nil {
-		r.opt.Notice(r.name, "%6v  step %s: %s %s", s.At, s.Name, s.Do, s.Set+s.Server+s.Hook)
+		r.opt.Notice(r.name, "%6v  step %s: %s %s", s.At, s.Name, s.Action, s.Set+s.Server+s.Hook)
 	}
 	var rep hook.Report
 	var err error
-	switch s.Do {
+	switch s.Action {
 	case "hooks", "bad-hooks":
-		r.look(time.Now()) // what the set that goes has counted
+		r.sample(time.Now()) // what the set that goes has counted
 		if err = control.Call(r.socket(0), &rep, "hooks", "list"); err != nil {
 			break
 		}
 		before := rep.Swaps
 		for n := range r.mixers {
-			if err = r.operator(n, r.d.path(s.Set)); err != nil {
+			if err = r.writeOperatorFile(n, r.d.resolvePath(s.Set)); err != nil {
 				break
 			}
 		}
 		r.signal(syscall.SIGHUP)
-		for until := time.Now().Add(readyTime); ; time.Sleep(20 * time.Millisecond) {
+		for until := time.Now().Add(readyTimeout); ; time.Sleep(20 * time.Millisecond) {
 			if err = control.Call(r.socket(0), &rep, "hooks", "list"); err != nil {
 				break
 			}
-			if s.Do == "hooks" && rep.Swaps > before || s.Do == "bad-hooks" && rep.Rejected != "" {
+			if s.Action == "hooks" && rep.Swaps > before || s.Action == "bad-hooks" && rep.Rejected != "" {
 				break
 			}
-			if s.Do == "bad-hooks" && rep.Swaps > before {
+			if s.Action == "bad-hooks" && rep.Swaps > before {
 				err = errors.New("a bad set was put in force")
 				break
 			}
-			if rep.Rejected != "" && s.Do == "hooks" {
+			if rep.Rejected != "" && s.Action == "hooks" {
 				err = errors.New(rep.Rejected)
 				break
 			}
@@ -476,19 +476,19 @@
 	case "reload":
 		err = control.Call(r.socket(0), &rep, "hooks", "reload")
 	case "enable", "disable":
-		err = control.Call(r.socket(0), &rep, "hooks", s.Do, s.Hook)
+		err = control.Call(r.socket(0), &rep, "hooks", s.Action, s.Hook)
 	case "stop":
-		r.look(time.Now())
+		r.sample(time.Now())
 		r.mu.Lock()
 		r.stopping = true
 		r.mu.Unlock()
 		r.signal(syscall.SIGTERM)
-		time.Sleep(stopLoad)
+		time.Sleep(loadAfterStop)
 		stop()
 	case "hang", "fail", "busy", "claim", "well":
 		r.leafMu.Lock()
 		defer r.leafMu.Unlock()
-		r.leaves[s.Server].Set(map[string]leaf.Mode{"hang": leaf.Hang, "fail": leaf.Fail, "busy": leaf.Busy, "claim": leaf.Claim, "well": leaf.Well}[s.Do])
+		r.leaves[s.Server].Set(map[string]leaf.Mode{"hang": leaf.Hang, "fail": leaf.Fail, "busy": leaf.Busy, "claim": leaf.Claim, "well": leaf.Well}[s.Action])
 	case "kill":
 		r.leafMu.Lock()
 		r.leaves[s.Server].Close()
@@ -499,7 +499,7 @@
 		if r.hooks { // not in the run at rest
 			r.evacuating.Go(func() {
 				if err := r.world.Evacuate(s.Cell); err != nil {
-					r.fail("step %s: %v", s.Name, err)
+					r.addProblem("step %s: %v", s.Name, err)
 				}
 			})
 		}
@@ -509,14 +509,14 @@
 		r.disco.Put(r.entry(s.Server, "SERVING"))
 	}
 	if err != nil {
-		r.fail("step %s: %v", s.Name, err)
+		r.addProblem("step %s: %v", s.Name, err)
 	}
 }
 
 // revive has a dead server come back, cold where the drill says so.
 func (r *run) revive(name string) error {
 	m := r.model(indexOf(r.d.Servers(), name), name)
-	m.Cold = r.d.Fleet.Cold
+	m.Cold = r.d.Fleet.ColdShare
 	r.leafMu.Lock()
 	defer r.leafMu.Unlock()
 	r.leaves[name].Close()
@@ -535,7 +535,7 @@
 
 // killCell has all servers of a cell die, and come back a while later.
 func (r *run) killCell(cell int) <-chan struct{} {
-	back := make(chan struct{})
+	restored := make(chan struct{})
 	names := r.d.Servers()[cell*r.d.Fleet.Replicas : (cell+1)*r.d.Fleet.Replicas]
 	for _, name := range names {
 		r.leafMu.Lock()
@@ -544,15 +544,15 @@
 		l.Close()
 	}
 	go func() {
-		defer close(back)
-		time.Sleep(r.d.Reshape.CutAway)
+		defer close(restored)
+		time.Sleep(r.d.Reshape.KillDowntime)
 		for _, name := range names {
 			if err := r.revive(name); err != nil {
-				r.fail("server %s did not come back: %v", name, err)
+				r.addProblem("server %s did not come back: %v", name, err)
 			}
 		}
 	}()
-	return back
+	return restored
 }
 
 func indexOf(list []string, s string) int {
@@ -565,7 +565,7 @@
 }
 
 // look samples the mixer.
-func (r *run) look(begin time.Time) {
+func (r *run) sample(begin time.Time) {
 	s := Sample{At: time.Since(begin), Of: r.d.Length, Open: r.j.Open()}
 	for _, x := range r.mixers {
 		rss, files := child.Look(x.Cmd.Process.Pid)
@@ -575,19 +575,19 @@
 	r.mu.Lock()
 	stopping := r.stopping
 	r.mu.Unlock()
-	asked := r.hooks && !stopping && control.Call(r.socket(0), &rep, "hooks", "list") == nil
+	reported := r.hooks && !stopping && control.Call(r.socket(0), &rep, "hooks", "list") == nil
 	r.mu.Lock()
-	r.rss, r.files = max(r.rss, s.RSS), max(r.files, s.Files)
-	if asked {
+	r.maxRSS, r.maxFiles = max(r.maxRSS, s.RSS), max(r.maxFiles, s.Files)
+	if reported {
 		r.report = rep
 		for _, h := range rep.Hooks {
 			// Counts go on where the next set has the same hook, so the set is not in the key.
 			key := h.Name
 			r.calls[key], r.opened[key] = max(r.calls[key], h.Calls), max(r.opened[key], h.Opened)
-			r.perSet[key] = h.Faults
+			r.faultsByHook[key] = h.Faults
 		}
 	}
-	s.Hooks, s.LastSteps = rep.Hooks, r.last
+	s.Hooks, s.LastSteps = rep.Hooks, r.lastStep
 	r.mu.Unlock()
 	if r.opt.Progress != nil && s.At < 24*time.Hour && s.At > 0 {
 		r.opt.Progress(r.name, s)
@@ -601,14 +601,14 @@
 }
 
 // end stops the program and looks at how it ended.
-func (r *run) end() {
+func (r *run) stopMixers() {
 	r.mu.Lock()
 	r.stopping = true
 	r.mu.Unlock()
 	r.signal(syscall.SIGTERM)
 	for _, x := range r.mixers {
-		if err := x.Wait(endTime); err != nil {
-			r.fail("%v", err)
+		if err := x.Wait(exitTimeout); err != nil {
+			r.addProblem("%v", err)
 		}
 	}
 }
--- a/internal/lab/drill/verdict.go
+++ b/internal/lab/drill/verdict.go
@@ -50,31 +50,31 @@
 		if run.FilesTop > d.Mixer.Sockets {
 			unmet("%s: %d descriptors, and the limit is %d", run.Name, run.FilesTop, d.Mixer.Sockets)
 		}
-		if run.Rate < d.Expect.RateLeast {
-			unmet("%s: %.0f queries a second, not %.0f", run.Name, run.Rate, d.Expect.RateLeast)
+		if run.Rate < d.Expect.MinRate {
+			unmet("%s: %.0f queries a second, not %.0f", run.Name, run.Rate, d.Expect.MinRate)
 		}
 	}
 	for _, c := range d.Classes {
-		t := tally(main, c.Name)
+		t := findTally(main, c.Name)
 		if t == nil || t.Sent == 0 {
 			unmet("class %s: no query was sent", c.Name)
 			continue
 		}
-		if share := float64(t.Refused) / float64(t.Sent); share > c.RefusedMost {
-			unmet("class %s: %.1f%% were refused, and %.1f%% may be", c.Name, 100*share, 100*c.RefusedMost)
+		if share := float64(t.Refused) / float64(t.Sent); share > c.MaxRefused {
+			unmet("class %s: %.1f%% were refused, and %.1f%% may be", c.Name, 100*share, 100*c.MaxRefused)
 		}
-		if share := float64(t.Failed) / float64(t.Sent); share > c.FailedMost {
-			unmet("class %s: %.1f%% failed, and %.1f%% may", c.Name, 100*share, 100*c.FailedMost)
+		if share := float64(t.Failed) / float64(t.Sent); share > c.MaxFailed {
+			unmet("class %s: %.1f%% failed, and %.1f%% may", c.Name, 100*share, 100*c.MaxFailed)
 		}
-		if share := float64(t.Answered) / float64(t.Sent); share < d.Expect.AnswerLeast {
-			unmet("class %s: %.1f%% were answered, and %.1f%% must be", c.Name, 100*share, 100*d.Expect.AnswerLeast)
+		if share := float64(t.Answered) / float64(t.Sent); share < d.Expect.MinAnswered {
+			unmet("class %s: %.1f%% were answered, and %.1f%% must be", c.Name, 100*share, 100*d.Expect.MinAnswered)
 		}
 		if base == nil || c.Hooked {
 			continue
 		}
-		was := tally(base, c.Name)
-		if most := time.Duration(float64(was.P99)*(1+d.Expect.P99Within)) + d.Expect.P99Slack; t.P99 > most {
-			unmet("class %s, which no hook is for: p99 %v, without hooks %v", c.Name, t.P99, was.P99)
+		baseTally := findTally(base, c.Name)
+		if maxP99 := time.Duration(float64(baseTally.P99)*(1+d.Expect.MaxP99Growth)) + d.Expect.P99Slack; t.P99 > maxP99 {
+			unmet("class %s, which no hook is for: p99 %v, without hooks %v", c.Name, t.P99, baseTally.P99)
 		}
 	}
 	faults := 0
@@ -82,37 +82,37 @@
 		faults += int(n)
 	}
 	e := d.Expect
-	if faults < e.FaultsLeast {
-		unmet("%d calls of hooks failed, and %d must: the drill did not show what it is for", faults, e.FaultsLeast)
+	if faults < e.MinFaults {
+		unmet("%d calls of hooks failed, and %d must: the drill did not show what it is for", faults, e.MinFaults)
 	}
-	for _, k := range e.Kinds {
+	for _, k := range e.FaultKinds {
 		if main.Faults[hook.Kind(k)] == 0 {
 			unmet("no call of a hook failed by %s", k)
 		}
 	}
-	if main.Report.Swaps < e.SwapsLeast {
-		unmet("%d sets were put in force, and %d must be", main.Report.Swaps, e.SwapsLeast)
+	if main.Report.Swaps < e.MinSwaps {
+		unmet("%d sets were put in force, and %d must be", main.Report.Swaps, e.MinSwaps)
 	}
-	if main.Opened < e.OpenedLeast {
-		unmet("breakers opened %d times, and must %d times", main.Opened, e.OpenedLeast)
+	if main.Opened < e.MinOpened {
+		unmet("breakers opened %d times, and must %d times", main.Opened, e.MinOpened)
 	}
-	if main.Calls < int64(e.CallsLeast) {
-		unmet("%d calls of hooks, and there must be %d", main.Calls, e.CallsLeast)
+	if main.Calls < int64(e.MinCalls) {
+		unmet("%d calls of hooks, and there must be %d", main.Calls, e.MinCalls)
 	}
-	if n := main.Reshapes["done"]; n < e.Reshapes {
-		unmet("%d reshapes came to their end, and %d must", n, e.Reshapes)
+	if n := main.Reshapes["done"]; n < e.MinReshapes {
+		unmet("%d reshapes came to their end, and %d must", n, e.MinReshapes)
 	}
-	if n := main.Reshapes["owner died after the cut"]; n < e.CutKills {
-		unmet("%d new owners died right after a cut, and %d must", n, e.CutKills)
+	if n := main.Reshapes["owner died after the cut"]; n < e.MinCutKills {
+		unmet("%d new owners died right after a cut, and %d must", n, e.MinCutKills)
 	}
-	if n := main.Reshapes["evacuated"]; n < e.Evacuated {
-		unmet("%d segments moved at once, and %d must", n, e.Evacuated)
+	if n := main.Reshapes["evacuated"]; n < e.MinEvacuated {
+		unmet("%d segments moved at once, and %d must", n, e.MinEvacuated)
 	}
 	r.Pass = len(r.Unmet) == 0
 	return r
 }
 
-func tally(r *Run, class string) *judge.Tally {
+func findTally(r *Run, class string) *judge.Tally {
 	for i := range r.Verdict.Classes {
 		if r.Verdict.Classes[i].Class == class {
 			return &r.Verdict.Classes[i]
@@ -126,18 +126,18 @@
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "class\thooks\tsent\tanswered\tpartial\trefused\tfailed\tlate\tlost\tdoubled\twrong\tp50\tp99\tp99 without\tchange\t")
 	for _, c := range r.Drill.Classes {
-		x := tally(r.Main, c.Name)
-		hooked, was, change := "no", "-", "-"
+		x := findTally(r.Main, c.Name)
+		hooked, baseP99, change := "no", "-", "-"
 		if c.Hooked {
 			hooked = "yes"
 		}
 		if r.Base != nil {
-			b := tally(r.Base, c.Name)
-			was = ms(b.P99)
+			b := findTally(r.Base, c.Name)
+			baseP99 = formatMS(b.P99)
 			change = fmt.Sprintf("%+.0f%%", 100*(float64(x.P99)/float64(b.P99)-1))
 		}
 		fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\t%s\t%s\t%s\t\n", c.Name, hooked, x.Sent, x.Answered, x.Partial, x.Refused,
-			x.Failed, x.Late, x.Lost, x.Doubled, x.Wrong, ms(x.P50), ms(x.P99), was, change)
+			x.Failed, x.Late, x.Lost, x.Doubled, x.Wrong, formatMS(x.P50), formatMS(x.P99), baseP99, change)
 	}
 	if err := t.Flush(); err != nil {
 		return err
@@ -196,7 +196,7 @@
 		sum(func(v *judge.Verdict) int { return v.Wrong + v.Drained + v.Capped + v.Pushed + v.Astray }))
 }
 
-func ms(d time.Duration) string { return fmt.Sprintf("%.1f ms", float64(d.Microseconds())/1000) }
+func formatMS(d time.Duration) string { return fmt.Sprintf("%.1f ms", float64(d.Microseconds())/1000) }
 
 // Save writes the result into a folder.
 func (r *Result) Save(dir string) error {
--- a/internal/lab/judge/judge.go
+++ b/internal/lab/judge/judge.go
@@ -34,7 +34,7 @@
 
 // overlap is how long two attempts of a part may seem to be out at once: what the
 // stand-ins and the machine need to hear of the first one's end.
-const overlap = 25 * time.Millisecond
+const overlapTolerance = 25 * time.Millisecond
 
 // Class is what the judge must know of a class.
 type Class struct {
@@ -89,12 +89,12 @@
 }
 
 // run is one attempt at a leaf server.
-type run struct {
-	part, server string
-	at, until    time.Time // until: answered or given up; zero: never
-	ran          bool
-	value        string
-	afterDrainBy time.Duration
+type attempt struct {
+	part, server       string
+	arrivedAt, endedAt time.Time // until: answered or given up; zero: never
+	ran                bool
+	value              string
+	afterDrainBy       time.Duration
 }
 
 // Judge is the record of one run. Its methods may be called from any goroutine.
@@ -102,30 +102,30 @@
 	classes map[string]Class
 	grace   time.Duration
 
-	mu          sync.Mutex
-	queries     map[string]*Query
-	runs        map[string][]*run               // by part id
-	drains      map[string]map[string]time.Time // by server (and mixer), and by who told
-	astray      int                             // attempts at servers that do not hold the part
-	open        int
-	cap         int
-	spread      bool // two attempts of a part may be out at once
-	pushed      []string
-	astrayNotes []string
-	kinds       map[string]int // of faults, so far
-	done        *Verdict       // of what has been settled
-	tallies     map[string]*Tally
-	spans       map[string]*hdrhistogram.Histogram
-	from        time.Time
-	to          time.Time
-	byKey       map[string][]string // who ran a key's booking
-	byQuery     map[string][]*run
+	mu              sync.Mutex
+	queries         map[string]*Query
+	attemptsByPart  map[string][]*attempt           // by part id
+	drains          map[string]map[string]time.Time // by server (and mixer), and by who told
+	misrouted       int                             // attempts at servers that do not hold the part
+	openQueries     int
+	maxAttempts     int
+	parallelAllowed bool // two attempts of a part may be out at once
+	overloadedCold  []string
+	misroutedNotes  []string
+	faultCounts     map[string]int // of faults, so far
+	verdict         *Verdict       // of what has been settled
+	tallies         map[string]*Tally
+	latencies       map[string]*hdrhistogram.Histogram
+	from            time.Time
+	to              time.Time
+	bookingsByKey   map[string][]string // who ran a key's booking
+	attemptsByQuery map[string][]*attempt
 }
 
 // New returns a judge; grace is how long after a drain is told parts may be sent.
 func New(classes []Class, grace time.Duration) *Judge {
 	j := &Judge{classes: make(map[string]Class), grace: grace, queries: make(map[string]*Query),
-		runs: make(map[string][]*run), drains: make(map[string]map[string]time.Time), byKey: make(map[string][]string), byQuery: make(map[string][]*run)}
+		attemptsByPart: make(map[string][]*attempt), drains: make(map[string]map[string]time.Time), bookingsByKey: make(map[string][]string), attemptsByQuery: make(map[string][]*attempt)}
 	for _, c := range classes {
 		j.classes[c.Name] = c
 	}
@@ -134,13 +134,15 @@
 
 // Allow tells the judge how often a part may be sent (0: at will), and whether two
 // attempts of it may be out at once.
-func (j *Judge) Allow(attempts int, parallel bool) { j.cap, j.spread = attempts, parallel }
+func (j *Judge) Allow(attempts int, parallel bool) {
+	j.maxAttempts, j.parallelAllowed = attempts, parallel
+}
 
 // Fell notes that a cold server was pushed over.
 func (j *Judge) ColdServerOverloaded(server string, at time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.pushed = append(j.pushed, server)
+	j.overloadedCold = append(j.overloadedCold, server)
 }
 
 // Sent notes a query that a client is about to send.
@@ -148,44 +150,44 @@
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.queries[q.ID] = q
-	j.open++
+	j.openQueries++
 }
 
 // Ended notes how a query ended; its fields are final from then on.
 func (j *Judge) Ended(q *Query) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.open--
+	j.openQueries--
 }
 
 // Open counts the queries that have not ended.
 func (j *Judge) Open() int {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	return j.open
+	return j.openQueries
 }
 
 // Told notes that discovery told of a server's drain; back that it serves again.
 func (j *Judge) DrainReported(server string, at time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.told(server, "list", at)
+	j.recordDrain(server, "list", at)
 }
 
 // ToldBy is Told for one mixer and by one of several sources: what another source
 // says of the server does not lift it.
-func (j *Judge) DrainReportedBy(mixer int, source, server string, drains bool, at time.Time) {
+func (j *Judge) DrainReportedBy(mixer int, source, server string, draining bool, at time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if !drains {
+	if !draining {
 		at = time.Time{}
 	}
-	j.told(at2(server, mixer), source, at)
+	j.recordDrain(serverMixerKey(server, mixer), source, at)
 }
 
-func at2(server string, mixer int) string { return server + "@" + strconv.Itoa(mixer) }
+func serverMixerKey(server string, mixer int) string { return server + "@" + strconv.Itoa(mixer) }
 
-func (j *Judge) told(key, source string, at time.Time) {
+func (j *Judge) recordDrain(key, source string, at time.Time) {
 	switch {
 	case at.IsZero():
 		delete(j.drains[key], source)
@@ -202,7 +204,7 @@
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	for n := range mixers {
-		delete(j.drains, at2(server, n))
+		delete(j.drains, serverMixerKey(server, n))
 	}
 }
 
@@ -210,16 +212,16 @@
 func (j *Judge) Misrouted(part, server string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.astray++
-	if j.astray <= mostFaults {
-		j.astrayNotes = append(j.astrayNotes, fmt.Sprintf("astray: part %s was sent to %s, which does not hold it", part, server))
+	j.misrouted++
+	if j.misrouted <= maxFaultsPerKind {
+		j.misroutedNotes = append(j.misroutedNotes, fmt.Sprintf("astray: part %s was sent to %s, which does not hold it", part, server))
 	}
 }
 
 // Attempt is one attempt as a stand-in leaf server sees it.
 type Attempt struct {
-	j *Judge
-	r *run
+	j      *Judge
+	record *attempt
 }
 
 // Arrived notes an attempt.
@@ -231,17 +233,17 @@
 func (j *Judge) ArrivedFrom(mixer int, part, server string, at time.Time) *Attempt {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	r := &run{part: part, server: server, at: at}
-	for _, key := range []string{server, at2(server, mixer)} {
-		for _, told := range j.drains[key] {
-			if at.Sub(told) > j.grace {
-				r.afterDrainBy = max(r.afterDrainBy, at.Sub(told))
+	r := &attempt{part: part, server: server, arrivedAt: at}
+	for _, key := range []string{server, serverMixerKey(server, mixer)} {
+		for _, reportedAt := range j.drains[key] {
+			if at.Sub(reportedAt) > j.grace {
+				r.afterDrainBy = max(r.afterDrainBy, at.Sub(reportedAt))
 			}
 		}
 	}
-	j.runs[part] = append(j.runs[part], r)
+	j.attemptsByPart[part] = append(j.attemptsByPart[part], r)
 	query, _, _ := strings.Cut(part, ".")
-	j.byQuery[query] = append(j.byQuery[query], r)
+	j.attemptsByQuery[query] = append(j.attemptsByQuery[query], r)
 	return &Attempt{j, r}
 }
 
@@ -249,21 +251,21 @@
 func (j *Judge) KeyRan(key, query, server string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.byKey[key] = append(j.byKey[key], query+" at "+server)
+	j.bookingsByKey[key] = append(j.bookingsByKey[key], query+" at "+server)
 }
 
 // NeverRan takes Ran back: the server found out that it may not.
 func (a *Attempt) NeverRan() {
 	a.j.mu.Lock()
 	defer a.j.mu.Unlock()
-	a.r.ran = false
+	a.record.ran = false
 }
 
 // Ran notes that the attempt is run from now on.
 func (a *Attempt) Ran() {
 	a.j.mu.Lock()
 	defer a.j.mu.Unlock()
-	a.r.ran = true
+	a.record.ran = true
 }
 
 // Over notes that the attempt is answered, with a value if it was served, or has
@@ -271,11 +273,11 @@
 func (a *Attempt) Finished(at time.Time, value string) {
 	a.j.mu.Lock()
 	defer a.j.mu.Unlock()
-	if a.r.until.IsZero() {
-		a.r.until = at
+	if a.record.endedAt.IsZero() {
+		a.record.endedAt = at
 	}
 	if value != "" {
-		a.r.value = value
+		a.record.value = value
 	}
 }
 
@@ -296,7 +298,7 @@
 	Faults                                            []string // the first of them, for people
 }
 
-const mostFaults = 10 // of each kind
+const maxFaultsPerKind = 10 // of each kind
 
 // Pass tells whether no rule was broken.
 func (v *Verdict) Pass() bool { return v.Violations() == 0 }
@@ -307,25 +309,25 @@
 }
 
 // begin readies what the verdict is gathered in.
-func (j *Judge) begin(from, to time.Time) {
-	if j.done != nil {
+func (j *Judge) initVerdict(from, to time.Time) {
+	if j.verdict != nil {
 		return
 	}
-	j.done, j.tallies, j.spans = &Verdict{}, make(map[string]*Tally), make(map[string]*hdrhistogram.Histogram)
+	j.verdict, j.tallies, j.latencies = &Verdict{}, make(map[string]*Tally), make(map[string]*hdrhistogram.Histogram)
 	j.from, j.to = from, to
 	for name := range j.classes {
 		j.tallies[name] = &Tally{Class: name}
-		j.spans[name] = hdrhistogram.New(1, int64(2*time.Minute/time.Microsecond), 3)
+		j.latencies[name] = hdrhistogram.New(1, int64(2*time.Minute/time.Microsecond), 3)
 	}
 }
 
 func (j *Judge) fault(format string, args ...any) {
 	kind, _, _ := strings.Cut(format, ":")
-	if j.kinds == nil {
-		j.kinds = make(map[string]int)
+	if j.faultCounts == nil {
+		j.faultCounts = make(map[string]int)
 	}
-	if j.kinds[kind]++; j.kinds[kind] <= mostFaults {
-		j.done.Faults = append(j.done.Faults, fmt.Sprintf(format, args...))
+	if j.faultCounts[kind]++; j.faultCounts[kind] <= maxFaultsPerKind {
+		j.verdict.Faults = append(j.verdict.Faults, fmt.Sprintf(format, args...))
 	}
 }
 
@@ -335,30 +337,30 @@
 func (j *Judge) Settle(before, from, to time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.begin(from, to)
+	j.initVerdict(from, to)
 	var ids []string
 	for id, q := range j.queries {
 		if q.Ended.IsZero() || !q.Ended.Before(before) {
 			continue
 		}
-		if !slices.ContainsFunc(j.byQuery[id], func(r *run) bool { return r.until.IsZero() }) {
+		if !slices.ContainsFunc(j.attemptsByQuery[id], func(r *attempt) bool { return r.endedAt.IsZero() }) {
 			ids = append(ids, id)
 		}
 	}
 	slices.Sort(ids)
 	for _, id := range ids {
-		j.query(j.queries[id])
+		j.judgeQuery(j.queries[id])
 	}
 	for _, id := range ids {
 		q := j.queries[id]
-		for _, r := range j.byQuery[id] {
-			if runs := j.runs[r.part]; runs != nil {
-				j.part(r.part, runs, q)
-				delete(j.runs, r.part)
+		for _, r := range j.attemptsByQuery[id] {
+			if runs := j.attemptsByPart[r.part]; runs != nil {
+				j.judgePart(r.part, runs, q)
+				delete(j.attemptsByPart, r.part)
 			}
 		}
 		delete(j.queries, id)
-		delete(j.byQuery, id)
+		delete(j.attemptsByQuery, id)
 	}
 }
 
@@ -367,19 +369,19 @@
 func (j *Judge) Judge(from, to time.Time) *Verdict {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.begin(from, to)
-	asked := make(map[string]*Query)
+	j.initVerdict(from, to)
+	queryByPart := make(map[string]*Query)
 	for _, id := range slices.Sorted(maps.Keys(j.queries)) {
 		q := j.queries[id]
 		for _, p := range q.Parts {
-			asked[partID(q, p.Shard)] = q
+			queryByPart[partID(q, p.Shard)] = q
 		}
-		j.query(q)
+		j.judgeQuery(q)
 	}
-	v := j.done
-	for _, id := range slices.Sorted(maps.Keys(j.runs)) {
-		q := asked[id]
-		if query, _, _ := strings.Cut(id, "."); q == nil && j.queries[query] != nil && j.queries[query].keyed() {
+	v := j.verdict
+	for _, id := range slices.Sorted(maps.Keys(j.attemptsByPart)) {
+		q := queryByPart[id]
+		if query, _, _ := strings.Cut(id, "."); q == nil && j.queries[query] != nil && j.queries[query].hasKeys() {
 			q = j.queries[query] // its segment has another name by now
 		}
 		if q == nil {
@@ -387,22 +389,22 @@
 			j.fault("unasked: part %s was asked for by no client", id)
 			continue
 		}
-		j.part(id, j.runs[id], q)
+		j.judgePart(id, j.attemptsByPart[id], q)
 	}
-	for _, key := range slices.Sorted(maps.Keys(j.byKey)) {
-		if by := j.byKey[key]; len(by) > 1 {
-			v.Doubled += len(by) - 1
-			j.fault("doubled: key %s ran %d times: for %s", key, len(by), strings.Join(by, ", for "))
+	for _, key := range slices.Sorted(maps.Keys(j.bookingsByKey)) {
+		if bookings := j.bookingsByKey[key]; len(bookings) > 1 {
+			v.Doubled += len(bookings) - 1
+			j.fault("doubled: key %s ran %d times: for %s", key, len(bookings), strings.Join(bookings, ", for "))
 		}
 	}
-	for _, server := range j.pushed {
+	for _, server := range j.overloadedCold {
 		v.Pushed++
 		j.fault("pushed: %s fell while it was cold: it was sent more than it can bear", server)
 	}
-	v.Astray = j.astray
-	v.Faults = append(v.Faults, j.astrayNotes...)
+	v.Astray = j.misrouted
+	v.Faults = append(v.Faults, j.misroutedNotes...)
 	for _, name := range slices.Sorted(maps.Keys(j.tallies)) {
-		t, h := j.tallies[name], j.spans[name]
+		t, h := j.tallies[name], j.latencies[name]
 		t.P50 = time.Duration(h.ValueAtQuantile(50)) * time.Microsecond
 		t.P99 = time.Duration(h.ValueAtQuantile(99)) * time.Microsecond
 		t.Max = time.Duration(h.Max()) * time.Microsecond
@@ -418,9 +420,9 @@
 }
 
 // query judges one query.
-func (j *Judge) query(q *Query) {
+func (j *Judge) judgeQuery(q *Query) {
 	t, c := j.tallies[q.Class], j.classes[q.Class]
-	j.done.Queries++
+	j.verdict.Queries++
 	t.Sent++
 	switch q.Outcome {
 	case Answered:
@@ -429,15 +431,15 @@
 			t.Partial++
 		}
 		if !q.Due.Before(j.from) && q.Due.Before(j.to) {
-			j.spans[q.Class].RecordValue(max(q.Ended.Sub(q.Due).Microseconds(), 1))
+			j.latencies[q.Class].RecordValue(max(q.Ended.Sub(q.Due).Microseconds(), 1))
 		}
-		if why := j.wrong(q, c); why != "" {
+		if why := j.wrongAnswer(q, c); why != "" {
 			t.Wrong++
 			j.fault("wrong: query %s (%s): %s", q.ID, q.Class, why)
 		}
 	case Refused:
 		t.Refused++
-		if c.Unsafe && j.ran(q) {
+		if c.Unsafe && j.anyPartRan(q) {
 			t.Wrong++
 			j.fault("wrong: query %s (%s) was refused, and a part of it ran", q.ID, q.Class)
 		}
@@ -460,7 +462,7 @@
 }
 
 // part judges the attempts of one part of a query.
-func (j *Judge) part(id string, runs []*run, q *Query) {
+func (j *Judge) judgePart(id string, runs []*attempt, q *Query) {
 	t := j.tallies[q.Class]
 	t.Parts += len(runs)
 	ran := 0
@@ -473,7 +475,7 @@
 			j.fault("drained: part %s came to %s %v after its drain was told", id, r.server, r.afterDrainBy)
 		}
 		for _, next := range runs[i+1:] {
-			if !j.spread && (r.until.IsZero() || r.until.Sub(next.at) > overlap) {
+			if !j.parallelAllowed && (r.endedAt.IsZero() || r.endedAt.Sub(next.arrivedAt) > overlapTolerance) {
 				t.Doubled++
 				j.fault("doubled: part %s was out at %s and at %s", id, r.server, next.server)
 			}
@@ -483,24 +485,24 @@
 		t.Doubled++
 		j.fault("doubled: part %s of %s ran %d times", id, q.Class, ran)
 	}
-	if j.cap > 0 && len(runs) > j.cap {
+	if j.maxAttempts > 0 && len(runs) > j.maxAttempts {
 		t.Capped++
-		j.fault("capped: part %s was sent %d times, and %d are allowed", id, len(runs), j.cap)
+		j.fault("capped: part %s was sent %d times, and %d are allowed", id, len(runs), j.maxAttempts)
 	}
 }
 
 func partID(q *Query, shard int) string { return q.ID + "." + strconv.Itoa(shard) }
 
-func (j *Judge) ran(q *Query) bool {
-	return slices.ContainsFunc(j.byQuery[q.ID], func(r *run) bool { return r.ran })
+func (j *Judge) anyPartRan(q *Query) bool {
+	return slices.ContainsFunc(j.attemptsByQuery[q.ID], func(r *attempt) bool { return r.ran })
 }
 
 // keyed tells whether the query says which keys it must bring.
-func (q *Query) keyed() bool { return len(q.Parts) > 0 && q.Parts[0].Keys != nil }
+func (q *Query) hasKeys() bool { return len(q.Parts) > 0 && q.Parts[0].Keys != nil }
 
 // wrongKeys judges an answer by its keys: each line of a value is what a server
 // made, SERVER|KEY KEY ..., or SERVER|booked|had KEY for QUERY.
-func (j *Judge) wrongKeys(q *Query, c Class) string {
+func (j *Judge) wrongKeyedAnswer(q *Query, c Class) string {
 	want, got := make(map[string]bool), make(map[string]bool)
 	for _, p := range q.Parts {
 		for _, k := range p.Keys {
@@ -512,15 +514,15 @@
 			if line == "" && h.AlsoIn {
 				continue
 			}
-			if !slices.ContainsFunc(j.byQuery[q.ID], func(r *run) bool { return r.value == line && line != "" }) {
+			if !slices.ContainsFunc(j.attemptsByQuery[q.ID], func(r *attempt) bool { return r.value == line && line != "" }) {
 				return fmt.Sprintf("shard %d: no leaf server made %.60q", h.Shard, line)
 			}
 			_, list, _ := strings.Cut(line, "|")
-			words := strings.Fields(list)
-			if len(words) == 4 && (words[0] == "booked" || words[0] == "had") {
-				words = words[1:2]
+			tokens := strings.Fields(list)
+			if len(tokens) == 4 && (tokens[0] == "booked" || tokens[0] == "had") {
+				tokens = tokens[1:2]
 			}
-			for _, k := range words {
+			for _, k := range tokens {
 				switch {
 				case !want[k]:
 					return fmt.Sprintf("key %s was not asked for", k)
@@ -554,9 +556,9 @@
 }
 
 // wrong tells what is wrong with an answer; empty: nothing.
-func (j *Judge) wrong(q *Query, c Class) string {
-	if q.keyed() {
-		return j.wrongKeys(q, c)
+func (j *Judge) wrongAnswer(q *Query, c Class) string {
+	if q.hasKeys() {
+		return j.wrongKeyedAnswer(q, c)
 	}
 	share, seen := 0.0, make(map[int]bool)
 	for _, h := range q.Hits {
@@ -566,17 +568,17 @@
 			return fmt.Sprintf("shard %d was not asked for", h.Shard)
 		case seen[h.Shard]:
 			return fmt.Sprintf("shard %d stands twice", h.Shard)
-		case !slices.ContainsFunc(j.runs[partID(q, h.Shard)], func(r *run) bool { return r.value == h.Value && r.value != "" }):
+		case !slices.ContainsFunc(j.attemptsByPart[partID(q, h.Shard)], func(r *attempt) bool { return r.value == h.Value && r.value != "" }):
 			return fmt.Sprintf("shard %d: no leaf server made %.40q", h.Shard, h.Value)
 		}
 		seen[h.Shard] = true
 		share += q.Parts[i].Weight
 	}
-	const slack = 1e-3
+	const tolerance = 1e-3
 	switch {
-	case q.Complete && share < c.Need-slack:
+	case q.Complete && share < c.Need-tolerance:
 		return fmt.Sprintf("marked whole with %.3f of %.3f", share, c.Need)
-	case !q.Complete && share < c.Floor-slack:
+	case !q.Complete && share < c.Floor-tolerance:
 		return fmt.Sprintf("%.3f of an answer, and the least is %.3f", share, c.Floor)
 	}
 	return ""
--- a/internal/lab/judge/judge_test.go
+++ b/internal/lab/judge/judge_test.go
@@ -12,7 +12,7 @@
 func at(ms int) time.Time { return t0.Add(time.Duration(ms) * time.Millisecond) }
 
 // play judges one query that a scene tells of.
-func play(class string, scene func(j *Judge, q *Query)) *Verdict {
+func judgeScene(class string, scene func(j *Judge, q *Query)) *Verdict {
 	j := New([]Class{{Name: "free-slots", Need: 0.5, Floor: 0.5}, {Name: "book-trip", Unsafe: true, Need: 1, Floor: 1}}, 2*time.Second)
 	q := &Query{ID: "q", Class: class, Parts: []Part{{Shard: 0, Weight: 0.4}, {Shard: 1, Weight: 0.6}}, Due: at(0), Sent: at(0), Timeout: time.Second, Ended: at(100)}
 	j.Sent(q)
@@ -46,7 +46,7 @@
 		}, 1, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			v := play("free-slots", func(j *Judge, q *Query) {
+			v := judgeScene("free-slots", func(j *Judge, q *Query) {
 				c.scene(j)
 				a := j.ArrivedFrom(c.mixer, "q.1", "a", at(2500))
 				a.Ran()
@@ -56,7 +56,7 @@
 			require.Equal(t, c.want, v.Drained, "%v", v.Faults)
 		})
 	}
-	v := play("free-slots", func(j *Judge, q *Query) { j.Misrouted("q.1", "b"); q.Outcome = Refused })
+	v := judgeScene("free-slots", func(j *Judge, q *Query) { j.Misrouted("q.1", "b"); q.Outcome = Refused })
 	require.Equal(t, 1, v.Astray)
 	require.False(t, v.Pass())
 }
@@ -134,7 +134,7 @@
 		}, Verdict{Drained: 1}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			got := play(c.class, c.scene)
+			got := judgeScene(c.class, c.scene)
 			require.Equal(t, c.want, Verdict{Lost: got.Lost, Late: got.Late, Doubled: got.Doubled, Wrong: got.Wrong, Drained: got.Drained})
 			require.Equal(t, name == "well" || name == "tried again" || name == "just in time", got.Pass())
 			require.Equal(t, got.Pass(), len(got.Faults) == 0)
--- a/internal/lab/oracle/oracle.go
+++ b/internal/lab/oracle/oracle.go
@@ -15,47 +15,47 @@
 )
 
 type part struct {
-	id       string
-	q        *query
-	shard    int
-	weight   float64
-	attempts int
-	out      string // the server that has it
-	served   bool
-	ran      bool
-	tried    map[string]bool
+	id         string
+	q          *query
+	shard      int
+	weight     float64
+	attempts   int
+	inFlightAt string // the server that has it
+	served     bool
+	ran        bool
+	tried      map[string]bool
 }
 
 type query struct {
-	id    string
-	n     int64
-	class *choice.Class
-	endAt choice.Micros
-	parts []*part
-	got   float64
-	begun bool
-	ended bool
+	id          string
+	number      int64
+	class       *choice.Class
+	endAt       choice.Micros
+	parts       []*part
+	servedShare float64
+	started     bool
+	ended       bool
 }
 
 // policy decides for one mixer.
 type policy struct {
-	w       *virtual.World
-	n       int
-	set     choice.Settings
-	sees    bool // the true state
-	rng     *rand.Rand
-	now     choice.Micros
-	acts    []choice.Action
-	classes map[string]*choice.Class
-	cells   [][]string
-	states  map[string]choice.State
-	queries map[string]*query
-	numbers map[int64]*query
-	parts   map[string]*part
-	alarms  map[int64]func()
-	tokens  int64
-	asked   bool
-	loads   map[string]int // parts out there, of this mixer
+	w          *virtual.World
+	mixer      int
+	set        choice.Settings
+	omniscient bool // the true state
+	rng        *rand.Rand
+	now        choice.Micros
+	actions    []choice.Action
+	classes    map[string]*choice.Class
+	cells      [][]string
+	states     map[string]choice.State
+	queries    map[string]*query
+	byNumber   map[int64]*query
+	parts      map[string]*part
+	timers     map[int64]func()
+	lastToken  int64
+	watching   bool
+	inFlight   map[string]int // parts out there, of this mixer
 }
 
 // True returns a policy that sees every server's true state.
@@ -68,66 +68,66 @@
 	return build(w, mixer, seed, set, false)
 }
 
-func build(w *virtual.World, n int, seed uint64, set choice.Settings, sees bool) (exchange.Decider, error) {
-	p := &policy{w: w, n: n, set: set, sees: sees, rng: rand.New(rand.NewPCG(seed, 1)), classes: make(map[string]*choice.Class),
+func build(w *virtual.World, mixer int, seed uint64, set choice.Settings, omniscient bool) (exchange.Decider, error) {
+	p := &policy{w: w, mixer: mixer, set: set, omniscient: omniscient, rng: rand.New(rand.NewPCG(seed, 1)), classes: make(map[string]*choice.Class),
 		cells: make([][]string, set.Cells), states: make(map[string]choice.State), queries: make(map[string]*query),
-		numbers: make(map[int64]*query), parts: make(map[string]*part), alarms: make(map[int64]func()), loads: make(map[string]int)}
+		byNumber: make(map[int64]*query), parts: make(map[string]*part), timers: make(map[int64]func()), inFlight: make(map[string]int)}
 	for i := range set.Classes {
 		p.classes[set.Classes[i].Name] = &set.Classes[i]
 	}
 	return p, nil
 }
 
-func (p *policy) do(a choice.Action) { p.acts = append(p.acts, a) }
+func (p *policy) emit(a choice.Action) { p.actions = append(p.actions, a) }
 
-func (p *policy) after(d choice.Micros, f func()) {
-	p.tokens++
-	p.alarms[p.tokens] = f
-	p.do(choice.Wake{Delay: max(d, 1), Token: p.tokens})
+func (p *policy) schedule(d choice.Micros, f func()) {
+	p.lastToken++
+	p.timers[p.lastToken] = f
+	p.emit(choice.Wake{Delay: max(d, 1), Token: p.lastToken})
 }
 
 // Step takes the events of one moment.
 func (p *policy) Step(now choice.Micros, events []choice.Event) []choice.Action {
-	p.now, p.acts = now, nil
-	if !p.asked {
-		p.asked = true
-		p.do(choice.Watch{On: true})
+	p.now, p.actions = now, nil
+	if !p.watching {
+		p.watching = true
+		p.emit(choice.Watch{On: true})
 	}
-	var fresh []*query
+	var newQueries []*query
 	for _, ev := range events {
 		switch ev := ev.(type) {
 		case choice.List:
-			p.list(ev)
+			p.updateList(ev)
 		case choice.Query:
-			if q := p.take(ev); q != nil {
-				fresh = append(fresh, q)
+			if q := p.acceptQuery(ev); q != nil {
+				newQueries = append(newQueries, q)
 			}
 		case choice.Part:
-			if q := p.numbers[ev.Number]; q != nil {
+			if q := p.byNumber[ev.Number]; q != nil {
 				x := &part{id: ev.ID, q: q, shard: ev.Shard, weight: ev.Weight, tried: make(map[string]bool)}
 				q.parts = append(q.parts, x)
 				p.parts[x.id] = x
 			}
 		case choice.Outcome:
-			p.outcome(ev)
+			p.handleOutcome(ev)
 		case choice.ClientLeft:
 			if q := p.queries[ev.ID]; q != nil {
-				p.end(q)
+				p.finish(q)
 			}
 		case choice.Elapsed:
-			if f := p.alarms[ev.Token]; f != nil {
-				delete(p.alarms, ev.Token)
+			if f := p.timers[ev.Token]; f != nil {
+				delete(p.timers, ev.Token)
 				f()
 			}
 		}
 	}
-	for _, q := range fresh {
-		p.pursue(q)
+	for _, q := range newQueries {
+		p.scheduleMore(q)
 	}
-	return p.acts
+	return p.actions
 }
 
-func (p *policy) list(l choice.List) {
+func (p *policy) updateList(l choice.List) {
 	if l.Form == choice.Failed {
 		return
 	}
@@ -145,26 +145,26 @@
 	}
 }
 
-func (p *policy) take(ev choice.Query) *query {
+func (p *policy) acceptQuery(ev choice.Query) *query {
 	c := p.classes[ev.Class]
 	if c == nil {
-		p.do(choice.Refuse{ID: ev.ID})
+		p.emit(choice.Refuse{ID: ev.ID})
 		return nil
 	}
-	q := &query{id: ev.ID, n: ev.Number, class: c, endAt: p.now + ev.Grace - p.set.Resolution}
-	p.queries[q.id], p.numbers[ev.Number] = q, q
-	p.after(q.endAt-p.now, func() { p.expire(q) })
+	q := &query{id: ev.ID, number: ev.Number, class: c, endAt: p.now + ev.Grace - p.set.Resolution}
+	p.queries[q.id], p.byNumber[ev.Number] = q, q
+	p.schedule(q.endAt-p.now, func() { p.expire(q) })
 	// An answer in part is given when the aim would pass otherwise.
-	if aim := p.now + min(c.LatencyTarget, ev.Grace) - 2*p.set.Resolution; aim < q.endAt {
-		p.after(aim-p.now, func() { p.inPart(q) })
+	if target := p.now + min(c.LatencyTarget, ev.Grace) - 2*p.set.Resolution; target < q.endAt {
+		p.schedule(target-p.now, func() { p.answerPartial(q) })
 	}
 	return q
 }
 
-func (p *policy) inPart(q *query) {
-	if c := q.class; !q.ended && c.MinShare < c.RequiredShare && q.got >= c.MinShare && q.got > 0 {
-		p.do(choice.Answer{ID: q.id})
-		p.end(q)
+func (p *policy) answerPartial(q *query) {
+	if c := q.class; !q.ended && c.MinShare < c.RequiredShare && q.servedShare >= c.MinShare && q.servedShare > 0 {
+		p.emit(choice.Answer{ID: q.id})
+		p.finish(q)
 	}
 }
 
@@ -172,65 +172,65 @@
 	if q.ended {
 		return
 	}
-	if p.inPart(q); q.ended {
+	if p.answerPartial(q); q.ended {
 		return
 	}
-	p.giveUp(q)
+	p.abandon(q)
 }
 
-func (p *policy) giveUp(q *query) {
+func (p *policy) abandon(q *query) {
 	ran := slices.ContainsFunc(q.parts, func(x *part) bool { return x.ran })
 	if q.class.Effect != choice.Safe && ran {
-		p.do(choice.Fail{ID: q.id})
+		p.emit(choice.Fail{ID: q.id})
 	} else {
-		p.do(choice.Refuse{ID: q.id, RetryAfter: min(q.class.LatencyTarget/4, p.set.MaxRetryAfter)})
+		p.emit(choice.Refuse{ID: q.id, RetryAfter: min(q.class.LatencyTarget/4, p.set.MaxRetryAfter)})
 	}
-	p.end(q)
+	p.finish(q)
 }
 
-func (p *policy) end(q *query) {
+func (p *policy) finish(q *query) {
 	if q.ended {
 		return
 	}
 	q.ended = true
 	for _, x := range q.parts {
-		if x.out != "" && p.set.Cancel {
-			p.do(choice.Cancel{ID: x.id, Attempt: x.attempts - 1})
+		if x.inFlightAt != "" && p.set.Cancel {
+			p.emit(choice.Cancel{ID: x.id, Attempt: x.attempts - 1})
 		}
-		if x.out == "" {
+		if x.inFlightAt == "" {
 			delete(p.parts, x.id)
 		}
 	}
 	delete(p.queries, q.id)
-	delete(p.numbers, q.n)
+	delete(p.byNumber, q.number)
 }
 
 // pursue sends what is neither out nor served, where a server for it can be had.
-func (p *policy) pursue(q *query) {
+func (p *policy) scheduleMore(q *query) {
 	if q.ended {
 		return
 	}
-	if p.sees && !q.begun && p.tooLate(q) {
-		p.giveUp(q)
+	if p.omniscient && !q.started && p.tooLate(q) {
+		p.abandon(q)
 		return
 	}
-	q.begun = true
-	stuck := false
+	q.started = true
+	waiting := false
 	for _, x := range q.parts {
-		if x.served || x.out != "" || x.attempts >= p.set.AttemptCap || x.ran && q.class.Effect != choice.Safe {
+		if x.served || x.inFlightAt != "" || x.attempts >= p.set.AttemptCap || x.ran && q.class.Effect != choice.Safe {
 			continue
 		}
-		s := p.best(x)
+		s := p.bestServer(x)
 		if s == "" {
-			stuck = true
+			waiting = true
 			continue
 		}
-		x.out, x.attempts = s, x.attempts+1
-		p.loads[s]++
-		p.do(choice.Send{ID: x.id, Server: s, Timeout: q.endAt - p.now})
+		x.inFlightAt, x.attempts = s, x.attempts+1
+		p.inFlight[s]++
+		p.emit(choice.Send{ID: x.id, Server: s, Timeout: q.endAt - p.now})
 	}
-	if stuck { // a server may come back
-		p.after(20_000, func() { p.pursue(q) })
+	if waiting { // a server may come back
+		p.schedule(20_000, func() { p.scheduleMore(q) })
 	}
 }
 
@@ -239,7 +239,7 @@
 func (p *policy) tooLate(q *query) bool {
 	inTime := 0.0
 	for _, x := range q.parts {
-		if s, wait := p.first(x); s != "" && wait < 0.7*float64(q.class.LatencyTarget)/1e6 {
+		if s, wait := p.bestServerAndWait(x); s != "" && wait < 0.7*float64(q.class.LatencyTarget)/1e6 {
 			inTime += x.weight
 		}
 	}
@@ -247,13 +247,13 @@
 }
 
 // best is the server where a part would be done first: by the true state, or any.
-func (p *policy) best(x *part) string {
-	s, _ := p.first(x)
+func (p *policy) bestServer(x *part) string {
+	s, _ := p.bestServerAndWait(x)
 	return s
 }
 
 // first is best, and how long it would take there, in seconds.
-func (p *policy) first(x *part) (string, float64) {
+func (p *policy) bestServerAndWait(x *part) (string, float64) {
 	var names []string
 	for j := range p.set.Width {
 		for _, name := range p.cells[(x.shard+j)%p.set.Cells] {
@@ -262,20 +262,20 @@
 			}
 		}
 	}
-	if !p.sees {
+	if !p.omniscient {
 		if len(names) == 0 {
 			return "", 0
 		}
 		return names[p.rng.IntN(len(names))], 0
 	}
-	best, least := "", 0.0
+	best, bestWait := "", 0.0
 	for _, i := range p.rng.Perm(len(names)) {
 		name := names[i]
 		n := p.w.Index[name]
 		s := p.w.Servers[n]
 		up, _ := s.Running()
 		c := s.Capacity()
-		if !up || c <= 0 || s.Sick(x.q.class.Name) || !p.w.Reaches(p.n, n) || s.Held() >= s.Room+s.Cores {
+		if !up || c <= 0 || s.Sick(x.q.class.Name) || !p.w.Reaches(p.mixer, n) || s.Held() >= s.Room+s.Cores {
 			continue
 		}
 		// A cold server is let have half of what it bears: other mixers send too.
@@ -283,27 +283,27 @@
 			continue
 		}
 		// What this mixer has on its way there is not seen there yet.
-		wait := (s.Backlog()+float64(p.loads[name])*0.002)/c + p.w.Work[x.q.class.Name].Dist.Mean().Seconds()*float64(s.Cores)/c
-		if best == "" || wait < least {
-			best, least = name, wait
+		wait := (s.Backlog()+float64(p.inFlight[name])*0.002)/c + p.w.Work[x.q.class.Name].Dist.Mean().Seconds()*float64(s.Cores)/c
+		if best == "" || wait < bestWait {
+			best, bestWait = name, wait
 		}
 	}
-	return best, least
+	return best, bestWait
 }
 
-func (p *policy) outcome(ev choice.Outcome) {
+func (p *policy) handleOutcome(ev choice.Outcome) {
 	x := p.parts[ev.ID]
-	if x == nil || ev.Attempt != x.attempts-1 || x.out == "" {
+	if x == nil || ev.Attempt != x.attempts-1 || x.inFlightAt == "" {
 		return
 	}
 	q := x.q
-	p.loads[x.out]--
-	x.out = ""
+	p.inFlight[x.inFlightAt]--
+	x.inFlightAt = ""
 	switch ev.Verdict {
 	case choice.Served:
 		if !x.served {
 			x.served = true
-			q.got += x.weight
+			q.servedShare += x.weight
 		}
 	case choice.Rejected, choice.NoConnection, choice.NotSent:
 	default:
@@ -313,24 +313,24 @@
 		delete(p.parts, x.id)
 		return
 	}
-	if q.got >= q.class.RequiredShare-1e-6 {
-		p.do(choice.Answer{ID: q.id, Whole: true})
-		p.end(q)
+	if q.servedShare >= q.class.RequiredShare-1e-6 {
+		p.emit(choice.Answer{ID: q.id, Whole: true})
+		p.finish(q)
 		return
 	}
 	possible := 0.0
 	for _, y := range q.parts {
-		if y.served || y.out != "" || y.attempts < p.set.AttemptCap && !(y.ran && q.class.Effect != choice.Safe) {
+		if y.served || y.inFlightAt != "" || y.attempts < p.set.AttemptCap && !(y.ran && q.class.Effect != choice.Safe) {
 			possible += y.weight
 		}
 	}
-	least := q.class.RequiredShare
-	if q.class.MinShare < least {
-		least = q.class.MinShare
+	required := q.class.RequiredShare
+	if q.class.MinShare < required {
+		required = q.class.MinShare
 	}
-	if possible < least-1e-6 {
-		p.giveUp(q)
+	if possible < required-1e-6 {
+		p.abandon(q)
 		return
 	}
-	p.pursue(q)
+	p.scheduleMore(q)
 }
--- a/internal/lab/oracle/oracle_test.go
+++ b/internal/lab/oracle/oracle_test.go
@@ -58,9 +58,9 @@
 	blind := play(t, Blind)
 	require.Positive(t, blind.Verdict.Pushed)
 	require.Contains(t, strings.Join(blind.Verdict.Faults, "\n"), "fell while it was cold")
-	mixer, sees := play(t, virtual.Mixer), play(t, True)
+	mixer, omniscient := play(t, virtual.Mixer), play(t, True)
 	require.Zero(t, mixer.Verdict.Violations(), "%s", mixer.Verdict.Faults)
-	require.Zero(t, sees.Verdict.Violations(), "%s", sees.Verdict.Faults)
-	require.Greater(t, sees.Summary.Goodput, blind.Summary.Goodput)
+	require.Zero(t, omniscient.Verdict.Violations(), "%s", omniscient.Verdict.Faults)
+	require.Greater(t, omniscient.Summary.Goodput, blind.Summary.Goodput)
 	require.Greater(t, mixer.Summary.Goodput, blind.Summary.Goodput)
 }
--- a/internal/lab/real/real.go
+++ b/internal/lab/real/real.go
@@ -30,10 +30,10 @@
 
 // What one machine is asked to bear at most.
 const (
-	mostServers = 256
-	mostMixers  = 8
-	mostRate    = 4000 // queries a second
-	endTime     = 30 * time.Second
+	maxServers  = 256
+	maxMixers   = 8
+	maxRate     = 4000 // queries a second
+	exitTimeout = 30 * time.Second
 )
 
 // Options are how a plan is played.
@@ -58,15 +58,15 @@
 }
 
 type run struct {
-	plan    *scenario.Plan
-	opt     Options
-	dir     string
-	begin   time.Time
-	j       *judge.Judge
-	hosts   []*host
-	stands  []*sources // one for each mixer: addresses differ
-	inForce []string   // of the sources, with [members]
-	muted   []atomic.Int32
+	plan          *scenario.Plan
+	opt           Options
+	dir           string
+	begin         time.Time
+	j             *judge.Judge
+	hosts         []*host
+	standIns      []*sources // one for each mixer: addresses differ
+	activeSources []string   // of the sources, with [members]
+	vanished      []atomic.Int32
 
 	netMu sync.Mutex
 	net   *model.Network
@@ -74,71 +74,71 @@
 	listMu sync.Mutex
 	lists  []*model.List // one for each source
 
-	clientMu sync.Mutex
-	clients  *model.Clients
-	leave    map[*model.Try]context.CancelFunc
-	desks    *client.Clients
-	asks     sync.WaitGroup
-
-	recMu sync.Mutex
-	rec   *record.Recorder
-	sent  map[string]int
-	keys  map[string]string // of asks that have one
-	kinds [5]int            // of asks that are over, by model.Kind
-	parts int
-
-	mixMu   sync.Mutex
-	mixers  []*mixer
-	rss     int64
-	files   int
-	cpu     time.Duration
-	stopped bool
+	clientMu    sync.Mutex
+	clients     *model.Clients
+	cancels     map[*model.Try]context.CancelFunc
+	httpClients *client.Clients
+	openQueries sync.WaitGroup
+
+	recMu           sync.Mutex
+	rec             *record.Recorder
+	attemptsByQuery map[string]int
+	keysByQuery     map[string]string // of asks that have one
+	outcomes        [5]int            // of asks that are over, by model.Kind
+	partCount       int
+
+	mixMu    sync.Mutex
+	mixers   []*mixer
+	maxRSS   int64
+	maxFiles int
+	cpu      time.Duration
+	stopped  bool
 }
 
 type mixer struct {
-	n       int
-	life    int
-	listen  string
-	proc    *child.Mixer // nil: it does not run
-	fronted bool
-	planned bool // its end was asked for
+	n           int
+	incarnation int
+	listen      string
+	proc        *child.Mixer // nil: it does not run
+	inRotation  bool
+	endPlanned  bool // its end was asked for
 }
 
 // Run plays a plan.
 func Run(ctx context.Context, p *scenario.Plan, opt Options) (*record.Run, error) {
 	switch {
-	case len(p.Servers) > mostServers:
-		return nil, fmt.Errorf("%d servers: the real drive bears %d; use the virtual one", len(p.Servers), mostServers)
-	case p.Mixers.Count > mostMixers:
-		return nil, fmt.Errorf("%d mixers: the real drive bears %d; use the virtual one", p.Mixers.Count, mostMixers)
+	case len(p.Servers) > maxServers:
+		return nil, fmt.Errorf("%d servers: the real drive bears %d; use the virtual one", len(p.Servers), maxServers)
+	case p.Mixers.Count > maxMixers:
+		return nil, fmt.Errorf("%d mixers: the real drive bears %d; use the virtual one", p.Mixers.Count, maxMixers)
 	}
 	rate := 0.0
 	for _, c := range p.Classes {
 		rate += c.Arrivals.Rate * c.Arrivals.Curve.Most()
 	}
-	if rate > mostRate {
-		return nil, fmt.Errorf("%.0f queries a second: the real drive bears %d; use the virtual one", rate, mostRate)
+	if rate > maxRate {
+		return nil, fmt.Errorf("%.0f queries a second: the real drive bears %d; use the virtual one", rate, maxRate)
 	}
 	dir, err := os.MkdirTemp("", "lab")
 	if err != nil {
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	r := &run{plan: p, opt: opt, dir: dir, net: p.NewNetwork(), muted: make([]atomic.Int32, len(p.Servers)), sent: make(map[string]int), keys: make(map[string]string),
-		leave: make(map[*model.Try]context.CancelFunc), rec: record.New(p, "real", "mixer", true)}
+	r := &run{plan: p, opt: opt, dir: dir, net: p.NewNetwork(), vanished: make([]atomic.Int32, len(p.Servers)), attemptsByQuery: make(map[string]int), keysByQuery: make(map[string]string),
+		cancels: make(map[*model.Try]context.CancelFunc), rec: record.New(p, "real", "mixer", true)}
 	if opt.Logs == "" {
 		r.opt.Logs = dir
 	} else if err := os.MkdirAll(opt.Logs, 0o755); err != nil {
 		return nil, err
 	}
 	defer r.close()
-	if err := r.build(); err != nil {
+	if err := r.setUp(); err != nil {
 		return nil, err
 	}
-	return r.play(ctx)
+	return r.playPlan(ctx)
 }
 
-func (r *run) build() error {
+func (r *run) setUp() error {
 	p := r.plan
 	var classes []judge.Class
 	for _, c := range p.Scenario.Classes {
@@ -148,30 +148,30 @@
 	r.j.Allow(p.Settings.Cap, p.Settings.Parallel)
 	r.begin = time.Now()
 	for i, spec := range p.Servers {
-		h := &host{r: r, i: i, name: spec.Name, site: r.net.Site(spec.Site), work: make(map[string]*model.Work)}
+		h := &host{r: r, index: i, name: spec.Name, site: r.net.Site(spec.Site), work: make(map[string]*model.Work)}
 		for name, w := range p.Work {
 			own := *w
 			h.work[name] = &own
 		}
-		h.s = model.NewServer(clock{r.begin, &h.mu}, spec)
-		h.s.Fell = func(s *model.Server) {
+		h.server = model.NewServer(clock{r.begin, &h.mu}, spec)
+		h.server.Fell = func(s *model.Server) {
 			r.j.ColdServerOverloaded(s.Name, time.Now())
-			r.note("%s was pushed over while it was cold", s.Name)
+			r.recordEvent("%s was pushed over while it was cold", s.Name)
 		}
-		h.s.Down = func(*model.Server) { h.down() }
-		h.s.Up = func(*model.Server) { h.up() }
+		h.server.Down = func(*model.Server) { h.serverDown() }
+		h.server.Up = func(*model.Server) { h.serverUp() }
 		for n := range p.Mixers.Count {
-			d := &door{h: h, mixer: n, site: r.net.Site(p.MixerSite(n)), conns: make(map[*conn]bool)}
-			h.doors = append(h.doors, d)
-			if err := d.open(); err != nil {
+			d := &endpoint{h: h, mixer: n, site: r.net.Site(p.MixerSite(n)), conns: make(map[*conn]bool)}
+			h.endpoints = append(h.endpoints, d)
+			if err := d.listen(); err != nil {
 				return err
 			}
 		}
 		r.hosts = append(r.hosts, h)
 	}
 	r.lists = p.NewLists(func(int) model.Sched { return clock{r.begin, &r.listMu} })
-	r.inForce = p.Members.Sources
-	if err := r.buildSources(); err != nil {
+	r.activeSources = p.Members.Sources
+	if err := r.startSources(); err != nil {
 		return err
 	}
 	for n := range p.Mixers.Count {
@@ -184,18 +184,18 @@
 		if err := r.start(m); err != nil {
 			return err
 		}
-		m.fronted = true
+		m.inRotation = true
 	}
-	r.desks = client.New(client.Config{Judge: r.j, MaxIdle: p.Clients.Conns, Seed: p.Draw})
+	r.httpClients = client.New(client.Config{Judge: r.j, MaxIdle: p.Clients.Conns, Seed: p.Draw})
 	return nil
 }
 
-var statuses = map[model.Standing]string{model.Serving: "SERVING", model.Draining: "DRAINING", model.Deleted: "DELETED"}
+var discoveryStatus = map[model.Standing]string{model.Serving: "SERVING", model.Draining: "DRAINING", model.Deleted: "DELETED"}
 
-func (r *run) entry(mixer int, e model.Entry) disco.Entry {
+func (r *run) discoveryEntry(mixer int, e model.Entry) disco.Entry {
 	spec := &r.plan.Servers[e.Server]
-	out := disco.Entry{Name: spec.Name, Address: r.hosts[e.Server].doors[mixer].addr, Zone: spec.Site, Type: spec.Group, Group: spec.Cell,
-		Status: statuses[e.Standing], Weight: 1}
+	out := disco.Entry{Name: spec.Name, Address: r.hosts[e.Server].endpoints[mixer].addr, Zone: spec.Site, Type: spec.Group, Group: spec.Cell,
+		Status: discoveryStatus[e.Standing], Weight: 1}
 	if e.Since >= 0 {
 		out.Since = r.begin.Add(e.Since).UnixMilli()
 	}
@@ -208,11 +208,11 @@
 	if err != nil {
 		return err
 	}
-	m.life++
-	config, err := json.Marshal(map[string]any{"name": fmt.Sprintf("lab%d", m.n), "listen": m.listen, "discovery": r.stands[m.n].disco.Addr,
-		"seed":   fmt.Sprintf("%016x", p.MixerSeed(m.n, m.life)),
+	m.incarnation++
+	config, err := json.Marshal(map[string]any{"name": fmt.Sprintf("lab%d", m.n), "listen": m.listen, "discovery": r.standIns[m.n].disco.Addr,
+		"seed":   fmt.Sprintf("%016x", p.MixerSeed(m.n, m.incarnation)),
 		"limits": map[string]any{"cores": p.Mixers.Cores, "memory_mb": int64(p.Mixers.Memory >> 20), "sockets": p.Mixers.Sockets},
-		"known":  r.stands[m.n].disco.Snapshot(), "settings": json.RawMessage(set)})
+		"known":  r.standIns[m.n].disco.Snapshot(), "settings": json.RawMessage(set)})
 	if err != nil {
 		return err
 	}
@@ -222,8 +222,8 @@
 	}
 	args := []string{"serve", "--config", file}
 	operator := r.opt.Operator
-	if r.sourcesOn() {
-		if operator, err = r.operator(m.n, r.inForce); err != nil {
+	if r.hasSources() {
+		if operator, err = r.writeOperatorFile(m.n, r.activeSources); err != nil {
 			return err
 		}
 	}
@@ -235,42 +235,42 @@
 		return err
 	}
 	r.mixMu.Lock()
-	m.proc, m.planned = proc, false
+	m.proc, m.endPlanned = proc, false
 	r.mixMu.Unlock()
 	return nil
 }
 
-func (r *run) fail(format string, a ...any) {
+func (r *run) recordFault(format string, a ...any) {
 	r.recMu.Lock()
 	defer r.recMu.Unlock()
 	r.rec.Fault(fmt.Sprintf(format, a...))
 }
 
-func (r *run) note(format string, a ...any) {
+func (r *run) recordEvent(format string, a ...any) {
 	r.recMu.Lock()
 	defer r.recMu.Unlock()
 	r.rec.Event(time.Since(r.begin), fmt.Sprintf(format, a...))
 }
 
-func (r *run) count(ask string) {
+func (r *run) countPart(query string) {
 	r.recMu.Lock()
 	defer r.recMu.Unlock()
-	r.sent[ask]++
-	r.parts++
+	r.attemptsByQuery[query]++
+	r.partCount++
 }
 
 // key is what a part concerns: its ask's key with its shard. A part of an ask that is
 // over has none any more.
-func (r *run) key(ask, shard string) string {
+func (r *run) partKey(query, shard string) string {
 	r.recMu.Lock()
 	defer r.recMu.Unlock()
-	if k := r.keys[ask]; k != "" {
+	if k := r.keysByQuery[query]; k != "" {
 		return k + "." + shard
 	}
 	return ""
 }
 
-func (r *run) delay(from, to int) (time.Duration, bool) {
+func (r *run) networkDelay(from, to int) (time.Duration, bool) {
 	r.netMu.Lock()
 	defer r.netMu.Unlock()
 	return r.net.Delay(from, to)
@@ -278,29 +278,29 @@
 
 // ---- Servers. Both are the model's, under the host's lock.
 
-func (h *host) down() {
-	for _, d := range h.doors {
-		if d.mute == nil {
-			d.shut(true)
+func (h *host) serverDown() {
+	for _, d := range h.endpoints {
+		if d.undoSilence == nil {
+			d.stopListening(true)
 		}
 	}
-	go h.r.listed(func(l *model.List) { l.Down(h.i) })
+	go h.r.forEachList(func(l *model.List) { l.Down(h.index) })
 }
 
-func (h *host) up() {
-	h.r.note("%s runs again", h.name)
+func (h *host) serverUp() {
+	h.r.recordEvent("%s runs again", h.name)
 	h.r.j.Restarted(h.name, h.r.plan.Mixers.Count)
-	for _, d := range h.doors {
-		if d.mute == nil {
-			if err := d.open(); err != nil {
-				h.r.fail("%s did not listen again: %v", h.name, err)
+	for _, d := range h.endpoints {
+		if d.undoSilence == nil {
+			if err := d.listen(); err != nil {
+				h.r.recordFault("%s did not listen again: %v", h.name, err)
 			}
 		}
 	}
-	go h.r.listed(func(l *model.List) { l.Up(h.i) })
+	go h.r.forEachList(func(l *model.List) { l.Up(h.index) })
 }
 
-func (r *run) listed(f func(*model.List)) {
+func (r *run) forEachList(f func(*model.List)) {
 	r.listMu.Lock()
 	defer r.listMu.Unlock()
 	for _, l := range r.lists {
@@ -310,16 +310,16 @@
 
 // ---- The run.
 
-func (r *run) play(ctx context.Context) (*record.Run, error) {
+func (r *run) playPlan(ctx context.Context) (*record.Run, error) {
 	p := r.plan
 	// The models count from here: what the mixers took to start is not part of the run.
 	r.begin = time.Now()
 	for _, h := range r.hosts {
 		h.mu.Lock()
-		spec := h.s.Spec
+		spec := h.server.Spec
 		s := model.NewServer(clock{r.begin, &h.mu}, spec)
-		s.Fell, s.Down, s.Up = h.s.Fell, h.s.Down, h.s.Up
-		h.s = s
+		s.Fell, s.Down, s.Up = h.server.Fell, h.server.Down, h.server.Up
+		h.server = s
 		h.mu.Unlock()
 	}
 	r.listMu.Lock()
@@ -331,24 +331,24 @@
 	for _, c := range p.Classes {
 		longest = max(longest, c.Patience)
 	}
-	r.clients = &model.Clients{Sched: clock{r.begin, &r.clientMu}, Classes: p.Classes, Tenants: p.NewTenants(), OverWorth: p.Over, Retry: p.Retry(), Seed: p.Draw, Length: p.Length, Pick: r.pick,
-		Send: r.send, Leave: r.left, Over: func(a *model.Ask) {
+	r.clients = &model.Clients{Sched: clock{r.begin, &r.clientMu}, Classes: p.Classes, Tenants: p.NewTenants(), OverWorth: p.Over, Retry: p.Retry(), Seed: p.Draw, Length: p.Length, Pick: r.pickMixer,
+		Send: r.sendQuery, Leave: r.cancelQuery, Over: func(a *model.Ask) {
 			r.recMu.Lock()
 			defer r.recMu.Unlock()
-			r.rec.QueryDone(a, r.sent[a.ID])
-			r.kinds[a.Outcome.Kind]++
-			delete(r.sent, a.ID)
-			delete(r.keys, a.ID)
+			r.rec.QueryDone(a, r.attemptsByQuery[a.ID])
+			r.outcomes[a.Outcome.Kind]++
+			delete(r.attemptsByQuery, a.ID)
+			delete(r.keysByQuery, a.ID)
 		}}
 	stop := make(chan struct{})
 	var others sync.WaitGroup
 	others.Add(2)
-	go func() { defer others.Done(); r.script(stop) }()
-	go func() { defer others.Done(); r.watch(stop) }()
+	go func() { defer others.Done(); r.runScript(stop) }()
+	go func() { defer others.Done(); r.sampleLoop(stop) }()
 	r.clientMu.Lock()
 	r.clients.Begin()
 	r.clientMu.Unlock()
-	end := p.Length + longest + endTime
+	end := p.Length + longest + exitTimeout
 	tick := time.NewTicker(50 * time.Millisecond)
 	defer tick.Stop()
 	var err error
@@ -366,7 +366,7 @@
 			break
 		}
 		if at >= end {
-			r.fail("%d asks were not over %v after the load", open, longest+endTime)
+			r.recordFault("%d asks were not over %v after the load", open, longest+exitTimeout)
 			break
 		}
 	}
@@ -376,37 +376,37 @@
 	if err != nil {
 		return nil, err
 	}
-	r.asks.Wait()
-	if r.sourcesOn() {
-		r.beliefs()
+	r.openQueries.Wait()
+	if r.hasSources() {
+		r.recordMembers()
 	}
-	if n := r.desks.Close(); n > 0 {
-		r.fail("%d answers came that nobody had asked for", n)
+	if n := r.httpClients.Close(); n > 0 {
+		r.recordFault("%d answers came that nobody had asked for", n)
 	}
-	r.end()
+	r.stopMixers()
 	r.recMu.Lock()
 	defer r.recMu.Unlock()
 	run := r.rec.Finish(r.j.Judge(r.begin.Add(p.Window[0]), r.begin.Add(p.Window[1])))
-	run.Machine = record.Machine{Wall: wall, PeakMiB: r.rss >> 20, Files: r.files, Cores: r.cpu.Seconds() / wall.Seconds(), Threads: runtime.GOMAXPROCS(0)}
+	run.Machine = record.Machine{Wall: wall, PeakMiB: r.maxRSS >> 20, Files: r.maxFiles, Cores: r.cpu.Seconds() / wall.Seconds(), Threads: runtime.GOMAXPROCS(0)}
 	return run, nil
 }
 
 // script has the faults take hold and let go.
-func (r *run) script(stop chan struct{}) {
+func (r *run) runScript(stop chan struct{}) {
 	for _, c := range r.plan.Changes {
 		select {
 		case <-stop:
 			return
 		case <-time.After(c.At - time.Since(r.begin)):
 		}
-		r.change(c)
+		r.applyChange(c)
 	}
 }
 
-func (r *run) change(c model.Change) {
+func (r *run) applyChange(c model.Change) {
 	switch {
 	case c.Do == model.Cut:
-		r.note("%v %s to %s", c, r.net.Sites()[c.From], r.net.Sites()[c.To])
+		r.recordEvent("%v %s to %s", c, r.net.Sites()[c.From], r.net.Sites()[c.To])
 		r.netMu.Lock()
 		r.net.Cut(c.From, c.To, c.On)
 		if c.Both {
@@ -415,38 +415,38 @@
 		open := func(a, b int) bool { return r.net.Open(a, b) && r.net.Open(b, a) }
 		cut := make(map[[2]int]bool)
 		for _, h := range r.hosts {
-			for _, d := range h.doors {
+			for _, d := range h.endpoints {
 				cut[[2]int{d.site, h.site}] = !open(d.site, h.site)
 			}
 		}
 		r.netMu.Unlock()
 		for _, h := range r.hosts {
 			h.mu.Lock()
-			for _, d := range h.doors {
-				if d.cut = cut[[2]int{d.site, h.site}]; d.cut != (d.mute != nil) {
-					if err := d.way(); err != nil {
-						r.fail("a way to %s could not be cut: %v", h.name, err)
+			for _, d := range h.endpoints {
+				if d.networkCut = cut[[2]int{d.site, h.site}]; d.networkCut != (d.undoSilence != nil) {
+					if err := d.applyNetworkState(); err != nil {
+						r.recordFault("a way to %s could not be cut: %v", h.name, err)
 					}
 				}
 			}
 			h.mu.Unlock()
 		}
 	case c.Do == model.Kill, c.Do == model.Restart:
-		r.note("%v %d", c, c.Target)
-		r.life(c)
+		r.recordEvent("%v %d", c, c.Target)
+		r.changeMixer(c)
 	case c.Do == model.Switch:
-		r.note("%v %s", c, strings.Join(c.Others, " "))
+		r.recordEvent("%v %s", c, strings.Join(c.Others, " "))
 		r.switchSources(c)
 	case c.Target < 0 || model.ByList(c.Do):
 		if c.Target >= 0 {
-			r.note("%v %s", c, r.hosts[c.Target].name)
+			r.recordEvent("%v %s", c, r.hosts[c.Target].name)
 		} else {
-			r.note("%v", c)
+			r.recordEvent("%v", c)
 		}
-		r.listed(func(l *model.List) { l.Strike(c) })
+		r.forEachList(func(l *model.List) { l.Strike(c) })
 	default:
 		h := r.hosts[c.Target]
-		r.note("%v %s", c, h.name)
+		r.recordEvent("%v %s", c, h.name)
 		h.mu.Lock()
 		defer h.mu.Unlock()
 		if c.Do == model.Vanish {
@@ -454,37 +454,37 @@
 			if !c.On {
 				step = -1
 			}
-			h.mutes += int(step)
-			r.muted[h.i].Add(step)
+			h.vanishCount += int(step)
+			r.vanished[h.index].Add(step)
 			if c.On {
-				h.silence()
+				h.applyNetworkState()
 			}
 		}
-		h.s.Strike(c)
+		h.server.Strike(c)
 		if c.Do == model.Vanish && !c.On {
-			h.silence()
+			h.applyNetworkState()
 		}
 	}
 }
 
 // silence sets the doors by what holds. Under the host's lock.
-func (h *host) silence() {
-	for _, d := range h.doors {
-		if err := d.way(); err != nil {
-			h.r.fail("%s could not be made to vanish: %v", h.name, err)
+func (h *host) applyNetworkState() {
+	for _, d := range h.endpoints {
+		if err := d.applyNetworkState(); err != nil {
+			h.r.recordFault("%s could not be made to vanish: %v", h.name, err)
 		}
 	}
 }
 
 // life ends a mixer's process, or starts it again.
-func (r *run) life(c model.Change) {
+func (r *run) changeMixer(c model.Change) {
 	m := r.mixers[c.Target]
 	if c.On {
 		r.mixMu.Lock()
 		proc := m.proc
-		m.proc, m.planned = nil, true
+		m.proc, m.endPlanned = nil, true
 		if c.Do == model.Restart {
-			m.fronted = false
+			m.inRotation = false
 		}
 		r.mixMu.Unlock()
 		if proc == nil {
@@ -493,19 +493,19 @@
 		if c.Do == model.Restart {
 			proc.Signal(syscall.SIGTERM)
 			go func() {
-				if err := proc.Wait(endTime); err != nil {
-					r.fail("%v", err)
+				if err := proc.Wait(exitTimeout); err != nil {
+					r.recordFault("%v", err)
 				}
-				r.took(proc)
+				r.addCPU(proc)
 			}()
 			return
 		}
-		go func() { proc.Kill(); r.took(proc) }()
+		go func() { proc.Kill(); r.addCPU(proc) }()
 		time.AfterFunc(r.plan.Mixers.Notice, func() {
 			r.mixMu.Lock()
 			defer r.mixMu.Unlock()
 			if m.proc == nil {
-				m.fronted = false
+				m.inRotation = false
 			}
 		})
 		return
@@ -518,16 +518,16 @@
 			return
 		}
 		if err := r.start(m); err != nil {
-			r.fail("mixer %d did not start again: %v", m.n, err)
+			r.recordFault("mixer %d did not start again: %v", m.n, err)
 			return
 		}
 		r.mixMu.Lock()
-		m.fronted = true
+		m.inRotation = true
 		r.mixMu.Unlock()
 	}()
 }
 
-func (r *run) took(proc *child.Mixer) {
+func (r *run) addCPU(proc *child.Mixer) {
 	if s := proc.Cmd.ProcessState; s != nil {
 		r.mixMu.Lock()
 		r.cpu += s.UserTime() + s.SystemTime()
@@ -536,9 +536,9 @@
 }
 
 // watch looks at servers and mixers each second.
-func (r *run) watch(stop chan struct{}) {
-	var was [5]int
-	wasParts, wasAt := 0, r.begin
+func (r *run) sampleLoop(stop chan struct{}) {
+	var prevOutcomes [5]int
+	prevParts, prevAt := 0, r.begin
 	for s := 1; ; s++ {
 		select {
 		case <-stop:
@@ -548,14 +548,14 @@
 		down := 0
 		for _, h := range r.hosts {
 			h.mu.Lock()
-			st := h.s.Look()
+			st := h.server.Look()
 			h.mu.Unlock()
 			if !st.Up {
 				down++
 			}
 			if time.Duration(s)*time.Second <= r.plan.Length {
 				r.recMu.Lock()
-				r.rec.ServerSample(s-1, &h.s.Spec, st)
+				r.rec.ServerSample(s-1, &h.server.Spec, st)
 				r.recMu.Unlock()
 			}
 		}
@@ -568,9 +568,9 @@
 			select {
 			case err := <-m.proc.Exited:
 				m.proc.Exited <- err
-				if !m.planned {
-					m.planned = true
-					go r.fail("mixer %d ended by itself: %v\n%s", m.n, err, child.Tail(m.proc.Log))
+				if !m.endPlanned {
+					m.endPlanned = true
+					go r.recordFault("mixer %d ended by itself: %v\n%s", m.n, err, child.Tail(m.proc.Log))
 				}
 				continue
 			default:
@@ -578,62 +578,62 @@
 			up++
 			bytes, files := child.Look(m.proc.Cmd.Process.Pid)
 			rss = max(rss, int64(bytes))
-			r.files = max(r.files, files)
+			r.maxFiles = max(r.maxFiles, files)
 		}
-		r.rss = max(r.rss, rss)
+		r.maxRSS = max(r.maxRSS, rss)
 		r.mixMu.Unlock()
 		if r.opt.Progress != nil {
 			r.clientMu.Lock()
 			open := r.clients.Open
 			r.clientMu.Unlock()
 			r.recMu.Lock()
-			kinds, parts := r.kinds, r.parts
+			kinds, parts := r.outcomes, r.partCount
 			r.recMu.Unlock()
-			span := time.Since(wasAt).Seconds()
-			rate := func(k model.Kind) float64 { return float64(kinds[k]-was[k]) / span }
+			span := time.Since(prevAt).Seconds()
+			rate := func(k model.Kind) float64 { return float64(kinds[k]-prevOutcomes[k]) / span }
 			r.opt.Progress(Sample{At: time.Since(r.begin), Of: r.plan.Length, Open: open, Mixers: up, RSS: rss, Down: down, Answered: rate(model.Answered),
-				Refused: rate(model.Refused), Failed: rate(model.Failed) + rate(model.Lost), Parts: float64(parts-wasParts) / span})
-			was, wasParts, wasAt = kinds, parts, time.Now()
+				Refused: rate(model.Refused), Failed: rate(model.Failed) + rate(model.Lost), Parts: float64(parts-prevParts) / span})
+			prevOutcomes, prevParts, prevAt = kinds, parts, time.Now()
 		}
 	}
 }
 
 // ---- Clients. pick, send and left are the model's, under the clients' lock.
 
-func (r *run) pick(luck uint64) int {
+func (r *run) pickMixer(random uint64) int {
 	r.mixMu.Lock()
 	defer r.mixMu.Unlock()
 	var up []int
 	for _, m := range r.mixers {
-		if m.fronted {
+		if m.inRotation {
 			up = append(up, m.n)
 		}
 	}
 	if len(up) == 0 {
 		return -1
 	}
-	return up[luck%uint64(len(up))]
+	return up[random%uint64(len(up))]
 }
 
-func (r *run) send(t *model.Try) {
+func (r *run) sendQuery(t *model.Try) {
 	q := &judge.Query{ID: t.ID, Class: t.Ask.Class.Name, Due: r.begin.Add(t.Ask.Due), Timeout: t.Patience}
 	for _, p := range t.Ask.Parts {
 		q.Parts = append(q.Parts, judge.Part{Shard: p.Shard, Weight: p.Weight})
 	}
 	r.j.Sent(q)
 	ctx, cancel := context.WithCancel(context.Background())
-	r.leave[t] = cancel
+	r.cancels[t] = cancel
 	if t.Ask.Key != "" {
 		r.recMu.Lock()
-		r.keys[t.Ask.ID] = t.Ask.Key
+		r.keysByQuery[t.Ask.ID] = t.Ask.Key
 		r.recMu.Unlock()
 	}
 	m := r.mixers[t.Mixer]
-	r.asks.Add(1)
+	r.openQueries.Add(1)
 	go func() {
-		defer r.asks.Done()
+		defer r.openQueries.Done()
 		defer cancel()
-		after := r.desks.Do(ctx, client.Request{Addr: m.listen, Text: q.Class, Retry: t.Repeat, Tenant: t.Ask.Tenant, Key: t.Ask.Key}, q)
+		after := r.httpClients.Do(ctx, client.Request{Addr: m.listen, Text: q.Class, Retry: t.Repeat, Tenant: t.Ask.Tenant, Key: t.Ask.Key}, q)
 		reply := model.Reply{RetryAfter: after, Whole: q.Complete}
 		switch q.Outcome {
 		case judge.Answered:
@@ -650,7 +650,7 @@
 		case judge.Lost:
 			reply.Kind = model.Lost
 			r.mixMu.Lock()
-			if m.planned || m.proc == nil { // the script's doing
+			if m.endPlanned || m.proc == nil { // the script's doing
 				q.Outcome = judge.ProxyKilled
 			}
 			r.mixMu.Unlock()
@@ -659,14 +659,14 @@
 		}
 		r.j.Ended(q)
 		r.clientMu.Lock()
-		delete(r.leave, t)
+		delete(r.cancels, t)
 		r.clients.Reply(t, reply)
 		r.clientMu.Unlock()
 	}()
 }
 
-func (r *run) left(t *model.Try) {
-	if cancel := r.leave[t]; cancel != nil {
+func (r *run) cancelQuery(t *model.Try) {
+	if cancel := r.cancels[t]; cancel != nil {
 		cancel()
 	}
 }
@@ -674,13 +674,13 @@
 // ---- The end.
 
 // end stops the mixers and looks at how they ended.
-func (r *run) end() {
+func (r *run) stopMixers() {
 	r.mixMu.Lock()
 	r.stopped = true
 	var procs []*child.Mixer
 	for _, m := range r.mixers {
 		if m.proc != nil {
-			m.planned = true
+			m.endPlanned = true
 			procs = append(procs, m.proc)
 		}
 	}
@@ -689,10 +689,10 @@
 		p.Signal(syscall.SIGTERM)
 	}
 	for _, p := range procs {
-		if err := p.Wait(endTime); err != nil {
-			r.fail("%v", err)
+		if err := p.Wait(exitTimeout); err != nil {
+			r.recordFault("%v", err)
 		}
-		r.took(p)
+		r.addCPU(p)
 	}
 }
 
@@ -709,7 +709,7 @@
 	for _, p := range procs {
 		p.Kill()
 	}
-	for _, s := range r.stands {
+	for _, s := range r.standIns {
 		if s.disco != nil {
 			s.disco.Close()
 		}
--- a/internal/lab/real/sources.go
+++ b/internal/lab/real/sources.go
@@ -28,10 +28,10 @@
 )
 
 const (
-	service  = "trips"
-	srvName  = "_trips._tcp.lab.example.org"
-	zoneName = ".lab.example.org"
-	junkEach = 12 // datagrams before each answer, under dns-junk
+	service       = "trips"
+	srvName       = "_trips._tcp.lab.example.org"
+	zoneName      = ".lab.example.org"
+	junkPerAnswer = 12 // datagrams before each answer, under dns-junk
 )
 
 // sources are the stand-ins of one mixer. What is not among the scenario's sources is nil.
@@ -41,20 +41,20 @@
 	dns    *dnsserver.Server
 }
 
-func (r *run) sourcesOn() bool { return len(r.plan.Members.Sources) > 0 }
+func (r *run) hasSources() bool { return len(r.plan.Members.Sources) > 0 }
 
 // buildSources starts the stand-ins of all mixers.
-func (r *run) buildSources() error {
+func (r *run) startSources() error {
 	for n := range r.plan.Mixers.Count {
 		s := &sources{}
-		r.stands = append(r.stands, s)
+		r.standIns = append(r.standIns, s)
 		var err error
 		for _, l := range r.lists {
 			switch l.Name {
 			case "consul":
 				var all []consulapi.Instance
 				for _, e := range l.Whole() {
-					all = append(all, r.instance(n, e))
+					all = append(all, r.consulInstance(n, e))
 				}
 				if s.consul, err = consulapi.Listen(service, all); err != nil {
 					return err
@@ -63,7 +63,7 @@
 			case "dns":
 				var all []dnsserver.Target
 				for _, e := range l.Whole() {
-					all = append(all, r.target(n, e))
+					all = append(all, r.dnsTarget(n, e))
 				}
 				if s.dns, err = dnsserver.Listen(srvName, uint32(r.plan.Source("dns").TTL/time.Second), all); err != nil {
 					return err
@@ -78,7 +78,7 @@
 		for _, l := range r.lists {
 			if l.Name == "list" {
 				for _, e := range l.Whole() {
-					entries = append(entries, r.entry(n, e))
+					entries = append(entries, r.discoveryEntry(n, e))
 				}
 			}
 		}
@@ -89,7 +89,7 @@
 			switch {
 			case e.Status == "DELETED": // neither lifts a drain nor is one
 			case r.plan.Settings.Look > 0: // told once the agent held it
-			case r.sourcesOn():
+			case r.hasSources():
 				r.j.DrainReportedBy(n, "list", e.Name, e.Status == "DRAINING", at)
 			case e.Status == "SERVING":
 				r.j.DrainReported(e.Name, time.Time{})
@@ -99,18 +99,18 @@
 		}
 	}
 	for _, l := range r.lists {
-		l.Tell = func(news []model.Entry) { r.tell(l.Name, news) }
-		if r.sourcesOn() || r.plan.Settings.Look > 0 {
+		l.Tell = func(news []model.Entry) { r.publish(l.Name, news) }
+		if r.hasSources() || r.plan.Settings.Look > 0 {
 			l.Hold = r.plan.Settings.Look > 0 // an agent is not sent what a discovery that is down has to tell
-			l.Turn = func(c model.Change) { r.turn(l, c) }
+			l.Turn = func(c model.Change) { r.applySourceFault(l, c) }
 		}
 	}
 	return nil
 }
 
-func (r *run) instance(mixer int, e model.Entry) consulapi.Instance {
+func (r *run) consulInstance(mixer int, e model.Entry) consulapi.Instance {
 	spec := &r.plan.Servers[e.Server]
-	i := consulapi.Instance{ID: spec.Name, Node: "node-" + spec.Name, Site: spec.Site, Kind: spec.Group, Address: r.hosts[e.Server].doors[mixer].addr,
+	i := consulapi.Instance{ID: spec.Name, Node: "node-" + spec.Name, Site: spec.Site, Kind: spec.Group, Address: r.hosts[e.Server].endpoints[mixer].addr,
 		Cell: (spec.Cell + e.Shift) % r.plan.Groups[0].Cells, Status: "passing", Maintenance: e.Standing == model.Draining}
 	if e.Standing == model.Sick {
 		i.Status = "critical"
@@ -121,9 +121,9 @@
 	return i
 }
 
-func (r *run) target(mixer int, e model.Entry) dnsserver.Target {
+func (r *run) dnsTarget(mixer int, e model.Entry) dnsserver.Target {
 	spec := &r.plan.Servers[e.Server]
-	host, port, _ := net.SplitHostPort(r.hosts[e.Server].doors[mixer].addr)
+	host, port, _ := net.SplitHostPort(r.hosts[e.Server].endpoints[mixer].addr)
 	n, _ := strconv.Atoi(port)
 	since := int64(0)
 	if e.Since >= 0 {
@@ -134,27 +134,27 @@
 }
 
 // tell is a list's, under its lock: news of one source for all mixers.
-func (r *run) tell(source string, news []model.Entry) {
-	for n, s := range r.stands {
-		for _, e := range news {
+func (r *run) publish(source string, changes []model.Entry) {
+	for n, s := range r.standIns {
+		for _, e := range changes {
 			name := r.plan.Servers[e.Server].Name
 			switch source {
 			case "consul":
 				if e.Standing == model.Deleted {
 					s.consul.Remove(name)
 				} else {
-					s.consul.Put(r.instance(n, e))
+					s.consul.Put(r.consulInstance(n, e))
 				}
 			case "dns":
 				if e.Standing == model.Deleted {
 					s.dns.Remove(name + zoneName)
 				} else {
-					s.dns.Put(r.target(n, e))
+					s.dns.Put(r.dnsTarget(n, e))
 				}
 			default:
-				s.disco.Put(r.entry(n, e))
+				s.disco.Put(r.discoveryEntry(n, e))
 				if r.plan.Settings.Look > 0 {
-					r.held(name, e.Standing)
+					r.agentsUpdated(name, e.Standing)
 				}
 			}
 		}
@@ -162,7 +162,7 @@
 }
 
 // held notes that the mixers' agents hold news: where lists are pushed it counts as told.
-func (r *run) held(name string, st model.Standing) {
+func (r *run) agentsUpdated(name string, st model.Standing) {
 	switch st {
 	case model.Serving:
 		r.j.DrainReported(name, time.Time{})
@@ -172,8 +172,8 @@
 }
 
 // turn has a fault take hold of a source as a whole, or let it go.
-func (r *run) turn(l *model.List, c model.Change) {
-	for n, s := range r.stands {
+func (r *run) applySourceFault(l *model.List, c model.Change) {
+	for n, s := range r.standIns {
 		switch l.Name {
 		case "consul":
 			if c.Do == model.Reset {
@@ -209,7 +209,7 @@
 				case model.Junk:
 					f.Storm = 0
 					if c.On {
-						f.Storm = junkEach
+						f.Storm = junkPerAnswer
 					}
 				}
 			})
@@ -219,7 +219,7 @@
 				s.disco.Mute(c.On, c.Do == model.Broken)
 			case model.Empty:
 				for _, e := range l.Whole() {
-					x := r.entry(n, e)
+					x := r.discoveryEntry(n, e)
 					if c.On {
 						x.Status = "DELETED"
 					}
@@ -231,12 +231,12 @@
 }
 
 // operator writes a mixer's operator file, with these sources in force.
-func (r *run) operator(n int, in []string) (string, error) {
-	s := r.stands[n]
+func (r *run) writeOperatorFile(n int, active []string) (string, error) {
+	s := r.standIns[n]
 	var b strings.Builder
-	section := func(name string, of any) {
+	section := func(name string, settings any) {
 		fmt.Fprintf(&b, "[%s]\n", name)
-		for _, f := range inifile.Fields(of) {
+		for _, f := range inifile.Fields(settings) {
 			value := f.Value
 			switch value {
 			case "true":
@@ -248,7 +248,7 @@
 		}
 	}
 	m := r.plan.Members
-	m.Sources = in
+	m.Sources = active
 	fmt.Fprintf(&b, "[control]\nsocket = %s\n", r.socket(n))
 	section("members", &m)
 	if s.consul != nil {
@@ -271,19 +271,19 @@
 
 // switchSources puts other sources in force at every mixer, by SIGHUP.
 func (r *run) switchSources(c model.Change) {
-	in := r.plan.Members.Sources
+	active := r.plan.Members.Sources
 	if c.On {
-		in = c.Others
+		active = c.Others
 	}
 	r.mixMu.Lock()
 	defer r.mixMu.Unlock()
-	r.inForce = in
+	r.activeSources = active
 	for _, m := range r.mixers {
 		if m.proc == nil {
 			continue
 		}
-		if _, err := r.operator(m.n, in); err != nil {
-			go r.fail("the operator file of mixer %d: %v", m.n, err)
+		if _, err := r.writeOperatorFile(m.n, active); err != nil {
+			go r.recordFault("the operator file of mixer %d: %v", m.n, err)
 			continue
 		}
 		m.proc.Signal(syscall.SIGHUP)
@@ -291,19 +291,19 @@
 }
 
 // beliefs asks every mixer, at the end, what its merge has done.
-func (r *run) beliefs() {
+func (r *run) recordMembers() {
 	for _, m := range r.mixers {
 		var rep members.Report
 		if m.proc == nil {
 			continue
 		}
 		if err := control.Call(r.socket(m.n), &rep, "members", "show"); err != nil {
-			r.fail("mixer %d does not tell its members: %v", m.n, err)
+			r.recordFault("mixer %d does not tell its members: %v", m.n, err)
 			continue
 		}
 		rep.Members = nil
 		text, _ := json.Marshal(rep.Sources)
-		r.note("mixer %d: %d ready, %d draining, %d withheld; %d changes, %d returns held back; sources %s", m.n, rep.Ready, rep.Draining, rep.Withheld,
+		r.recordEvent("mixer %d: %d ready, %d draining, %d withheld; %d changes, %d returns held back; sources %s", m.n, rep.Ready, rep.Draining, rep.Withheld,
 			rep.Changes, rep.Damped, text)
 	}
 }
--- a/internal/lab/record/folder.go
+++ b/internal/lab/record/folder.go
@@ -38,7 +38,7 @@
 }
 
 // here describes this build and machine.
-func here(m Machine) Environment {
+func currentEnvironment(m Machine) Environment {
 	w := Environment{Go: runtime.Version(), OS: runtime.GOOS, Arch: runtime.GOARCH, CPUs: runtime.NumCPU(), Build: "unknown", Machine: m}
 	if info, ok := debug.ReadBuildInfo(); ok {
 		for _, s := range info.Settings {
@@ -65,7 +65,7 @@
 	WarmupS float64
 }
 
-func rows[T any](list []T) ([]byte, error) {
+func encodeRows[T any](list []T) ([]byte, error) {
 	var b bytes.Buffer
 	w := parquet.NewGenericWriter[T](&b, parquet.Compression(&parquet.Zstd))
 	if _, err := w.Write(list); err != nil {
@@ -81,13 +81,13 @@
 func (r *Run) Files() (map[string][]byte, error) {
 	out := make(map[string][]byte)
 	var err error
-	if out[QueriesFile], err = rows(r.Queries); err != nil {
+	if out[QueriesFile], err = encodeRows(r.Queries); err != nil {
 		return nil, err
 	}
-	if out[SecondsFile], err = rows(r.Seconds); err != nil {
+	if out[SecondsFile], err = encodeRows(r.Seconds); err != nil {
 		return nil, err
 	}
-	if out[RunFile], err = rows([]Summary{r.Summary}); err != nil {
+	if out[RunFile], err = encodeRows([]Summary{r.Summary}); err != nil {
 		return nil, err
 	}
 	text, err := json.MarshalIndent(Saved{r.Summary, r.Classes, r.Verdict, r.Events, r.Broken, r.Unmet(), r.Length.Seconds(), r.Warmup.Seconds()}, "", "  ")
@@ -116,7 +116,7 @@
 	digest = Digest(files)
 	files[ScenarioFile] = []byte(scenario)
 	files[DigestFile] = []byte(digest + "\n")
-	if files[MachineFile], err = json.MarshalIndent(here(r.Machine), "", "  "); err != nil {
+	if files[MachineFile], err = json.MarshalIndent(currentEnvironment(r.Machine), "", "  "); err != nil {
 		return "", err
 	}
 	if err := os.MkdirAll(filepath.Dir(filepath.Clean(dir)), 0o755); err != nil {
@@ -128,7 +128,7 @@
 	}
 	defer os.RemoveAll(tmp)
 	for name, text := range files {
-		if err := write(filepath.Join(tmp, name), text); err != nil {
+		if err := writeFile(filepath.Join(tmp, name), text); err != nil {
 			return "", err
 		}
 	}
@@ -142,10 +142,10 @@
 }
 
 // create makes the files of a run folder; a test puts a disk that is full in its place.
-var create = func(name string) (io.WriteCloser, error) { return os.Create(name) }
+var createFile = func(name string) (io.WriteCloser, error) { return os.Create(name) }
 
-func write(name string, text []byte) error {
-	f, err := create(name)
+func writeFile(name string, text []byte) error {
+	f, err := createFile(name)
 	if err != nil {
 		return err
 	}
@@ -164,7 +164,7 @@
 		return nil, nil, fmt.Errorf("%s: %w", filepath.Join(dir, SummaryFile), err)
 	}
 	r := &Run{Summary: s.Summary, Classes: s.Classes, Verdict: s.Verdict, Events: s.Events, Broken: s.Broken,
-		Length: span(s.LengthS), Warmup: span(s.WarmupS)}
+		Length: durationOf(s.LengthS), Warmup: durationOf(s.WarmupS)}
 	if r.Queries, err = parquet.ReadFile[Query](filepath.Join(dir, QueriesFile)); err != nil {
 		return nil, nil, fmt.Errorf("%s: %w", filepath.Join(dir, QueriesFile), err)
 	}
--- a/internal/lab/record/print.go
+++ b/internal/lab/record/print.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-func span(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
+func durationOf(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
 
 // MS writes a span in milliseconds.
 func MS(d time.Duration) string { return fmt.Sprintf("%.1f ms", float64(d.Microseconds())/1000) }
--- a/internal/lab/record/record.go
+++ b/internal/lab/record/record.go
@@ -85,17 +85,17 @@
 
 // Class is what became of one class.
 type Class struct {
-	Name             string
-	Asked, Tries     int64
-	Answered, Whole  int64
-	Refused, Failed  int64
-	Left             int64
-	Goodput          float64
-	P50, P90, P99    time.Duration // of the answered, from the time they were due
-	P999, Max        time.Duration
-	P99All           time.Duration // of all, one that was not answered taken for its whole patience
-	value, earned    float64
-	answered, everyc *hdrhistogram.Histogram
+	Name                            string
+	Asked, Tries                    int64
+	Answered, Whole                 int64
+	Refused, Failed                 int64
+	Left                            int64
+	Goodput                         float64
+	P50, P90, P99                   time.Duration // of the answered, from the time they were due
+	P999, Max                       time.Duration
+	P99All                          time.Duration // of all, one that was not answered taken for its whole patience
+	value, earned                   float64
+	answeredLatencies, allLatencies *hdrhistogram.Histogram
 }
 
 // Event is something that happened.
@@ -152,23 +152,23 @@
 
 // Recorder gathers a run. One goroutine at a time may use it.
 type Recorder struct {
-	plan *scenario.Plan
-	keep bool
-	run  *Run
-	by   map[string]*Class
+	plan     *scenario.Plan
+	keepRows bool
+	run      *Run
+	byClass  map[string]*Class
 
-	seconds map[int][2]float64    // by the second it was due: value asked for and earned
-	tenants map[string][2]float64 // the same by tenant, within its share
+	bySecond map[int][2]float64    // by the second it was due: value asked for and earned
+	byTenant map[string][2]float64 // the same by tenant, within its share
 }
 
 // New returns a recorder; keep has it keep the rows of asks and seconds.
 func New(p *scenario.Plan, drive, policy string, keep bool) *Recorder {
-	r := &Recorder{plan: p, keep: keep, by: make(map[string]*Class), seconds: make(map[int][2]float64),
-		tenants: make(map[string][2]float64), run: &Run{Expect: p.Expect, Length: p.Length, Warmup: p.Warmup}}
+	r := &Recorder{plan: p, keepRows: keep, byClass: make(map[string]*Class), bySecond: make(map[int][2]float64),
+		byTenant: make(map[string][2]float64), run: &Run{Expect: p.Expect, Length: p.Length, Warmup: p.Warmup}}
 	r.run.Summary = Summary{Scenario: p.Name, Variation: scenario.Label(p.Values), Drive: drive, Policy: policy, Seed: int64(p.Draw)}
 	for _, c := range p.Scenario.Classes {
 		most := int64((c.Patience + 10*time.Second) / time.Microsecond)
-		r.by[c.Name] = &Class{Name: c.Name, answered: hdrhistogram.New(1, most, 3), everyc: hdrhistogram.New(1, most, 3)}
+		r.byClass[c.Name] = &Class{Name: c.Name, answeredLatencies: hdrhistogram.New(1, most, 3), allLatencies: hdrhistogram.New(1, most, 3)}
 	}
 	return r
 }
@@ -177,7 +177,7 @@
 func (r *Recorder) QueryDone(a *model.Ask, attempts int) {
 	counts := a.Due >= r.plan.Window[0] && a.Due < r.plan.Window[1]
 	took := max((a.Ended - a.Due).Microseconds(), 1)
-	if r.keep {
+	if r.keepRows {
 		r.run.Queries = append(r.run.Queries, Query{ID: a.ID, Class: a.Class.Name, Due: a.Due.Microseconds(), Took: took, Tries: int32(a.Tries),
 			Attempts: int32(attempts), Outcome: a.Outcome.Kind.String(), Whole: a.Outcome.Whole, Share: a.Outcome.Share, Earned: a.Earned * a.Value,
 			Value: a.Value, Counts: counts})
@@ -185,16 +185,16 @@
 	if !counts {
 		return
 	}
-	c := r.by[a.Class.Name]
+	c := r.byClass[a.Class.Name]
 	c.Asked++
 	c.Tries += int64(a.Tries)
 	c.value += a.Value
 	c.earned += a.Earned * a.Value
 	add := func(sum [2]float64) [2]float64 { return [2]float64{sum[0] + a.Value, sum[1] + a.Earned*a.Value} }
 	second := int(a.Due / time.Second)
-	r.seconds[second] = add(r.seconds[second])
+	r.bySecond[second] = add(r.bySecond[second])
 	if a.Tenant != "" && !a.Beyond {
-		r.tenants[a.Tenant] = add(r.tenants[a.Tenant])
+		r.byTenant[a.Tenant] = add(r.byTenant[a.Tenant])
 	}
 	switch a.Outcome.Kind {
 	case model.Answered:
@@ -202,10 +202,10 @@
 		if a.Outcome.Whole {
 			c.Whole++
 		}
-		c.answered.RecordValue(took)
-		c.everyc.RecordValue(took)
+		c.answeredLatencies.RecordValue(took)
+		c.allLatencies.RecordValue(took)
 	default:
-		if c.everyc.RecordValue(a.Class.Patience.Microseconds()); a.Outcome.Kind == model.Refused {
+		if c.allLatencies.RecordValue(a.Class.Patience.Microseconds()); a.Outcome.Kind == model.Refused {
 			c.Refused++
 		} else if a.Outcome.Kind == model.Left {
 			c.Left++
@@ -217,7 +217,7 @@
 
 // Look notes what a server did in a second.
 func (r *Recorder) ServerSample(second int, s *model.Spec, st model.Stats) {
-	if !r.keep {
+	if !r.keepRows {
 		return
 	}
 	r.run.Seconds = append(r.run.Seconds, Second{Second: int32(second), Server: s.Name, Site: s.Site, Cell: int32(s.Cell), Up: st.Up, Capacity: st.Share,
@@ -247,27 +247,27 @@
 func (r *Recorder) Fault(text string) { r.run.Broken = append(r.run.Broken, text) }
 
 // worstSpan is the span whose worst is told, in seconds.
-const worstSpan = 10
+const worstWindow = 10
 
 // worst finds the worst ten seconds and the worst-served tenant.
-func (r *Recorder) worst() (span, tenant float64) {
-	span, tenant = 1, 1
+func (r *Recorder) worstGoodput() (window, tenant float64) {
+	window, tenant = 1, 1
 	from, to := int(r.plan.Window[0]/time.Second), int(r.plan.Window[1]/time.Second)
-	for at := from; at == from || at+worstSpan <= to; at++ {
+	for at := from; at == from || at+worstWindow <= to; at++ {
 		var sum [2]float64
-		for s := at; s < min(at+worstSpan, to); s++ {
-			sum[0], sum[1] = sum[0]+r.seconds[s][0], sum[1]+r.seconds[s][1]
+		for s := at; s < min(at+worstWindow, to); s++ {
+			sum[0], sum[1] = sum[0]+r.bySecond[s][0], sum[1]+r.bySecond[s][1]
 		}
 		if sum[0] > 0 {
-			span = min(span, sum[1]/sum[0])
+			window = min(window, sum[1]/sum[0])
 		}
 	}
-	for _, sum := range r.tenants {
+	for _, sum := range r.byTenant {
 		if sum[0] > 0 {
 			tenant = min(tenant, sum[1]/sum[0])
 		}
 	}
-	return span, tenant
+	return window, tenant
 }
 
 // Done closes the record.
@@ -276,16 +276,16 @@
 	run.Verdict = v
 	all, value, earned := hdrhistogram.New(1, int64(20*time.Minute/time.Microsecond), 3), 0.0, 0.0
 	for _, c := range r.plan.Scenario.Classes {
-		x := r.by[c.Name]
+		x := r.byClass[c.Name]
 		q := func(h *hdrhistogram.Histogram, p float64) time.Duration {
 			return time.Duration(h.ValueAtQuantile(p)) * time.Microsecond
 		}
-		x.P50, x.P90, x.P99, x.P999, x.Max = q(x.answered, 50), q(x.answered, 90), q(x.answered, 99), q(x.answered, 99.9), q(x.answered, 100)
-		x.P99All = q(x.everyc, 99)
+		x.P50, x.P90, x.P99, x.P999, x.Max = q(x.answeredLatencies, 50), q(x.answeredLatencies, 90), q(x.answeredLatencies, 99), q(x.answeredLatencies, 99.9), q(x.answeredLatencies, 100)
+		x.P99All = q(x.allLatencies, 99)
 		if x.value > 0 {
 			x.Goodput = x.earned / x.value
 		}
-		all.Merge(x.answered)
+		all.Merge(x.answeredLatencies)
 		value, earned = value+x.value, earned+x.earned
 		s.Asked += x.Asked
 		s.Answered += x.Answered
@@ -297,7 +297,7 @@
 	if value > 0 {
 		s.Goodput = earned / value
 	}
-	s.Worst10, s.Tenant = r.worst()
+	s.Worst10, s.Tenant = r.worstGoodput()
 	s.P50, s.P99, s.P999 = all.ValueAtQuantile(50), all.ValueAtQuantile(99), all.ValueAtQuantile(99.9)
 	s.Queries, s.Lost, s.Late, s.Doubled, s.Wrong = int64(v.Queries), int64(v.Lost), int64(v.Late), int64(v.Doubled), int64(v.Wrong)
 	s.Drained, s.Capped, s.Pushed, s.Astray = int64(v.Drained), int64(v.Capped), int64(v.Pushed), int64(v.Astray)
--- a/internal/lab/record/record_test.go
+++ b/internal/lab/record/record_test.go
@@ -55,17 +55,17 @@
 }
 
 // full is a disk with room for so many bytes.
-type full struct{ left *int }
+type fullDisk struct{ remaining *int }
 
 var errFull = errors.New("no space left on device")
 
-func (f full) Write(b []byte) (int, error) {
-	if *f.left -= len(b); *f.left < 0 {
+func (f fullDisk) Write(b []byte) (int, error) {
+	if *f.remaining -= len(b); *f.remaining < 0 {
 		return 0, errFull
 	}
 	return len(b), nil
 }
-func (f full) Close() error { return nil }
+func (f fullDisk) Close() error { return nil }
 
 // When the disk is full the error says so, what was there stays, and nothing half
 // written is left.
@@ -75,11 +75,11 @@
 	r := sample()
 	_, err := r.Save(dir, "old")
 	require.NoError(t, err)
-	was := create
-	defer func() { create = was }()
+	was := createFile
+	defer func() { createFile = was }()
 	for _, room := range []int{0, 100, 1500, 3000} {
 		left := room
-		create = func(string) (io.WriteCloser, error) { return full{&left}, nil }
+		createFile = func(string) (io.WriteCloser, error) { return fullDisk{&left}, nil }
 		_, err = r.Save(dir, "new")
 		require.ErrorIs(t, err, errFull)
 	}
--- a/internal/lab/report/charts.go
+++ b/internal/lab/report/charts.go
@@ -23,8 +23,8 @@
 )
 
 const (
-	wide = 17 * vg.Centimeter
-	high = 6.2 * vg.Centimeter
+	chartWidth  = 17 * vg.Centimeter
+	chartHeight = 6.2 * vg.Centimeter
 )
 
 // colours are told apart by people who do not see all of them (Okabe and Ito 2008).
@@ -36,7 +36,7 @@
 func colour(i int) color.Color { return colours[i%len(colours)] }
 
 // line is one curve.
-type line struct {
+type curve struct {
 	name   string
 	points plotter.XYs
 	dashed bool
@@ -55,7 +55,7 @@
 
 // svg draws a plot; it starts at the <svg> element, to stand within a page.
 func svg(p *plot.Plot, h vg.Length) (string, error) {
-	c := vgsvg.NewWith(vgsvg.UseWH(wide, h))
+	c := vgsvg.NewWith(vgsvg.UseWH(chartWidth, h))
 	p.Draw(draw.New(c))
 	var b bytes.Buffer
 	if _, err := c.WriteTo(&b); err != nil {
@@ -68,9 +68,9 @@
 	return string(text), nil
 }
 
-func curves(title, y string, least, most float64, lines []line, events []record.Event) (string, error) {
+func drawCurves(title, y string, minY, maxY float64, lines []curve, events []record.Event) (string, error) {
 	p := newPlot(title, "seconds", y)
-	top := least
+	top := minY
 	for i, l := range lines {
 		if len(l.points) == 0 {
 			continue
@@ -89,19 +89,19 @@
 		p.Add(c)
 		p.Legend.Add(l.name, c)
 	}
-	p.Y.Min = least
-	if p.Y.Max = top * 1.5; most > 0 {
-		p.Y.Max = most
+	p.Y.Min = minY
+	if p.Y.Max = top * 1.5; maxY > 0 {
+		p.Y.Max = maxY
 	}
 	if p.Y.Max <= p.Y.Min {
 		p.Y.Max = p.Y.Min + 1
 	}
-	marks(p, events)
-	return svg(p, high)
+	markEvents(p, events)
+	return svg(p, chartHeight)
 }
 
 // marks draws a line where something happened; what happens at one second is one.
-func marks(p *plot.Plot, events []record.Event) {
+func markEvents(p *plot.Plot, events []record.Event) {
 	seen := make(map[int]bool)
 	for _, e := range events {
 		at := int(e.At / time.Second)
@@ -128,7 +128,7 @@
 
 // buckets cuts a run's asks by the time they were due. Their width grows with the
 // run, so that a chart has at most 240 points.
-func buckets(r *record.Run, class string) (list []bucket, width time.Duration) {
+func bucketQueries(r *record.Run, class string) (list []bucket, width time.Duration) {
 	width = time.Second
 	for r.Length/width > 240 {
 		width *= 2
@@ -163,51 +163,51 @@
 	return list, width
 }
 
-func series(list []bucket, width time.Duration, of func(*bucket) (float64, bool)) plotter.XYs {
+func series(list []bucket, width time.Duration, value func(*bucket) (float64, bool)) plotter.XYs {
 	var out plotter.XYs
 	for i := range list {
-		if y, ok := of(&list[i]); ok {
+		if y, ok := value(&list[i]); ok {
 			out = append(out, plotter.XY{X: (time.Duration(i)*width + width/2).Seconds(), Y: y})
 		}
 	}
 	return out
 }
 
-func good(b *bucket) (float64, bool) { return b.earned / max(b.value, 1e-9), b.value > 0 }
+func bucketGoodput(b *bucket) (float64, bool) { return b.earned / max(b.value, 1e-9), b.value > 0 }
 
 // Goodput is value earned over value asked for, by the time it was due.
 func goodput(r *record.Run) (string, error) {
-	all, width := buckets(r, "")
-	lines := []line{{name: "all", points: series(all, width, good)}}
+	all, width := bucketQueries(r, "")
+	lines := []curve{{name: "all", points: series(all, width, bucketGoodput)}}
 	for _, c := range r.Classes {
-		list, width := buckets(r, c.Name)
-		lines = append(lines, line{name: c.Name, points: series(list, width, good), dashed: true})
+		list, width := bucketQueries(r, c.Name)
+		lines = append(lines, curve{name: c.Name, points: series(list, width, bucketGoodput), dashed: true})
 	}
-	return curves("Goodput: value earned over value asked for", "share", 0, 1.6, lines, r.Events)
+	return drawCurves("Goodput: value earned over value asked for", "share", 0, 1.6, lines, r.Events)
 }
 
 // latency is the time to an answer, from when it was due, by percentile.
 func latency(r *record.Run) (string, error) {
-	list, width := buckets(r, "")
+	list, width := bucketQueries(r, "")
 	at := func(p float64) func(*bucket) (float64, bool) {
 		return func(b *bucket) (float64, bool) {
 			return float64(b.hist.ValueAtQuantile(p)) / 1000, b.hist.TotalCount() > 0
 		}
 	}
-	var lines []line
+	var lines []curve
 	for _, p := range []float64{50, 90, 99} {
-		lines = append(lines, line{name: fmt.Sprintf("p%v", p), points: series(list, width, at(p))})
+		lines = append(lines, curve{name: fmt.Sprintf("p%v", p), points: series(list, width, at(p))})
 	}
-	return curves("Time to the answer, from when it was due", "ms", 0, 0, lines, r.Events)
+	return drawCurves("Time to the answer, from when it was due", "ms", 0, 0, lines, r.Events)
 }
 
 // load is what was asked, refused and failed, and the attempts it took.
 func load(r *record.Run) (string, error) {
-	list, width := buckets(r, "")
+	list, width := bucketQueries(r, "")
 	per := func(f func(*bucket) float64) plotter.XYs {
 		return series(list, width, func(b *bucket) (float64, bool) { return f(b) / width.Seconds(), true })
 	}
-	return curves("Asks, tries and how they ended, a second", "a second", 0, 0, []line{
+	return drawCurves("Asks, tries and how they ended, a second", "a second", 0, 0, []curve{
 		{name: "asked", points: per(func(b *bucket) float64 { return b.asked })},
 		{name: "tries", points: per(func(b *bucket) float64 { return b.tries }), dashed: true},
 		{name: "refused", points: per(func(b *bucket) float64 { return b.refused })},
@@ -232,7 +232,7 @@
 			busy[i].Y += float64(s.Busy)
 		}
 	}
-	return curves("Parts at all servers, a second", "a second", 0, 0, []line{{name: "taken", points: taken}, {name: "served", points: served, dashed: true},
+	return drawCurves("Parts at all servers, a second", "a second", 0, 0, []curve{{name: "taken", points: taken}, {name: "served", points: served, dashed: true},
 		{name: "failed", points: failed}, {name: "turned away", points: busy}}, r.Events)
 }
 
@@ -256,7 +256,7 @@
 	p.Add(bars)
 	p.NominalX(names...)
 	p.Y.Min, p.Y.Max = 0, 1.08
-	return svg(p, high)
+	return svg(p, chartHeight)
 }
 
 // grid is a heat map's data: a row for each server, a column for each second.
@@ -272,11 +272,11 @@
 
 // mostRows bounds the rows of a heat map; beyond, some servers in a row share one,
 // which shows the greatest of them.
-const mostRows = 160
+const maxRows = 160
 
 // depth is how many parts each server held at most, by second; a server that is
 // down is white.
-func depth(r *record.Run) (string, error) {
+func queueDepth(r *record.Run) (string, error) {
 	var names []string
 	row := make(map[string]int)
 	for _, s := range r.Seconds {
@@ -288,10 +288,10 @@
 	if len(names) == 0 {
 		return "", nil
 	}
-	per := (len(names) + mostRows - 1) / mostRows
+	per := (len(names) + maxRows - 1) / maxRows
 	g := &grid{cols: max(int(r.Length/time.Second), 1), rows: (len(names) + per - 1) / per}
 	g.at = make([]float64, g.cols*g.rows)
-	most := 1.0
+	maxDepth := 1.0
 	for i := range g.at {
 		g.at[i] = math.NaN()
 	}
@@ -301,12 +301,12 @@
 			if v := float64(s.Held); math.IsNaN(*at) || v > *at {
 				*at = v
 			}
-			most = max(most, float64(s.Held))
+			maxDepth = max(maxDepth, float64(s.Held))
 		}
 	}
-	p := newPlot(fmt.Sprintf("Parts held at most, by server and second (darkest: %.0f; white: down)", most), "seconds", "server")
+	p := newPlot(fmt.Sprintf("Parts held at most, by server and second (darkest: %.0f; white: down)", maxDepth), "seconds", "server")
 	h := plotter.NewHeatMap(g, reversed{palette.Heat(24, 1)})
-	h.Min, h.Max, h.NaN = 0, most, color.White
+	h.Min, h.Max, h.NaN = 0, maxDepth, color.White
 	p.Add(h)
 	var ticks []plot.Tick
 	for i := 0; i < g.rows; i++ {
@@ -315,7 +315,7 @@
 		}
 	}
 	p.Y.Tick.Marker = plot.ConstantTicks(ticks)
-	return svg(p, max(high, vg.Length(g.rows)*vg.Points(3)+2*vg.Centimeter))
+	return svg(p, max(chartHeight, vg.Length(g.rows)*vg.Points(3)+2*vg.Centimeter))
 }
 
 // reversed is a palette from light to dark.
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -34,7 +34,7 @@
 
 type pair struct{ A, B chart }
 
-const mostEvents = 400
+const maxEvents = 400
 
 var funcs = template.FuncMap{
 	"ms": func(d time.Duration) string { return record.MS(d) },
@@ -43,7 +43,7 @@
 	"f4": func(f float64) string { return fmt.Sprintf("%+.4f", f) },
 	"g4": func(f float64) string { return fmt.Sprintf("%.4f", f) },
 	"first": func(e []record.Event) []record.Event {
-		return e[:min(len(e), mostEvents)]
+		return e[:min(len(e), maxEvents)]
 	},
 }
 
@@ -58,7 +58,7 @@
 pre{background:#f6f6f6;padding:.8em;overflow:auto;font-size:.85em}.note{color:#555}.better{color:#0a6b3d}.worse{color:#b00020}
 </style>`
 
-var single = template.Must(template.New("run").Funcs(funcs).Parse(`<!doctype html><html lang="en"><head><meta charset="utf-8"><title>{{.Title}}</title>` + style + `</head><body>
+var runPage = template.Must(template.New("run").Funcs(funcs).Parse(`<!doctype html><html lang="en"><head><meta charset="utf-8"><title>{{.Title}}</title>` + style + `</head><body>
 <h1>{{.Title}}</h1>
 <p class="note">{{with .Run.Summary}}{{.Drive}} drive, policy {{.Policy}}, seed {{.Seed}}, variation {{.Variation}}{{end}} · {{s .Run.Length}} of load, the first {{s .Run.Warmup}} not counted · {{.Where}}</p>
 <p><span class="{{if .Unmet}}fail{{else}}pass{{end}}">{{.Line}}</span></p>
@@ -76,7 +76,7 @@
 </body></html>
 `))
 
-var double = template.Must(template.New("compare").Funcs(funcs).Parse(`<!doctype html><html lang="en"><head><meta charset="utf-8"><title>{{.Title}}</title>` + style + `</head><body>
+var comparePage = template.Must(template.New("compare").Funcs(funcs).Parse(`<!doctype html><html lang="en"><head><meta charset="utf-8"><title>{{.Title}}</title>` + style + `</head><body>
 <h1>{{.Title}}</h1><p class="note">A: {{.A}}<br>B: {{.B}}</p>
 <h2>Figures, paired by variation and seed</h2>
 <table><tr><th>variation</th><th>figure</th><th>pairs</th><th>A</th><th>B</th><th>B − A</th><th>95% interval</th><th>B is</th></tr>
@@ -91,7 +91,7 @@
 	for _, c := range []struct {
 		name string
 		draw func(*record.Run) (string, error)
-	}{{"goodput", goodput}, {"latency", latency}, {"load", load}, {"attempts", attempts}, {"value", value}, {"depth", depth}} {
+	}{{"goodput", goodput}, {"latency", latency}, {"load", load}, {"attempts", attempts}, {"value", value}, {"depth", queueDepth}} {
 		text, err := c.draw(r)
 		if err != nil {
 			return nil, fmt.Errorf("chart %s: %w", c.name, err)
@@ -117,7 +117,7 @@
 	if saved != nil && len(unmet) == 0 && r.Verdict.Violations() > 0 {
 		line += " (a broken rule is what the scenario is to show)"
 	}
-	return single.Execute(w, page{Title: "Run of " + r.Summary.Scenario, Run: r, Line: line, Scenario: scenario, Where: where, Charts: list, Unmet: unmet, Faults: r.Verdict.Faults})
+	return runPage.Execute(w, page{Title: "Run of " + r.Summary.Scenario, Run: r, Line: line, Scenario: scenario, Where: where, Charts: list, Unmet: unmet, Faults: r.Verdict.Faults})
 }
 
 // Compare writes the page of two sides; a and b are a run of each, or nil.
@@ -136,5 +136,5 @@
 			p.Both = append(p.Both, pair{left[i], right[i]})
 		}
 	}
-	return double.Execute(w, p)
+	return comparePage.Execute(w, p)
 }
--- a/internal/lab/show/bar.go
+++ b/internal/lab/show/bar.go
@@ -14,8 +14,8 @@
 type Bar struct {
 	w        *os.File
 	terminal bool
-	what     string
-	begun    time.Time
+	label    string
+	started  time.Time
 
 	mu    sync.Mutex
 	last  time.Time
@@ -25,14 +25,14 @@
 // NewBar writes on w.
 func NewBar(w *os.File, what string) *Bar {
 	info, err := w.Stat()
-	return &Bar{w: w, terminal: err == nil && info.Mode()&os.ModeCharDevice != 0, what: what, begun: time.Now(), last: time.Now()}
+	return &Bar{w: w, terminal: err == nil && info.Mode()&os.ModeCharDevice != 0, label: what, started: time.Now(), last: time.Now()}
 }
 
 // Set shows a share in 0 to 1 and a remark.
 func (b *Bar) Set(share float64, remark string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	pause := every
+	pause := plainInterval
 	if b.terminal {
 		pause = 100 * time.Millisecond
 	}
@@ -42,11 +42,11 @@
 	b.last = time.Now()
 	share = min(max(share, 0), 1)
 	left := "?"
-	if spent := time.Since(b.begun); share > 0.005 {
+	if spent := time.Since(b.started); share > 0.005 {
 		left = time.Duration(float64(spent) * (1 - share) / share).Round(time.Second).String()
 	}
 	done := int(width * share)
-	line := fmt.Sprintf("%-13s [%s%s] %3.0f%%  %s left  %s", b.what, strings.Repeat("=", done), strings.Repeat(".", width-done), 100*share, left, remark)
+	line := fmt.Sprintf("%-13s [%s%s] %3.0f%%  %s left  %s", b.label, strings.Repeat("=", done), strings.Repeat(".", width-done), 100*share, left, remark)
 	if b.terminal {
 		fmt.Fprintf(b.w, "\r\x1b[K%s", line)
 		b.dirty = true
--- a/internal/lab/show/show.go
+++ b/internal/lab/show/show.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	width = 30
-	every = 10 * time.Second
+	width         = 30
+	plainInterval = 10 * time.Second
 )
 
 // Progress writes on one file.
@@ -40,9 +40,9 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if run != p.run {
-		p.run, p.last = run, -every
+		p.run, p.last = run, -plainInterval
 	}
-	if !p.terminal && s.At-p.last < every {
+	if !p.terminal && s.At-p.last < plainInterval {
 		return
 	}
 	p.last = s.At
