--- a/internal/lab/drill/file.go
+++ b/internal/lab/drill/file.go
@@ -25,7 +25,7 @@
 }
 
 // Mixer holds the section [mixer]: the limits that the platform sets for a proxy.
-type Mixer struct {
+type Proxy struct {
 	Count   int           `ini:"count" default:"1" range:"1..16" help:"proxies; clients use all of them in turn. Hooks are observed on the first"`
 	Cores   float64       `ini:"cores" default:"1" range:"0.05..64"`
 	Memory  inifile.Bytes `ini:"memory" default:"192MiB" range:"16MiB..16GiB" help:"memory limit; more resident memory than this fails the drill"`
@@ -110,7 +110,7 @@
 type Drill struct {
 	File string
 	Main
-	Mixer   Mixer
+	Proxy   Proxy
 	Fleet   Fleet
 	Reshape Reshape
 	Hooks   hook.Settings // Dir is the set at the start
@@ -139,7 +139,7 @@
 
 func decode(file string, doc *inifile.Doc) (*Drill, error) {
 	d := &Drill{File: file}
-	inifile.SetDefaults(&d.Mixer)
+	inifile.SetDefaults(&d.Proxy)
 	inifile.SetDefaults(&d.Fleet)
 	inifile.SetDefaults(&d.Reshape)
 	inifile.SetDefaults(&d.Hooks)
@@ -153,7 +153,7 @@
 		case "drill":
 			hasMain, err = true, s.Decode(&d.Main)
 		case "mixer":
-			err = s.Decode(&d.Mixer)
+			err = s.Decode(&d.Proxy)
 		case "fleet":
 			err = s.Decode(&d.Fleet)
 		case "hooks":
--- a/internal/lab/drill/run.go
+++ b/internal/lab/drill/run.go
@@ -74,18 +74,18 @@
 }
 
 type run struct {
-	d      *Drill
-	opt    Options
-	name   string
-	hooks  bool
-	dir    string
-	j      *judge.Judge
-	disco  *disco.Server
-	leaves map[string]*leaf.Server
-	addrs  map[string]string
-	world  *reshape.World
-	mixers []*child.Mixer
-	leafMu sync.Mutex // guards leaves once the drill runs
+	d       *Drill
+	opt     Options
+	name    string
+	hooks   bool
+	dir     string
+	j       *judge.Judge
+	disco   *disco.Server
+	leaves  map[string]*leaf.Server
+	addrs   map[string]string
+	world   *reshape.World
+	proxies []*child.Mixer
+	leafMu  sync.Mutex // guards leaves once the drill runs
 
 	evacuating sync.WaitGroup
 
@@ -135,7 +135,7 @@
 		return nil, err
 	}
 	logFile := filepath.Join(dir, strings.ReplaceAll(name, " ", "-")+".log")
-	for i := range d.Mixer.Count {
+	for i := range d.Proxy.Count {
 		file := logFile
 		if i > 0 {
 			file = strings.TrimSuffix(logFile, ".log") + fmt.Sprintf("-%d.log", i)
@@ -225,9 +225,9 @@
 	}
 	config := map[string]any{
 		"name": fmt.Sprintf("lab%d", n), "listen": listen, "discovery": r.disco.Addr, "seed": fmt.Sprintf("%016x", d.Seed+1+n),
-		"limits": map[string]any{"cores": d.Mixer.Cores, "memory_mb": int64(d.Mixer.Memory >> 20), "sockets": d.Mixer.Sockets},
+		"limits": map[string]any{"cores": d.Proxy.Cores, "memory_mb": int64(d.Proxy.Memory >> 20), "sockets": d.Proxy.Sockets},
 		"known":  r.disco.Snapshot(),
-		"settings": map[string]any{"balancers": d.Mixer.Count, "discovery": "ask", "resolution": 5000, "kinds": []string{"std-2c"}, "tenants": []any{},
+		"settings": map[string]any{"balancers": d.Proxy.Count, "discovery": "ask", "resolution": 5000, "kinds": []string{"std-2c"}, "tenants": []any{},
 			"request-classes": list(func(c Class) any {
 				return map[string]any{"name": c.Name, "aim": c.LatencyTarget.Microseconds(), "deadline": c.Timeout.Microseconds(), "effect": c.Effect,
 					"late-worth": 0.1, "memory-span": 5000000, "value": 1.0}
@@ -265,7 +265,7 @@
 	os.Remove(logFile)
 	x, err := child.Start(r.opt.Program, listen, logFile, ready, args...)
 	if err == nil {
-		r.mixers = append(r.mixers, x)
+		r.proxies = append(r.proxies, x)
 	}
 	return err
 }
@@ -316,8 +316,8 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var nextMixer atomic.Uint64
-	c := client.Config{Addr: func() string { return r.mixers[nextMixer.Add(1)%uint64(len(r.mixers))].Listen }, Shards: d.Fleet.Shards,
-		Seed: uint64(d.Seed), Judge: r.j, MaxIdle: d.Mixer.Sockets / 3}
+	c := client.Config{Addr: func() string { return r.proxies[nextMixer.Add(1)%uint64(len(r.proxies))].Listen }, Shards: d.Fleet.Shards,
+		Seed: uint64(d.Seed), Judge: r.j, MaxIdle: d.Proxy.Sockets / 3}
 	var reshaping sync.WaitGroup
 	if r.world != nil {
 		c.Map, c.Keys = func() *placement.Map { return r.world.Map(d.Reshape.EpochsBehind) }, r.world.Keys
@@ -366,7 +366,7 @@
 				return
 			case <-tick.C:
 			}
-			for _, x := range r.mixers {
+			for _, x := range r.proxies {
 				r.mu.Lock()
 				stopping := r.stopping
 				r.mu.Unlock()
@@ -390,7 +390,7 @@
 	r.evacuating.Wait()
 	span := time.Since(begin)
 	r.sample(begin)
-	r.stopMixers()
+	r.stopProxies()
 	result := &Run{Name: r.name, Verdict: r.j.Judge(begin.Add(d.Warmup), begin.Add(d.Length)), Unasked: clients.Close(), Log: logFile,
 		RSSMost: r.maxRSS, FilesTop: r.maxFiles, Faults: r.faults, Broken: r.problems}
 	result.Rate = float64(result.Verdict.Queries) / min(span, d.Length).Seconds()
@@ -407,7 +407,7 @@
 		result.Opened += n
 	}
 	result.Report = r.report
-	for _, x := range r.mixers {
+	for _, x := range r.proxies {
 		if x.Cmd.ProcessState != nil {
 			result.CPU += x.Cmd.ProcessState.UserTime() + x.Cmd.ProcessState.SystemTime()
 		}
@@ -444,7 +444,7 @@
 			break
 		}
 		before := rep.Swaps
-		for n := range r.mixers {
+		for n := range r.proxies {
 			if err = r.writeOperatorFile(n, r.d.resolvePath(s.Set)); err != nil {
 				break
 			}
@@ -568,7 +568,7 @@
 // sample records the proxies' memory, open files and hook counters.
 func (r *run) sample(begin time.Time) {
 	s := Sample{At: time.Since(begin), Of: r.d.Length, Open: r.j.Open()}
-	for _, x := range r.mixers {
+	for _, x := range r.proxies {
 		rss, files := child.Look(x.Cmd.Process.Pid)
 		s.RSS, s.Files = max(s.RSS, rss), max(s.Files, files)
 	}
@@ -596,18 +596,18 @@
 }
 
 func (r *run) signal(s os.Signal) {
-	for _, x := range r.mixers {
+	for _, x := range r.proxies {
 		x.Signal(s)
 	}
 }
 
 // stopMixers stops the proxies and checks how they exited.
-func (r *run) stopMixers() {
+func (r *run) stopProxies() {
 	r.mu.Lock()
 	r.stopping = true
 	r.mu.Unlock()
 	r.signal(syscall.SIGTERM)
-	for _, x := range r.mixers {
+	for _, x := range r.proxies {
 		if err := x.Wait(exitTimeout); err != nil {
 			r.addProblem("%v", err)
 		}
@@ -615,7 +615,7 @@
 }
 
 func (r *run) close() {
-	for _, x := range r.mixers {
+	for _, x := range r.proxies {
 		x.Kill()
 	}
 	if r.world != nil {
--- a/internal/lab/drill/verdict.go
+++ b/internal/lab/drill/verdict.go
@@ -44,11 +44,11 @@
 		if !run.Verdict.Pass() {
 			unmet("%s: rules were broken", run.Name)
 		}
-		if run.RSSMost > d.Mixer.Memory {
-			unmet("%s: %v of memory, above the limit of %v", run.Name, run.RSSMost, d.Mixer.Memory)
+		if run.RSSMost > d.Proxy.Memory {
+			unmet("%s: %v of memory, above the limit of %v", run.Name, run.RSSMost, d.Proxy.Memory)
 		}
-		if run.FilesTop > d.Mixer.Sockets {
-			unmet("%s: %d descriptors, above the limit of %d", run.Name, run.FilesTop, d.Mixer.Sockets)
+		if run.FilesTop > d.Proxy.Sockets {
+			unmet("%s: %d descriptors, above the limit of %d", run.Name, run.FilesTop, d.Proxy.Sockets)
 		}
 		if run.Rate < d.Expect.MinRate {
 			unmet("%s: %.0f queries a second, below the required %.0f", run.Name, run.Rate, d.Expect.MinRate)
--- a/internal/lab/judge/judge.go
+++ b/internal/lab/judge/judge.go
@@ -184,16 +184,16 @@
 
 // DrainReportedBy records what one of several sources reported to one proxy: that a
 // server drains, or that it serves again. A source lifts only its own drain reports.
-func (j *Judge) DrainReportedBy(mixer int, source, server string, draining bool, at time.Time) {
+func (j *Judge) DrainReportedBy(proxy int, source, server string, draining bool, at time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if !draining {
 		at = time.Time{}
 	}
-	j.recordDrain(serverMixerKey(server, mixer), source, at)
+	j.recordDrain(serverProxyKey(server, proxy), source, at)
 }
 
-func serverMixerKey(server string, mixer int) string { return server + "@" + strconv.Itoa(mixer) }
+func serverProxyKey(server string, proxy int) string { return server + "@" + strconv.Itoa(proxy) }
 
 func (j *Judge) recordDrain(key, source string, at time.Time) {
 	switch {
@@ -208,11 +208,11 @@
 
 // Restarted records that a server has a new process. Drains reported for the
 // previous process no longer apply.
-func (j *Judge) Restarted(server string, mixers int) {
+func (j *Judge) Restarted(server string, proxies int) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	for n := range mixers {
-		delete(j.drains, serverMixerKey(server, n))
+	for n := range proxies {
+		delete(j.drains, serverProxyKey(server, n))
 	}
 }
 
@@ -238,11 +238,11 @@
 }
 
 // ArrivedFrom is Arrived for an attempt sent by the proxy of that number.
-func (j *Judge) ArrivedFrom(mixer int, part, server string, at time.Time) *Attempt {
+func (j *Judge) ArrivedFrom(proxy int, part, server string, at time.Time) *Attempt {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	r := &attempt{part: part, server: server, arrivedAt: at}
-	for _, key := range []string{server, serverMixerKey(server, mixer)} {
+	for _, key := range []string{server, serverProxyKey(server, proxy)} {
 		for _, reportedAt := range j.drains[key] {
 			if at.Sub(reportedAt) > j.grace {
 				r.afterDrainBy = max(r.afterDrainBy, at.Sub(reportedAt))
@@ -409,7 +409,7 @@
 	}
 	for _, server := range j.overloadedCold {
 		v.Pushed++
-		j.fault("pushed: %s fell while it was cold: it was sent more than its slow-start capacity", server)
+		j.fault("pushed: %s crashed in slow start: it was sent more than its capacity", server)
 	}
 	v.Astray = j.misrouted
 	v.Faults = append(v.Faults, j.misroutedNotes...)
--- a/internal/lab/judge/judge_test.go
+++ b/internal/lab/judge/judge_test.go
@@ -29,18 +29,18 @@
 		mixer int
 		want  int
 	}{
-		"after the drain": {func(j *Judge) { j.DrainReportedBy(1, "consul", "a", true, at(0)) }, 1, 1},
-		"another mixer's": {func(j *Judge) { j.DrainReportedBy(1, "consul", "a", true, at(0)) }, 2, 0},
-		"another source serves": {func(j *Judge) {
+		"after the drain":                 {func(j *Judge) { j.DrainReportedBy(1, "consul", "a", true, at(0)) }, 1, 1},
+		"drain reported to another proxy": {func(j *Judge) { j.DrainReportedBy(1, "consul", "a", true, at(0)) }, 2, 0},
+		"another source reports serving": {func(j *Judge) {
 			j.DrainReportedBy(1, "consul", "a", true, at(0))
 			j.DrainReportedBy(1, "list", "a", false, at(5))
 		}, 1, 1},
-		"the same source serves": {func(j *Judge) {
+		"the same source reports serving": {func(j *Judge) {
 			j.DrainReportedBy(1, "consul", "a", true, at(0))
 			j.DrainReportedBy(1, "consul", "a", false, at(5))
 		}, 1, 0},
-		"its process is another": {func(j *Judge) { j.DrainReportedBy(1, "consul", "a", true, at(0)); j.Restarted("a", 3) }, 1, 0},
-		"told again, the first counts": {func(j *Judge) {
+		"the server restarted": {func(j *Judge) { j.DrainReportedBy(1, "consul", "a", true, at(0)); j.Restarted("a", 3) }, 1, 0},
+		"reported twice, the first counts": {func(j *Judge) {
 			j.DrainReportedBy(1, "consul", "a", true, at(0))
 			j.DrainReportedBy(1, "consul", "a", true, at(2400))
 		}, 1, 1},
@@ -75,25 +75,25 @@
 		scene func(j *Judge, q *Query)
 		want  Verdict
 	}{
-		"well": {"free-slots", func(j *Judge, q *Query) {
+		"correct answer": {"free-slots", func(j *Judge, q *Query) {
 			served(j, "q.1", "a", 10, 50, "v1")
 			q.Complete, q.Hits = true, []Hit{{Shard: 1, Value: "v1"}}
 		}, Verdict{}},
-		"tried again": {"free-slots", func(j *Judge, q *Query) {
+		"retried": {"free-slots", func(j *Judge, q *Query) {
 			served(j, "q.1", "a", 10, 50, "")
 			served(j, "q.1", "b", 51, 60, "v1")
 			q.Complete, q.Hits = true, []Hit{{Shard: 1, Value: "v1"}}
 		}, Verdict{}},
-		"lost":         {"free-slots", func(j *Judge, q *Query) { q.Outcome = Lost }, Verdict{Lost: 1}},
-		"late":         {"free-slots", func(j *Judge, q *Query) { q.Outcome, q.Ended = Failed, at(1051) }, Verdict{Late: 1}},
-		"just in time": {"free-slots", func(j *Judge, q *Query) { q.Outcome, q.Ended = Failed, at(1050) }, Verdict{}},
-		"two answers":  {"free-slots", func(j *Judge, q *Query) { q.Outcome, q.ExtraAnswer = Refused, true }, Verdict{Doubled: 1}},
-		"two attempts at once": {"free-slots", func(j *Judge, q *Query) {
+		"lost":                 {"free-slots", func(j *Judge, q *Query) { q.Outcome = Lost }, Verdict{Lost: 1}},
+		"late":                 {"free-slots", func(j *Judge, q *Query) { q.Outcome, q.Ended = Failed, at(1051) }, Verdict{Late: 1}},
+		"within the tolerance": {"free-slots", func(j *Judge, q *Query) { q.Outcome, q.Ended = Failed, at(1050) }, Verdict{}},
+		"two answers":          {"free-slots", func(j *Judge, q *Query) { q.Outcome, q.ExtraAnswer = Refused, true }, Verdict{Doubled: 1}},
+		"two attempts in flight": {"free-slots", func(j *Judge, q *Query) {
 			served(j, "q.1", "a", 10, 90, "")
 			served(j, "q.1", "b", 50, 60, "v1")
 			q.Complete, q.Hits = true, []Hit{{Shard: 1, Value: "v1"}}
 		}, Verdict{Doubled: 1}},
-		"never given up": {"free-slots", func(j *Judge, q *Query) {
+		"first attempt never ended": {"free-slots", func(j *Judge, q *Query) {
 			j.Arrived("q.1", "a", at(10))
 			served(j, "q.1", "b", 50, 60, "v1")
 			q.Complete, q.Hits = true, []Hit{{Shard: 1, Value: "v1"}}
@@ -107,24 +107,24 @@
 			served(j, "q.1", "a", 10, 50, "v1")
 			q.Outcome = Refused
 		}, Verdict{Wrong: 1}},
-		"made up": {"free-slots", func(j *Judge, q *Query) {
+		"value of no server": {"free-slots", func(j *Judge, q *Query) {
 			served(j, "q.1", "a", 10, 50, "v1")
 			q.Complete, q.Hits = true, []Hit{{Shard: 1, Value: "v2"}}
 		}, Verdict{Wrong: 1}},
-		"not asked for": {"free-slots", func(j *Judge, q *Query) { q.Complete, q.Hits = true, []Hit{{Shard: 7, Value: "v"}} }, Verdict{Wrong: 1}},
-		"whole with too little": {"free-slots", func(j *Judge, q *Query) {
+		"part not requested": {"free-slots", func(j *Judge, q *Query) { q.Complete, q.Hits = true, []Hit{{Shard: 7, Value: "v"}} }, Verdict{Wrong: 1}},
+		"complete below the required share": {"free-slots", func(j *Judge, q *Query) {
 			served(j, "q.0", "a", 10, 50, "v")
 			q.Complete, q.Hits = true, []Hit{{Shard: 0, Value: "v"}}
 		}, Verdict{Wrong: 1}},
-		"less than the least": {"free-slots", func(j *Judge, q *Query) {
+		"partial below the minimum share": {"free-slots", func(j *Judge, q *Query) {
 			served(j, "q.0", "a", 10, 50, "v")
 			q.Hits = []Hit{{Shard: 0, Value: "v"}}
 		}, Verdict{Wrong: 1}},
-		"twice in one answer": {"free-slots", func(j *Judge, q *Query) {
+		"shard twice in one answer": {"free-slots", func(j *Judge, q *Query) {
 			served(j, "q.1", "a", 10, 50, "v")
 			q.Complete, q.Hits = true, []Hit{{Shard: 1, Value: "v"}, {Shard: 1, Value: "v"}}
 		}, Verdict{Wrong: 1}},
-		"nobody asked": {"free-slots", func(j *Judge, q *Query) {
+		"attempt without a query": {"free-slots", func(j *Judge, q *Query) {
 			j.Arrived("x.1", "a", at(1)).Finished(at(2), "")
 			q.Outcome = Refused
 		}, Verdict{Wrong: 1}},
@@ -137,7 +137,7 @@
 		t.Run(name, func(t *testing.T) {
 			got := judgeScene(c.class, c.scene)
 			require.Equal(t, c.want, Verdict{Lost: got.Lost, Late: got.Late, Doubled: got.Doubled, Wrong: got.Wrong, Drained: got.Drained})
-			require.Equal(t, name == "well" || name == "tried again" || name == "just in time", got.Pass())
+			require.Equal(t, name == "correct answer" || name == "retried" || name == "within the tolerance", got.Pass())
 			require.Equal(t, got.Pass(), len(got.Faults) == 0)
 		})
 	}
--- a/internal/lab/oracle/oracle.go
+++ b/internal/lab/oracle/oracle.go
@@ -40,7 +40,7 @@
 // policy makes the decisions of one proxy.
 type policy struct {
 	w          *virtual.World
-	mixer      int
+	proxy      int
 	set        choice.Settings
 	omniscient bool // sees the servers' true state
 	rng        *rand.Rand
@@ -59,17 +59,17 @@
 }
 
 // True returns a policy that sees every server's true state.
-func True(w *virtual.World, mixer, life int, seed uint64, set choice.Settings) (exchange.Decider, error) {
-	return build(w, mixer, seed, set, true)
+func True(w *virtual.World, proxy, life int, seed uint64, set choice.Settings) (exchange.Decider, error) {
+	return build(w, proxy, seed, set, true)
 }
 
 // Blind returns a policy that selects any replica of the list at random.
-func Blind(w *virtual.World, mixer, life int, seed uint64, set choice.Settings) (exchange.Decider, error) {
-	return build(w, mixer, seed, set, false)
+func Blind(w *virtual.World, proxy, life int, seed uint64, set choice.Settings) (exchange.Decider, error) {
+	return build(w, proxy, seed, set, false)
 }
 
-func build(w *virtual.World, mixer int, seed uint64, set choice.Settings, omniscient bool) (exchange.Decider, error) {
-	p := &policy{w: w, mixer: mixer, set: set, omniscient: omniscient, rng: rand.New(rand.NewPCG(seed, 1)), classes: make(map[string]*choice.Class),
+func build(w *virtual.World, proxy int, seed uint64, set choice.Settings, omniscient bool) (exchange.Decider, error) {
+	p := &policy{w: w, proxy: proxy, set: set, omniscient: omniscient, rng: rand.New(rand.NewPCG(seed, 1)), classes: make(map[string]*choice.Class),
 		cells: make([][]string, set.Cells), states: make(map[string]choice.State), queries: make(map[string]*query),
 		byNumber: make(map[int64]*query), parts: make(map[string]*part), timers: make(map[int64]func()), inFlight: make(map[string]int)}
 	for i := range set.Classes {
@@ -278,7 +278,7 @@
 		s := p.w.Servers[n]
 		up, _ := s.Running()
 		c := s.Capacity()
-		if !up || c <= 0 || s.Sick(x.q.class.Name) || !p.w.Reaches(p.mixer, n) || s.Held() >= s.Room+s.Cores {
+		if !up || c <= 0 || s.Sick(x.q.class.Name) || !p.w.Reaches(p.proxy, n) || s.Held() >= s.Room+s.Cores {
 			continue
 		}
 		// A server in slow start gets half of its capacity, since other proxies send too.
--- a/internal/lab/oracle/oracle_test.go
+++ b/internal/lab/oracle/oracle_test.go
@@ -54,13 +54,13 @@
 // Servers in slow start must not be overloaded. The policy that knows neither windows
 // nor slow start breaks this rule, and the judge must detect it. The proxy's policy and
 // the policy that sees the true state must keep every rule.
-func TestCold(t *testing.T) {
+func TestSlowStart(t *testing.T) {
 	blind := play(t, Blind)
 	require.Positive(t, blind.Verdict.Pushed)
-	require.Contains(t, strings.Join(blind.Verdict.Faults, "\n"), "fell while it was cold")
-	mixer, omniscient := play(t, virtual.Mixer), play(t, True)
-	require.Zero(t, mixer.Verdict.Violations(), "%s", mixer.Verdict.Faults)
+	require.Contains(t, strings.Join(blind.Verdict.Faults, "\n"), "crashed in slow start")
+	proxy, omniscient := play(t, virtual.Mixer), play(t, True)
+	require.Zero(t, proxy.Verdict.Violations(), "%s", proxy.Verdict.Faults)
 	require.Zero(t, omniscient.Verdict.Violations(), "%s", omniscient.Verdict.Faults)
 	require.Greater(t, omniscient.Summary.Goodput, blind.Summary.Goodput)
-	require.Greater(t, mixer.Summary.Goodput, blind.Summary.Goodput)
+	require.Greater(t, proxy.Summary.Goodput, blind.Summary.Goodput)
 }
--- a/internal/lab/real/host.go
+++ b/internal/lab/real/host.go
@@ -73,7 +73,7 @@
 // endpoint is the address at which one proxy reaches a server.
 type endpoint struct {
 	h           *host
-	mixer       int
+	proxy       int
 	site        int
 	addr        string
 	ln          net.Listener
@@ -297,7 +297,7 @@
 			}
 			for n, p := range parts {
 				now, head := time.Now(), n%max(h.r.plan.Settings.Bundle, 1) == 0
-				f := &pendingPart{attempt: h.r.j.ArrivedFrom(c.d.mixer, p.ID, h.name, now)}
+				f := &pendingPart{attempt: h.r.j.ArrivedFrom(c.d.proxy, p.ID, h.name, now)}
 				if !h.r.plan.Holds(h.index, p.Shard) {
 					h.r.j.Misrouted(p.ID, h.name)
 				}
--- a/internal/lab/real/real.go
+++ b/internal/lab/real/real.go
@@ -31,7 +31,7 @@
 // Limits on a scenario for one machine.
 const (
 	maxServers  = 256
-	maxMixers   = 8
+	maxProxies  = 8
 	maxRate     = 4000 // queries a second
 	exitTimeout = 30 * time.Second
 )
@@ -87,15 +87,15 @@
 	outcomes        [5]int            // number of ended queries by model.Kind
 	partCount       int
 
-	mixMu    sync.Mutex
-	mixers   []*mixer
+	proxyMu  sync.Mutex
+	proxies  []*proxy
 	maxRSS   int64
 	maxFiles int
 	cpu      time.Duration
 	stopped  bool
 }
 
-type mixer struct {
+type proxy struct {
 	n           int
 	incarnation int
 	listen      string
@@ -109,8 +109,8 @@
 	switch {
 	case len(p.Servers) > maxServers:
 		return nil, fmt.Errorf("%d servers: the real drive supports at most %d; use the virtual drive", len(p.Servers), maxServers)
-	case p.Mixers.Count > maxMixers:
-		return nil, fmt.Errorf("%d mixers: the real drive supports at most %d; use the virtual drive", p.Mixers.Count, maxMixers)
+	case p.Mixers.Count > maxProxies:
+		return nil, fmt.Errorf("%d mixers: the real drive supports at most %d; use the virtual drive", p.Mixers.Count, maxProxies)
 	}
 	rate := 0.0
 	for _, c := range p.Classes {
@@ -161,7 +161,7 @@
 		h.server.Down = func(*model.Server) { h.serverDown() }
 		h.server.Up = func(*model.Server) { h.serverUp() }
 		for n := range p.Mixers.Count {
-			d := &endpoint{h: h, mixer: n, site: r.net.Site(p.MixerSite(n)), conns: make(map[*conn]bool)}
+			d := &endpoint{h: h, proxy: n, site: r.net.Site(p.MixerSite(n)), conns: make(map[*conn]bool)}
 			h.endpoints = append(h.endpoints, d)
 			if err := d.listen(); err != nil {
 				return err
@@ -179,8 +179,8 @@
 		if err != nil {
 			return err
 		}
-		m := &mixer{n: n, listen: fmt.Sprintf("127.0.0.1:%d", port)}
-		r.mixers = append(r.mixers, m)
+		m := &proxy{n: n, listen: fmt.Sprintf("127.0.0.1:%d", port)}
+		r.proxies = append(r.proxies, m)
 		if err := r.start(m); err != nil {
 			return err
 		}
@@ -192,9 +192,9 @@
 
 var discoveryStatus = map[model.Standing]string{model.Serving: "SERVING", model.Draining: "DRAINING", model.Deleted: "DELETED"}
 
-func (r *run) discoveryEntry(mixer int, e model.Entry) disco.Entry {
+func (r *run) discoveryEntry(proxy int, e model.Entry) disco.Entry {
 	spec := &r.plan.Servers[e.Server]
-	out := disco.Entry{Name: spec.Name, Address: r.hosts[e.Server].endpoints[mixer].addr, Zone: spec.Site, Type: spec.Group, Group: spec.Cell,
+	out := disco.Entry{Name: spec.Name, Address: r.hosts[e.Server].endpoints[proxy].addr, Zone: spec.Site, Type: spec.Group, Group: spec.Cell,
 		Status: discoveryStatus[e.Standing], Weight: 1}
 	if e.Since >= 0 {
 		out.Since = r.begin.Add(e.Since).UnixMilli()
@@ -202,7 +202,7 @@
 	return out
 }
 
-func (r *run) start(m *mixer) error {
+func (r *run) start(m *proxy) error {
 	p := r.plan
 	set, err := p.MixerSettings()
 	if err != nil {
@@ -234,9 +234,9 @@
 	if err != nil {
 		return err
 	}
-	r.mixMu.Lock()
+	r.proxyMu.Lock()
 	m.proc, m.endPlanned = proc, false
-	r.mixMu.Unlock()
+	r.proxyMu.Unlock()
 	return nil
 }
 
@@ -331,7 +331,7 @@
 	for _, c := range p.Classes {
 		longest = max(longest, c.Patience)
 	}
-	r.clients = &model.Clients{Sched: clock{r.begin, &r.clientMu}, Classes: p.Classes, Tenants: p.NewTenants(), OverWorth: p.Over, Retry: p.Retry(), Seed: p.Draw, Length: p.Length, Pick: r.pickMixer,
+	r.clients = &model.Clients{Sched: clock{r.begin, &r.clientMu}, Classes: p.Classes, Tenants: p.NewTenants(), OverWorth: p.Over, Retry: p.Retry(), Seed: p.Draw, Length: p.Length, Pick: r.pickProxy,
 		Send: r.sendQuery, Leave: r.cancelQuery, Over: func(a *model.Ask) {
 			r.recMu.Lock()
 			defer r.recMu.Unlock()
@@ -383,7 +383,7 @@
 	if n := r.httpClients.Close(); n > 0 {
 		r.recordFault("%d unsolicited answers arrived", n)
 	}
-	r.stopMixers()
+	r.stopProxies()
 	r.recMu.Lock()
 	defer r.recMu.Unlock()
 	run := r.rec.Finish(r.j.Judge(r.begin.Add(p.Window[0]), r.begin.Add(p.Window[1])))
@@ -433,7 +433,7 @@
 		}
 	case c.Do == model.Kill, c.Do == model.Restart:
 		r.recordEvent("%v %d", c, c.Target)
-		r.changeMixer(c)
+		r.changeProxy(c)
 	case c.Do == model.Switch:
 		r.recordEvent("%v %s", c, strings.Join(c.Others, " "))
 		r.switchSources(c)
@@ -478,16 +478,16 @@
 }
 
 // changeMixer stops a proxy's process, or starts it again.
-func (r *run) changeMixer(c model.Change) {
-	m := r.mixers[c.Target]
+func (r *run) changeProxy(c model.Change) {
+	m := r.proxies[c.Target]
 	if c.On {
-		r.mixMu.Lock()
+		r.proxyMu.Lock()
 		proc := m.proc
 		m.proc, m.endPlanned = nil, true
 		if c.Do == model.Restart {
 			m.inRotation = false
 		}
-		r.mixMu.Unlock()
+		r.proxyMu.Unlock()
 		if proc == nil {
 			return
 		}
@@ -503,8 +503,8 @@
 		}
 		go func() { proc.Kill(); r.addCPU(proc) }()
 		time.AfterFunc(r.plan.Mixers.Notice, func() {
-			r.mixMu.Lock()
-			defer r.mixMu.Unlock()
+			r.proxyMu.Lock()
+			defer r.proxyMu.Unlock()
 			if m.proc == nil {
 				m.inRotation = false
 			}
@@ -512,9 +512,9 @@
 		return
 	}
 	go func() {
-		r.mixMu.Lock()
+		r.proxyMu.Lock()
 		stopped, runs := r.stopped, m.proc != nil
-		r.mixMu.Unlock()
+		r.proxyMu.Unlock()
 		if stopped || runs {
 			return
 		}
@@ -522,17 +522,17 @@
 			r.recordFault("mixer %d did not start again: %v", m.n, err)
 			return
 		}
-		r.mixMu.Lock()
+		r.proxyMu.Lock()
 		m.inRotation = true
-		r.mixMu.Unlock()
+		r.proxyMu.Unlock()
 	}()
 }
 
 func (r *run) addCPU(proc *child.Mixer) {
 	if s := proc.Cmd.ProcessState; s != nil {
-		r.mixMu.Lock()
+		r.proxyMu.Lock()
 		r.cpu += s.UserTime() + s.SystemTime()
-		r.mixMu.Unlock()
+		r.proxyMu.Unlock()
 	}
 }
 
@@ -561,8 +561,8 @@
 			}
 		}
 		up, rss := 0, int64(0)
-		r.mixMu.Lock()
-		for _, m := range r.mixers {
+		r.proxyMu.Lock()
+		for _, m := range r.proxies {
 			if m.proc == nil {
 				continue
 			}
@@ -582,7 +582,7 @@
 			r.maxFiles = max(r.maxFiles, files)
 		}
 		r.maxRSS = max(r.maxRSS, rss)
-		r.mixMu.Unlock()
+		r.proxyMu.Unlock()
 		if r.opt.Progress != nil {
 			r.clientMu.Lock()
 			open := r.clients.Open
@@ -601,11 +601,11 @@
 
 // ---- Clients. The model calls pickMixer, sendQuery and cancelQuery under clientMu.
 
-func (r *run) pickMixer(random uint64) int {
-	r.mixMu.Lock()
-	defer r.mixMu.Unlock()
+func (r *run) pickProxy(random uint64) int {
+	r.proxyMu.Lock()
+	defer r.proxyMu.Unlock()
 	var up []int
-	for _, m := range r.mixers {
+	for _, m := range r.proxies {
 		if m.inRotation {
 			up = append(up, m.n)
 		}
@@ -629,7 +629,7 @@
 		r.keysByQuery[t.Ask.ID] = t.Ask.Key
 		r.recMu.Unlock()
 	}
-	m := r.mixers[t.Mixer]
+	m := r.proxies[t.Mixer]
 	r.openQueries.Add(1)
 	go func() {
 		defer r.openQueries.Done()
@@ -650,11 +650,11 @@
 			reply.Kind = model.Left
 		case judge.Lost:
 			reply.Kind = model.Lost
-			r.mixMu.Lock()
+			r.proxyMu.Lock()
 			if m.endPlanned || m.proc == nil { // stopped by the script
 				q.Outcome = judge.ProxyKilled
 			}
-			r.mixMu.Unlock()
+			r.proxyMu.Unlock()
 		default:
 			reply.Kind = model.Failed
 		}
@@ -675,17 +675,17 @@
 // ---- The end.
 
 // stopMixers stops the proxies and checks how they exited.
-func (r *run) stopMixers() {
-	r.mixMu.Lock()
+func (r *run) stopProxies() {
+	r.proxyMu.Lock()
 	r.stopped = true
 	var procs []*child.Mixer
-	for _, m := range r.mixers {
+	for _, m := range r.proxies {
 		if m.proc != nil {
 			m.endPlanned = true
 			procs = append(procs, m.proc)
 		}
 	}
-	r.mixMu.Unlock()
+	r.proxyMu.Unlock()
 	for _, p := range procs {
 		p.Signal(syscall.SIGTERM)
 	}
@@ -698,15 +698,15 @@
 }
 
 func (r *run) close() {
-	r.mixMu.Lock()
+	r.proxyMu.Lock()
 	r.stopped = true
 	var procs []*child.Mixer
-	for _, m := range r.mixers {
+	for _, m := range r.proxies {
 		if m.proc != nil {
 			procs = append(procs, m.proc)
 		}
 	}
-	r.mixMu.Unlock()
+	r.proxyMu.Unlock()
 	for _, p := range procs {
 		p.Kill()
 	}
--- a/internal/lab/real/sources.go
+++ b/internal/lab/real/sources.go
@@ -109,9 +109,9 @@
 	return nil
 }
 
-func (r *run) consulInstance(mixer int, e model.Entry) consulapi.Instance {
+func (r *run) consulInstance(proxy int, e model.Entry) consulapi.Instance {
 	spec := &r.plan.Servers[e.Server]
-	i := consulapi.Instance{ID: spec.Name, Node: "node-" + spec.Name, Site: spec.Site, Kind: spec.Group, Address: r.hosts[e.Server].endpoints[mixer].addr,
+	i := consulapi.Instance{ID: spec.Name, Node: "node-" + spec.Name, Site: spec.Site, Kind: spec.Group, Address: r.hosts[e.Server].endpoints[proxy].addr,
 		Cell: (spec.Cell + e.Shift) % r.plan.Groups[0].Cells, Status: "passing", Maintenance: e.Standing == model.Draining}
 	if e.Standing == model.Sick {
 		i.Status = "critical"
@@ -122,9 +122,9 @@
 	return i
 }
 
-func (r *run) dnsTarget(mixer int, e model.Entry) dnsserver.Target {
+func (r *run) dnsTarget(proxy int, e model.Entry) dnsserver.Target {
 	spec := &r.plan.Servers[e.Server]
-	host, port, _ := net.SplitHostPort(r.hosts[e.Server].endpoints[mixer].addr)
+	host, port, _ := net.SplitHostPort(r.hosts[e.Server].endpoints[proxy].addr)
 	n, _ := strconv.Atoi(port)
 	since := int64(0)
 	if e.Since >= 0 {
@@ -279,10 +279,10 @@
 	if c.On {
 		active = c.Others
 	}
-	r.mixMu.Lock()
-	defer r.mixMu.Unlock()
+	r.proxyMu.Lock()
+	defer r.proxyMu.Unlock()
 	r.activeSources = active
-	for _, m := range r.mixers {
+	for _, m := range r.proxies {
 		if m.proc == nil {
 			continue
 		}
@@ -296,7 +296,7 @@
 
 // recordMembers records, at the end, what every proxy reports about its member list.
 func (r *run) recordMembers() {
-	for _, m := range r.mixers {
+	for _, m := range r.proxies {
 		var rep members.Report
 		if m.proc == nil {
 			continue
--- a/internal/lab/record/record.go
+++ b/internal/lab/record/record.go
@@ -238,9 +238,9 @@
 }
 
 // Level records a change of a proxy's service level.
-func (r *Recorder) Level(at time.Duration, mixer int, from, to, why string) {
-	r.run.Levels = append(r.run.Levels, LevelLine{at, mixer, from, to, why})
-	r.Event(at, fmt.Sprintf("mixer %d: level %s -> %s: %s", mixer, from, to, why))
+func (r *Recorder) Level(at time.Duration, proxy int, from, to, why string) {
+	r.run.Levels = append(r.run.Levels, LevelLine{at, proxy, from, to, why})
+	r.Event(at, fmt.Sprintf("mixer %d: level %s -> %s: %s", proxy, from, to, why))
 }
 
 // Fault records a problem that is not a rule violation.
