--- a/internal/lab/drill/run.go
+++ b/internal/lab/drill/run.go
@@ -84,7 +84,7 @@
 	leaves  map[string]*leaf.Server
 	addrs   map[string]string
 	world   *reshape.World
-	proxies []*child.Mixer
+	proxies []*child.Proxy
 	leafMu  sync.Mutex // guards leaves once the drill runs
 
 	evacuating sync.WaitGroup
@@ -166,8 +166,8 @@
 			every = 0
 		}
 		var err error
-		if r.world, err = reshape.New(reshape.Config{Cells: cells, Segments: c.Segments, PerSeg: c.KeysPerSegment, Every: every, Step: c.Step, Lag: c.Lag,
-			Abort: c.AbortShare, Die: c.CrashShare, Away: c.CrashDowntime, NoFence: !c.Fence, CutKill: c.KillAfterCutover, Kill: r.killCell, Seed: uint64(d.Seed), Judge: r.j}); err != nil {
+		if r.world, err = reshape.New(reshape.Config{Cells: cells, Segments: c.Segments, KeysPerSegment: c.KeysPerSegment, Interval: every, StepTime: c.Step, FeedDelay: c.Lag,
+			AbortShare: c.AbortShare, CrashShare: c.CrashShare, Downtime: c.CrashDowntime, NoFence: !c.Fence, HandoverKillShare: c.KillAfterCutover, KillCell: r.killCell, Seed: uint64(d.Seed), Judge: r.j}); err != nil {
 			return err
 		}
 	}
@@ -184,7 +184,7 @@
 	if r.disco, err = disco.Listen(entries); err != nil {
 		return err
 	}
-	r.disco.Told = func(e disco.Entry, at time.Time) {
+	r.disco.OnSent = func(e disco.Entry, at time.Time) {
 		if e.Status == "SERVING" {
 			at = time.Time{}
 		}
@@ -195,12 +195,12 @@
 
 func (r *run) model(i int, name string) leaf.Model {
 	f := r.d.Fleet
-	var keeper leaf.Keeper
+	var keeper leaf.KeyOwner
 	if r.world != nil {
 		cell, _ := strconv.Atoi(strings.Split(name, "-")[1])
-		keeper = &reshape.Keeper{W: r.world, Cell: cell}
+		keeper = &reshape.CellOwner{World: r.world, Cell: cell}
 	}
-	return leaf.Model{Keeper: keeper, Warm: f.WarmTime, Cores: f.Cores, Room: f.QueueCapacity, Median: f.Median, Sigma: f.Sigma, Seed: uint64(r.d.Seed)<<16 + uint64(i)}
+	return leaf.Model{Owner: keeper, SlowStartTime: f.WarmTime, Cores: f.Cores, QueueLimit: f.QueueCapacity, Median: f.Median, Sigma: f.Sigma, Seed: uint64(r.d.Seed)<<16 + uint64(i)}
 }
 
 func (r *run) entry(name, status string) disco.Entry {
@@ -488,7 +488,7 @@
 	case "hang", "fail", "busy", "claim", "well":
 		r.leafMu.Lock()
 		defer r.leafMu.Unlock()
-		r.leaves[s.Server].Set(map[string]leaf.Mode{"hang": leaf.Hang, "fail": leaf.Fail, "busy": leaf.Busy, "claim": leaf.Claim, "well": leaf.Well}[s.Action])
+		r.leaves[s.Server].Set(map[string]leaf.Mode{"hang": leaf.Hang, "fail": leaf.Fail, "busy": leaf.Busy, "claim": leaf.IgnoreOwnership, "well": leaf.Healthy}[s.Action])
 	case "kill":
 		r.leafMu.Lock()
 		r.leaves[s.Server].Close()
@@ -516,7 +516,7 @@
 // revive restarts a crashed server, in slow start if the drill sets a cold share.
 func (r *run) revive(name string) error {
 	m := r.model(indexOf(r.d.Servers(), name), name)
-	m.Cold = r.d.Fleet.ColdShare
+	m.SlowStartShare = r.d.Fleet.ColdShare
 	r.leafMu.Lock()
 	defer r.leafMu.Unlock()
 	r.leaves[name].Close()
@@ -525,7 +525,7 @@
 		return err
 	}
 	r.leaves[name] = l
-	if m.Cold > 0 {
+	if m.SlowStartShare > 0 {
 		e := r.entry(name, "SERVING")
 		e.Since = time.Now().UnixMilli()
 		r.disco.Put(e)
@@ -569,7 +569,7 @@
 func (r *run) sample(begin time.Time) {
 	s := Sample{At: time.Since(begin), Of: r.d.Length, Open: r.j.Open()}
 	for _, x := range r.proxies {
-		rss, files := child.Look(x.Cmd.Process.Pid)
+		rss, files := child.ResourceUsage(x.Cmd.Process.Pid)
 		s.RSS, s.Files = max(s.RSS, rss), max(s.Files, files)
 	}
 	var rep hook.Report
--- a/internal/lab/model/client.go
+++ b/internal/lab/model/client.go
@@ -1,7 +1,7 @@
 package model
 
-// Clients: what they ask, how long they wait, and what they do when they are told
-// no. The same code asks on both drives; only the sending is the drive's.
+// This file models clients: what they request, how long they wait, and how they retry after a
+// rejection. Both drivers use it; only sending a query differs between them.
 
 import (
 	"math/rand/v2"
@@ -9,44 +9,44 @@
 	"time"
 )
 
-// Class is what clients ask for.
+// Class is a class of requests.
 type Class struct {
-	Name      string
-	Index     int // tells its asks from other classes'
-	Arrivals  Arrivals
-	Parts     int
-	PartsMost int // each query has between Parts and so many; 0: Parts
-	Zipf      *Zipf
-	Row       bool          // its shards are neighbours, the first one drawn
-	Shards    int           // of the fleet, with Row
-	Keys      *Zipf         // of what queries concern; nil: they have no key. One key always wants the same shards.
-	Spread    bool          // parts have unequal weights
-	Aim       time.Duration // within it an answer earns its full worth
-	Patience  time.Duration // over all tries
-	Impatient float64       // share of clients that leave before
-	Leave     *Dist         // when they do
-	Unsafe    bool
-	Value     float64
-	Need      float64
-	Floor     float64
-	Partial   float64 // an answer that is not whole earns this times its share over Need
-	LateWorth float64
+	Name           string
+	Index          int // index in Clients.Classes; part of each request ID
+	Arrivals       Arrivals
+	Parts          int
+	MaxParts       int           // each query has between Parts and MaxParts parts; 0: exactly Parts
+	Zipf           *Zipf         // popularity of the shards
+	Contiguous     bool          // the shards of a query are consecutive, starting at one that is drawn
+	Shards         int           // number of shards in the fleet; used with Contiguous
+	Keys           *Zipf         // popularity of the keys that queries are about; nil: queries have no key. Within a class a key always needs the same shards.
+	UnequalWeights bool          // parts have unequal weights
+	LatencyTarget  time.Duration // an answer within this time earns its full value
+	Timeout        time.Duration // over all attempts of a request
+	LeaveShare     float64       // share of clients that disconnect before the timeout
+	LeaveAfter     *Dist         // when those clients disconnect
+	Unsafe         bool
+	Value          float64
+	RequiredShare  float64
+	MinShare       float64
+	PartialValue   float64 // a partial answer earns this times its share divided by RequiredShare
+	LateValue      float64
 }
 
-// Tenant is one of those who share the mixers.
+// Tenant is one of the customers that share the proxies.
 type Tenant struct {
 	Name   string
-	Usage  float64 // its part of the load, beside the others'
-	Quota  float64 // queries a second within its share; 0: all are
-	Bursts []Burst // of its own
+	Usage  float64 // its weight in the load, relative to the other tenants
+	Quota  float64 // queries per second within its quota; 0: unlimited
+	Bursts []Burst // bursts of this tenant alone
 
-	left  float64
-	at    time.Duration
-	known bool
+	tokens   float64
+	filledAt time.Duration
+	filled   bool
 }
 
-// now is its part of the load at a time.
-func (t *Tenant) now(at time.Duration) float64 {
+// usageAt returns the tenant's weight in the load at a time.
+func (t *Tenant) usageAt(at time.Duration) float64 {
 	u := t.Usage
 	for _, b := range t.Bursts {
 		if at >= b.At && at < b.At+b.For {
@@ -56,86 +56,87 @@
 	return u
 }
 
-// saved is how many seconds of its quota a tenant may have saved up.
-const saved = 1.0
+// maxSavedSeconds is the size of a tenant's token bucket, in seconds of its quota.
+const maxSavedSeconds = 1.0
 
-// within takes a query off what a tenant has left of its share, if that is enough.
-func (t *Tenant) within(at time.Duration) bool {
+// takeFromQuota takes one query from the tenant's token bucket; it returns false if less than
+// one token is left.
+func (t *Tenant) takeFromQuota(at time.Duration) bool {
 	if t.Quota <= 0 {
 		return true
 	}
-	most := max(1, t.Quota*saved)
-	if !t.known { // nothing is used up yet
-		t.left, t.known = most, true
+	limit := max(1, t.Quota*maxSavedSeconds)
+	if !t.filled { // the bucket starts full
+		t.tokens, t.filled = limit, true
 	}
-	t.left = min(t.left+(at-t.at).Seconds()*t.Quota, most)
-	if t.at = at; t.left < 1 {
+	t.tokens = min(t.tokens+(at-t.filledAt).Seconds()*t.Quota, limit)
+	if t.filledAt = at; t.tokens < 1 {
 		return false
 	}
-	t.left--
+	t.tokens--
 	return true
 }
 
-// Retry is what clients do after a refusal.
+// Retry is how clients retry after a rejection.
 type Retry struct {
-	Most   int           // tries beside the first
-	Pause  time.Duration // before the next, where no advice was given or is heeded
-	Spread float64       // the pause is stretched by up to this share, at random
-	Heed   float64       // share of clients that wait as long as advised
-	Mark   bool          // later tries are marked
-	Failed bool          // classes without unsafe parts are asked again after failures too
-	Grow   float64       // each pause is this times the one before
-	Least  time.Duration // with less time left than this they do not ask again
+	MaxRetries    int           // in addition to the first attempt
+	Backoff       time.Duration // before the next attempt, if no Retry-After was given or the client ignores it
+	Jitter        float64       // a backoff is extended by up to this share, at random
+	AdviceShare   float64       // share of clients that wait as long as Retry-After says
+	MarkRetries   bool          // retries are marked as such
+	AfterFailure  bool          // classes without unsafe parts are retried after failures too
+	BackoffFactor float64       // factor from one backoff to the next
+	MinTimeLeft   time.Duration // a client with less time left than this does not retry
 }
 
-// PartAsk is a part that is asked for.
-type PartAsk struct {
+// PartRequest is one part of a request.
+type PartRequest struct {
 	Shard  int
 	Weight float64
 }
 
-// Ask is what one client wants: one or more tries.
-type Ask struct {
-	ID    string // names its work
-	Class *Class
-	Due   time.Duration
-	Parts []PartAsk
-	Heeds bool
-	Tries int
-
-	Key    string
-	Tenant string
-	Beyond bool    // its tenant asks for more than its share
-	Value  float64 // of a whole answer in time
-
-	// How it ended: of the try that earned most.
-	Ended   time.Duration
-	Outcome Reply
-	Earned  float64 // of Value
-	Over    bool
+// Request is what one client wants; it takes one or more attempts.
+type Request struct {
+	ID            string // the work of its parts is drawn from this name
+	Class         *Class
+	Due           time.Duration
+	Parts         []PartRequest
+	FollowsAdvice bool
+	Attempts      int
+
+	Key       string
+	Tenant    string
+	OverQuota bool    // the tenant has exceeded its quota
+	Value     float64 // of a complete answer within the latency target
+
+	// The result of the attempt that earned the most.
+	Ended    time.Duration
+	Outcome  Reply
+	Earned   float64 // as a share of Value
+	Finished bool
 
 	leaveAt time.Duration
-	pause   time.Duration
+	backoff time.Duration
 }
 
-// Try is one query to a mixer.
-type Try struct {
-	Ask      *Ask
-	ID       string
-	N        int
-	Repeat   bool // marked as a later try
-	Mixer    int
-	At       time.Duration
-	Patience time.Duration
-
-	over  bool
-	leave Timer
+// Attempt is one query sent to a proxy for a request.
+type Attempt struct {
+	Request *Request
+	ID      string
+	N       int
+	IsRetry bool // marked as a retry
+	Proxy   int
+	At      time.Duration
+	Timeout time.Duration
+
+	finished   bool
+	leaveTimer Timer
 }
 
-// Kind is how a try ended.
+// Kind is how an attempt ended.
 type Kind int
 
-// The kinds.
+// The kinds of ending.
 const (
 	Answered Kind = iota
 	Refused
@@ -144,115 +145,117 @@
 	Left
 )
 
-// Kinds are their names.
+// Kinds holds the names of the kinds.
 var Kinds = []string{"answered", "refused", "failed", "lost", "left"}
 
 func (k Kind) String() string { return Kinds[k] }
 
-// Reply is what came of a try.
+// Reply is the result of an attempt.
 type Reply struct {
 	Kind       Kind
-	Whole      bool
+	Complete   bool
 	Share      float64
 	RetryAfter time.Duration
 }
 
-// Clients are all clients of a run.
+// Clients models all clients of a run.
 type Clients struct {
-	Sched   Sched
-	Classes []*Class
-	Retry   Retry
-	Seed    uint64
-	Length  time.Duration      // of the load
-	Pick    func(r uint64) int // a mixer that the front deals out; below 0: none is up
-	Send    func(*Try)         // must not block; Reply ends it
-	Leave   func(*Try)         // the client closes its connection; Reply may still come
-	Over    func(*Ask)
-
-	Tenants   []*Tenant // in turn by chance; none: queries have no tenant
-	OverWorth float64   // of what a query beyond its tenant's share is worth
-
-	Open int // asks not over
-
-	r *rand.Rand
-	n []int
+	Sched       Sched
+	Classes     []*Class
+	Retry       Retry
+	Seed        uint64
+	Length      time.Duration      // how long load is generated
+	SelectProxy func(r uint64) int // a proxy selected by the load balancer; below 0: none is available
+	Send        func(*Attempt)     // sends an attempt; must not block. Reply ends the attempt.
+	Disconnect  func(*Attempt)     // the client closes its connection; Reply may still be called
+	OnFinish    func(*Request)
+
+	Tenants        []*Tenant // selected at random by usage; empty: queries have no tenant
+	OverQuotaValue float64   // value of a query above its tenant's quota, as a share of its normal value
+
+	InFlight int // unfinished requests
+
+	rng    *rand.Rand
+	counts []int
 }
 
-// Begin starts the load.
+// Begin starts to generate load.
 func (c *Clients) Begin() {
-	c.r = Rand(c.Seed, "clients")
-	c.n = make([]int, len(c.Classes))
+	c.rng = Rand(c.Seed, "clients")
+	c.counts = make([]int, len(c.Classes))
 	for i, class := range c.Classes {
 		class.Index = i
 		class.Arrivals.Begin(c.Seed, class.Name)
-		c.arm(class)
+		c.scheduleNext(class)
 	}
 }
 
-func (c *Clients) arm(class *Class) {
+// scheduleNext schedules the next arrival of a class.
+func (c *Clients) scheduleNext(class *Class) {
 	at, ok := class.Arrivals.Next(c.Length)
 	if !ok {
 		return
 	}
 	c.Sched.After(at-c.Sched.Now(), func() {
-		c.ask(class, at)
-		c.arm(class)
+		c.newRequest(class, at)
+		c.scheduleNext(class)
 	})
 }
 
-// ask makes an ask. What it is hangs on the seed and its own number within its
-// class, not on what came before it.
-func (c *Clients) ask(class *Class, due time.Duration) {
-	c.n[class.Index]++
-	a := &Ask{ID: strconv.Itoa(class.Index) + "q" + strconv.FormatInt(int64(c.n[class.Index]), 36), Class: class, Due: due}
+// newRequest creates a request and sends its first attempt. Its properties depend only on the
+// seed and on its number within the class, not on earlier requests.
+func (c *Clients) newRequest(class *Class, due time.Duration) {
+	c.counts[class.Index]++
+	a := &Request{ID: strconv.Itoa(class.Index) + "q" + strconv.FormatInt(int64(c.counts[class.Index]), 36), Class: class, Due: due}
 	r := Rand(c.Seed, "ask", class.Name, a.ID)
-	a.Heeds = r.Float64() < c.Retry.Heed
+	a.FollowsAdvice = r.Float64() < c.Retry.AdviceShare
 	a.Value = class.Value
 	if len(c.Tenants) > 0 {
-		c.tenant(a, r)
+		c.assignTenant(a, r)
 	}
-	shards := c.shards(a, r)
+	shards := c.selectShards(a, r)
 	sum := 0.0
 	for _, s := range shards {
 		w := 1.0
-		if class.Spread {
+		if class.UnequalWeights {
 			w = 0.5 + r.Float64()
 		}
 		sum += w
-		a.Parts = append(a.Parts, PartAsk{s, w})
+		a.Parts = append(a.Parts, PartRequest{s, w})
 	}
 	for i := range a.Parts {
 		a.Parts[i].Weight /= sum
 	}
-	a.leaveAt = due + class.Patience
-	if class.Leave != nil && r.Float64() < class.Impatient {
-		a.leaveAt = min(a.leaveAt, due+class.Leave.Draw(r))
+	a.leaveAt = due + class.Timeout
+	if class.LeaveAfter != nil && r.Float64() < class.LeaveShare {
+		a.leaveAt = min(a.leaveAt, due+class.LeaveAfter.Draw(r))
 	}
-	a.pause = c.Retry.Pause
-	c.Open++
-	c.try(a, r.Uint64())
+	a.backoff = c.Retry.Backoff
+	c.InFlight++
+	c.attempt(a, r.Uint64())
 }
 
-// tenant draws who asks.
-func (c *Clients) tenant(a *Ask, r *rand.Rand) {
-	all := 0.0
+// assignTenant selects the tenant of a request at random, weighted by usage.
+func (c *Clients) assignTenant(a *Request, r *rand.Rand) {
+	total := 0.0
 	for _, t := range c.Tenants {
-		all += t.now(a.Due)
+		total += t.usageAt(a.Due)
 	}
-	luck := r.Float64() * all
+	draw := r.Float64() * total
 	for i, t := range c.Tenants {
-		if luck -= t.now(a.Due); luck < 0 || i == len(c.Tenants)-1 {
-			if a.Tenant = t.Name; !t.within(a.Due) {
-				a.Beyond = true
-				a.Value *= c.OverWorth
+		if draw -= t.usageAt(a.Due); draw < 0 || i == len(c.Tenants)-1 {
+			if a.Tenant = t.Name; !t.takeFromQuota(a.Due) {
+				a.OverQuota = true
+				a.Value *= c.OverQuotaValue
 			}
 			return
 		}
 	}
 }
 
-// shards draws what an ask needs. What has the same key in one class needs the same.
-func (c *Clients) shards(a *Ask, r *rand.Rand) []int {
+// selectShards selects the shards of a request. Requests with the same key in one class need
+// the same shards.
+func (c *Clients) selectShards(a *Request, r *rand.Rand) []int {
 	class := a.Class
 	if class.Keys != nil {
 		k := strconv.Itoa(class.Keys.Draw(r, 1)[0])
@@ -260,10 +263,10 @@
 		r = Rand(c.Seed, "shards", class.Name, k)
 	}
 	parts := class.Parts
-	if class.PartsMost > parts {
-		parts += r.IntN(class.PartsMost - parts + 1)
+	if class.MaxParts > parts {
+		parts += r.IntN(class.MaxParts - parts + 1)
 	}
-	if !class.Row {
+	if !class.Contiguous {
 		return class.Zipf.Draw(r, parts)
 	}
 	out := make([]int, min(parts, class.Shards))
@@ -274,102 +277,107 @@
 	return out
 }
 
-func (c *Clients) try(a *Ask, luck uint64) {
+// attempt sends a request to a proxy, or finishes the request if its time is over. hash selects
+// the proxy.
+func (c *Clients) attempt(a *Request, hash uint64) {
 	now := c.Sched.Now()
-	left := a.Due + a.Class.Patience - now
-	if a.leaveAt <= now || left <= 0 {
-		c.over(a)
+	timeLeft := a.Due + a.Class.Timeout - now
+	if a.leaveAt <= now || timeLeft <= 0 {
+		c.finish(a)
 		return
 	}
-	t := &Try{Ask: a, N: a.Tries, ID: a.ID + "-" + strconv.Itoa(a.Tries), At: now, Patience: left, Mixer: c.Pick(luck)}
-	t.Repeat = c.Retry.Mark && t.N > 0
-	a.Tries++
-	if t.Mixer < 0 {
-		c.note(t, Reply{Kind: Lost})
-		c.again(t, Reply{Kind: Refused})
+	t := &Attempt{Request: a, N: a.Attempts, ID: a.ID + "-" + strconv.Itoa(a.Attempts), At: now, Timeout: timeLeft, Proxy: c.SelectProxy(hash)}
+	t.IsRetry = c.Retry.MarkRetries && t.N > 0
+	a.Attempts++
+	if t.Proxy < 0 {
+		c.recordBest(t, Reply{Kind: Lost})
+		c.retryOrFinish(t, Reply{Kind: Refused})
 		return
 	}
-	if a.leaveAt < a.Due+a.Class.Patience {
-		t.leave = c.Sched.After(a.leaveAt-now, func() {
-			if !t.over {
-				c.Leave(t)
+	if a.leaveAt < a.Due+a.Class.Timeout {
+		t.leaveTimer = c.Sched.After(a.leaveAt-now, func() {
+			if !t.finished {
+				c.Disconnect(t)
 			}
 		})
 	}
 	c.Send(t)
 }
 
-// Reply ends a try; only the first call for it counts.
-func (c *Clients) Reply(t *Try, r Reply) {
-	if t.over {
+// Reply ends an attempt; later calls for the same attempt are ignored.
+func (c *Clients) Reply(t *Attempt, r Reply) {
+	if t.finished {
 		return
 	}
-	t.over = true
-	if t.leave != nil {
-		t.leave.Stop()
+	t.finished = true
+	if t.leaveTimer != nil {
+		t.leaveTimer.Stop()
 	}
-	c.note(t, r)
+	c.recordBest(t, r)
 	switch {
-	case r.Kind == Refused, r.Kind == Failed && c.Retry.Failed && !t.Ask.Class.Unsafe:
-		c.again(t, r)
+	case r.Kind == Refused, r.Kind == Failed && c.Retry.AfterFailure && !t.Request.Class.Unsafe:
+		c.retryOrFinish(t, r)
 	default:
-		c.over(t.Ask)
+		c.finish(t.Request)
 	}
 }
 
-// note keeps what earns most.
-func (c *Clients) note(t *Try, r Reply) {
-	a := t.Ask
+// recordBest keeps the reply that earns the most.
+func (c *Clients) recordBest(t *Attempt, r Reply) {
+	a := t.Request
 	a.Ended = c.Sched.Now()
-	earned := a.Class.Worth(r, a.Ended-a.Due)
+	earned := a.Class.ValueShare(r, a.Ended-a.Due)
 	if t.N == 0 || earned >= a.Earned {
 		a.Outcome, a.Earned = r, earned
 	}
 }
 
-// Worth is what a reply earns after so long, in shares of the class's value.
-func (c *Class) Worth(r Reply, after time.Duration) float64 {
-	if r.Kind != Answered || after > c.Patience {
+// ValueShare returns what a reply earns after a given time, as a share of the class's value.
+func (c *Class) ValueShare(r Reply, after time.Duration) float64 {
+	if r.Kind != Answered || after > c.Timeout {
 		return 0
 	}
 	w := 1.0
-	if !r.Whole {
-		if r.Share < c.Floor-1e-6 {
+	if !r.Complete {
+		if r.Share < c.MinShare-1e-6 {
 			return 0
 		}
-		w = min(c.Partial*r.Share/c.Need, 1)
+		w = min(c.PartialValue*r.Share/c.RequiredShare, 1)
 	}
-	if after > c.Aim {
-		w *= c.LateWorth
+	if after > c.LatencyTarget {
+		w *= c.LateValue
 	}
 	return w
 }
 
-func (c *Clients) again(t *Try, r Reply) {
-	a := t.Ask
-	luck := Mix(c.Seed, "again", t.ID)
-	pause := a.pause
-	if a.Heeds && r.RetryAfter > 0 {
-		pause = r.RetryAfter
+// retryOrFinish schedules a retry of a request, or finishes the request if it has no retries or
+// too little time left.
+func (c *Clients) retryOrFinish(t *Attempt, r Reply) {
+	a := t.Request
+	hash := Mix(c.Seed, "again", t.ID)
+	backoff := a.backoff
+	if a.FollowsAdvice && r.RetryAfter > 0 {
+		backoff = r.RetryAfter
 	}
-	pause += time.Duration(float64(pause) * c.Retry.Spread * unit(luck))
-	if c.Retry.Grow > 0 {
-		a.pause = time.Duration(float64(a.pause) * c.Retry.Grow)
+	backoff += time.Duration(float64(backoff) * c.Retry.Jitter * unit(hash))
+	if c.Retry.BackoffFactor > 0 {
+		a.backoff = time.Duration(float64(a.backoff) * c.Retry.BackoffFactor)
 	}
-	left := a.Due + a.Class.Patience - c.Sched.Now() - pause
-	if t.N >= c.Retry.Most || left < c.Retry.Least || left <= 0 {
-		c.over(a)
+	timeLeft := a.Due + a.Class.Timeout - c.Sched.Now() - backoff
+	if t.N >= c.Retry.MaxRetries || timeLeft < c.Retry.MinTimeLeft || timeLeft <= 0 {
+		c.finish(a)
 		return
 	}
-	c.Sched.After(pause, func() { c.try(a, Mix(luck, "mixer")) })
+	c.Sched.After(backoff, func() { c.attempt(a, Mix(hash, "mixer")) })
 }
 
-func (c *Clients) over(a *Ask) {
-	if !a.Over {
-		a.Over = true
-		c.Open--
-		if c.Over != nil {
-			c.Over(a)
+// finish ends a request.
+func (c *Clients) finish(a *Request) {
+	if !a.Finished {
+		a.Finished = true
+		c.InFlight--
+		if c.OnFinish != nil {
+			c.OnFinish(a)
 		}
 	}
 }
--- a/internal/lab/model/dist.go
+++ b/internal/lab/model/dist.go
@@ -1,6 +1,6 @@
 package model
 
-// Distributions of spans, most of them gonum's.
+// This file holds distributions of durations, most of them from gonum.
 
 import (
 	"bufio"
@@ -16,78 +16,78 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// MostSpan bounds every span drawn: a heavy tail has no end of its own.
-const MostSpan = 10 * time.Minute
+// MaxDuration bounds every duration drawn, since heavy-tailed distributions are unbounded.
+const MaxDuration = 10 * time.Minute
 
-// mostValues bounds an empirical distribution.
-const mostValues = 1 << 20
+// maxValues bounds the number of values in an empirical distribution.
+const maxValues = 1 << 20
 
-// Dist is a distribution of spans.
+// Dist is a distribution of durations.
 type Dist struct {
-	text string
-	mean float64 // in seconds
-	most float64
-	draw func(src rand.Source) float64 // in seconds
+	text  string
+	mean  float64 // in seconds
+	limit float64
+	draw  func(src rand.Source) float64 // in seconds
 }
 
-// ParseDist reads a distribution; a file counts from dir. The forms:
+// ParseDist parses a distribution; a relative file name is resolved against dir. The forms:
 //
 //	fixed SPAN
 //	exp MEAN                     exponential
 //	lognormal MEDIAN SIGMA       sigma of the logarithm (Gaddum 1945; service times: Harchol-Balter 2013, ch. 20)
 //	gamma MEAN SHAPE             shape 1 is exponential, above it is steadier
-//	pareto LEAST ALPHA           alpha above 1: below, there is no mean
-//	empirical FILE               a span on each line, drawn by the inverse of their distribution
+//	pareto LEAST ALPHA           alpha above 1: otherwise there is no mean
+//	empirical FILE               one duration a line, drawn by inverse transform sampling
 //
-// Each may end with "most SPAN": what is above is drawn as that.
+// A form may end with "most SPAN", which caps the values drawn.
 func ParseDist(text, dir string) (*Dist, error) {
 	f := strings.Fields(text)
-	most := MostSpan
+	maxValue := MaxDuration
 	if n := len(f); n > 2 && f[n-2] == "most" {
 		d, err := time.ParseDuration(f[n-1])
-		if err != nil || d <= 0 || d > MostSpan {
-			return nil, fmt.Errorf("most %q is not a span within 1ns to %v", f[n-1], MostSpan)
+		if err != nil || d <= 0 || d > MaxDuration {
+			return nil, fmt.Errorf("most %q is not a duration from 1ns to %v", f[n-1], MaxDuration)
 		}
-		most, f = d, f[:n-2]
+		maxValue, f = d, f[:n-2]
 	}
 	if len(f) == 0 {
-		return nil, fmt.Errorf("no distribution; there are: fixed, exp, lognormal, gamma, pareto, empirical")
+		return nil, fmt.Errorf("no distribution is given; the distributions are fixed, exp, lognormal, gamma, pareto, empirical")
 	}
-	span := func(i int) (float64, error) {
+	duration := func(i int) (float64, error) {
 		if i >= len(f) {
-			return 0, fmt.Errorf("%s wants a span", f[0])
+			return 0, fmt.Errorf("%s needs a duration", f[0])
 		}
 		d, err := time.ParseDuration(f[i])
-		if err != nil || d <= 0 || d > MostSpan {
-			return 0, fmt.Errorf("%q is not a span above 0 and within %v", f[i], MostSpan)
+		if err != nil || d <= 0 || d > MaxDuration {
+			return 0, fmt.Errorf("%q is not a duration above 0 and at most %v", f[i], MaxDuration)
 		}
 		return d.Seconds(), nil
 	}
-	number := func(i int, least, mostOf float64) (float64, error) {
+	number := func(i int, low, high float64) (float64, error) {
 		if i >= len(f) {
-			return 0, fmt.Errorf("%s wants a number behind the span", f[0])
+			return 0, fmt.Errorf("%s wants a number after the duration", f[0])
 		}
 		v, err := strconv.ParseFloat(f[i], 64)
-		if err != nil || !(v >= least && v <= mostOf) {
-			return 0, fmt.Errorf("%q is not a number within %v to %v", f[i], least, mostOf)
+		if err != nil || !(v >= low && v <= high) {
+			return 0, fmt.Errorf("%q is not a number from %v to %v", f[i], low, high)
 		}
 		return v, nil
 	}
 	want := map[string]int{"fixed": 2, "exp": 2, "lognormal": 3, "gamma": 3, "pareto": 3, "empirical": 2}[f[0]]
 	if want == 0 {
-		return nil, fmt.Errorf("%q is no distribution; there are: fixed, exp, lognormal, gamma, pareto, empirical", f[0])
+		return nil, fmt.Errorf("%q is not a distribution; the distributions are fixed, exp, lognormal, gamma, pareto, empirical", f[0])
 	}
 	if len(f) > want {
-		return nil, fmt.Errorf("%q is too much behind %s", f[want], f[0])
+		return nil, fmt.Errorf("unexpected %q after the arguments of %s", f[want], f[0])
 	}
-	d := &Dist{text: text, most: most.Seconds()}
+	d := &Dist{text: text, limit: maxValue.Seconds()}
 	if f[0] == "empirical" {
 		if len(f) < 2 {
-			return nil, fmt.Errorf("empirical wants a file")
+			return nil, fmt.Errorf("empirical needs a file")
 		}
-		return d, d.empirical(f[1], dir)
+		return d, d.loadEmpirical(f[1], dir)
 	}
-	a, err := span(1)
+	a, err := duration(1)
 	if err != nil {
 		return nil, err
 	}
@@ -121,7 +121,8 @@
 	return d, nil
 }
 
-func (d *Dist) empirical(file, dir string) error {
+// loadEmpirical reads the values of an empirical distribution from a file.
+func (d *Dist) loadEmpirical(file, dir string) error {
 	if !strings.HasPrefix(file, "/") && dir != "" {
 		file = dir + "/" + file
 	}
@@ -138,11 +139,11 @@
 			continue
 		}
 		v, err := time.ParseDuration(line)
-		if err != nil || v < 0 || v > MostSpan {
-			return fmt.Errorf("%s:%d: %.40q is not a span within 0 to %v", file, n, line, MostSpan)
+		if err != nil || v < 0 || v > MaxDuration {
+			return fmt.Errorf("%s:%d: %.40q is not a duration from 0 to %v", file, n, line, MaxDuration)
 		}
-		if values = append(values, v.Seconds()); len(values) > mostValues {
-			return fmt.Errorf("%s:%d: more than %d values", file, n, mostValues)
+		if values = append(values, v.Seconds()); len(values) > maxValues {
+			return fmt.Errorf("%s:%d: more than %d values", file, n, maxValues)
 		}
 		d.mean += v.Seconds()
 	}
@@ -167,26 +168,26 @@
 
 func (d *Dist) String() string { return d.text }
 
-// Mean is the distribution's mean; what "most" cuts off is not left out of it.
+// Mean returns the mean of the distribution before the cap of "most" is applied.
 func (d *Dist) Mean() time.Duration { return time.Duration(d.mean * float64(time.Second)) }
 
-// Draw draws a span.
+// Draw returns a random duration.
 func (d *Dist) Draw(src rand.Source) time.Duration {
-	return time.Duration(min(max(d.draw(src), 0), d.most) * float64(time.Second))
+	return time.Duration(min(max(d.draw(src), 0), d.limit) * float64(time.Second))
 }
 
-// Work is what the parts of a class cost a server of speed 1.
+// Work draws how much work the parts of a class are for a server of speed 1.
 type Work struct {
 	Dist       *Dist
-	QuerySigma float64 // of the logarithm of a factor that all parts of a query share
+	QuerySigma float64 // sigma of the logarithm of a factor that all parts of a query share
 	Seed       uint64
 
 	pcg rand.PCG
 }
 
-// Of draws the work of a part: the same for every try of the same ask, at every
-// server and on both drives. The parts of one query share a factor, so that a heavy
-// query is heavy everywhere (correlated parts); its mean is 1.
+// Of returns the work of a part: the same for every attempt of a request, on every server and
+// with both drivers. The parts of one query share a random factor with mean 1, which makes
+// their work correlated: a heavy query is heavy on every shard.
 func (w *Work) Of(ask, shard string) time.Duration {
 	w.pcg.Seed(w.Seed, Mix(w.Seed, ask, shard))
 	d := w.Dist.Draw(&w.pcg)
@@ -195,45 +196,45 @@
 		z := distuv.Normal{Sigma: 1, Src: &w.pcg}.Rand()
 		d = time.Duration(float64(d) * math.Exp(w.QuerySigma*z-w.QuerySigma*w.QuerySigma/2))
 	}
-	return min(max(d, time.Microsecond), MostSpan)
+	return min(max(d, time.Microsecond), MaxDuration)
 }
 
-// Zipf draws one of n with the chance of rank k in proportion to 1/k^skew
-// (Zipf 1949; Breslau et al. 1999 for requests); skew 0 is even. Which one has
-// which rank is drawn from the seed.
+// Zipf draws from n items; the item of rank k has a probability proportional to 1/k^skew (Zipf
+// 1949; Breslau et al. 1999 for requests). With skew 0 all are equally likely. The seed
+// determines which item has which rank.
 type Zipf struct {
-	upTo  []float64 // the chance of all ranks up to this one
-	order []int
+	cumulative []float64 // cumulative probability up to each rank
+	byRank     []int
 }
 
-// NewZipf returns a Zipf over n.
+// NewZipf returns a Zipf distribution over n items.
 func NewZipf(n int, skew float64, seed uint64) *Zipf {
-	z := &Zipf{upTo: make([]float64, n), order: Rand(seed, "zipf").Perm(n)}
+	z := &Zipf{cumulative: make([]float64, n), byRank: Rand(seed, "zipf").Perm(n)}
 	sum := 0.0
 	for k := range n {
 		sum += math.Pow(float64(k+1), -skew)
-		z.upTo[k] = sum
+		z.cumulative[k] = sum
 	}
 	for k := range n {
-		z.upTo[k] /= sum
+		z.cumulative[k] /= sum
 	}
 	return z
 }
 
-// Draw draws so many different ones, at most all.
+// Draw returns count different items, or all of them if there are fewer.
 func (z *Zipf) Draw(r *rand.Rand, count int) []int {
-	n := len(z.upTo)
+	n := len(z.cumulative)
 	count = min(count, n)
 	out := make([]int, 0, count)
 	seen := make(map[int]bool, count)
 	for tries := 0; len(out) < count; tries++ {
-		k := min(sort.SearchFloat64s(z.upTo, r.Float64()), n-1)
-		if tries > 20*count { // the rest are rare: the next one not yet drawn
-			for seen[z.order[k]] {
+		k := min(sort.SearchFloat64s(z.cumulative, r.Float64()), n-1)
+		if tries > 20*count { // the remaining items are rare: take the next one that was not drawn
+			for seen[z.byRank[k]] {
 				k = (k + 1) % n
 			}
 		}
-		if s := z.order[k]; !seen[s] {
+		if s := z.byRank[k]; !seen[s] {
 			seen[s] = true
 			out = append(out, s)
 		}
--- a/internal/lab/oracle/oracle.go
+++ b/internal/lab/oracle/oracle.go
@@ -278,11 +278,11 @@
 		s := p.w.Servers[n]
 		up, _ := s.Running()
 		c := s.Capacity()
-		if !up || c <= 0 || s.Sick(x.q.class.Name) || !p.w.Reaches(p.proxy, n) || s.Held() >= s.Room+s.Cores {
+		if !up || c <= 0 || s.Unavailable(x.q.class.Name) || !p.w.Reachable(p.proxy, n) || s.Pending() >= s.QueueLimit+s.Cores {
 			continue
 		}
 		// A server in slow start gets half of its capacity, since other proxies send too.
-		if share := s.Share(); share < 1 && s.ColdRoom() < 0.5*s.Cold.Multiple*c*s.Cold.Window.Seconds() {
+		if share := s.CapacityShare(); share < 1 && s.SlowStartHeadroom() < 0.5*s.SlowStart.OverloadMultiple*c*s.SlowStart.OverloadWindow.Seconds() {
 			continue
 		}
 		// The server's state does not include this proxy's parts in flight to it.
--- a/internal/lab/oracle/oracle_test.go
+++ b/internal/lab/oracle/oracle_test.go
@@ -40,7 +40,7 @@
 
 func play(t *testing.T, decide virtual.Decide) *record.Run {
 	t.Helper()
-	doc, err := scenario.Text("test.ini", []byte(returning))
+	doc, err := scenario.Parse("test.ini", []byte(returning))
 	require.NoError(t, err)
 	s, err := doc.Scenario(nil)
 	require.NoError(t, err)
@@ -58,7 +58,7 @@
 	blind := play(t, Blind)
 	require.Positive(t, blind.Verdict.Pushed)
 	require.Contains(t, strings.Join(blind.Verdict.Faults, "\n"), "crashed in slow start")
-	proxy, omniscient := play(t, virtual.Mixer), play(t, True)
+	proxy, omniscient := play(t, virtual.ProxyDecider), play(t, True)
 	require.Zero(t, proxy.Verdict.Violations(), "%s", proxy.Verdict.Faults)
 	require.Zero(t, omniscient.Verdict.Violations(), "%s", omniscient.Verdict.Faults)
 	require.Greater(t, omniscient.Summary.Goodput, blind.Summary.Goodput)
--- a/internal/lab/real/host.go
+++ b/internal/lab/real/host.go
@@ -236,7 +236,7 @@
 		f.attempt.Finished(time.Now(), "")
 	}
 	for _, f := range c.accepted {
-		h.server.GiveUp(&f.job)
+		h.server.Cancel(&f.job)
 	}
 	c.accepted, c.arrived = nil, nil
 }
@@ -296,9 +296,9 @@
 				return
 			}
 			for n, p := range parts {
-				now, head := time.Now(), n%max(h.r.plan.Settings.Bundle, 1) == 0
+				now, head := time.Now(), n%max(h.r.plan.Settings.MaxPartsPerCall, 1) == 0
 				f := &pendingPart{attempt: h.r.j.ArrivedFrom(c.d.proxy, p.ID, h.name, now)}
-				if !h.r.plan.Holds(h.index, p.Shard) {
+				if !h.r.plan.HasShard(h.index, p.Shard) {
 					h.r.j.Misrouted(p.ID, h.name)
 				}
 				h.mu.Lock()
@@ -359,14 +359,14 @@
 	}
 	query, rest, _ := strings.Cut(p.ID, "-")
 	_, shard, _ := strings.Cut(rest, ".")
-	f.job = model.Job{ID: p.ID, Ask: query, Class: class, Shard: p.Shard, Work: work.Of(query, shard), Call: head, Key: h.r.partKey(query, shard), Ran: func(*model.Job) { f.attempt.Ran() },
+	f.job = model.Job{ID: p.ID, Request: query, Class: class, Shard: p.Shard, Work: work.Of(query, shard), FirstOfCall: head, Key: h.r.partKey(query, shard), OnRun: func(*model.Job) { f.attempt.Ran() },
 		Done: func(_ *model.Job, e model.End) { c.finishPart(p, f, e) }}
 	if wait := p.TimeoutMS(); wait > 0 {
-		f.job.Until = at.Add(time.Duration(wait) * time.Millisecond).Sub(h.r.begin)
+		f.job.Deadline = at.Add(time.Duration(wait) * time.Millisecond).Sub(h.r.begin)
 	}
 	c.accepted[p.ID] = f
 	h.r.countPart(query)
-	h.server.Take(&f.job)
+	h.server.Submit(&f.job)
 }
 
 // finishPart answers a part with the model's result. The caller holds host.mu.
@@ -393,7 +393,7 @@
 	if f := c.accepted[id]; f != nil {
 		delete(c.accepted, id)
 		f.attempt.Finished(at, "")
-		h.server.GiveUp(&f.job)
+		h.server.Cancel(&f.job)
 	}
 }
 
--- a/internal/lab/real/real.go
+++ b/internal/lab/real/real.go
@@ -76,7 +76,7 @@
 
 	clientMu    sync.Mutex
 	clients     *model.Clients
-	cancels     map[*model.Try]context.CancelFunc
+	cancels     map[*model.Attempt]context.CancelFunc
 	httpClients *client.Clients
 	openQueries sync.WaitGroup
 
@@ -99,7 +99,7 @@
 	n           int
 	incarnation int
 	listen      string
-	proc        *child.Mixer // nil: not running
+	proc        *child.Proxy // nil: not running
 	inRotation  bool
 	endPlanned  bool // the script or the end of the run stops it
 }
@@ -109,12 +109,12 @@
 	switch {
 	case len(p.Servers) > maxServers:
 		return nil, fmt.Errorf("%d servers: the real drive supports at most %d; use the virtual drive", len(p.Servers), maxServers)
-	case p.Mixers.Count > maxProxies:
-		return nil, fmt.Errorf("%d mixers: the real drive supports at most %d; use the virtual drive", p.Mixers.Count, maxProxies)
+	case p.Proxies.Count > maxProxies:
+		return nil, fmt.Errorf("%d mixers: the real drive supports at most %d; use the virtual drive", p.Proxies.Count, maxProxies)
 	}
 	rate := 0.0
 	for _, c := range p.Classes {
-		rate += c.Arrivals.Rate * c.Arrivals.Curve.Most()
+		rate += c.Arrivals.Rate * c.Arrivals.Curve.Max()
 	}
 	if rate > maxRate {
 		return nil, fmt.Errorf("%.0f queries a second: the real drive supports at most %d; use the virtual drive", rate, maxRate)
@@ -125,7 +125,7 @@
 	}
 	defer os.RemoveAll(dir)
 	r := &run{plan: p, opt: opt, dir: dir, net: p.NewNetwork(), vanished: make([]atomic.Int32, len(p.Servers)), attemptsByQuery: make(map[string]int), keysByQuery: make(map[string]string),
-		cancels: make(map[*model.Try]context.CancelFunc), rec: record.New(p, "real", "mixer", true)}
+		cancels: make(map[*model.Attempt]context.CancelFunc), rec: record.New(p, "real", "mixer", true)}
 	if opt.Logs == "" {
 		r.opt.Logs = dir
 	} else if err := os.MkdirAll(opt.Logs, 0o755); err != nil {
@@ -142,10 +142,10 @@
 	p := r.plan
 	var classes []judge.Class
 	for _, c := range p.Scenario.Classes {
-		classes = append(classes, judge.Class{Name: c.Name, Unsafe: c.Effect != "free", Need: c.Need, Floor: c.Floor})
+		classes = append(classes, judge.Class{Name: c.Name, Unsafe: c.Effect != "free", Need: c.RequiredShare, Floor: c.MinShare})
 	}
-	r.j = judge.New(classes, p.Settings.Grace+judge.Slack)
-	r.j.Allow(p.Settings.Cap, p.Settings.Parallel)
+	r.j = judge.New(classes, p.Settings.DrainGrace+judge.Slack)
+	r.j.Allow(p.Settings.AttemptCap, p.Settings.ParallelAttempts)
 	r.begin = time.Now()
 	for i, spec := range p.Servers {
 		h := &host{r: r, index: i, name: spec.Name, site: r.net.Site(spec.Site), work: make(map[string]*model.Work)}
@@ -154,14 +154,14 @@
 			h.work[name] = &own
 		}
 		h.server = model.NewServer(clock{r.begin, &h.mu}, spec)
-		h.server.Fell = func(s *model.Server) {
+		h.server.OnOverload = func(s *model.Server) {
 			r.j.ColdServerOverloaded(s.Name, time.Now())
 			r.recordEvent("%s was pushed over while it was cold", s.Name)
 		}
-		h.server.Down = func(*model.Server) { h.serverDown() }
-		h.server.Up = func(*model.Server) { h.serverUp() }
-		for n := range p.Mixers.Count {
-			d := &endpoint{h: h, proxy: n, site: r.net.Site(p.MixerSite(n)), conns: make(map[*conn]bool)}
+		h.server.OnDown = func(*model.Server) { h.serverDown() }
+		h.server.OnUp = func(*model.Server) { h.serverUp() }
+		for n := range p.Proxies.Count {
+			d := &endpoint{h: h, proxy: n, site: r.net.Site(p.ProxySite(n)), conns: make(map[*conn]bool)}
 			h.endpoints = append(h.endpoints, d)
 			if err := d.listen(); err != nil {
 				return err
@@ -174,7 +174,7 @@
 	if err := r.startSources(); err != nil {
 		return err
 	}
-	for n := range p.Mixers.Count {
+	for n := range p.Proxies.Count {
 		port, err := child.FreePort()
 		if err != nil {
 			return err
@@ -186,16 +186,16 @@
 		}
 		m.inRotation = true
 	}
-	r.httpClients = client.New(client.Config{Judge: r.j, MaxIdle: p.Clients.Conns, Seed: p.Draw})
+	r.httpClients = client.New(client.Config{Judge: r.j, MaxIdle: p.Clients.Conns, Seed: p.RunSeed})
 	return nil
 }
 
-var discoveryStatus = map[model.Standing]string{model.Serving: "SERVING", model.Draining: "DRAINING", model.Deleted: "DELETED"}
+var discoveryStatus = map[model.Status]string{model.Serving: "SERVING", model.Draining: "DRAINING", model.Deleted: "DELETED"}
 
 func (r *run) discoveryEntry(proxy int, e model.Entry) disco.Entry {
 	spec := &r.plan.Servers[e.Server]
 	out := disco.Entry{Name: spec.Name, Address: r.hosts[e.Server].endpoints[proxy].addr, Zone: spec.Site, Type: spec.Group, Group: spec.Cell,
-		Status: discoveryStatus[e.Standing], Weight: 1}
+		Status: discoveryStatus[e.Status], Weight: 1}
 	if e.Since >= 0 {
 		out.Since = r.begin.Add(e.Since).UnixMilli()
 	}
@@ -204,14 +204,14 @@
 
 func (r *run) start(m *proxy) error {
 	p := r.plan
-	set, err := p.MixerSettings()
+	set, err := p.ProxySettings()
 	if err != nil {
 		return err
 	}
 	m.incarnation++
 	config, err := json.Marshal(map[string]any{"name": fmt.Sprintf("lab%d", m.n), "listen": m.listen, "discovery": r.standIns[m.n].disco.Addr,
-		"seed":   fmt.Sprintf("%016x", p.MixerSeed(m.n, m.incarnation)),
-		"limits": map[string]any{"cores": p.Mixers.Cores, "memory_mb": int64(p.Mixers.Memory >> 20), "sockets": p.Mixers.Sockets},
+		"seed":   fmt.Sprintf("%016x", p.ProxySeed(m.n, m.incarnation)),
+		"limits": map[string]any{"cores": p.Proxies.Cores, "memory_mb": int64(p.Proxies.Memory >> 20), "sockets": p.Proxies.Sockets},
 		"known":  r.standIns[m.n].disco.Snapshot(), "settings": json.RawMessage(set)})
 	if err != nil {
 		return err
@@ -289,7 +289,7 @@
 
 func (h *host) serverUp() {
 	h.r.recordEvent("%s runs again", h.name)
-	h.r.j.Restarted(h.name, h.r.plan.Mixers.Count)
+	h.r.j.Restarted(h.name, h.r.plan.Proxies.Count)
 	for _, d := range h.endpoints {
 		if d.undoSilence == nil {
 			if err := d.listen(); err != nil {
@@ -318,7 +318,7 @@
 		h.mu.Lock()
 		spec := h.server.Spec
 		s := model.NewServer(clock{r.begin, &h.mu}, spec)
-		s.Fell, s.Down, s.Up = h.server.Fell, h.server.Down, h.server.Up
+		s.OnOverload, s.OnDown, s.OnUp = h.server.OnOverload, h.server.OnDown, h.server.OnUp
 		h.server = s
 		h.mu.Unlock()
 	}
@@ -329,10 +329,10 @@
 	r.listMu.Unlock()
 	longest := time.Duration(0)
 	for _, c := range p.Classes {
-		longest = max(longest, c.Patience)
+		longest = max(longest, c.Timeout)
 	}
-	r.clients = &model.Clients{Sched: clock{r.begin, &r.clientMu}, Classes: p.Classes, Tenants: p.NewTenants(), OverWorth: p.Over, Retry: p.Retry(), Seed: p.Draw, Length: p.Length, Pick: r.pickProxy,
-		Send: r.sendQuery, Leave: r.cancelQuery, Over: func(a *model.Ask) {
+	r.clients = &model.Clients{Sched: clock{r.begin, &r.clientMu}, Classes: p.Classes, Tenants: p.NewTenants(), OverQuotaValue: p.OverQuotaValue, Retry: p.Retry(), Seed: p.RunSeed, Length: p.Length, SelectProxy: r.pickProxy,
+		Send: r.sendQuery, Disconnect: r.cancelQuery, OnFinish: func(a *model.Request) {
 			r.recMu.Lock()
 			defer r.recMu.Unlock()
 			r.rec.QueryDone(a, r.attemptsByQuery[a.ID])
@@ -359,7 +359,7 @@
 		case <-tick.C:
 		}
 		r.clientMu.Lock()
-		open := r.clients.Open
+		open := r.clients.InFlight
 		r.clientMu.Unlock()
 		at := time.Since(r.begin)
 		if at >= p.Length && open == 0 {
@@ -412,7 +412,7 @@
 		if c.Both {
 			r.net.Cut(c.To, c.From, c.On)
 		}
-		open := func(a, b int) bool { return r.net.Open(a, b) && r.net.Open(b, a) }
+		open := func(a, b int) bool { return r.net.Reachable(a, b) && r.net.Reachable(b, a) }
 		cut := make(map[[2]int]bool)
 		for _, h := range r.hosts {
 			for _, d := range h.endpoints {
@@ -431,19 +431,19 @@
 			}
 			h.mu.Unlock()
 		}
-	case c.Do == model.Kill, c.Do == model.Restart:
+	case c.Do == model.KillProxy, c.Do == model.RestartProxy:
 		r.recordEvent("%v %d", c, c.Target)
 		r.changeProxy(c)
-	case c.Do == model.Switch:
-		r.recordEvent("%v %s", c, strings.Join(c.Others, " "))
+	case c.Do == model.SwitchSources:
+		r.recordEvent("%v %s", c, strings.Join(c.SwitchTo, " "))
 		r.switchSources(c)
-	case c.Target < 0 || model.ByList(c.Do):
+	case c.Target < 0 || model.ChangesEntry(c.Do):
 		if c.Target >= 0 {
 			r.recordEvent("%v %s", c, r.hosts[c.Target].name)
 		} else {
 			r.recordEvent("%v", c)
 		}
-		r.forEachList(func(l *model.List) { l.Strike(c) })
+		r.forEachList(func(l *model.List) { l.Apply(c) })
 	default:
 		h := r.hosts[c.Target]
 		r.recordEvent("%v %s", c, h.name)
@@ -460,7 +460,7 @@
 				h.applyNetworkState()
 			}
 		}
-		h.server.Strike(c)
+		h.server.Apply(c)
 		if c.Do == model.Vanish && !c.On {
 			h.applyNetworkState()
 		}
@@ -484,14 +484,14 @@
 		r.proxyMu.Lock()
 		proc := m.proc
 		m.proc, m.endPlanned = nil, true
-		if c.Do == model.Restart {
+		if c.Do == model.RestartProxy {
 			m.inRotation = false
 		}
 		r.proxyMu.Unlock()
 		if proc == nil {
 			return
 		}
-		if c.Do == model.Restart {
+		if c.Do == model.RestartProxy {
 			proc.Signal(syscall.SIGTERM)
 			go func() {
 				if err := proc.Wait(exitTimeout); err != nil {
@@ -502,7 +502,7 @@
 			return
 		}
 		go func() { proc.Kill(); r.addCPU(proc) }()
-		time.AfterFunc(r.plan.Mixers.Notice, func() {
+		time.AfterFunc(r.plan.Proxies.DetectDelay, func() {
 			r.proxyMu.Lock()
 			defer r.proxyMu.Unlock()
 			if m.proc == nil {
@@ -528,7 +528,7 @@
 	}()
 }
 
-func (r *run) addCPU(proc *child.Mixer) {
+func (r *run) addCPU(proc *child.Proxy) {
 	if s := proc.Cmd.ProcessState; s != nil {
 		r.proxyMu.Lock()
 		r.cpu += s.UserTime() + s.SystemTime()
@@ -549,7 +549,7 @@
 		down := 0
 		for _, h := range r.hosts {
 			h.mu.Lock()
-			st := h.server.Look()
+			st := h.server.TakeStats()
 			h.mu.Unlock()
 			if !st.Up {
 				down++
@@ -577,7 +577,7 @@
 			default:
 			}
 			up++
-			bytes, files := child.Look(m.proc.Cmd.Process.Pid)
+			bytes, files := child.ResourceUsage(m.proc.Cmd.Process.Pid)
 			rss = max(rss, int64(bytes))
 			r.maxFiles = max(r.maxFiles, files)
 		}
@@ -585,7 +585,7 @@
 		r.proxyMu.Unlock()
 		if r.opt.Progress != nil {
 			r.clientMu.Lock()
-			open := r.clients.Open
+			open := r.clients.InFlight
 			r.clientMu.Unlock()
 			r.recMu.Lock()
 			kinds, parts := r.outcomes, r.partCount
@@ -616,26 +616,26 @@
 	return up[random%uint64(len(up))]
 }
 
-func (r *run) sendQuery(t *model.Try) {
-	q := &judge.Query{ID: t.ID, Class: t.Ask.Class.Name, Due: r.begin.Add(t.Ask.Due), Timeout: t.Patience}
-	for _, p := range t.Ask.Parts {
+func (r *run) sendQuery(t *model.Attempt) {
+	q := &judge.Query{ID: t.ID, Class: t.Request.Class.Name, Due: r.begin.Add(t.Request.Due), Timeout: t.Timeout}
+	for _, p := range t.Request.Parts {
 		q.Parts = append(q.Parts, judge.Part{Shard: p.Shard, Weight: p.Weight})
 	}
 	r.j.Sent(q)
 	ctx, cancel := context.WithCancel(context.Background())
 	r.cancels[t] = cancel
-	if t.Ask.Key != "" {
+	if t.Request.Key != "" {
 		r.recMu.Lock()
-		r.keysByQuery[t.Ask.ID] = t.Ask.Key
+		r.keysByQuery[t.Request.ID] = t.Request.Key
 		r.recMu.Unlock()
 	}
-	m := r.proxies[t.Mixer]
+	m := r.proxies[t.Proxy]
 	r.openQueries.Add(1)
 	go func() {
 		defer r.openQueries.Done()
 		defer cancel()
-		after := r.httpClients.Do(ctx, client.Request{Addr: m.listen, Text: q.Class, Retry: t.Repeat, Tenant: t.Ask.Tenant, Key: t.Ask.Key}, q)
-		reply := model.Reply{RetryAfter: after, Whole: q.Complete}
+		after := r.httpClients.Do(ctx, client.Request{Addr: m.listen, Text: q.Class, Retry: t.IsRetry, Tenant: t.Request.Tenant, Key: t.Request.Key}, q)
+		reply := model.Reply{RetryAfter: after, Complete: q.Complete}
 		switch q.Outcome {
 		case judge.Answered:
 			reply.Kind = model.Answered
@@ -666,7 +666,7 @@
 	}()
 }
 
-func (r *run) cancelQuery(t *model.Try) {
+func (r *run) cancelQuery(t *model.Attempt) {
 	if cancel := r.cancels[t]; cancel != nil {
 		cancel()
 	}
@@ -678,7 +678,7 @@
 func (r *run) stopProxies() {
 	r.proxyMu.Lock()
 	r.stopped = true
-	var procs []*child.Mixer
+	var procs []*child.Proxy
 	for _, m := range r.proxies {
 		if m.proc != nil {
 			m.endPlanned = true
@@ -700,7 +700,7 @@
 func (r *run) close() {
 	r.proxyMu.Lock()
 	r.stopped = true
-	var procs []*child.Mixer
+	var procs []*child.Proxy
 	for _, m := range r.proxies {
 		if m.proc != nil {
 			procs = append(procs, m.proc)
--- a/internal/lab/real/sources.go
+++ b/internal/lab/real/sources.go
@@ -46,7 +46,7 @@
 
 // startSources starts the stand-ins of all proxies.
 func (r *run) startSources() error {
-	for n := range r.plan.Mixers.Count {
+	for n := range r.plan.Proxies.Count {
 		s := &sources{}
 		r.standIns = append(r.standIns, s)
 		var err error
@@ -54,22 +54,22 @@
 			switch l.Name {
 			case "consul":
 				var all []consulapi.Instance
-				for _, e := range l.Whole() {
+				for _, e := range l.Entries() {
 					all = append(all, r.consulInstance(n, e))
 				}
 				if s.consul, err = consulapi.Listen(service, all); err != nil {
 					return err
 				}
-				s.consul.Told = func(i consulapi.Instance, at time.Time) { r.j.DrainReportedBy(n, "consul", i.ID, i.Maintenance, at) }
+				s.consul.OnSent = func(i consulapi.Instance, at time.Time) { r.j.DrainReportedBy(n, "consul", i.ID, i.Maintenance, at) }
 			case "dns":
 				var all []dnsserver.Target
-				for _, e := range l.Whole() {
+				for _, e := range l.Entries() {
 					all = append(all, r.dnsTarget(n, e))
 				}
 				if s.dns, err = dnsserver.Listen(srvName, uint32(r.plan.Source("dns").TTL/time.Second), all); err != nil {
 					return err
 				}
-				s.dns.Told = func(t dnsserver.Target, at time.Time) {
+				s.dns.OnSent = func(t dnsserver.Target, at time.Time) {
 					name, _, _ := strings.Cut(t.Name, ".")
 					r.j.DrainReportedBy(n, "dns", name, strings.HasSuffix(t.Text, "state=draining"), at)
 				}
@@ -78,7 +78,7 @@
 		var entries []disco.Entry // the platform's discovery always exists, since the configuration names it
 		for _, l := range r.lists {
 			if l.Name == "list" {
-				for _, e := range l.Whole() {
+				for _, e := range l.Entries() {
 					entries = append(entries, r.discoveryEntry(n, e))
 				}
 			}
@@ -86,10 +86,10 @@
 		if s.disco, err = disco.Listen(entries); err != nil {
 			return err
 		}
-		s.disco.Told = func(e disco.Entry, at time.Time) {
+		s.disco.OnSent = func(e disco.Entry, at time.Time) {
 			switch {
 			case e.Status == "DELETED": // a deletion neither starts nor ends a drain
-			case r.plan.Settings.Look > 0: // the drain counts once the agent has the update: see agentsUpdated
+			case r.plan.Settings.PollInterval > 0: // the drain counts once the agent has the update: see agentsUpdated
 			case r.hasSources():
 				r.j.DrainReportedBy(n, "list", e.Name, e.Status == "DRAINING", at)
 			case e.Status == "SERVING":
@@ -100,10 +100,10 @@
 		}
 	}
 	for _, l := range r.lists {
-		l.Tell = func(news []model.Entry) { r.publish(l.Name, news) }
-		if r.hasSources() || r.plan.Settings.Look > 0 {
-			l.Hold = r.plan.Settings.Look > 0 // an agent gets no updates from a discovery that is down
-			l.Turn = func(c model.Change) { r.applySourceFault(l, c) }
+		l.Publish = func(news []model.Entry) { r.publish(l.Name, news) }
+		if r.hasSources() || r.plan.Settings.PollInterval > 0 {
+			l.BufferSilent = r.plan.Settings.PollInterval > 0 // an agent gets no updates from a discovery that is down
+			l.OnFault = func(c model.Change) { r.applySourceFault(l, c) }
 		}
 	}
 	return nil
@@ -112,8 +112,8 @@
 func (r *run) consulInstance(proxy int, e model.Entry) consulapi.Instance {
 	spec := &r.plan.Servers[e.Server]
 	i := consulapi.Instance{ID: spec.Name, Node: "node-" + spec.Name, Site: spec.Site, Kind: spec.Group, Address: r.hosts[e.Server].endpoints[proxy].addr,
-		Cell: (spec.Cell + e.Shift) % r.plan.Groups[0].Cells, Status: "passing", Maintenance: e.Standing == model.Draining}
-	if e.Standing == model.Sick {
+		Cell: (spec.Cell + e.CellShift) % r.plan.Groups[0].Cells, Status: "passing", Maintenance: e.Status == model.Draining}
+	if e.Status == model.Unhealthy {
 		i.Status = "critical"
 	}
 	if e.Since >= 0 {
@@ -131,7 +131,7 @@
 		since = r.begin.Add(e.Since).UnixMilli()
 	}
 	return dnsserver.Target{Name: spec.Name + zoneName, Addrs: []string{host}, Port: uint16(n),
-		Text: dnsserver.TextOf(spec.Name, spec.Site, spec.Group, (spec.Cell+e.Shift)%r.plan.Groups[0].Cells, e.Standing == model.Draining, since)}
+		Text: dnsserver.TXTRecord(spec.Name, spec.Site, spec.Group, (spec.Cell+e.CellShift)%r.plan.Groups[0].Cells, e.Status == model.Draining, since)}
 }
 
 // publish sends the changes of one source to all proxies' stand-ins. The list calls it
@@ -142,21 +142,21 @@
 			name := r.plan.Servers[e.Server].Name
 			switch source {
 			case "consul":
-				if e.Standing == model.Deleted {
+				if e.Status == model.Deleted {
 					s.consul.Remove(name)
 				} else {
 					s.consul.Put(r.consulInstance(n, e))
 				}
 			case "dns":
-				if e.Standing == model.Deleted {
+				if e.Status == model.Deleted {
 					s.dns.Remove(name + zoneName)
 				} else {
 					s.dns.Put(r.dnsTarget(n, e))
 				}
 			default:
 				s.disco.Put(r.discoveryEntry(n, e))
-				if r.plan.Settings.Look > 0 {
-					r.agentsUpdated(name, e.Standing)
+				if r.plan.Settings.PollInterval > 0 {
+					r.agentsUpdated(name, e.Status)
 				}
 			}
 		}
@@ -165,7 +165,7 @@
 
 // agentsUpdated records that the proxies' agents have a server's new state. Where lists
 // are pushed, this is the time at which a drain counts as reported.
-func (r *run) agentsUpdated(name string, st model.Standing) {
+func (r *run) agentsUpdated(name string, st model.Status) {
 	switch st {
 	case model.Serving:
 		r.j.DrainReported(name, time.Time{})
@@ -179,49 +179,49 @@
 	for n, s := range r.standIns {
 		switch l.Name {
 		case "consul":
-			if c.Do == model.Reset {
+			if c.Do == model.ListReset {
 				if c.On {
-					s.consul.Reset()
+					s.consul.ResetIndex()
 				}
 				continue
 			}
 			s.consul.Set(func(f *consulapi.Faults) {
 				switch c.Do {
-				case model.Mute:
+				case model.ListSilent:
 					f.Silent = c.On
-				case model.Broken:
+				case model.ListDown:
 					f.NoLeader = c.On
-				case model.Empty:
+				case model.ListEmpty:
 					f.Empty = c.On
 				}
 			})
 		case "dns":
 			s.dns.Set(func(f *dnsserver.Faults) {
 				switch c.Do {
-				case model.Mute:
+				case model.ListSilent:
 					f.Silent = c.On
-				case model.Broken:
+				case model.ListDown:
 					f.Rcode = 0
 					if c.On {
 						f.Rcode = 2 // SERVFAIL
 					}
-				case model.Empty:
-					f.Empty = c.On
-				case model.Truncate:
+				case model.ListEmpty:
+					f.NXDomain = c.On
+				case model.DNSTruncate:
 					f.Truncate = c.On
-				case model.Junk:
-					f.Storm = 0
+				case model.DNSJunk:
+					f.JunkDatagrams = 0
 					if c.On {
-						f.Storm = junkPerAnswer
+						f.JunkDatagrams = junkPerAnswer
 					}
 				}
 			})
 		default:
 			switch c.Do {
-			case model.Mute, model.Broken:
-				s.disco.Mute(c.On, c.Do == model.Broken)
-			case model.Empty:
-				for _, e := range l.Whole() {
+			case model.ListSilent, model.ListDown:
+				s.disco.SetUnavailable(c.On, c.Do == model.ListDown)
+			case model.ListEmpty:
+				for _, e := range l.Entries() {
 					x := r.discoveryEntry(n, e)
 					if c.On {
 						x.Status = "DELETED"
@@ -277,7 +277,7 @@
 func (r *run) switchSources(c model.Change) {
 	active := r.plan.Members.Sources
 	if c.On {
-		active = c.Others
+		active = c.SwitchTo
 	}
 	r.proxyMu.Lock()
 	defer r.proxyMu.Unlock()
--- a/internal/lab/record/record.go
+++ b/internal/lab/record/record.go
@@ -139,12 +139,12 @@
 	out := slices.Clone(r.Broken)
 	broken := r.Verdict.Violations()
 	switch {
-	case r.Expect.Broken > 0 && broken < r.Expect.Broken:
+	case r.Expect.MinBroken > 0 && broken < r.Expect.MinBroken:
 		out = append(out, "the scenario expects broken rules, and the judge saw fewer than expected")
-	case r.Expect.Broken == 0 && broken > 0:
+	case r.Expect.MinBroken == 0 && broken > 0:
 		out = append(out, "rules were broken")
 	}
-	if r.Summary.Goodput < r.Expect.Goodput {
+	if r.Summary.Goodput < r.Expect.MinGoodput {
 		out = append(out, "the goodput is below the least that the scenario expects")
 	}
 	return out
@@ -165,21 +165,21 @@
 func New(p *scenario.Plan, drive, policy string, keep bool) *Recorder {
 	r := &Recorder{plan: p, keepRows: keep, byClass: make(map[string]*Class), bySecond: make(map[int][2]float64),
 		byTenant: make(map[string][2]float64), run: &Run{Expect: p.Expect, Length: p.Length, Warmup: p.Warmup}}
-	r.run.Summary = Summary{Scenario: p.Name, Variation: scenario.Label(p.Values), Drive: drive, Policy: policy, Seed: int64(p.Draw)}
+	r.run.Summary = Summary{Scenario: p.Name, Variation: scenario.Label(p.Values), Drive: drive, Policy: policy, Seed: int64(p.RunSeed)}
 	for _, c := range p.Scenario.Classes {
-		most := int64((c.Patience + 10*time.Second) / time.Microsecond)
+		most := int64((c.Timeout + 10*time.Second) / time.Microsecond)
 		r.byClass[c.Name] = &Class{Name: c.Name, answeredLatencies: hdrhistogram.New(1, most, 3), allLatencies: hdrhistogram.New(1, most, 3)}
 	}
 	return r
 }
 
 // QueryDone records a client query that has ended.
-func (r *Recorder) QueryDone(a *model.Ask, attempts int) {
+func (r *Recorder) QueryDone(a *model.Request, attempts int) {
 	counts := a.Due >= r.plan.Window[0] && a.Due < r.plan.Window[1]
 	took := max((a.Ended - a.Due).Microseconds(), 1)
 	if r.keepRows {
-		r.run.Queries = append(r.run.Queries, Query{ID: a.ID, Class: a.Class.Name, Due: a.Due.Microseconds(), Took: took, Tries: int32(a.Tries),
-			Attempts: int32(attempts), Outcome: a.Outcome.Kind.String(), Whole: a.Outcome.Whole, Share: a.Outcome.Share, Earned: a.Earned * a.Value,
+		r.run.Queries = append(r.run.Queries, Query{ID: a.ID, Class: a.Class.Name, Due: a.Due.Microseconds(), Took: took, Tries: int32(a.Attempts),
+			Attempts: int32(attempts), Outcome: a.Outcome.Kind.String(), Whole: a.Outcome.Complete, Share: a.Outcome.Share, Earned: a.Earned * a.Value,
 			Value: a.Value, Counts: counts})
 	}
 	if !counts {
@@ -187,25 +187,25 @@
 	}
 	c := r.byClass[a.Class.Name]
 	c.Asked++
-	c.Tries += int64(a.Tries)
+	c.Tries += int64(a.Attempts)
 	c.value += a.Value
 	c.earned += a.Earned * a.Value
 	add := func(sum [2]float64) [2]float64 { return [2]float64{sum[0] + a.Value, sum[1] + a.Earned*a.Value} }
 	second := int(a.Due / time.Second)
 	r.bySecond[second] = add(r.bySecond[second])
-	if a.Tenant != "" && !a.Beyond {
+	if a.Tenant != "" && !a.OverQuota {
 		r.byTenant[a.Tenant] = add(r.byTenant[a.Tenant])
 	}
 	switch a.Outcome.Kind {
 	case model.Answered:
 		c.Answered++
-		if a.Outcome.Whole {
+		if a.Outcome.Complete {
 			c.Whole++
 		}
 		c.answeredLatencies.RecordValue(took)
 		c.allLatencies.RecordValue(took)
 	default:
-		if c.allLatencies.RecordValue(a.Class.Patience.Microseconds()); a.Outcome.Kind == model.Refused {
+		if c.allLatencies.RecordValue(a.Class.Timeout.Microseconds()); a.Outcome.Kind == model.Refused {
 			c.Refused++
 		} else if a.Outcome.Kind == model.Left {
 			c.Left++
@@ -220,8 +220,8 @@
 	if !r.keepRows {
 		return
 	}
-	r.run.Seconds = append(r.run.Seconds, Second{Second: int32(second), Server: s.Name, Site: s.Site, Cell: int32(s.Cell), Up: st.Up, Capacity: st.Share,
-		Taken: int32(st.Taken), Served: int32(st.Served), Failed: int32(st.Failed), Busy: int32(st.Busy), Held: int32(st.MostHeld),
+	r.run.Seconds = append(r.run.Seconds, Second{Second: int32(second), Server: s.Name, Site: s.Site, Cell: int32(s.Cell), Up: st.Up, Capacity: st.CapacityShare,
+		Taken: int32(st.Received), Served: int32(st.Served), Failed: int32(st.Failed), Busy: int32(st.Busy), Held: int32(st.MaxPending),
 		Running: int32(st.Running), Work: st.Work.Microseconds()})
 }
 
--- a/internal/lab/scenario/plan.go
+++ b/internal/lab/scenario/plan.go
@@ -1,7 +1,7 @@
 package scenario
 
-// This file checks what the sections say together, and draws a scenario out into a
-// plan: servers, ways, classes, changes.
+// This file validates the sections against each other and expands a scenario into a plan:
+// servers, network, classes and changes.
 
 import (
 	"encoding/json"
@@ -17,30 +17,31 @@
 	"saddleport/internal/lab/model"
 )
 
-// What a run may ask for at most.
+// Bounds on the size of a run.
 const (
-	MostServers = 20_000
-	MostQueries = 50_000_000
-	MostParts   = 400_000_000
+	MaxServers = 20_000
+	MaxQueries = 50_000_000
+	MaxParts   = 400_000_000
 )
 
-func decode(file string, doc *inifile.Doc) (*Scenario, error) {
+// decodeScenario decodes and validates the sections of a document.
+func decodeScenario(file string, doc *inifile.Doc) (*Scenario, error) {
 	s := &Scenario{File: file, doc: doc}
-	for _, into := range []any{&s.Mixers, &s.Settings, &s.Network, &s.Clients, &s.Load, &s.List, &s.Members, &s.Levels, &s.Expect} {
+	for _, into := range []any{&s.Proxies, &s.Settings, &s.Network, &s.Clients, &s.Load, &s.List, &s.Members, &s.Levels, &s.Expect} {
 		inifile.SetDefaults(into)
 	}
 	main := Group{Name: "fleet"}
 	inifile.SetDefaults(&main)
-	at := make(map[string]*inifile.Section)
+	sections := make(map[string]*inifile.Section)
 	var groups []Group
 	for _, sec := range doc.Sections {
-		at[sec.Name] = sec
+		sections[sec.Name] = sec
 		var err error
 		switch sec.Name {
 		case "scenario":
 			err = sec.Decode(&s.Main)
 		case "mixers":
-			err = sec.Decode(&s.Mixers)
+			err = sec.Decode(&s.Proxies)
 		case "settings":
 			err = sec.Decode(&s.Settings)
 		case "fleet":
@@ -77,16 +78,16 @@
 				err = sec.Decode(&g)
 				for _, k := range []string{"cells", "width", "shards"} {
 					if err == nil && sec.Has(k) {
-						err = sec.Errorf(k, "is [fleet]'s alone")
+						err = sec.Errorf(k, "is a key of [fleet] only")
 					}
 				}
 				groups = append(groups, g)
 			case "link":
 				l := Link{}
-				var more string
+				var rest string
 				l.From, l.To, _ = strings.Cut(sec.Label, " ")
-				if l.To, more, _ = strings.Cut(l.To, " "); l.To == "" || more != "" {
-					return nil, sec.Errorf("", "a link is [link SITE SITE]")
+				if l.To, rest, _ = strings.Cut(l.To, " "); l.To == "" || rest != "" {
+					return nil, sec.Errorf("", "the section must be [link SITE SITE]")
 				}
 				err = sec.Decode(&l)
 				s.Links = append(s.Links, l)
@@ -129,13 +130,13 @@
 		}
 	}
 	s.Groups = append([]Group{main}, groups...)
-	if at["scenario"] == nil {
+	if sections["scenario"] == nil {
 		return nil, &inifile.Error{File: file, Problem: "no section [scenario]"}
 	}
 	if len(s.Classes) == 0 {
-		return nil, &inifile.Error{File: file, Problem: "no section [class NAME]: there would be no load"}
+		return nil, &inifile.Error{File: file, Problem: "no section [class NAME], so there is no load"}
 	}
-	if err := s.check(at); err != nil {
+	if err := s.check(sections); err != nil {
 		return nil, err
 	}
 	_, err := s.Plan(uint64(s.Seed))
@@ -143,33 +144,34 @@
 }
 
 func unknown(sec *inifile.Section) error {
-	return sec.Errorf("", "no such section; there are: include, vary, scenario, mixers, settings, fleet, group NAME, network, link A B, clients, class NAME, load, burst NAME, tenant NAME, list, members, source NAME, levels, level NAME, fault NAME, expect")
+	return sec.Errorf("", "unknown section; the sections are include, vary, scenario, mixers, settings, fleet, group NAME, network, link A B, clients, class NAME, load, burst NAME, tenant NAME, list, members, source NAME, levels, level NAME, fault NAME, expect")
 }
 
+// check validates the keys of a class.
 func (c *Class) check(sec *inifile.Section) error {
 	dir := filepath.Dir(sec.File)
 	switch {
-	case c.Floor > c.Need:
-		return sec.Errorf("floor", "%v is above need, %v", c.Floor, c.Need)
-	case c.PartsMost > 0 && c.PartsMost < c.Parts:
-		return sec.Errorf("parts-most", "%d is below parts, %d", c.PartsMost, c.Parts)
-	case c.Aim > c.Patience:
-		return sec.Errorf("aim", "%v is above patience, %v", c.Aim, c.Patience)
+	case c.MinShare > c.RequiredShare:
+		return sec.Errorf("floor", "%v is above need, %v", c.MinShare, c.RequiredShare)
+	case c.MaxParts > 0 && c.MaxParts < c.Parts:
+		return sec.Errorf("parts-most", "%d is below parts, %d", c.MaxParts, c.Parts)
+	case c.LatencyTarget > c.Timeout:
+		return sec.Errorf("aim", "%v is above patience, %v", c.LatencyTarget, c.Timeout)
 	case strings.ContainsAny(c.Name, " .,/"):
-		return sec.Errorf("", "a class has a name of one word, without . , /")
+		return sec.Errorf("", "a class name must not contain spaces or any of . , /")
 	}
 	if _, err := model.ParseDist(c.Work, dir); err != nil {
 		return sec.Errorf("work", "%v", err)
 	}
-	if _, err := model.ParseDist(c.Leave, dir); err != nil {
+	if _, err := model.ParseDist(c.LeaveAfter, dir); err != nil {
 		return sec.Errorf("leave", "%v", err)
 	}
 	return nil
 }
 
-// check looks at what sections say of each other.
+// check validates the sections against each other.
 func (s *Scenario) check(at map[string]*inifile.Section) error {
-	or := func(name string) *inifile.Section {
+	sectionOrMain := func(name string) *inifile.Section {
 		if at[name] != nil {
 			return at[name]
 		}
@@ -178,18 +180,18 @@
 	f := &s.Groups[0]
 	site := func(sec *inifile.Section, key, name string) error {
 		if !slices.Contains(s.Network.Sites, name) {
-			return sec.Errorf(key, "%q is none of the sites: %s", name, strings.Join(s.Network.Sites, ", "))
+			return sec.Errorf(key, "%q is not one of the sites: %s", name, strings.Join(s.Network.Sites, ", "))
 		}
 		return nil
 	}
 	if len(s.Network.Sites) == 0 {
-		return or("network").Errorf("sites", "there must be one")
+		return sectionOrMain("network").Errorf("sites", "there must be at least one site")
 	}
 	if s.Warmup >= s.Length {
-		return or("scenario").Errorf("warmup", "%v is not before the end, %v", s.Warmup, s.Length)
+		return sectionOrMain("scenario").Errorf("warmup", "%v is not less than the length, %v", s.Warmup, s.Length)
 	}
 	if f.Width > f.Cells {
-		return or("fleet").Errorf("width", "%d is more than there are cells, %d", f.Width, f.Cells)
+		return sectionOrMain("fleet").Errorf("width", "%d is more than the number of cells, %d", f.Width, f.Cells)
 	}
 	servers := 0
 	for i := range s.Groups {
@@ -205,8 +207,8 @@
 			}
 		}
 	}
-	if servers < 1 || servers > MostServers {
-		return or("fleet").Errorf("replicas", "%d servers in all, not within 1 to %d", servers, MostServers)
+	if servers < 1 || servers > MaxServers {
+		return sectionOrMain("fleet").Errorf("replicas", "%d servers in total, not from 1 to %d", servers, MaxServers)
 	}
 	for _, l := range s.Links {
 		for _, name := range []string{l.From, l.To} {
@@ -218,15 +220,15 @@
 	curve, _ := model.ParseCurve(s.Load.Curve)
 	queries, parts := 0.0, 0.0
 	for _, c := range s.Classes {
-		q := c.Rate * s.Rate * s.Length.Seconds() * curve.Most()
+		q := c.Rate * s.Rate * s.Length.Seconds() * curve.Max()
 		for _, b := range s.Bursts {
 			if b.Class == "" || b.Class == c.Name {
 				q *= max(b.Factor*min(b.For.Seconds()/s.Length.Seconds(), 1), 1)
 			}
 		}
-		queries, parts = queries+q, parts+q*float64(max(c.Parts, c.PartsMost))
-		if queries > MostQueries || parts > MostParts {
-			return at["class "+c.Name].Errorf("rate", "the run would have %.3g queries of %.3g parts by this class; at most %.0e and %.0e", queries, parts, float64(MostQueries), float64(MostParts))
+		queries, parts = queries+q, parts+q*float64(max(c.Parts, c.MaxParts))
+		if queries > MaxQueries || parts > MaxParts {
+			return at["class "+c.Name].Errorf("rate", "up to this class the run has %.3g queries with %.3g parts; the limits are %.0e and %.0e", queries, parts, float64(MaxQueries), float64(MaxParts))
 		}
 	}
 	for _, b := range s.Bursts {
@@ -237,32 +239,32 @@
 			return at["burst "+b.Name].Errorf("tenant", "there is no tenant %q", b.Tenant)
 		}
 		if b.Tenant != "" && b.Class != "" {
-			return at["burst "+b.Name].Errorf("class", "a tenant's burst is of all classes")
+			return at["burst "+b.Name].Errorf("class", "must not be set together with tenant")
 		}
 	}
 	for _, o := range s.Sources {
 		if !slices.Contains(s.Lists(), o.Name) {
-			return at["source "+o.Name].Errorf("", "%s is none of the sources: %s", o.Name, strings.Join(s.Lists(), ", "))
+			return at["source "+o.Name].Errorf("", "%s is not one of the sources: %s", o.Name, strings.Join(s.Lists(), ", "))
 		}
 	}
 	for _, x := range s.Faults {
 		sec := at["fault "+x.Name]
 		if x.Source != "" && !slices.Contains(s.Lists(), x.Source) {
-			return sec.Errorf("source", "%s is none of the sources: %s", x.Source, strings.Join(s.Lists(), ", "))
+			return sec.Errorf("source", "%s is not one of the sources: %s", x.Source, strings.Join(s.Lists(), ", "))
 		}
-		if (x.Do == model.Truncate || x.Do == model.Junk) && x.Source != "dns" {
-			return sec.Errorf("source", "%s is a fault of dns", x.Do)
+		if (x.Do == model.DNSTruncate || x.Do == model.DNSJunk) && x.Source != "dns" {
+			return sec.Errorf("source", "%s needs the source dns", x.Do)
 		}
-		if x.Do == model.Reset && x.Source != "consul" {
-			return sec.Errorf("source", "%s is a fault of consul", x.Do)
+		if x.Do == model.ListReset && x.Source != "consul" {
+			return sec.Errorf("source", "%s needs the source consul", x.Do)
 		}
-		if x.Do == model.Switch {
-			if len(x.To) == 0 || len(s.Members.Sources) == 0 {
-				return sec.Errorf("to", "wants sources, and [members] sources must be on")
+		if x.Do == model.SwitchSources {
+			if len(x.SwitchTo) == 0 || len(s.Members.Sources) == 0 {
+				return sec.Errorf("to", "must list sources, and [members] sources must be set")
 			}
-			for _, to := range x.To {
+			for _, to := range x.SwitchTo {
 				if !slices.Contains(s.Lists(), to) {
-					return sec.Errorf("to", "%s is none of the sources: %s", to, strings.Join(s.Lists(), ", "))
+					return sec.Errorf("to", "%s is not one of the sources: %s", to, strings.Join(s.Lists(), ", "))
 				}
 			}
 		}
@@ -270,13 +272,13 @@
 			return sec.Errorf("class", "there is no class %q", x.Class)
 		}
 		if x.At >= s.Length {
-			return sec.Errorf("at", "%v is not before the end, %v", x.At, s.Length)
+			return sec.Errorf("at", "%v is not less than the length, %v", x.At, s.Length)
 		}
 		if x.Every > 0 && x.For == 0 {
-			return sec.Errorf("for", "with every it must be given")
+			return sec.Errorf("for", "must be set together with every")
 		}
-		if x.Do == model.Release && x.For < x.Extra {
-			return sec.Errorf("for", "%v ends before the process does, %v after the drain", x.For, x.Extra)
+		if x.Do == model.Release && x.For < x.Delay {
+			return sec.Errorf("for", "%v ends before the process, which ends %v after the drain", x.For, x.Delay)
 		}
 		if _, err := s.fault(x, s.specs(1)); err != nil {
 			return sec.Errorf("who", "%v", err)
@@ -285,18 +287,18 @@
 	return nil
 }
 
-// Plan is a scenario drawn out with a seed.
+// Plan is a scenario expanded with a seed.
 type Plan struct {
 	*Scenario
-	Draw    uint64 // the seed
+	RunSeed uint64 // the seed of this run; Seed is that of the file
 	Servers []model.Spec
 	Changes []model.Change
 	Classes []*model.Class
 	Work    map[string]*model.Work
-	Window  [2]time.Duration // what is due within counts
+	Window  [2]time.Duration // requests due within it are counted
 }
 
-// NewTenants are the plan's tenants, with nothing used up.
+// NewTenants returns the plan's tenants with full token buckets.
 func (p *Plan) NewTenants() (out []*model.Tenant) {
 	for _, t := range p.Tenants {
 		m := &model.Tenant{Name: t.Name, Usage: t.Usage, Quota: t.Quota}
@@ -310,8 +312,9 @@
 	return out
 }
 
-// factor is what a burst makes of all arrivals: a tenant's alone is of its part.
-func (s *Scenario) factor(b Burst) float64 {
+// burstFactor returns the factor by which a burst raises all arrivals: a burst of one tenant
+// raises only that tenant's part.
+func (s *Scenario) burstFactor(b Burst) float64 {
 	if b.Tenant == "" {
 		return b.Factor
 	}
@@ -324,9 +327,9 @@
 	return 1 + (b.Factor-1)*own/all
 }
 
-// Plan draws the scenario out.
+// Plan expands the scenario with a seed.
 func (s *Scenario) Plan(seed uint64) (*Plan, error) {
-	p := &Plan{Scenario: s, Draw: seed, Servers: s.specs(seed), Work: make(map[string]*model.Work), Window: [2]time.Duration{s.Warmup, s.Length}}
+	p := &Plan{Scenario: s, RunSeed: seed, Servers: s.specs(seed), Work: make(map[string]*model.Work), Window: [2]time.Duration{s.Warmup, s.Length}}
 	var faults []*model.Fault
 	for _, x := range s.Faults {
 		f, err := s.fault(x, p.Servers)
@@ -349,20 +352,20 @@
 		if err != nil {
 			return nil, err
 		}
-		leave, err := model.ParseDist(c.Leave, dir)
+		leave, err := model.ParseDist(c.LeaveAfter, dir)
 		if err != nil {
 			return nil, err
 		}
-		m := &model.Class{Name: c.Name, Parts: c.Parts, Spread: c.Spread, Aim: c.Aim, Patience: c.Patience, Impatient: c.Impatient, Leave: leave,
-			Unsafe: c.Effect != "free", Value: c.Value, Need: c.Need, Floor: c.Floor, Partial: c.Partial, LateWorth: c.Late,
-			Zipf: model.NewZipf(s.Groups[0].Shards, c.Zipf, seed), PartsMost: c.PartsMost, Row: c.Row, Shards: s.Groups[0].Shards}
+		m := &model.Class{Name: c.Name, Parts: c.Parts, UnequalWeights: c.UnequalWeights, LatencyTarget: c.LatencyTarget, Timeout: c.Timeout, LeaveShare: c.LeaveShare, LeaveAfter: leave,
+			Unsafe: c.Effect != "free", Value: c.Value, RequiredShare: c.RequiredShare, MinShare: c.MinShare, PartialValue: c.PartialValue, LateValue: c.LateValue,
+			Zipf: model.NewZipf(s.Groups[0].Shards, c.Zipf, seed), MaxParts: c.MaxParts, Contiguous: c.Contiguous, Shards: s.Groups[0].Shards}
 		if c.Keys > 0 {
 			m.Keys = model.NewZipf(c.Keys, c.KeyZipf, seed)
 		}
 		m.Arrivals = model.Arrivals{Rate: c.Rate * s.Rate, Curve: curve}
 		for _, b := range s.Bursts {
 			if b.Class == "" || b.Class == c.Name {
-				m.Arrivals.Bursts = append(m.Arrivals.Bursts, model.Burst{At: b.At, For: b.For, Factor: s.factor(b)})
+				m.Arrivals.Bursts = append(m.Arrivals.Bursts, model.Burst{At: b.At, For: b.For, Factor: s.burstFactor(b)})
 			}
 		}
 		if c.Trace != "" {
@@ -376,7 +379,7 @@
 	return p, nil
 }
 
-// specs names the servers: s-CELL-REPLICA, and NAME-CELL-REPLICA in a group.
+// specs returns the servers, named s-CELL-REPLICA, or NAME-CELL-REPLICA in a group.
 func (s *Scenario) specs(seed uint64) []model.Spec {
 	var out []model.Spec
 	f := s.Groups[0]
@@ -393,11 +396,11 @@
 				if site == "" {
 					site = s.Network.Sites[(cell+n)%len(s.Network.Sites)]
 				}
-				speed := g.Speed * (1 + g.SpeedLike*(2*model.Luck(seed, "speed", name)-1))
+				speed := g.Speed * (1 + g.SpeedSpread*(2*model.Uniform(seed, "speed", name)-1))
 				out = append(out, model.Spec{Name: name, Site: site, Group: g.Name, Cell: cell, Cores: g.Cores, Speed: speed, Slots: g.Slots,
-					Room: g.Room, Queue: model.Discipline(g.Queue), Knee: g.Knee, Loss: g.Loss, StopsGivenUp: g.Stops, Handshake: g.Handshake, Seed: seed,
-					CallWork: s.Settings.CallWork, Keys: model.Keys{Gain: g.KeyGain, For: g.KeyFor, Most: g.KeyMost},
-					Cold: model.Cold{Share: g.ColdShare, Time: g.ColdTime, Work: g.ColdWork, Multiple: g.ColdMost, Window: g.ColdSpan, Down: g.ColdDown}})
+					QueueLimit: g.QueueLimit, Queue: model.Discipline(g.Queue), Knee: g.Knee, KneeLoss: g.KneeLoss, CancelsRunning: g.CancelsRunning, Handshake: g.Handshake, Seed: seed,
+					CallWork: s.Settings.CallWork, KeyCache: model.KeyCache{Gain: g.KeyGain, TTL: g.KeyTTL, MaxKeys: g.MaxKeys},
+					SlowStart: model.SlowStart{InitialShare: g.SlowStartShare, WarmupTime: g.SlowStartTime, WarmupParts: g.SlowStartParts, OverloadMultiple: g.OverloadMultiple, OverloadWindow: g.OverloadWindow, Downtime: g.OverloadDowntime}})
 				n++
 			}
 		}
@@ -405,16 +408,17 @@
 	return out
 }
 
+// fault converts a fault and resolves its targets.
 func (s *Scenario) fault(x Fault, servers []model.Spec) (*model.Fault, error) {
-	f := &model.Fault{Name: x.Name, Do: x.Do, At: x.At, For: x.For, Every: x.Every, Times: x.Times, Chance: x.Chance, Share: x.Share, Apart: x.Apart,
-		Class: x.Class, Part: x.Part, Factor: x.Factor, Warm: x.Warm, Both: x.Both, Source: x.Source, Others: x.To, Extra: x.Extra}
-	words := strings.Fields(x.Who)
-	if len(words) == 0 {
-		words = []string{"all"}
+	f := &model.Fault{Name: x.Name, Do: x.Do, At: x.At, For: x.For, Every: x.Every, Times: x.Times, Chance: x.Chance, Share: x.Share, Stagger: x.Stagger,
+		Class: x.Class, PartShare: x.PartShare, Factor: x.Factor, Warm: x.Warm, Both: x.Both, Source: x.Source, SwitchTo: x.SwitchTo, Delay: x.Delay}
+	selector := strings.Fields(x.Targets)
+	if len(selector) == 0 {
+		selector = []string{"all"}
 	}
 	number := func() int {
-		if len(words) == 2 {
-			if n, err := strconv.Atoi(words[1]); err == nil {
+		if len(selector) == 2 {
+			if n, err := strconv.Atoi(selector[1]); err == nil {
 				return n
 			}
 		}
@@ -422,54 +426,54 @@
 	}
 	switch {
 	case x.Do == model.Cut:
-		if len(words) != 2 || !slices.Contains(s.Network.Sites, words[0]) || !slices.Contains(s.Network.Sites, words[1]) {
-			return nil, fmt.Errorf("%q is not two of the sites: %s", x.Who, strings.Join(s.Network.Sites, ", "))
-		}
-		f.From, f.To = slices.Index(s.Network.Sites, words[0]), slices.Index(s.Network.Sites, words[1])
-	case model.OnList(x.Do):
-	case model.OnMixers(x.Do):
-		for i := range s.Mixers.Count {
-			if words[0] == "all" && len(words) == 1 || words[0] == "mixer" && number() == i {
-				f.Among = append(f.Among, i)
+		if len(selector) != 2 || !slices.Contains(s.Network.Sites, selector[0]) || !slices.Contains(s.Network.Sites, selector[1]) {
+			return nil, fmt.Errorf("%q does not name two of the sites: %s", x.Targets, strings.Join(s.Network.Sites, ", "))
+		}
+		f.From, f.To = slices.Index(s.Network.Sites, selector[0]), slices.Index(s.Network.Sites, selector[1])
+	case model.TargetsList(x.Do):
+	case model.TargetsProxies(x.Do):
+		for i := range s.Proxies.Count {
+			if selector[0] == "all" && len(selector) == 1 || selector[0] == "mixer" && number() == i {
+				f.Targets = append(f.Targets, i)
 			}
 		}
-		if len(f.Among) == 0 {
-			return nil, fmt.Errorf("%q is neither all nor mixer 0 to mixer %d", x.Who, s.Mixers.Count-1)
+		if len(f.Targets) == 0 {
+			return nil, fmt.Errorf("%q is neither all nor one of mixer 0 to mixer %d", x.Targets, s.Proxies.Count-1)
 		}
 	default:
 		g := s.Groups[0]
 		for i, v := range servers {
-			hit := false
+			matches := false
 			switch {
-			case len(words) == 1:
-				hit = words[0] == "all"
-			case len(words) != 2:
-			case words[0] == "server":
-				hit = v.Name == words[1]
-			case words[0] == "cell":
-				hit = v.Cell == number()
-			case words[0] == "shard":
-				hit = number() >= 0 && number() < g.Shards && (v.Cell-number()%g.Cells+g.Cells)%g.Cells < g.Width
-			case words[0] == "site":
-				hit = v.Site == words[1]
-			case words[0] == "group":
-				hit = v.Group == words[1]
+			case len(selector) == 1:
+				matches = selector[0] == "all"
+			case len(selector) != 2:
+			case selector[0] == "server":
+				matches = v.Name == selector[1]
+			case selector[0] == "cell":
+				matches = v.Cell == number()
+			case selector[0] == "shard":
+				matches = number() >= 0 && number() < g.Shards && (v.Cell-number()%g.Cells+g.Cells)%g.Cells < g.Width
+			case selector[0] == "site":
+				matches = v.Site == selector[1]
+			case selector[0] == "group":
+				matches = v.Group == selector[1]
 			}
-			if hit {
-				f.Among = append(f.Among, i)
+			if matches {
+				f.Targets = append(f.Targets, i)
 			}
 		}
-		if len(f.Among) == 0 {
-			return nil, fmt.Errorf("%q names no server; say all, server NAME, cell N, shard N, site NAME or group NAME", x.Who)
+		if len(f.Targets) == 0 {
+			return nil, fmt.Errorf("%q matches no server; use all, server NAME, cell N, shard N, site NAME or group NAME", x.Targets)
 		}
 	}
 	return f, nil
 }
 
-// NewNetwork is the plan's network.
+// NewNetwork returns the plan's network.
 func (p *Plan) NewNetwork() *model.Network {
 	n := p.Network
-	net := model.NewNetwork(n.Sites, model.Link{Delay: n.Local, Jitter: n.Jitter, Loss: n.Loss}, model.Link{Delay: n.Far, Jitter: n.Jitter, Loss: n.Loss}, p.Draw)
+	net := model.NewNetwork(n.Sites, model.Link{Delay: n.Local, Jitter: n.Jitter, Loss: n.Loss}, model.Link{Delay: n.Far, Jitter: n.Jitter, Loss: n.Loss}, p.RunSeed)
 	for _, l := range p.Links {
 		a, b := net.Site(l.From), net.Site(l.To)
 		net.Set(a, b, model.Link{Delay: l.Delay, Jitter: l.Jitter, Loss: l.Loss})
@@ -480,22 +484,23 @@
 	return net
 }
 
-// MixerSite is the site of a mixer.
-func (p *Plan) MixerSite(n int) string { return p.Network.Sites[n%len(p.Network.Sites)] }
+// ProxySite returns the site of a proxy.
+func (p *Plan) ProxySite(n int) string { return p.Network.Sites[n%len(p.Network.Sites)] }
 
-// Retry is what clients do after a refusal.
+// Retry returns how clients retry.
 func (p *Plan) Retry() model.Retry {
 	c := p.Clients
-	return model.Retry{Most: c.Tries, Pause: c.Pause, Spread: c.Spread, Heed: c.Heed, Mark: c.Mark, Failed: c.Failed, Grow: c.Grow, Least: c.Least}
+	return model.Retry{MaxRetries: c.Retries, Backoff: c.Backoff, Jitter: c.Jitter, AdviceShare: c.AdviceShare, MarkRetries: c.MarkRetries, AfterFailure: c.RetryAfterFailure, BackoffFactor: c.BackoffFactor, MinTimeLeft: c.MinTimeLeft}
 }
 
-// Holds tells whether a server holds a shard.
-func (p *Plan) Holds(server, shard int) bool {
+// HasShard reports whether a server has a shard.
+func (p *Plan) HasShard(server, shard int) bool {
 	g := p.Groups[0]
 	return ((p.Servers[server].Cell-shard)%g.Cells+g.Cells)%g.Cells < g.Width
 }
 
-// Lists are the sources of the list: the platform's alone, or those of [members].
+// Lists returns the names of the sources of the server list: those of [members], or list
+// alone.
 func (s *Scenario) Lists() []string {
 	if len(s.Members.Sources) > 0 {
 		return s.Members.Sources
@@ -503,7 +508,7 @@
 	return []string{"list"}
 }
 
-// Source is how a source tells.
+// Source returns the configuration of a source.
 func (s *Scenario) Source(name string) Source {
 	if i := slices.IndexFunc(s.Sources, func(o Source) bool { return o.Name == name }); i >= 0 {
 		return s.Sources[i]
@@ -511,29 +516,29 @@
 	o := Source{Name: name}
 	inifile.SetDefaults(&o)
 	if name == "list" {
-		o.Lag, o.Jitter, o.Notice = s.List.Lag, s.List.Jitter, s.List.Notice
+		o.Lag, o.Jitter, o.DetectDelay = s.List.Lag, s.List.Jitter, s.List.DetectDelay
 	}
 	return o
 }
 
-// NewLists are the plan's lists, one for each source; Tell and Turn are the drive's.
+// NewLists returns the plan's lists, one for each source; the driver sets Publish and OnFault.
 func (p *Plan) NewLists(s func(n int) model.Sched) (out []*model.List) {
 	for i, name := range p.Lists() {
 		o := p.Source(name)
-		l := &model.List{Name: name, Checks: o.Checks, Drains: o.Drains, Sched: s(i), Lag: o.Lag, Jitter: o.Jitter, Notice: o.Notice, Luck: model.Rand(p.Draw, name).ExpFloat64}
+		l := &model.List{Name: name, KeepsEnded: o.KeepsEnded, ReportsDrains: o.ReportsDrains, Sched: s(i), Lag: o.Lag, Jitter: o.Jitter, DetectDelay: o.DetectDelay, Exponential: model.Rand(p.RunSeed, name).ExpFloat64}
 		l.Begin(len(p.Servers))
 		out = append(out, l)
 	}
 	return out
 }
 
-// MixerSeed is the seed of a mixer's decisions in its life of that number.
-func (p *Plan) MixerSeed(n, life int) uint64 {
-	return model.Mix(p.Draw, "mixer", strconv.Itoa(n), strconv.Itoa(life))
+// ProxySeed returns the seed of a proxy's decisions in an incarnation.
+func (p *Plan) ProxySeed(n, life int) uint64 {
+	return model.Mix(p.RunSeed, "mixer", strconv.Itoa(n), strconv.Itoa(life))
 }
 
-// MixerSettings is what the platform tells each mixer, as its configuration has it.
-func (p *Plan) MixerSettings() ([]byte, error) {
+// ProxySettings returns the proxies' settings in the format of the platform.
+func (p *Plan) ProxySettings() ([]byte, error) {
 	list := func(f func(Class) any) []any {
 		var out []any
 		for _, c := range p.Scenario.Classes {
@@ -544,30 +549,30 @@
 	us := func(d time.Duration) int64 { return d.Microseconds() }
 	g, set := p.Groups[0], p.Settings
 	discovery, tenants := "ask", []any{}
-	if set.Look > 0 {
+	if set.PollInterval > 0 {
 		discovery = "push"
 	}
 	for _, t := range p.Tenants {
 		tenants = append(tenants, map[string]any{"name": t.Name, "quota-per-s": t.Quota, "fraction": t.Share})
 	}
-	return json.Marshal(map[string]any{"balancers": p.Mixers.Count, "discovery": discovery, "resolution": us(set.Resolution), "kinds": []string{"std-2c"}, "tenants": tenants,
-		"over-share-worth": p.Over,
+	return json.Marshal(map[string]any{"balancers": p.Proxies.Count, "discovery": discovery, "resolution": us(set.Resolution), "kinds": []string{"std-2c"}, "tenants": tenants,
+		"over-share-worth": p.OverQuotaValue,
 		"request-classes": list(func(c Class) any {
-			return map[string]any{"name": c.Name, "aim": us(c.Aim), "deadline": us(c.Patience), "effect": c.Effect,
-				"late-worth": c.Late, "memory-span": us(c.Memory), "value": c.Value}
+			return map[string]any{"name": c.Name, "aim": us(c.LatencyTarget), "deadline": us(c.Timeout), "effect": c.Effect,
+				"late-worth": c.LateValue, "memory-span": us(c.DedupWindow), "value": c.Value}
 		}),
-		"family-info": map[string]any{"bundle-max": set.Bundle, "class-fetch": list(func(Class) any { return 0 }),
-			"class-floor": list(func(c Class) any { return c.Floor }), "need-by-class": list(func(c Class) any { return c.Need }),
-			"partial-earns": list(func(c Class) any { return c.Partial }), "places": g.Cells, "slices": g.Shards, "width": g.Width, "per-call-work": us(set.CallWork),
+		"family-info": map[string]any{"bundle-max": set.MaxPartsPerCall, "class-fetch": list(func(Class) any { return 0 }),
+			"class-floor": list(func(c Class) any { return c.MinShare }), "need-by-class": list(func(c Class) any { return c.RequiredShare }),
+			"partial-earns": list(func(c Class) any { return c.PartialValue }), "places": g.Cells, "slices": g.Shards, "width": g.Width, "per-call-work": us(set.CallWork),
 			"warm-keys": g.KeyGain > 0},
-		"limits": map[string]any{"cancel": set.Cancel, "dial-timeout": us(set.Dial), "keepalive": us(set.Keepalive), "max-retry-after": us(set.Advice), "most-held": set.Held,
-			"parallel-tries": set.Parallel, "probes": true, "retry-after": p.Clients.Heed > 0, "send-cap": set.Cap, "streams-per-conn": 100},
+		"limits": map[string]any{"cancel": set.Cancel, "dial-timeout": us(set.Dial), "keepalive": us(set.Keepalive), "max-retry-after": us(set.MaxRetryAfter), "most-held": set.MaxInFlight,
+			"parallel-tries": set.ParallelAttempts, "probes": true, "retry-after": p.Clients.AdviceShare > 0, "send-cap": set.AttemptCap, "streams-per-conn": 100},
 		"report": map[string]any{"fields": []string{"inflight"}, "source": "piggyback"},
-		"rules": map[string]any{"answer-slack": 20000, "ask-within": us(set.Ask), "cold": us(g.ColdTime), "drain-grace": us(set.Grace), "fall": us(g.ColdSpan),
-			"fall-multiple": g.ColdMost, "start-capacity": g.ColdShare}})
+		"rules": map[string]any{"answer-slack": 20000, "ask-within": us(set.AskWithin), "cold": us(g.SlowStartTime), "drain-grace": us(set.DrainGrace), "fall": us(g.OverloadWindow),
+			"fall-multiple": g.OverloadMultiple, "start-capacity": g.SlowStartShare}})
 }
 
-// Servers counts the servers.
+// Servers returns the number of servers.
 func (s *Scenario) Servers() (n int) {
 	for _, g := range s.Groups {
 		n += s.Groups[0].Cells * g.Replicas
