--- a/internal/lab/drill/file.go
+++ b/internal/lab/drill/file.go
@@ -24,7 +24,7 @@
 	Compare bool          `ini:"compare" default:"no" help:"run it without hooks first, and compare the classes that have no hook"`
 }
 
-// Mixer holds the section [mixer]: the limits that the platform sets for a proxy.
+// Proxy holds the section [mixer]: the limits that the platform sets for a proxy.
 type Proxy struct {
 	Count   int           `ini:"count" default:"1" range:"1..16" help:"proxies; clients use all of them in turn. Hooks are observed on the first"`
 	Cores   float64       `ini:"cores" default:"1" range:"0.05..64"`
--- a/internal/lab/drill/run.go
+++ b/internal/lab/drill/run.go
@@ -601,7 +601,7 @@
 	}
 }
 
-// stopMixers stops the proxies and checks how they exited.
+// stopProxies stops the proxies and checks how they exited.
 func (r *run) stopProxies() {
 	r.mu.Lock()
 	r.stopping = true
--- a/internal/lab/real/real.go
+++ b/internal/lab/real/real.go
@@ -477,7 +477,7 @@
 	}
 }
 
-// changeMixer stops a proxy's process, or starts it again.
+// changeProxy stops a proxy's process, or starts it again.
 func (r *run) changeProxy(c model.Change) {
 	m := r.proxies[c.Target]
 	if c.On {
@@ -599,7 +599,7 @@
 	}
 }
 
-// ---- Clients. The model calls pickMixer, sendQuery and cancelQuery under clientMu.
+// ---- Clients. The model calls pickProxy, sendQuery and cancelQuery under clientMu.
 
 func (r *run) pickProxy(random uint64) int {
 	r.proxyMu.Lock()
@@ -674,7 +674,7 @@
 
 // ---- The end.
 
-// stopMixers stops the proxies and checks how they exited.
+// stopProxies stops the proxies and checks how they exited.
 func (r *run) stopProxies() {
 	r.proxyMu.Lock()
 	r.stopped = true
--- a/internal/lab/real/sources.go
+++ b/internal/lab/real/sources.go
@@ -102,7 +102,7 @@
 	for _, l := range r.lists {
 		l.Publish = func(news []model.Entry) { r.publish(l.Name, news) }
 		if r.hasSources() || r.plan.Settings.PollInterval > 0 {
-			l.BufferSilent = r.plan.Settings.PollInterval > 0 // an agent gets no updates from a discovery that is down
+			l.BufferSilent = r.plan.Settings.PollInterval > 0 // an agent gets no updates while its discovery is down
 			l.OnFault = func(c model.Change) { r.applySourceFault(l, c) }
 		}
 	}
