--- a/internal/lab/drill/verdict.go
+++ b/internal/lab/drill/verdict.go
@@ -24,7 +24,7 @@
 type Result struct {
 	Drill *Drill `json:"-"`
 	Name  string
-	Base  *Run `json:",omitempty"` // the run without hooks, if the drill compares
+	Base  *Run `json:",omitempty"` // the baseline run without hooks or reshapes, if the drill compares
 	Main  *Run
 	Unmet []string // requirements that were not met, rule violations included
 	Pass  bool
@@ -74,7 +74,7 @@
 		}
 		baseTally := findTally(base, c.Name)
 		if maxP99 := time.Duration(float64(baseTally.P99)*(1+d.Expect.MaxP99Growth)) + d.Expect.P99Slack; t.P99 > maxP99 {
-			unmet("class %s, which has no hook: p99 %v with hooks loaded, %v without", c.Name, t.P99, baseTally.P99)
+			unmet("class %s, which has no hook: p99 %v, and %v in the baseline run", c.Name, t.P99, baseTally.P99)
 		}
 	}
 	faults := 0
