--- a/internal/lab/drill/run.go
+++ b/internal/lab/drill/run.go
@@ -1,7 +1,7 @@
 package drill
 
-// This file plays a drill once: it starts the stand-ins and the program, lets the
-// steps happen, and gathers what was seen.
+// This file runs a drill once: it starts the stand-ins and the program, performs the
+// steps, and collects the results.
 
 import (
 	"context"
@@ -22,7 +22,7 @@
 	"saddleport/internal/hook"
 	"saddleport/internal/inifile"
 	"saddleport/internal/lab/child"
-	"saddleport/internal/lab/desk"
+	"saddleport/internal/lab/client"
 	"saddleport/internal/lab/disco"
 	"saddleport/internal/lab/judge"
 	"saddleport/internal/lab/leaf"
@@ -31,21 +31,21 @@
 )
 
 const (
-	readyTime = 60 * time.Second
-	endTime   = 30 * time.Second
-	stopLoad  = 300 * time.Millisecond // the load goes on so long after SIGTERM
-	grace     = 2*time.Second + judge.Slack
+	readyTimeout  = 60 * time.Second
+	exitTimeout   = 30 * time.Second
+	loadAfterStop = 300 * time.Millisecond // the load continues for this long after SIGTERM
+	grace         = 2*time.Second + judge.Slack
 )
 
-// Options are how a drill is played.
+// Options control how a drill is run.
 type Options struct {
-	Program  string                     // the mixer
-	Out      string                     // a folder for logs; empty: a temporary one
-	Progress func(run string, s Sample) // called each second
+	Program  string                     // path of the proxy's program
+	Out      string                     // folder for logs; empty: a temporary one
+	Progress func(run string, s Sample) // called every second
 	Notice   func(run, format string, a ...any)
 }
 
-// Sample is the state of a run at one second.
+// Sample is the state of a run at one time.
 type Sample struct {
 	At, Of    time.Duration
 	Open      int
@@ -55,54 +55,54 @@
 	LastSteps string
 }
 
-// Run is what one run of a drill brought.
+// Run is the result of one run of a drill.
 type Run struct {
 	Name     string
 	Verdict  *judge.Verdict
 	Rate     float64 // queries a second
 	RSSMost  inifile.Bytes
 	FilesTop int
-	CPU      time.Duration // of the mixer
-	Report   hook.Report   // of its hooks, at the end
+	CPU      time.Duration // used by the proxies
+	Report   hook.Report   // the first proxy's hooks, at the end
 	Faults   map[hook.Kind]int64
 	Calls    int64
 	Opened   int
 	Unasked  int
 	Reshapes map[string]int `json:",omitempty"`
-	Broken   []string       // what else went wrong
+	Broken   []string       // problems other than rule violations
 	Log      string
 }
 
 type run struct {
-	d      *Drill
-	opt    Options
-	name   string
-	hooks  bool
-	dir    string
-	j      *judge.Judge
-	disco  *disco.Server
-	leaves map[string]*leaf.Server
-	addrs  map[string]string
-	world  *reshape.World
-	mixers []*child.Proxy
-	leafMu sync.Mutex // over leaves, once the drill runs
+	d       *Drill
+	opt     Options
+	name    string
+	hooks   bool
+	dir     string
+	j       *judge.Judge
+	disco   *disco.Server
+	leaves  map[string]*leaf.Server
+	addrs   map[string]string
+	world   *reshape.World
+	proxies []*child.Proxy
+	leafMu  sync.Mutex // guards leaves once the drill runs
 
 	evacuating sync.WaitGroup
 
-	mu       sync.Mutex
-	broken   []string
-	faults   map[hook.Kind]int64
-	opened   map[string]int // by hook and set version: a set that goes takes its counts along
-	calls    map[string]int64
-	perSet   map[string]map[hook.Kind]int64
-	last     string
-	report   hook.Report
-	stopping bool
-	rss      inifile.Bytes
-	files    int
+	mu           sync.Mutex
+	problems     []string
+	faults       map[hook.Kind]int64
+	opened       map[string]int // by hook: the largest count seen, since a replaced set's counts are lost
+	calls        map[string]int64
+	faultsByHook map[string]map[hook.Kind]int64
+	lastStep     string
+	report       hook.Report
+	stopping     bool
+	maxRSS       inifile.Bytes
+	maxFiles     int
 }
 
-// Play plays a drill once, with its hooks or without.
+// Play runs a drill once, with its hooks or without.
 func Play(ctx context.Context, d *Drill, opt Options, hooks bool) (*Run, error) {
 	name := "with hooks"
 	switch {
@@ -122,20 +122,20 @@
 		defer os.RemoveAll(tmp)
 		dir = tmp
 	}
-	work, err := os.MkdirTemp("", "lab") // a socket's path has little room
+	work, err := os.MkdirTemp("", "lab") // a socket's path is limited in length, so it is not put below dir
 	if err != nil {
 		return nil, err
 	}
 	defer os.RemoveAll(work)
 	r := &run{d: d, opt: opt, name: name, hooks: hooks, dir: work, leaves: make(map[string]*leaf.Server), addrs: make(map[string]string),
 		faults: make(map[hook.Kind]int64), opened: make(map[string]int), calls: make(map[string]int64),
-		perSet: make(map[string]map[hook.Kind]int64)}
+		faultsByHook: make(map[string]map[hook.Kind]int64)}
 	defer r.close()
-	if err := r.standIns(); err != nil {
+	if err := r.startStandIns(); err != nil {
 		return nil, err
 	}
 	logFile := filepath.Join(dir, strings.ReplaceAll(name, " ", "-")+".log")
-	for i := range d.Mixer.Count {
+	for i := range d.Proxy.Count {
 		file := logFile
 		if i > 0 {
 			file = strings.TrimSuffix(logFile, ".log") + fmt.Sprintf("-%d.log", i)
@@ -144,10 +144,10 @@
 			return nil, err
 		}
 	}
-	return r.load(ctx, logFile)
+	return r.runLoad(ctx, logFile)
 }
 
-func (r *run) standIns() error {
+func (r *run) startStandIns() error {
 	d := r.d
 	var classes []judge.Class
 	for _, c := range d.Classes {
@@ -162,12 +162,12 @@
 			cells[cell] = append(cells[cell], name)
 		}
 		every := c.Every
-		if !r.hooks { // the load beside which the reshapes are seen
+		if !r.hooks { // the baseline run, with which the run with reshapes is compared
 			every = 0
 		}
 		var err error
-		if r.world, err = reshape.New(reshape.Config{Cells: cells, Segments: c.Segments, KeysPerSegment: c.PerSeg, Interval: every, StepTime: c.Step, FeedDelay: c.Lag,
-			AbortShare: c.Abort, CrashShare: c.Die, Downtime: c.Away, NoFence: !c.Fence, HandoverKillShare: c.CutKill, KillCell: r.killCell, Seed: uint64(d.Seed), Judge: r.j}); err != nil {
+		if r.world, err = reshape.New(reshape.Config{Cells: cells, Segments: c.Segments, KeysPerSegment: c.KeysPerSegment, Interval: every, StepTime: c.Step, FeedDelay: c.Lag,
+			AbortShare: c.AbortShare, CrashShare: c.CrashShare, Downtime: c.CrashDowntime, NoFence: !c.Fence, HandoverKillShare: c.KillAfterCutover, KillCell: r.killCell, Seed: uint64(d.Seed), Judge: r.j}); err != nil {
 			return err
 		}
 	}
@@ -188,7 +188,7 @@
 		if e.Status == "SERVING" {
 			at = time.Time{}
 		}
-		r.j.Told(e.Name, at)
+		r.j.DrainReported(e.Name, at)
 	}
 	return nil
 }
@@ -200,7 +200,7 @@
 		cell, _ := strconv.Atoi(strings.Split(name, "-")[1])
 		keeper = &reshape.CellOwner{World: r.world, Cell: cell}
 	}
-	return leaf.Model{Owner: keeper, SlowStartTime: f.Warm, Cores: f.Cores, QueueLimit: f.Room, Median: f.Median, Sigma: f.Sigma, Seed: uint64(r.d.Seed)<<16 + uint64(i)}
+	return leaf.Model{Owner: keeper, SlowStartTime: f.WarmTime, Cores: f.Cores, QueueLimit: f.QueueCapacity, Median: f.Median, Sigma: f.Sigma, Seed: uint64(r.d.Seed)<<16 + uint64(i)}
 }
 
 func (r *run) entry(name, status string) disco.Entry {
@@ -208,7 +208,7 @@
 	return disco.Entry{Name: name, Address: r.addrs[name], Zone: "amman-north", Type: "std-2c", Group: cell, Status: status, Weight: 1}
 }
 
-// start writes the two files and starts the program.
+// start writes the configuration and operator files of proxy n and starts it.
 func (r *run) start(n int, logFile string) error {
 	d := r.d
 	port, err := child.FreePort()
@@ -225,11 +225,11 @@
 	}
 	config := map[string]any{
 		"name": fmt.Sprintf("lab%d", n), "listen": listen, "discovery": r.disco.Addr, "seed": fmt.Sprintf("%016x", d.Seed+1+n),
-		"limits": map[string]any{"cores": d.Mixer.Cores, "memory_mb": int64(d.Mixer.Memory >> 20), "sockets": d.Mixer.Sockets},
+		"limits": map[string]any{"cores": d.Proxy.Cores, "memory_mb": int64(d.Proxy.Memory >> 20), "sockets": d.Proxy.Sockets},
 		"known":  r.disco.Snapshot(),
-		"settings": map[string]any{"balancers": d.Mixer.Count, "discovery": "ask", "resolution": 5000, "kinds": []string{"std-2c"}, "tenants": []any{},
+		"settings": map[string]any{"balancers": d.Proxy.Count, "discovery": "ask", "resolution": 5000, "kinds": []string{"std-2c"}, "tenants": []any{},
 			"request-classes": list(func(c Class) any {
-				return map[string]any{"name": c.Name, "aim": c.Aim.Microseconds(), "deadline": c.Patience.Microseconds(), "effect": c.Effect,
+				return map[string]any{"name": c.Name, "aim": c.LatencyTarget.Microseconds(), "deadline": c.Timeout.Microseconds(), "effect": c.Effect,
 					"late-worth": 0.1, "memory-span": 5000000, "value": 1.0}
 			}),
 			"family-info": map[string]any{"bundle-max": 1, "class-fetch": list(func(Class) any { return 0 }),
@@ -251,38 +251,38 @@
 	if r.hooks || r.world != nil {
 		dir := ""
 		if r.hooks {
-			dir = d.path(d.Hooks.Dir)
+			dir = d.resolvePath(d.Hooks.Dir)
 		}
-		if err := r.operator(n, dir); err != nil {
+		if err := r.writeOperatorFile(n, dir); err != nil {
 			return err
 		}
-		args = append(args, "--operator", r.operatorFile(n))
+		args = append(args, "--operator", r.operatorPath(n))
 	}
-	var more func() bool
+	var ready func() bool
 	if r.world != nil {
-		more = func() bool { return r.mapped(n) }
+		ready = func() bool { return r.hasMap(n) }
 	}
 	os.Remove(logFile)
-	x, err := child.Start(r.opt.Program, listen, logFile, more, args...)
+	x, err := child.Start(r.opt.Program, listen, logFile, ready, args...)
 	if err == nil {
-		r.mixers = append(r.mixers, x)
+		r.proxies = append(r.proxies, x)
 	}
 	return err
 }
 
-// mapped tells whether a mixer has a map.
-func (r *run) mapped(n int) bool {
+// hasMap reports whether proxy n has a segment map.
+func (r *run) hasMap(n int) bool {
 	var rep segments.Report
 	return control.Call(r.socket(n), &rep, "segments", "show") == nil && rep.Epoch > 0
 }
 
-func (r *run) operatorFile(n int) string {
+func (r *run) operatorPath(n int) string {
 	return filepath.Join(r.dir, fmt.Sprintf("operator-%d.ini", n))
 }
 func (r *run) socket(n int) string { return filepath.Join(r.dir, fmt.Sprintf("s%d", n)) }
 
-// operator writes the operator file, with a set's folder.
-func (r *run) operator(n int, set string) error {
+// writeOperatorFile writes the operator file of proxy n, with the folder of a hook set.
+func (r *run) writeOperatorFile(n int, set string) error {
 	var b strings.Builder
 	fmt.Fprintf(&b, "[control]\nsocket = %s\n", r.socket(n))
 	if r.world != nil {
@@ -307,22 +307,22 @@
 		}
 		fmt.Fprintf(&b, "%s = %s\n", f.Key, value)
 	}
-	return os.WriteFile(r.operatorFile(n), []byte(b.String()), 0o600)
+	return os.WriteFile(r.operatorPath(n), []byte(b.String()), 0o600)
 }
 
-// load runs the load and the steps, and looks at the mixer each second.
-func (r *run) load(ctx context.Context, logFile string) (*Run, error) {
+// runLoad runs the load and the steps, and samples the proxies every second.
+func (r *run) runLoad(ctx context.Context, logFile string) (*Run, error) {
 	d := r.d
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	var turn atomic.Uint64
-	c := desk.Config{Addr: func() string { return r.mixers[turn.Add(1)%uint64(len(r.mixers))].Listen }, Shards: d.Fleet.Shards,
-		Seed: uint64(d.Seed), Judge: r.j, Conns: d.Mixer.Sockets / 3}
+	var nextMixer atomic.Uint64
+	c := client.Config{Addr: func() string { return r.proxies[nextMixer.Add(1)%uint64(len(r.proxies))].Listen }, Shards: d.Fleet.Shards,
+		Seed: uint64(d.Seed), Judge: r.j, MaxIdle: d.Proxy.Sockets / 3}
 	var reshaping sync.WaitGroup
 	if r.world != nil {
-		c.Map, c.Keys = func() *placement.Map { return r.world.Map(d.Reshape.Behind) }, r.world.Keys
+		c.Map, c.Keys = func() *placement.Map { return r.world.Map(d.Reshape.EpochsBehind) }, r.world.Keys
 	}
-	desks := desk.New(c)
+	clients := client.New(c)
 	begin := time.Now()
 	loading, stop := context.WithDeadline(ctx, begin.Add(d.Length))
 	defer stop()
@@ -333,12 +333,12 @@
 			r.world.Run(loading)
 		}()
 	}
-	var all sync.WaitGroup
+	var loads sync.WaitGroup
 	for _, c := range d.Classes {
-		all.Add(1)
+		loads.Add(1)
 		go func() {
-			defer all.Done()
-			desks.Run(loading, desk.Class{Name: c.Name, Rate: c.Rate, Parts: c.Parts, Patience: c.Patience, Text: c.Text, Books: c.Books}, begin)
+			defer loads.Done()
+			clients.Run(loading, client.Class{Name: c.Name, Rate: c.Rate, Parts: c.Parts, Timeout: c.Timeout, Text: c.Text, Booking: c.Booking}, begin)
 		}()
 	}
 	var steps sync.WaitGroup
@@ -351,22 +351,22 @@
 				return
 			case <-time.After(time.Until(begin.Add(s.At))):
 			}
-			r.step(s, stop)
+			r.runStep(s, stop)
 		}
 	}()
-	watched := make(chan struct{})
+	samplerDone := make(chan struct{})
 	go func() {
-		defer close(watched)
+		defer close(samplerDone)
 		tick := time.NewTicker(time.Second)
 		defer tick.Stop()
 		for {
-			r.look(begin)
+			r.sample(begin)
 			select {
 			case <-loading.Done():
 				return
 			case <-tick.C:
 			}
-			for _, x := range r.mixers {
+			for _, x := range r.proxies {
 				r.mu.Lock()
 				stopping := r.stopping
 				r.mu.Unlock()
@@ -374,7 +374,7 @@
 				case err := <-x.Exited:
 					x.Exited <- err
 					if !stopping {
-						r.fail("a mixer ended under load: %v", err)
+						r.addProblem("a proxy exited under load: %v", err)
 						stop()
 						return
 					}
@@ -383,90 +383,90 @@
 			}
 		}
 	}()
-	all.Wait()
+	loads.Wait()
 	steps.Wait()
-	<-watched
+	<-samplerDone
 	reshaping.Wait()
 	r.evacuating.Wait()
 	span := time.Since(begin)
-	r.look(begin)
-	r.end()
-	out := &Run{Name: r.name, Verdict: r.j.Judge(begin.Add(d.Warmup), begin.Add(d.Length)), Unasked: desks.Close(), Log: logFile,
-		RSSMost: r.rss, FilesTop: r.files, Faults: r.faults, Broken: r.broken}
-	out.Rate = float64(out.Verdict.Queries) / min(span, d.Length).Seconds()
-	out.Verdict.Doubled += out.Unasked
+	r.sample(begin)
+	r.stopProxies()
+	result := &Run{Name: r.name, Verdict: r.j.Judge(begin.Add(d.Warmup), begin.Add(d.Length)), Unasked: clients.Close(), Log: logFile,
+		RSSMost: r.maxRSS, FilesTop: r.maxFiles, Faults: r.faults, Broken: r.problems}
+	result.Rate = float64(result.Verdict.Queries) / min(span, d.Length).Seconds()
+	result.Verdict.Doubled += result.Unasked
 	for _, n := range r.calls {
-		out.Calls += n
+		result.Calls += n
 	}
-	for _, kinds := range r.perSet {
+	for _, kinds := range r.faultsByHook {
 		for k, n := range kinds {
-			out.Faults[k] += n
+			result.Faults[k] += n
 		}
 	}
 	for _, n := range r.opened {
-		out.Opened += n
+		result.Opened += n
 	}
-	out.Report = r.report
-	for _, x := range r.mixers {
+	result.Report = r.report
+	for _, x := range r.proxies {
 		if x.Cmd.ProcessState != nil {
-			out.CPU += x.Cmd.ProcessState.UserTime() + x.Cmd.ProcessState.SystemTime()
+			result.CPU += x.Cmd.ProcessState.UserTime() + x.Cmd.ProcessState.SystemTime()
 		}
 	}
 	if r.world != nil {
-		out.Reshapes = r.world.Counts()
+		result.Reshapes = r.world.Counts()
 	}
-	return out, ctx.Err()
+	return result, ctx.Err()
 }
 
-func (r *run) fail(format string, args ...any) {
+func (r *run) addProblem(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.broken = append(r.broken, fmt.Sprintf(format, args...))
+	r.problems = append(r.problems, fmt.Sprintf(format, args...))
 }
 
-// step does one step.
-func (r *run) step(s Step, stop func()) {
-	if !r.hooks && (strings.HasPrefix(s.Do, "hooks") || s.Do == "bad-hooks" || s.Do == "reload" || s.Do == "enable" || s.Do == "disable") {
+// runStep performs one step. stop ends the load.
+func (r *run) runStep(s Step, stop func()) {
+	if !r.hooks && (strings.HasPrefix(s.Action, "hooks") || s.Action == "bad-hooks" || s.Action == "reload" || s.Action == "enable" || s.Action == "disable") {
 		return
 	}
 	r.mu.Lock()
-	r.last = s.Name
+	r.lastStep = s.Name
 	r.mu.Unlock()
 	if r.opt.Notice != nil {
-		r.opt.Notice(r.name, "%6v  step %s: %s %s", s.At, s.Name, s.Do, s.Set+s.Server+s.Hook)
+		r.opt.Notice(r.name, "%6v  step %s: %s %s", s.At, s.Name, s.Action, s.Set+s.Server+s.Hook)
 	}
 	var rep hook.Report
 	var err error
-	switch s.Do {
+	switch s.Action {
 	case "hooks", "bad-hooks":
-		r.look(time.Now()) // what the set that goes has counted
+		r.sample(time.Now()) // the counts of the set that is replaced
 		if err = control.Call(r.socket(0), &rep, "hooks", "list"); err != nil {
 			break
 		}
 		before := rep.Swaps
-		for n := range r.mixers {
-			if err = r.operator(n, r.d.path(s.Set)); err != nil {
+		for n := range r.proxies {
+			if err = r.writeOperatorFile(n, r.d.resolvePath(s.Set)); err != nil {
 				break
 			}
 		}
 		r.signal(syscall.SIGHUP)
-		for until := time.Now().Add(readyTime); ; time.Sleep(20 * time.Millisecond) {
+		for until := time.Now().Add(readyTimeout); ; time.Sleep(20 * time.Millisecond) {
 			if err = control.Call(r.socket(0), &rep, "hooks", "list"); err != nil {
 				break
 			}
-			if s.Do == "hooks" && rep.Swaps > before || s.Do == "bad-hooks" && rep.Rejected != "" {
+			if s.Action == "hooks" && rep.Swaps > before || s.Action == "bad-hooks" && rep.Rejected != "" {
 				break
 			}
-			if s.Do == "bad-hooks" && rep.Swaps > before {
-				err = errors.New("a bad set was put in force")
+			if s.Action == "bad-hooks" && rep.Swaps > before {
+				err = errors.New("a set of hooks that must be rejected was activated")
 				break
 			}
-			if rep.Rejected != "" && s.Do == "hooks" {
+			if rep.Rejected != "" && s.Action == "hooks" {
 				err = errors.New(rep.Rejected)
 				break
 			}
 			if time.Now().After(until) {
-				err = errors.New("nothing came of it")
+				err = errors.New("the set of hooks was neither activated nor rejected in time")
 				break
 			}
 		}
@@ -476,19 +476,19 @@
 	case "reload":
 		err = control.Call(r.socket(0), &rep, "hooks", "reload")
 	case "enable", "disable":
-		err = control.Call(r.socket(0), &rep, "hooks", s.Do, s.Hook)
+		err = control.Call(r.socket(0), &rep, "hooks", s.Action, s.Hook)
 	case "stop":
-		r.look(time.Now())
+		r.sample(time.Now())
 		r.mu.Lock()
 		r.stopping = true
 		r.mu.Unlock()
 		r.signal(syscall.SIGTERM)
-		time.Sleep(stopLoad)
+		time.Sleep(loadAfterStop)
 		stop()
 	case "hang", "fail", "busy", "claim", "well":
 		r.leafMu.Lock()
 		defer r.leafMu.Unlock()
-		r.leaves[s.Server].Set(map[string]leaf.Mode{"hang": leaf.Hang, "fail": leaf.Fail, "busy": leaf.Busy, "claim": leaf.IgnoreOwnership, "well": leaf.Healthy}[s.Do])
+		r.leaves[s.Server].Set(map[string]leaf.Mode{"hang": leaf.Hang, "fail": leaf.Fail, "busy": leaf.Busy, "claim": leaf.IgnoreOwnership, "well": leaf.Healthy}[s.Action])
 	case "kill":
 		r.leafMu.Lock()
 		r.leaves[s.Server].Close()
@@ -496,10 +496,10 @@
 	case "revive":
 		err = r.revive(s.Server)
 	case "evacuate":
-		if r.hooks { // not in the run at rest
+		if r.hooks { // not in the baseline run
 			r.evacuating.Go(func() {
 				if err := r.world.Evacuate(s.Cell); err != nil {
-					r.fail("step %s: %v", s.Name, err)
+					r.addProblem("step %s: %v", s.Name, err)
 				}
 			})
 		}
@@ -509,14 +509,14 @@
 		r.disco.Put(r.entry(s.Server, "SERVING"))
 	}
 	if err != nil {
-		r.fail("step %s: %v", s.Name, err)
+		r.addProblem("step %s: %v", s.Name, err)
 	}
 }
 
-// revive has a dead server come back, cold where the drill says so.
+// revive restarts a crashed server, in slow start if the drill sets a cold share.
 func (r *run) revive(name string) error {
 	m := r.model(indexOf(r.d.Servers(), name), name)
-	m.SlowStartShare = r.d.Fleet.Cold
+	m.SlowStartShare = r.d.Fleet.ColdShare
 	r.leafMu.Lock()
 	defer r.leafMu.Unlock()
 	r.leaves[name].Close()
@@ -533,9 +533,10 @@
 	return nil
 }
 
-// killCell has all servers of a cell die, and come back a while later.
+// killCell stops all servers of a cell and restarts them after KillDowntime. The
+// returned channel is closed when they are back.
 func (r *run) killCell(cell int) <-chan struct{} {
-	back := make(chan struct{})
+	restored := make(chan struct{})
 	names := r.d.Servers()[cell*r.d.Fleet.Replicas : (cell+1)*r.d.Fleet.Replicas]
 	for _, name := range names {
 		r.leafMu.Lock()
@@ -544,15 +545,15 @@
 		l.Close()
 	}
 	go func() {
-		defer close(back)
-		time.Sleep(r.d.Reshape.CutAway)
+		defer close(restored)
+		time.Sleep(r.d.Reshape.KillDowntime)
 		for _, name := range names {
 			if err := r.revive(name); err != nil {
-				r.fail("server %s did not come back: %v", name, err)
+				r.addProblem("server %s did not restart: %v", name, err)
 			}
 		}
 	}()
-	return back
+	return restored
 }
 
 func indexOf(list []string, s string) int {
@@ -564,10 +565,10 @@
 	return -1
 }
 
-// look samples the mixer.
-func (r *run) look(begin time.Time) {
+// sample records the proxies' memory, open files and hook counters.
+func (r *run) sample(begin time.Time) {
 	s := Sample{At: time.Since(begin), Of: r.d.Length, Open: r.j.Open()}
-	for _, x := range r.mixers {
+	for _, x := range r.proxies {
 		rss, files := child.ResourceUsage(x.Cmd.Process.Pid)
 		s.RSS, s.Files = max(s.RSS, rss), max(s.Files, files)
 	}
@@ -575,19 +576,19 @@
 	r.mu.Lock()
 	stopping := r.stopping
 	r.mu.Unlock()
-	asked := r.hooks && !stopping && control.Call(r.socket(0), &rep, "hooks", "list") == nil
+	reported := r.hooks && !stopping && control.Call(r.socket(0), &rep, "hooks", "list") == nil
 	r.mu.Lock()
-	r.rss, r.files = max(r.rss, s.RSS), max(r.files, s.Files)
-	if asked {
+	r.maxRSS, r.maxFiles = max(r.maxRSS, s.RSS), max(r.maxFiles, s.Files)
+	if reported {
 		r.report = rep
 		for _, h := range rep.Hooks {
-			// Counts go on where the next set has the same hook, so the set is not in the key.
+			// Counts continue if the next set has the same hook, so the key omits the set.
 			key := h.Name
 			r.calls[key], r.opened[key] = max(r.calls[key], h.Calls), max(r.opened[key], h.Opened)
-			r.perSet[key] = h.Faults
+			r.faultsByHook[key] = h.Faults
 		}
 	}
-	s.Hooks, s.LastSteps = rep.Hooks, r.last
+	s.Hooks, s.LastSteps = rep.Hooks, r.lastStep
 	r.mu.Unlock()
 	if r.opt.Progress != nil && s.At < 24*time.Hour && s.At > 0 {
 		r.opt.Progress(r.name, s)
@@ -595,30 +596,30 @@
 }
 
 func (r *run) signal(s os.Signal) {
-	for _, x := range r.mixers {
+	for _, x := range r.proxies {
 		x.Signal(s)
 	}
 }
 
-// end stops the program and looks at how it ended.
-func (r *run) end() {
+// stopProxies stops the proxies and checks how they exited.
+func (r *run) stopProxies() {
 	r.mu.Lock()
 	r.stopping = true
 	r.mu.Unlock()
 	r.signal(syscall.SIGTERM)
-	for _, x := range r.mixers {
-		if err := x.Wait(endTime); err != nil {
-			r.fail("%v", err)
+	for _, x := range r.proxies {
+		if err := x.Wait(exitTimeout); err != nil {
+			r.addProblem("%v", err)
 		}
 	}
 }
 
 func (r *run) close() {
-	for _, x := range r.mixers {
+	for _, x := range r.proxies {
 		x.Kill()
 	}
 	if r.world != nil {
-		r.world.Close() // once the servers that it killed are back
+		r.world.Close() // waits until the servers that it killed are back
 	}
 	if r.disco != nil {
 		r.disco.Close()
--- a/internal/lab/hunt/hunt.go
+++ b/internal/lab/hunt/hunt.go
@@ -72,7 +72,7 @@
 			f.OracleGoodput = run.Summary.Goodput
 			continue
 		}
-		f.ProxyGoodput, f.Broken, f.Faults = run.Summary.Goodput, run.Verdict.Broken()+len(run.Broken), run.Verdict.Faults
+		f.ProxyGoodput, f.Broken, f.Faults = run.Summary.Goodput, run.Verdict.Violations()+len(run.Broken), run.Verdict.Faults
 	}
 	f.Loss = max(f.OracleGoodput-f.ProxyGoodput, 0)
 	return f, nil
@@ -432,7 +432,7 @@
 		switch j.policy {
 		case play.Proxy:
 			o.Mixer += g
-			o.Broken += run.Verdict.Broken()
+			o.Broken += run.Verdict.Violations()
 		case play.Oracle:
 			o.Oracle += g
 		case play.Random:
--- a/internal/lab/leaf/leaf.go
+++ b/internal/lab/leaf/leaf.go
@@ -194,7 +194,7 @@
 	delete(s.conns, c.conn)
 	for _, w := range c.work {
 		w.dropped = true
-		w.attempt.Over(time.Now(), "")
+		w.attempt.Finished(time.Now(), "")
 	}
 	c.work = nil
 }
@@ -249,7 +249,7 @@
 	s.mu.Lock()
 	if c.work == nil { // the connection has ended in the meantime
 		s.mu.Unlock()
-		w.attempt.Over(now, "")
+		w.attempt.Finished(now, "")
 		return
 	}
 	status := ""
@@ -273,7 +273,7 @@
 	}
 	s.mu.Unlock()
 	if status != "" {
-		w.attempt.Over(now, "")
+		w.attempt.Finished(now, "")
 		c.write('A', frame.AppendAnswer(nil, frame.Answer{ID: p.ID, Status: status, LoadReport: "-"}))
 	}
 }
@@ -326,7 +326,7 @@
 func (s *Server) rejectNotOwned(w *work, epoch int64) {
 	w.dropped = true
 	delete(w.conn.work, w.part.ID)
-	w.attempt.Over(time.Now(), "")
+	w.attempt.Finished(time.Now(), "")
 	go w.conn.write('A', frame.AppendAnswer(nil, frame.Answer{ID: w.part.ID, Status: "busy", LoadReport: fmt.Sprintf("moved=%d", epoch)}))
 }
 
@@ -355,7 +355,7 @@
 	if dropped {
 		return
 	}
-	w.attempt.Over(time.Now(), value)
+	w.attempt.Finished(time.Now(), value)
 	w.conn.write('A', frame.AppendAnswer(nil, frame.Answer{ID: w.part.ID, Status: "ok", Score: 1, LoadReport: s.report(), Value: []byte(value)}))
 }
 
@@ -367,7 +367,7 @@
 	if w := c.work[id]; w != nil {
 		w.dropped = true
 		delete(c.work, id)
-		w.attempt.Over(time.Now(), "")
+		w.attempt.Finished(time.Now(), "")
 	}
 }
 
--- a/internal/lab/show/bar.go
+++ b/internal/lab/show/bar.go
@@ -1,6 +1,6 @@
 package show
 
-// A bar for work whose end is known.
+// This file holds a progress bar for work of known length.
 
 import (
 	"fmt"
@@ -10,29 +10,29 @@
 	"time"
 )
 
-// Bar shows how far something has come, and how long it will take.
+// Bar shows the progress of some work and the estimated time left.
 type Bar struct {
 	w        *os.File
 	terminal bool
-	what     string
-	begun    time.Time
+	label    string
+	started  time.Time
 
 	mu    sync.Mutex
 	last  time.Time
 	dirty bool
 }
 
-// NewBar writes on w.
+// NewBar returns a bar with a label that writes to w.
 func NewBar(w *os.File, what string) *Bar {
 	info, err := w.Stat()
-	return &Bar{w: w, terminal: err == nil && info.Mode()&os.ModeCharDevice != 0, what: what, begun: time.Now(), last: time.Now()}
+	return &Bar{w: w, terminal: err == nil && info.Mode()&os.ModeCharDevice != 0, label: what, started: time.Now(), last: time.Now()}
 }
 
-// Set shows a share in 0 to 1 and a remark.
+// Set shows the completed share, from 0 to 1, and a remark.
 func (b *Bar) Set(share float64, remark string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	pause := every
+	pause := plainInterval
 	if b.terminal {
 		pause = 100 * time.Millisecond
 	}
@@ -42,11 +42,11 @@
 	b.last = time.Now()
 	share = min(max(share, 0), 1)
 	left := "?"
-	if spent := time.Since(b.begun); share > 0.005 {
+	if spent := time.Since(b.started); share > 0.005 {
 		left = time.Duration(float64(spent) * (1 - share) / share).Round(time.Second).String()
 	}
 	done := int(width * share)
-	line := fmt.Sprintf("%-13s [%s%s] %3.0f%%  %s left  %s", b.what, strings.Repeat("=", done), strings.Repeat(".", width-done), 100*share, left, remark)
+	line := fmt.Sprintf("%-13s [%s%s] %3.0f%%  %s left  %s", b.label, strings.Repeat("=", done), strings.Repeat(".", width-done), 100*share, left, remark)
 	if b.terminal {
 		fmt.Fprintf(b.w, "\r\x1b[K%s", line)
 		b.dirty = true
@@ -55,7 +55,7 @@
 	}
 }
 
-// End leaves the terminal clean.
+// End removes the bar from a terminal.
 func (b *Bar) End() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/lab/virtual/link.go
+++ b/internal/lab/virtual/link.go
@@ -91,7 +91,7 @@
 	}
 	delete(l.inFlight, a)
 	now := p.w.loop.Now()
-	f.judged.Over(p.w.time(), "")
+	f.judged.Finished(p.w.time(), "")
 	p.trace(a, "is cancelled at", fmt.Sprint(v))
 	l.deliver(func() {
 		if f.delivered && f.generation == l.generation {
@@ -229,7 +229,7 @@
 	class := a.Text
 	f := &flight{l: l, a: a, generation: l.generation, sentAt: w.loop.Now(), judged: w.judge.ArrivedFrom(p.n, a.PartID, s.Name, w.time())}
 	if !w.plan.HasShard(l.server, a.Shard) {
-		w.judge.Astray(a.PartID, s.Name)
+		w.judge.Misrouted(a.PartID, s.Name)
 	}
 	request, rest, _ := strings.Cut(a.PartID, "-")
 	_, shard, _ := strings.Cut(rest, ".")
@@ -294,7 +294,7 @@
 		if e == model.OK {
 			value = valueOf(f.a)
 		}
-		f.judged.Over(w.time(), value)
+		f.judged.Finished(w.time(), value)
 	}
 	at := max(w.loop.Now()+d, l.lastAnswer)
 	l.lastAnswer = at
@@ -352,7 +352,7 @@
 	slices.SortFunc(lost, func(a, b *flight) int { return strings.Compare(a.a.PartID, b.a.PartID) })
 	clear(l.inFlight)
 	for _, f := range lost {
-		f.judged.Over(p.w.time(), "")
+		f.judged.Finished(p.w.time(), "")
 		p.trace(f.a, "lost its connection to", "")
 		p.exchange.AttemptEnded(f.a, choice.ConnectionLost, nil, "")
 	}
@@ -384,7 +384,7 @@
 	}
 	slices.SortFunc(out, func(a, b *flight) int { return strings.Compare(a.a.PartID, b.a.PartID) })
 	for _, f := range out {
-		f.judged.Over(w.time(), "")
+		f.judged.Finished(w.time(), "")
 		if f.delivered {
 			w.Servers[l.server].Cancel(&f.job)
 		}
--- a/internal/lab/virtual/virtual.go
+++ b/internal/lab/virtual/virtual.go
@@ -132,7 +132,7 @@
 	if err := w.play(); err != nil {
 		return nil, err
 	}
-	run := w.recorder.Done(w.judge.Judge(epoch.Add(plan.Window[0]), epoch.Add(plan.Window[1])))
+	run := w.recorder.Finish(w.judge.Judge(epoch.Add(plan.Window[0]), epoch.Add(plan.Window[1])))
 	var mem runtime.MemStats
 	runtime.ReadMemStats(&mem)
 	run.Machine = record.Machine{Wall: time.Since(begun), Events: w.loop.Executed(), PeakMiB: int64(mem.Sys >> 20), Threads: 1}
@@ -165,7 +165,7 @@
 		w.Servers, w.sites = append(w.Servers, s), append(w.sites, w.net.Site(spec.Site))
 		w.Index[spec.Name] = i
 		s.OnOverload = func(s *model.Server) {
-			w.judge.Fell(s.Name, w.time())
+			w.judge.ColdServerOverloaded(s.Name, w.time())
 			w.recordEvent("%s was pushed over while it was cold", s.Name)
 		}
 		s.OnDown = func(*model.Server) { w.serverDown(i) }
@@ -191,7 +191,7 @@
 	w.updateBalanced()
 	w.clients = &model.Clients{Sched: sched{w.loop}, Classes: plan.Classes, Tenants: plan.NewTenants(), OverQuotaValue: plan.OverQuotaValue, Retry: plan.Retry(), Seed: plan.RunSeed, Length: plan.Length, SelectProxy: w.selectProxy, Send: w.sendQuery,
 		Disconnect: w.clientLeaves, OnFinish: func(a *model.Request) {
-			w.recorder.Over(a, w.attemptsSent[a.ID])
+			w.recorder.QueryDone(a, w.attemptsSent[a.ID])
 			delete(w.attemptsSent, a.ID)
 		}}
 	return w, nil
@@ -230,7 +230,7 @@
 		w.loop.Post(time.Duration(s)*time.Second, func() {
 			if w.opt.KeepRows {
 				for _, v := range w.Servers {
-					w.recorder.Look(s-1, &v.Spec, v.TakeStats())
+					w.recorder.ServerSample(s-1, &v.Spec, v.TakeStats())
 				}
 			}
 		})
@@ -255,7 +255,7 @@
 		return err
 	}
 	if n := w.clients.InFlight; n > 0 {
-		w.recorder.Broke(fmt.Sprintf("%d asks were not over %v after the load", n, overtime+longest))
+		w.recorder.Fault(fmt.Sprintf("%d asks were not over %v after the load", n, overtime+longest))
 		for _, p := range w.proxies {
 			for _, id := range sortedIDs(p.attempts) {
 				p.attempts[id].judged.Detail = "no answer came"
@@ -361,9 +361,9 @@
 	for _, e := range changes {
 		switch e.Status {
 		case model.Draining:
-			w.judge.Told(w.plan.Servers[e.Server].Name, w.time())
+			w.judge.DrainReported(w.plan.Servers[e.Server].Name, w.time())
 		case model.Serving:
-			w.judge.Told(w.plan.Servers[e.Server].Name, time.Time{})
+			w.judge.DrainReported(w.plan.Servers[e.Server].Name, time.Time{})
 		}
 	}
 	rows := make([]choice.Server, 0, len(changes))
@@ -445,7 +445,7 @@
 func (w *world) sendQuery(t *model.Attempt) {
 	p := w.proxies[t.Proxy]
 	a := &clientAttempt{t: t, proxy: p}
-	a.judged = &judge.Query{ID: t.ID, Class: t.Request.Class.Name, Due: epoch.Add(t.Request.Due), Sent: w.time(), Patience: t.Timeout}
+	a.judged = &judge.Query{ID: t.ID, Class: t.Request.Class.Name, Due: epoch.Add(t.Request.Due), Sent: w.time(), Timeout: t.Timeout}
 	for _, part := range t.Request.Parts {
 		a.judged.Parts = append(a.judged.Parts, judge.Part{Shard: part.Shard, Weight: part.Weight})
 	}
@@ -464,7 +464,7 @@
 	if a == nil || a.finished {
 		return
 	}
-	w.endAttempt(a, judge.Gone, model.Reply{Kind: model.Left})
+	w.endAttempt(a, judge.ClientGone, model.Reply{Kind: model.Left})
 	w.loop.Post(w.localDelay(p), func() {
 		if p.exchange != nil && p.incarnation == a.incarnation && a.q != nil {
 			p.exchange.ClientLeft(a.q)
@@ -476,8 +476,8 @@
 func (w *world) endAttempt(a *clientAttempt, outcome judge.Outcome, r model.Reply) {
 	if a.finished {
 		// The reset of a killed proxy's connection may cross its answer; that is not a second answer.
-		if outcome != judge.Gone && outcome != judge.Died && a.judged.Outcome != judge.Gone && a.judged.Outcome != judge.Died {
-			a.judged.Extra = true
+		if outcome != judge.ClientGone && outcome != judge.ProxyKilled && a.judged.Outcome != judge.ClientGone && a.judged.Outcome != judge.ProxyKilled {
+			a.judged.ExtraAnswer = true
 		}
 		return
 	}
@@ -526,7 +526,7 @@
 	for range copies {
 		w.loop.Post(w.localDelay(p)+w.opt.Mutations.AnswerDelay, func() {
 			if !a.finished {
-				a.judged.Whole = r.Complete
+				a.judged.Complete = r.Complete
 				for _, h := range f.Hits {
 					value := h.Value
 					if change := w.opt.Mutations.ReplaceValue; change != nil {
--- a/internal/lab/virtual/virtual_test.go
+++ b/internal/lab/virtual/virtual_test.go
@@ -68,7 +68,7 @@
 	returning := strings.ReplaceAll(small, "rate  = 40", "rate  = 300") + "[fault d]\ndo = die\nat = 2s\nfor = 3s\nwho = cell 1\n"
 	drainingByOneSource := small + "[members]\nsources = list, consul\n[fault d]\ndo = drain\nsource = consul\nat = 2s\nwho = cell 1\n"
 	for _, unmutated := range []string{failing, draining, returning, drainingByOneSource} {
-		require.Zero(t, play(t, unmutated, Options{}).Verdict.Broken(), "%s", play(t, unmutated, Options{}).Verdict.Faults)
+		require.Zero(t, play(t, unmutated, Options{}).Verdict.Violations(), "%s", play(t, unmutated, Options{}).Verdict.Faults)
 	}
 	unsafe := func(s *settings.Settings) {
 		for i := range s.Router.Classes {
