--- a/choice/admission.go
+++ b/choice/admission.go
@@ -2,7 +2,7 @@
 
 // Whether a query is admitted: the admission check, and the plan of all its parts.
 //
-//   - crowding (admit): the class's median latency is over 0.4 of its latency target and recent queries
+//   - crowding (admit): the class's median latency is at least 0.4 of its latency target and recent queries
 //     missed theirs; against congestion by retries; rejects at random.
 //   - overfilling (admit, selectReplica): the last plan of a query whose class is far below its latency
 //     target may exceed windows; against retries; does harm under overload.
@@ -16,8 +16,8 @@
 	quotaBurst      = 4.0  // seconds of its quota that a tenant may accumulate
 	headroomBelow   = 0.3  // share of the latency target: a class with a lower median has headroom
 	crowdedFrom     = 0.4  // share of the latency target: a higher median shows a tier at capacity
-	missSmoothing   = 0.1  // weight of one query in missedShare, which so covers some ten queries
-	weightTolerance = 5e-5 // half of what the rule on honest answers allows
+	missSmoothing   = 0.1  // weight of one query in missedShare and meanQuerySize: some ten queries count
+	weightTolerance = 5e-5 // half of the 1e-4 that the tests allow an answer's weight to fall short
 )
 
 // addQuery registers a query and sets its timers. It rejects a query of an unknown class, and a client's
@@ -35,7 +35,7 @@
 	if !event.Repeat {
 		c.firstTryTimeout = min(event.Grace,
 			c.firstTryTimeout+Micros(quantileStep*float64(event.Grace-c.firstTryTimeout)))
-	} else if event.Grace < c.firstTryTimeout { // the time since the client's first try, which had more left
+	} else if event.Grace < c.firstTryTimeout { // the time since the client's first try counts too
 		target -= min(c.Deadline-event.Grace, target)
 	}
 	q := &query{id: event.ID, class: c, tenant: event.Tenant, number: event.Number,
@@ -67,7 +67,8 @@
 func (r *Router) admit(q *query) {
 	r.meanQuerySize += (float64(len(q.parts)) - r.meanQuerySize) * missSmoothing
 	probability := 1.0
-	if q.class.median >= crowdedFrom*float64(q.class.LatencyTarget) { // a window of one part is no bound then
+	if q.class.median >= crowdedFrom*float64(q.class.LatencyTarget) {
+		// Windows of one part don't bound the load of a server that many routers share.
 		probability -= min(1-missSmoothing, r.missedShare*float64(len(q.parts))/r.meanQuerySize)
 	}
 	if q.overQuota = !r.withinQuota(q); q.overQuota {
@@ -78,11 +79,12 @@
 		return
 	}
 	for plan := range maxPlans {
-		// The last plan lowers the requirement: a partial answer is better than none.
+		// The last plan lowers the requirement: a partial answer is better than none. The integer division
+		// yields 0 for each plan before it.
 		q.requiredWeight -= float64(plan/(maxPlans-1)) * (q.requiredWeight - q.reducedWeight)
 		if rest, ok := r.planAll(q, plan == maxPlans-1 && r.hasHeadroom(q.class) && !q.overQuota); ok {
 			if q.canary = r.now < q.class.canaryUntil; q.canary {
-				q.lostConnections = 1
+				q.lostConnections = 1 // the canary's lost connection alone reaches queryOfDeathLosses
 				q.unplan(1)
 			} else {
 				r.planRedundantParts(q, rest)
--- a/choice/answers.go
+++ b/choice/answers.go
@@ -50,7 +50,9 @@
 	r.endQuery(q)
 }
 
-// answerPartially gives a partial answer, marked as such, if waiting longer would be worth less.
+// answerPartially gives a partial answer, marked as such, if it is worth more than a late answer. It does
+// nothing for a second step that still has time, for a class without partial answers, or if too little is
+// served.
 func (r *Router) answerPartially(q *query) {
 	c := q.class
 	if q.ended || q.step == 2 && r.now < q.targetAt || c.MinShare >= c.RequiredShare ||
@@ -62,8 +64,9 @@
 	}
 }
 
-// waitsOnlyForLate reports whether all missing parts are in flight at ejected servers, which will be late:
-// waiting for them gains nothing.
+// waitsOnlyForLate reports whether all missing parts are in flight and expected only after partialAt, so that
+// waiting for them gains nothing: at ejected servers, which are slower by their factor Slow. Slow is 0 for
+// other servers, whose attempts are late only if they were sent after partialAt.
 func (q *query) waitsOnlyForLate() bool {
 	late := func(a *attempt) bool { return a.sentAt+Micros(a.server.Slow*q.class.median) > q.partialAt }
 	return !slices.ContainsFunc(q.parts, func(p *part) bool { return !p.served && !p.allInFlight(late) })
@@ -75,7 +78,7 @@
 		return
 	}
 	r.abandonQuery(q)
-	if !q.ended {
+	if !q.ended { // abandonQuery has answered the first of two steps
 		r.addAction(Fail{ID: q.id})
 		r.endQuery(q)
 	}
--- a/choice/attempts.go
+++ b/choice/attempts.go
@@ -7,19 +7,21 @@
 //   - short timeouts (send): hedges are not permitted and there is time for two attempts; against
 //     unresponsive servers; wastes work at slow ones.
 
+// send sends a planned attempt, with its timeout, and sets the timer after which it is overdue.
 func (r *Router) send(a *attempt) {
 	q := a.part.query
 	r.chooseConnection(a)
-	timeout, another := q.endsAt-r.now, Micros(q.class.upperQuantile*r.settings.OverdueMultiple)
+	timeout, secondAttempt := q.endsAt-r.now, Micros(q.class.upperQuantile*r.settings.OverdueMultiple)
 	mayRetry := !r.settings.ParallelAttempts && q.class.Effect != Unsafe &&
 		len(a.part.attempts) < r.maxAttempts(q.class)
-	// No other attempt may start before this one has ended.
-	if a.shortTimeout = mayRetry && q.targetAt-r.now > 2*another; a.shortTimeout {
-		timeout = q.targetAt - r.now - another
+	// No second attempt may start before this one has ended: the timeout leaves time for it.
+	if a.shortTimeout = mayRetry && q.targetAt-r.now > 2*secondAttempt; a.shortTimeout {
+		timeout = q.targetAt - r.now - secondAttempt
 	}
 	r.addAction(Send{ID: a.part.id, Server: a.server.ID, Timeout: max(timeout, r.settings.Resolution)})
 	overdue := min(q.class.upperQuantile*a.part.predictionRatio*r.settings.OverdueMultiple,
 		float64(q.class.LatencyTarget)*r.settings.OverdueMaxShare)
+	// If the query has little time, the attempt is overdue after a share of the step's time.
 	available := float64(min(q.targetAt, q.endsAt)-q.stepStartedAt+r.settings.Resolution) *
 		r.settings.OverdueMaxShare
 	a.earlyOverdue = available < overdue
@@ -32,7 +34,7 @@
 func (r *Router) chooseConnection(a *attempt) {
 	s, c := a.server, a.part.query.class
 	idle := r.now - s.lastActiveAt
-	if s.lastActiveAt == 0 || idle > r.settings.Keepalive {
+	if s.lastActiveAt == 0 || idle > r.settings.Keepalive { // the connection will be a new one
 		s.lastActiveAt = r.now
 	} else if idle > min(Micros(c.upperQuantile),
 		Micros(float64(c.LatencyTarget)*r.settings.OverdueMaxShare)) {
@@ -89,7 +91,7 @@
 	if event.Verdict == Served || event.Verdict == ServerError || event.Verdict == Rejected {
 		a.server.lastActiveAt = r.now
 	}
-	if w := a.server.window; w < 1 { // a window below one is one part during that fraction of the time
+	if w := a.server.window; w < 1 { // pauses, so that the server is busy for a fraction w of the time
 		a.server.reopensAt = r.now + Micros(float64(r.now-a.sentAt)*(1/w-1))
 	}
 	if q.ended {
--- a/choice/batching_test.go
+++ b/choice/batching_test.go
@@ -155,7 +155,7 @@
 	}
 }
 
-// If the change to Draining may count as received for long, the server must not be used as a last resort.
+// If the change to Draining may be old (List.Since), the server must not be used as a last resort.
 func TestOldDrainChangeAllowsNoLastResort(t *testing.T) {
 	for since, want := range map[Micros]bool{0: true, 400 * ms: false} {
 		h := newRingHarness(t, 10, nil) // with a DrainGrace of 500 ms
@@ -174,16 +174,16 @@
 // While a class is slow as a whole, all its parts are late, and hedges would add work for which the tier
 // lacks capacity. Hedges are sent only while the class is far below its latency target.
 func TestNoHedgesOfAClassThatIsSlow(t *testing.T) {
-	for mid, want := range map[Micros]bool{100 * ms: true, 400 * ms: false} {
+	for median, want := range map[Micros]bool{100 * ms: true, 400 * ms: false} {
 		h := newRingHarness(t, 10, nil)
 		c := h.router.classes["all"]
-		c.median, c.upperQuantile, c.latencySamples = float64(mid), float64(mid)+1, 50
+		c.median, c.upperQuantile, c.latencySamples = float64(median), float64(median)+1, 50
 		_, events := h.newQuery("all", 0)
 		if n := len(actionsOf[Send](h.step(events...))); n != 1 {
 			t.Fatalf("%d parts sent, want 1", n)
 		}
 		if got := len(actionsOf[Send](h.advance(800*ms))) > 0; got != want {
-			t.Fatalf("median latency %d ms with a target of %d ms: hedges %v, want %v", mid/ms, c.LatencyTarget/ms, got, want)
+			t.Fatalf("median latency %d ms with a target of %d ms: hedges %v, want %v", median/ms, c.LatencyTarget/ms, got, want)
 		}
 	}
 }
--- a/choice/choice.go
+++ b/choice/choice.go
@@ -1,14 +1,16 @@
 // Package choice implements the load balancing decisions of a client that queries many shards at once. The
 // interface (settings, events and actions) is in api.go and the state in state.go. All decisions and
-// constants are in the files that the deploy file lists under policy, one concern each. The head of each file
-// lists its exceptions: the condition that triggers each one, what it guards against and when it does harm
-// (docs/design.md has more).
+// constants are in the files that deploy/balancer.toml lists under policy, one concern each. The head of each
+// of them lists its special cases, which deviate from the mechanism below. An entry gives the functions that
+// implement the case, the condition that triggers it, what it protects against, and when it does harm or what
+// it costs (docs/design.md has more).
 //
 // The mechanism: if a query needs only some of its parts, more parts are sent than it needs. Each part goes
 // to a replica chosen at random among those with free capacity, and the query is answered once enough parts
 // are served. A window per server bounds its unanswered parts: it grows by one over its size per part served
 // while it is in use, and is cut when parts fail, get no answer or are late. A query is rejected before any
-// part is sent if the windows have no capacity for the least that is acceptable. Nothing is queued.
+// part is sent if the windows have no capacity for the least weight that is acceptable: Query.Least, or else
+// Class.RequiredShare. Nothing is queued.
 package choice
 
 // New returns a router for the settings, or an error that names the setting that is out of range.
--- a/choice/fuzz_test.go
+++ b/choice/fuzz_test.go
@@ -23,7 +23,7 @@
 	arrivals      []Micros
 	extraAttempts []Micros
 	inFlight      []*checkedAttempt
-	finished      int
+	finished      int // queries that have ended; not checked
 }
 
 type checkedQuery struct {
--- a/choice/hedging.go
+++ b/choice/hedging.go
@@ -10,7 +10,7 @@
 import "slices"
 
 const (
-	redundantShare      = 0.15 // redundant parts, as a share of the requirement; the rest wait for late parts
+	redundantShare      = 0.15 // share of the requirement; more parts are sent if some fail or are late
 	queryOfDeathLosses  = 2    // lost connections, with no part served, that suggest a query of death
 	defaultHedgeRatio   = 0.20 // hedges per part, where no budget is set
 	hedgeBudgetShare    = 0.25 // of the remaining budget: what one query may use of it for hedges
@@ -20,10 +20,11 @@
 	rescheduleDelay     = 0.05       // of the latency target: the delay before unsent parts are tried again
 )
 
-// planRedundantParts plans some of the parts beyond the requirement, where windows are far from full.
+// planRedundantParts plans some of the parts beyond the requirement, at servers with ample capacity: at most
+// extraWindowShare of a window is used.
 func (r *Router) planRedundantParts(q *query, rest []*part) {
 	wanted := q.requiredWeight * redundantShare
-	// Rounded to the nearest number of parts, at least one.
+	// Half a part's weight is subtracted to round to the nearest number of parts, at least one.
 	for i := 0; len(rest) > 0 && (i == 0 || wanted > rest[0].weight/2); i++ {
 		var planned float64
 		_, rest, planned = r.planCall(rest, redundantPart, wanted-rest[0].weight/2)
@@ -59,7 +60,8 @@
 		case inFlight > 0:
 			late = append(late, p)
 			possible += p.weight
-		// A part whose shard has no budget left is given up: a retry by the client costs no budget.
+		// A part whose shard has no budget left is not attempted again: a retry by the client, unlike one by
+		// the router, is not charged to the budget.
 		case r.mayAttemptAgain(p) &&
 			(!r.settings.RetryBudgetPerShard || r.remainingBudget(p, admittedPart) >= 1):
 			failed = append(failed, p)
@@ -87,12 +89,13 @@
 	}
 }
 
-// queryOfDeath stops a query that may crash every server it reaches: parts lost their connections at servers
-// not yet suspected, and none was served. It abandons the query once no part can still be expected in time.
-// Queries of its class then send one part first, as a canary, while the client may still retry.
+// queryOfDeath handles a query that may crash every server it reaches: parts lost their connections at
+// servers not yet suspected, and none was served. It sends nothing more, and abandons the query once every
+// attempt in flight is overdue. For the Deadline of its class from then on, in which the client may retry,
+// queries of the class send one part first, as a canary.
 func (r *Router) queryOfDeath(q *query) {
-	hopeful := func(p *part) bool { inFlight, overdue := p.countInFlight(); return inFlight > overdue }
-	if !slices.ContainsFunc(q.parts, hopeful) {
+	inTime := func(p *part) bool { inFlight, overdue := p.countInFlight(); return inFlight > overdue }
+	if !slices.ContainsFunc(q.parts, inTime) {
 		q.class.canaryUntil = r.now + q.class.Deadline
 		r.abandonQuery(q)
 	}
@@ -149,8 +152,8 @@
 }
 
 // remainingBudget returns how many extra attempts the configured budget, or else the default one, still
-// allows over any window. Without a bound, the extra attempts made during a fault would become a fault
-// themselves.
+// allows now, counted over the last budget window. Without a bound, the extra attempts made during a fault
+// would become a fault themselves.
 func (r *Router) remainingBudget(p *part, kind sendKind) float64 {
 	log := r.budgetLogOf(p.shard)
 	window, minimum, ratio := Micros(defaultBudgetWindow), defaultBudgetMin, defaultHedgeRatio
--- a/choice/helpers_test.go
+++ b/choice/helpers_test.go
@@ -50,7 +50,7 @@
 	return &harness{t: t, router: r, now: 100 * sec}
 }
 
-// newListedHarness returns a harness whose router has a list with perCell warmed up servers per cell.
+// newListedHarness returns a harness whose router has a list with perCell servers per cell, none in slow start.
 func newListedHarness(t *testing.T, perCell int, change func(*Settings)) *harness {
 	h := newHarness(t, change)
 	h.step(List{Form: Cached, Servers: testServers(h.router.settings.Cells, perCell)})
@@ -121,7 +121,7 @@
 	}
 }
 
-// setCrowded makes the router take a class for crowded, with the given share of missed latency targets.
+// setCrowded sets the state in which the router considers a class crowded, with the given share of missed latency targets.
 func (h *harness) setCrowded(class string, missed float64) {
 	c := h.router.classes[class]
 	c.median, h.router.missedShare = float64(c.LatencyTarget), missed
--- a/choice/regressions_test.go
+++ b/choice/regressions_test.go
@@ -274,8 +274,8 @@
 	}
 }
 
-// Queries were rejected because of a full window although their parts would have taken a tenth of the latency
-// target. They are still rejected if no latency is known yet, if it is not far below the target, or if the
+// Queries were rejected because of a full window although their parts would have taken a twentieth of the
+// latency target. They are still rejected if no latency is known yet, if it is not far below the target, or if the
 // server already has three windows of parts.
 func TestFullWindowsDoNotRejectClassesFarBelowTheirTarget(t *testing.T) {
 	sent := func(class string, took Micros, windows float64) int {
@@ -645,8 +645,8 @@
 	}
 }
 
-// With many routers, a tenant's quota at one of them is less than a query per minute. Its bucket never
-// accumulated one, so every query yielded, and an idle tier rejected large ones.
+// With many routers, a tenant's quota at one of them is less than a query per minute. If its bucket
+// never accumulated one, every query would yield, and an idle tier would reject large ones.
 func TestQueriesOverTheQuotaAreServedWhileThereIsCapacity(t *testing.T) {
 	h := newListedHarness(t, 1, func(s *Settings) { s.Routers, s.Tenants = 20, []Tenant{{Name: "t", QuotaPerS: 1}} })
 	for i := range 3 {
@@ -850,7 +850,7 @@
 	h.finish(sends[1], 0, Served)
 	h.router.classes["two-step"].upperQuantile = float64(sec) // slow recently: only the remaining time makes a part overdue
 	if n := len(actionsOf[Send](h.step(Part{ID: "m", Class: "two-step", Number: h.queryCount, Shard: 0, Weight: 1}))); n != 0 {
-		t.Fatalf("%d sends at once, want them with the next tick", n)
+		t.Fatalf("%d sends at once, want them when the timer of the part fires", n)
 	}
 	if n := len(actionsOf[Send](h.advance(200 * ms))); n != 2 {
 		t.Fatalf("%d sends in half of the 400 ms left, want the part and a hedge", n)
--- a/choice/rules_test.go
+++ b/choice/rules_test.go
@@ -257,7 +257,7 @@
 	}
 }
 
-// The four tests below are the rules of the design.
+// The four TestDesign tests below check the mechanism that the package comment describes.
 
 func TestDesignSendsMorePartsThanRequired(t *testing.T) {
 	h := newListedHarness(t, 2, nil)
--- a/choice/selection.go
+++ b/choice/selection.go
@@ -19,20 +19,21 @@
 
 const (
 	drainingUseShare = 0.5  // of DrainGrace: how long a draining server may be used where no other is healthy
-	maxOverfill      = 3.0  // windows: the most that is reserved at a server for a query not yet admitted
-	overQuotaShare   = 0.5  // a query over its tenant's quota uses at most this share of a window,
-	overQuotaMin     = 3.0  // or this many parts of it
-	extraWindowShare = 0.25 // redundant parts and hedges use this share at most: first sends go first
+	maxOverfill      = 3.0  // multiple of a window up to which overfillPart may fill it
+	overQuotaShare   = 0.5  // a query over its tenant's quota uses at most this share of a window
+	overQuotaMin     = 3.0  // or this many parts of the window, whichever is more
+	extraWindowShare = 0.25 // redundant parts and hedges use at most this share: first sends go first
 )
 
-// sendKind is the purpose of a send. It determines the capacity that the send may use.
+// sendKind is the purpose of a send. It determines the capacity that the send may use. From admittedPart on,
+// a send may go to a server with a full window; selectReplica relies on the order of the constants.
 type sendKind int
 
 const (
 	firstSend     sendKind = iota // of a query not yet admitted: needs free capacity
 	redundantPart                 // beyond the requirement: needs ample capacity, may be a suspect's trial
 	hedge                         // a second attempt beside an overdue one: needs ample capacity
-	admittedPart                  // of an admitted query: uses free capacity if there is any
+	admittedPart                  // of an admitted query: free capacity if there is any, else a full window
 	overfillPart                  // of a query that may exceed windows, within bounds, to be admitted
 )
 
@@ -48,8 +49,9 @@
 	return call, rest, r.planAttempts(call, s)
 }
 
-// callCapacity returns how many parts a call to a server may carry. The fixed cost of a call is worth a
-// window exceeded by the parts that share it. A server in slow start gets no more than its tokens allow.
+// callCapacity returns how many parts a call to a server may carry. Except for redundant parts and hedges,
+// the window does not limit it: exceeding the window costs less than sending the parts in further calls, each
+// with its fixed cost. A server in slow start gets as many parts as its tokens allow, at least one.
 func (r *Router) callCapacity(s *server, kind sendKind) int {
 	if s.slowStartFrom != 0 {
 		return max(int(s.slowStartTokens), 1)
@@ -72,13 +74,23 @@
 	return weight
 }
 
-// selectReplica selects a replica for the first of the parts, uniformly at random among the healthy ones with
-// free capacity. A trial that is due goes first; where no replica has capacity, the kind of the send decides.
-// Failing replicas come last: they answer fast and so always have capacity.
+// selectReplica selects a replica for the first of the parts, at random from the first of these lists that is
+// not empty and that the kind of the send may use:
+//
+//   - trial: suspects, or servers of a faulty group, whose trial is due
+//   - healthy: not suspected, with free capacity; of these the nearest ones with the fewest calls
+//   - full: as healthy, but without free capacity; from admittedPart on
+//   - draining: draining but not suspected; not for redundant parts and hedges
+//   - suspects: suspected below failureWeight, or in a faulty group, with free capacity
+//   - failing: suspected from failureWeight on, with free capacity; only if full is empty
+//   - fullSuspects: suspected or in a faulty group, without free capacity; only for overfillPart
+//
+// A send to suspects or failing counts as a trial, whether or not one is due. Failing replicas come late:
+// they answer fast, so their windows always have capacity, and they would attract most of the load.
 func (r *Router) selectReplica(parts []*part, kind sendKind) *server {
 	p, c := parts[0], parts[0].query.class
 	wait, mayTry := Micros(0), kind == firstSend || kind == redundantPart
-	if kind == firstSend {
+	if kind == firstSend { // risks a trial only this long after it was due
 		wait = Micros(float64(c.LatencyTarget) * trialPauseShare * trialOverdueAfter)
 	}
 	share, least := 1.0, 0.0 // the usable share of a window, and the parts usable whatever the share
@@ -95,6 +107,7 @@
 				continue
 			}
 			limit := max(s.window*share, min(s.window, least))
+			// A server without reserved parts has capacity, unless a window below one makes it pause.
 			hasCapacity := s.reserved == 0 && r.now >= s.reopensAt || float64(s.reserved+1) <= limit
 			group := r.faultyGroup(s)
 			switch {
@@ -121,7 +134,7 @@
 				}
 			case hasCapacity:
 				healthy = append(healthy, s)
-			case kind == overfillPart && float64(s.reserved) >= s.window*maxOverfill:
+			case kind == overfillPart && float64(s.reserved) >= s.window*maxOverfill: // not a candidate
 			case !r.isSuspect(s, c) && group == nil:
 				full = append(full, s)
 			default:
--- a/choice/servers.go
+++ b/choice/servers.go
@@ -9,7 +9,7 @@
 
 const (
 	listWaitShare    = 0.25     // of AskWithin: the longest pause between requests for the list
-	listBackoffStart = 1.0 / 16 // of that: the first pause after a failure; it doubles
+	listBackoffStart = 1.0 / 16 // share of that longest pause: the first pause after a failure; it doubles
 )
 
 // applyList applies a list or its changes. If a requested list failed, it is requested again with backoff.
@@ -23,7 +23,8 @@
 		r.runAfter(r.listBackoff, r.subscribeIfDue)
 		return
 	}
-	// A change on an established subscription counts as received now; others may count as received earlier.
+	// The changes on an established subscription are at most event.Since old. Those of any other list may be
+	// older, so they don't make a draining server a last resort.
 	fresh := event.Form == Delta && r.listRetryAt == 0
 	if event.Form != Cached {
 		r.listRetryAt, r.listBackoff = 0, Micros(float64(r.settings.AskWithin)*listWaitShare*listBackoffStart)
@@ -66,7 +67,7 @@
 	if row.State == Gone {
 		return
 	}
-	row.Cell = s.Cell
+	row.Cell = s.Cell // a server stays in the cell in which it was first listed
 	s.Server = row
 	if restarted {
 		s.faultLevel, s.latencyRatio = 0, 1
@@ -77,7 +78,7 @@
 	}
 }
 
-// subscribe subscribes to the list, and sets a timer to subscribe again if no list comes.
+// subscribe requests the list by a subscription to it, and sets a timer to subscribe again if no list comes.
 func (r *Router) subscribe() {
 	r.addAction(Watch{On: true})
 	wait := Micros(float64(r.settings.AskWithin) * listWaitShare)
--- a/choice/slowstart.go
+++ b/choice/slowstart.go
@@ -2,15 +2,15 @@
 
 // How much load a server gets that has just started.
 //
-//   - slow start (acceptsLoad, startSlowStart): the list shows a recent start; against overloading a cold
-//     server; causes rejections if all replicas are new.
+//   - slow start (acceptsLoad, startSlowStart): the list shows a recent start; against overloading a server
+//     that is warming up; causes rejections if all replicas are new.
 
 import "math"
 
 const (
-	slowStartSafety    = 0.7  // of the estimated limit: one router's best span overstates it
+	slowStartSafety    = 0.7  // of the estimated limit, which one router's best span overestimates
 	observedRateDecay  = 0.95 // per OverloadWindow: how fast the load that servers took before is forgotten
-	observedRateSigmas = 2.0  // standard deviations off the best server's load: it owes some to chance
+	observedRateSigmas = 2.0  // standard deviations off the busiest server's load: part of it is chance
 )
 
 // acceptsLoad reports whether a server may be sent a part. It keeps what a server in slow start is sent in
@@ -21,7 +21,7 @@
 	if s.State != Ready || s.slowStartFrom == 0 {
 		return s.State == Ready || s.State == Draining && r.now < s.lastResortUntil
 	}
-	// The capacity in the middle of the window counts.
+	// The capacity in the middle of the last window counts, so slow start lasts half a window longer.
 	age := r.now - s.slowStartFrom - r.settings.OverloadWindow/2
 	if age >= r.settings.SlowStart {
 		s.slowStartFrom = 0
@@ -42,7 +42,8 @@
 // startSlowStart puts a server into slow start if it started recently.
 func (r *Router) startSlowStart(s *server, startedAt Micros) {
 	if r.settings.SlowStart > 0 && r.settings.OverloadMultiple > 0 && r.now-startedAt < r.settings.SlowStart {
-		s.slowStartFrom, s.slowStartTokens, s.slowStartRefilledAt = max(startedAt, 1), r.rng.Float64(), r.now
+		s.slowStartFrom, s.slowStartTokens, s.slowStartRefilledAt =
+			max(startedAt, 1), r.rng.Float64(), r.now // a start of 0 would mean: not in slow start
 		s.window = minWindow // it has to grow from there
 	}
 }
--- a/choice/state.go
+++ b/choice/state.go
@@ -1,6 +1,7 @@
 package choice
 
-// The state of a Router and its timers. No decision is made here.
+// The state of a Router, its timers, and the helpers of the policy files. Constants that tune decisions are
+// not here but in the policy files.
 
 import (
 	"cmp"
@@ -16,21 +17,21 @@
 	window              float64
 	reserved            int     // attempts planned or in flight
 	inFlight            int     // attempts in flight
-	lastActiveAt        Micros  // last answer of any sort, or last new connection
+	lastActiveAt        Micros  // last answer of any sort, or last new connection; 0: none
 	lastShrinkAt        Micros  // attempts sent before it don't shrink the window again
 	faultLevel          int     // suspicion for all classes; see recordFault
 	faultClass          *class  // the only class whose parts raised faultLevel, or nil
 	classFaultLevels    []int   // by class.classIndex: faults of one class while others are served
 	latencyRatio        float64 // of its latencies to the class's median, smoothed
-	nextTrialAt         Micros
-	reopensAt           Micros // for a window below one: when it may be sent a part again
-	timesSkipped        int    // selections since the last trial that skipped it as a suspect
+	nextTrialAt         Micros  // while it is a suspect: from when a trial (startTrial) is due
+	reopensAt           Micros  // for a window below one: when it may be sent a part again
+	timesSkipped        int     // selections since the last trial that skipped it as a suspect
 	lastServedAt        Micros
 	lastServedByClass   []Micros // by class.classIndex
 	slowStartFrom       Micros   // start of its slow start; 0: not in slow start
-	groups              []*group
-	servedInSpan        float64 // parts served since Router.spanStartedAt
-	slowStartTokens     float64 // in slow start: parts it may be sent
+	groups              []*group // groups[0] is its zone, groups[1] its kind
+	servedInSpan        float64  // parts served since Router.spanStartedAt
+	slowStartTokens     float64  // in slow start: parts it may be sent
 	slowStartRefilledAt Micros
 	lastResortUntil     Micros // while it drains: until then it may be selected as a last resort
 	lastPlan            int    // number of the last plan with a call to it
@@ -40,7 +41,7 @@
 type group struct {
 	label       string
 	faultShare  float64 // share of recent parts that failed or were late
-	nextTrialAt Micros
+	nextTrialAt Micros  // from when its servers get a trial; for idleConns, see chooseConnection
 }
 
 type class struct {
@@ -49,8 +50,8 @@
 	median, upperQuantile float64 // estimated quantiles of latency, in microseconds
 	meanPrediction        float64 // mean of Part.Predicted, smoothed
 	latencySamples        float64 // number of latencies
-	firstTryTimeout       Micros  // lowest timeout that clients recently had for a first try
-	canaryUntil           Micros  // until then its queries send one part first: one of them crashed servers
+	firstTryTimeout       Micros  // smoothed minimum for a first try: it falls at once and rises slowly
+	canaryUntil           Micros  // until then its queries send one part first; see queryOfDeath
 }
 
 type query struct {
@@ -58,14 +59,14 @@
 	class             *class
 	tenant            string
 	number            int64
-	stepStartedAt     Micros
-	targetAt          Micros
-	endsAt            Micros
-	partialAt         Micros
+	stepStartedAt     Micros // when the current step started
+	targetAt          Micros // end of its latency target, less Settings.Resolution
+	endsAt            Micros // when it expires: the client's timeout; targetAt without LateValue
+	partialAt         Micros // from when a partial answer is considered
 	parts             []*part
-	expectedParts     int    // from Query.Parts
-	partStorage       []part // backing array of its parts
-	requiredWeight    float64
+	expectedParts     int     // from Query.Parts
+	partStorage       []part  // backing array of its parts
+	requiredWeight    float64 // served weight that completes the current step
 	reducedWeight     float64 // what requiredWeight may be reduced to without capacity for more
 	servedWeight      float64
 	step              int
@@ -77,7 +78,7 @@
 	admitted          bool
 	canary            bool // one part is sent first, the others once it is served
 	overQuota         bool // over its tenant's quota
-	lostConnections   int  // attempts that lost their connections
+	lostConnections   int  // attempts that lost connections to servers not suspected; canary: plus 1
 	nextScheduleAt    Micros
 }
 
@@ -204,28 +205,28 @@
 	queriesByNumber map[int64]*query
 	parts           map[string]*part
 	newQueries      []*query
-	ordered         []*part // buffers of what orderParts and fillCall returned last
-	rotated         []*part
-	callParts       []*part
-	planNumber      int // of the current plan; see server.lastPlan
+	ordered         []*part // buffer of orderParts: the parts in order of their cells
+	rotated         []*part // buffer of orderParts: its result
+	callParts       []*part // buffer of fillCall: the call that it returned last
+	planNumber      int     // of the current plan; see server.lastPlan
 
 	quotas      map[string]*quotaBucket
 	timers      timers
 	seq         int
-	wakeAt      Micros
-	wakeDelay   Micros // how much later than requested this step runs
+	wakeAt      Micros // time of the requested Elapsed; math.MaxInt64: none is requested
+	wakeDelay   Micros // how much later than the requested Elapsed this step runs; 0: it is not late
 	started     bool
 	listRetryAt Micros
 	listBackoff Micros
 
-	sharedBudget     budgetLog   // of all parts,
-	shardBudgets     []budgetLog // or of the parts of each shard, with RetryBudgetPerShard
+	sharedBudget     budgetLog   // of all parts; not used with RetryBudgetPerShard
+	shardBudgets     []budgetLog // with RetryBudgetPerShard: by shard modulo Cells
 	freeClassIndexes []int       // indexes of removed classes
 	classIndexCount  int         // indexes assigned so far
 	meanQuerySize    float64     // mean number of parts of a query, smoothed
 	missedShare      float64     // share of recently admitted queries that missed their latency target
 	readyServers     int
-	spanStartedAt    Micros
+	spanStartedAt    Micros  // start of the span in which updateObservedRate counts served parts
 	observedRate     float64 // parts per second that one server of scale 1 was seen to serve
 }
 
@@ -294,7 +295,8 @@
 	return index
 }
 
-// budgetLogOf returns the log for the parts of a shard: one for all, unless RetryBudgetPerShard is set.
+// budgetLogOf returns the log for the parts of a shard. All shards share one log; with RetryBudgetPerShard,
+// the shards that are equal modulo Cells share one.
 func (r *Router) budgetLogOf(shard int) *budgetLog {
 	if !r.settings.RetryBudgetPerShard {
 		return &r.sharedBudget
@@ -380,7 +382,9 @@
 	delete(r.queriesByNumber, q.number)
 }
 
-// releaseParts cancels the attempts of a query's parts and removes the parts.
+// releaseParts cancels the attempts of a query's parts and removes the parts, except that a part with an
+// attempt in flight is kept until the outcome of that attempt. Each part is marked as served, also one that
+// was not, so that nothing more is sent for it.
 func (r *Router) releaseParts(q *query) {
 	for _, p := range q.parts {
 		for _, a := range p.attempts {
@@ -455,8 +459,8 @@
 	}
 }
 
-// setState sets a server's state and counts the ready servers. A server that stays gone is dropped after
-// SlowStart.
+// setState sets a server's state and counts the ready servers. A server that stays gone for
+// SlowStart is dropped with what was learned of it.
 func (r *Router) setState(s *server, state State) {
 	if s.State == Ready {
 		r.readyServers--
@@ -487,7 +491,8 @@
 	r.cells[s.Cell] = slices.DeleteFunc(cell, func(other *server) bool { return other == s })
 }
 
-// unplan undoes a plan that was not sent, except for the first attempts, as many as keep.
+// unplan undoes a plan that was not sent. It spares the leading parts of q as long as these have at most keep
+// attempts in total.
 func (q *query) unplan(keep int) {
 	for _, p := range q.parts {
 		if keep -= len(p.attempts); keep >= 0 {
@@ -508,8 +513,8 @@
 		q.partStorage, q.parts = make([]part, 0, size), make([]*part, 0, size)
 	}
 	if len(q.partStorage) == cap(q.partStorage) { // more parts than announced
-		separate := p
-		return &separate
+		extra := p
+		return &extra
 	}
 	q.partStorage = append(q.partStorage, p)
 	return &q.partStorage[len(q.partStorage)-1]
@@ -530,16 +535,17 @@
 	p.attempts = p.attemptStorage[:]
 }
 
-// splitCandidates returns seven empty lists for a selection, each with capacity for the replicas of most
+// splitCandidates returns the seven empty lists of selectReplica, each with capacity for the replicas of most
 // shards.
 func splitCandidates(buffers *[7][6]*server) (a, b, c, d, e, f, g []*server) {
 	return buffers[0][:0], buffers[1][:0], buffers[2][:0], buffers[3][:0], buffers[4][:0], buffers[5][:0],
 		buffers[6][:0]
 }
 
-// orderParts returns parts in the order in which they are planned. If a call carries one part, that order is
-// random if shuffle is set. Else it is the order of the ring of cells, so that parts stored by the same
-// server are adjacent: it starts after the widest gap between the first cells of two parts. The result is
+// orderParts returns parts in the order in which they are planned. If MaxPartsPerCall is at most 1, that
+// order is random with shuffle, and the given one without. If a call may carry more parts, it is the order of
+// the ring of cells, so that parts stored by the same server are adjacent: it starts after the widest gap
+// between the first cells of two parts. The result is
 // valid until the next call.
 func (r *Router) orderParts(parts []*part, shuffle bool) []*part {
 	r.ordered = append(r.ordered[:0], parts...)
@@ -569,7 +575,8 @@
 }
 
 // fillCall takes from parts, the first of which goes to s in any case, those that may go there in the same
-// call: up to capacity parts, and no more weight than wanted. It returns the call, and the rest of the parts
+// call: up to capacity parts, as long as the weight taken is below wanted, so that the last part may exceed
+// wanted. It returns the call, and the rest of the parts
 // in their order, moved to the front of the slice.
 func (r *Router) fillCall(s *server, parts []*part, capacity int, wanted float64) (call, rest []*part) {
 	call, rest = r.callParts[:0], parts[:0]
--- a/choice/suspects.go
+++ b/choice/suspects.go
@@ -7,9 +7,9 @@
 //     classes of one part.
 //   - ejected servers (isSuspect, trialSpacing, waitsOnlyForLate): all routers together found the server
 //     slow; against a trial by each router; delays the server's return.
-//   - groups (recordGroups, faultyGroup): servers with the same label fail three times as often as those with
-//     the best one; against partitioned zones, links that are bad for this router alone, and kinds that fail;
-//     does harm to healthy servers of the group.
+//   - groups (recordGroups, faultyGroup): the odds that a part fails at servers with one label are over three
+//     times those of the best label; against partitioned zones, links that are bad for this router alone, and
+//     kinds that fail; does harm to healthy servers of the group.
 
 import "math"
 
@@ -19,7 +19,7 @@
 	overdueWeight     = 1   // an overdue attempt, if nothing was served since it was sent
 	suspectRatio      = 3.0 // a server this many times slower than the class's median is a suspect too
 	ratioSmoothing    = 0.3
-	trialOverdueAfter = 12  // after this many pauses, and selections that skipped it, a first send is risked
+	trialOverdueAfter = 12  // after this many pauses, and selections that skipped it, a first send is a trial
 	trialPauseShare   = 0.5 // pause between trials at level one, as a share of the class's latency target
 )
 
@@ -27,7 +27,7 @@
 const (
 	groupSmoothing  = 0.1 // weight of one part: about ten decide, which even a quiet router sees in seconds
 	groupFaultShare = 0.3 // a group is faulty if a greater share of its parts fails or is late
-	groupOddsRatio  = 3.0 // and its odds are this many times the best group's: else its path is not the cause
+	groupOddsRatio  = 3.0 // and its odds over this multiple of the best group's: else its path isn't at fault
 )
 
 // isSuspect reports whether a server is not trusted with parts of a class.
@@ -35,8 +35,9 @@
 	return s.suspicion(c) > 0 || s.latencyRatio > suspectRatio
 }
 
-// trialSpacing returns the number of pauses between trials of a server. All routers share one trial per pause
-// where the trial would be late.
+// trialSpacing returns the factor that lengthens the time after which a first send is a trial of a server. It
+// is the number of routers if the server is so slow that the trial would be late: the routers together then
+// risk one first send in that time. Trials by redundant parts don't wait: the factor has no effect on them.
 func (r *Router) trialSpacing(s *server, c *class) Micros {
 	if s.Slow*c.median <= shrinkFrom*float64(c.LatencyTarget) {
 		return 1
@@ -53,6 +54,8 @@
 func (r *Router) recordOutcome(a *attempt, event Outcome) {
 	s, c := a.server, a.part.query.class
 	age := float64(max(r.now-a.sentAt-r.wakeDelay, 1)) // a late wake is this router's delay, not the server's
+	// scaled is corrected for the predicted size of the part, and age from here on for a heavy query. ratio
+	// is corrected for both, and relative to the class's median.
 	scaled := age / a.part.predictionRatio
 	age /= a.part.query.heaviness(scaled / c.median)
 	ratio := age / a.part.predictionRatio / c.median
@@ -73,14 +76,14 @@
 		s.latencyRatio += (ratio - s.latencyRatio) * ratioSmoothing
 		s.lastServedAt, s.lastServedByClass[c.classIndex] = r.now, r.now
 		if s.faultClass != nil && s.faultClass != c {
-			// The server works, so the unanswered parts are a fault of their class. Forgiving it here hid
-			// that fault for good.
+			// The server works, so the unanswered parts are a fault of their class. The fault level moves to
+			// that class: if it were reset here, the fault would never be detected.
 			s.classFaultLevels[s.faultClass.classIndex], s.faultLevel, s.faultClass =
 				max(s.classFaultLevels[s.faultClass.classIndex], s.faultLevel), 0, nil
 		}
 		s.servedInSpan++
 		if age > shrinkFrom*float64(c.LatencyTarget) {
-			if r.faultyGroup(s) != s.groups[0] { // else the path is slow, and the server is not full
+			if r.faultyGroup(s) != s.groups[0] { // in a faulty zone, the path is slow and the server not full
 				r.shrinkWindow(a)
 			}
 			return
@@ -88,7 +91,8 @@
 		for _, g := range a.faultGroups { // later than others but well within the target: the path is fine
 			g.undoFault()
 		}
-		// A cancelled attempt was later than its hedge but well within the target: the server was responsive.
+		// A cancelled attempt that is served was slower than its hedge but well within the target: whatever
+		// the ratio, the server is responsive.
 		if ratio < suspectRatio || a.cancelled {
 			s.faultLevel /= 2
 			s.classFaultLevels[c.classIndex] /= 2
@@ -97,7 +101,8 @@
 			s.window += min(1/s.window, s.window)
 		}
 	case NoAnswer:
-		// Some lost answers are no sign of a dead server while it serves others.
+		// Lost answers are no sign of a dead server while it serves other parts of the class, and neither is
+		// a timeout that this router shortened.
 		if s.lastServedByClass[c.classIndex] > a.sentAt || a.shortTimeout {
 			return
 		}
@@ -135,7 +140,7 @@
 	for _, g := range groups {
 		g.faultShare += (fault - g.faultShare) * groupSmoothing
 	}
-	if a.connGroup == &r.idleConns { // old results of renewed connections fade
+	if a.connGroup == &r.idleConns { // old results of renewed connections fade, slowly
 		r.renewedConns.faultShare -= r.renewedConns.faultShare * groupSmoothing * groupSmoothing
 	}
 }
@@ -143,10 +148,12 @@
 // undoFault takes one recorded fault back.
 func (g *group) undoFault() { g.faultShare = max(0, (g.faultShare-groupSmoothing)/(1-groupSmoothing)) }
 
-// worseThan reports whether a group is faulty while another of its sort, which has the given share, is
-// healthy.
-func (g *group) worseThan(least float64) bool {
-	return g.faultShare > groupFaultShare && g.faultShare*(1-least) > groupOddsRatio*least*(1-g.faultShare)
+// worseThan reports whether a group is faulty while the best group of its sort is healthy: its fault share is
+// over groupFaultShare, and its odds (faulty to good parts) are over groupOddsRatio times those of the best
+// group, whose fault share is given.
+func (g *group) worseThan(bestShare float64) bool {
+	return g.faultShare > groupFaultShare &&
+		g.faultShare*(1-bestShare) > groupOddsRatio*bestShare*(1-g.faultShare)
 }
 
 // faultyGroup returns the group of s that is faulty while another of its sort is healthy, or nil. It detects
@@ -174,19 +181,21 @@
 
 // heaviness returns by which factor the query's parts are slower than usual, at least 1. A heavy query is
 // slow at every server, which is no server's fault. The first part served is the fastest of its query, so it
-// never counts as slow. own is the latency of that first part over the class's median.
-func (q *query) heaviness(own float64) float64 {
+// never counts as slow. firstRatio is the latency of that first part over the class's median.
+func (q *query) heaviness(firstRatio float64) float64 {
 	if q.ratioCount > 0 {
 		return max(1, math.Exp(q.logRatioSum/q.ratioCount))
 	}
 	if len(q.parts) > 1 {
-		return max(1, own)
+		return max(1, firstRatio)
 	}
 	return 1
 }
 
-// recordFault raises the suspicion of a server and shrinks its window, once for attempts sent before the last
-// cut. The fault is attributed to the class alone while the server serves others, else to the server.
+// recordFault raises the fault level of a server, shrinks its window, and postpones its next trial. For an
+// attempt sent before the window was last cut, it only postpones the trial. The fault is attributed to the
+// class alone if the server has served other classes, but not this one, since the attempt was sent; else to
+// the server.
 func (r *Router) recordFault(a *attempt, weight int) {
 	s, c := a.server, a.part.query.class
 	if a.sentAt >= s.lastShrinkAt {
--- a/choice/window.go
+++ b/choice/window.go
@@ -7,11 +7,11 @@
 
 // The window per server: additive increase, multiplicative decrease.
 const (
-	initialWindow = 4.0 // initial size in the design
-	minWindow     = 1.0 // floor in the design, which holds while one part per router fits an initial window
+	initialWindow = 4.0 // initial size (docs/design.md)
+	minWindow     = 1.0 // floor; a tier of more than initialWindow routers has initialWindow/Routers instead
 	growMinUse    = 0.5 // grow only if this share of the window is in use (RFC 7661: else nothing is proven)
 	shrinkFrom    = 0.6 // share of the latency target: a served part that took longer shrinks the window
-	shrinkFactor  = 0.5 // halving, as in the design, for every bad sign: milder for late parts gained nothing
+	shrinkFactor  = 0.5 // for every bad sign (docs/design.md); a milder cut for late parts showed no gain
 )
 
 // Latencies per class: two quantiles, tracked by small steps.
@@ -22,7 +22,7 @@
 	defaultOverdueMultiple = 1.5 // of the upper quantile
 	defaultOverdueMaxShare = 0.4 // of the latency target: early enough for a hedge to help
 	maxPredictionRatio     = 4.0 // how far a prediction may raise or lower a part's expected latency
-	fastSamples            = 4   // the first samples move the quantiles far: at least by 1/(1+samples/this)
+	fastSamples            = 4   // the first samples move the quantiles by at least 1/(1+samples/this)
 
 	initialMedian, initialUpper = 0.125, 0.25 // quantiles before any answer, as shares of the latency target
 )
@@ -36,8 +36,8 @@
 }
 
 // shrinkWindow cuts the server's window (recordOutcome grows it), unless the attempt was sent before the last
-// cut: a burst of bad outcomes counts as one sign, as a round trip does in TCP. A window below one is a
-// pause.
+// cut: a burst of bad outcomes counts as one sign, as a round trip does in TCP. A window below
+// one makes the router pause after each part (handleOutcome).
 func (r *Router) shrinkWindow(a *attempt) {
 	if a.sentAt >= a.server.lastShrinkAt {
 		a.server.lastShrinkAt = r.now
