--- a/internal/node/controlplane/handover.go
+++ b/internal/node/controlplane/handover.go
@@ -16,9 +16,10 @@
 	standbyTimeout       = 2000 * time.Millisecond // time for a learner that can take over the vote to appear
 )
 
-// handOverVote transfers this machine's vote to a learner before the process ends. It returns when
-// the transfer is complete, when no learner is available after standbyTimeout, or handOverMargin
-// before the end of the grace period.
+// handOverVote transfers this machine's vote to a learner, a control-plane process without a vote, before
+// this process ends. It returns when the transfer is complete, when no learner can take the vote after
+// standbyTimeout, or handOverMargin before the end of the grace period. If the grace period is not longer
+// than handOverMargin, it does not wait.
 func (c *replicaRunner) handOverVote(grace time.Duration) {
 	start := time.Now()
 	deadline, standbyDeadline := start.Add(grace-handOverMargin), start.Add(standbyTimeout)
@@ -34,7 +35,7 @@
 			events.VoteHandedOver.Log("after", time.Since(start).Round(time.Millisecond))
 			return
 		case noSuccessor && time.Now().After(standbyDeadline):
-			events.VoteNotHandedOver.Log("why", "no learner is available to take over the vote; it stays with the disk")
+			events.VoteNotHandedOver.Log("why", "no learner is available to take over the vote; the vote stays with the state on this disk")
 			return
 		}
 		time.Sleep(handOverPollInterval)
@@ -42,8 +43,8 @@
 	events.VoteNotHandedOver.Log("why", "the other members did not agree within the grace period")
 }
 
-// leaveStatus reports whether this machine has left the voters, and whether there is no learner that
-// can take over its vote. Both are false if the loop does not answer before ctx ends.
+// leaveStatus reports whether this machine no longer has a vote, and whether it is useless to wait longer
+// for a learner that can take over its vote. Both are false if the loop does not answer before ctx ends.
 func (c *replicaRunner) leaveStatus(ctx context.Context) (left, noSuccessor bool) {
 	done := make(chan struct{})
 	if c.runOnLoop(ctx, func() {
--- a/internal/node/controlplane/heartbeat_bench_test.go
+++ b/internal/node/controlplane/heartbeat_bench_test.go
@@ -22,7 +22,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			s := &server{Node: peer.NewNode(nodesettings.Fixed(boot), gossip.KindControlPlane)}
+			s := &controlPlane{Node: peer.NewNode(nodesettings.Fixed(boot), gossip.KindControlPlane)}
 			s.registry = registry.New(s.Self.Addr, 1<<40)
 			for i := range agents + 12 {
 				p := gossip.Process{Addr: fmt.Sprintf("10.2.%d.%d:7080", i/200, i%200), Kind: gossip.KindAgent, Zone: fmt.Sprint("z", i%7)}
@@ -32,7 +32,7 @@
 				body, _ := json.Marshal(p)
 				s.Put(gossip.Entry{Key: gossip.ProcessPrefix + p.Addr, Version: 1, Value: body})
 			}
-			servers := agents * 8700 / 1800 / 12
+			servers := agents * 8700 / 1800 / 12 // 8,700 servers per 1,800 agents, divided among 12 machines
 			names := make([]string, servers)
 			for i := range names {
 				names[i] = fmt.Sprintf("i-%08x", i)
--- a/internal/node/controlplane/outbox.go
+++ b/internal/node/controlplane/outbox.go
@@ -18,7 +18,7 @@
 	messageTimeout    = 900 * time.Millisecond // for small messages
 	bulkTimeout       = 4 * time.Second        // for messages that carry an entry: links may be slow
 	maxOutboxMessages = 128                    // queued messages for one machine; the oldest are dropped first
-	maxOutboxPeers    = 64                     // machines that are sent to at the same time, each with two outboxes
+	maxOutboxPeers    = 64                     // machines that have outboxes, two each; messages to more machines are dropped
 	outboxIdleTimeout = time.Minute            // an idle outbox is removed after this time
 )
 
@@ -27,7 +27,7 @@
 var messagesCall = rpc.Declare[rpc.Raw, rpc.Empty]("POST", "/Core.Mail", 4*agentapi.MaxCallBytes, "control-plane processes").WithCompression()
 
 // outboxKey identifies one of the two outboxes of a machine. Messages that carry an entry are large and
-// have their own outbox, so that heartbeats do not wait behind them.
+// have their own outbox, so that the heartbeats between members do not wait behind them.
 type outboxKey struct {
 	addr string
 	bulk bool
@@ -68,7 +68,7 @@
 }
 
 // nextBatch removes and returns the messages that fit into one call, at least one if any is queued, and
-// reports whether more are queued.
+// reports whether more are queued. Only the content of entries counts, as the other bytes are few.
 func (o *outbox) nextBatch() (batch []envelope.Message, more bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -92,7 +92,8 @@
 	return o.closed
 }
 
-// enqueueMessages adds messages to the outboxes of their receivers.
+// enqueueMessages adds messages to the outboxes of their receivers. A message for which there is no outbox
+// is dropped.
 func (c *replicaRunner) enqueueMessages(messages []envelope.Message) {
 	for _, msg := range messages {
 		if box := c.outboxFor(outboxKey{msg.To.Addr, chain.ContentOf(msg.Body) != nil}); box != nil && !box.enqueue(msg) {
@@ -169,12 +170,12 @@
 // serveMessages registers the handler of messagesCall.
 func (c *replicaRunner) serveMessages(mux *http.ServeMux) {
 	messagesCall.Handle(mux, func(ctx context.Context, caller rpc.RequestInfo, body rpc.Raw) (rpc.Empty, error) {
-		messages, unread, err := codec.DecodeBatch(body)
+		messages, decodeErrors, err := codec.DecodeBatch(body)
 		if err != nil {
 			events.MessageInvalid.Log("peer", caller.Peer, "err", err)
 			return rpc.Empty{}, rpc.Errorf(http.StatusBadRequest, "%v", err)
 		}
-		for _, err := range unread {
+		for _, err := range decodeErrors {
 			events.MessageInvalid.Log("peer", caller.Peer, "err", err)
 		}
 		return rpc.Empty{}, c.runOnLoop(ctx, func() {
--- a/internal/node/controlplane/replica.go
+++ b/internal/node/controlplane/replica.go
@@ -27,16 +27,17 @@
 	replicaTick         = 100 * time.Millisecond
 	maxQueuedOutputs    = 1024 // outputs that wait for the disk
 	diskRetryInterval   = 200 * time.Millisecond
-	keyState            = "pact"
+	keyState            = "pact" // keys on disk; they keep the names under which earlier releases stored them
 	keyEntry            = "entry"
 	keyServers          = "servers"
 	keyLastAcknowledged = "known" // the last entry known to be acknowledged
-	ViewKey             = "v"
+	ViewKey             = "v"     // the gossip key of the view
 	answerTimeout       = 4 * time.Second
-	diskStallTime       = time.Second
+	diskStallTime       = time.Second // not used
 )
 
-// Errors of calls to the replicated state. With any of them the call may still have taken effect.
+// Errors of calls to the replicated state. After ErrStopping the call was not started. After ErrNoAnswer
+// it may have taken effect, or may still do so.
 var (
 	ErrStopping = errors.New("the process is stopping")
 	ErrNoAnswer = errors.New("the chain did not answer in time")
@@ -47,8 +48,8 @@
 
 func (e *RejectedError) Error() string { return e.Reason }
 
-// replicaRunner runs a replica.Machine. Its loop steps the machine. Its disk goroutine writes the record
-// of each step and only then releases the messages and results of that step.
+// replicaRunner runs a replica.Machine, the replicated state machine. Its loop steps that machine. Its disk
+// goroutine writes the record of each step and only then releases the messages and results of that step.
 type replicaRunner struct {
 	node    *peer.Node
 	dataDir string
@@ -58,15 +59,15 @@
 	done             chan struct{}
 	replica          *replica.Machine             // owned by the loop
 	pendingCalls     map[string]chan chain.Result // owned by the loop
-	announcedVersion uint64                       // of the configuration that is announced or queued to be; owned by the loop
+	announcedVersion uint64                       // of the configuration that is announced, or queued to be; owned by the loop
 	announcedEpoch   uint64                       // of the announced view; owned by the loop
 	hadQuorum        bool                         // at the last check; owned by the loop
 
 	mu               sync.Mutex
 	diskQueue        []diskJob
-	serversToPersist []byte // written with the next batch, no promise depends on it; nil: unchanged
+	serversToPersist []byte // written with the next batch; no consensus promise depends on it; nil: unchanged
 	diskWake         chan struct{}
-	writeStartedAt   time.Time // start of the current write; zero: no write is in progress
+	writeStartedAt   time.Time // start of the current write; zero: no write is in progress; not read
 	outboxes         map[outboxKey]*outbox
 	outboxesDone     sync.WaitGroup
 	runCtx           context.Context
@@ -78,6 +79,7 @@
 	announce *chain.Entry // an entry that has become known as acknowledged; nil: none
 }
 
+// newNonce returns a random string that distinguishes a start of the process, or a disk, from all others.
 func newNonce() string {
 	var b [6]byte
 	rand.Read(b[:])
@@ -91,8 +93,9 @@
 	}
 	c := &replicaRunner{node: node, dataDir: boot.DataDir, store: store, commands: make(chan func(), 256), done: make(chan struct{}),
 		pendingCalls: make(map[string]chan chain.Result), diskWake: make(chan struct{}, 1), outboxes: make(map[outboxKey]*outbox)}
+	// Mutations disable rules of the protocol, for the model checker; the empty value disables none.
 	c.replica = replica.New(c.now(), replica.DefaultConfig(boot.FaultTolerance), record, boot.SeedPeers(), newNonce(), chain.Mutations{})
-	// An acknowledged entry stays acknowledged: proxies can use it before the chain is established.
+	// An acknowledged entry stays acknowledged: proxies can use it before there is a quorum.
 	if raw, err := store.Get(keyLastAcknowledged); err == nil && raw != nil {
 		var entry chain.Entry
 		if json.Unmarshal(raw, &entry) == nil {
@@ -103,10 +106,12 @@
 	return c, nil
 }
 
-// now returns the clock of the machine in microseconds. It is always above 0.
+// now returns the time since the start of this process in microseconds, plus 1: it is always above 0.
 func (c *replicaRunner) now() int64 { return c.node.Now() + 1 }
 
-// runOnLoop queues f to run on the loop. It returns an error if ctx ends or the loop has ended first.
+// runOnLoop queues f to run on the loop and does not wait for it. It returns an error, and f is not run,
+// if ctx ends or the loop has ended before f is queued. An f that is queued when the loop ends is not run
+// either.
 func (c *replicaRunner) runOnLoop(ctx context.Context, f func()) error {
 	select {
 	case c.commands <- f:
@@ -118,7 +123,8 @@
 	}
 }
 
-// run steps the machine until ctx ends. A violated invariant ends the process with exit status 2.
+// run steps the state machine until ctx ends. A panic on the loop, a violated invariant, ends the
+// process with exit status 2.
 func (c *replicaRunner) run(ctx context.Context) {
 	c.runCtx = ctx
 	defer func() {
@@ -132,7 +138,7 @@
 	go func() { defer diskDone.Done(); c.runDisk(ctx) }()
 	tick := time.NewTicker(replicaTick)
 	defer tick.Stop()
-	c.processOutput(replica.Output{})
+	c.processOutput(replica.Output{}) // announces the view that was read from disk
 	for {
 		select {
 		case <-ctx.Done():
@@ -163,8 +169,8 @@
 	c.hadQuorum = hasQuorum
 }
 
-// seeds returns the addresses to request a vote from: the seeds of the settings and, unless this
-// machine is a member with a quorum, the control-plane machines known by gossip.
+// seeds returns the addresses to request a vote from: the seeds of the settings, and also the control-plane
+// machines known by gossip if this machine is not a member or has no quorum.
 func (c *replicaRunner) seeds() []string {
 	seeds := c.node.Settings.Current().SeedPeers()
 	if !c.replica.Consensus.IsMember() || !c.replica.Consensus.HasQuorum(c.now()) {
@@ -206,14 +212,15 @@
 	if job.Persist == nil {
 		return
 	}
-	if last.Persist != nil && job.Persist.Entry == nil {
+	if last.Persist != nil && job.Persist.Entry == nil { // nil: unchanged since the record before
 		job.Persist.Entry = last.Persist.Entry
 	}
 	last.Persist = job.Persist
 }
 
 // newlyAcknowledged returns the stored entry if it has become known as acknowledged. The entry must be
-// written before it is announced: the tail of a chain acknowledges an entry before writing it.
+// written before it is announced: the tail of a chain counts an entry as acknowledged in memory before the
+// entry is on its own disk.
 func (c *replicaRunner) newlyAcknowledged() *chain.Entry {
 	stored := c.replica.Chain.Stored()
 	if stored.Version <= c.announcedVersion || c.replica.Chain.Acknowledged() < stored.Version {
@@ -261,7 +268,8 @@
 }
 
 // call runs step on the loop and waits for the result of the id that step returns. A rejected call
-// returns a RejectedError, and a result that is late by answerTimeout ErrNoAnswer.
+// returns a RejectedError; a call without a result before answerTimeout, or before ctx ends,
+// ErrNoAnswer; and a call that could not be queued the error of runOnLoop.
 func (c *replicaRunner) call(ctx context.Context, step func(now int64) (string, replica.Output)) (chain.Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, answerTimeout)
 	defer cancel()
--- a/internal/node/controlplane/server.go
+++ b/internal/node/controlplane/server.go
@@ -1,6 +1,10 @@
-// Package controlplane is the program that servers and operators call. It accepts heartbeats and
-// configurations, runs the replicated state of package replica and owns its disk. Messages and results
-// of a step of that state are released only after the record of the step is synced.
+// Package controlplane is the control-plane program, which servers and operators call. It accepts
+// heartbeats and configurations, runs the replicated state machine of package replica and owns its disk.
+//
+// In this package, a server is a backend that sends heartbeats; a machine, or member, is a process of the
+// control plane; replica.Machine is the state machine that it runs. Each step of that state machine has an
+// output: a record, messages and results. The messages and results leave the process only after the record
+// is synced.
 package controlplane
 
 import (
@@ -29,7 +33,7 @@
 )
 
 // HeartbeatResponse is the response to a heartbeat of a server. Endpoint is the address that the server
-// should send its heartbeats to; empty: the machine that it called.
+// should send its heartbeats to; empty: the control-plane machine that it called.
 type HeartbeatResponse struct {
 	Endpoint string `json:"heartbeat_endpoint,omitempty"`
 }
@@ -51,15 +55,15 @@
 	persistCheckTicks       = 8                // ticks between checks whether the tracked servers must be written to disk
 )
 
-// server handles the calls of servers and operators and runs the periodic work.
-type server struct {
+// controlPlane handles the calls of servers and operators and runs the periodic work.
+type controlPlane struct {
 	*peer.Node
 	registry       *registry.Registry // guarded by Mu
-	persistedJSON  []byte             // the tracked servers as last queued for the disk; guarded by Mu
+	persistedJSON  []byte             // the tracked servers as last queued for the disk, written or not; guarded by Mu
 	persistedCount int                // number of servers in persistedJSON
 
 	replica        *replicaRunner
-	validating     sync.Mutex // one configuration at a time: parsed, it takes many times its encoded size
+	validating     sync.Mutex // serializes parsing: a parsed configuration takes many times its encoded size
 	reachablePeers peerCache
 }
 
@@ -74,7 +78,7 @@
 const peerCacheLifetime = 250_000 // microseconds
 
 // controlPlanePeers returns the reachable control-plane machines, at most peerCacheLifetime old.
-func (s *server) controlPlanePeers() []gossip.Process {
+func (s *controlPlane) controlPlanePeers() []gossip.Process {
 	s.reachablePeers.mu.Lock()
 	defer s.reachablePeers.mu.Unlock()
 	if now := s.Now(); s.reachablePeers.updatedAt == 0 || now-s.reachablePeers.updatedAt >= peerCacheLifetime {
@@ -87,7 +91,7 @@
 // period.
 func Run(ctx context.Context, settings *nodesettings.File) error {
 	boot := settings.Current()
-	s := &server{Node: peer.NewNode(settings, gossip.KindControlPlane)}
+	s := &controlPlane{Node: peer.NewNode(settings, gossip.KindControlPlane)}
 	s.registry = registry.New(s.Self.Addr, int64(missedHeartbeatsLimit*float64(boot.HeartbeatInterval.Microseconds())))
 	s.OnUpdate = s.onUpdate
 	var err error
@@ -95,7 +99,7 @@
 		return err
 	}
 	for _, entry := range s.replica.loadServers() {
-		s.Store.Put(s.Now(), entry, 0, false) // each becomes unresponsive soon unless it sends a heartbeat
+		s.Store.Put(s.Now(), entry, 0, false) // not gossiped; each becomes unresponsive soon unless it sends a heartbeat
 	}
 	outerMux, innerMux := http.NewServeMux(), http.NewServeMux()
 	s.Node.Serve(innerMux)
@@ -113,7 +117,7 @@
 	if err != nil {
 		return err
 	}
-	runCtx, stop := context.WithCancel(context.Background()) // outlives ctx: the vote is handed over before it ends
+	runCtx, stop := context.WithCancel(context.Background()) // outlives ctx: the vote is handed over in between
 	failed := make(chan error, 2)
 	go func() { failed <- rpc.Serve(runCtx, outerListener, outerMux, 10*time.Second) }()
 	go func() { failed <- rpc.Serve(runCtx, innerListener, innerMux, 0) }()
@@ -141,7 +145,7 @@
 
 // maintain does the periodic work: it reports servers that became unresponsive, adopts orphans and
 // persists the tracked servers.
-func (s *server) maintain(ticks int) {
+func (s *controlPlane) maintain(ticks int) {
 	s.Mu.Lock()
 	defer s.Mu.Unlock()
 	if ticks%orphanCheckTicks == 0 {
@@ -156,10 +160,10 @@
 	}
 }
 
-// persistServers writes the servers that are tracked here to the disk if they have changed. After a loss
-// of all processes they are known immediately, not only when each has sent a heartbeat. Mu must be
-// locked.
-func (s *server) persistServers() {
+// persistServers queues the servers that are tracked here for the disk if they have changed since the last
+// call. After a loss of all processes they are known immediately, not only when each has sent a heartbeat.
+// Mu must be locked.
+func (s *controlPlane) persistServers() {
 	var list []gossip.Entry
 	s.Store.RangeSorted(func(entry gossip.Entry) {
 		if strings.HasPrefix(entry.Key, registry.Prefix) && !entry.Deleted() && s.registry.Tracks(strings.TrimPrefix(entry.Key, registry.Prefix)) {
@@ -177,7 +181,7 @@
 // adoptOrphans makes this machine track servers that no machine tracks: its own from before a restart
 // and, if it holds OrphanedServersRole, those of machines that are gone. As the holder of that role it
 // also removes servers that were unresponsive for removeUnresponsiveAfter. Mu must be locked.
-func (s *server) adoptOrphans() {
+func (s *controlPlane) adoptOrphans() {
 	now := s.Now()
 	_, holdsRole := s.Members.Holds(peer.OrphanedServersRole.Name)
 	livePeers := map[string]bool{s.Self.Addr: true}
@@ -191,7 +195,7 @@
 		}
 		tracked, err := registry.Parse(entry)
 		switch {
-		case err != nil:
+		case err != nil: // an entry that cannot be parsed is ignored
 		case tracked.State == registry.Unresponsive:
 			if holdsRole && now-since > removeUnresponsiveAfter.Microseconds() {
 				expired = append(expired, entry)
@@ -206,7 +210,7 @@
 }
 
 // onUpdate passes gossiped entries of servers to the registry. Mu must be locked.
-func (s *server) onUpdate(entry gossip.Entry) {
+func (s *controlPlane) onUpdate(entry gossip.Entry) {
 	if len(entry.Key) > 2 && entry.Key[:2] == registry.Prefix {
 		if update, changed := s.registry.HandleUpdate(s.Now(), entry); changed {
 			s.PutLocked(update)
@@ -214,8 +218,9 @@
 	}
 }
 
-// handleHeartbeat handles a heartbeat. One that reports draining is acknowledged only with a quorum.
-func (s *server) handleHeartbeat(ctx context.Context, caller rpc.RequestInfo, heartbeat registry.Heartbeat) (HeartbeatResponse, error) {
+// handleHeartbeat handles a heartbeat. One that reports draining is recorded in any case, but acknowledged
+// only with a quorum.
+func (s *controlPlane) handleHeartbeat(ctx context.Context, caller rpc.RequestInfo, heartbeat registry.Heartbeat) (HeartbeatResponse, error) {
 	response, err := s.recordHeartbeat(caller, heartbeat)
 	if err == nil && heartbeat.State == registry.LifecycleDraining {
 		err = s.replica.requireQuorum(ctx)
@@ -223,10 +228,9 @@
 	return response, err
 }
 
-// handleDeregister handles the last call of a server. It is not acknowledged if this machine has no
-// quorum: machines that are unreachable from here would not learn of it, and the server calls another
-// machine instead.
-func (s *server) handleDeregister(ctx context.Context, caller rpc.RequestInfo, _ rpc.Raw) (rpc.Empty, error) {
+// handleDeregister handles the last call of a server. The deregistration is recorded in any case, but
+// acknowledged only with a quorum.
+func (s *controlPlane) handleDeregister(ctx context.Context, caller rpc.RequestInfo, _ rpc.Raw) (rpc.Empty, error) {
 	events.ServerDeregistered.Log("server", caller.Name)
 	s.Mu.Lock()
 	s.PutLocked(s.registry.HandleDeregister(caller.Name))
@@ -237,7 +241,7 @@
 }
 
 // recordHeartbeat passes a heartbeat to the registry and gossips the change, if there is one.
-func (s *server) recordHeartbeat(caller rpc.RequestInfo, heartbeat registry.Heartbeat) (HeartbeatResponse, error) {
+func (s *controlPlane) recordHeartbeat(caller rpc.RequestInfo, heartbeat registry.Heartbeat) (HeartbeatResponse, error) {
 	endpoint := s.heartbeatEndpoint(caller.Name, heartbeat.Zone)
 	s.Mu.Lock()
 	defer s.Mu.Unlock()
@@ -259,9 +263,10 @@
 }
 
 // heartbeatEndpoint returns the address of the machine that a server should send its heartbeats to: one
-// of the zone of the server, otherwise of its region. The choice is stable as long as the set of
-// control-plane machines does not change. Empty: this machine.
-func (s *server) heartbeatEndpoint(server, zone string) string {
+// of the zone of the server, otherwise of its region. Empty: this machine. Of equally near machines, this
+// one is chosen if it is among them, else the one with the highest hash, so that the choice is stable as
+// long as the set of control-plane machines does not change.
+func (s *controlPlane) heartbeatEndpoint(server, zone string) string {
 	region := s.Settings.Current().Regions[zone]
 	distance := func(p gossip.Process) int { return nodesettings.Distance(p.Zone, p.Region, zone, region) }
 	best, shortest, highestHash := s.Self, distance(s.Self), uint64(0)
@@ -283,7 +288,7 @@
 	return best.Control
 }
 
-func (s *server) handleReplace(ctx context.Context, caller rpc.RequestInfo, raw rpc.Raw) (rpc.Empty, error) {
+func (s *controlPlane) handleReplace(ctx context.Context, caller rpc.RequestInfo, raw rpc.Raw) (rpc.Empty, error) {
 	s.validating.Lock()
 	config, err := routeconfig.Parse(raw)
 	s.validating.Unlock()
@@ -307,7 +312,7 @@
 	return rpc.Empty{}, nil
 }
 
-func (s *server) handleDescribe(ctx context.Context, _ rpc.RequestInfo, _ rpc.Raw) (rpc.Raw, error) {
+func (s *controlPlane) handleDescribe(ctx context.Context, _ rpc.RequestInfo, _ rpc.Raw) (rpc.Raw, error) {
 	if err := s.replica.requireQuorum(ctx); err != nil {
 		return nil, err
 	}
@@ -321,8 +326,8 @@
 	return result.Entry.Content, nil
 }
 
-// retryLater returns an error with status 503 that asks a caller to retry. The call may have taken
-// effect, or may still do so.
+// retryLater returns an error with status 503 that asks a caller to retry. A call to the
+// replicated state may have taken effect, or may still do so, unless err says that it was not queued.
 func retryLater(err error) *rpc.StatusError {
 	status := rpc.Errorf(http.StatusServiceUnavailable, "%v", err)
 	status.RetryAfter = retryAfter
--- a/internal/node/controlplane/show.go
+++ b/internal/node/controlplane/show.go
@@ -11,12 +11,13 @@
 	"saddleport/internal/node/admin"
 )
 
-// tables returns the tables that the show command prints for this process.
-func (s *server) tables(ctx context.Context) ([]admin.Table, error) {
-	var core []admin.Table
+// tables returns the tables that the show command prints for this process: the view, the stored
+// entry and the repairs of other members' replicas, then the tracked servers and the tables of peer.Node.
+func (s *controlPlane) tables(ctx context.Context) ([]admin.Table, error) {
+	var replicaInfo []admin.Table
 	done := make(chan struct{})
 	err := s.replica.runOnLoop(ctx, func() {
-		core = replicaTables(s.replica.replica, s.replica.now())
+		replicaInfo = replicaTables(s.replica.replica, s.replica.now())
 		close(done)
 	})
 	if err != nil {
@@ -31,7 +32,7 @@
 	s.Mu.Lock()
 	defer s.Mu.Unlock()
 	servers := admin.Table{Title: "servers here", Columns: []string{"tracked here", "stored on disk"}, Rows: [][]string{{fmt.Sprint(s.registry.Len()), fmt.Sprint(s.persistedCount)}}}
-	return append(append(core, servers), tables...), err
+	return append(append(replicaInfo, servers), tables...), err
 }
 
 func replicaTables(machine *replica.Machine, now int64) []admin.Table {
@@ -59,6 +60,7 @@
 	return []admin.Table{viewTable, stored, repair}
 }
 
+// bit returns 1 for true, else 0.
 func bit(b bool) int {
 	if b {
 		return 1
--- a/internal/node/controlplane/store.go
+++ b/internal/node/controlplane/store.go
@@ -26,9 +26,10 @@
 	ErrOutdatedEntry = errors.New("the stored configuration is older than the stored view requires")
 )
 
-// openStore opens the store of this machine. A disk that is empty although the system is not new, that
-// cannot be read, or that belongs to another machine is treated as a new disk: its former contents and
-// promises are unknown, and the machine has no vote until the other members grant it one.
+// openStore opens the store of this machine. A disk that is empty although Bootstrap is not set (so the
+// system is not new), that cannot be read, or that belongs to another machine is treated as a new disk:
+// its former contents and consensus promises are unknown, and the machine has no vote until the other
+// members grant it one.
 func openStore(boot *nodesettings.Settings) (*storage.Store, replica.Record, error) {
 	store, record, err := readStore(boot)
 	if err == nil && record.State.Self == (views.Member{}) {
@@ -50,8 +51,8 @@
 	return initStore(store, boot, false)
 }
 
-// moveDamagedState moves a state that is not trusted to the directory "damaged" and replaces the one
-// there.
+// moveDamagedState moves a state that is not trusted to the directory "damaged". A state that was
+// moved there before is deleted.
 func moveDamagedState(dir string) error {
 	damaged := filepath.Join(dir, "damaged")
 	if err := os.RemoveAll(damaged); err != nil {
@@ -64,7 +65,8 @@
 }
 
 // initStore writes the identity of this machine to an empty disk. isFounder states that the machine
-// belongs to the first view of the system.
+// starts with the first view of the system, consensus.InitialView of the seeds. It is a member of that
+// view unless the view leaves its address out, as it does for one of an even number of seeds.
 func initStore(store *storage.Store, boot *nodesettings.Settings, isFounder bool) (*storage.Store, replica.Record, error) {
 	record := replica.Record{State: consensus.State{Self: views.Member{Addr: boot.PeerAddr(), DiskID: newNonce()}}}
 	if isFounder {
@@ -133,7 +135,9 @@
 		if ctx.Err() != nil {
 			return
 		}
-		if servers != nil { // no promise depends on this write: after a failure, the next change is written
+		// No consensus promise depends on this write. It is not retried if it fails: the disk has the servers
+		// again once they have changed.
+		if servers != nil {
 			c.store.Put(storage.Entry{Key: keyServers, Value: servers})
 		}
 		c.releaseOutputs(ctx, batch)
@@ -191,7 +195,7 @@
 		return
 	}
 	c.runOnLoop(ctx, func() { c.announce(*acknowledged) })
-	if raw, err := json.Marshal(acknowledged); err == nil { // written last: no promise depends on it, and it is large
+	if raw, err := json.Marshal(acknowledged); err == nil { // written last: no consensus promise depends on it, and it is large
 		c.store.Put(storage.Entry{Key: keyLastAcknowledged, Value: raw})
 	}
 }
--- a/internal/node/controlplane/store_test.go
+++ b/internal/node/controlplane/store_test.go
@@ -125,8 +125,8 @@
 }
 
 // TestKnownAtOnce checks that a machine announces the last entry known as acknowledged when it starts,
-// before the chain is established: after a loss of power the proxies need no majority. An entry that
-// is stored but not known as acknowledged must not be announced.
+// before the chain is established: after a loss of power, proxies get the configuration although no
+// majority is up. An entry that is stored but not known as acknowledged must not be announced.
 func TestKnownAtOnce(t *testing.T) {
 	Convey("A control-plane machine that starts alone", t, func() {
 		events.SetOutput(io.Discard)
