--- a/internal/core/membership/membership.go
+++ b/internal/core/membership/membership.go
@@ -522,14 +522,14 @@
 		responsive := m.responsive(now, s)
 		if i == decider {
 			if w.dropped {
-				to.Reason = "dropped by " + s.Name
+				to.Reason = s.Name + " dropped it"
 				if !responsive {
-					to.Reason += ", which is unresponsive now"
+					to.Reason += " and is unresponsive now"
 				}
 			} else {
-				to.State, to.Reason = Ready, "named by "+s.Name
+				to.State, to.Reason = Ready, s.Name+" names it"
 				if !responsive {
-					to.Reason = "named earlier by " + s.Name + ", which is unresponsive now"
+					to.Reason = s.Name + " named it earlier and is unresponsive now"
 				}
 			}
 		}
