--- a/internal/exchange/at_most_once_test.go
+++ b/internal/exchange/at_most_once_test.go
@@ -26,13 +26,13 @@
 	names      []string
 	executions map[string]int      // by query id
 	running    map[*Attempt]*timer // the timer ends the execution
-	started    map[*Attempt]bool   // a server has started to execute the attempt
+	started    map[*Attempt]bool   // a server has started to execute the attempt; recorded only: no check reads it
 }
 
 type simServer struct {
 	choice.Server
-	up, partitioned bool
-	slowdown        float64 // factor on the execution time; below 1 counts as 1
+	up, partitioned bool    // a partitioned server loses every second attempt on arrival, at random, and all answers
+	slowdown        float64 // factor on the execution time; below 1 counts as 1. Server.Slow above 0 means ejected.
 }
 
 func (s *simulation) after(d time.Duration, do func()) *timer {
@@ -82,7 +82,7 @@
 func (s *simulation) injectFault() (listChanged bool) {
 	server := s.servers[s.names[s.rng.IntN(len(s.names))]]
 	switch s.rng.IntN(6) {
-	case 0, 1, 2: // ejected or readmitted, with attempts in flight
+	case 0, 1, 2: // ejected (Slow above 0) or readmitted (Slow 0), with attempts in flight
 		if server.Slow = 0; s.rng.IntN(2) == 0 {
 			server.Slow = 2 + 10*s.rng.Float64()
 		}
@@ -116,7 +116,7 @@
 // and partitioned. No booking may be executed twice, be reported as not executed although
 // it was or will be, be answered without having been executed, or get two answers.
 func TestAtMostOnceExecution(t *testing.T) {
-	const bookings, faultInterval = 100_000, 45
+	const bookings, faultInterval = 100_000, 45 // a fault is injected after every 45 bookings
 	s := &simulation{manualLoop: manualLoop{time.Now()}, rng: rand.New(rand.NewPCG(1, 36)), servers: make(map[string]*simServer),
 		executions: make(map[string]int), running: make(map[*Attempt]*timer), started: make(map[*Attempt]bool)}
 	set := settings.Settings{Router: choice.Settings{Cells: 1, Width: 1, Shards: 1, Routers: 1, AttemptCap: 4, Resolution: 1000, MaxPartsPerCall: 1, AskWithin: 10_000_000,
@@ -153,7 +153,7 @@
 	s.run(10 * time.Second)
 	require.Zero(t, duplicates, "queries with more than one answer")
 	require.Len(t, finals, bookings)
-	require.Greater(t, listChanges, 1000)
+	require.Greater(t, listChanges, 1000) // these lower limits ensure that the faults occurred and that each kind of ending was tested
 	counts := make(map[string]int)
 	for id, f := range finals {
 		require.LessOrEqual(t, s.executions[id], 1, "booking %s was executed twice", id)
@@ -178,7 +178,7 @@
 func (s *simulation) run(d time.Duration) {
 	end := s.now.Add(d)
 	for {
-		for range 3 { // events posted during a Turn are processed in the next
+		for range 3 { // events posted during a Turn are processed in the next; 3 Turns before the last one are enough for the posts that follow each other here
 			s.x.Turn()
 		}
 		next, due := s.x.Turn()
--- a/internal/exchange/counters.go
+++ b/internal/exchange/counters.go
@@ -9,17 +9,19 @@
 	"sync/atomic"
 )
 
-// Counters counts queries, attempts and connections since the start.
+// Counters counts queries, attempts and connections since the start of the proxy, except
+// ClientConns, ServerConns and Level, which are current values. String prints some of
+// them under names that differ from the fields.
 type Counters struct {
 	Received         atomic.Int64    // queries received
-	Duplicate        atomic.Int64    // of these, failed because the id was already in use
-	OverCapacity     atomic.Int64    // of these, refused because the limit on queries and parts in memory was reached
+	Duplicate        atomic.Int64    // queries received that failed because the id was already in use
+	OverCapacity     atomic.Int64    // queries received that were refused because the limit on queries and parts in flight was reached
 	DeadlineEnforced atomic.Int64    // queries that the exchange ended at the deadline because the router had not
-	Finals           [5]atomic.Int64 // final answers, by Ending
+	Finals           [5]atomic.Int64 // final answers, by Ending; endings has the names in the same order
 	Partial          atomic.Int64    // answers not marked complete
 	Sent             atomic.Int64    // attempts handed to the upstream side
-	Unsent           atomic.Int64    // attempts that were never handed over
-	Outcomes         [8]atomic.Int64 // attempts that ended, by choice.Verdict
+	Unsent           atomic.Int64    // attempts that send did not hand over; those not sent because of hooks or a cancellation are counted only in Outcomes
+	Outcomes         [8]atomic.Int64 // attempts that ended, by choice.Verdict; verdicts has the names in the same order
 	Probes           atomic.Int64
 
 	ClientConns         atomic.Int64 // client connections open
@@ -29,14 +31,14 @@
 	Dials               atomic.Int64 // connections to leaf servers attempted
 	DialFails           atomic.Int64
 	Resets              atomic.Int64 // connections to leaf servers that ended with parts in flight
-	MalformedAnswers    atomic.Int64 // of these and of idle ones, closed because of an unusable answer
+	MalformedAnswers    atomic.Int64 // connections to leaf servers, idle or with parts in flight, that were closed because of an unusable answer
 	Unresponsive        atomic.Int64 // connections to leaf servers that became unresponsive
 	LateAnswers         atomic.Int64 // answers for attempts already cancelled
 	Lists               atomic.Int64 // answers of the discovery service
 	ListFails           atomic.Int64
 
 	HookCalls    atomic.Int64 // points at which hooks were called
-	HookTimeouts atomic.Int64 // of these, without a result in time
+	HookTimeouts atomic.Int64 // points at which the hooks that were called returned no result in time
 	HookNoTime   atomic.Int64 // points at which no time was left to call hooks
 	HookRefused  atomic.Int64 // queries refused or failed because of a hook's result or the lack of one
 	HookDrops    atomic.Int64 // parts that hooks dropped
@@ -59,7 +61,14 @@
 var verdicts = [8]string{"served", "server_error", "turned_away", "no_answer", "no_connection",
 	"connection_lost", "called_off", "not_sent"}
 
-// String returns all counters as key=value pairs, separated by spaces.
+// String returns all counters as key=value pairs, separated by spaces. The keys stay as
+// they are because operators' tools read them. These differ from the field names:
+// taken (Received), repeated (Duplicate), full (OverCapacity), overdue (DeadlineEnforced),
+// gone (Finals[ClientGone]), turned_away (Outcomes[choice.Rejected]),
+// called_off (Outcomes[choice.Cancelled]), clients (ClientConns), malformed
+// (MalformedRequests), leaves (ServerConns), spoilt (MalformedAnswers), silent
+// (Unresponsive), hook_asks (HookCalls), hook_late (HookTimeouts), hook_short
+// (HookNoTime) and level_short (LevelReduced).
 func (c *Counters) String() string {
 	var b strings.Builder
 	put := func(name string, v *atomic.Int64) { fmt.Fprintf(&b, "%s=%d ", name, v.Load()) }
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -5,6 +5,12 @@
 // back with what to do. The package never reads or writes a socket, never blocks on
 // either side, never gives a query two final answers and never gives an attempt two
 // outcomes.
+//
+// Terms: a Query consists of parts, one per shard that it needs. The router
+// (choice.Router) decides to which leaf server each part is sent; each send is an
+// attempt. An installation may have a map that divides the keys into segments and
+// assigns each segment to a cell, a group of servers that store it (core/placement).
+// There a query names segments in place of shards; see segments.go.
 package exchange
 
 import (
@@ -26,7 +32,8 @@
 
 var log = logs.For("exchange")
 
-// Query is a query as the downstream side received it.
+// Query is a query as the downstream side received it. Class names one of the router's
+// classes. Key and Tenant are passed to the router and to hooks.
 type Query struct {
 	ID            string
 	Class         string
@@ -37,27 +44,31 @@
 	ReceivedAt    time.Time     // when its first byte arrived
 	Timeout       time.Duration // how long the client waits, from ReceivedAt
 	Parts         []Part
-	FanOut        bool    // the answer is merged from those of the parts
+	FanOut        bool    // the answer to the client is merged from the answers of several servers
 	NonIdempotent bool    // the query must not be executed more than once
-	MinShare      float64 // share to settle for where there is no capacity for what the class needs; 0: never less than that
-	// Done gets the one final answer. It is called on the exchange's goroutine and must not block.
+	MinShare      float64 // least share of the answer that is accepted if there is no capacity for Class.RequiredShare; 0: no less than RequiredShare
+	// Done gets the final answer. It is called once, on the exchange's goroutine, and must
+	// not block.
 	Done func(Final)
 }
 
 // Part is one part of a Query.
 type Part struct {
-	Shard  int
-	Weight float64
-	Key    string
-	Hinted bool // Cost is known
-	Cost   choice.Micros
-	Range  placement.Range // the keys wanted, where segments are routed by a map; zero: all
+	Shard  int             // the shard, or the id of the segment if there is a map of segments
+	Weight float64         // share of the complete answer; the weights of a query add up to 1
+	Key    string          // key of this part, passed to the router
+	Hinted bool            // Cost is known
+	Cost   choice.Micros   // predicted time that a server takes for the part
+	Range  placement.Range // the keys wanted, if there is a map of segments; zero: all keys of the segment
 }
 
 // Ending says how a query ended.
 type Ending int
 
-// The endings of a query. Only Refused guarantees that sending the query again is safe.
+// The endings of a query. The client may rely only on Refused to mean that sending the
+// query again is safe: either no attempt was executed, or the effect of the class is
+// Safe. For the proxy itself, Final.MayHaveRun says whether an attempt may have been
+// executed.
 const (
 	Answered Ending = iota
 	Refused
@@ -73,7 +84,7 @@
 	Hits         []Hit
 	RetryAfter   time.Duration // 0: no advice
 	Reason       string        // why the query was refused or failed, where that is known
-	FailureValue string        // without an answer: the value that came with a server's error
+	FailureValue string        // if Ending is not Answered: the value that came with a server's error
 	MayHaveRun   bool          // an attempt may have been executed
 	Notes        []hookabi.Pair
 }
@@ -82,9 +93,12 @@
 type Hit struct {
 	Shard int
 	Value string
-	// Where segments are routed by a map: the other shards whose hits contain values
-	// for this one, and the key ranges that are present if some are missing.
+	// AlsoIn and Covers are set only if there is a map of segments. If one server answered
+	// for several parts of the query, its value is in the hit of the first of them, and
+	// AlsoIn of the others names the Shard of that hit.
 	AlsoIn []int
+	// Covers lists the key ranges for which the hit has values, if others are missing;
+	// nil if none is missing.
 	Covers []placement.Range
 }
 
@@ -93,19 +107,19 @@
 type Attempt struct {
 	PartID      string
 	Server      string
-	Index       int
+	Index       int // number of the attempt within its part, from 0
 	Shard       int
 	Text        string
 	Deadline    time.Time // when the exchange stops waiting for the attempt
-	ExtraFields string    // options of the frame besides the remaining time
+	ExtraFields string    // further options for the frame to the leaf server, ",name=value" each; the upstream side adds the remaining time
 
 	sentAt        time.Time
 	part          *partState
 	deadlineTimer *timer
 	ended         bool
-	cancelling    bool // cancelled; the upstream side will report the outcome
+	cancelling    bool // cancelled, and the outcome has not been recorded yet
 
-	outcomeDeferred bool // the attempt never ran, and the router has not been notified of that
+	outcomeDeferred bool // the attempt never ran; the router is notified only once its part has been rerouted or abandoned (segments.go)
 	awaitingHooks   bool // hooks are running; the upstream side does not have the attempt yet
 	handedOver      bool // the upstream side has received the attempt
 	neverRan        bool // the attempt has ended without having run
@@ -114,11 +128,11 @@
 // QueryID returns the id of the query that the attempt belongs to.
 func (a *Attempt) QueryID() string { return a.part.query.ID }
 
-// FanOut reports whether the query that the attempt belongs to has several parts.
+// FanOut returns Query.FanOut of the query that the attempt belongs to.
 func (a *Attempt) FanOut() bool { return a.part.query.FanOut }
 
-// Abandoned reports whether the client of the attempt's query has disconnected. Only
-// the goroutine that hands attempts to the upstream side may call it.
+// Abandoned reports whether the client of the attempt's query has disconnected. It may
+// be called only on the exchange's goroutine, for example in Upstream.Send.
 func (a *Attempt) Abandoned() bool { return a.part.query.abandoned }
 
 // NonIdempotent reports whether the query that the attempt belongs to must not be
@@ -130,11 +144,20 @@
 // seconds of Cancel at the latest. If the answer to a cancelled attempt arrives anyway,
 // the attempt may be reported with the verdict of that answer.
 type Upstream interface {
-	Send([]*Attempt) // attempts of one moment, in order; parts for the same server may share a call
+	// Send sends the attempts of one moment, in order. Attempts for the same server may
+	// share one network request.
+	Send([]*Attempt)
+	// Cancel stops an attempt. The verdict is the one to report for it, unless an answer
+	// arrives or the attempt was never sent.
 	Cancel(*Attempt, choice.Verdict)
+	// Probe sends a probe to a server. ProbeEnded reports its outcome.
 	Probe(server string)
+	// Release closes the idle connections to a server.
 	Release(server string)
+	// Watch starts (on) or ends the subscription to the server list. UpdateServers passes
+	// on the changes.
 	Watch(on bool)
+	// Fetch requests the complete server list once.
 	Fetch()
 }
 
@@ -142,13 +165,14 @@
 // burst does not pin memory.
 const maxRetainedCap = 4096
 
-// maxDelay bounds every duration that comes from a peer or from the router.
+// maxDelay bounds the durations in the router's actions, and the time that Run sleeps
+// if no timer is set.
 const maxDelay = 71 * time.Minute
 
 type partState struct {
 	Part
-	id           string // for the router
-	wireID       string // for the leaf servers
+	id           string // by which the router knows the part
+	wireID       string // by which the leaf servers know the part
 	query        *queryState
 	attempts     []*Attempt
 	inFlight     int
@@ -157,16 +181,17 @@
 	value        string
 	failureValue string // of an attempt that ended with a server error
 
-	// Where segments are routed by a map.
-	target         *placement.Target
-	replaces       *partState // the part that this one was rerouted from
-	subquery       string     // the router's query that this part belongs to
-	subqueries     []string   // the router's queries for the parts that replace this one
+	// The fields below are used only if there is a map of segments. The router knows a
+	// query by the id of the query and by the ids of its subqueries (see segments.go).
+	target         *placement.Target // the segment, its cell and the keys wanted
+	replaces       *partState        // the part that this one was rerouted from
+	subquery       string            // id of the query or subquery that the router has for this part
+	subqueries     []string          // ids of the subqueries with the parts that replace this one; the newest is last
 	replaced       bool
-	moved          bool // a server did not have the segment: the part is not sent under this id again
-	moveRejections int  // rejections for a moved segment, including those of the replaced parts
-	priorAttempts  int  // attempts of the replaced parts
-	wantedEpoch    int64
+	moved          bool  // a server did not have the segment: the part is not sent under this id again
+	moveRejections int   // rejections for a moved segment, including those of the replaced parts
+	priorAttempts  int   // attempts of the replaced parts
+	wantedEpoch    int64 // while the part is parked: the epoch of the map that it waits for
 	rerouteTimer   *timer
 }
 
@@ -180,7 +205,7 @@
 	ended         bool
 	hookState     *hookState // nil: no hook watches the query
 	routing       *routing   // nil: the query is not routed by a map
-	degraded      *degraded  // nil: there are no levels
+	degraded      *degraded  // the level of service applied, full service included; nil: there are no levels, or the query has not been admitted yet
 }
 
 type timer struct {
@@ -211,10 +236,10 @@
 }
 
 // EventLoop provides an exchange with a clock and with a way to schedule its next
-// Turn. In production that is the system clock and the goroutine of Run; in virtual
-// time both are the caller's event loop.
+// Turn. In production that is the system clock and the goroutine of Run. In a
+// simulation the caller's event loop provides both, with a virtual clock.
 type EventLoop interface {
-	// Now returns a monotonic time. In virtual time it does not advance during a Turn.
+	// Now returns a monotonic time. A virtual clock does not advance during a Turn.
 	Now() time.Time
 	// Wake requests a Turn soon. It is called from any goroutine, also during a Turn.
 	// It must not block and must not call Turn itself.
@@ -261,8 +286,8 @@
 	forwardTags    bool
 	segmentRouting *segmentRouting // nil: the settings define the shards
 	levels         *levels         // nil: there is only full service
-	start          time.Time
-	origin         choice.Micros
+	start          time.Time       // loop.Now() when the exchange was created
+	origin         choice.Micros   // the router's clock at start: Unix time in microseconds
 
 	mu          sync.Mutex
 	inbox       []func()
@@ -280,9 +305,9 @@
 	deadlineChecks []func()       // run after the router has processed the current events
 	queries        map[string]*queryState
 	parts          map[string]*partState
-	lastNumber     int64
+	lastNumber     int64 // choice.Query.Number of the newest query or subquery
 	timers         timers
-	hookSeed       uint64 // state of the generator of the hooks' random seeds
+	hookSeed       uint64 // state of the generator of the hooks' random seeds; SetLevels seeds its generator from it too
 }
 
 // New returns an exchange that runs on the system clock; Run starts it.
@@ -306,7 +331,7 @@
 func NewOn(loop EventLoop, router Decider, seed uint64, set settings.Settings) (*Exchange, error) {
 	for _, c := range set.Router.Classes {
 		if c.FetchParts > 0 {
-			return nil, fmt.Errorf("setting Classes: %s: Fetch %d: the protocol does not support a second step", c.Name, c.FetchParts)
+			return nil, fmt.Errorf("setting Classes: %s: Fetch %d: the protocol does not support a second step of a query", c.Name, c.FetchParts)
 		}
 	}
 	start := loop.Now()
@@ -343,7 +368,8 @@
 	x.loop.Wake()
 }
 
-// Submit starts a query. Its Done is called exactly once.
+// Submit starts a query. Its Done is called exactly once, unless the exchange is stopped
+// before the query has ended.
 func (x *Exchange) Submit(q *Query) {
 	x.openQueries.Add(1)
 	x.Counters.Received.Add(1)
@@ -392,14 +418,15 @@
 	})
 }
 
-// UpdateTier passes on a change of the tier.
+// UpdateTier passes on a change of the tier, the group of routers that share the load.
 func (x *Exchange) UpdateTier(t choice.Tier) {
 	x.post(func() { x.events = append(x.events, t) })
 }
 
 // ---- The exchange's own goroutine.
 
-// Run processes events until stop is closed. Queries that are open then get no answer.
+// Run attaches the upstream side and processes events until stop is closed. Queries that
+// are open then get no answer: their Done is not called.
 func (x *Exchange) Run(upstream Upstream, stop <-chan struct{}) {
 	x.Attach(upstream)
 	wakeup := time.NewTimer(0)
@@ -412,14 +439,15 @@
 		case <-wakeup.C:
 		}
 		next := maxDelay
-		if at, due := x.Turn(); due {
+		if at, pending := x.Turn(); pending {
 			next = max(time.Until(at), 0)
 		}
 		wakeup.Reset(next)
 	}
 }
 
-// Attach sets the upstream side of an exchange.
+// Attach sets the upstream side of an exchange and, if there are levels, starts to sample
+// their signals. SetLevels must therefore be called before it.
 func (x *Exchange) Attach(upstream Upstream) {
 	x.upstream = upstream
 	if x.levels != nil {
@@ -429,9 +457,9 @@
 }
 
 // Turn processes the posted events and the due timers, runs the router and executes
-// its actions. It returns when the next timer is due, if there is one. Calls must not
-// overlap.
-func (x *Exchange) Turn() (next time.Time, due bool) {
+// its actions. It returns the time at which the next timer is due and whether any timer
+// is pending. Calls must not overlap.
+func (x *Exchange) Turn() (next time.Time, pending bool) {
 	x.mu.Lock()
 	inbox := x.inbox
 	x.inbox = x.spareInbox[:0]
@@ -499,8 +527,9 @@
 	}
 	if duplicate {
 		// A query whose id is already in use, or whose parts still have attempts in
-		// flight, would share the ids of those parts. It does not count as a new query,
-		// and nothing may be sent twice. Whether the query of that id has run is unknown.
+		// flight, would share the ids of those parts. It is not registered, so that nothing
+		// is sent twice. Whether the query of that id has run is unknown. The counters
+		// include it, in Received, Duplicate and Finals.
 		x.Counters.Duplicate.Add(1)
 		x.deliver(q, Final{Ending: Failed, MayHaveRun: true})
 		return
@@ -599,18 +628,21 @@
 		return
 	}
 	if class := x.class(qs.class); qs.routing != nil && qs.hookState == nil && class.MinShare < class.RequiredShare && hookrule.MeetsMinShare(class, qs.servedShare()) {
-		x.answer(qs, false) // the parked parts were not served in time
+		// The served parts are enough for a partial answer, and the parked ones were not
+		// served in time. This applies only to routed queries that no hook watches.
+		x.answer(qs, false)
 		return
 	}
 	log.Error("overdue", "id", qs.ID, "class", qs.Class)
 	x.Counters.DeadlineEnforced.Add(1)
 	x.finish(qs, Final{Ending: Expired})
 	x.withdraw(qs)
-	x.post(func() {})
+	x.post(func() {}) // requests another Turn: the router has not processed the events added here
 }
 
-// retryAfter returns when a client should retry a query of the class that the proxy
-// had no capacity for.
+// retryAfter returns how long a client should wait before it retries a query that was
+// refused for lack of capacity: a quarter of the class's latency target, at most
+// MaxRetryAfter; 0 for an unknown class.
 func (x *Exchange) retryAfter(class string) time.Duration {
 	for _, c := range x.settings.Router.Classes {
 		if c.Name == class {
@@ -631,7 +663,7 @@
 		}
 	case choice.Answer:
 		if qs := x.queries[a.ID]; qs != nil && qs.routing != nil {
-			x.subqueryEnded(qs, a.ID, 0)
+			x.routerQueryEnded(qs, a.ID, 0)
 		} else if qs != nil && qs.hookState != nil {
 			x.answerDecided(qs, a.Whole)
 		} else if qs != nil {
@@ -643,13 +675,13 @@
 		}
 	case choice.Refuse:
 		if qs := x.queries[a.ID]; qs != nil && qs.routing != nil {
-			x.subqueryEnded(qs, a.ID, time.Duration(a.RetryAfter)*time.Microsecond)
+			x.routerQueryEnded(qs, a.ID, time.Duration(a.RetryAfter)*time.Microsecond)
 		} else if qs != nil {
 			x.finish(qs, Final{Ending: Refused, RetryAfter: time.Duration(a.RetryAfter) * time.Microsecond})
 		}
 	case choice.Fail:
 		if qs := x.queries[a.ID]; qs != nil && qs.routing != nil {
-			x.subqueryEnded(qs, a.ID, 0)
+			x.routerQueryEnded(qs, a.ID, 0)
 		} else if qs != nil {
 			x.finish(qs, Final{Ending: Failed})
 		}
@@ -668,7 +700,7 @@
 	case choice.Log:
 		log.Info("decision", "text", a.Text)
 	case choice.SendToPeer:
-		log.Warn("untold", "err", "this platform has no channel between proxies")
+		log.Warn("untold", "err", "a message of the router to another router was dropped: there is no channel between proxies")
 	}
 }
 
@@ -722,8 +754,9 @@
 	}
 }
 
-// cancel cancels an attempt. The upstream side reports its outcome once it has notified
-// the leaf server, so that no further attempt of the part is sent before that.
+// cancel cancels an attempt. If the upstream side has the attempt, it reports the outcome
+// once it has notified the leaf server, so that no further attempt of the part is sent
+// before that. Otherwise the exchange reports the outcome itself: the attempt never ran.
 func (x *Exchange) cancel(a *Attempt, v choice.Verdict) {
 	if a.outcomeDeferred {
 		x.reportNeverRan(a)
@@ -760,7 +793,7 @@
 	}
 	if epoch, moved := movedTo(p, v, load); moved && !p.query.ended {
 		x.parkMoved(a, epoch)
-		if a.outcomeDeferred {
+		if a.outcomeDeferred { // parkMoved has parked the part
 			x.removeIfDone(p)
 			return
 		}
--- a/internal/exchange/hooks.go
+++ b/internal/exchange/hooks.go
@@ -3,7 +3,11 @@
 // This file calls hooks at the points of a query's life. It owns the state of queries
 // that hooks watch, the order of the points, and the fallback when no result arrives
 // in time. It never blocks: each call has its own timer, and a result that arrives
-// after that is dropped. Queries that no hook watches don't get here.
+// after the timer has fired is dropped. Queries that no hook watches don't get here.
+//
+// Two points have similar names: hookabi.Answered follows each part that was served,
+// hookabi.Answer precedes the answer of the complete query. Answered without a package
+// is the Ending of a query.
 
 import (
 	"slices"
@@ -16,7 +20,7 @@
 
 const (
 	hookMargin = 3 * time.Millisecond // part of a query's time that is reserved for writing the answer
-	hookGrace  = 2 * time.Millisecond // added to the timeout of a call before it counts as unanswered
+	hookGrace  = 2 * time.Millisecond // added to the timeout of a call; after that the call counts as unanswered
 )
 
 // Hooks decides which queries are watched.
@@ -34,7 +38,8 @@
 	Wants(p hookabi.Point, class string) bool
 	Timeout(p hookabi.Point, class string) time.Duration
 	// Invoke calls the hooks with a view, which belongs to them from then on. done is
-	// called once, from any goroutine, with what was granted (nil: nothing).
+	// called once, from any goroutine, with those requests of the hooks that the rules of
+	// core/hookrule grant (nil: none).
 	Invoke(v *hookabi.View, within time.Duration, done func(*hookabi.Result))
 	// Fallback returns the result to use if the hooks could not be called or did not
 	// return in time.
@@ -47,16 +52,16 @@
 type hookState struct {
 	QueryHooks
 	tags, notes     []hookabi.Pair
-	incomplete      bool // a hook forbids to mark the answer complete
-	admitted        bool // the router has the query
-	decided         bool // the router has answered the query
-	pendingAnswered int  // calls at the point Answered that are in progress
-	answer          *Final
-	droppedWeight   float64
+	incomplete      bool    // a hook forbids to mark the answer complete
+	admitted        bool    // the router has the query
+	decided         bool    // the answer of the query has been decided, by the router or by finishIfSettled
+	pendingAnswered int     // calls at the point Answered that are in progress
+	answer          *Final  // the answer decided on, without hits, until the hooks of the points Answered and Answer have returned; nil: undecided
+	droppedWeight   float64 // sum of the weights of the parts that hooks dropped
 }
 
-// SetHooks sets the hooks for the queries received from then on. With forwardTags,
-// tags set by hooks are forwarded to leaf servers. It must be called before Run.
+// SetHooks sets the hooks. With forwardTags, tags set by hooks are forwarded to leaf
+// servers. It must be called before Run.
 func (x *Exchange) SetHooks(h Hooks, forwardTags bool) { x.hooks, x.forwardTags = h, forwardTags }
 
 // callFirstHooks calls the hooks for a query that has just been received, then admits it.
@@ -178,9 +183,10 @@
 	return false
 }
 
-// dropParts drops parts of a query as long as the remaining ones still make an answer
-// that the class allows. The rules have been checked on the view, but another call for
-// the same query may have dropped a part since then.
+// dropParts drops parts of a query as long as the remaining ones still reach the class's
+// MinShare. It drops nothing if the effect of the class is not Safe. The hook host has
+// checked the result against the view (core/hookrule), but another call for the same
+// query may have dropped a part since the view was made.
 func (x *Exchange) dropParts(qs *queryState, r *hookabi.Result) {
 	state, class := qs.hookState, x.class(qs.class)
 	for _, p := range qs.parts {
@@ -208,9 +214,11 @@
 	x.withdraw(qs)
 }
 
-// withdraw notifies the router that a query it has not answered has ended.
+// withdraw notifies the router that a query has ended that the router has and has not
+// answered. A query that hooks watch reaches the router only once it is admitted; any
+// other is at the router from the start.
 func (x *Exchange) withdraw(qs *queryState) {
-	if qs.routing != nil { // finish has closed its subqueries
+	if qs.routing != nil { // finish withdraws the query and its subqueries (closeSubqueries)
 		return
 	}
 	if qs.hookState == nil || qs.hookState.admitted && !qs.hookState.decided {
@@ -239,6 +247,8 @@
 	x.callHooks(qs, hookabi.Send, p, a.Index, func(r *hookabi.Result) {
 		a.awaitingHooks = false
 		if !x.applyResult(qs, p, r) || a.cancelling {
+			// The attempt is not handed over. If it was cancelled, cancel has reported it as
+			// NotSent. If the hooks refused the query, no outcome is reported here.
 			return
 		}
 		now := x.loop.Now()
@@ -275,7 +285,8 @@
 	return string(b)
 }
 
-// callAnsweredHooks calls the hooks for a part that has been served. The router has
+// callAnsweredHooks calls the hooks for a part that has been served, with the number of
+// its newest attempt, which need not be the one that was served. The router has
 // been notified already, so the time that the hooks take delays only this query and is
 // not attributed to a server.
 func (x *Exchange) callAnsweredHooks(p *partState) {
@@ -292,8 +303,9 @@
 	})
 }
 
-// answerDecided takes the router's answer to a query that hooks watch. The answer is
-// delivered once all hook calls for its parts have returned.
+// answerDecided records that a query that hooks watch is to be answered, as the router or
+// finishIfSettled decided. The answer is delivered once all hook calls for its parts and
+// those of the point Answer have returned.
 func (x *Exchange) answerDecided(qs *queryState, complete bool) {
 	qs.hookState.decided, qs.hookState.answer = true, &Final{Ending: Answered, Complete: complete}
 	if qs.hookState.pendingAnswered == 0 {
@@ -301,6 +313,7 @@
 	}
 }
 
+// callAnswerHooks calls the hooks for the answer of a query, then delivers the answer.
 func (x *Exchange) callAnswerHooks(qs *queryState) {
 	x.callHooks(qs, hookabi.Answer, nil, 0, func(r *hookabi.Result) {
 		if x.applyResult(qs, nil, r) {
@@ -315,7 +328,7 @@
 	state, class := qs.hookState, x.class(qs.class)
 	f, share := *state.answer, 0.0
 	f.Hits, share = qs.hits(), qs.servedShare()
-	if state.droppedWeight > 0 { // the router's mark does not account for dropped parts
+	if state.droppedWeight > 0 { // the router has decided on completeness without the dropped parts
 		f.Complete = f.Complete && hookrule.MeetsRequiredShare(class, share)
 		if !hookrule.MeetsMinShare(class, share) {
 			x.refuse(qs, "too little is left of the answer", x.retryAfter(qs.class))
--- a/internal/exchange/levels.go
+++ b/internal/exchange/levels.go
@@ -20,22 +20,25 @@
 	"saddleport/internal/core/level"
 )
 
-// LevelsSettings is the section [levels] of the operator file.
+// LevelsSettings is the section [levels] of the operator file. Some keys differ from the
+// field names: back is ExitRatio, worse is MaxRegression and trial-least is MinSamples.
+// core/level describes how the fields are used.
 type LevelsSettings struct {
-	Names         []string      `ini:"levels" help:"[level NAME] sections, from the mildest on; none: there is full service alone"`
-	Evidence      time.Duration `ini:"evidence" default:"3s" range:"500ms..10m" help:"a signal at twice its bound for so long enters a level; at 1.5 times, for twice as long"`
-	ExitRatio     float64       `ini:"back" default:"0.5" range:"0.05..0.95" help:"below this share of its bounds a level is spoken against"`
-	Calm          time.Duration `ini:"calm" default:"5s" range:"500ms..10m" help:"with all signals at 0, so long until a level may be left"`
+	Names         []string      `ini:"levels" help:"names of the [level NAME] sections, the least degraded first; none: there is only full service"`
+	Evidence      time.Duration `ini:"evidence" default:"3s" range:"500ms..10m" help:"a level is entered once a signal has been at twice its bound for this time, or at 1.5 times its bound for twice as long"`
+	ExitRatio     float64       `ini:"back" default:"0.5" range:"0.05..0.95" help:"signals below this ratio of their bounds are evidence for leaving a level"`
+	Calm          time.Duration `ini:"calm" default:"5s" range:"500ms..10m" help:"with all signals at 0, a level may be left after this time"`
 	MinStay       time.Duration `ini:"least-stay" default:"10s" range:"1s..1h"`
-	MaxStay       time.Duration `ini:"most-stay" default:"160s" range:"1s..24h" help:"each return soon after, and each trial that fails, doubles the stay up to this"`
-	Trial         time.Duration `ini:"trial" default:"5s" range:"1s..10m" help:"the better level is tried for so long before it is in force"`
-	TrialShare    float64       `ini:"trial-share" default:"0.1" range:"0.01..0.9" help:"of the queries that try it"`
-	MaxRegression float64       `ini:"worse" default:"0.025" range:"0..1" help:"a trial fails where it loses this much more of its value than the others"`
-	MinSamples    int           `ini:"trial-least" default:"20" range:"1..100000" help:"queries that must have tried it"`
+	MaxStay       time.Duration `ini:"most-stay" default:"160s" range:"1s..24h" help:"each failed trial, and each change to a more degraded level soon after the last change, doubles the minimum time at a level, up to this limit"`
+	Trial         time.Duration `ini:"trial" default:"5s" range:"1s..10m" help:"the better level is tried for this time before it is adopted"`
+	TrialShare    float64       `ini:"trial-share" default:"0.1" range:"0.01..0.9" help:"share of the queries that are served at the better level during a trial"`
+	MaxRegression float64       `ini:"worse" default:"0.025" range:"0..1" help:"a trial fails if the share of the value that its queries lose exceeds that of the other queries by more than this"`
+	MinSamples    int           `ini:"trial-least" default:"20" range:"1..100000" help:"queries that a trial must have served before it is judged"`
 }
 
 // LevelSettings is a section [level NAME] of the operator file. A bound of 0 means that
-// the signal does not enter the level.
+// the signal cannot cause the level to be entered. Some keys differ from the field names:
+// cold is SlowStart, unsound is CellsDown and give is Reductions.
 type LevelSettings struct {
 	Name       string
 	Refused    float64  `ini:"refused" default:"0" range:"0..1" help:"enter above this share of the requested value that is refused for lack of capacity"`
@@ -46,7 +49,8 @@
 	Reductions []string `ini:"give" help:"the reductions, by class: CLASS share S (settle for this share of the answer, but never less than the class's minimum; such answers are not marked complete), CLASS refuse R (refuse this share of the queries at once)"`
 }
 
-// reduction is how a level reduces the service of a class.
+// reduction is how a level reduces the service of a class: the share of the answer that
+// the router may settle for, and the fraction of the queries that are refused at once.
 type reduction struct{ share, refuse float64 }
 
 // reductions parses Reductions, by class.
@@ -98,9 +102,9 @@
 	rng         *rand.Rand
 	sampleTimer *timer
 
-	value, refused, failed float64       // since the last sample
-	queries                int           // since the last sample
-	queueDelay             time.Duration // the longest since the last sample
+	value, refused, failed float64       // sums of Class.Value since the last sample: requested, refused, failed or answered late
+	queries                int           // queries that ended since the last sample
+	queueDelay             time.Duration // the longest wait of a posted event since the last sample
 	servers                map[string]choice.Server
 	changes                []LevelChange
 	costs                  []LevelCost
@@ -115,25 +119,26 @@
 	Why      string
 }
 
-// LevelCost is what a level has cost and saved since the start of the proxy.
+// LevelCost describes the time and the queries served at a level since the start of the
+// proxy, and the value that was lost.
 type LevelCost struct {
 	Level    string
-	Seconds  float64
-	Asked    int64
+	Seconds  float64 // time at the level
+	Asked    int64   // queries handled at the level
 	Refused  int64   // queries refused by the level
-	Short    int64   // queries for which the level lowered the share to settle for
+	Short    int64   // queries for which the level lowered the share to settle for; Counters.LevelReduced is the sum over the levels
 	Answered float64 // value answered in time, as a share of the value requested
-	value    float64
-	earned   float64
+	value    float64 // sum of Class.Value of the queries
+	earned   float64 // the part of it that their answers earned
 }
 
 const (
 	sampleInterval  = time.Second
 	maxLevelChanges = 256 // kept for reports
-	minQueries      = 5   // per sample; with fewer queries the refused and failed shares are not computed
+	minQueries      = 5   // per sample; with fewer queries the query rate and the refused and failed shares are 0
 )
 
-// SetLevels enables levels of reduced service. It must be called before Run.
+// SetLevels enables levels of reduced service. It must be called before Run or Attach.
 func (x *Exchange) SetLevels(set LevelsSettings, each []LevelSettings) error {
 	micros := func(d time.Duration) int64 { return d.Microseconds() }
 	s := level.Settings{Evidence: micros(set.Evidence), ExitRatio: set.ExitRatio, Calm: micros(set.Calm), MinStay: micros(set.MinStay), MaxStay: micros(set.MaxStay), Trial: micros(set.Trial),
@@ -151,6 +156,7 @@
 		l.reductions = append(l.reductions, byClass)
 		l.costs = append(l.costs, LevelCost{Level: name})
 		v := level.Level{Name: name}
+		// The bounds are in the order of level.SignalNames.
 		for k, bound := range []float64{each[i].Refused, each[i].Failed, each[i].SlowStart, each[i].CellsDown, each[i].Queue} {
 			if bound > 0 {
 				v.Enter = append(v.Enter, level.Condition{Signal: level.SignalNames[k], Above: bound})
@@ -175,6 +181,7 @@
 	at := x.Micros(now)
 	sample := level.Signals{Queue: float64(l.queueDelay.Microseconds()) / 1000}
 	if l.queries >= minQueries && l.value > 0 {
+		// The interval is one second, so the number of queries is the rate.
 		sample.QueryRate, sample.Refused, sample.Failed = float64(l.queries), l.refused/l.value, l.failed/l.value
 	}
 	usable, warmingUp := 0, 0
@@ -218,7 +225,9 @@
 }
 
 // applyLevel reduces the service of a query as its level says, and reports whether the
-// query continues.
+// query continues. The refusals of a level apply to all queries of a class. The lower
+// share applies only to classes with effect Safe whose MinShare is below RequiredShare,
+// and to neither queries routed by the map of segments nor queries that hooks watch.
 func (x *Exchange) applyLevel(qs *queryState) bool {
 	l := x.levels
 	d := &degraded{level: l.state.Level()}
@@ -246,9 +255,10 @@
 	}
 	if target := max(red.share, class.MinShare); target < class.RequiredShare {
 		// Only the share that the router may settle for is lowered. The router still gets
-		// all parts, so that others can replace one that is overdue.
+		// all parts, so that other parts can replace a part that is overdue.
 		d.minShare = target
-		// Parts of the least healthy cells are planned last.
+		// The router considers the parts in the order of their events. Those of the least
+		// healthy cells come last.
 		health := l.shardHealth(x)
 		slices.SortStableFunc(qs.parts, func(a, b *partState) int { return health(b.Shard) - health(a.Shard) })
 		cost.Short++
@@ -282,8 +292,8 @@
 }
 
 // degradedFinal corrects the final answer of a query for which the router was allowed to
-// settle for less than the class needs: the answer is complete only if the share served
-// is, and the query fails if that share is below the class's minimum.
+// settle for less than the class needs: the answer is marked complete only if the share
+// served reaches RequiredShare, and the query fails if that share is below MinShare.
 func (x *Exchange) degradedFinal(qs *queryState, f Final) Final {
 	class, share := x.class(qs.class), qs.servedShare()
 	f.Complete = f.Complete && hookrule.MeetsRequiredShare(class, share)
@@ -317,6 +327,7 @@
 		earned -= lost
 		l.failed += lost
 	case !f.Complete && class.RequiredShare > 0:
+		// The value is linear in the share: Class.PartialExponent is not applied.
 		earned *= min(qs.servedShare()/class.RequiredShare, 1) * class.PartialValue
 		lost = class.Value - earned
 	}
@@ -347,14 +358,14 @@
 
 // ---- Reports and commands for operators.
 
-// LevelReport describes the level in force, its signals, and the changes and costs so far.
+// LevelReport is a report for operators. It describes the level in force, its signals, and the changes and costs so far.
 type LevelReport struct {
 	Level   string
-	Trying  string `json:",omitempty"`
-	StayS   float64
-	Pinned  time.Time
-	Signals level.Signals
-	Past    []LevelChange
+	Trying  string        `json:",omitempty"` // the better level that is on trial
+	StayS   float64       // minimum time at the level, in seconds
+	Pinned  time.Time     // when the pin of the level ends; zero: the level is not pinned
+	Signals level.Signals // of the last sample
+	Past    []LevelChange // the last maxLevelChanges changes, the oldest first
 	Cost    []LevelCost
 }
 
--- a/internal/exchange/segments.go
+++ b/internal/exchange/segments.go
@@ -1,9 +1,12 @@
 package exchange
 
 // This file routes queries by the map of segments (core/placement), for installations
-// that have one. It owns how the parts that a client names become parts for the segments
-// in force, what happens if a server rejects a part because it does not have the
-// segment, and how values are returned under the names that the client used. It never
+// that have one. A segment is a key range; the map assigns each segment to a cell, a
+// group of servers that store it. This file owns how the segments that a client names
+// become parts for the segments of the current map, what happens if a server rejects a
+// part because it does not have the segment, and how values are returned under the
+// segment ids that the client used. A *target* is one part that is sent: a segment, the
+// keys wanted from it, and the client's parts that these keys belong to. The file never
 // sends a part again that may have run, never puts a key into an answer twice and never
 // chooses a server: the router gets the cell in place of the shard and selects a server
 // there.
@@ -24,9 +27,11 @@
 	"saddleport/internal/core/placement"
 )
 
-// MapSource provides the maps of segments. Its methods must not block.
+// MapSource obtains the maps of segments and passes them to UpdateMap. Its methods must
+// not block.
 type MapSource interface {
-	// RequestEpoch reports that a server named an epoch newer than the map's.
+	// RequestEpoch requests a map of at least this epoch, because a server named an epoch
+	// newer than the current map's.
 	RequestEpoch(epoch int64)
 }
 
@@ -37,7 +42,7 @@
 // segmentRouting is the state of an exchange that routes by a map.
 type segmentRouting struct {
 	source     MapSource
-	maxTargets int // of one query
+	maxTargets int // maximum number of targets of one query
 	current    *placement.Map
 	parked     map[*partState]bool // parts that wait for a newer map or for a timer
 }
@@ -45,10 +50,10 @@
 // routing is the state of a query that is routed by the map.
 type routing struct {
 	requests   []placement.PartRequest
-	open       map[string]bool // ids of the query and its subqueries that are open at the router
+	open       map[string]bool // ids of the query and its subqueries that the router has not ended
 	subqueries int             // subqueries so far
 	parked     int             // parts that are parked
-	retryAfter time.Duration   // the longest that the router returned with a refusal
+	retryAfter time.Duration   // the longest RetryAfter of the router's refusals so far
 }
 
 // SetMapSource enables routing by a map. A query gets maxTargets targets at most. It
@@ -73,7 +78,8 @@
 	})
 }
 
-// createParts creates the parts of a query.
+// createParts creates the parts of a query: those that the client named or, if there is a
+// map of segments, one for each target. It fails if the map cannot route the query.
 func (x *Exchange) createParts(qs *queryState) error {
 	if x.segmentRouting == nil {
 		for _, p := range qs.Parts {
@@ -109,8 +115,8 @@
 	return &partState{Part: p, id: wireID + idSuffix, wireID: wireID, query: qs, target: t}
 }
 
-// routerShard returns what the router takes for the part's shard: the cell where segments
-// are routed by a map.
+// routerShard returns the number that the router uses as the part's shard: the cell if
+// there is a map of segments, otherwise the shard.
 func (p *partState) routerShard() int {
 	if p.target != nil {
 		return p.target.Cell
@@ -118,8 +124,9 @@
 	return p.Shard
 }
 
-// keyFields returns the options of a frame that describe a part's keys: the epoch by
-// which the part was routed, and the key ranges wanted.
+// keyFields returns the options of a frame that describe a part's keys: the epoch of the
+// map that is current now, and the key ranges wanted. The map may have been replaced
+// since the part was routed.
 func (x *Exchange) keyFields(p *partState) string {
 	if p.target == nil {
 		return ""
@@ -149,8 +156,10 @@
 	return 0, false
 }
 
-// parkMoved parks a part that was rejected because the server does not have the segment:
-// it waits for a newer map or for a timer. Its attempt never ran.
+// parkMoved handles the rejection of a part by a server that does not have the segment.
+// If the part may be sent again, it is parked until a newer map or a timer lets it be
+// rerouted, and the attempt's outcomeDeferred is set. Otherwise (too many rejections, no
+// time left, or no attempts left) it is not parked. In both cases the attempt never ran.
 func (x *Exchange) parkMoved(a *Attempt, epoch int64) {
 	p := a.part
 	qs := p.query
@@ -162,6 +171,8 @@
 	if epoch > current {
 		s.source.RequestEpoch(epoch)
 	}
+	// time.Until reads the system clock, in this file and in hooks.go, also if the event
+	// loop has a virtual clock.
 	t := placement.AfterRejection(p.moveRejections, epoch, current, time.Until(qs.deadline).Microseconds())
 	if t.Abandon || p.priorAttempts+len(p.attempts) >= x.settings.Router.AttemptCap {
 		return
@@ -171,7 +182,7 @@
 	if epoch <= current {
 		p.wantedEpoch = current + 1 // the current map did not help, so wait for a newer one
 	}
-	s.parked[p] = true // bounded by the number of open queries
+	s.parked[p] = true // bounded by the parts of the open queries: closeSubqueries removes those of a query that ends
 	qs.routing.parked++
 	p.rerouteTimer = x.startTimer(x.loop.Now().Add(time.Duration(t.Delay)*time.Microsecond), func() { x.reroute(p) })
 }
@@ -255,7 +266,7 @@
 	a.outcomeDeferred = false
 	x.events = append(x.events, choice.Outcome{ID: a.part.id, Server: a.Server, Delay: x.loop.Now().Sub(a.sentAt).Microseconds(),
 		Closed: a.part.query.ended, Attempt: a.Index, Verdict: choice.NotSent})
-	x.post(func() {})
+	x.post(func() {}) // requests another Turn, as in reroute
 }
 
 // reportDeferredOutcomes notifies the router of all attempts of a part whose outcome has
@@ -266,16 +277,18 @@
 	}
 }
 
-// subqueryEnded handles the end, at the router, of a query that is routed by the map or
-// of one of its subqueries.
-func (x *Exchange) subqueryEnded(qs *queryState, id string, retryAfter time.Duration) {
+// routerQueryEnded handles the end, at the router, of a query that is routed by the map or
+// of one of its subqueries, whether it was answered, refused or failed.
+func (x *Exchange) routerQueryEnded(qs *queryState, id string, retryAfter time.Duration) {
 	r := qs.routing
 	delete(r.open, id)
 	if id != qs.ID {
 		delete(x.queries, id)
 	}
 	r.retryAfter = max(r.retryAfter, retryAfter)
-	for _, p := range qs.parts { // if the subquery for a part failed, the query that the part came from may continue
+	// If a subquery ended without serving the parts that replace p, the router now learns
+	// that the attempts of p never ran, and may send p again or end the query.
+	for _, p := range qs.parts {
 		if len(p.subqueries) > 0 && p.subqueries[len(p.subqueries)-1] == id && !x.replacementServed(qs, p) {
 			x.reportDeferredOutcomes(p)
 		}
@@ -314,7 +327,7 @@
 	switch {
 	case hookrule.MeetsRequiredShare(class, share):
 		x.answer(qs, true)
-	case len(qs.routing.open) > 0 || qs.routing.parked > 0:
+	case len(qs.routing.open) > 0 || qs.routing.parked > 0: // further parts may still be served
 	case class.MinShare < class.RequiredShare && hookrule.MeetsMinShare(class, share):
 		x.answer(qs, false)
 	case hookrule.SafeToRefuse(class.Effect, mayHaveRun(qs)):
@@ -333,8 +346,9 @@
 	x.finish(qs, Final{Ending: Answered, Complete: complete, Hits: qs.hits()})
 }
 
-// closeSubqueries ends at the router whatever is still open there for a query that has
-// ended.
+// closeSubqueries withdraws an ended query and its subqueries from the router and removes
+// its parked parts. The event is ClientLeft, also if the client has not disconnected: the
+// router has no other event that withdraws a query.
 func (x *Exchange) closeSubqueries(qs *queryState) {
 	for id := range qs.routing.open {
 		delete(x.queries, id)
@@ -347,11 +361,11 @@
 		}
 		x.reportDeferredOutcomes(p)
 	}
-	x.post(func() {})
+	x.post(func() {}) // requests another Turn, as in reroute
 }
 
-// hits returns the values of the parts that have been served, under the names that the
-// client used.
+// hits returns the values of the parts that have been served, under the shards or segment
+// ids that the client used.
 func (qs *queryState) hits() []Hit {
 	if qs.routing == nil {
 		var out []Hit
--- a/internal/exchange/segments_test.go
+++ b/internal/exchange/segments_test.go
@@ -38,7 +38,8 @@
 
 func (noMapSource) RequestEpoch(int64) {}
 
-// Two parts of a query are rejected one after the other because their segments have
+// The shards of the query are ids of segments. Segment 3, without a Range, covers all keys
+// and so is the merge of segments 1 and 2. Two parts of a query are rejected one after the other because their segments have
 // moved, and meanwhile the two segments have been merged. The parts that replace them
 // have the same id on the wire and must not be in flight together.
 func TestSegmentsMergedAfterRejection(t *testing.T) {
@@ -49,12 +50,12 @@
 	require.NoError(t, err)
 	x, err := NewOn(loop, router, 1, set)
 	require.NoError(t, err)
-	x.SetMapSource(noMapSource{}, 16)
+	x.SetMapSource(noMapSource{}, 16) // far more targets than the query needs
 	upstream := &recordingUpstream{}
 	x.Attach(upstream)
 	var final *Final
 	runTurns := func() {
-		for range 4 { // events posted during a Turn are processed in the next
+		for range 4 { // events posted during a Turn are processed in the next; 4 Turns are enough for the posts that follow each other here
 			x.Turn()
 		}
 	}
