--- a/internal/cluster/consensus/consensus.go
+++ b/internal/cluster/consensus/consensus.go
@@ -3,20 +3,29 @@
 // on the next one by Paxos, one instance an epoch: a majority must promise a ballot and a
 // majority must accept it.
 //
-// The package alone decides who may vote. A machine that has lost its disk returns as another
+// Terms: a process that runs the agreement and stores the configuration on a disk is a
+// views.Member, identified by its address and its disk ID. It is a member (voter) if the current
+// view includes it, otherwise a learner. An entry (chain.Entry) is a version of the replicated
+// configuration; entries are ordered by viewstamp. To seal a view means that a member stops
+// serving it, because it has promised a ballot for the next one. A Machine is the state machine
+// of one process.
+//
+// The package alone decides who may vote. A process that has lost its disk returns as another
 // member and votes only once a view includes that member: if it voted as before, the promises
 // lost with the disk would allow a second, conflicting majority. The package never decides what
 // a configuration contains, and an epoch never has two views.
 //
-// The number of voters is kept odd. A process without a vote is a learner: it receives the
-// configuration and waits. It gets a vote in the same agreement that removes another member's
-// vote, or together with a second learner while there are fewer voters than configured.
+// A learner receives the configuration and waits. It gets a vote in the same agreement that
+// removes another member's vote, or in addition while there are fewer voters than configured.
+// Each such addition is of one learner. If the number of voters is even and no learner can
+// be added or replace a member, the next view removes one member, so that the number is odd again.
 //
-// Each view is based on the newest entry that was reported by the majority which promised the
-// view, and every member of the view stores that entry. A chain consists of more than half of
-// the voters, so the entry is at least as new as every entry that was ever acknowledged.
+// Each view is based on the newest entry that was reported by the majority of the previous
+// view's members which promised the ballot. A process adopts a view only once it stores an entry
+// at least as new. A chain consists of more than half of the voters, so the base entry is at
+// least as new as every entry that was ever acknowledged.
 //
-// The machine does no I/O and reads no clock. The messages that TakeMessages returns may be
+// A Machine does no I/O and reads no clock. The messages that TakeMessages returns may be
 // sent only once the state whose change TakeChanged reports is durable.
 package consensus
 
@@ -33,8 +42,8 @@
 type Config struct {
 	HeartbeatInterval int64 // time between two heartbeats
 	FailureTimeout    int64 // a member that was not heard for this long is not alive
-	SuspicionTimeout  int64 // how long a suspected member is excluded from the chain
-	RejoinDelay       int64 // how long a member must be alive before it enters the chain
+	SuspicionTimeout  int64 // how long a suspected member is still excluded from the chain once there is no report against it
+	RejoinDelay       int64 // how long a member must be alive before it enters the chain of a view
 	ProposerStagger   int64 // delay between the members' turns to propose
 	BallotTimeout     int64 // a ballot that is not decided after this time has failed
 	MinViewAge        int64 // for this long after a view change, only a broken chain causes another change
@@ -51,11 +60,16 @@
 	Accepted *Proposal    `json:"accepted,omitempty"`
 }
 
-// EntryStore is the part of the chain that an agreement needs.
+// EntryStore is the part of chain.Machine that the agreement needs.
 type EntryStore interface {
+	// Stored returns the entry that this process stores.
 	Stored() chain.Entry
+	// Store replaces the stored entry by a newer one; an older one is ignored.
 	Store(chain.Entry)
+	// AdoptView makes v the current view, which this process serves from then on if it is in
+	// the chain of v. The entry that v is based on must be stored already.
 	AdoptView(now int64, v views.View)
+	// Seal makes this process stop serving its current view, until the next AdoptView.
 	Seal()
 }
 
@@ -63,7 +77,7 @@
 type Machine struct {
 	State
 	cfg       Config
-	mutations chain.Mutations
+	mutations chain.Mutations // rules that the model checker has disabled; in production none
 	store     EntryStore
 	changed   bool // whether State has changed since the last call of TakeChanged
 
@@ -71,13 +85,13 @@
 	suspicions      suspicions
 	leaving         bool
 	adoptedAt       int64        // when the current view was adopted
-	sealedAt        int64        // when the current view was sealed; 0: it is not
+	sealedAt        int64        // when the current view was last sealed, by any Prepare or Accept that was admitted; 0: not sealed
 	changeDueSince  int64        // when a view change became due; 0: none is due
 	backoffUntil    int64        // no ballot is started before this time
 	ownBallot       *ballotState // the ballot that this process leads; nil: none
 	highestBallot   uint64       // highest ballot number seen
-	lastHeartbeatAt int64
-	seeds           []string // addresses to ask for a vote
+	lastHeartbeatAt int64        // 0: no heartbeat yet, or one is due at once
+	seeds           []string     // addresses to ask for a vote
 	outbox          []envelope.Message
 }
 
@@ -102,8 +116,9 @@
 	return v
 }
 
-// New returns the machine of a process whose disk stores state s. A process that is not a
-// member asks the seeds for a vote.
+// New returns the Machine of a process whose disk stores state s. A process that is not a
+// member asks the seeds for a vote. If s contains a promise, the view is sealed: a promise stays
+// valid over a restart.
 func New(now int64, cfg Config, s State, seeds []string, store EntryStore, mutations chain.Mutations) *Machine {
 	m := &Machine{State: s, cfg: cfg, store: store, mutations: mutations, seeds: seeds, adoptedAt: now,
 		peers: newPeers(now, cfg), suspicions: newSuspicions(cfg)}
@@ -138,8 +153,8 @@
 // SetSeeds sets the addresses that are contacted while this process has no vote or no quorum.
 func (m *Machine) SetSeeds(addrs []string) { m.seeds = addrs }
 
-// HasQuorum reports whether a majority of the view's members, this process included if it is
-// one, was heard within the failure timeout.
+// HasQuorum reports whether a majority of the current view's members was heard within the
+// failure timeout. This process counts if it is a member. Without a view there is no quorum.
 func (m *Machine) HasQuorum(now int64) bool {
 	n := 0
 	for _, x := range m.View.Members {
@@ -161,8 +176,9 @@
 	return out
 }
 
-// LastHeard returns the viewstamp that a member last reported, and whether the member is
-// alive.
+// LastHeard returns the viewstamp that a member last reported for its entry, and whether the
+// member was heard within the failure timeout. Unlike Alive, it makes no exception for the time
+// after a start.
 func (m *Machine) LastHeard(now int64, x views.Member) (views.Viewstamp, bool) {
 	return m.peers.states[x].viewstamp, m.peers.recentlyHeard(now, x)
 }
@@ -189,22 +205,26 @@
 	return m.peers.states[x].leaving
 }
 
+// seal makes this process stop serving the current view and records when.
 func (m *Machine) seal(now int64) {
 	m.store.Seal()
 	m.sealedAt = now
 }
 
+// send adds a message to the outbox, unless it is for this process itself.
 func (m *Machine) send(to views.Member, epoch uint64, body envelope.Body) {
 	if to != m.Self {
 		m.outbox = append(m.outbox, envelope.Message{From: m.Self, To: to, Epoch: epoch, Body: body})
 	}
 }
 
-// IsConsensusMessage reports whether a body is one of the messages of this package.
+// IsConsensusMessage reports whether a body is one of the messages of this package: every body
+// that is not a chain message is.
 func IsConsensusMessage(body envelope.Body) bool { return !chain.IsChainMessage(body) }
 
-// HandleMisaddressed answers a message that was sent to a disk which this machine no longer
-// has. The answer, a Join, carries the ID of the disk that it has now.
+// HandleMisaddressed answers a message that was addressed to a disk which this process does not
+// have, usually one that it has lost. The answer is a Join, whose sender carries the present disk
+// ID. It is sent also if this process is a member.
 func (m *Machine) HandleMisaddressed(from views.Member) { m.send(from, m.View.Epoch, m.join()) }
 
 func (m *Machine) join() Join {
@@ -255,12 +275,14 @@
 	}
 }
 
-// Tick sends heartbeats, asks for a vote, and proposes a view when it is this member's turn.
+// Tick sends heartbeats, or a Join if this process has no vote, and proposes a view when it is
+// this member's turn. It ends a ballot of this process after BallotTimeout, and starts the second
+// phase of a ballot that has waited half that time for learners.
 func (m *Machine) Tick(now int64) {
 	m.suspicions.evaluate(now, m.View)
 	m.peers.expire(now, m.View)
 	if m.lastHeartbeatAt == 0 || now-m.lastHeartbeatAt >= m.cfg.HeartbeatInterval {
-		m.lastHeartbeatAt = max(now, 1)
+		m.lastHeartbeatAt = max(now, 1) // 0 would mean that a heartbeat is due at once
 		m.sendHeartbeats(now)
 	}
 	if m.ownBallot != nil && now-m.ownBallot.startedAt >= m.cfg.BallotTimeout {
@@ -304,7 +326,7 @@
 	}
 }
 
-// Describe returns the state of each member as text, for the operator's views.
+// Describe returns the state of each member as text, for the pages that operators read.
 func (m *Machine) Describe(now int64) map[string]string {
 	out := make(map[string]string)
 	for _, x := range m.View.Members {
--- a/internal/cluster/consensus/decide.go
+++ b/internal/cluster/consensus/decide.go
@@ -6,9 +6,10 @@
 	"saddleport/internal/cluster/views"
 )
 
-// compareViews sends the current view to a process that has an older one. A process that has a
-// newer one is sent an announcement, which it answers with its view: all members that are known
-// here may have been replaced. stored is the viewstamp of the sender's entry.
+// compareViews compares the view of a message's sender with the current view. A sender with an
+// older view is sent the current one. A sender with a newer view is sent an announcement, which
+// it answers with that view. This process can't rely on the members of its own view for that,
+// because they may all have been replaced. stored is the viewstamp of the sender's entry.
 func (m *Machine) compareViews(now int64, msg envelope.Message, stored views.Viewstamp) {
 	switch {
 	case msg.Epoch < m.View.Epoch:
@@ -32,8 +33,9 @@
 	m.send(to, m.View.Epoch, Decide{View: m.View, Entry: m.entryFor(stored, m.View.BaseViewstamp())})
 }
 
-// entryFor returns the entry to send to a process whose stored entry has one viewstamp and that
-// needs an entry at least as new as another; nil if the stored entry is new enough.
+// entryFor returns the entry of this process, to send to a process whose entry has the viewstamp
+// stored and that needs an entry at least as new as needed. It returns nil if stored is not older
+// than needed.
 func (m *Machine) entryFor(stored, needed views.Viewstamp) *chain.Entry {
 	if !stored.Less(needed) || m.mutations.AdoptWithoutEntry {
 		return nil
@@ -52,7 +54,7 @@
 		m.store.Store(*d.Entry)
 	}
 	if m.lacksBaseEntry(d.View) {
-		return // the next heartbeat carries the viewstamp of the older entry, and the answer brings the newer one
+		return // the next Heartbeat or Join of this process carries the viewstamp of its older entry, and the answer to it carries the newer entry
 	}
 	m.adopt(now, d.View)
 }
@@ -63,7 +65,9 @@
 	return m.store.Stored().Viewstamp().Less(v.BaseViewstamp()) && !m.mutations.AdoptWithoutEntry
 }
 
-// adopt makes v the current view of this process.
+// adopt makes v the current view of this process. It discards the ballot, the promise and the
+// accepted proposal of this process, and ends the seal of the previous view. The reports against
+// members are cleared, but members that are suspected stay so until SuspicionTimeout.
 func (m *Machine) adopt(now int64, v views.View) {
 	if err := v.Check(); err != nil && !m.mutations.ShortChain {
 		panic("invariant: " + err.Error())
--- a/internal/cluster/consensus/leave.go
+++ b/internal/cluster/consensus/leave.go
@@ -3,10 +3,10 @@
 import "slices"
 
 // StartLeave makes this member hand over its vote. The other members remove it from the chain
-// at once and give its vote to a learner if there is one. Until then it continues to vote.
+// and give its vote to a learner, if there is one. It continues to vote until a view excludes it.
 func (m *Machine) StartLeave() {
 	if !m.leaving {
-		m.leaving, m.lastHeartbeatAt = true, 0
+		m.leaving, m.lastHeartbeatAt = true, 0 // the next Tick sends a heartbeat at once
 	}
 }
 
@@ -31,8 +31,8 @@
 	return adopted >= m.View.Majority()
 }
 
-// CannotHandOver reports whether waiting cannot help a leaving member any more: no learner can
-// take its vote, and it is out of the chain already or must stay in it because fewer than a
+// CannotHandOver reports whether, as things stand now, waiting does not help a leaving member: no
+// learner can take its vote, and it is out of the chain already or must stay in it because fewer than a
 // majority of the members are eligible.
 func (m *Machine) CannotHandOver(now int64) bool {
 	if !m.leaving || !m.IsMember() || len(m.readyLearners(now)) > 0 {
--- a/internal/cluster/consensus/messages.go
+++ b/internal/cluster/consensus/messages.go
@@ -15,22 +15,24 @@
 		HasQuorum bool            `json:"c,omitempty"` // the sender has recently heard from a majority
 		Leaving   bool            `json:"l,omitempty"` // the sender wants to hand over its vote
 	}
-	// Join asks for a vote; it is sent by a process that is not a member.
+	// Join asks for a vote. It is sent by a process without a vote, and by HandleMisaddressed.
 	Join struct {
 		Viewstamp views.Viewstamp `json:"s"`
-		Leaving   bool            `json:"l,omitempty"` // the sender has left and asks only for the members' view and entry
+		Leaving   bool            `json:"l,omitempty"` // the sender is leaving and wants no vote, only the members' view and entry
 	}
 	// Prepare is the first phase of a ballot.
 	Prepare struct {
 		Ballot    Ballot          `json:"b"`
 		Viewstamp views.Viewstamp `json:"s"`           // of the entry that the proposer stores
-		Joiner    *views.Member   `json:"j,omitempty"` // the receiver, if it is a learner that is to get a vote; nil for a member
+		Joiner    *views.Member   `json:"j,omitempty"` // the learner that is to get a vote, and the receiver; nil if the receiver is a member
 		Entry     *chain.Entry    `json:"n,omitempty"` // for a learner whose entry is outdated
 	}
-	// Promise answers Prepare. It may be sent only once the promise is durable.
+	// Promise answers Prepare. It may be sent only once the promise is durable. It also answers
+	// an Accept whose base entry the sender lacks: the proposer then sends the Accept again with
+	// the entry.
 	Promise struct {
 		Ballot    Ballot          `json:"b"`
-		Viewstamp views.Viewstamp `json:"s"`
+		Viewstamp views.Viewstamp `json:"s"`           // of the entry that the sender stores
 		Joiner    bool            `json:"j,omitempty"` // the sender is a learner and has no vote
 		Accepted  *Proposal       `json:"a,omitempty"` // the proposal that the sender has accepted for this epoch
 		Entry     *chain.Entry    `json:"n,omitempty"` // the sender's entry, if it is newer than the proposer's
@@ -38,9 +40,9 @@
 	// Accept is the second phase of a ballot.
 	Accept struct {
 		Ballot    Ballot          `json:"b"`
-		Viewstamp views.Viewstamp `json:"s"`
+		Viewstamp views.Viewstamp `json:"s"` // of the entry that the proposer stores
 		View      views.View      `json:"v"`
-		Entry     *chain.Entry    `json:"n,omitempty"`
+		Entry     *chain.Entry    `json:"n,omitempty"` // if the receiver's entry is older than the base of the view
 	}
 	// Accepted answers Accept. It may be sent only once the acceptance is durable.
 	Accepted struct {
@@ -48,12 +50,12 @@
 	}
 	// Nack informs a proposer that the sender has promised a higher ballot.
 	Nack struct {
-		Ballot Ballot `json:"b"`
+		Ballot Ballot `json:"b"` // the higher ballot
 	}
 	// Decide announces a view that a majority has accepted.
 	Decide struct {
 		View  views.View   `json:"v"`
-		Entry *chain.Entry `json:"n,omitempty"`
+		Entry *chain.Entry `json:"n,omitempty"` // if the receiver's entry is older than the base of the view
 	}
 	// Suspect informs all members that one of them makes no progress.
 	Suspect struct {
--- a/internal/cluster/consensus/peers.go
+++ b/internal/cluster/consensus/peers.go
@@ -11,11 +11,12 @@
 // peerState is what is known about another process from its messages.
 type peerState struct {
 	lastHeardAt int64 // time of the last message
-	aliveSince  int64 // start of the current period without a failure timeout
-	epoch       uint64
-	viewstamp   views.Viewstamp
-	hasQuorum   bool // as the process last reported
-	leaving     bool
+	aliveSince  int64 // time of the first message since the last gap of FailureTimeout or more
+	// As the process reported in its last Heartbeat or Join:
+	epoch     uint64          // of its view
+	viewstamp views.Viewstamp // of its entry
+	hasQuorum bool
+	leaving   bool
 }
 
 // learnerState is what is known about a process that asks for a vote, from its last Join.
@@ -45,12 +46,12 @@
 func (p *peers) observe(now int64, msg envelope.Message, v views.View) {
 	state, known := p.states[msg.From]
 	if !known && !v.Has(msg.From) && len(p.states) >= 2*p.cfg.MaxLearners {
-		return // too many non-members are tracked already
+		return // a new non-member is not tracked while 2*MaxLearners processes, members included, are
 	}
 	if state.lastHeardAt == 0 || now-state.lastHeardAt >= p.cfg.FailureTimeout {
 		state.aliveSince = now
 	}
-	state.lastHeardAt = max(now, 1)
+	state.lastHeardAt = max(now, 1) // 0 would mean that the process was never heard
 	switch body := msg.Body.(type) {
 	case Heartbeat:
 		state.epoch, state.viewstamp, state.hasQuorum, state.leaving = msg.Epoch, body.Viewstamp, body.HasQuorum, body.Leaving
--- a/internal/cluster/consensus/proposer.go
+++ b/internal/cluster/consensus/proposer.go
@@ -12,11 +12,11 @@
 type ballotState struct {
 	ballot         Ballot
 	startedAt      int64
-	storedAtStart  views.Viewstamp // viewstamp of the proposer's entry
+	storedAtStart  views.Viewstamp // viewstamp of the proposer's entry when the ballot was started
 	promises       map[views.Member]Promise
 	joinedLearners map[views.Member]views.Viewstamp // the learners that have answered, and the viewstamps of their entries
-	value          *views.View                      // the proposed view; nil in the first phase
-	accepts        map[views.Member]bool
+	value          *views.View                      // the proposed view; nil in the first phase, set in the second
+	accepts        map[views.Member]bool            // the members that have accepted value
 }
 
 // proposeIfDue starts a ballot if a view change is due and it is this member's turn to propose.
@@ -33,8 +33,9 @@
 	}
 }
 
-// viewChangeDue reports whether the view should change: at once if its chain is broken, otherwise
-// once it has been in force for MinViewAge.
+// viewChangeDue reports whether the view should change: at once if its chain is broken, or if the
+// target view differs from it and it has been adopted for at least MinViewAge. It is never due
+// if this process has no vote or if the target view is unsafe (views.View.Check).
 func (m *Machine) viewChangeDue(now int64) bool {
 	if !m.IsMember() {
 		return false
@@ -47,11 +48,12 @@
 	return m.chainBroken(now, target) || !unchanged && now-m.adoptedAt >= m.cfg.MinViewAge
 }
 
-// chainBroken reports whether the chain of the current view cannot make progress: it is sealed
-// and no view was decided in time, or one of its members is no longer eligible.
+// chainBroken reports whether the chain of the current view cannot make progress: this process
+// has sealed it, for its own ballot or that of another proposer, and no view was decided within
+// BallotTimeout, or one of the members of the chain is not in the chain of the target view.
 func (m *Machine) chainBroken(now int64, target views.View) bool {
 	if m.sealedAt != 0 && now-m.sealedAt >= m.cfg.BallotTimeout {
-		return true // the proposer that sealed this member has not completed its ballot
+		return true // the ballot for which this process sealed the view has not been completed
 	}
 	for _, x := range m.View.Chain {
 		if !slices.Contains(target.Chain, x) {
@@ -129,7 +131,7 @@
 	if p.Entry != nil {
 		m.store.Store(*p.Entry)
 	}
-	if m.ownBallot.value != nil { // the sender lacks the entry that the view to accept is based on
+	if m.ownBallot.value != nil { // second phase: the Promise answers an Accept, because the sender lacks the base entry of the view (handleAccept)
 		m.sendAccept(msg.From, p.Viewstamp)
 		return
 	}
@@ -149,6 +151,9 @@
 		m.sendAccepts(now, v)
 		return
 	}
+	// The target view is computed again and may include a learner that appeared after propose. No
+	// Prepare was sent to that learner, so the ballot waits for half of its timeout and then leaves
+	// the learner out.
 	v := m.targetView(now, true)
 	for _, x := range v.Members {
 		if _, joined := ballot.joinedLearners[x]; !joined && !m.View.Has(x) && now-ballot.startedAt < m.cfg.BallotTimeout/2 {
@@ -186,8 +191,8 @@
 	m.Accepted, m.changed = &Proposal{Ballot: ballot.ballot, View: v}, true
 	ballot.accepts[m.Self] = true
 	for _, to := range m.View.Members {
-		if x, ok := ballot.promises[to]; ok {
-			m.sendAccept(to, x.Viewstamp)
+		if promise, ok := ballot.promises[to]; ok {
+			m.sendAccept(to, promise.Viewstamp)
 		} else {
 			m.sendAccept(to, m.peers.states[to].viewstamp)
 		}
@@ -195,6 +200,8 @@
 	m.decideIfAccepted(now)
 }
 
+// sendAccept sends a member the proposed view. stored is the viewstamp of the member's entry: if
+// it is older than the base of the view, the message also carries the entry.
 func (m *Machine) sendAccept(to views.Member, stored views.Viewstamp) {
 	v := *m.ownBallot.value
 	body := Accept{Ballot: m.ownBallot.ballot, Viewstamp: m.store.Stored().Viewstamp(), View: v, Entry: m.entryFor(stored, v.BaseViewstamp())}
@@ -240,13 +247,14 @@
 	}
 }
 
-// lastKnownViewstamp returns a lower bound of the viewstamp of the entry that member x stores. It is
-// known from the member's answers in this ballot or else from its last heartbeat (reported).
-func (p *ballotState) lastKnownViewstamp(x views.Member, reported views.Viewstamp, v views.View) views.Viewstamp {
-	if p.accepts[x] {
+// lastKnownViewstamp returns a lower bound of the viewstamp of the entry that member x stores: the
+// base of v, the proposed view, if x has accepted v; otherwise the viewstamp in the Promise of x;
+// otherwise reported, the viewstamp in the last Heartbeat or Join of x.
+func (b *ballotState) lastKnownViewstamp(x views.Member, reported views.Viewstamp, v views.View) views.Viewstamp {
+	if b.accepts[x] {
 		return v.BaseViewstamp()
 	}
-	if promise, ok := p.promises[x]; ok {
+	if promise, ok := b.promises[x]; ok {
 		return promise.Viewstamp
 	}
 	return reported
--- a/internal/cluster/consensus/reconfigure.go
+++ b/internal/cluster/consensus/reconfigure.go
@@ -6,9 +6,10 @@
 	"saddleport/internal/cluster/views"
 )
 
-// targetView returns the view that should follow the current one. Its epoch and base are those of
-// the current view. With skipRejoinDelay, members enter the chain without waiting for
-// Config.RejoinDelay.
+// targetView returns the view that should follow the current one. Epoch and base are still those
+// of the current view, so that Check can be called; startAcceptPhase sets the new ones. With
+// skipRejoinDelay, members enter the chain without waiting for Config.RejoinDelay: viewChangeDue
+// applies the delay, but a ballot that has been started does not.
 func (m *Machine) targetView(now int64, skipRejoinDelay bool) views.View {
 	members := m.targetVoters(now, m.readyLearners(now))
 	return views.View{Epoch: m.View.Epoch, Members: members, Chain: m.chainMembers(now, members, skipRejoinDelay),
@@ -16,18 +17,18 @@
 }
 
 // readyLearners returns the learners that may get a vote: those that were heard recently and are
-// not leaving. In the first phase of a ballot, after half its timeout, these are only the
+// not leaving. A learner at this process's own address is excluded. In the first phase of a ballot, after half its timeout, these are only the
 // learners that have answered and store an entry at least as new as the proposer's at the start
 // of the ballot.
 func (m *Machine) readyLearners(now int64) []views.Member {
 	learners := m.Learners(now)
-	late := m.ownBallot != nil && m.ownBallot.value == nil && now-m.ownBallot.startedAt >= m.cfg.BallotTimeout/2
+	confirmedOnly := m.ownBallot != nil && m.ownBallot.value == nil && now-m.ownBallot.startedAt >= m.cfg.BallotTimeout/2
 	return slices.DeleteFunc(learners, func(x views.Member) bool {
 		learner := m.peers.learners[x]
 		if learner.leaving || x.Addr == m.Self.Addr {
 			return true
 		}
-		if !late {
+		if !confirmedOnly {
 			return false
 		}
 		viewstamp, joined := m.ownBallot.joinedLearners[x]
@@ -35,8 +36,8 @@
 	})
 }
 
-// targetVoters returns the members of the target view. Their number is kept odd: a new voter
-// replaces another one.
+// targetVoters returns the members of the target view. A new voter replaces another one if
+// possible. Otherwise one learner is added, or an even or too large number of voters is reduced.
 func (m *Machine) targetVoters(now int64, ready []views.Member) []views.Member {
 	members := slices.Clone(m.View.Members)
 	if m.mutations.VoteAtOnce {
@@ -76,7 +77,8 @@
 }
 
 // replaceMember returns the members without the one at index i and with its replacement. The
-// replacement comes last, because members that have already run in the view come first.
+// replacement comes last: members of the current view come first, so they get earlier turns to
+// propose.
 func replaceMember(members []views.Member, i int, replacement views.Member) []views.Member {
 	return append(slices.Delete(slices.Clone(members), i, i+1), replacement)
 }
@@ -93,9 +95,9 @@
 	return index
 }
 
-// addVoters gives learners a vote while there are fewer voters than configured. It is meant to add
-// two at once to an odd number of voters, so that the number stays odd, but the expression below
-// yields 1 for an odd number too.
+// addVoters gives one learner a vote while there are fewer voters than configured. For an odd
+// number of voters, 2 - len(members)%2 is 1 too, so two learners are never added at once: an odd
+// number of voters becomes even, and a further view adds another learner or removes a member.
 func (m *Machine) addVoters(members, ready []views.Member) ([]views.Member, bool) {
 	added := 2 - len(members)%2
 	if len(members)%2 == 0 {
@@ -107,8 +109,8 @@
 	return append(slices.Clone(members), ready[:added]...), true
 }
 
-// removeVoters removes one member if their number is even, or two if it is above the configured
-// number: unresponsive members first, then the last ones in the order of the view.
+// removeVoters removes one member if the number of members is even, or two if that number is odd
+// and above the configured number: unresponsive members first, then the last ones in the order of the view.
 func (m *Machine) removeVoters(now int64, members []views.Member) []views.Member {
 	surplus := 0
 	switch {
@@ -162,13 +164,16 @@
 
 // mayJoinChain reports whether an eligible member may be in the chain of the next view.
 func (m *Machine) mayJoinChain(now int64, x views.Member, skipRejoinDelay bool) bool {
-	if !m.View.Has(x) && m.ownBallot != nil { // a new voter with an older entry would delay the chain until it has caught up
+	// A new voter with an older entry would delay the chain until it has caught up. A learner that
+	// has not answered has the zero viewstamp and so counts as one with an older entry.
+	if !m.View.Has(x) && m.ownBallot != nil {
 		return !m.ownBallot.joinedLearners[x].Less(m.store.Stored().Viewstamp())
 	}
 	return skipRejoinDelay || x == m.Self || slices.Contains(m.View.Chain, x) || m.peers.rejoined(now, x, m.View)
 }
 
-// votersWithoutReplacement implements the mutation VoteAtOnce: a new voter is added without
+// votersWithoutReplacement implements the mutation VoteAtOnce, which only the model checker
+// enables: a new voter is added without
 // removing another member. A member above the configured number of voters is removed only after
 // it has been unresponsive for removalFactor failure timeouts.
 func (m *Machine) votersWithoutReplacement(now int64, members, ready []views.Member) []views.Member {
@@ -181,6 +186,6 @@
 	return members
 }
 
-// removalFactor is the number of failure timeouts after which the mutation VoteAtOnce removes an
+// removalFactor, used by the model checker only, is the number of failure timeouts after which the mutation VoteAtOnce removes an
 // unresponsive member. The rule that the mutation leaves out used the same factor.
 const removalFactor = 11
--- a/internal/cluster/consensus/suspicion.go
+++ b/internal/cluster/consensus/suspicion.go
@@ -14,6 +14,7 @@
 	return suspicions{cfg: cfg, reports: make(map[views.Member]map[views.Member]int64), suspectedUntil: make(map[views.Member]int64)}
 }
 
+// report records that reporter sees suspect make no progress.
 func (s *suspicions) report(now int64, reporter, suspect views.Member) {
 	if s.reports[suspect] == nil {
 		s.reports[suspect] = make(map[views.Member]int64)
@@ -23,6 +24,7 @@
 
 func (s *suspicions) suspected(now int64, x views.Member) bool { return now < s.suspectedUntil[x] }
 
+// clear removes all reports. Members that are already suspected stay so until suspectedUntil.
 func (s *suspicions) clear() { clear(s.reports) }
 
 // evaluate excludes reported members from the chain for SuspicionTimeout, except those that are
@@ -30,8 +32,8 @@
 func (s *suspicions) evaluate(now int64, v views.View) {
 	s.expire(now, v)
 	for x, reporters := range s.reports {
-		if s.blockedByAnother(x, len(reporters)) { // even if x was suspected before the other member was reported
-			delete(s.suspectedUntil, x)
+		if s.blockedByAnother(x, len(reporters)) {
+			delete(s.suspectedUntil, x) // x may be suspected since before the other member was reported; that suspicion ends
 		} else {
 			s.suspectedUntil[x] = now + s.cfg.SuspicionTimeout
 		}
@@ -39,8 +41,9 @@
 }
 
 // blockedByAnother reports whether suspect x is only waiting for another member: x itself has
-// reported a member that is suspected by at least reportCount members, the number of reports
-// against x.
+// reported another member, and that member was reported by at least reportCount members, the
+// number of reports against x. Two members that report each other, with equally many reports
+// against each, are therefore both blocked and neither is suspected.
 func (s *suspicions) blockedByAnother(x views.Member, reportCount int) bool {
 	for other, reporters := range s.reports {
 		if _, suspects := reporters[x]; suspects && other != x && len(reporters) >= reportCount {
