--- a/internal/lab/drill/verdict.go
+++ b/internal/lab/drill/verdict.go
@@ -1,7 +1,7 @@
 package drill
 
-// This file says whether a drill passed, and prints why. A drill passes only if
-// no rule was broken and all that it says must happen did.
+// This file decides whether a drill passed and prints the reasons. A drill passes only
+// if there were no rule violations and everything that it requires happened.
 
 import (
 	"cmp"
@@ -20,18 +20,18 @@
 	"saddleport/internal/lab/judge"
 )
 
-// Result is what playing a drill brought.
+// Result is the result of a drill.
 type Result struct {
 	Drill *Drill `json:"-"`
 	Name  string
-	Base  *Run `json:",omitempty"` // without hooks, where the drill compares
+	Base  *Run `json:",omitempty"` // the baseline run without hooks or reshapes, if the drill compares
 	Main  *Run
-	Unmet []string // what failed it beside the rules
+	Unmet []string // requirements that were not met, rule violations included
 	Pass  bool
 }
 
-// Weigh decides. base may be nil.
-func Weigh(d *Drill, base, main *Run) *Result {
+// Evaluate decides whether a drill passed. base may be nil.
+func Evaluate(d *Drill, base, main *Run) *Result {
 	r := &Result{Drill: d, Name: d.Name, Base: base, Main: main}
 	unmet := func(format string, args ...any) { r.Unmet = append(r.Unmet, fmt.Sprintf(format, args...)) }
 	for _, run := range []*Run{base, main} {
@@ -44,37 +44,37 @@
 		if !run.Verdict.Pass() {
 			unmet("%s: rules were broken", run.Name)
 		}
-		if run.RSSMost > d.Mixer.Memory {
-			unmet("%s: %v of memory, and the limit is %v", run.Name, run.RSSMost, d.Mixer.Memory)
+		if run.RSSMost > d.Proxy.Memory {
+			unmet("%s: %v of memory, above the limit of %v", run.Name, run.RSSMost, d.Proxy.Memory)
 		}
-		if run.FilesTop > d.Mixer.Sockets {
-			unmet("%s: %d descriptors, and the limit is %d", run.Name, run.FilesTop, d.Mixer.Sockets)
+		if run.FilesTop > d.Proxy.Sockets {
+			unmet("%s: %d descriptors, above the limit of %d", run.Name, run.FilesTop, d.Proxy.Sockets)
 		}
-		if run.Rate < d.Expect.RateLeast {
-			unmet("%s: %.0f queries a second, not %.0f", run.Name, run.Rate, d.Expect.RateLeast)
+		if run.Rate < d.Expect.MinRate {
+			unmet("%s: %.0f queries a second, below the required %.0f", run.Name, run.Rate, d.Expect.MinRate)
 		}
 	}
 	for _, c := range d.Classes {
-		t := tally(main, c.Name)
+		t := findTally(main, c.Name)
 		if t == nil || t.Sent == 0 {
 			unmet("class %s: no query was sent", c.Name)
 			continue
 		}
-		if share := float64(t.Refused) / float64(t.Sent); share > c.RefusedMost {
-			unmet("class %s: %.1f%% were refused, and %.1f%% may be", c.Name, 100*share, 100*c.RefusedMost)
+		if share := float64(t.Refused) / float64(t.Sent); share > c.MaxRefused {
+			unmet("class %s: %.1f%% were refused, above the limit of %.1f%%", c.Name, 100*share, 100*c.MaxRefused)
 		}
-		if share := float64(t.Failed) / float64(t.Sent); share > c.FailedMost {
-			unmet("class %s: %.1f%% failed, and %.1f%% may", c.Name, 100*share, 100*c.FailedMost)
+		if share := float64(t.Failed) / float64(t.Sent); share > c.MaxFailed {
+			unmet("class %s: %.1f%% failed, above the limit of %.1f%%", c.Name, 100*share, 100*c.MaxFailed)
 		}
-		if share := float64(t.Answered) / float64(t.Sent); share < d.Expect.AnswerLeast {
-			unmet("class %s: %.1f%% were answered, and %.1f%% must be", c.Name, 100*share, 100*d.Expect.AnswerLeast)
+		if share := float64(t.Answered) / float64(t.Sent); share < d.Expect.MinAnswered {
+			unmet("class %s: %.1f%% were answered, below the required %.1f%%", c.Name, 100*share, 100*d.Expect.MinAnswered)
 		}
 		if base == nil || c.Hooked {
 			continue
 		}
-		was := tally(base, c.Name)
-		if most := time.Duration(float64(was.P99)*(1+d.Expect.P99Within)) + d.Expect.P99Slack; t.P99 > most {
-			unmet("class %s, which no hook is for: p99 %v, without hooks %v", c.Name, t.P99, was.P99)
+		baseTally := findTally(base, c.Name)
+		if maxP99 := time.Duration(float64(baseTally.P99)*(1+d.Expect.MaxP99Growth)) + d.Expect.P99Slack; t.P99 > maxP99 {
+			unmet("class %s, which has no hook: p99 %v, and %v in the baseline run", c.Name, t.P99, baseTally.P99)
 		}
 	}
 	faults := 0
@@ -82,37 +82,37 @@
 		faults += int(n)
 	}
 	e := d.Expect
-	if faults < e.FaultsLeast {
-		unmet("%d calls of hooks failed, and %d must: the drill did not show what it is for", faults, e.FaultsLeast)
+	if faults < e.MinFaults {
+		unmet("%d hook calls failed, below the required %d: the drill did not exercise its subject", faults, e.MinFaults)
 	}
-	for _, k := range e.Kinds {
+	for _, k := range e.FaultKinds {
 		if main.Faults[hook.Kind(k)] == 0 {
-			unmet("no call of a hook failed by %s", k)
+			unmet("no hook call failed with the kind %s", k)
 		}
 	}
-	if main.Report.Swaps < e.SwapsLeast {
-		unmet("%d sets were put in force, and %d must be", main.Report.Swaps, e.SwapsLeast)
+	if main.Report.Swaps < e.MinSwaps {
+		unmet("%d sets were activated, below the required %d", main.Report.Swaps, e.MinSwaps)
 	}
-	if main.Opened < e.OpenedLeast {
-		unmet("breakers opened %d times, and must %d times", main.Opened, e.OpenedLeast)
+	if main.Opened < e.MinOpened {
+		unmet("breakers opened %d times, below the required %d", main.Opened, e.MinOpened)
 	}
-	if main.Calls < int64(e.CallsLeast) {
-		unmet("%d calls of hooks, and there must be %d", main.Calls, e.CallsLeast)
+	if main.Calls < int64(e.MinCalls) {
+		unmet("%d hook calls, below the required %d", main.Calls, e.MinCalls)
 	}
-	if n := main.Reshapes["done"]; n < e.Reshapes {
-		unmet("%d reshapes came to their end, and %d must", n, e.Reshapes)
+	if n := main.Reshapes["done"]; n < e.MinReshapes {
+		unmet("%d reshapes completed, below the required %d", n, e.MinReshapes)
 	}
-	if n := main.Reshapes["owner died after the cut"]; n < e.CutKills {
-		unmet("%d new owners died right after a cut, and %d must", n, e.CutKills)
+	if n := main.Reshapes["owner died after the cut"]; n < e.MinCutKills {
+		unmet("%d new owners crashed immediately after a cutover, below the required %d", n, e.MinCutKills)
 	}
-	if n := main.Reshapes["evacuated"]; n < e.Evacuated {
-		unmet("%d segments moved at once, and %d must", n, e.Evacuated)
+	if n := main.Reshapes["evacuated"]; n < e.MinEvacuated {
+		unmet("%d segments moved by evacuation, below the required %d", n, e.MinEvacuated)
 	}
 	r.Pass = len(r.Unmet) == 0
 	return r
 }
 
-func tally(r *Run, class string) *judge.Tally {
+func findTally(r *Run, class string) *judge.Tally {
 	for i := range r.Verdict.Classes {
 		if r.Verdict.Classes[i].Class == class {
 			return &r.Verdict.Classes[i]
@@ -121,23 +121,23 @@
 	return nil
 }
 
-// Print writes the tables.
+// Print writes the tables, the violations and the unmet requirements.
 func (r *Result) Print(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "class\thooks\tsent\tanswered\tpartial\trefused\tfailed\tlate\tlost\tdoubled\twrong\tp50\tp99\tp99 without\tchange\t")
 	for _, c := range r.Drill.Classes {
-		x := tally(r.Main, c.Name)
-		hooked, was, change := "no", "-", "-"
+		x := findTally(r.Main, c.Name)
+		hooked, baseP99, change := "no", "-", "-"
 		if c.Hooked {
 			hooked = "yes"
 		}
 		if r.Base != nil {
-			b := tally(r.Base, c.Name)
-			was = ms(b.P99)
+			b := findTally(r.Base, c.Name)
+			baseP99 = formatMS(b.P99)
 			change = fmt.Sprintf("%+.0f%%", 100*(float64(x.P99)/float64(b.P99)-1))
 		}
 		fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\t%s\t%s\t%s\t\n", c.Name, hooked, x.Sent, x.Answered, x.Partial, x.Refused,
-			x.Failed, x.Late, x.Lost, x.Doubled, x.Wrong, ms(x.P50), ms(x.P99), was, change)
+			x.Failed, x.Late, x.Lost, x.Doubled, x.Wrong, formatMS(x.P50), formatMS(x.P99), baseP99, change)
 	}
 	if err := t.Flush(); err != nil {
 		return err
@@ -146,7 +146,7 @@
 		if run == nil {
 			continue
 		}
-		fmt.Fprintf(w, "%s: %.0f queries a second, %d in all; the mixer took %.1f s of a core, %d MiB and %d descriptors at most\n",
+		fmt.Fprintf(w, "%s: %.0f queries a second, %d in total; the proxies used %.1f s of CPU, and at most %d MiB and %d descriptors\n",
 			run.Name, run.Rate, run.Verdict.Queries, run.CPU.Seconds(), run.RSSMost>>20, run.FilesTop)
 	}
 	if r.Main.Report.Swaps > 0 {
@@ -154,7 +154,7 @@
 		for _, k := range slices.SortedFunc(maps.Keys(r.Main.Faults), func(a, b hook.Kind) int { return cmp.Compare(a, b) }) {
 			kinds = append(kinds, fmt.Sprintf("%s=%d", k, r.Main.Faults[k]))
 		}
-		fmt.Fprintf(w, "hooks: %d sets put in force, %d calls, breakers opened %d times, faults %s\n", r.Main.Report.Swaps, r.Main.Calls,
+		fmt.Fprintf(w, "hooks: %d sets activated, %d calls, breakers opened %d times, faults %s\n", r.Main.Report.Swaps, r.Main.Calls,
 			r.Main.Opened, strings.Join(append(kinds, ""), " "))
 	}
 	if len(r.Main.Reshapes) > 0 {
@@ -177,7 +177,7 @@
 	return nil
 }
 
-// Line is the last line of a drill.
+// Line returns the summary line that ends a drill's output.
 func (r *Result) Line() string {
 	verdict := "fail"
 	if r.Pass {
@@ -196,9 +196,9 @@
 		sum(func(v *judge.Verdict) int { return v.Wrong + v.Drained + v.Capped + v.Pushed + v.Astray }))
 }
 
-func ms(d time.Duration) string { return fmt.Sprintf("%.1f ms", float64(d.Microseconds())/1000) }
+func formatMS(d time.Duration) string { return fmt.Sprintf("%.1f ms", float64(d.Microseconds())/1000) }
 
-// Save writes the result into a folder.
+// Save writes result.json and result.txt into a folder.
 func (r *Result) Save(dir string) error {
 	text, err := json.MarshalIndent(r, "", "  ")
 	if err != nil {
--- a/internal/lab/real/sources.go
+++ b/internal/lab/real/sources.go
@@ -1,9 +1,9 @@
 package real
 
-// Several sources of the list on real sockets: for each mixer a stand-in discovery,
-// Consul agent and DNS server, since a server's addresses differ from one mixer to the
-// next; and the operator file that names them. Where a scenario has no [members] there
-// is a discovery alone.
+// This file runs the sources of the server list on real sockets. Each proxy has its own
+// stand-in discovery, Consul agent and DNS server, since a server has a different
+// address for each proxy, and an operator file that names them. A scenario without
+// [members] has only the discovery.
 
 import (
 	"encoding/json"
@@ -28,57 +28,58 @@
 )
 
 const (
-	service  = "trips"
-	srvName  = "_trips._tcp.lab.example.org"
-	zoneName = ".lab.example.org"
-	junkEach = 12 // datagrams before each answer, under dns-junk
+	service       = "trips"
+	srvName       = "_trips._tcp.lab.example.org"
+	zoneName      = ".lab.example.org"
+	junkPerAnswer = 12 // junk datagrams sent before each answer under the fault dns-junk
 )
 
-// sources are the stand-ins of one mixer. What is not among the scenario's sources is nil.
+// sources are the stand-ins of one proxy. A stand-in that the scenario does not use is
+// nil; the discovery is always there.
 type sources struct {
 	disco  *disco.Server
 	consul *consulapi.Server
 	dns    *dnsserver.Server
 }
 
-func (r *run) sourcesOn() bool { return len(r.plan.Members.Sources) > 0 }
+func (r *run) hasSources() bool { return len(r.plan.Members.Sources) > 0 }
 
-// buildSources starts the stand-ins of all mixers.
-func (r *run) buildSources() error {
+// startSources starts the stand-ins of all proxies.
+func (r *run) startSources() error {
 	for n := range r.plan.Proxies.Count {
 		s := &sources{}
-		r.stands = append(r.stands, s)
+		r.standIns = append(r.standIns, s)
 		var err error
 		for _, l := range r.lists {
 			switch l.Name {
 			case "consul":
 				var all []consulapi.Instance
 				for _, e := range l.Entries() {
-					all = append(all, r.instance(n, e))
+					all = append(all, r.consulInstance(n, e))
 				}
 				if s.consul, err = consulapi.Listen(service, all); err != nil {
 					return err
 				}
-				s.consul.OnSent = func(i consulapi.Instance, at time.Time) { r.j.ToldBy(n, "consul", i.ID, i.Maintenance, at) }
+				s.consul.OnSent = func(i consulapi.Instance, at time.Time) { r.j.DrainReportedBy(n, "consul", i.ID, i.Maintenance, at) }
 			case "dns":
 				var all []dnsserver.Target
 				for _, e := range l.Entries() {
-					all = append(all, r.target(n, e))
+					all = append(all, r.dnsTarget(n, e))
 				}
 				if s.dns, err = dnsserver.Listen(srvName, uint32(r.plan.Source("dns").TTL/time.Second), all); err != nil {
 					return err
 				}
 				s.dns.OnSent = func(t dnsserver.Target, at time.Time) {
 					name, _, _ := strings.Cut(t.Name, ".")
-					r.j.ToldBy(n, "dns", name, strings.HasSuffix(t.Text, "state=draining"), at)
+					r.j.DrainReportedBy(n, "dns", name, strings.HasSuffix(t.Text, "state=draining"), at)
 				}
 			}
 		}
-		var entries []disco.Entry // the platform's is always there: the configuration names it
+		var entries []disco.Entry // the platform's discovery always exists, since the configuration names it
 		for _, l := range r.lists {
 			if l.Name == "list" {
 				for _, e := range l.Entries() {
-					entries = append(entries, r.entry(n, e))
+					entries = append(entries, r.discoveryEntry(n, e))
 				}
 			}
 		}
@@ -87,30 +88,30 @@
 		}
 		s.disco.OnSent = func(e disco.Entry, at time.Time) {
 			switch {
-			case e.Status == "DELETED": // neither lifts a drain nor is one
-			case r.plan.Settings.PollInterval > 0: // told once the agent held it
-			case r.sourcesOn():
-				r.j.ToldBy(n, "list", e.Name, e.Status == "DRAINING", at)
+			case e.Status == "DELETED": // a deletion neither starts nor ends a drain
+			case r.plan.Settings.PollInterval > 0: // the drain counts once the agent has the update: see agentsUpdated
+			case r.hasSources():
+				r.j.DrainReportedBy(n, "list", e.Name, e.Status == "DRAINING", at)
 			case e.Status == "SERVING":
-				r.j.Told(e.Name, time.Time{})
+				r.j.DrainReported(e.Name, time.Time{})
 			default:
-				r.j.Told(e.Name, at)
+				r.j.DrainReported(e.Name, at)
 			}
 		}
 	}
 	for _, l := range r.lists {
-		l.Publish = func(news []model.Entry) { r.tell(l.Name, news) }
-		if r.sourcesOn() || r.plan.Settings.PollInterval > 0 {
-			l.BufferSilent = r.plan.Settings.PollInterval > 0 // an agent is not sent what a discovery that is down has to tell
-			l.OnFault = func(c model.Change) { r.turn(l, c) }
+		l.Publish = func(news []model.Entry) { r.publish(l.Name, news) }
+		if r.hasSources() || r.plan.Settings.PollInterval > 0 {
+			l.BufferSilent = r.plan.Settings.PollInterval > 0 // an agent gets no updates while its discovery is down
+			l.OnFault = func(c model.Change) { r.applySourceFault(l, c) }
 		}
 	}
 	return nil
 }
 
-func (r *run) instance(mixer int, e model.Entry) consulapi.Instance {
+func (r *run) consulInstance(proxy int, e model.Entry) consulapi.Instance {
 	spec := &r.plan.Servers[e.Server]
-	i := consulapi.Instance{ID: spec.Name, Node: "node-" + spec.Name, Site: spec.Site, Kind: spec.Group, Address: r.hosts[e.Server].doors[mixer].addr,
+	i := consulapi.Instance{ID: spec.Name, Node: "node-" + spec.Name, Site: spec.Site, Kind: spec.Group, Address: r.hosts[e.Server].endpoints[proxy].addr,
 		Cell: (spec.Cell + e.CellShift) % r.plan.Groups[0].Cells, Status: "passing", Maintenance: e.Status == model.Draining}
 	if e.Status == model.Unhealthy {
 		i.Status = "critical"
@@ -121,9 +122,9 @@
 	return i
 }
 
-func (r *run) target(mixer int, e model.Entry) dnsserver.Target {
+func (r *run) dnsTarget(proxy int, e model.Entry) dnsserver.Target {
 	spec := &r.plan.Servers[e.Server]
-	host, port, _ := net.SplitHostPort(r.hosts[e.Server].doors[mixer].addr)
+	host, port, _ := net.SplitHostPort(r.hosts[e.Server].endpoints[proxy].addr)
 	n, _ := strconv.Atoi(port)
 	since := int64(0)
 	if e.Since >= 0 {
@@ -133,47 +134,49 @@
 		Text: dnsserver.TXTRecord(spec.Name, spec.Site, spec.Group, (spec.Cell+e.CellShift)%r.plan.Groups[0].Cells, e.Status == model.Draining, since)}
 }
 
-// tell is a list's, under its lock: news of one source for all mixers.
-func (r *run) tell(source string, news []model.Entry) {
-	for n, s := range r.stands {
-		for _, e := range news {
+// publish sends the changes of one source to all proxies' stand-ins. The list calls it
+// under listMu.
+func (r *run) publish(source string, changes []model.Entry) {
+	for n, s := range r.standIns {
+		for _, e := range changes {
 			name := r.plan.Servers[e.Server].Name
 			switch source {
 			case "consul":
 				if e.Status == model.Deleted {
 					s.consul.Remove(name)
 				} else {
-					s.consul.Put(r.instance(n, e))
+					s.consul.Put(r.consulInstance(n, e))
 				}
 			case "dns":
 				if e.Status == model.Deleted {
 					s.dns.Remove(name + zoneName)
 				} else {
-					s.dns.Put(r.target(n, e))
+					s.dns.Put(r.dnsTarget(n, e))
 				}
 			default:
-				s.disco.Put(r.entry(n, e))
+				s.disco.Put(r.discoveryEntry(n, e))
 				if r.plan.Settings.PollInterval > 0 {
-					r.held(name, e.Status)
+					r.agentsUpdated(name, e.Status)
 				}
 			}
 		}
 	}
 }
 
-// held notes that the mixers' agents hold news: where lists are pushed it counts as told.
-func (r *run) held(name string, st model.Status) {
+// agentsUpdated records that the proxies' agents have a server's new state. Where lists
+// are pushed, this is the time at which a drain counts as reported.
+func (r *run) agentsUpdated(name string, st model.Status) {
 	switch st {
 	case model.Serving:
-		r.j.Told(name, time.Time{})
+		r.j.DrainReported(name, time.Time{})
 	case model.Draining:
-		r.j.Told(name, time.Now())
+		r.j.DrainReported(name, time.Now())
 	}
 }
 
-// turn has a fault take hold of a source as a whole, or let it go.
-func (r *run) turn(l *model.List, c model.Change) {
-	for n, s := range r.stands {
+// applySourceFault starts or ends a fault of an entire source.
+func (r *run) applySourceFault(l *model.List, c model.Change) {
+	for n, s := range r.standIns {
 		switch l.Name {
 		case "consul":
 			if c.Do == model.ListReset {
@@ -209,7 +212,7 @@
 				case model.DNSJunk:
 					f.JunkDatagrams = 0
 					if c.On {
-						f.JunkDatagrams = junkEach
+						f.JunkDatagrams = junkPerAnswer
 					}
 				}
 			})
@@ -219,7 +222,7 @@
 				s.disco.SetUnavailable(c.On, c.Do == model.ListDown)
 			case model.ListEmpty:
 				for _, e := range l.Entries() {
-					x := r.entry(n, e)
+					x := r.discoveryEntry(n, e)
 					if c.On {
 						x.Status = "DELETED"
 					}
@@ -230,13 +233,14 @@
 	}
 }
 
-// operator writes a mixer's operator file, with these sources in force.
-func (r *run) operator(n int, in []string) (string, error) {
-	s := r.stands[n]
+// writeOperatorFile writes the operator file of proxy n with the active sources, and
+// returns its path.
+func (r *run) writeOperatorFile(n int, active []string) (string, error) {
+	s := r.standIns[n]
 	var b strings.Builder
-	section := func(name string, of any) {
+	section := func(name string, settings any) {
 		fmt.Fprintf(&b, "[%s]\n", name)
-		for _, f := range inifile.Fields(of) {
+		for _, f := range inifile.Fields(settings) {
 			value := f.Value
 			switch value {
 			case "true":
@@ -248,7 +252,7 @@
 		}
 	}
 	m := r.plan.Members
-	m.Sources = in
+	m.Sources = active
 	fmt.Fprintf(&b, "[control]\nsocket = %s\n", r.socket(n))
 	section("members", &m)
 	if s.consul != nil {
@@ -269,41 +273,41 @@
 
 func (r *run) socket(n int) string { return filepath.Join(r.dir, fmt.Sprintf("s%d", n)) }
 
-// switchSources puts other sources in force at every mixer, by SIGHUP.
+// switchSources activates other sources at every proxy, by SIGHUP.
 func (r *run) switchSources(c model.Change) {
-	in := r.plan.Members.Sources
+	active := r.plan.Members.Sources
 	if c.On {
-		in = c.SwitchTo
+		active = c.SwitchTo
 	}
-	r.mixMu.Lock()
-	defer r.mixMu.Unlock()
-	r.inForce = in
-	for _, m := range r.mixers {
+	r.proxyMu.Lock()
+	defer r.proxyMu.Unlock()
+	r.activeSources = active
+	for _, m := range r.proxies {
 		if m.proc == nil {
 			continue
 		}
-		if _, err := r.operator(m.n, in); err != nil {
-			go r.fail("the operator file of mixer %d: %v", m.n, err)
+		if _, err := r.writeOperatorFile(m.n, active); err != nil {
+			go r.recordFault("writing the operator file of mixer %d: %v", m.n, err)
 			continue
 		}
 		m.proc.Signal(syscall.SIGHUP)
 	}
 }
 
-// beliefs asks every mixer, at the end, what its merge has done.
-func (r *run) beliefs() {
-	for _, m := range r.mixers {
+// recordMembers records, at the end, what every proxy reports about its member list.
+func (r *run) recordMembers() {
+	for _, m := range r.proxies {
 		var rep members.Report
 		if m.proc == nil {
 			continue
 		}
 		if err := control.Call(r.socket(m.n), &rep, "members", "show"); err != nil {
-			r.fail("mixer %d does not tell its members: %v", m.n, err)
+			r.recordFault("mixer %d did not report its members: %v", m.n, err)
 			continue
 		}
 		rep.Members = nil
 		text, _ := json.Marshal(rep.Sources)
-		r.note("mixer %d: %d ready, %d draining, %d withheld; %d changes, %d returns held back; sources %s", m.n, rep.Ready, rep.Draining, rep.Withheld,
+		r.recordEvent("mixer %d: %d ready, %d draining, %d withheld; %d changes, %d returns held back; sources %s", m.n, rep.Ready, rep.Draining, rep.Withheld,
 			rep.Changes, rep.Damped, text)
 	}
 }
--- a/internal/lab/record/folder.go
+++ b/internal/lab/record/folder.go
@@ -1,6 +1,6 @@
 package record
 
-// A run folder: what was played, where, and what came of it.
+// This file writes and reads run folders: the scenario, the machine and the results.
 
 import (
 	"bytes"
@@ -30,16 +30,16 @@
 	DigestFile   = "digest"
 )
 
-// Where says on what a run was played.
-type Where struct {
+// Environment describes the build and machine of a run.
+type Environment struct {
 	Go, OS, Arch, Build string
 	CPUs                int
 	Machine             Machine
 }
 
-// here describes this build and machine.
-func here(m Machine) Where {
-	w := Where{Go: runtime.Version(), OS: runtime.GOOS, Arch: runtime.GOARCH, CPUs: runtime.NumCPU(), Build: "unknown", Machine: m}
+// currentEnvironment describes this build and machine.
+func currentEnvironment(m Machine) Environment {
+	w := Environment{Go: runtime.Version(), OS: runtime.GOOS, Arch: runtime.GOARCH, CPUs: runtime.NumCPU(), Build: "unknown", Machine: m}
 	if info, ok := debug.ReadBuildInfo(); ok {
 		for _, s := range info.Settings {
 			if s.Key == "vcs.revision" {
@@ -53,7 +53,7 @@
 	return w
 }
 
-// Saved is what SummaryFile holds: all of a run but its rows and its machine.
+// Saved is the content of SummaryFile: a run without its rows and its machine.
 type Saved struct {
 	Summary Summary
 	Classes []Class
@@ -65,7 +65,7 @@
 	WarmupS float64
 }
 
-func rows[T any](list []T) ([]byte, error) {
+func encodeRows[T any](list []T) ([]byte, error) {
 	var b bytes.Buffer
 	w := parquet.NewGenericWriter[T](&b, parquet.Compression(&parquet.Zstd))
 	if _, err := w.Write(list); err != nil {
@@ -77,17 +77,18 @@
 	return b.Bytes(), nil
 }
 
-// Files are a run's files whose bytes hang on scenario, seed and build alone.
+// Files returns the run's files whose bytes depend only on scenario, seed and build,
+// by name.
 func (r *Run) Files() (map[string][]byte, error) {
 	out := make(map[string][]byte)
 	var err error
-	if out[QueriesFile], err = rows(r.Queries); err != nil {
+	if out[QueriesFile], err = encodeRows(r.Queries); err != nil {
 		return nil, err
 	}
-	if out[SecondsFile], err = rows(r.Seconds); err != nil {
+	if out[SecondsFile], err = encodeRows(r.Seconds); err != nil {
 		return nil, err
 	}
-	if out[RunFile], err = rows([]Summary{r.Summary}); err != nil {
+	if out[RunFile], err = encodeRows([]Summary{r.Summary}); err != nil {
 		return nil, err
 	}
 	text, err := json.MarshalIndent(Saved{r.Summary, r.Classes, r.Verdict, r.Events, r.Broken, r.Unmet(), r.Length.Seconds(), r.Warmup.Seconds()}, "", "  ")
@@ -95,7 +96,8 @@
 	return out, err
 }
 
-// Digest folds the bytes of a run's files.
+// Digest returns a hash of the files that Files returns: the first 128 bits of SHA-256,
+// in hexadecimal.
 func Digest(files map[string][]byte) string {
 	h := sha256.New()
 	for _, name := range []string{QueriesFile, SecondsFile, RunFile, SummaryFile} {
@@ -105,9 +107,10 @@
 	return fmt.Sprintf("%x", h.Sum(nil))[:32]
 }
 
-// Save writes a run folder, whole or not at all: it is written beside and put in
-// place, so that a full disk or an interrupt leaves no half of one. It returns the
-// digest of what hangs on scenario, seed and build alone.
+// Save writes a run folder completely or not at all. It writes a temporary folder
+// beside dir and renames it, so that a full disk or an interrupt leaves no incomplete
+// folder. It returns the digest of the files that depend only on scenario, seed and
+// build.
 func (r *Run) Save(dir, scenario string) (digest string, err error) {
 	files, err := r.Files()
 	if err != nil {
@@ -116,7 +119,7 @@
 	digest = Digest(files)
 	files[ScenarioFile] = []byte(scenario)
 	files[DigestFile] = []byte(digest + "\n")
-	if files[MachineFile], err = json.MarshalIndent(here(r.Machine), "", "  "); err != nil {
+	if files[MachineFile], err = json.MarshalIndent(currentEnvironment(r.Machine), "", "  "); err != nil {
 		return "", err
 	}
 	if err := os.MkdirAll(filepath.Dir(filepath.Clean(dir)), 0o755); err != nil {
@@ -128,7 +131,7 @@
 	}
 	defer os.RemoveAll(tmp)
 	for name, text := range files {
-		if err := write(filepath.Join(tmp, name), text); err != nil {
+		if err := writeFile(filepath.Join(tmp, name), text); err != nil {
 			return "", err
 		}
 	}
@@ -141,11 +144,11 @@
 	return digest, os.Rename(tmp, dir)
 }
 
-// create makes the files of a run folder; a test puts a disk that is full in its place.
-var create = func(name string) (io.WriteCloser, error) { return os.Create(name) }
+// createFile creates a file of a run folder. A test replaces it to simulate a full disk.
+var createFile = func(name string) (io.WriteCloser, error) { return os.Create(name) }
 
-func write(name string, text []byte) error {
-	f, err := create(name)
+func writeFile(name string, text []byte) error {
+	f, err := createFile(name)
 	if err != nil {
 		return err
 	}
@@ -153,7 +156,7 @@
 	return errors.Join(err, f.Close())
 }
 
-// Load reads a run folder.
+// Load reads a run folder. The machine is left zero if its file cannot be read.
 func Load(dir string) (*Run, *Saved, error) {
 	text, err := os.ReadFile(filepath.Join(dir, SummaryFile))
 	if err != nil {
@@ -164,23 +167,23 @@
 		return nil, nil, fmt.Errorf("%s: %w", filepath.Join(dir, SummaryFile), err)
 	}
 	r := &Run{Summary: s.Summary, Classes: s.Classes, Verdict: s.Verdict, Events: s.Events, Broken: s.Broken,
-		Length: span(s.LengthS), Warmup: span(s.WarmupS)}
+		Length: durationOf(s.LengthS), Warmup: durationOf(s.WarmupS)}
 	if r.Queries, err = parquet.ReadFile[Query](filepath.Join(dir, QueriesFile)); err != nil {
 		return nil, nil, fmt.Errorf("%s: %w", filepath.Join(dir, QueriesFile), err)
 	}
 	if r.Seconds, err = parquet.ReadFile[Second](filepath.Join(dir, SecondsFile)); err != nil {
 		return nil, nil, fmt.Errorf("%s: %w", filepath.Join(dir, SecondsFile), err)
 	}
-	var where Where
+	var where Environment
 	if text, err := os.ReadFile(filepath.Join(dir, MachineFile)); err == nil && json.Unmarshal(text, &where) == nil {
 		r.Machine = where.Machine
 	}
 	return r, &s, nil
 }
 
-// Place says on what the run in a folder was played.
-func Place(dir string) string {
-	var w Where
+// DescribeMachine returns the build and machine of the run in a folder as text.
+func DescribeMachine(dir string) string {
+	var w Environment
 	text, err := os.ReadFile(filepath.Join(dir, MachineFile))
 	if err != nil || json.Unmarshal(text, &w) != nil {
 		return "an unknown machine"
--- a/internal/lab/record/record.go
+++ b/internal/lab/record/record.go
@@ -1,8 +1,8 @@
-// Package record is what a run leaves behind: a row for each ask, for each server
-// and second, and for the run, in Parquet; and what a person reads of it. It owns
-// the schema (docs/reference/results.md) and the run folder. It must never average
-// percentiles, nor let a figure that hangs on the machine into what is compared
-// byte by byte.
+// Package record collects and stores the results of a run: a Parquet row for each
+// query, for each server and second, and for the run, and a text summary. It owns the
+// schema (docs/reference/results.md) and the run folder. It must never average
+// percentiles, nor put a figure that depends on the machine into the files that are
+// compared byte by byte.
 package record
 
 import (
@@ -19,55 +19,55 @@
 	"saddleport/internal/lab/scenario"
 )
 
-// Query is the row of one ask: one client's wish, over all its tries. Times are in
-// microseconds from the run's begin.
+// Query is the row of one client query over all its attempts by the client. Times are
+// in microseconds from the start of the run.
 type Query struct {
 	ID       string  `parquet:"id"`
 	Class    string  `parquet:"class,dict"`
 	Due      int64   `parquet:"due_us"`
-	Took     int64   `parquet:"took_us"` // from due to the end: what a closed loop would leave out is in it
+	Took     int64   `parquet:"took_us"` // from due to the end, so it includes the delay that a closed loop would omit
 	Tries    int32   `parquet:"tries"`
-	Attempts int32   `parquet:"attempts"` // of its parts, at leaf servers
+	Attempts int32   `parquet:"attempts"` // attempts of its parts at leaf servers
 	Outcome  string  `parquet:"outcome,dict"`
 	Whole    bool    `parquet:"whole"`
 	Share    float64 `parquet:"share"`
-	Earned   float64 `parquet:"earned"` // of Value
+	Earned   float64 `parquet:"earned"` // the portion of Value that was earned
 	Value    float64 `parquet:"value"`
-	Counts   bool    `parquet:"counts"` // it was due after the warm-up
+	Counts   bool    `parquet:"counts"` // due within the measured window, after the warm-up
 }
 
-// Second is the row of one server in one second.
+// Second is the row of one server and one second.
 type Second struct {
 	Second   int32   `parquet:"second"`
 	Server   string  `parquet:"server,dict"`
 	Site     string  `parquet:"site,dict"`
 	Cell     int32   `parquet:"cell"`
 	Up       bool    `parquet:"up"`
-	Capacity float64 `parquet:"capacity_share"` // of its own, for being cold
+	Capacity float64 `parquet:"capacity_share"` // share of its full capacity that the server has in slow start
 	Taken    int32   `parquet:"taken"`
 	Served   int32   `parquet:"served"`
 	Failed   int32   `parquet:"failed"`
 	Busy     int32   `parquet:"turned_away"`
 	Held     int32   `parquet:"held_most"`
 	Running  int32   `parquet:"running"`
-	Work     int64   `parquet:"work_us"` // done, in core time of speed 1
+	Work     int64   `parquet:"work_us"` // work done, in core time at speed 1
 }
 
-// Summary is the row of a run. What hangs on the machine stands in Machine.
+// Summary is the row of a run. Figures that depend on the machine are in Machine.
 type Summary struct {
 	Scenario  string  `parquet:"scenario"`
 	Variation string  `parquet:"variation"`
 	Drive     string  `parquet:"drive"`
 	Policy    string  `parquet:"policy"`
 	Seed      int64   `parquet:"seed"`
-	Goodput   float64 `parquet:"goodput"` // value earned over value asked for
+	Goodput   float64 `parquet:"goodput"` // value earned divided by value requested
 	Asked     int64   `parquet:"asked"`
-	Queries   int64   `parquet:"queries"` // tries
+	Queries   int64   `parquet:"queries"` // HTTP queries, client retries included
 	Answered  int64   `parquet:"answered"`
 	Whole     int64   `parquet:"whole"`
 	Refused   int64   `parquet:"refused"`
 	Failed    int64   `parquet:"failed"`
-	Parts     int64   `parquet:"parts"` // attempts at leaf servers
+	Parts     int64   `parquet:"parts"` // attempts of parts at leaf servers
 	P50       int64   `parquet:"p50_us"`
 	P99       int64   `parquet:"p99_us"`
 	P999      int64   `parquet:"p999_us"`
@@ -79,42 +79,42 @@
 	Capped    int64   `parquet:"capped"`
 	Pushed    int64   `parquet:"pushed"`
 	Astray    int64   `parquet:"astray"`
-	Worst10   float64 `parquet:"worst_10s"`    // the goodput of the worst ten seconds, by when queries were due
-	Tenant    float64 `parquet:"worst_tenant"` // and of the worst-served tenant, of what is within its share; 1: there are none
+	Worst10   float64 `parquet:"worst_10s"`    // goodput of the worst ten seconds, by the time that queries were due
+	Tenant    float64 `parquet:"worst_tenant"` // goodput of the worst-served tenant, for queries within its share; 1 without tenants
 }
 
-// Class is what became of one class.
+// Class holds the results of one class.
 type Class struct {
-	Name             string
-	Asked, Tries     int64
-	Answered, Whole  int64
-	Refused, Failed  int64
-	Left             int64
-	Goodput          float64
-	P50, P90, P99    time.Duration // of the answered, from the time they were due
-	P999, Max        time.Duration
-	P99All           time.Duration // of all, one that was not answered taken for its whole patience
-	value, earned    float64
-	answered, everyc *hdrhistogram.Histogram
+	Name                            string
+	Asked, Tries                    int64
+	Answered, Whole                 int64
+	Refused, Failed                 int64
+	Left                            int64
+	Goodput                         float64
+	P50, P90, P99                   time.Duration // of answered queries, from the time that they were due
+	P999, Max                       time.Duration
+	P99All                          time.Duration // of all queries; one that was not answered counts with its full timeout
+	value, earned                   float64
+	answeredLatencies, allLatencies *hdrhistogram.Histogram
 }
 
-// Event is something that happened.
+// Event is an event of a run.
 type Event struct {
 	At   time.Duration
 	Text string
 }
 
-// Machine is what a run cost; it is never compared byte by byte.
+// Machine holds the resources that a run used. It is never compared byte by byte.
 type Machine struct {
 	Wall    time.Duration
-	Events  int64 // of virtual time
+	Events  int64 // events of the virtual clock
 	PeakMiB int64
 	Threads int
-	Cores   float64 // taken by the mixers, real drive
-	Files   int     // of a mixer at most, real drive
+	Cores   float64 // used by the proxies, real drive only
+	Files   int     // most descriptors of one proxy, real drive only
 }
 
-// Run is all that a run left.
+// Run holds all results of a run.
 type Run struct {
 	Summary Summary
 	Classes []Class
@@ -123,24 +123,24 @@
 	Seconds []Second
 	Events  []Event
 	Levels  []LevelLine
-	Broken  []string // what else went wrong: a mixer that died by itself, a queue of the rig's that was full
+	Broken  []string // problems other than rule violations, such as a proxy that crashed or a full queue of the emulator
 	Machine Machine
 	Expect  scenario.Expect
 	Length  time.Duration
 	Warmup  time.Duration
 }
 
-// Pass tells whether no rule was broken, but for a scenario that is to show one
-// broken, and what it expects came about.
+// Pass reports whether the run met its scenario's expectations, and whether there were
+// no rule violations or, in a scenario that expects violations, enough of them.
 func (r *Run) Pass() bool { return len(r.Unmet()) == 0 }
 
-// Unmet says what failed a run.
+// Unmet returns the reasons why a run failed.
 func (r *Run) Unmet() []string {
 	out := slices.Clone(r.Broken)
-	broken := r.Verdict.Broken()
+	broken := r.Verdict.Violations()
 	switch {
 	case r.Expect.MinBroken > 0 && broken < r.Expect.MinBroken:
-		out = append(out, "the scenario is to show a broken rule, and the judge saw none")
+		out = append(out, "the scenario expects broken rules, and the judge saw fewer than expected")
 	case r.Expect.MinBroken == 0 && broken > 0:
 		out = append(out, "rules were broken")
 	}
@@ -150,34 +150,34 @@
 	return out
 }
 
-// Recorder gathers a run. One goroutine at a time may use it.
+// Recorder collects the results of a run. It is not safe for concurrent use.
 type Recorder struct {
-	plan *scenario.Plan
-	keep bool
-	run  *Run
-	by   map[string]*Class
+	plan     *scenario.Plan
+	keepRows bool
+	run      *Run
+	byClass  map[string]*Class
 
-	seconds map[int][2]float64    // by the second it was due: value asked for and earned
-	tenants map[string][2]float64 // the same by tenant, within its share
+	bySecond map[int][2]float64    // value requested and earned, by the second in which queries were due
+	byTenant map[string][2]float64 // value requested and earned within the tenant's share, by tenant
 }
 
-// New returns a recorder; keep has it keep the rows of asks and seconds.
+// New returns a recorder. With keep, it stores the rows of queries and seconds.
 func New(p *scenario.Plan, drive, policy string, keep bool) *Recorder {
-	r := &Recorder{plan: p, keep: keep, by: make(map[string]*Class), seconds: make(map[int][2]float64),
-		tenants: make(map[string][2]float64), run: &Run{Expect: p.Expect, Length: p.Length, Warmup: p.Warmup}}
+	r := &Recorder{plan: p, keepRows: keep, byClass: make(map[string]*Class), bySecond: make(map[int][2]float64),
+		byTenant: make(map[string][2]float64), run: &Run{Expect: p.Expect, Length: p.Length, Warmup: p.Warmup}}
 	r.run.Summary = Summary{Scenario: p.Name, Variation: scenario.Label(p.Values), Drive: drive, Policy: policy, Seed: int64(p.RunSeed)}
 	for _, c := range p.Scenario.Classes {
 		most := int64((c.Timeout + 10*time.Second) / time.Microsecond)
-		r.by[c.Name] = &Class{Name: c.Name, answered: hdrhistogram.New(1, most, 3), everyc: hdrhistogram.New(1, most, 3)}
+		r.byClass[c.Name] = &Class{Name: c.Name, answeredLatencies: hdrhistogram.New(1, most, 3), allLatencies: hdrhistogram.New(1, most, 3)}
 	}
 	return r
 }
 
-// Over notes an ask that is over.
-func (r *Recorder) Over(a *model.Request, attempts int) {
+// QueryDone records a client query that has ended.
+func (r *Recorder) QueryDone(a *model.Request, attempts int) {
 	counts := a.Due >= r.plan.Window[0] && a.Due < r.plan.Window[1]
 	took := max((a.Ended - a.Due).Microseconds(), 1)
-	if r.keep {
+	if r.keepRows {
 		r.run.Queries = append(r.run.Queries, Query{ID: a.ID, Class: a.Class.Name, Due: a.Due.Microseconds(), Took: took, Tries: int32(a.Attempts),
 			Attempts: int32(attempts), Outcome: a.Outcome.Kind.String(), Whole: a.Outcome.Complete, Share: a.Outcome.Share, Earned: a.Earned * a.Value,
 			Value: a.Value, Counts: counts})
@@ -185,16 +185,16 @@
 	if !counts {
 		return
 	}
-	c := r.by[a.Class.Name]
+	c := r.byClass[a.Class.Name]
 	c.Asked++
 	c.Tries += int64(a.Attempts)
 	c.value += a.Value
 	c.earned += a.Earned * a.Value
 	add := func(sum [2]float64) [2]float64 { return [2]float64{sum[0] + a.Value, sum[1] + a.Earned*a.Value} }
 	second := int(a.Due / time.Second)
-	r.seconds[second] = add(r.seconds[second])
+	r.bySecond[second] = add(r.bySecond[second])
 	if a.Tenant != "" && !a.OverQuota {
-		r.tenants[a.Tenant] = add(r.tenants[a.Tenant])
+		r.byTenant[a.Tenant] = add(r.byTenant[a.Tenant])
 	}
 	switch a.Outcome.Kind {
 	case model.Answered:
@@ -202,10 +202,10 @@
 		if a.Outcome.Complete {
 			c.Whole++
 		}
-		c.answered.RecordValue(took)
-		c.everyc.RecordValue(took)
+		c.answeredLatencies.RecordValue(took)
+		c.allLatencies.RecordValue(took)
 	default:
-		if c.everyc.RecordValue(a.Class.Timeout.Microseconds()); a.Outcome.Kind == model.Refused {
+		if c.allLatencies.RecordValue(a.Class.Timeout.Microseconds()); a.Outcome.Kind == model.Refused {
 			c.Refused++
 		} else if a.Outcome.Kind == model.Left {
 			c.Left++
@@ -215,9 +215,9 @@
 	}
 }
 
-// Look notes what a server did in a second.
-func (r *Recorder) Look(second int, s *model.Spec, st model.Stats) {
-	if !r.keep {
+// ServerSample records a server's statistics for one second.
+func (r *Recorder) ServerSample(second int, s *model.Spec, st model.Stats) {
+	if !r.keepRows {
 		return
 	}
 	r.run.Seconds = append(r.run.Seconds, Second{Second: int32(second), Server: s.Name, Site: s.Site, Cell: int32(s.Cell), Up: st.Up, Capacity: st.CapacityShare,
@@ -225,67 +225,68 @@
 		Running: int32(st.Running), Work: st.Work.Microseconds()})
 }
 
-// Event notes something that happened.
+// Event records an event.
 func (r *Recorder) Event(at time.Duration, text string) {
 	r.run.Events = append(r.run.Events, Event{at, text})
 }
 
-// LevelLine is a change of a mixer's level of service.
+// LevelLine is a change of a proxy's service level.
 type LevelLine struct {
 	At            time.Duration
 	Mixer         int
 	From, To, Why string
 }
 
-// Level notes a change of a mixer's level.
-func (r *Recorder) Level(at time.Duration, mixer int, from, to, why string) {
-	r.run.Levels = append(r.run.Levels, LevelLine{at, mixer, from, to, why})
-	r.Event(at, fmt.Sprintf("mixer %d: level %s -> %s: %s", mixer, from, to, why))
+// Level records a change of a proxy's service level.
+func (r *Recorder) Level(at time.Duration, proxy int, from, to, why string) {
+	r.run.Levels = append(r.run.Levels, LevelLine{at, proxy, from, to, why})
+	r.Event(at, fmt.Sprintf("mixer %d: level %s -> %s: %s", proxy, from, to, why))
 }
 
-// Broke notes what else went wrong.
-func (r *Recorder) Broke(text string) { r.run.Broken = append(r.run.Broken, text) }
+// Fault records a problem that is not a rule violation.
+func (r *Recorder) Fault(text string) { r.run.Broken = append(r.run.Broken, text) }
 
-// worstSpan is the span whose worst is told, in seconds.
-const worstSpan = 10
+// worstWindow is the length of the window for Summary.Worst10, in seconds.
+const worstWindow = 10
 
-// worst finds the worst ten seconds and the worst-served tenant.
-func (r *Recorder) worst() (span, tenant float64) {
-	span, tenant = 1, 1
+// worstGoodput returns the goodput of the worst ten seconds and of the worst-served
+// tenant.
+func (r *Recorder) worstGoodput() (window, tenant float64) {
+	window, tenant = 1, 1
 	from, to := int(r.plan.Window[0]/time.Second), int(r.plan.Window[1]/time.Second)
-	for at := from; at == from || at+worstSpan <= to; at++ {
+	for at := from; at == from || at+worstWindow <= to; at++ {
 		var sum [2]float64
-		for s := at; s < min(at+worstSpan, to); s++ {
-			sum[0], sum[1] = sum[0]+r.seconds[s][0], sum[1]+r.seconds[s][1]
+		for s := at; s < min(at+worstWindow, to); s++ {
+			sum[0], sum[1] = sum[0]+r.bySecond[s][0], sum[1]+r.bySecond[s][1]
 		}
 		if sum[0] > 0 {
-			span = min(span, sum[1]/sum[0])
+			window = min(window, sum[1]/sum[0])
 		}
 	}
-	for _, sum := range r.tenants {
+	for _, sum := range r.byTenant {
 		if sum[0] > 0 {
 			tenant = min(tenant, sum[1]/sum[0])
 		}
 	}
-	return span, tenant
+	return window, tenant
 }
 
-// Done closes the record.
-func (r *Recorder) Done(v *judge.Verdict) *Run {
+// Finish computes the summary and returns the run.
+func (r *Recorder) Finish(v *judge.Verdict) *Run {
 	run, s := r.run, &r.run.Summary
 	run.Verdict = v
 	all, value, earned := hdrhistogram.New(1, int64(20*time.Minute/time.Microsecond), 3), 0.0, 0.0
 	for _, c := range r.plan.Scenario.Classes {
-		x := r.by[c.Name]
+		x := r.byClass[c.Name]
 		q := func(h *hdrhistogram.Histogram, p float64) time.Duration {
 			return time.Duration(h.ValueAtQuantile(p)) * time.Microsecond
 		}
-		x.P50, x.P90, x.P99, x.P999, x.Max = q(x.answered, 50), q(x.answered, 90), q(x.answered, 99), q(x.answered, 99.9), q(x.answered, 100)
-		x.P99All = q(x.everyc, 99)
+		x.P50, x.P90, x.P99, x.P999, x.Max = q(x.answeredLatencies, 50), q(x.answeredLatencies, 90), q(x.answeredLatencies, 99), q(x.answeredLatencies, 99.9), q(x.answeredLatencies, 100)
+		x.P99All = q(x.allLatencies, 99)
 		if x.value > 0 {
 			x.Goodput = x.earned / x.value
 		}
-		all.Merge(x.answered)
+		all.Merge(x.answeredLatencies)
 		value, earned = value+x.value, earned+x.earned
 		s.Asked += x.Asked
 		s.Answered += x.Answered
@@ -297,14 +298,14 @@
 	if value > 0 {
 		s.Goodput = earned / value
 	}
-	s.Worst10, s.Tenant = r.worst()
+	s.Worst10, s.Tenant = r.worstGoodput()
 	s.P50, s.P99, s.P999 = all.ValueAtQuantile(50), all.ValueAtQuantile(99), all.ValueAtQuantile(99.9)
 	s.Queries, s.Lost, s.Late, s.Doubled, s.Wrong = int64(v.Queries), int64(v.Lost), int64(v.Late), int64(v.Doubled), int64(v.Wrong)
 	s.Drained, s.Capped, s.Pushed, s.Astray = int64(v.Drained), int64(v.Capped), int64(v.Pushed), int64(v.Astray)
 	for _, t := range v.Classes {
 		s.Parts += int64(t.Parts)
 	}
-	// The rows in an order of their own: on the real drive they come as they may.
+	// Sort the rows: the real drive records them in no fixed order.
 	slices.SortFunc(run.Queries, func(a, b Query) int { return cmp.Or(cmp.Compare(a.Due, b.Due), strings.Compare(a.ID, b.ID)) })
 	slices.SortStableFunc(run.Events, func(a, b Event) int { return cmp.Compare(a.At, b.At) })
 	return run
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -1,6 +1,6 @@
-// Package report writes a run, or two set side by side, as one HTML file that needs
-// nothing else: no network, no script, no file beside it. It owns the page. It must
-// never show a figure that is not in the run folder.
+// Package report writes a run, or a comparison of two sides, as one self-contained
+// HTML file: it needs no network, script or other file. It owns the page. It must never
+// show a figure that is not in the run folder.
 package report
 
 import (
@@ -34,7 +34,7 @@
 
 type pair struct{ A, B chart }
 
-const mostEvents = 400
+const maxEvents = 400
 
 var funcs = template.FuncMap{
 	"ms": func(d time.Duration) string { return record.MS(d) },
@@ -43,7 +43,7 @@
 	"f4": func(f float64) string { return fmt.Sprintf("%+.4f", f) },
 	"g4": func(f float64) string { return fmt.Sprintf("%.4f", f) },
 	"first": func(e []record.Event) []record.Event {
-		return e[:min(len(e), mostEvents)]
+		return e[:min(len(e), maxEvents)]
 	},
 }
 
@@ -58,7 +58,7 @@
 pre{background:#f6f6f6;padding:.8em;overflow:auto;font-size:.85em}.note{color:#555}.better{color:#0a6b3d}.worse{color:#b00020}
 </style>`
 
-var single = template.Must(template.New("run").Funcs(funcs).Parse(`<!doctype html><html lang="en"><head><meta charset="utf-8"><title>{{.Title}}</title>` + style + `</head><body>
+var runPage = template.Must(template.New("run").Funcs(funcs).Parse(`<!doctype html><html lang="en"><head><meta charset="utf-8"><title>{{.Title}}</title>` + style + `</head><body>
 <h1>{{.Title}}</h1>
 <p class="note">{{with .Run.Summary}}{{.Drive}} drive, policy {{.Policy}}, seed {{.Seed}}, variation {{.Variation}}{{end}} · {{s .Run.Length}} of load, the first {{s .Run.Warmup}} not counted · {{.Where}}</p>
 <p><span class="{{if .Unmet}}fail{{else}}pass{{end}}">{{.Line}}</span></p>
@@ -68,15 +68,15 @@
 <table><tr><th>class</th><th>asked</th><th>tries</th><th>answered</th><th>whole</th><th>refused</th><th>failed</th><th>left</th><th>goodput</th><th>p50</th><th>p90</th><th>p99</th><th>p99.9</th><th>p99 of all</th></tr>
 {{range .Run.Classes}}<tr><td>{{.Name}}</td><td>{{.Asked}}</td><td>{{.Tries}}</td><td>{{.Answered}}</td><td>{{.Whole}}</td><td>{{.Refused}}</td><td>{{.Failed}}</td><td>{{.Left}}</td><td>{{f3 .Goodput}}</td><td>{{ms .P50}}</td><td>{{ms .P90}}</td><td>{{ms .P99}}</td><td>{{ms .P999}}</td><td>{{ms .P99All}}</td></tr>
 {{end}}</table>
-<p class="note">Times count from when a query was due, not from when it was sent. "p99 of all" takes an ask that got no answer for its whole patience.</p>
+<p class="note">Times count from when a query was due, not from when it was sent. "p99 of all" counts a query without an answer with its full timeout.</p>
 <h2>Charts</h2><div class="charts">{{range .Charts}}<figure id="{{.Name}}">{{.SVG}}</figure>{{end}}</div>
-<p class="note">Dotted lines: something happened.</p>
-<h2>What happened when</h2><table><tr><th>at</th><th style="text-align:left">what</th></tr>{{range first .Run.Events}}<tr><td>{{s .At}}</td><td style="text-align:left">{{.Text}}</td></tr>{{end}}</table>
+<p class="note">Dotted lines mark events.</p>
+<h2>Events</h2><table><tr><th>at</th><th style="text-align:left">event</th></tr>{{range first .Run.Events}}<tr><td>{{s .At}}</td><td style="text-align:left">{{.Text}}</td></tr>{{end}}</table>
 <h2>Scenario</h2><pre>{{.Scenario}}</pre>
 </body></html>
 `))
 
-var double = template.Must(template.New("compare").Funcs(funcs).Parse(`<!doctype html><html lang="en"><head><meta charset="utf-8"><title>{{.Title}}</title>` + style + `</head><body>
+var comparePage = template.Must(template.New("compare").Funcs(funcs).Parse(`<!doctype html><html lang="en"><head><meta charset="utf-8"><title>{{.Title}}</title>` + style + `</head><body>
 <h1>{{.Title}}</h1><p class="note">A: {{.A}}<br>B: {{.B}}</p>
 <h2>Figures, paired by variation and seed</h2>
 <table><tr><th>variation</th><th>figure</th><th>pairs</th><th>A</th><th>B</th><th>B − A</th><th>95% interval</th><th>B is</th></tr>
@@ -91,7 +91,7 @@
 	for _, c := range []struct {
 		name string
 		draw func(*record.Run) (string, error)
-	}{{"goodput", goodput}, {"latency", latency}, {"load", load}, {"attempts", attempts}, {"value", value}, {"depth", depth}} {
+	}{{"goodput", goodput}, {"latency", latency}, {"load", load}, {"attempts", attempts}, {"value", value}, {"depth", queueDepth}} {
 		text, err := c.draw(r)
 		if err != nil {
 			return nil, fmt.Errorf("chart %s: %w", c.name, err)
@@ -103,7 +103,7 @@
 	return out, nil
 }
 
-// Run writes a run's page.
+// Run writes the page of a run.
 func Run(w io.Writer, r *record.Run, saved *record.Saved, scenario, where string) error {
 	list, err := charts(r)
 	if err != nil {
@@ -114,13 +114,14 @@
 		unmet = saved.Unmet
 	}
 	line := r.Line()
-	if saved != nil && len(unmet) == 0 && r.Verdict.Broken() > 0 {
-		line += " (a broken rule is what the scenario is to show)"
+	if saved != nil && len(unmet) == 0 && r.Verdict.Violations() > 0 {
+		line += " (the scenario expects broken rules)"
 	}
-	return single.Execute(w, page{Title: "Run of " + r.Summary.Scenario, Run: r, Line: line, Scenario: scenario, Where: where, Charts: list, Unmet: unmet, Faults: r.Verdict.Faults})
+	return runPage.Execute(w, page{Title: "Run of " + r.Summary.Scenario, Run: r, Line: line, Scenario: scenario, Where: where, Charts: list, Unmet: unmet, Faults: r.Verdict.Faults})
 }
 
-// Compare writes the page of two sides; a and b are a run of each, or nil.
+// Compare writes the page that compares two sides. a and b are one run of each side, or
+// nil.
 func Compare(w io.Writer, rows []compare.Row, nameA, nameB string, a, b *record.Run) error {
 	p := page{Title: "Two sides compared", Rows: rows, A: nameA, B: nameB}
 	if a != nil && b != nil {
@@ -136,5 +137,5 @@
 			p.Both = append(p.Both, pair{left[i], right[i]})
 		}
 	}
-	return double.Execute(w, p)
+	return comparePage.Execute(w, p)
 }
--- a/internal/lab/virtual/link.go
+++ b/internal/lab/virtual/link.go
@@ -91,7 +91,7 @@
 	}
 	delete(l.inFlight, a)
 	now := p.w.loop.Now()
-	f.judged.Over(p.w.time(), "")
+	f.judged.Finished(p.w.time(), "")
 	p.trace(a, "is cancelled at", fmt.Sprint(v))
 	l.deliver(func() {
 		if f.delivered && f.generation == l.generation {
@@ -108,8 +108,8 @@
 // trace writes a line to the trace of a query.
 func (p *proxy) trace(a *exchange.Attempt, what, detail string) {
 	if t := p.w.opt.Trace; t != nil {
-		ask, _, _ := strings.Cut(a.PartID, "-")
-		t(p.w.loop.Now(), ask, fmt.Sprintf("part %s attempt %d %s %s %s", a.PartID, a.Index, what, a.Server, detail))
+		request, _, _ := strings.Cut(a.PartID, "-")
+		t(p.w.loop.Now(), request, fmt.Sprintf("part %s attempt %d %s %s %s", a.PartID, a.Index, what, a.Server, detail))
 	}
 }
 
@@ -229,16 +229,16 @@
 	class := a.Text
 	f := &flight{l: l, a: a, generation: l.generation, sentAt: w.loop.Now(), judged: w.judge.ArrivedFrom(p.n, a.PartID, s.Name, w.time())}
 	if !w.plan.HasShard(l.server, a.Shard) {
-		w.judge.Astray(a.PartID, s.Name)
+		w.judge.Misrouted(a.PartID, s.Name)
 	}
-	ask, rest, _ := strings.Cut(a.PartID, "-")
+	request, rest, _ := strings.Cut(a.PartID, "-")
 	_, shard, _ := strings.Cut(rest, ".")
-	f.job = model.Job{ID: a.PartID, Request: ask, Class: class, Shard: a.Shard, Work: w.Work[class].Of(ask, shard), Deadline: a.Deadline.Sub(epoch),
+	f.job = model.Job{ID: a.PartID, Request: request, Class: class, Shard: a.Shard, Work: w.Work[class].Of(request, shard), Deadline: a.Deadline.Sub(epoch),
 		Done: l.serverAnswered, OnRun: recordRun, Tag: f, FirstOfCall: firstOfCall}
 	if query, _, ok := strings.Cut(a.PartID, "."); ok && p.keys[query] != "" {
 		f.job.Key = p.keys[query] + "." + shard
 	}
-	w.attemptsSent[ask]++
+	w.attemptsSent[request]++
 	l.inFlight[a] = f
 	l.usedAt = w.loop.Now()
 	if w.opt.Trace != nil {
@@ -294,7 +294,7 @@
 		if e == model.OK {
 			value = valueOf(f.a)
 		}
-		f.judged.Over(w.time(), value)
+		f.judged.Finished(w.time(), value)
 	}
 	at := max(w.loop.Now()+d, l.lastAnswer)
 	l.lastAnswer = at
@@ -352,7 +352,7 @@
 	slices.SortFunc(lost, func(a, b *flight) int { return strings.Compare(a.a.PartID, b.a.PartID) })
 	clear(l.inFlight)
 	for _, f := range lost {
-		f.judged.Over(p.w.time(), "")
+		f.judged.Finished(p.w.time(), "")
 		p.trace(f.a, "lost its connection to", "")
 		p.exchange.AttemptEnded(f.a, choice.ConnectionLost, nil, "")
 	}
@@ -384,7 +384,7 @@
 	}
 	slices.SortFunc(out, func(a, b *flight) int { return strings.Compare(a.a.PartID, b.a.PartID) })
 	for _, f := range out {
-		f.judged.Over(w.time(), "")
+		f.judged.Finished(w.time(), "")
 		if f.delivered {
 			w.Servers[l.server].Cancel(&f.job)
 		}
--- a/internal/lab/virtual/proxy.go
+++ b/internal/lab/virtual/proxy.go
@@ -166,7 +166,7 @@
 			return
 		}
 		if err := p.start(); err != nil {
-			w.recorder.Broke(fmt.Sprintf("mixer %d did not start again: %v", p.n, err))
+			w.recorder.Fault(fmt.Sprintf("mixer %d did not start again: %v", p.n, err))
 			return
 		}
 		p.balanced = true
@@ -185,7 +185,7 @@
 	w := p.w
 	for _, id := range sortedIDs(p.attempts) {
 		a := p.attempts[id]
-		w.loop.Post(w.localDelay(p), func() { w.endAttempt(a, judge.Died, model.Reply{Kind: model.Lost}) })
+		w.loop.Post(w.localDelay(p), func() { w.endAttempt(a, judge.ProxyKilled, model.Reply{Kind: model.Lost}) })
 	}
 }
 
@@ -216,7 +216,7 @@
 	}
 	p.levelChanges += len(r.Past)
 	if limit := p.w.plan.Expect.MaxLevelChanges; limit > 0 && p.levelChanges > limit {
-		p.w.recorder.Broke(fmt.Sprintf("mixer %d changed its level %d times, and %d are allowed", p.n, p.levelChanges, limit))
+		p.w.recorder.Fault(fmt.Sprintf("mixer %d changed its level %d times, and %d are allowed", p.n, p.levelChanges, limit))
 	}
 }
 
@@ -227,7 +227,7 @@
 	w := p.w
 	if p.exchange == nil || a.finished {
 		if !a.finished { // the connection is refused
-			w.loop.Post(w.localDelay(p), func() { w.endAttempt(a, judge.Died, model.Reply{Kind: model.Failed}) })
+			w.loop.Post(w.localDelay(p), func() { w.endAttempt(a, judge.ProxyKilled, model.Reply{Kind: model.Failed}) })
 		}
 		return
 	}
--- a/internal/lab/virtual/sources.go
+++ b/internal/lab/virtual/sources.go
@@ -175,7 +175,7 @@
 			return
 		}
 		for _, c := range o.Claims {
-			w.judge.ToldBy(p.n, o.Source, c.Name, c.Drain, w.time())
+			w.judge.DrainReportedBy(p.n, o.Source, c.Name, c.Drain, w.time())
 		}
 		if p.merge.core.Observe(w.time().UnixMicro(), o) == nil {
 			p.stepMerge()
@@ -240,7 +240,7 @@
 			continue
 		}
 		if err := p.merge.core.Configure(w.plan.Members.MergeSettings(w.activeSources)); err != nil {
-			w.recorder.Broke(err.Error())
+			w.recorder.Fault(err.Error())
 			continue
 		}
 		p.stepMerge()
--- a/internal/lab/virtual/virtual.go
+++ b/internal/lab/virtual/virtual.go
@@ -39,8 +39,8 @@
 )
 
 const (
-	judgeInterval  = 5 * time.Second // how often the judge discards finished queries
-	judgeDelay     = 10 * time.Second
+	judgeInterval  = 5 * time.Second  // how often the judge discards finished queries
+	judgeDelay     = 10 * time.Second // queries that ended longer ago are discarded
 	overtime       = 30 * time.Second // time after the load and the longest client timeout by which everything must have finished
 	connResetDelay = time.Second      // delay until the connections of a killed proxy are reset
 )
@@ -52,13 +52,13 @@
 type World struct {
 	Servers   []*model.Server
 	Index     map[string]int
-	Reachable func(mixer, server int) bool
+	Reachable func(proxy, server int) bool
 	Now       func() time.Duration
 	Work      map[string]*model.Work
 }
 
 // Decide creates the decider of a proxy for one incarnation of its process.
-type Decide func(w *World, mixer, incarnation int, seed uint64, set choice.Settings) (exchange.Decider, error)
+type Decide func(w *World, proxy, incarnation int, seed uint64, set choice.Settings) (exchange.Decider, error)
 
 // ProxyDecider creates the production decider.
 func ProxyDecider(_ *World, _, _ int, seed uint64, set choice.Settings) (exchange.Decider, error) {
@@ -79,7 +79,7 @@
 // Mutations breaks the rig or the proxies on purpose, to test that the judge detects
 // violations. Each field breaks one rule.
 type Mutations struct {
-	WrapUpstream   func(mixer int, l exchange.Upstream, x *exchange.Exchange) exchange.Upstream // wraps the links of a proxy
+	WrapUpstream   func(proxy int, l exchange.Upstream, x *exchange.Exchange) exchange.Upstream // wraps the links of a proxy
 	ReplaceValue   func(server, part string) string                                             // replaces a value in the answer to the client
 	ReplaceFinal   func(f *exchange.Final) *exchange.Final                                      // replaces the answer; nil: no answer is given
 	AnswerTwice    bool                                                                         // every answer is sent twice
@@ -132,7 +132,7 @@
 	if err := w.play(); err != nil {
 		return nil, err
 	}
-	run := w.recorder.Done(w.judge.Judge(epoch.Add(plan.Window[0]), epoch.Add(plan.Window[1])))
+	run := w.recorder.Finish(w.judge.Judge(epoch.Add(plan.Window[0]), epoch.Add(plan.Window[1])))
 	var mem runtime.MemStats
 	runtime.ReadMemStats(&mem)
 	run.Machine = record.Machine{Wall: time.Since(begun), Events: w.loop.Executed(), PeakMiB: int64(mem.Sys >> 20), Threads: 1}
@@ -165,14 +165,14 @@
 		w.Servers, w.sites = append(w.Servers, s), append(w.sites, w.net.Site(spec.Site))
 		w.Index[spec.Name] = i
 		s.OnOverload = func(s *model.Server) {
-			w.judge.Fell(s.Name, w.time())
+			w.judge.ColdServerOverloaded(s.Name, w.time())
 			w.recordEvent("%s was pushed over while it was cold", s.Name)
 		}
 		s.OnDown = func(*model.Server) { w.serverDown(i) }
 		s.OnUp = func(*model.Server) { w.serverUp(i) }
 	}
-	w.Reachable = func(mixer, server int) bool {
-		return w.vanished[server] == 0 && w.net.Reachable(w.proxies[mixer].site, w.sites[server]) && w.net.Reachable(w.sites[server], w.proxies[mixer].site)
+	w.Reachable = func(proxy, server int) bool {
+		return w.vanished[server] == 0 && w.net.Reachable(w.proxies[proxy].site, w.sites[server]) && w.net.Reachable(w.sites[server], w.proxies[proxy].site)
 	}
 	w.lists = plan.NewLists(func(int) model.Sched { return sched{w.loop} })
 	if w.activeSources = plan.Members.Sources; w.hasSources() {
@@ -191,7 +191,7 @@
 	w.updateBalanced()
 	w.clients = &model.Clients{Sched: sched{w.loop}, Classes: plan.Classes, Tenants: plan.NewTenants(), OverQuotaValue: plan.OverQuotaValue, Retry: plan.Retry(), Seed: plan.RunSeed, Length: plan.Length, SelectProxy: w.selectProxy, Send: w.sendQuery,
 		Disconnect: w.clientLeaves, OnFinish: func(a *model.Request) {
-			w.recorder.Over(a, w.attemptsSent[a.ID])
+			w.recorder.QueryDone(a, w.attemptsSent[a.ID])
 			delete(w.attemptsSent, a.ID)
 		}}
 	return w, nil
@@ -230,7 +230,7 @@
 		w.loop.Post(time.Duration(s)*time.Second, func() {
 			if w.opt.KeepRows {
 				for _, v := range w.Servers {
-					w.recorder.Look(s-1, &v.Spec, v.TakeStats())
+					w.recorder.ServerSample(s-1, &v.Spec, v.TakeStats())
 				}
 			}
 		})
@@ -255,7 +255,7 @@
 		return err
 	}
 	if n := w.clients.InFlight; n > 0 {
-		w.recorder.Broke(fmt.Sprintf("%d asks were not over %v after the load", n, overtime+longest))
+		w.recorder.Fault(fmt.Sprintf("%d asks were not over %v after the load", n, overtime+longest))
 		for _, p := range w.proxies {
 			for _, id := range sortedIDs(p.attempts) {
 				p.attempts[id].judged.Detail = "no answer came"
@@ -361,9 +361,9 @@
 	for _, e := range changes {
 		switch e.Status {
 		case model.Draining:
-			w.judge.Told(w.plan.Servers[e.Server].Name, w.time())
+			w.judge.DrainReported(w.plan.Servers[e.Server].Name, w.time())
 		case model.Serving:
-			w.judge.Told(w.plan.Servers[e.Server].Name, time.Time{})
+			w.judge.DrainReported(w.plan.Servers[e.Server].Name, time.Time{})
 		}
 	}
 	rows := make([]choice.Server, 0, len(changes))
@@ -445,14 +445,14 @@
 func (w *world) sendQuery(t *model.Attempt) {
 	p := w.proxies[t.Proxy]
 	a := &clientAttempt{t: t, proxy: p}
-	a.judged = &judge.Query{ID: t.ID, Class: t.Request.Class.Name, Due: epoch.Add(t.Request.Due), Sent: w.time(), Patience: t.Timeout}
+	a.judged = &judge.Query{ID: t.ID, Class: t.Request.Class.Name, Due: epoch.Add(t.Request.Due), Sent: w.time(), Timeout: t.Timeout}
 	for _, part := range t.Request.Parts {
 		a.judged.Parts = append(a.judged.Parts, judge.Part{Shard: part.Shard, Weight: part.Weight})
 	}
 	w.judge.Sent(a.judged)
 	p.attempts[t.ID] = a
 	if w.opt.Trace != nil {
-		w.opt.Trace(w.loop.Now(), t.Request.ID, fmt.Sprintf("try %d of class %s goes to mixer %d, %d parts, %v left", t.N, t.Request.Class.Name, p.n, len(t.Request.Parts), t.Timeout))
+		w.opt.Trace(w.loop.Now(), t.Request.ID, fmt.Sprintf("client attempt %d of class %s goes to proxy %d, %d parts, %v left", t.N, t.Request.Class.Name, p.n, len(t.Request.Parts), t.Timeout))
 	}
 	w.loop.Post(w.localDelay(p), func() { p.receiveQuery(a) })
 }
@@ -464,7 +464,7 @@
 	if a == nil || a.finished {
 		return
 	}
-	w.endAttempt(a, judge.Gone, model.Reply{Kind: model.Left})
+	w.endAttempt(a, judge.ClientGone, model.Reply{Kind: model.Left})
 	w.loop.Post(w.localDelay(p), func() {
 		if p.exchange != nil && p.incarnation == a.incarnation && a.q != nil {
 			p.exchange.ClientLeft(a.q)
@@ -476,8 +476,8 @@
 func (w *world) endAttempt(a *clientAttempt, outcome judge.Outcome, r model.Reply) {
 	if a.finished {
 		// The reset of a killed proxy's connection may cross its answer; that is not a second answer.
-		if outcome != judge.Gone && outcome != judge.Died && a.judged.Outcome != judge.Gone && a.judged.Outcome != judge.Died {
-			a.judged.Extra = true
+		if outcome != judge.ClientGone && outcome != judge.ProxyKilled && a.judged.Outcome != judge.ClientGone && a.judged.Outcome != judge.ProxyKilled {
+			a.judged.ExtraAnswer = true
 		}
 		return
 	}
@@ -488,7 +488,7 @@
 	}
 	w.judge.Ended(a.judged)
 	if w.opt.Trace != nil {
-		w.opt.Trace(w.loop.Now(), a.t.Request.ID, fmt.Sprintf("try %d ends: %v whole=%v share=%.2f retry-after=%v", a.t.N, r.Kind, r.Complete, r.Share, r.RetryAfter))
+		w.opt.Trace(w.loop.Now(), a.t.Request.ID, fmt.Sprintf("client attempt %d ends: %v whole=%v share=%.2f retry-after=%v", a.t.N, r.Kind, r.Complete, r.Share, r.RetryAfter))
 	}
 	w.clients.Reply(a.t, r)
 }
@@ -526,7 +526,7 @@
 	for range copies {
 		w.loop.Post(w.localDelay(p)+w.opt.Mutations.AnswerDelay, func() {
 			if !a.finished {
-				a.judged.Whole = r.Complete
+				a.judged.Complete = r.Complete
 				for _, h := range f.Hits {
 					value := h.Value
 					if change := w.opt.Mutations.ReplaceValue; change != nil {
