--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -117,9 +117,9 @@
 	part          *partState
 	deadlineTimer *timer
 	ended         bool
-	cancelling    bool // cancelled, and the outcome has not been recorded yet
+	cancelling    bool // cancelled; the upstream side reports the outcome or, while hooks run, cancel does
 
-	outcomeDeferred bool // the attempt never ran; the router is notified only once its part has been rerouted or abandoned (segments.go)
+	outcomeDeferred bool // the attempt never ran, and the router has not been notified of that; segments.go says why
 	awaitingHooks   bool // hooks are running; the upstream side does not have the attempt yet
 	handedOver      bool // the upstream side has received the attempt
 	neverRan        bool // the attempt has ended without having run
