--- a/internal/cluster/consensus/reconfigure.go
+++ b/internal/cluster/consensus/reconfigure.go
@@ -53,7 +53,7 @@
 }
 
 // replaceVoter gives a learner the vote of another member. The member to replace is, in this order
-// of preference, one whose machine has returned with another disk, one that is leaving, or the
+// of preference, one at whose address there is a learner with another disk, one that is leaving, or the
 // one that has been unresponsive for longest. It returns false if there is no learner or none of
 // these.
 func (m *Machine) replaceVoter(now int64, members, ready []views.Member) ([]views.Member, bool) {
