--- a/internal/downstream/downstream.go
+++ b/internal/downstream/downstream.go
@@ -1,8 +1,8 @@
-// Package downstream is the server side of the proxy, whatever the protocol: it owns the
+// Package downstream is the server side of the proxy, common to all protocols: it owns the
 // listener and the client connections, their timeouts and when they are closed. What a
 // request means is up to the Protocol; each protocol has a folder of its own (platform,
-// httpserver). This package must never decide what becomes of a query, close a connection
-// whose request is still to be answered, or let one client block another.
+// httpserver). This package must never decide how a query ends, close a connection whose
+// request has not been answered yet, or let one client block another.
 package downstream
 
 import (
@@ -19,11 +19,11 @@
 )
 
 const (
-	writeTimeout     = 5 * time.Second // for a response
-	lingerTimeout    = 500 * time.Millisecond
-	requestGrace     = 250 * time.Millisecond // a connection without a request is not preferred for eviction before that
-	acceptRetryDelay = 10 * time.Millisecond
-	slotPollInterval = 20 * time.Millisecond
+	writeTimeout     = 5 * time.Second        // for a response
+	lingerTimeout    = 500 * time.Millisecond // how long a connection discards incoming bytes after a malformed request
+	requestGrace     = 250 * time.Millisecond // how long a new connection may be without a request before evict prefers it
+	acceptRetryDelay = 10 * time.Millisecond  // after a failed accept
+	slotPollInterval = 20 * time.Millisecond  // between attempts to get a slot while MaxClients connections are open
 )
 
 var log = logs.For("front")
@@ -35,13 +35,13 @@
 	Serve(c *Conn, q *httpwire.Request, at time.Time) (keep bool)
 }
 
-// Config configures the server side.
+// Config configures a Server.
 type Config struct {
 	Exchange   *exchange.Exchange
 	Protocol   Protocol
 	MaxClients int       // open connections at once
-	SoftLimit  int       // above so many connections, an idle one is closed whenever another opens or becomes idle; 0: no soft limit
-	SlowLane   *SlowLane // nil: slow callers are not kept apart
+	SoftLimit  int       // while more connections than this are open, an idle one is closed whenever another opens or becomes idle; 0: no soft limit
+	SlowLane   *SlowLane // nil: slow callers have no limit of their own
 	Limits     Limits
 }
 
@@ -73,8 +73,8 @@
 	mu          sync.Mutex
 	conns       map[*Conn]struct{}
 	lastQueryAt time.Time
-	inFlight    int // connections with a request in flight
-	slots       chan struct{}
+	inFlight    int           // connections with a request in flight
+	slots       chan struct{} // has an element for each open connection and for the next one to accept; at most MaxClients
 }
 
 // Conn is a client's connection.
@@ -82,15 +82,15 @@
 	server       *Server
 	nc           net.Conn
 	reader       *httpwire.Reader
-	idleSince    time.Time     // when it began to wait for a request; zero: a request is in flight
+	idleSince    time.Time     // when the connection began to wait for a request; zero: a request is in flight
 	requested    bool          // a complete request has arrived
 	queried      bool          // a well-formed query has arrived
-	closePending bool          // the read deadline that closes it while it is idle is set
+	closePending bool          // CloseIdle has set the read deadline that closes the connection
 	caller       string        // IP address of the client; only set with a slow lane
 	readTook     time.Duration // how long the last request took to arrive
 }
 
-// New returns a server side.
+// New returns a server without connections.
 func New(cfg Config) *Server {
 	s := &Server{Config: cfg, conns: make(map[*Conn]struct{}), slots: make(chan struct{}, cfg.MaxClients), expired: make(chan struct{})}
 	s.SetLimits(cfg.Limits)
@@ -103,8 +103,8 @@
 // Serve accepts connections until the listener is closed.
 func (s *Server) Serve(ln net.Listener) error {
 	for {
-		// Connections beyond MaxClients wait in the accept queue: running out of file
-		// descriptors would cost more than their wait does.
+		// Connections beyond MaxClients wait in the accept queue of the kernel: running out of
+		// file descriptors would cost more than their wait does.
 		s.acquireSlot()
 		nc, err := ln.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -118,10 +118,10 @@
 		}
 		c := &Conn{server: s, nc: nc, reader: httpwire.NewReader(nc), idleSince: time.Now()}
 		if !s.SlowLane.admit(c) {
-			nc.Close() // nothing has been read: the client repeats its request elsewhere
+			nc.Close() // nothing has been read from the connection, so the client can repeat its request elsewhere
 			<-s.slots
 			s.mu.Lock()
-			s.evict(4) // closes an idle connection of the slow lane, so that the next one is admitted
+			s.evict(4) // closes an idle connection of a slow caller, so that the next connection of one is admitted
 			s.mu.Unlock()
 			continue
 		}
@@ -135,7 +135,8 @@
 	}
 }
 
-// acquireSlot returns once one more connection may be accepted.
+// acquireSlot waits until one more connection may be accepted. While all slots are in use, it
+// evicts an idle connection every slotPollInterval.
 func (s *Server) acquireSlot() {
 	select {
 	case s.slots <- struct{}{}:
@@ -154,16 +155,21 @@
 	}
 }
 
-// evict closes the connection that has waited longest for a request or for the rest of one,
-// so that clients that send nothing do not keep others out. Connections of slow callers go
-// first. Next come those that have sent no request for longer than requestGrace, within which
-// a first request may still arrive; then those that only asked for the state of this process
-// or sent malformed queries; then those that are idle between queries, whose clients can send
-// the next query elsewhere. By age alone, clients that send one query and stay connected would
-// displace those that go on querying.
+// evict closes one connection without a request in flight, so that clients that send nothing do
+// not keep others out. It closes a connection of the highest rank, and among those the one that
+// has been idle longest:
 //
-// Only connections above the given rank are closed: with rank 0 any idle connection, with 1
-// none that has just been accepted, with 4 only those of slow callers. s.mu must be locked.
+//	5: connections of slow callers
+//	4: connections that have sent no request for longer than requestGrace, within which a
+//	   first request may still arrive
+//	3: connections that only asked for the state of this process or sent malformed queries
+//	2: connections that are idle between queries, whose clients can send the next query elsewhere
+//	1: connections that have just been accepted
+//
+// By age alone, clients that send one query and stay connected would displace those that go on
+// querying. Only a connection of a higher rank than the parameter rank is closed: with 0 any
+// idle connection, with 1 none that has just been accepted, with 4 only those of slow callers.
+// s.mu must be locked.
 func (s *Server) evict(rank int) {
 	var oldest *Conn
 	for c := range s.conns {
@@ -190,8 +196,8 @@
 	}
 }
 
-// enforceSoftLimit bounds the number of idle connections. The other side allows only so many
-// connections to this process, and clients that send one request and keep their connection
+// enforceSoftLimit bounds the number of idle connections. The clients' side allows only a limited
+// number of connections to this process. Clients that send one request and keep their connection
 // would use them up: no new client would get through although this process had capacity.
 // s.mu must be locked.
 func (s *Server) enforceSoftLimit() {
@@ -200,8 +206,8 @@
 	}
 }
 
-// MarkNotReady makes the readiness check fail. Requests are still served, also on open
-// connections: their clients may have no other server to go to yet.
+// MarkNotReady makes the readiness check fail. Requests are still served, on open and on new
+// connections, because the clients may have no other proxy to go to yet.
 func (s *Server) MarkNotReady() { s.notReady.Store(true) }
 
 // CloseAfterResponses makes every response from now on announce that its connection closes.
@@ -283,7 +289,7 @@
 		c.server.Exchange.Counters.ClientConns.Add(-1)
 		<-c.server.slots
 	}()
-	c.nc.SetReadDeadline(c.idleSince.Add(c.server.limits.Load().FirstRequest)) // nothing else writes idleSince before begin
+	c.nc.SetReadDeadline(c.idleSince.Add(c.server.limits.Load().FirstRequest)) // idleSince may be read without the lock: nothing writes it before begin
 	for {
 		if c.reader.Await() != nil {
 			return
@@ -332,7 +338,7 @@
 	}
 	c.server.Exchange.Counters.MalformedRequests.Add(1)
 	log.Warn("bad-request", "peer", c.nc.RemoteAddr(), "status", known.Status, "err", known.Reason)
-	if c.WriteText(known.Status, known.Reason+"\n", false); late { // everything that arrived has been read
+	if c.WriteText(known.Status, known.Reason+"\n", false); late { // everything that arrived has been read, so nothing need be discarded
 		return
 	}
 	if tcp, ok := c.nc.(*net.TCPConn); ok {
@@ -347,9 +353,9 @@
 	return c.WriteBytes(httpwire.AppendResponse(nil, status, "text/plain; charset=utf-8", []byte(text), keep, fields...)) && keep
 }
 
-// WriteBytes writes b within the write timeout and reports whether that succeeded. With a
-// slow lane, a write that blocks longer than slowWriteAfter is reported to SlowLane.Observe
-// as soon as that is noticed, and again when the write ends.
+// WriteBytes writes b within the write timeout and reports whether that succeeded. With a slow
+// lane, each write is reported to SlowLane.Observe when it ends. A write that blocks longer than
+// slowWriteAfter is reported at that time too, and has the timeout of SlowLane.writeTimeout.
 func (c *Conn) WriteBytes(b []byte) bool {
 	begun, timeout := time.Now(), writeTimeout
 	if c.server.SlowLane != nil {
@@ -371,13 +377,14 @@
 // Peer returns the client's address.
 func (c *Conn) Peer() net.Addr { return c.nc.RemoteAddr() }
 
-// Closing reports whether each response is to end its connection.
+// Closing reports whether the connection must be closed after its next response
+// (CloseAfterResponses).
 func (c *Conn) Closing() bool { return c.server.closeAfterResponse.Load() }
 
 // NotReady reports whether the process is shutting down and its readiness check must fail.
 func (c *Conn) NotReady() bool { return c.server.notReady.Load() }
 
-// Rejecting reports whether every further request is rejected.
+// Rejecting reports whether every further request must be rejected (RejectRequests).
 func (c *Conn) Rejecting() bool { return c.server.rejecting.Load() }
 
 // NoteActivity records when a query arrived, whether well-formed or not.
@@ -395,8 +402,8 @@
 }
 
 // RunQuery submits a query to the exchange, waits for its result and passes that to answer.
-// The wait ends early when the client leaves or the requests in flight are expired. The
-// client's next request may arrive meanwhile; it is left unread until this one is answered.
+// The wait ends early when the client leaves or when ExpireRequests is called. The client's next
+// request may arrive meanwhile; it is left unread until this one is answered.
 // RunQuery reports whether the connection stays open.
 func (c *Conn) RunQuery(q *exchange.Query, keep bool, answer func(f exchange.Final, keep bool) bool) bool {
 	final := make(chan exchange.Final, 1)
@@ -416,7 +423,9 @@
 	return <-next == nil
 }
 
-// await waits for the end of a query and reports whether its client left before that.
+// await waits for the end of a query and reports whether its client left before that. next
+// delivers the result of waiting for the client's next request. RunQuery receives from next
+// too, so await puts back what it received.
 func (c *Conn) await(q *exchange.Query, final chan exchange.Final, next chan error) (f exchange.Final, gone bool) {
 	expired := c.server.expired
 	for {
@@ -429,7 +438,7 @@
 				c.server.Exchange.ClientLeft(q)
 				return <-final, true
 			}
-			next = nil // the next request has arrived and waits in the reader
+			next = nil // the next request has arrived and stays in the reader; only the query is awaited now
 		case <-expired:
 			c.server.Exchange.ClientLeft(q)
 			if f = <-final; f.Ending == exchange.ClientGone {
--- a/internal/downstream/httpserver/allowance_test.go
+++ b/internal/downstream/httpserver/allowance_test.go
@@ -18,7 +18,7 @@
 
 // A request that exceeds its caller's allowance does not run, not even in part: none of 100,000
 // rejected requests reaches a server, and every admitted one runs once.
-func TestTurnedAway(t *testing.T) {
+func TestAllowanceRejects(t *testing.T) {
 	Convey("Requests beyond their caller's allowance are rejected before they reach a server", t, func() {
 		p := newProxy(t, nil)
 		p.configure(strings.Replace(testConfig, `"revision":1`, `"revision":2,"allowances":[{"name":"billing","header":"X-Desk","value":"billing","rate":5}]`, 1))
--- a/internal/downstream/httpserver/httpserver.go
+++ b/internal/downstream/httpserver/httpserver.go
@@ -1,5 +1,5 @@
-// Package httpserver is the system's downstream protocol: HTTP/1.1 requests on the routes of
-// the configuration in force. It owns how a request becomes a query of the exchange, how
+// Package httpserver is the downstream protocol of the proxies that package node/proxy runs:
+// HTTP/1.1 requests on the routes of the configuration in force. It owns how a request becomes a query of the exchange, how
 // parts are merged into one response, and what the client receives. It must never answer 429
 // or 503 for a request that may have run, combine parts of two versions of the configuration
 // in one response, or delay a response that is due.
@@ -29,8 +29,8 @@
 
 	maxDeadline        = 5 * time.Minute
 	maxAttemptIDLength = 200
-	recordSize         = 16
-	defaultRetryAfter  = 250 * time.Millisecond // while there is no configuration, and where the exchange gives no time
+	recordSize         = 16                     // bytes of a record in the answer to a part
+	defaultRetryAfter  = 250 * time.Millisecond // used while there is no configuration, and if the exchange gives no time
 	shutdownRetryAfter = 50 * time.Millisecond  // from a process that is shutting down: other proxies are available
 	maxRetryAfter      = 30 * time.Second       // for a caller whose allowance is used up
 	responseReserve    = 0.02                   // fraction of a client's deadline reserved for the transfer of the response
@@ -40,12 +40,13 @@
 type Handler struct {
 	Exchange *exchange.Exchange
 	Unrouted atomic.Int64 // requests that match no route
-	// Allow takes a request from an allowance. If the allowance is used up, it returns the
-	// time after which a request may be admitted. nil: there are no allowances.
+	// Allow counts one request against the allowance with the given name, a limit on requests
+	// a second. If the allowance is used up, Allow returns false and the time after which a
+	// request may be admitted. nil: allowances are not enforced.
 	Allow func(name string) (ok bool, after time.Duration)
 
 	plan   atomic.Pointer[Plan]
-	number atomic.Int64 // of the last request that got an id here
+	number atomic.Int64 // number of the last request that got a generated id
 }
 
 // SetPlan puts a plan in force for the requests that arrive from now on.
@@ -54,7 +55,8 @@
 // Plan returns the plan in force, or nil if there is none yet.
 func (h *Handler) Plan() *Plan { return h.plan.Load() }
 
-// Serve implements downstream.Protocol.
+// Serve implements downstream.Protocol. A request without a usable id gets a generated one, "~"
+// and a number, which is not sent to servers.
 func (h *Handler) Serve(c *downstream.Conn, r *httpwire.Request, at time.Time) bool {
 	keep := r.KeepAlive && !c.Closing()
 	c.NoteActivity(at)
@@ -120,8 +122,8 @@
 }
 
 // fail answers a request that ended without success. If the request has not run and never
-// will, the response is 503 with Retry-After. Otherwise it is the response of the server, or
-// 502 or 504.
+// will, the response is 503 with Retry-After. Otherwise the response is that of a server that
+// failed, if there is one; else 504 if the deadline has passed, and 502 in all other cases.
 func (h *Handler) fail(c *downstream.Conn, f exchange.Final, keep bool) bool {
 	switch {
 	case !f.MayHaveRun && f.Ending != exchange.ClientGone:
@@ -168,13 +170,13 @@
 }
 
 // notForwarded are the request headers that are not passed on: hop-by-hop headers, and those
-// that are set anew for each send.
+// that the proxy sets itself.
 var notForwarded = map[string]bool{"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Te": true, "Trailer": true,
 	"Transfer-Encoding": true, "Upgrade": true, "Content-Length": true, "Expect": true, "Host": true,
 	headerAttemptID: true, headerDeadline: true, headerTarget: true}
 
-// upstreamRequest serializes the request for a server, without the headers that each send
-// adds at the end of its head: "...\r\n" + "\r\n" + body.
+// upstreamRequest serializes the request for a server: "...\r\n" + "\r\n" + body. It leaves out
+// the headers that httpclient adds at the end of the head for each attempt.
 func upstreamRequest(r *httpwire.Request, id string) string {
 	var b strings.Builder
 	b.Grow(len(r.Body) + len(r.Target) + 256)
@@ -189,7 +191,7 @@
 	b.WriteString(r.Target)
 	b.WriteString(" HTTP/1.1\r\n")
 	field("Host", r.Header.Get("Host"))
-	if id[0] != '~' {
+	if id[0] != '~' { // a generated id is not sent
 		field(headerAttemptID, id)
 	}
 	var connectionOptions []string
--- a/internal/downstream/httpserver/plan.go
+++ b/internal/downstream/httpserver/plan.go
@@ -1,7 +1,7 @@
 package httpserver
 
-// This file prepares a configuration for the exchange: it derives classes from routes and
-// numbers the services.
+// This file prepares a configuration for the exchange: it derives the classes of requests from
+// the routes and assigns a shard number to each service.
 
 import (
 	"cmp"
@@ -17,22 +17,23 @@
 // Plan is a configuration prepared for serving requests. It is immutable.
 type Plan struct {
 	Config  *routeconfig.Config
-	Classes []choice.Class
+	Classes []choice.Class // sorted by name
 
 	targets map[*routeconfig.Route]*routeTargets
 }
 
 // routeTargets are the shards that a route sends to. A route with fan-out sends a part to
 // each shard and has one class. Any other route sends each request to one of its services,
-// drawn by weight, and has a class for each service.
+// selected at random by weight, and has a class for each service.
 type routeTargets struct {
-	class      string
-	shards     []int
-	classes    []string
-	cumulative []float64 // cumulative weights of the services, rising to 1
+	class      string    // with fan-out: the name of the class
+	shards     []int     // shard numbers of the services
+	classes    []string  // without fan-out: the name of the class of each service
+	cumulative []float64 // without fan-out: cumulative weights of the services, rising to 1
 }
 
-// pick returns the index of the service that x, a number in [0, 1), falls to.
+// pick returns the index of the service whose interval of cumulative contains x, a number in
+// [0, 1).
 func (t *routeTargets) pick(x float64) int {
 	for i, u := range t.cumulative {
 		if x < u {
@@ -51,8 +52,8 @@
 // MaxShards is the number of services that one process can number.
 const MaxShards = 4096
 
-// Of returns the number of a service and assigns one if it has none. It fails if MaxShards
-// services have numbers already.
+// Of returns the number of a service and assigns one if the service has none. It returns an
+// error if MaxShards services have numbers already.
 func (s *ShardNumbers) Of(service string) (int, error) {
 	if s.numbers == nil {
 		s.numbers = make(map[string]int)
@@ -79,7 +80,8 @@
 	halfValuePriority     = 4                 // a class of this priority has half the value of one of priority 0
 )
 
-// NewPlan prepares a configuration and numbers its services.
+// NewPlan prepares a configuration and assigns numbers to its services. It returns an error if
+// numbers has none left for a service.
 func NewPlan(c *routeconfig.Config, numbers *ShardNumbers) (*Plan, error) {
 	p := &Plan{Config: c, targets: make(map[*routeconfig.Route]*routeTargets, len(c.Routes))}
 	classes := make(map[string]choice.Class)
@@ -125,9 +127,9 @@
 
 // classFor returns the name of the class of the requests that a route sends to the services,
 // and adds the class to classes or updates its deadline. Routes with the same requirements
-// and services share a class, and so what is learned about it: of hundreds of routes, none
-// would see enough requests by itself. The timeout is not part of the name, so a class
-// outlives a change of it.
+// and services share a class, and with it the statistics of the class: of hundreds of routes,
+// none would see enough requests by itself. The timeout is not part of the name, so a class
+// keeps its statistics when the timeout of a route changes.
 func classFor(classes map[string]choice.Class, r *routeconfig.Route, services []string) string {
 	target := cmp.Or(r.TargetLatency.Microseconds(), choice.Micros(float64(r.Timeout.Microseconds())*defaultTargetFraction))
 	sorted := slices.Clone(services)
--- a/internal/downstream/platform/platform.go
+++ b/internal/downstream/platform/platform.go
@@ -44,7 +44,8 @@
 	Members  func() string   // body of /-/members; nil: the path does not exist
 }
 
-// Serve answers one request and reports whether the connection stays open.
+// Serve answers one request, whose first byte arrived at the time at, and reports whether the
+// connection stays open.
 func (p *Protocol) Serve(c *downstream.Conn, q *httpwire.Request, at time.Time) bool {
 	keep := q.KeepAlive && !c.Closing()
 	method := "GET"
--- a/internal/downstream/slowlane.go
+++ b/internal/downstream/slowlane.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// SlowLane limits callers that read or send slowly to a bounded number of connections, so
-// that they can exhaust only that and no other caller has to wait for a free connection. A
-// caller is a client IP address. Which callers are slow is decided elsewhere and set with
-// SetSlow. SlowLane must never close a connection that has a request in flight. A nil
+// SlowLane limits callers that read or send slowly to a bounded number of connections. Slow
+// callers can then use up only these, and no other caller has to wait for a free connection. A
+// caller is a client IP address. The user of this package decides which callers are slow and
+// sets them with SetSlow. SlowLane must never close a connection that has a request in flight. A nil
 // *SlowLane admits every connection and treats no caller as slow.
 type SlowLane struct {
 	MaxConns int // connections that all slow callers together may have
@@ -20,25 +20,26 @@
 
 	Rejected      atomic.Int64 // connections closed unread because the lane was full
 	mu            sync.Mutex
-	slow          map[string]bool
-	connsByCaller map[string]int
-	conns         int
-	slowConns     int // connections in the lane
+	slow          map[string]bool // the slow callers
+	connsByCaller map[string]int  // open connections by caller
+	conns         int             // open connections of all callers
+	slowConns     int             // connections in the lane, that is, of slow callers
 }
 
 const (
 	slowWriteAfter   = 250 * time.Millisecond // a write that has not completed by then is blocked by its caller
-	slowWriteTimeout = 10 * time.Second       // for a response to a slow caller while the lane is within its limit; Observe learns of it again at its end
+	slowWriteTimeout = 10 * time.Second       // for a response to a slow caller while the lane is within its limit; the write is reported to Observe again at its end
 )
 
-// exemptDivisor exempts a caller from the slow lane while it has more than one in so many of
-// all connections and there are fewer than so many callers: such an address stands for more
-// than one client, or there is nobody whom it could block.
+// exemptDivisor exempts a caller from the slow lane if, when SetSlow is called, the caller has
+// more than 1/exemptDivisor of all connections and fewer than exemptDivisor callers are
+// connected. Such an address stands for more than one client, or there is no other caller that
+// it could block.
 const exemptDivisor = 3
 
-// SetSlow replaces the set of slow callers and returns how many of them were taken in. A
-// caller that most connections come from is left out (exemptDivisor).
-func (l *SlowLane) SetSlow(callers map[string]bool) (taken int) {
+// SetSlow replaces the set of slow callers and returns the number of callers in the new set.
+// Callers that are exempt (exemptDivisor) are left out of it.
+func (l *SlowLane) SetSlow(callers map[string]bool) (size int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.slow, l.slowConns = make(map[string]bool, len(callers)), 0
@@ -130,7 +131,8 @@
 	return writeTimeout
 }
 
-// observe reports an exchange of request and response whose write began at begun.
+// observe reports to Observe how long the caller took to send its last request or to accept the
+// response whose write began at begun, whichever was longer.
 func (l *SlowLane) observe(c *Conn, begun time.Time) {
 	if l != nil && l.Observe != nil {
 		l.Observe(c.caller, max(c.readTook, time.Since(begun)))
--- a/internal/upstream/httpclient/answer.go
+++ b/internal/upstream/httpclient/answer.go
@@ -19,11 +19,12 @@
 )
 
 // evaluate returns the verdict on the answer to the request with the given id, and the value that
-// is passed on to the server side. For a part of a fan-out query the value is the signature, a
+// the exchange passes to the downstream side. For a part of a fan-out query the value is the signature, a
 // line feed and the records. For any other query it is the answer as forward writes it.
 //
-// A request counts as not run only if the answer states that. A success counts only with a
-// signature, under the id of the request, and without a content encoding.
+// A request counts as not run only if the answer states that: by headerNotExecuted or by status
+// 421. An answer without the id of the request is a server error. A success counts only with a
+// signature and without a content encoding.
 func evaluate(p *httpwire.Response, id string, fanOut bool) (choice.Verdict, string) {
 	matches := p.Header.Get(headerAttemptID) == id
 	if !matches { // without the request's id the answer says nothing about the request, not even that it failed
@@ -46,7 +47,7 @@
 		return choice.ServerError, ""
 	}
 	switch p.Status {
-	case 408, 429, 503: // to the client these would promise that the request did not run
+	case 408, 429, 503: // forwarded to the client, these would promise that the request did not run
 		return choice.ServerError, ""
 	}
 	if p.Status >= 400 && p.Status < 500 {
@@ -60,7 +61,7 @@
 var notForwarded = map[string]bool{"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Te": true, "Trailer": true,
 	"Transfer-Encoding": true, "Upgrade": true, "Content-Length": true, headerLoad: true}
 
-// forward serializes an answer for the client: "...\r\n" + "\r\n" + body. The server side may
+// forward serializes an answer for the client: "...\r\n" + "\r\n" + body. The downstream side may
 // add headers at the end of the head.
 func forward(p *httpwire.Response) string {
 	var b strings.Builder
@@ -95,7 +96,8 @@
 	return b.String()
 }
 
-// parseLoad parses the load report of a server: RUNNING,WAITING,SLOTS.
+// parseLoad parses the load report of a server: RUNNING,WAITING,SLOTS. Items that are not numbers
+// are ignored.
 func parseLoad(s string) []choice.Reading {
 	if s == "" {
 		return nil
--- a/internal/upstream/httpclient/httpclient.go
+++ b/internal/upstream/httpclient/httpclient.go
@@ -26,39 +26,39 @@
 	dialTimeout          = 400 * time.Millisecond
 	maxDialBackoff       = 2 * time.Second        // the longest pause between dials to a server whose dials fail
 	writeTimeout         = 500 * time.Millisecond // a write that takes longer ends its connection
-	directWriteSize      = 8 << 10                // bytes that an idle connection accepts without blocking
-	lateAnswerWait       = 2 * time.Second        // how long a connection waits for the answer to a cancelled attempt
-	abandonDelay         = 250 * time.Millisecond // how long a server may still answer a request whose client has left
+	directWriteSize      = 8 << 10                // bytes that an idle connection accepts without blocking; a longer request is written by its own goroutine
+	lateAnswerWait       = 2 * time.Second        // how long after sending a request its connection waits for the answer once the attempt has been cancelled or has ended
+	abandonDelay         = 250 * time.Millisecond // how long a server may still answer an idempotent request whose client has left
 	idleTimeout          = 30 * time.Second       // a connection that has been idle longer is closed
 	nonIdempotentMaxIdle = 3 * time.Second        // a non-idempotent request uses no connection that has been idle longer
-	keepAliveMargin      = 700 * time.Millisecond // subtracted from the keep-alive time that a server states
+	keepAliveMargin      = 700 * time.Millisecond // subtracted from the keep-alive time that a server states, so that the proxy stops using the connection before the server closes it
 	sweepInterval        = time.Second
-	maxAnswerBody        = 1 << 20 // bytes
-	maxAnswerHead        = 16 << 10
-	readBufferSize       = 2 << 10
-	maxStrayAnswers      = 2 // answers to other attempts that are skipped on one connection
+	maxAnswerBody        = 1 << 20  // bytes
+	maxAnswerHead        = 16 << 10 // bytes
+	readBufferSize       = 2 << 10  // bytes
+	maxStrayAnswers      = 2        // answers to other requests that are skipped on one connection; a further one ends the pending call as a server error
 )
 
-// Config configures the client side.
+// Config configures a Pool.
 type Config struct {
 	Exchange  *exchange.Exchange
 	MaxConns  int // open connections to all servers together
 	Mutations Mutations
 }
 
-// Mutations disables rules on purpose, so that a checker can show that it detects the violation
-// of each.
+// Mutations disables rules of this package on purpose, so that a checker can prove that it
+// detects the violation of each. All are false in service.
 type Mutations struct {
 	AnyID        bool // an answer is accepted for the pending request whatever id it carries
 	LostIsUnsent bool // a reset or a close counts as proof that a request has not run
 	ReuseEarly   bool // a connection is reused before its request is completely written
 }
 
-// Server is the state of a server.
+// Server is the state of a server as UpdateServers receives it.
 type Server struct {
 	ID, Addr string
-	Gone     bool
-	MaxConns int // this proxy's share of the connections that the server accepts; 0: unknown
+	Gone     bool // the server has been removed: it gets no further request
+	MaxConns int  // this proxy's share of the connections that the server accepts; 0: unknown
 }
 
 // Pool holds the connections to all servers. It implements exchange.Upstream.
@@ -69,24 +69,24 @@
 	mu      sync.Mutex
 	servers map[string]*server
 	calls   map[*exchange.Attempt]*call
-	conns   int
+	conns   int // open or being opened
 }
 
 type server struct {
 	Server
-	conns         []*conn // the one that became idle last is last
-	waiting       []*call
-	dialing       int
-	dialFailures  int
-	dialNotBefore time.Time
+	conns         []*conn   // the one that became idle last is last
+	waiting       []*call   // calls without a connection
+	dialing       int       // connections being dialed
+	dialFailures  int       // failed dials in a row
+	dialNotBefore time.Time // without a connection, no dial starts before this time
 }
 
-// call is an attempt and the connection that carries it.
+// call is an attempt, with the connection that carries it.
 type call struct {
 	attempt   *exchange.Attempt
 	server    *server
-	conn      *conn // nil: it waits for a connection
-	cancelled bool  // its answer is no longer needed, but still shows the state of the server
+	conn      *conn // nil: the call waits for a connection
+	cancelled bool  // the exchange no longer needs the answer, which still shows the state of the server
 	done      bool
 }
 
@@ -98,17 +98,17 @@
 	call    *call // the call of the request in flight; nil: no request is in flight, or its call has ended
 	busy    bool  // an answer is pending
 	writing bool  // the request is not completely written yet
-	// Of the request in flight.
+	// These describe the request in flight.
 	fanOut bool
 	method string
-	id     string
+	id     string // id of the query, which the answer must carry
 	sentAt time.Time
 
-	used           bool // it has carried an answer
+	used           bool // an answer has arrived on the connection
 	idleSince      time.Time
-	keepAliveUntil time.Time // when its server may close it; zero: unknown
+	keepAliveUntil time.Time // no request is sent after this time, because the server may close the connection; zero: unknown
 	closed         bool
-	draining       bool // it accepts no further request
+	draining       bool // the connection accepts no further request and is closed once it is idle
 }
 
 // New returns a pool that knows no server yet.
@@ -138,7 +138,8 @@
 	}
 }
 
-// UpdateServers applies changes of servers. It is called before the exchange learns of them.
+// UpdateServers applies changes of servers. The caller must pass a change to UpdateServers before
+// it passes the change to the exchange, so that an attempt finds its server here.
 func (p *Pool) UpdateServers(list []Server) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -183,10 +184,12 @@
 	}
 }
 
-// Cancel cancels an attempt. Its connection stays busy until the answer arrives, because
-// closing it would cost a new connection. With the verdict Cancelled the attempt ends with
-// that answer, which distinguishes a server that is only slower than another from an
-// unresponsive one; without an answer it ends soon after lateAnswerWait.
+// Cancel cancels an attempt. The connection of the attempt stays busy until the answer arrives,
+// because closing it would cost a new connection. If v is Cancelled and the request has been
+// sent, the attempt ends with that answer, which distinguishes a server that is only slower than
+// another from an unresponsive one. If no answer arrives, the attempt ends at the first sweep
+// that comes more than lateAnswerWait after the request was sent. If v is another verdict or the
+// request has not been sent, the attempt ends at once.
 func (p *Pool) Cancel(a *exchange.Attempt, v choice.Verdict) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -217,7 +220,8 @@
 	}
 }
 
-// Probe implements exchange.Upstream. The decisions send no probes to HTTP servers.
+// Probe implements exchange.Upstream. The routing decisions (package choice) request no probes of
+// HTTP servers; a probe that is requested nevertheless ends at once as not sent.
 func (p *Pool) Probe(name string) { p.Exchange.ProbeEnded(name, 0, choice.NotSent, nil) }
 
 // Release closes the idle connections to a server.
@@ -242,7 +246,8 @@
 
 // ---- Helpers that require p.mu.
 
-// assign sends a call on the connection that became idle last, or queues the call and opens one.
+// assign sends a call on the connection that became idle last. If no idle connection can take the
+// call, assign puts it in the waiting queue of the server and opens a connection.
 func (p *Pool) assign(k *call) {
 	s := k.server
 	if s == nil || s.Gone {
@@ -269,7 +274,9 @@
 	p.openConn(s)
 }
 
-// openConn dials a connection for the waiting calls, unless enough are being dialed.
+// openConn dials a connection for the waiting calls, unless one is being dialed for each of them
+// or the server has MaxConns connections. If the server has no connection, and its last dial
+// failed recently or the pool has no free connection, the waiting calls fail at once.
 func (p *Pool) openConn(s *server) {
 	if s.dialing >= len(s.waiting) || s.MaxConns > 0 && len(s.conns)+s.dialing >= s.MaxConns {
 		return
@@ -321,7 +328,7 @@
 	p.assignWaiting(s)
 }
 
-// assignWaiting sends the waiting calls on idle connections.
+// assignWaiting assigns the waiting calls again, for example to a new connection.
 func (p *Pool) assignWaiting(s *server) {
 	waiting := s.waiting
 	s.waiting = nil
@@ -373,7 +380,8 @@
 	}
 }
 
-// send writes a request on an idle connection.
+// send writes the request of a call on an idle connection. Attempt.Text is the request as httpserver
+// serializes it; send adds the headers with the remaining time and the id of the server.
 func (c *conn) send(k *call, now time.Time) {
 	a := k.attempt
 	at := strings.Index(a.Text, "\r\n\r\n") + 2
@@ -407,8 +415,8 @@
 }
 
 // noteWritten closes a connection on which a request could not be written completely. A server that
-// did not receive the complete head cannot have run the request. With the complete head, it is
-// unknown whether the request ran.
+// did not receive the complete head cannot have run the request. If the complete head was
+// written, it is unknown whether the server ran the request.
 func (c *conn) noteWritten(headWritten bool, err error) {
 	switch {
 	case err == nil:
@@ -419,7 +427,7 @@
 	}
 }
 
-// closeWith closes a connection. The call in flight on it ends with the verdict.
+// closeWith closes a connection. The call in flight on it, if there is one, ends with the verdict.
 func (c *conn) closeWith(v choice.Verdict) {
 	if c.closed {
 		return
@@ -445,15 +453,15 @@
 	p.forget(s)
 }
 
-// release makes a connection idle after an answer, or closes it. An idle connection takes the next
-// waiting call.
+// release makes a connection idle after an answer, or closes it if keep is false or it is draining.
+// A connection that becomes idle takes the next waiting call.
 func (c *conn) release(keep bool) {
 	c.busy, c.call, c.used, c.idleSince = false, nil, true, time.Now()
 	if !keep || c.draining {
 		c.closeWith(choice.ConnectionLost)
 		return
 	}
-	// It goes to the end of the list: the connection that became idle last is used first, so
+	// The connection goes to the end of the list: the connection that became idle last is used first, so
 	// that connections that are not needed reach idleTimeout and are closed.
 	if i := slices.Index(c.server.conns, c); i >= 0 {
 		c.server.conns = append(slices.Delete(c.server.conns, i, i+1), c)
@@ -491,8 +499,8 @@
 		}
 		if err == nil && strayAnswers < maxStrayAnswers {
 			if id := response.Header.Get(headerAttemptID); id != "" && id != c.id && !c.pool.Mutations.AnyID {
-				// This is a second answer to an earlier request. The answer to the pending one
-				// may still follow. No call waits for this one.
+				// This is a second answer to an earlier request, for which no call waits any more.
+				// The answer to the pending request may still follow.
 				strayAnswers++
 				c.draining = true
 				c.pool.Exchange.Counters.LateAnswers.Add(1)
@@ -500,8 +508,8 @@
 				continue
 			}
 		}
-		// An answer may arrive before the request is completely written. The server would then
-		// read the next request on the connection as the rest of the body.
+		// An answer may arrive before the request is completely written. The connection must not
+		// be reused then: the server would read the next request as the rest of the body.
 		keep := err == nil && response.KeepAlive && c.reader.Buffered() == 0 && (!c.writing || c.pool.Mutations.ReuseEarly)
 		v, value := choice.ServerError, ""
 		var load []choice.Reading
@@ -533,8 +541,9 @@
 	}
 }
 
-// keepAliveEnd returns the time until which the connection may be used by the Keep-Alive header
-// of an answer, less keepAliveMargin. It is zero if the header gives no timeout.
+// keepAliveEnd returns the time until which the connection may be used according to the Keep-Alive
+// header of an answer, less keepAliveMargin. It returns the zero time if the header gives no
+// timeout.
 func keepAliveEnd(p *httpwire.Response, now time.Time) time.Time {
 	for option := range strings.SplitSeq(p.Header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(option), "=")
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -35,32 +35,33 @@
 	maxLiveConns          = 4                      // connections to one server that accept calls
 	spreadConns           = 2                      // while fewer are live, a call that must share a connection opens another one
 	maxConnsPerServer     = 12                     // including unresponsive connections that still have calls in flight
-	maxUnanswered         = 3                      // calls cancelled in a row without an answer, before a connection counts as unresponsive
-	drainMargin           = 500 * time.Millisecond // a send must have left so long before the drain grace period ends
-	cancelledAnswerWindow = 30 * time.Second       // how long an answer to a cancelled part may still arrive
-	duplicateAnswerWindow = 2 * time.Second        // how long a duplicate of an answer may still arrive
+	maxUnanswered         = 3                      // calls in a row that ended without an answer before their time, after which a connection may count as unresponsive (noteUnanswered)
+	drainMargin           = 500 * time.Millisecond // no call starts on a server within this time before its drain grace period ends
+	cancelledAnswerWindow = 30 * time.Second       // how long the answer to a part may still arrive after its cancellation was written
+	duplicateAnswerWindow = 2 * time.Second        // how long a duplicate of an answer may still arrive after the first one
 	sweepInterval         = 500 * time.Millisecond
 	defaultDialTimeout    = 250 * time.Millisecond // if the settings give none
 	maxDialBackoff        = 2 * time.Second        // the longest pause between dials to a server whose dials fail
-	idleFraction          = 0.9                    // of the servers' idle timeout, so that this side closes an idle connection first
+	idleFraction          = 0.9                    // an idle connection is closed after this fraction of the servers' idle timeout, so that the proxy closes it before the server does
 )
 
 var log = logs.For("back")
 
-// Config configures the client side.
+// Config configures a Pool.
 type Config struct {
 	Exchange *exchange.Exchange
 	Settings settings.Settings
-	List     Lister
+	List     Lister        // source of the list of servers
 	Stagger  time.Duration // delay between connection attempts to a server's addresses; 0: 250 ms
 	MaxConns int           // open leaf connections, including those being opened
 }
 
-// Lister is the source of the list of servers. It delivers lists by calling Told and Failed.
+// Lister is the source of the list of servers. It passes lists to Pool.UpdateList and reports
+// calls that failed to Pool.FetchFailed.
 type Lister interface {
-	Watch(on bool)
-	Fetch()
-	Run(stop <-chan struct{})
+	Watch(on bool)            // starts or stops watching for changes of the list
+	Fetch()                   // requests the complete list once
+	Run(stop <-chan struct{}) // calls the source until stop is closed
 }
 
 // Pool holds the connections to all leaf servers. It implements exchange.Upstream.
@@ -73,22 +74,22 @@
 	calls   map[*exchange.Attempt]*call
 	conns   int // open or being opened
 
-	// The connection that each server's parts went to so far, while parts that were sent
-	// together are assigned; otherwise nil.
+	// While a batch of calls is assigned (batchSends): the connection that was chosen last for
+	// the batch's calls to each server. Otherwise nil.
 	batchConns map[*server]*conn
 }
 
 type server struct {
 	name        string
 	addrs       []string  // logs name the first one
-	drainedAt   time.Time // from then on no call may start; zero: the server is not draining
+	drainedAt   time.Time // from this time on no call may start; zero: the server is not draining
 	conns       []*conn
-	waiting     []*call // calls without a connection
-	dialing     bool
-	addrHistory eyeballs.History // of connection attempts, if the server has several addresses
+	waiting     []*call          // calls without a connection
+	dialing     bool             // one connection is being dialed, or a race is in progress
+	addrHistory eyeballs.History // which addresses worked and failed, if the server has several
 	// After failed dials, no connection is dialed before dialNotBefore.
 	dialNotBefore time.Time
-	dialFailures  int // in a row
+	dialFailures  int // failed dials in a row
 }
 
 func (s *server) addr() string {
@@ -104,10 +105,10 @@
 type callState int
 
 const (
-	callWaiting callState = iota // for a connection
-	callQueued                   // on a connection, its frame not begun
-	callWriting
-	callSent // its frame is written completely
+	callWaiting callState = iota // the call waits for a connection
+	callQueued                   // the call is in the queue of a connection; its frame has not been begun
+	callWriting                  // its frame is being written
+	callSent                     // its frame has been written completely
 )
 
 // call is a frame that expects an answer: an attempt or, with a nil attempt, a probe.
@@ -116,16 +117,16 @@
 	server    *server
 	conn      *conn
 	state     callState
-	begun     time.Time
-	sentAt    time.Time // when its frame was written
+	begun     time.Time // when Send or Probe was called
+	sentAt    time.Time // when its frame had been written completely
 	cancelled bool
 	verdict   choice.Verdict // if cancelled: how the call ends once the cancellation is written
 	done      bool
 }
 
-// message is a call in the write queue of a connection, with the type of its frame.
+// message is a call in the write queue of a connection, with the type of the frame to write.
 type message struct {
-	kind byte
+	kind byte // 'Q': an attempt; 'X': the cancellation of one; 'P': a probe; 'L': a probe, if the settings set PullReports
 	call *call
 }
 
@@ -134,17 +135,17 @@
 	server   *server
 	nc       net.Conn
 	addr     string
-	reader   *bufio.Reader // nil: nothing has been read yet
+	reader   *bufio.Reader // reader that has read the answer to the probe of a race; nil: the connection comes from no race
 	wake     *sync.Cond    // signalled when queue or closed changes
 	queue    []message
 	calls    map[string]*call     // attempts by part id, until they end or their cancellation is written
-	ended    map[string]time.Time // parts that ended on this connection, until when an answer to them may still arrive
-	probes   []*call              // in the order of their frames
-	lastUsed time.Time
+	ended    map[string]time.Time // by id of a part that ended on this connection: until when an answer to it may still arrive
+	probes   []*call              // probes without an answer, in the order of their frames
+	lastUsed time.Time            // when a frame was last written or a complete answer last arrived
 
-	lastAnswerAt time.Time // of a complete answer
-	unanswered   int       // calls that ended without an answer since then
-	unresponsive bool      // accepts no new calls
+	lastAnswerAt time.Time // when the last complete answer arrived; before the first one, when the connection was added
+	unanswered   int       // calls sent after lastAnswerAt that ended without an answer
+	unresponsive bool      // the connection accepts no new calls
 
 	closed    bool
 	malformed bool // it was closed because of a malformed answer
@@ -255,14 +256,16 @@
 
 // ---- The list of servers.
 
-// FetchFailed implements targets.Receiver.
+// FetchFailed implements targets.Receiver: it reports to the exchange that a list could not be
+// fetched.
 func (p *Pool) FetchFailed() {
 	p.Exchange.Counters.ListFails.Add(1)
 	p.Exchange.UpdateServers(choice.List{Form: choice.Failed})
 }
 
-// UpdateList implements targets.Receiver: it applies a list to the connections and passes it to the
-// exchange.
+// UpdateList implements targets.Receiver: it updates the addresses and the draining state of
+// the servers and passes the list to the exchange. A server that a full list does not name is
+// draining.
 func (p *Pool) UpdateList(list choice.List, addrs targets.Addrs) {
 	if list.Form != choice.Cached {
 		p.Exchange.Counters.Lists.Add(1)
@@ -300,9 +303,9 @@
 	p.Exchange.UpdateServers(list)
 }
 
-// updateDrain sets the time from which no call may start on a server. A ready server has none;
-// for any other it is drainMargin before the drain grace period ends, which may have begun as
-// long ago as since says.
+// updateDrain sets drainedAt, the time from which no call may start on a server. For a ready
+// server it is zero. For any other server it is drainMargin before the end of the drain grace
+// period. That period may have begun up to since microseconds ago.
 func (p *Pool) updateDrain(s *server, ready bool, since choice.Micros) {
 	if ready {
 		s.drainedAt = time.Time{}
@@ -314,18 +317,19 @@
 
 // ---- Helpers that require p.mu.
 
-// assign assigns a call to a connection, or queues the call and opens one. A connection on
-// which the same part has ended is skipped: a late answer to the earlier call would be taken
-// for the answer to this one.
+// assign assigns a call to a connection. If no connection can take the call, assign puts it in
+// the waiting queue of the server and opens a connection. A connection on which the same part
+// is in flight or has ended is skipped: a late answer to the earlier call would be taken for
+// the answer to this one.
 func (p *Pool) assign(k *call) {
 	s := k.server
 	if s == nil || s.drained() {
 		p.finish(k, choice.NotSent, nil, "")
 		return
 	}
-	// The connection with the fewest calls is used: few calls should be lost with a connection
-	// that becomes unresponsive or is closed for a malformed answer, and the calls on the other
-	// connections should show the decisions that the server is healthy.
+	// The connection with the fewest calls is used. A connection that becomes unresponsive, or is
+	// closed because of a malformed answer, then loses few calls, and the answers on the other
+	// connections show the routing decisions (package choice) that the server is healthy.
 	var best *conn
 	live, batched := 0, p.batchConns[s] // parts sent together use one connection, to share a frame
 	for _, c := range s.conns {
@@ -347,7 +351,9 @@
 			p.batchConns[s] = best
 		}
 		if best != batched && len(best.calls) > 0 && live < spreadConns && p.conns < p.MaxConns*3/4 {
-			p.openConn(s) // for later calls
+			// The connection is for later calls. The last quarter of MaxConns is left for
+			// servers that have no connection.
+			p.openConn(s)
 		}
 		kind := byte('P')
 		if p.Settings.PullReports {
@@ -368,8 +374,11 @@
 
 func (s *server) drained() bool { return !s.drainedAt.IsZero() && !time.Now().Before(s.drainedAt) }
 
-// openConn dials a connection to a server, unless one is being dialed or there are enough. If
-// there are enough, waiting calls wait until one of them can take a call.
+// openConn dials a connection to a server, unless one is being dialed or the server has
+// maxLiveConns live connections or maxConnsPerServer in all. In these cases the waiting calls
+// wait until a connection can take them. If the server has no live connection and its last dial
+// failed recently, the waiting calls fail at once. They also fail if the server has no connection,
+// MaxConns is reached and no idle connection to any server can be closed.
 func (p *Pool) openConn(s *server) {
 	live := 0
 	for _, c := range s.conns {
@@ -381,8 +390,8 @@
 		return
 	}
 	if live == 0 && time.Now().Before(s.dialNotBefore) {
-		// Its last dial has just failed: the waiting calls fail at once for lack of a connection,
-		// rather than after another dial timeout (docs/results/standing.md, zone).
+		// The last dial to the server has just failed. The waiting calls fail at once for lack of
+		// a connection, rather than after another dial timeout (docs/results/standing.md, zone).
 		p.failUnconnected(s)
 		return
 	}
@@ -450,7 +459,7 @@
 			s.dialFailures++
 			s.dialNotBefore = time.Now().Add(dialBackoff(p.dial.Timeout, s.dialFailures))
 			p.failWaitingCalls(s, err)
-		} else { // the address has changed meanwhile
+		} else { // the server's address changed during the dial
 			p.assignWaiting(s)
 		}
 		return
@@ -490,8 +499,9 @@
 	}
 }
 
-// batchSends makes the calls to a server that are assigned until end is called share one
-// connection, if a frame may carry several parts.
+// batchSends begins a batch: until end is called, the calls to a server that are assigned share
+// one connection where possible, so that one frame can carry several parts. It does nothing if
+// a frame may carry only one part or if a batch is in progress already.
 func (p *Pool) batchSends() (end func()) {
 	if p.batchConns != nil || p.Settings.Router.MaxPartsPerCall <= 1 {
 		return func() {}
@@ -524,17 +534,21 @@
 	}
 }
 
-// noteUnanswered is called when a call ends. It counts the calls that timed out or were
-// cancelled without any answer on the connection since they were sent. A connection can become
-// unresponsive, or stop in the middle of an answer, while its server is healthy and the
-// operating system reports no error: every part sent on it would wait in vain, and the server
-// would look dead for ever. An unresponsive connection accepts no new calls and is closed once
-// the calls in flight on it have ended.
+// noteUnanswered is called when an attempt ends with verdict v. It counts the attempts that timed
+// out or were cancelled although no answer at all has arrived on the connection since they were
+// sent. The connection counts as unresponsive after one such attempt that timed out, or after
+// maxUnanswered of them if the last answer on it is older than the dial timeout.
+//
+// A connection can become unresponsive, or stop in the middle of an answer, while its server is
+// healthy and the operating system reports no error: every part sent on it would wait in vain,
+// and the server would look dead for ever. An unresponsive connection accepts no new calls and
+// is closed once the calls in flight on it have ended.
 func (c *conn) noteUnanswered(k *call, v choice.Verdict) {
 	if k.state == callSent && c.lastAnswerAt.Before(k.sentAt) && (v == choice.NoAnswer || v == choice.Cancelled) {
 		c.unanswered++
 		lasting := c.unanswered >= maxUnanswered && time.Since(c.lastAnswerAt) > c.pool.dial.Timeout
-		// A call that was cancelled because its query ended counts as timed out if it was late.
+		// An attempt may be cancelled only because its query ended. It counts as timed out too if
+		// more than half of the time from its sending to its deadline had passed.
 		late := v == choice.NoAnswer || 2*time.Since(k.sentAt) > k.attempt.Deadline.Sub(k.sentAt)
 		if !c.unresponsive && (late || lasting) {
 			c.unresponsive = true
@@ -555,8 +569,8 @@
 	c.lastUsed, c.lastAnswerAt, c.unanswered = time.Now(), time.Now(), 0
 }
 
-// sweep closes connections that have been idle too long and forgets ended parts whose answers
-// can no longer arrive.
+// sweep closes connections that have been idle too long, closes idle connections to addresses
+// that their server no longer has, and forgets ended parts whose answers can no longer arrive.
 func (p *Pool) sweep() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -583,8 +597,9 @@
 	c.wake.Signal()
 }
 
-// closeWith closes a connection and ends the calls in flight on it. err is nil if this side chose
-// to close it. Calls whose frame had not been begun move to another connection.
+// closeWith closes a connection and ends the calls in flight on it. err is nil if the proxy chose
+// to close the connection. Calls whose frame has not been begun are assigned to another
+// connection. An attempt whose frame is being written is ended by noteWritten.
 func (c *conn) closeWith(err error) {
 	if c.closed {
 		return
@@ -684,8 +699,9 @@
 }
 
 // nextFrame removes the messages of one frame from the queue: one message, or consecutive
-// attempts up to the number of parts that a frame may carry. Calls to a server whose drain grace period
-// is over have waited too long and end as not sent.
+// attempts up to the number of parts that a frame may carry. If the server's drainedAt has
+// passed meanwhile, the attempts and probes end as not sent. calls is empty if nothing is left
+// to write.
 func (c *conn) nextFrame() (kind byte, calls []*call) {
 	maxCalls := 1
 	for len(c.queue) > 0 && len(calls) < maxCalls && (len(calls) == 0 || c.queue[0].kind == kind) {
@@ -712,7 +728,7 @@
 // completely, the server cannot have read it, so it has not run.
 func (c *conn) noteWritten(kind byte, k *call, err error) {
 	switch {
-	case err != nil && kind == 'X' || k.done: // closeWith ends a call whose cancellation was not written; a done call needs nothing
+	case err != nil && kind == 'X' || k.done: // closeWith ends a call whose cancellation was not written; for a call that has ended there is nothing to do
 	case err != nil:
 		c.pool.finish(k, choice.NoConnection, nil, "")
 	case kind == 'X':
@@ -745,8 +761,8 @@
 	}
 }
 
-// malformedError is an answer that cannot be used. It is unknown which part it was for and
-// whether the bytes after it can be parsed, so the connection must be closed.
+// malformedError reports an answer that cannot be used. It is unknown which part the answer was
+// for and whether the bytes after it can be parsed, so the connection must be closed.
 type malformedError struct{ what string }
 
 func (e *malformedError) Error() string { return "malformed answer: " + e.what }
@@ -777,7 +793,7 @@
 	}
 }
 
-// verdicts maps the end that an answer states to the verdict on its attempt.
+// verdicts maps the status in an answer to the verdict on the attempt.
 var verdicts = map[string]choice.Verdict{"ok": choice.Served, "err": choice.ServerError, "busy": choice.Rejected}
 
 // handleAnswer handles the answer to an attempt.
@@ -811,7 +827,8 @@
 	return nil
 }
 
-// handleProbe handles the answer to the oldest probe.
+// handleProbe handles an answer to a probe. Probes carry no id, so the answer is taken for that to
+// the oldest unanswered probe.
 func (c *conn) handleProbe(rest []byte) error {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
--- a/internal/upstream/race.go
+++ b/internal/upstream/race.go
@@ -3,8 +3,8 @@
 // This file opens connections to a server that has several addresses, or a Unix socket. It
 // makes the connection attempts; core/eyeballs decides their order. It must never put a part
 // on a connection before its address has answered a probe, nor put a part on two connections:
-// the attempts carry one probe each and nothing else, and all connections but the winner's are
-// closed after it.
+// each connection attempt sends one probe and nothing else. The first connection whose probe is
+// answered wins; all others are closed.
 
 import (
 	"bufio"
@@ -29,6 +29,7 @@
 	r.step()
 }
 
+// stagger returns the delay between connection attempts to the addresses of a server.
 func (p *Pool) stagger() time.Duration {
 	if p.Stagger > 0 {
 		return p.Stagger
@@ -36,9 +37,11 @@
 	return defaultStagger
 }
 
-// clockStart is the origin of the clock that the address histories use.
+// clockStart is the origin of clock.
 var clockStart = time.Now()
 
+// clock returns the time for races and address histories, in microseconds. It is never 0.
+
 func clock() eyeballs.Micros { return time.Since(clockStart).Microseconds() + 1 }
 
 // race is a race between connection attempts to the addresses of one server. pool.mu guards it.
@@ -51,7 +54,7 @@
 }
 
 // step starts the attempts that are due and sets the timer for the next one. If every attempt
-// has failed, it ends the calls that wait for the connection.
+// has failed, it ends the calls that wait for the connection. pool.mu must be locked.
 func (r *race) step() {
 	p := r.pool
 	for addr, ok := r.Step(clock()); ok; addr, ok = r.Step(clock()) {
@@ -80,8 +83,9 @@
 	}
 }
 
-// connect opens a connection to an address, waits for the answer to a probe and enters the
-// result in the race. The winner's connection is added to the pool.
+// connect opens a connection to an address, waits for the answer to a probe and records the
+// result in the race. It adds the connection to the pool if it has won the race, and closes it
+// otherwise.
 func (r *race) connect(addr string) {
 	p := r.pool
 	nc, reader, err := p.dialAndProbe(addr)
@@ -89,7 +93,7 @@
 	defer p.mu.Unlock()
 	if err != nil {
 		p.conns--
-		if !r.Finished { // otherwise the attempt may have been interrupted
+		if !r.Finished { // after the end of the race, the attempt may have been interrupted: that is no fault of the address
 			r.server.addrHistory.RecordFailure(addr, clock())
 			log.Warn("address-failed", "server", r.server.name, "addr", addr, "err", err)
 		}
@@ -108,7 +112,7 @@
 		r.timer.Stop()
 	}
 	r.server.dialing = false
-	if !r.server.hasAddr(addr) { // the address has changed meanwhile
+	if !r.server.hasAddr(addr) { // the server's addresses changed during the race
 		p.conns--
 		nc.Close()
 		p.assignWaiting(r.server)
@@ -118,8 +122,8 @@
 }
 
 // Reachable reports whether a server answers a probe at any of its addresses. The connections
-// that it opens for that count towards MaxConns and are closed afterwards. Without enough free
-// connections it reports false.
+// that it opens for that count towards MaxConns and are closed afterwards. It reports false
+// without dialing if three quarters of MaxConns are in use.
 func (p *Pool) Reachable(addrs []string) bool {
 	for _, addr := range addrs {
 		p.mu.Lock()
@@ -170,7 +174,7 @@
 	case err != nil:
 		return fail(err)
 	case kind != 'P':
-		return fail(fmt.Errorf("it was answered with frame type %q", kind))
+		return fail(fmt.Errorf("the answer has frame type %q", kind))
 	}
 	nc.SetDeadline(time.Time{})
 	return nc, reader, nil
