--- a/internal/downstream/httpserver/lifecycle_test.go
+++ b/internal/downstream/httpserver/lifecycle_test.go
@@ -83,7 +83,7 @@
 		p.downstream.ExpireRequests()
 		ans, err := http.ReadResponse(r, nil)
 		So(err, ShouldBeNil)
-		So(ans.StatusCode, ShouldEqual, 504) // it may have run
+		So(ans.StatusCode, ShouldEqual, 504) // not 503: the request may have run
 		So(ans.Close, ShouldBeTrue)
 	})
 }
--- a/internal/downstream/httpserver/requests_test.go
+++ b/internal/downstream/httpserver/requests_test.go
@@ -129,7 +129,7 @@
 }
 
 // A request is forwarded with its method, path, query string, body and all headers except the
-// hop-by-hop ones. Each send names the server and the time left.
+// hop-by-hop ones. Each attempt carries the id of the server and the remaining time.
 func TestForwarding(t *testing.T) {
 	Convey("A request reaches its server unchanged", t, func() {
 		_, s, c, r := newProxyWithServer(t, func(int, standin.Seen) standin.Reply {
--- a/internal/downstream/platform/fuzz_test.go
+++ b/internal/downstream/platform/fuzz_test.go
@@ -13,7 +13,7 @@
 )
 
 // FuzzQuery parses arbitrary bodies and timeouts. Nothing may panic, and no query may come out
-// that the decisions or a frame cannot represent.
+// that the routing decisions (package choice) or a frame cannot represent.
 func FuzzQuery(f *testing.F) {
 	f.Fuzz(func(t *testing.T, body, timeout string) {
 		r := &httpwire.Request{Header: map[string][]string{"X-Trace-Id": {"q"}, "X-Qos": {"c"},
--- a/internal/upstream/race_test.go
+++ b/internal/upstream/race_test.go
@@ -31,6 +31,8 @@
 	arrived chan string         // addresses where delayed parts arrived
 }
 
+// listen makes the server listen at an address and returns it as a list of servers names it. onProbe
+// is called before each probe is answered; if it is nil, probes get no answer.
 func (s *testServer) listen(network, addr string, onProbe func()) string {
 	ln, err := net.Listen(network, addr)
 	if err != nil {
@@ -53,6 +55,7 @@
 	return at
 }
 
+// serve handles the frames of one connection to the address at.
 func (s *testServer) serve(at string, nc net.Conn, onProbe func()) {
 	defer nc.Close()
 	r := bufio.NewReader(nc)
@@ -90,7 +93,7 @@
 func (s *testServer) runQueries(p *Pool, x *exchange.Exchange, n int) map[string]int {
 	s.t.Helper()
 	var queries sync.WaitGroup
-	slots := make(chan struct{}, 3) // within the initial window of a server
+	slots := make(chan struct{}, 3) // at most 3 queries in flight, which the initial window of a server permits
 	for i := range n {
 		queries.Add(1)
 		slots <- struct{}{}
@@ -115,6 +118,7 @@
 	return partsAt
 }
 
+// noList is a Lister that delivers nothing: the tests call UpdateList themselves.
 type noList struct{}
 
 func (noList) Watch(bool)               {}
