--- a/internal/core/level/level.go
+++ b/internal/core/level/level.go
@@ -10,12 +10,13 @@
 // A level is entered when its sum reaches Evidence: a signal at twice its bound takes
 // half as long as one at 1.5 times, and one that hovers at its bound never gets there.
 // To leave a level, the sum of the evidence against it (signals below ExitRatio times
-// their bound) must reach Calm, and the level must have been active for its stay. Then
+// their bound) must reach Calm, and the level must have been active for its minimum stay. Then
 // the better level is tried: for Trial, a share of the queries is served at the better
 // level and compared with the others. A trial with worse results ends at once and
 // doubles the stay, up to MaxStay; each MaxStay spent at full service halves the stay
 // again. A recurring fault therefore meets longer and longer stays: the level changes a
-// few times an hour and not with every recurrence.
+// few times an hour and not with every recurrence. Levels are numbered from 0 (full service);
+// a higher number is a more degraded level.
 package level
 
 import (
@@ -36,10 +37,11 @@
 	Queue     float64 // time that arrivals waited for the exchange, ms
 }
 
-// SignalNames are the names of the signals in the operator file, in the order of Signals.
+// SignalNames are the names of the signals in the operator file, in the order of the
+// fields of Signals. QueryRate has no name, because no condition can use it.
 var SignalNames = []string{"refused", "failed", "cold", "unsound", "queue"}
 
-// value returns a signal by its name.
+// value returns a signal by its name; 0 for an unknown name.
 func (s *Signals) value(name string) float64 {
 	switch name {
 	case "refused":
@@ -65,7 +67,7 @@
 // Level is a level below full service. Any one of its conditions is evidence for it.
 type Level struct {
 	Name  string
-	Enter []Condition
+	Enter []Condition // a condition whose Above is not positive is ignored
 }
 
 // Settings are the levels and the parameters of the decision. Times are in microseconds.
@@ -77,7 +79,7 @@
 	MinStay       Micros  // minimum time at a level
 	MaxStay       Micros  // limit of the minimum time after failed trials
 	Trial         Micros  // duration of a trial
-	MaxRegression float64 // a trial fails if its share of lost value exceeds the others' by more
+	MaxRegression float64 // a trial fails if its queries lose a larger share of their value than the other queries, by more than this
 	MinSamples    int     // queries that a trial must have seen before it is judged
 }
 
@@ -91,24 +93,25 @@
 // State is the service level of one proxy.
 type State struct {
 	settings  Settings
-	level     int
-	since     Micros
-	lastRead  Micros // time of the last reading
-	enterSums []float64
-	exitSum   float64
-	stay      Micros
-	fullSince Micros // start of the current period at full service
+	level     int       // the level by the signals, regardless of a pin
+	since     Micros    // when that level was entered, or its last trial failed
+	lastRead  Micros    // time of the last reading
+	enterSums []float64 // by level - 1: the evidence for the level
+	exitSum   float64   // the evidence against the active level
+	stay      Micros    // minimum time at a level before it may be left
+	fullSince Micros    // start of the current period at full service
 
 	trialSince   Micros // start of the trial of the better level; 0: no trial
-	trialGroup   group
-	controlGroup group
-	pin          int // pinned level; negative: none
+	trialGroup   group  // queries served at the better level
+	controlGroup group  // all other queries since the start of the trial
+	pin          int    // pinned level; negative: none
 	pinUntil     Micros
 }
 
-// group counts queries and the value that they lost.
+// group counts queries (n) and sums the share of its value that each of them lost (bad).
 type group struct{ n, bad float64 }
 
+// badRatio returns the average share of its value that a query lost.
 func (g group) badRatio() float64 {
 	if g.n == 0 {
 		return 0
@@ -137,7 +140,8 @@
 	return s.settings.Levels[level-1].Name
 }
 
-// TrialActive reports whether the next better level is being tried.
+// TrialActive reports whether the next better level is being tried. It is false while a
+// level is pinned.
 func (s *State) TrialActive() bool { return s.trialSince > 0 && s.pin < 0 }
 
 // Stay returns how long the level must be active before it may be left.
@@ -158,11 +162,13 @@
 	return highest, reason
 }
 
-// maxPressure limits the evidence of a single reading.
+// maxPressure limits the ratio of a signal to its bound, and so the evidence of a single
+// reading.
 const maxPressure = 4
 
 // Update takes the signals of the interval that ends now. It returns a change of the
-// level and true if there is one. A clock that went backwards or stood still has no
+// level and true if there is one, while a level is pinned also a change of the level by
+// the signals. A clock that went backwards or stood still has no
 // effect.
 func (s *State) Update(now Micros, g Signals) (Change, bool) {
 	dt := now - s.lastRead
@@ -170,7 +176,7 @@
 	if dt <= 0 {
 		return Change{}, false
 	}
-	dt = min(dt, s.settings.Evidence/2) // a gap between readings is no evidence
+	dt = min(dt, s.settings.Evidence/2) // the time of a gap between readings does not count as evidence
 	if s.pin >= 0 && now >= s.pinUntil {
 		from := s.pin
 		s.pin = -1
@@ -208,11 +214,12 @@
 	return Change{}, false
 }
 
-// evaluateTrial ends a trial that failed or that is complete.
+// evaluateTrial ends a trial that failed, or adopts the better level if the trial is
+// complete. It returns a change of the level and true in the second case.
 func (s *State) evaluateTrial(now Micros) (Change, bool) {
 	worse := s.trialGroup.n >= float64(s.settings.MinSamples) && s.trialGroup.badRatio() > s.controlGroup.badRatio()+s.settings.MaxRegression
 	switch {
-	case worse || s.exitSum == 0: // at once, because the queries in the trial get the worse result
+	case worse || s.exitSum == 0: // without waiting for the end of Trial, because the queries in the trial get the worse result
 		s.trialSince, s.exitSum, s.since = 0, 0, now
 		s.stay = min(2*s.stay, s.settings.MaxStay)
 	case now-s.trialSince >= s.settings.Trial && s.trialGroup.n >= float64(s.settings.MinSamples):
@@ -230,7 +237,7 @@
 	}
 	s.level, s.since, s.exitSum, s.trialSince = to, now, 0, 0
 	for i := range s.enterSums {
-		if i < to || i == to { // the evidence for this level, for better ones and for the next lower one is used up
+		if i < to || i == to { // the evidence for this level, for better ones and for the next more degraded one is used up
 			s.enterSums[i] = 0
 		}
 	}
@@ -240,8 +247,8 @@
 	return c
 }
 
-// RecordQuery records the end of a query: whether it was part of the trial, and how much
-// of its value was lost.
+// RecordQuery records the end of a query: whether it was part of the trial, its value, and
+// how much of that value was lost. It has no effect while there is no trial.
 func (s *State) RecordQuery(inTrial bool, value, lost float64) {
 	if s.trialSince == 0 {
 		return
@@ -256,8 +263,9 @@
 	}
 }
 
-// Pin makes a level active until a time, regardless of the signals, which are still
-// read. It returns the change and true if the active level changes.
+// Pin makes a level active until a time, regardless of the signals. Update must still be
+// called: it keeps the level by the signals up to date and removes the pin once it has
+// expired. Pin returns the change and true if the active level changes.
 func (s *State) Pin(now Micros, level int, until Micros) (Change, bool) {
 	from := s.Level()
 	s.pin, s.pinUntil = level, until
--- a/internal/core/level/level_test.go
+++ b/internal/core/level/level_test.go
@@ -66,7 +66,7 @@
 
 // No level oscillates with a load right at the bound, with recurring faults or with a
 // slow ramp, over ten minutes each.
-func TestDoesNotSwing(t *testing.T) {
+func TestDoesNotOscillate(t *testing.T) {
 	square := func(period Micros) func(Micros) float64 {
 		return func(now Micros) float64 {
 			if now/(period/2)%2 == 0 {
--- a/internal/core/membership/membership.go
+++ b/internal/core/membership/membership.go
@@ -9,14 +9,15 @@
 //	existence   the highest-ranked responsive source that has ever named a server
 //	            decides. A lower-ranked source alone can add a server, but can't keep one
 //	            that a higher-ranked source has dropped. If none of them is responsive,
-//	            the last report of the highest-ranked one stays valid until ForgetAfter;
-//	            after that it counts as never made.
+//	            the last report of the highest-ranked one stays valid until that source
+//	            has been unresponsive for ForgetAfter; after that it counts as never
+//	            made.
 //	identity    two names are one server if a source gives one as an alias of the other.
 //	            One address reported under two names means two servers, unless
 //	            Settings.ByAddress is set: then the higher-ranked source's name is used.
-//	address     all addresses of the highest-ranked responsive source that gives any,
-//	            never a mix of sources: a server that has moved may have left its old
-//	            address to another server.
+//	address     all addresses of the highest-ranked source that gives any and is not
+//	            forgotten, even if it is unresponsive; never a mix of sources: a server
+//	            that has moved may have left its old address to another server.
 //	cell        all responsive sources must agree; while they do not, the server is
 //	            withheld, because a part must not go to a cell that may not store its
 //	            segment.
@@ -24,23 +25,26 @@
 //	            removal of that source, revokes it. The time of the first report is kept,
 //	            whatever the merged state is. A source that drops a server it had drained
 //	            does not revoke the drain, because the other sources may not know of it
-//	            yet. It ends when a source names the server again, when a later start is
-//	            reported, or after the time in which the source would be forgotten. A
-//	            drain by a source that is unresponsive ends when a responsive source
-//	            reports a later start.
+//	            yet. The drain ends when that source names the server again, when another
+//	            source starts to name it, when another source reports a start after the
+//	            drain, or SilentAfter plus ForgetAfter after the source dropped the
+//	            server. A drain by an unresponsive source that still names the server
+//	            ends when a responsive source reports a start after the drain.
 //	health      critical at any responsive source withholds the server, unless a
-//	            higher-ranked responsive source reports passing.
-//	start       the latest start that a responsive source reports.
+//	            higher-ranked responsive source reports passing or warning.
+//	start       the latest start in the claims of the sources that name the server and
+//	            are not forgotten.
 //	index       an answer with a lower index than the source's last one is ignored,
 //	            unless the source reports that its index was reset.
 //	flaps       each disappearance of a listed server adds to a penalty that decays
 //	            exponentially; above a bound the server's next return is delayed. Its
 //	            removal is never delayed.
-//	floor       if one step would remove more than a share of the listed servers, they
-//	            stay until a responsive source has reported the removal for a while;
-//	            drains are not delayed.
+//	floor       if one step would remove at least FloorMinServers and more than FloorShare
+//	            of the listed servers, they stay until the removal has been reported
+//	            for RemovalDelay; drains, and the removal of servers for which a drain
+//	            is reported, are not delayed.
 //	new         servers of an untrusted source wait for a confirmation: another source, or the
-//	            same source again after a while. The first answer that names any server
+//	            same source again after ConfirmAfter. The first answer that names any server
 //	            is trusted as it is: there is nothing to compare it with, and a proxy that
 //	            starts needs servers.
 package membership
@@ -58,7 +62,8 @@
 // Health is the state of a server's health checks as a source reports it.
 type Health int
 
-// The health values. Unknown is reported by sources without checks.
+// The health values. Sources without health checks report Unknown. Warning counts as
+// Passing.
 const (
 	Unknown Health = iota
 	Passing
@@ -74,10 +79,10 @@
 	Ready State = iota
 	Draining
 	Withheld // named by a source, but not to be used
-	Gone
+	Gone     // not in the list: dropped, or named by no source
 )
 
-// States are the names of the states.
+// States are the names of the states, indexed by State.
 var States = []string{"ready", "draining", "withheld", "gone"}
 
 func (s State) String() string { return States[s] }
@@ -100,7 +105,7 @@
 	RemovalDelay    Micros  // how long the floor keeps the servers
 	FlapHalfLife    Micros  // half-life of the flap penalty
 	FlapSuppress    float64 // above this penalty a return is delayed
-	FlapReuse       float64 // until the penalty is below this
+	FlapReuse       float64 // a delayed server returns once the penalty is at most this
 	ConfirmAfter    Micros  // untrusted source: a repeated report after this time confirms a new server
 	MaxServers      int     // new servers above this number are rejected and counted; 0: no limit
 }
@@ -159,9 +164,9 @@
 	answeredAt Micros  // time of the last answer; 0: never
 	servers    int     // number of servers that it names
 	lastState  [2]bool // responsive and forgotten, as of the last step
-	Calls      int64
-	Failed     int64
-	Old        int64 // answers with a lower index than the last one
+	Calls      int64   // answers and failures to answer
+	Failed     int64   // failures to answer
+	Old        int64   // answers with a lower index than the last one
 }
 
 // sourceClaim is the last claim of one source about one server.
@@ -173,6 +178,7 @@
 	droppedAt  Micros
 }
 
+// server is a server with the claims of all sources about it and its merged state.
 type server struct {
 	name             string
 	claims           []*sourceClaim // by index in Members.sources; nil: never named by that source
@@ -296,6 +302,7 @@
 	return nil
 }
 
+// canonical returns the name under which the server with this name or alias is stored.
 func (m *Members) canonical(name string) string {
 	if to, ok := m.alias[name]; ok {
 		return to
@@ -303,8 +310,8 @@
 	return name
 }
 
-// findOrAdd returns the server that a claim is about. It adds a new server, or returns
-// nil if there are MaxServers already.
+// findOrAdd returns the server that a claim of source n is about. It adds a new server, or
+// returns nil if there are MaxServers already.
 func (m *Members) findOrAdd(c Claim, n int) *server {
 	name := m.canonical(c.Name)
 	v := m.servers[name]
@@ -356,6 +363,7 @@
 	v.aliases = append(v.aliases, name)
 }
 
+// recordClaim stores what source n reports about a server.
 func (m *Members) recordClaim(now Micros, v *server, n int, c Claim) {
 	w := v.claims[n]
 	switch {
@@ -404,6 +412,7 @@
 		a.Weight == b.Weight && a.Since == b.Since && a.Name == b.Name && slices.Equal(a.Addresses, b.Addresses) && slices.Equal(a.Aliases, b.Aliases)
 }
 
+// recordDrop records that source n no longer names a server.
 func (m *Members) recordDrop(now Micros, v *server, n int) {
 	w := v.claims[n]
 	w.dropped, w.droppedAt = true, now
@@ -411,6 +420,7 @@
 	m.markDirty(v)
 }
 
+// markDirty schedules a server for the merge in the next Step.
 func (m *Members) markDirty(v *server) {
 	if !v.dirty {
 		v.dirty = true
@@ -602,8 +612,8 @@
 	return to
 }
 
-// drainLifted reports whether the drain of a server has ended whose source dropped the
-// server after draining it.
+// drainLifted reports whether a drain has ended that was reported by a source (by its
+// index) that has dropped the server since.
 func (m *Members) drainLifted(now Micros, v *server, by int) bool {
 	w, s := v.claims[by], m.sources[by]
 	if now-w.droppedAt >= s.SilentAfter+s.ForgetAfter {
@@ -627,7 +637,8 @@
 	return false
 }
 
-// hasHigherAddress reports whether a responsive source ranked above below gives addresses.
+// hasHigherAddress reports whether a responsive source with an index less than below, so of
+// a higher rank, gives addresses.
 func (m *Members) hasHigherAddress(now Micros, v *server, below int) bool {
 	for i := range below {
 		if w := v.claims[i]; w != nil && !w.dropped && len(w.Addresses) > 0 && m.responsive(now, m.sources[i]) {
@@ -664,9 +675,10 @@
 	}
 }
 
-// applyFloor prevents a mass disappearance from emptying the list: servers that would
-// leave in one step stay as they are until their removal has been reported for
-// RemovalDelay.
+// applyFloor prevents a mass disappearance from emptying the list: if too many servers
+// would leave in one step, they stay as they are until their removal has been reported for
+// RemovalDelay. next are the merged members of the servers in dirty; applyFloor replaces
+// those that stay by their previous state.
 func (m *Members) applyFloor(now Micros, dirty []*server, next []Member) {
 	if m.settings.FloorShare <= 0 || m.settings.FloorShare >= 1 {
 		return
@@ -720,7 +732,8 @@
 // negligiblePenalty is the penalty below which a server that is gone can be forgotten.
 const negligiblePenalty = 0.1
 
-// dampFlaps delays the return of a server that has come and gone too often.
+// dampFlaps delays the return of a server that has disappeared too often: it changes to,
+// the server's next state, to Withheld.
 func (m *Members) dampFlaps(now Micros, v *server, to *Member) {
 	if m.settings.FlapHalfLife <= 0 || m.settings.FlapSuppress <= 0 {
 		return
@@ -749,7 +762,8 @@
 	v.listed = true
 }
 
-// removeForgotten deletes servers that no source names any more.
+// removeForgotten deletes the servers in dirty that no source names any more and whose flap
+// penalty is negligible. For the others it computes when they are next due.
 func (m *Members) removeForgotten(now Micros, dirty []*server) {
 	for _, v := range dirty {
 		if v.member.State != Gone || v.floorSince > 0 {
@@ -869,7 +883,8 @@
 	Reports []SourceReport `json:"Words"`
 }
 
-// Explain returns the state of a server and why; false if it is unknown to all sources.
+// Explain returns the state of a server and the reports that led to it; false if no server
+// is known under this name or alias.
 func (m *Members) Explain(now Micros, name string) (Explanation, bool) {
 	v := m.servers[m.canonical(name)]
 	if v == nil {
@@ -900,8 +915,8 @@
 	Responsive         bool   `json:"Heard"`
 	Age                Micros // since its last answer; negative: there was none
 	Index              int64
-	Calls, Failed, Old int64
-	Servers            int
+	Calls, Failed, Old int64 // all calls; those without an answer; answers ignored for a lower index
+	Servers            int   // number of servers that the source names
 }
 
 // Sources returns the state of each source, by rank.
--- a/internal/core/placement/model_test.go
+++ b/internal/core/placement/model_test.go
@@ -303,7 +303,7 @@
 }
 
 // For each omitted safeguard the check finds the transitions to a key that ran twice.
-func TestModelFindsWhatIsLeftOut(t *testing.T) {
+func TestModelDetectsOmittedSafeguards(t *testing.T) {
 	for name, omit := range map[string]omission{"no fence": noFence, "fence does not wait": noWait, "final copy before the fence": earlyFinalCopy,
 		"new owner accepts early": earlyActivate, "aborted after the cutover": lateAbort, "final copy is lost": lostFinalCopy} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/core/placement/overlaymap.go
+++ b/internal/core/placement/overlaymap.go
@@ -11,7 +11,9 @@
 	size    int
 }
 
-const maxOverlay = 1024 // entries in overlay and deleted; above, copy builds a new base
+// maxOverlay limits the entries of overlay and deleted together. If there are more, copy
+// merges them into a new base.
+const maxOverlay = 1024
 
 func (l *overlayMap[V]) get(id uint32) (v V, ok bool) {
 	if v, ok = l.overlay[id]; ok {
--- a/internal/core/placement/owner.go
+++ b/internal/core/placement/owner.go
@@ -1,10 +1,11 @@
 package placement
 
-// Owner is the state of one cell of servers during reshapes: the ranges that the cell
-// stores and what it may do with them. The emulated servers use it, and so does the
-// model checker of the at-most-once argument. All of its state counts as durable: a
-// server that crashes restarts with it, and a booking that ran without having been
-// stored had no effect.
+// This file models one cell of servers during reshapes: the ranges that the cell stores
+// and what it may do with them. A booking is a request that changes one key and must run
+// at most once. The emulated servers use it, and so does the
+// model checker of the at-most-once argument. The state counts as durable, except for
+// Running: a server that crashes restarts with the rest of it. A booking takes effect
+// only when it is stored, so one that was running at the crash had no effect.
 
 import (
 	"slices"
@@ -17,7 +18,7 @@
 // The modes.
 const (
 	Owned    Mode = iota // accepts reads and bookings
-	Fenced               // accepts reads; bookings are rejected without having run
+	Fenced               // accepts reads; bookings are rejected and never ran
 	Incoming             // receives copies; accepts nothing yet
 )
 
@@ -31,15 +32,16 @@
 	Reshape int64 // the newest reshape that changed the piece
 }
 
-// Owner is one cell's state.
+// Owner is one cell's state during reshapes. Use NewOwner; the zero value is not usable.
 type Owner struct {
 	Pieces     []Piece           // sorted by range, without overlaps
 	Booked     map[string]string // key to the query whose booking ran
 	Running    map[string]string // key to the query whose booking has begun and is not stored yet
-	RolledBack map[int64]bool    // reshapes rolled back at this cell: their orders are ignored
+	RolledBack map[int64]bool    // reshapes rolled back at this cell: Fence, CopyIn and Activate ignore them
 	Epoch      int64             // the newest epoch that the cell knows
 
-	// NoFence disables the fence, for drills in which the violation must be detected.
+	// NoFence disables the fence, for drills that check that the resulting violation of
+	// at-most-once execution is detected.
 	NoFence bool
 }
 
@@ -61,7 +63,7 @@
 	Accepted      Result = iota // the request is carried out
 	AlreadyBooked               // booking: ran before, so nothing runs now
 	NotOwned                    // the cell does not own the range; never ran
-	WritesFenced                // booking: the cell is fenced for now; never ran
+	WritesFenced                // booking: the range is fenced for now; never ran
 	Conflict                    // booking: another booking of the key is running; never ran
 )
 
@@ -75,7 +77,7 @@
 	return nil
 }
 
-// Begin starts the booking of a key for a query.
+// Begin starts the booking of a key for a query. Only Accepted means that it was started.
 func (o *Owner) Begin(key, query string) Result {
 	p := o.pieceOf(key)
 	switch {
@@ -92,7 +94,8 @@
 	return Accepted
 }
 
-// End stores a booking that was started, together with its effect.
+// End stores the running booking of a key together with its effect. It has no effect if
+// none is running.
 func (o *Owner) End(key string) {
 	if q := o.Running[key]; q != "" {
 		o.Booked[key] = q
@@ -132,7 +135,7 @@
 	}
 }
 
-// normalize sorts the pieces and joins adjacent ones that differ only in their range.
+// normalize sorts the pieces and joins adjacent pieces that differ only in their range.
 func (o *Owner) normalize() {
 	slices.SortFunc(o.Pieces, func(a, b Piece) int {
 		switch {
@@ -166,7 +169,8 @@
 
 // Fence rejects bookings in a range from now on. It reports whether the fence is
 // complete: bookings are rejected and none is running any more. An order of a reshape
-// that was rolled back at this cell, or is past its cutover, has no effect.
+// that was rolled back at this cell has no effect, and Fence returns false. A piece that
+// this or a later reshape has already changed keeps its mode.
 func (o *Owner) Fence(reshape int64, r Range) bool {
 	if o.RolledBack[reshape] {
 		return false
@@ -180,7 +184,8 @@
 	return o.NoFence || o.Idle(r)
 }
 
-// Unfence rolls a reshape back at an old owner.
+// Unfence rolls a reshape back at an old owner: the pieces that the reshape fenced accept
+// bookings again.
 func (o *Owner) Unfence(reshape int64, r Range) {
 	o.RolledBack[reshape] = true
 	for i := range o.Pieces {
@@ -191,8 +196,8 @@
 	o.normalize()
 }
 
-// CopyOut returns the bookings of a range. The final copy (last) is refused unless the
-// fence of the reshape is complete.
+// CopyOut returns the stored bookings of a range. If last is set (the final copy), ok is
+// false unless the fence of the reshape is complete.
 func (o *Owner) CopyOut(reshape int64, r Range, last bool) (booked map[string]string, ok bool) {
 	if last && !o.NoFence {
 		for _, p := range o.Pieces {
@@ -213,8 +218,9 @@
 	return booked, true
 }
 
-// CopyIn stores a copy. Known bookings are kept, so a delayed copy cannot restore an
-// old state.
+// CopyIn stores a copy of a range at a new owner. Bookings that are stored already are
+// kept, so a delayed copy cannot restore an old state. If the cell stores no piece of the
+// range yet, one is added as Incoming.
 func (o *Owner) CopyIn(reshape int64, r Range, booked map[string]string) {
 	if o.RolledBack[reshape] {
 		return
@@ -252,8 +258,8 @@
 	o.normalize()
 }
 
-// Drop deletes what a reshape moved away from the cell: the pieces that the reshape
-// fenced here and did not assign to this cell again.
+// Drop deletes what a reshape moved away from the cell, as of an epoch: the pieces that
+// the reshape fenced here and did not assign to this cell again.
 func (o *Owner) Drop(reshape int64, r Range, epoch int64) {
 	o.Epoch = max(o.Epoch, epoch)
 	o.dropPieces(reshape, r, Fenced)
--- a/internal/core/placement/placement.go
+++ b/internal/core/placement/placement.go
@@ -6,7 +6,9 @@
 //
 // The map follows the rules of range-partitioned stores (Bigtable, section 5.1;
 // Spanner's directories): the active segments cover every key exactly once. Each
-// change creates a new epoch. A segment id always means the same key range, so a
+// change creates a new epoch. The feed is the service that publishes the maps as updates.
+// A segment that a change replaces is retired: no longer active, but its range is
+// remembered. A segment id always means the same key range, so a
 // client that names a segment from an old map is understood for as long as the
 // retired segment is remembered.
 package placement
@@ -127,6 +129,7 @@
 	return &InvalidError{at.String(), fmt.Sprintf(format, args...)}
 }
 
+// label is the At of an InvalidError that does not concern one range.
 type label string
 
 func (n label) String() string { return string(n) }
@@ -155,7 +158,8 @@
 	return m.segments
 }
 
-// Servers returns the servers of a cell.
+// Servers returns the names of a cell's servers; nil if the cell is unknown. The caller
+// must not modify them.
 func (m *Map) Servers(cell int) []string {
 	if m == nil {
 		return nil
@@ -170,7 +174,8 @@
 func (m *Map) Retired() int { return m.retired.size }
 
 // Apply returns the map that results from an update. m itself is never modified. An
-// error means that the update is rejected and m remains valid.
+// error means that the update is rejected: m remains valid, and the returned map must not
+// be used. The error is a *StaleError, a *GapError or an *InvalidError.
 func (m *Map) Apply(u *Update) (*Map, error) {
 	if u.Epoch <= m.Epoch() {
 		return nil, &StaleError{m.Epoch(), u.Epoch}
@@ -229,6 +234,7 @@
 	return n, n.verify(m, u)
 }
 
+// byFrom orders segments by the start of their range, then by id.
 func byFrom(a, b Segment) int {
 	switch {
 	case a.From < b.From:
@@ -265,7 +271,8 @@
 	return nil
 }
 
-// applyDelta fills n.segments with the segments of m, changed as the update says.
+// applyDelta fills n.segments with the segments of m after the changes of the update, and
+// retires the removed ones. It does not change cells.
 func (n *Map) applyDelta(m *Map, u *Update) error {
 	replaced := make(map[uint32]bool, len(u.Removed)+len(u.Segments))
 	for _, id := range u.Removed {
@@ -294,6 +301,8 @@
 	return nil
 }
 
+// retire remembers the range of a segment that is no longer active. Above MaxRetired the
+// oldest one is dropped.
 func (n *Map) retire(id uint32, r Range) {
 	if _, known := n.retired.get(id); !known {
 		n.retiredOrder = append(n.retiredOrder, id)
@@ -306,9 +315,11 @@
 }
 
 // verify checks that the segments cover every key exactly once, that each is on a
-// cell with servers, and that no id stood for another range before. In a delta only
-// the segments of the update itself can have a wrong id or cell, unless cells changed
-// too.
+// cell with servers, and that no id was used for another range before. m is the map that
+// the update u was applied to. The cells of all segments are checked only if u changes
+// cells; otherwise only the segments in u can have a wrong cell. Only those can have a
+// wrong id. verify also fills n.starts, and no longer counts a segment as retired that is
+// active again.
 func (n *Map) verify(m *Map, u *Update) error {
 	if len(n.segments) == 0 {
 		return invalid(Range{}, "not covered by any segment")
@@ -389,7 +400,8 @@
 	return sort.Search(len(m.segments), func(i int) bool { return m.segments[i].From > key }) - 1
 }
 
-// Range returns the key range of a segment, also of a retired one that is remembered.
+// Range returns the key range of a segment. known is also true for a retired segment that
+// is remembered; active is false for it.
 func (m *Map) Range(id uint32) (r Range, active, known bool) {
 	if m == nil {
 		return r, false, false
@@ -401,7 +413,8 @@
 	return r, false, known
 }
 
-// Overlapping returns the active segments that intersect r.
+// Overlapping returns the active segments that intersect r, sorted by range. The caller
+// must not modify them.
 func (m *Map) Overlapping(r Range) []Segment {
 	if m.Len() == 0 || r.Empty() {
 		return nil
--- a/internal/core/placement/refresh.go
+++ b/internal/core/placement/refresh.go
@@ -3,24 +3,26 @@
 // When the feed is polled out of schedule, and how long a part waits for a newer map.
 // Times are microseconds on the caller's clock.
 
-// Refresh decides when to poll the feed ahead of schedule. Many parts may find out at
-// the same time that their map is outdated; the feed must receive one request for all
-// of them.
+// Refresh decides when to poll the feed, which publishes the map, ahead of schedule. Many
+// parts may find out at the same time that the map is outdated; the feed must receive one
+// request for all of them.
 type Refresh struct {
 	MinInterval int64 // between two requests
 	MaxBackoff  int64 // limit of Backoff, which doubles after each unsuccessful request
 
 	WantedEpoch int64 // the newest epoch that any server reported
 	FetchedAt   int64 // when the last request was sent
-	Fetching    bool
-	Backoff     int64
+	Fetching    bool  // a request is in flight
+	Backoff     int64 // time between requests after an unsuccessful one; 0: the last one was successful
 	Suppressed  int64 // requests not sent because one was in flight or too recent
 	Unsatisfied int   // consecutive responses older than WantedEpoch
 	Started     bool  // a request has been sent
 }
 
-// ObserveEpoch records that a server reported an epoch; have is the map's. It returns
-// when to poll the feed: 0 for now, a later time, or -1 for not at all.
+// ObserveEpoch records that a server reported an epoch; have is the epoch of the current
+// map. It returns when to poll the feed: -1 for not at all, a later time at which the
+// caller must call ObserveEpoch again, or 0 for now. A 0 counts as a request in flight
+// until FetchDone is called.
 func (r *Refresh) ObserveEpoch(now, epoch, have int64) (at int64) {
 	r.WantedEpoch = max(r.WantedEpoch, epoch)
 	if have >= r.WantedEpoch {
@@ -38,7 +40,8 @@
 	return 0
 }
 
-// FetchDone records the end of a request; have is the map's epoch after it.
+// FetchDone records the end of a request; have is the epoch of the current map after it.
+// The request counts as unsuccessful if that is older than WantedEpoch.
 func (r *Refresh) FetchDone(have int64) {
 	r.Fetching = false
 	if have >= r.WantedEpoch {
@@ -61,11 +64,12 @@
 }
 
 // AfterRejection decides how to continue after the n-th rejection (from 1) of a part.
-// server is the epoch that the server reported, have the map's, left the time until
-// the query's deadline. A server with a newer epoch means that this map is outdated
-// and a newer one is on its way, so the part waits for it. Otherwise a cutover is in
-// progress or a server reports a wrong epoch: the part is retried soon, then with
-// backoff.
+// server is the epoch that the server reported, have the epoch of the current map, left
+// the time until the query's deadline. A server with a newer epoch means that this map is
+// outdated and that a newer one is being fetched, so the part waits up to 400 ms for it.
+// Otherwise a cutover is in progress or a server reports a wrong epoch: the part is
+// retried after 15 ms, then with a delay that doubles. The delay is never more than half
+// of left.
 func AfterRejection(n int, server, have, left int64) Retry {
 	delay := int64(15000) << min(n-1, 5)
 	if server > have {
--- a/internal/core/placement/reshape.go
+++ b/internal/core/placement/reshape.go
@@ -5,18 +5,18 @@
 // one of each, which differ only in the cell.
 //
 //	Planned -> Copying -> Fencing -> Cutover -> Retiring -> Done
-//	   \________\___________\-> RollingBack -> Aborted
+//	              \__________\-> RollingBack -> Aborted
 //
-// The coordinator stores Step before it performs what NextAction returns, and every
-// action is idempotent. So a coordinator that crashes at any point resumes from what it
-// stored.
+// A reshape that is aborted while it is Planned becomes Aborted at once. The coordinator
+// stores Step before it performs what NextAction returns, and every action is idempotent.
+// So a coordinator that crashes at any point resumes from what it stored.
 //
 //	step         old owners             new owners           map
-//	Planned      accept everything      know nothing         old
+//	Planned      accept everything      have no data yet     old
 //	Copying      accept everything      receive copies       old
-//	Fencing      accept reads; reject   receive the rest     old
+//	Fencing      accept reads; reject   receive final copy   old
 //	             bookings (never ran)
-//	Cutover      reject everything      accept everything    new: published once they accept
+//	Cutover      reject everything      accept everything    new: published once the new owners accept
 //	Retiring     delete the data        accept everything    new
 //	RollingBack  accept everything      delete the copies    old
 //
@@ -55,9 +55,9 @@
 	Step        Step
 	Sources     []Segment
 	Targets     []Segment
-	Copied      bool // the first copy is stored at the new owners
+	Copied      bool // the first copy, made before the fence, is stored at the new owners
 	Fenced      bool // the old owners reported that they are fenced and idle
-	FinalCopied bool // the copy made after that is stored at the new owners
+	FinalCopied bool // the final copy, made with the old owners fenced, is stored at the new owners
 	Activated   bool // the new owners reported that they accept requests
 	Published   bool // the map has been published
 	Dropped     bool // the old data, or the copies of a rollback, are deleted
@@ -82,11 +82,12 @@
 	return [...]string{"nothing", "copy", "fence", "copy-last", "activate", "publish", "drop", "unfence"}[a]
 }
 
-// Plan creates a reshape of active segments. busy reports whether a segment is in
-// another reshape: each segment is in one reshape at a time.
-
-// Plan makes a reshape of segments in force. busy are the segments that others are
-// reshaping: one segment is in one reshape.
+// Plan creates a reshape of the active segments with the ids in sources. It does not
+// start it. busy reports whether a segment is in another reshape: each segment is in one
+// reshape at a time. The error is an *InvalidError if a source is not active or busy, if
+// the sources or the targets have gaps or do not cover the same keys, or if a target is
+// on a cell without servers or uses the id of a retired segment or of a segment with
+// another range.
 func (m *Map) Plan(id int64, sources []uint32, targets []Segment, busy func(uint32) bool) (*Reshape, error) {
 	if len(sources) == 0 || len(targets) == 0 {
 		return nil, invalid(label("plan"), "nothing to reshape")
@@ -126,7 +127,8 @@
 	return r, nil
 }
 
-// NextAction returns the next action; Completed must be called once it is done.
+// NextAction returns the next action, or Nothing if the reshape is not started or is
+// finished. The caller must call Completed once the action is done.
 func (r *Reshape) NextAction() Action {
 	switch r.Step {
 	case Copying:
@@ -149,7 +151,8 @@
 	return Nothing
 }
 
-// Completed records that an action is done and advances the reshape.
+// Completed records that an action is done and advances the reshape. An action other
+// than NextAction is ignored.
 func (r *Reshape) Completed(a Action) {
 	if a != r.NextAction() {
 		return // a repeated acknowledgement of an earlier action
@@ -172,15 +175,15 @@
 	}
 }
 
-// Start starts a planned reshape.
+// Start starts a planned reshape. It has no effect on a reshape that was started before.
 func (r *Reshape) Start() {
 	if r.Step == Planned {
 		r.Step = Copying
 	}
 }
 
-// Abort rolls a reshape back. It returns an error from Cutover on, when a booking may
-// already have run at the new owners.
+// Abort starts the rollback of a reshape. From Cutover on it returns an error, because a
+// booking may already have run at the new owners.
 func (r *Reshape) Abort() error {
 	switch r.Step {
 	case Planned:
@@ -194,7 +197,7 @@
 	return nil
 }
 
-// Finished reports whether the reshape is done or aborted.
+// Finished reports whether the reshape is at Done or Aborted: no action remains.
 func (r *Reshape) Finished() bool { return r.Step == Done || r.Step == Aborted }
 
 // Update returns the change of the map that the reshape publishes on top of epoch base.
--- a/internal/core/placement/route.go
+++ b/internal/core/placement/route.go
@@ -12,18 +12,18 @@
 // epoch, and optionally only a range of its keys.
 type PartRequest struct {
 	Segment uint32
-	Range   Range // zero: the segment's full range
-	Weight  float64
+	Range   Range   // zero: the segment's full range
+	Weight  float64 // share of the query's complete answer
 }
 
-// Share is the part of a request that a target serves.
+// Share is the portion of one request that one target serves.
 type Share struct {
-	Request int // index of the request
+	Request int // index of the request in the query
 	Range   Range
-	Weight  float64
+	Weight  float64 // share of the query's complete answer
 }
 
-// Target is one part as it is sent out: an active segment, the requested ranges of it,
+// Target is one part as it is sent to a cell: an active segment, the requested ranges of it,
 // and the requests that they belong to.
 type Target struct {
 	Segment uint32
@@ -62,10 +62,11 @@
 
 func (e *RouteError) Error() string { return e.Problem }
 
-// Route returns the targets of a query, limit of them at most. A request whose segment
+// Route returns the targets of a query: at most limit, otherwise an error. A request whose segment
 // was split yields one target per child that its range touches, with its weight
 // divided evenly among them; requests that reach the same segment share one target.
-// Two requests for the same keys are an error: each key belongs to one part.
+// Two requests for the same keys are an error: each key belongs to one part. Errors are
+// of type *RouteError.
 func (m *Map) Route(requests []PartRequest, limit int) ([]Target, error) {
 	if m.Len() == 0 {
 		return nil, &RouteError{"no map of the segments is held yet", true}
@@ -84,7 +85,7 @@
 			r = p.Range
 		}
 		segments := m.Overlapping(r)
-		if len(out)+len(segments) > limit+len(index) { // a cheap bound before the exact one
+		if len(out)+len(segments) > limit+len(index) { // cheap check before the exact one below
 			return nil, &RouteError{fmt.Sprintf("would bring more than %d parts", limit), false}
 		}
 		for _, s := range segments {
@@ -123,8 +124,9 @@
 	return out, nil
 }
 
-// Reroute routes the shares of a target by a newer map and splits them where segments
-// were split since.
+// Reroute routes the shares of a target by a newer map than the one that the target was
+// routed by. It splits a share whose segment was split since. More than limit targets are
+// an error; errors are of type *RouteError.
 func (m *Map) Reroute(t *Target, limit int) ([]Target, error) {
 	var out []Target
 	index := make(map[uint32]int)
--- a/internal/core/resolve/resolve.go
+++ b/internal/core/resolve/resolve.go
@@ -11,9 +11,11 @@
 //	truncated   the same resolver is queried over TCP, at once
 //	no name     (NXDOMAIN, or an answer without records of the type) must be reported by
 //	            two resolvers in a row, if there are two; then it is valid for the TTL
-//	            that it states, within MinTTL and MaxTTL
-//	refused,    the next resolver is queried at once, and this one is skipped for a
-//	lame        minute
+//	            that it states, within MinTTL and MaxTTL. While the name is known to be
+//	            absent, one report is enough to extend that
+//	refused,    (lame: the resolver is neither authoritative nor recursive) the next
+//	lame        resolver is queried at once, and this one is skipped for a minute, unless
+//	            all resolvers are being skipped
 //	failed,     (SERVFAIL, a timeout, an answer to another question or one that can't be
 //	timeout     parsed) the next resolver is queried at once; once all have failed, after
 //	            a backoff that doubles up to a limit
@@ -29,14 +31,14 @@
 
 // The outcomes.
 const (
-	Answer Outcome = iota
-	NoName
-	Truncated
-	Refused // REFUSED, NOTIMP, or lame: neither authoritative nor recursive
-	Failed
+	Answer    Outcome = iota // records of the requested type
+	NoName                   // NXDOMAIN, or an answer without records of the type
+	Truncated                // the response did not fit: to be repeated over TCP
+	Refused                  // REFUSED, NOTIMP, or lame: neither authoritative nor recursive
+	Failed                   // SERVFAIL, a timeout, or a response that does not match or can't be parsed
 )
 
-// OutcomeNames are the names of the outcomes.
+// OutcomeNames are the names of the outcomes, indexed by Outcome.
 var OutcomeNames = []string{"answer", "no-name", "truncated", "refused", "failed"}
 
 func (o Outcome) String() string { return OutcomeNames[o] }
@@ -47,8 +49,8 @@
 	MinTTL     Micros // lower limit of an answer's lifetime
 	MaxTTL     Micros // upper limit
 	StaleFor   Micros // how long an expired answer is used while no resolver answers
-	Backoff    Micros // after a round in which every resolver failed; doubles each round
-	MaxBackoff Micros
+	Backoff    Micros // delay after a round in which every resolver failed; doubles each round
+	MaxBackoff Micros // upper limit of the delay
 }
 
 // lameBackoff is how long a resolver that refuses or is lame is skipped.
@@ -62,10 +64,10 @@
 	Unknown Status = iota // there was no answer yet, or it was discarded
 	Fresh                 // the answer is within its lifetime
 	Stale                 // the lifetime is over and no resolver has answered since
-	Absent                // the name does not exist
+	Absent                // the name does not exist, and that report is within its lifetime
 )
 
-// StatusNames are the names of the states.
+// StatusNames are the names of the states, indexed by Status.
 var StatusNames = []string{"never", "fresh", "stale", "absent"}
 
 func (s Status) String() string { return StatusNames[s] }
@@ -79,15 +81,15 @@
 // Question is the state of one DNS question. Use New; the zero value is not usable.
 type Question struct {
 	settings     Settings
-	nextAt       Micros
-	query        Query
-	attempts     int // resolvers tried in this round, since the last answer
-	backoff      Micros
-	backoffUntil []Micros // by resolver: skipped until
+	nextAt       Micros   // when query is due
+	query        Query    // the next query
+	attempts     int      // queries without an accepted response in this round, which ends after one for each resolver
+	backoff      Micros   // delay after the next round in which every resolver fails
+	backoffUntil []Micros // by resolver: the resolver is skipped until then
 	denials      int      // consecutive responses that the name does not exist
-	hasAnswer    bool
-	absent       bool
-	expiresAt    Micros // end of the answer's lifetime
+	hasAnswer    bool     // an answer or an accepted denial was received
+	absent       bool     // the last accepted response is that the name does not exist
+	expiresAt    Micros   // end of the answer's lifetime
 	lastOutcome  Outcome
 }
 
@@ -134,6 +136,7 @@
 	return false
 }
 
+// accept makes a response the question's answer and schedules the query that refreshes it.
 func (q *Question) accept(now, ttl Micros, absent bool) {
 	life := min(max(ttl, q.settings.MinTTL), q.settings.MaxTTL)
 	q.hasAnswer, q.absent, q.expiresAt = true, absent, now+life
