--- a/internal/core/level/level.go
+++ b/internal/core/level/level.go
@@ -79,7 +79,7 @@
 	MinStay       Micros  // minimum time at a level
 	MaxStay       Micros  // limit of the minimum time after failed trials
 	Trial         Micros  // duration of a trial
-	MaxRegression float64 // a trial fails if its queries lose a larger share of their value than the other queries, by more than this
+	MaxRegression float64 // a trial fails if the lost share of its queries' value exceeds that of the others by more
 	MinSamples    int     // queries that a trial must have seen before it is judged
 }
 
@@ -219,7 +219,7 @@
 func (s *State) evaluateTrial(now Micros) (Change, bool) {
 	worse := s.trialGroup.n >= float64(s.settings.MinSamples) && s.trialGroup.badRatio() > s.controlGroup.badRatio()+s.settings.MaxRegression
 	switch {
-	case worse || s.exitSum == 0: // without waiting for the end of Trial, because the queries in the trial get the worse result
+	case worse || s.exitSum == 0: // ends before Trial is over, because the queries in the trial get the worse result
 		s.trialSince, s.exitSum, s.since = 0, 0, now
 		s.stay = min(2*s.stay, s.settings.MaxStay)
 	case now-s.trialSince >= s.settings.Trial && s.trialGroup.n >= float64(s.settings.MinSamples):
--- a/internal/core/placement/model_test.go
+++ b/internal/core/placement/model_test.go
@@ -40,6 +40,8 @@
 	uncertain bool // may have run: must not be sent again
 }
 
+// modelState is one state of the model: the coordinator's reshape, the messages in the
+// network, both owners and both bookings.
 type modelState struct {
 	reshape     Reshape
 	sent        orders
@@ -48,7 +50,7 @@
 	finalCopies []string
 	owners      [2]*Owner
 	bookings    [2]booking
-	runs        int
+	runs        int // times that a booking of the key took effect
 }
 
 // omission is a safeguard that is left out.
@@ -295,6 +297,7 @@
 	return len(seen), nil
 }
 
+// With all safeguards no reachable state violates the rule at the head of this file.
 func TestAtMostOnceAcrossAMove(t *testing.T) {
 	states, trace := explore(none)
 	require.Empty(t, trace, strings.Join(trace, "\n"))
--- a/internal/core/placement/placement_test.go
+++ b/internal/core/placement/placement_test.go
@@ -19,6 +19,8 @@
 	return m
 }
 
+// Lookup at range bounds; a delta leaves the old map unchanged and remembers the ranges of
+// retired segments.
 func TestApply(t *testing.T) {
 	m := initialMap(t)
 	s, ok := m.Lookup("karak")
@@ -199,6 +201,9 @@
 	})
 }
 
+// Plan rejects targets that do not cover the sources' keys or are on an unknown cell, and
+// sources that are not adjacent or are busy. A reshape performs its actions in order; it
+// can be aborted at each step before the cutover, and not once it is done.
 func TestPlan(t *testing.T) {
 	m := initialMap(t)
 	free := func(uint32) bool { return false }
--- a/internal/core/resolve/resolve.go
+++ b/internal/core/resolve/resolve.go
@@ -10,7 +10,8 @@
 //	            queried again when a tenth of that is left
 //	truncated   the same resolver is queried over TCP, at once
 //	no name     (NXDOMAIN, or an answer without records of the type) must be reported by
-//	            two resolvers in a row, if there are two; then it is valid for the TTL
+//	            two queries in a row if there are several resolvers; the second goes to
+//	            the next resolver that is not being skipped. Then it is valid for the TTL
 //	            that it states, within MinTTL and MaxTTL. While the name is known to be
 //	            absent, one report is enough to extend that
 //	refused,    (lame: the resolver is neither authoritative nor recursive) the next
--- a/internal/core/resolve/resolve_test.go
+++ b/internal/core/resolve/resolve_test.go
@@ -13,6 +13,7 @@
 	return Settings{Resolvers: n, MinTTL: sec, MaxTTL: 60 * sec, StaleFor: 300 * sec, Backoff: sec / 4, MaxBackoff: 5 * sec}
 }
 
+// An answer is fresh, then stale, then discarded; its lifetime is within MinTTL and MaxTTL.
 func TestLifetime(t *testing.T) {
 	q := New(settings(1))
 	require.Equal(t, Unknown, q.Status(0))
@@ -57,7 +58,7 @@
 	require.Equal(t, 2, query.Resolver, "the lame resolver is skipped")
 }
 
-// A wrong denial by one resolver is not accepted; a denial by two is.
+// With two resolvers one denial is not accepted, two in a row are; a single resolver's is.
 func TestNoName(t *testing.T) {
 	q := New(settings(2))
 	q.RecordResponse(0, Answer, 10*sec)
