--- a/internal/core/placement/model_test.go
+++ b/internal/core/placement/model_test.go
@@ -264,8 +264,8 @@
 		start.bookings[i] = booking{target: -1, sendsLeft: 2}
 	}
 	type step struct {
-		from string
-		what string
+		from       string
+		transition string
 	}
 	seen := map[string]step{start.id(): {}}
 	queue := []*modelState{start}
@@ -286,8 +286,8 @@
 				violated = violated || b.rejected && b.ran
 			}
 			if violated {
-				for at := to; seen[at].what != ""; at = seen[at].from {
-					trace = append([]string{seen[at].what}, trace...)
+				for at := to; seen[at].transition != ""; at = seen[at].from {
+					trace = append([]string{seen[at].transition}, trace...)
 				}
 				return len(seen), trace
 			}
