--- a/internal/core/placement/model_test.go
+++ b/internal/core/placement/model_test.go
@@ -40,6 +40,8 @@
 	uncertain bool // may have run: must not be sent again
 }
 
+// modelState is one state of the model: the coordinator's reshape, the messages in the
+// network, both owners and both bookings.
 type modelState struct {
 	reshape     Reshape
 	sent        orders
@@ -48,7 +50,7 @@
 	finalCopies []string
 	owners      [2]*Owner
 	bookings    [2]booking
-	runs        int
+	runs        int // times that a booking of the key took effect
 }
 
 // omission is a safeguard that is left out.
@@ -262,8 +264,8 @@
 		start.bookings[i] = booking{target: -1, sendsLeft: 2}
 	}
 	type step struct {
-		from string
-		what string
+		from       string
+		transition string
 	}
 	seen := map[string]step{start.id(): {}}
 	queue := []*modelState{start}
@@ -284,8 +286,8 @@
 				violated = violated || b.rejected && b.ran
 			}
 			if violated {
-				for at := to; seen[at].what != ""; at = seen[at].from {
-					trace = append([]string{seen[at].what}, trace...)
+				for at := to; seen[at].transition != ""; at = seen[at].from {
+					trace = append([]string{seen[at].transition}, trace...)
 				}
 				return len(seen), trace
 			}
@@ -295,6 +297,7 @@
 	return len(seen), nil
 }
 
+// With all safeguards no reachable state violates the rule at the head of this file.
 func TestAtMostOnceAcrossAMove(t *testing.T) {
 	states, trace := explore(none)
 	require.Empty(t, trace, strings.Join(trace, "\n"))
@@ -303,7 +306,7 @@
 }
 
 // For each omitted safeguard the check finds the transitions to a key that ran twice.
-func TestModelFindsWhatIsLeftOut(t *testing.T) {
+func TestModelDetectsOmittedSafeguards(t *testing.T) {
 	for name, omit := range map[string]omission{"no fence": noFence, "fence does not wait": noWait, "final copy before the fence": earlyFinalCopy,
 		"new owner accepts early": earlyActivate, "aborted after the cutover": lateAbort, "final copy is lost": lostFinalCopy} {
 		t.Run(name, func(t *testing.T) {
