--- a/internal/lab/bench/capacity.go
+++ b/internal/lab/bench/capacity.go
@@ -57,11 +57,13 @@
 type Result struct {
 	Name    string
 	Steps   []Step
-	Highest Step // the highest rate that was sustained
+	Highest Step `json:"Most"` // the highest rate that was sustained
 }
 
 // Capacities holds the results of all programs.
-type Capacities struct{ Results []Result }
+type Capacities struct {
+	Results []Result `json:"Sides"`
+}
 
 // stubServer is a leaf server that answers each part after capTime and does no work, so that
 // its only cost is that of the sockets.
--- a/internal/lab/bench/scale.go
+++ b/internal/lab/bench/scale.go
@@ -26,14 +26,15 @@
 
 // Size holds the measurements at one size.
 type Size struct {
-	Servers, Proxies int
-	QueriesS         float64 // queries per second of virtual time
-	PartsS           float64
-	Virtual, Wall    time.Duration
-	Events           int64
-	HeapMiB          int64 // highest of the samples of the heap in use
-	Deciding         time.Duration
-	Goodput          float64
+	Servers       int
+	Proxies       int     `json:"Mixers"`
+	QueriesS      float64 // queries per second of virtual time
+	PartsS        float64
+	Virtual, Wall time.Duration
+	Events        int64
+	HeapMiB       int64 // highest of the samples of the heap in use
+	Deciding      time.Duration
+	Goodput       float64
 }
 
 // Sizes holds the measurements of all sizes.
--- a/internal/lab/hookcost/hookcost.go
+++ b/internal/lab/hookcost/hookcost.go
@@ -36,17 +36,19 @@
 
 // Row holds the measurements of one engine at one point.
 type Row struct {
-	Engine, Point     string
-	Calls             int64
-	P50US, P99US      float64
-	MaxUS, KiBPerCall float64 // KiBPerCall: allocated by one call
+	Engine, Point string
+	Calls         int64
+	P50US         float64 `json:"P50us"`
+	P99US         float64 `json:"P99us"`
+	MaxUS         float64 `json:"Maxus"`
+	KiBPerCall    float64 `json:"KiBCall"` // allocated by one call
 }
 
 // Load holds the cost of loading a hook.
 type Load struct {
 	Engine         string
 	LoadMS         float64 // to compile and start all instances
-	KiBPerInstance float64 // heap retained by one instance, or by the compiled script
+	KiBPerInstance float64 `json:"KiBInstance"` // heap retained by one instance, or by the compiled script
 	PeakMiB        float64 // obtained from the system while loading
 	Instances      int
 	FreshInstances bool
@@ -59,7 +61,7 @@
 	Loads      []Load
 	PipeP50    float64 // round trip to a helper process over pipes, us
 	PipeP99    float64
-	Recursions []Recursion
+	Recursions []Recursion `json:"Deeps"`
 }
 
 var points = []hookabi.Point{hookabi.Taken, hookabi.Admission, hookabi.Send, hookabi.Answered, hookabi.Answer, hookabi.Ended}
--- a/internal/lab/hookcost/recursion.go
+++ b/internal/lab/hookcost/recursion.go
@@ -19,9 +19,9 @@
 // Recursion holds the measurements of one shape of stack frame.
 type Recursion struct {
 	Frame      string
-	Concurrent int
+	Concurrent int     `json:"AtOnce"`
 	MiB        float64 // obtained from the system
-	StoppedMS  float64 // until the last call was stopped
+	StoppedMS  float64 `json:"EndedMS"` // until the last call was stopped
 	Fault      string
 }
 
--- a/internal/lab/mapcost/mapcost.go
+++ b/internal/lab/mapcost/mapcost.go
@@ -27,7 +27,8 @@
 type Row struct {
 	Segments                   int
 	LookupNS, LookupsPerSecond float64
-	ChangeUS, FullMS           float64
+	ChangeUS                   float64
+	FullMS                     float64 `json:"WholeMS"`
 	BytesPerSegment            float64
 }
 
--- a/internal/lab/membercost/membercost.go
+++ b/internal/lab/membercost/membercost.go
@@ -28,15 +28,16 @@
 
 // Row holds the measurements at one size.
 type Row struct {
-	Servers                  int
-	ChangeP50us              float64 // an answer that changes one server, and the step after it
-	ChangeP99us              float64
-	FullSameMS               float64 // a full answer without a change
-	FullChangedMS            float64 // a full answer in which a tenth of the servers has changed
-	FlapMSEach5s             float64 // a tenth removed and added again, one by one, in 5 s: total processor time
-	FlapListed               float64 // mean share of the servers that are usable meanwhile
-	Damped                   int64
-	TotalKiB, BytesPerServer float64
+	Servers        int
+	ChangeP50us    float64 // an answer that changes one server, and the step after it
+	ChangeP99us    float64
+	FullSameMS     float64 `json:"WholeSameMS"` // a full answer without a change
+	FullChangedMS  float64 `json:"WholeNewMS"`  // a full answer in which a tenth of the servers has changed
+	FlapMSEach5s   float64 // a tenth removed and added again, one by one, in 5 s: total processor time
+	FlapListed     float64 // mean share of the servers that are usable meanwhile
+	Damped         int64
+	TotalKiB       float64 `json:"KiBAll"`
+	BytesPerServer float64 `json:"BytesOne"`
 }
 
 // Table holds the results at all sizes.
